--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -6,13 +6,30 @@
 
 from __future__ import annotations
 
+import importlib
 import json
+import pkgutil
 import struct
-from typing import Any
+from collections.abc import Iterator
+from dataclasses import is_dataclass
+from enum import Enum, IntEnum
+from pathlib import Path
+from typing import Any, get_args
 
+import msgspec
 import pytest
+from pydantic import BaseModel
 
+import fernweir
+from fernweir import interface, wire
+from fernweir.audit.records import AnyRecord
+from fernweir.config.ini import Section
+from fernweir.control.messages import Ask
 from fernweir.front.record import replay
+from fernweir.journal import picture
+from fernweir.journal.events import What
+from fernweir.node import frames, jsonl
+from fernweir.seats import records as seats
 from tests.golden_decisions import (
     FOLDER,
     VIRTUAL_DAYS,
@@ -22,6 +39,18 @@
     read_compressed,
     replay_front_day,
 )
+from tests.golden_formats import FORMATS, TYPES, rewritten, value_of
+from tests.golden_names import (
+    ENUMS,
+    SECTIONS,
+    command_tree,
+    enum_values,
+    environment_names,
+    exit_codes,
+    parameters_of,
+    section_defaults,
+    section_keys,
+)
 
 
 def stored(name: str) -> Any:
@@ -30,6 +59,243 @@
 
 
 DECISIONS = stored("decisions.json")
+NAMES = stored("names.json")
+PARTS = (
+    "journal",
+    "seats",
+    "control",
+    "lists",
+    "tokens",
+    "node",
+    "wire",
+    "record",
+    "audit",
+    "http",
+    "entitlement",
+)
+SAMPLES: dict[str, dict[str, Any]] = {
+    f"{part}: {one['format']}: {one['name']}": one for part in PARTS for one in stored(f"{part}.json")
+}
+
+
+def difference(sample: dict[str, Any]) -> str:
+    """What the code reads or writes otherwise than it stands in a sample; empty if nothing."""
+    data, kind = bytes.fromhex(sample["bytes"]), sample["format"]
+    try:
+        # Through JSON, as the stored value went: a tuple and a list are the same there.
+        if FORMATS[kind].read is not None and json.loads(json.dumps(value_of(kind, data))) != sample["value"]:
+            return "read as another value"
+        again = rewritten(kind, data, sample["value"])
+    except Exception as error:
+        return f"not read: {error!r}"
+    return "" if again is None or again == data else f"written as {again[:200]!r}"
+
+
+# --- samples ---
+
+
+@pytest.mark.parametrize("name", SAMPLES)
+def test_a_sample_is_read_to_its_value_and_written_to_its_bytes(name: str) -> None:
+    assert difference(SAMPLES[name]) == ""
+
+
+def test_every_format_has_samples() -> None:
+    assert {one["format"] for one in SAMPLES.values()} == set(FORMATS)
+
+
+# --- completeness: what the code has, the samples have ---
+
+# Dataclasses of modules with stored or sent formats that never leave the process by themselves.
+IN_MEMORY = {
+    "fernweir.control.orders.Command": "made of a control-change message",
+    "fernweir.control.orders.OrderRules": "settings of the order book",
+    "fernweir.control.orders.Result": "its to_plain stands in the answers of control-conversation",
+    "fernweir.control.orders.SiteNow": "its to_plain stands in the answer to `site` of control-conversation",
+    "fernweir.control.orders._Undo": "stored as a list within orders-file",
+    "fernweir.front.boxlist.Lesson": "made of a list-title",
+    "fernweir.http.parse.Limits": "limits of a parser",
+    "fernweir.seats.log.LogRules": "settings of the log",
+    "fernweir.journal.segment.Question": "made of a control-events message",
+}
+FORMAT_MODULES = (
+    "interface", "wire", "journal.events", "journal.segment", "journal.picture", "seats.records", "seats.log",
+    "control.orders", "control.messages", "node.jsonl", "node.frames", "node.config", "http.parse",
+    "http.sse",
+    "front.boxlist", "dash.build", "entitlement.client", "front.usecheck", "front.introspection",
+)  # fmt: skip
+IN_MEMORY_MODELS = {
+    "fernweir.audit.records.Record": "what all records of a trace share",
+    "fernweir.config.ini.Section": "what all sections of settings share",
+    "fernweir.control.messages.AnyAsk": "reads one of the messages",
+    "fernweir.control.messages._Message": "what all messages share",
+    "fernweir.front.boxlist._Strict": "what all parts of a list document share",
+    "fernweir.tokens.claims.Claims": "what all tokens share",
+}
+IN_MEMORY_ENUMS = {
+    "fernweir.node.course.At": "where a client connection stands",
+    "fernweir.node.visit.Side": "which end of a client connection ended",
+    "fernweir.node.watch.Verdict": "what the liveness monitor asks for",
+    "fernweir.node.asking.At": "where a reconnect stands",
+    "fernweir.seats.book.State": "where a seat stands; the log stores records instead",
+    "fernweir.seats.book.Said": "what a reply of the entitlement server means",
+    "fernweir.rehearsal.fleet.process.Life": "whether a process of the rig lives; its value is only printed",
+    "fernweir.front.host.Phase": "where a session stands",
+    "fernweir.entitlement.queue.Turn": "the order within the queue of requests",
+    "fernweir.entitlement.policy.BreakerState": "where the circuit breaker stands",
+}
+
+
+def import_all() -> None:
+    """Imports every module of the package but the peers' own and the entry points."""
+    for found in pkgutil.walk_packages(fernweir.__path__, "fernweir."):
+        if not found.name.startswith("fernweir.peers") and not found.name.endswith("__main__"):
+            importlib.import_module(found.name)
+
+
+def subclasses(base: type) -> Iterator[type]:
+    """Every subclass that the package defines outside the peers' protocol."""
+    for one in base.__subclasses__():
+        yield from subclasses(one)
+        if one.__module__.startswith("fernweir.") and not one.__module__.startswith("fernweir.peers"):
+            yield one
+
+
+def full_name(kind: type) -> str:
+    """Module and name of a class."""
+    return f"{kind.__module__}.{kind.__qualname__}"
+
+
+def types_in(value: Any) -> set[str]:
+    """The stable names of all types within a stored value."""
+    if isinstance(value, dict):
+        own = {str(value["type"])} if "type" in value else set()
+        return own.union(*map(types_in, value.values()))
+    return set().union(*map(types_in, value)) if isinstance(value, list) else set()
+
+
+def test_every_type_has_a_sample() -> None:
+    seen = set().union(*(types_in(one["value"]) for one in SAMPLES.values()))
+    assert seen == set(TYPES)
+
+
+def test_every_dataclass_with_a_stored_form_is_known() -> None:
+    found = {}
+    for name in FORMAT_MODULES:
+        module = importlib.import_module(f"fernweir.{name}")
+        for one in vars(module).values():
+            if isinstance(one, type) and is_dataclass(one) and one.__module__ == module.__name__:
+                found[full_name(one)] = one
+    unknown = {name for name, one in found.items() if one not in TYPES.values()}
+    assert unknown == set(IN_MEMORY)
+
+
+def test_every_model_is_known() -> None:
+    import_all()
+    known = {*TYPES.values(), *SECTIONS.values()}
+    unknown = {full_name(one) for one in subclasses(BaseModel) if one not in known}
+    assert unknown == set(IN_MEMORY_MODELS)
+    assert set(subclasses(Section)) == set(SECTIONS.values())
+
+
+def test_there_is_no_other_kind_of_message() -> None:
+    import_all()
+    assert list(subclasses(msgspec.Struct)) == []
+
+
+def test_every_enum_is_known() -> None:
+    import_all()
+    found = {full_name(one): one for one in subclasses(Enum)}
+    assert {name for name, one in found.items() if one not in ENUMS.values()} == set(IN_MEMORY_ENUMS)
+
+
+def test_every_word_of_the_tables_has_a_sample() -> None:
+    values = {kind: [one["value"] for one in SAMPLES.values() if one["format"] == kind] for kind in FORMATS}
+    asked = [json.loads(bytes.fromhex(one["bytes"])) for one in SAMPLES.values()
+             if one["format"] == "control-message"]  # fmt: skip
+    words = {word for kind in get_args(Ask) for word in get_args(kind.model_fields["do"].annotation)}
+    assert {one["do"] for one in asked} == words
+    kinds = {get_args(kind.model_fields["kind"].annotation)[0] for kind in get_args(get_args(AnyRecord)[0])}
+    traced = {json.loads(bytes.fromhex(one["bytes"]))["kind"] for one in SAMPLES.values()
+              if one["format"] == "trace-record"}  # fmt: skip
+    assert traced == kinds
+    assert {one["fields"][0] for one in values["node-line"]} == jsonl.TYPES
+    assert {one["fields"][0] for one in values["node-frame"]} == {kind.value for kind in frames.Type}
+    assert {one["fields"][2] for one in values["journal-row"]} == {what.value for what in What}
+    actions = {one["type"] for one in values["wire-action"]}
+    assert {TYPES[name] for name in actions} == set(get_args(interface.Action))
+    recorded = {TYPES[one["type"]] for one in values["record-value"]}
+    assert recorded == {interface.Settings, *get_args(interface.Action), *get_args(interface.Event)}
+
+
+# --- names that others rely on ---
+
+
+def test_the_accepted_keys_and_defaults_of_settings_stay() -> None:
+    assert section_keys() == NAMES["ini_keys"]
+    assert json.loads(json.dumps(section_defaults())) == NAMES["ini_defaults"]
+
+
+def test_the_environment_variables_stay() -> None:
+    assert environment_names() == NAMES["environment"]
+
+
+def test_every_command_can_still_be_called_with_its_options() -> None:
+    now = {words: parameters_of(words) for words in NAMES["commands"]}
+    lost = {words: set(kept) - set(now[words] or []) for words, kept in NAMES["commands"].items()}
+    assert {words for words, parameters in now.items() if parameters is None} == set()
+    assert {words: some for words, some in lost.items() if some} == {}
+    assert set(command_tree()) >= {"fernweir", "fernweir node", "fernweir serve", "fernweir replay"}
+
+
+def test_the_exit_codes_stay(tmp_path: Path) -> None:
+    assert exit_codes(tmp_path) == NAMES["exit_codes"]
+
+
+def test_the_values_of_enums_stay() -> None:
+    assert enum_values() == NAMES["enum_values"]
+
+
+# --- the net catches what it is for ---
+
+
+def broken() -> set[str]:
+    """The formats of which a sample differs now."""
+    return {one["format"] for one in SAMPLES.values() if difference(one)}
+
+
+def test_a_changed_tag_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    encode = seats._encode
+    monkeypatch.setattr(
+        seats, "_encode", lambda row: encode(["new" if row[0] == "held" else row[0], *row[1:]])
+    )
+    assert "seat-held" in broken()
+
+
+def test_a_changed_stored_field_name_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    def renamed(row: Any) -> dict[str, Any]:
+        return {name.replace("box", "server"): getattr(row, name) for name in row.__slots__}
+
+    monkeypatch.setattr(picture, "asdict", renamed)
+    assert {"picture", "picture-snapshot"} <= broken()
+
+
+def test_a_changed_type_name_in_a_record_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.delattr(interface, "Refuse")
+    assert "record-value" in broken()
+
+
+def test_a_changed_order_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    row = seats._row
+    monkeypatch.setattr(
+        seats, "_row", lambda seat: [*row(seat)[:2], *reversed(row(seat)[2:4]), *row(seat)[4:]]
+    )
+    assert {"seat-asked", "seat-table"} <= broken()
+
+
+def test_a_changed_value_of_an_enum_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    shifted = IntEnum("shifted", {one.name: one.value + 1 for one in interface.Result})  # type: ignore[misc]
+    monkeypatch.setattr(wire, "Result", shifted)
+    assert "wire-frame" in broken()
 
 
 # --- the same decisions ---
