--- a/bench/golden_state_samples.py
+++ b/bench/golden_state_samples.py
@@ -367,6 +367,8 @@
         Sample("feed", "node-feed", b"\n".join(feed_lines())),
         Sample("full", "node-config", json.dumps(node_config()).encode()),
         Sample("bare", "node-config", json.dumps(bare_node_config()).encode()),
+        Sample("full", "node-platform", json.dumps(node_config()).encode()),
+        Sample("bare", "node-platform", json.dumps(bare_node_config()).encode()),
     ]
 
 
--- a/fernweir/brain.py
+++ b/fernweir/brain.py
@@ -15,8 +15,8 @@
 
 from fernweir.interface import (
     Abandoned, Action, Arrival, Effect, Ended, Event, Fail, ListKind, ListUpdate, Log, Note, NoteKind, Place,
-    Probe, Probed, Refuse, Result, ServerEntry, ServerState, SessionClass, SetRung, Settings, Started,
-    Subscribe, TakenOver, Timer, TimerFired, Viewer,
+    Probe, Probed, RESULT_WORDS, Refuse, Result, ServerEntry, ServerState, SessionClass, SetRung, Settings,
+    Started, Subscribe, TakenOver, Timer, TimerFired, Viewer,
 )  # fmt: skip
 
 MARK = 0.80  # a link or uplink under this share takes more
@@ -681,7 +681,7 @@
         if server.strikes == 1:
             if result is Result.TIMEOUT:
                 self._probe(server)
-            self.out.append(Log(f"server {server.id} is suspect: {result.name.lower()}"))
+            self.out.append(Log(f"server {server.id} is suspect: {RESULT_WORDS[result]}"))
 
     def _doubt(self, server: Server, gone: bool) -> None:
         """Takes its process for gone, so that what comes back is cold."""
--- a/fernweir/front/boxes.py
+++ b/fernweir/front/boxes.py
@@ -17,7 +17,7 @@
 from fernweir.http.client import Call, Origin, Outcome, Pool, Reply
 from fernweir.http.parse import ResponseHead
 from fernweir.http.sse import EventReader
-from fernweir.interface import Result
+from fernweir.interface import RESULT_WORDS, Result
 
 MERGE_PATCH = "application/merge-patch+json"  # RFC 7396
 Under = tuple[str, int]  # the channel and the fence by which a session is steered
@@ -78,7 +78,7 @@
             if result is not Result.OK:
                 core.log.info(
                     "set-up failed", session=jti, box=command.server, attempt=command.attempt,
-                    result=result.name.lower(), why=why,
+                    result=RESULT_WORDS[result], why=why,
                 )  # fmt: skip
             end = SetUpResult(result, now - sent_at, load_report(reply), payload, why)
             host.set_up_done(now, jti, command.attempt, end)
--- a/fernweir/front/explain.py
+++ b/fernweir/front/explain.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from fernweir.brain import Controller, Server, Session
-from fernweir.interface import ServerState
+from fernweir.interface import STATE_WORDS, ServerState
 
 _KEPT = 65_536
 
@@ -87,7 +87,7 @@
     def _kept_out(self, session: Session, server: Server) -> str:
         now = self.now
         if server.state is not ServerState.READY:
-            return server.state.name.lower()
+            return STATE_WORDS[server.state]
         if server.suspect_until > now or (server.strikes and (server.probing or server.setting_up)):
             return "suspect"
         if len(server.sessions) >= server.streams:
--- a/fernweir/front/host.py
+++ b/fernweir/front/host.py
@@ -41,6 +41,8 @@
 )
 from fernweir.front.ledger import Ledger
 from fernweir.interface import (
+    RESULT_WORDS,
+    STATE_WORDS,
     Abandoned,
     Action,
     Arrival,
@@ -348,10 +350,10 @@
             return
         if end.result not in _NEVER_RAN:
             held.may_have_run = True
-            self._release(held, f"set-up ended as {end.result.name.lower()}")
+            self._release(held, f"set-up ended as {RESULT_WORDS[end.result]}")
         held.last = end.result
         held.phase = Phase.ASKED
-        why = end.result.name.lower() + (f": {end.why}" if end.why else "")
+        why = RESULT_WORDS[end.result] + (f": {end.why}" if end.why else "")
         self._write_down(What.FAILED_TRY, held, why=why, more={"took_ms": round(end.took_ms, 1)})
         self._leave_server(held)
         report = tuple(end.report[name] for name in self.settings.report_fields if name in end.report)
@@ -412,7 +414,7 @@
         if held is None or held.phase is not Phase.PLAYING or held.attempt != attempt:
             return
         self._now = now
-        self._end(held, result, "over" if result is Result.OK else f"over: {result.name.lower()}")
+        self._end(held, result, "over" if result is Result.OK else f"over: {RESULT_WORDS[result]}")
 
     def release(self, now: float, jti: str) -> bool:
         """The viewer ends its session here. False if there is none that plays."""
@@ -871,5 +873,5 @@
             if self._listed.get(entry.server) != now:
                 self._listed[entry.server] = now
                 start = f"{entry.started_at:.0f}" if entry.started_at else ""
-                why = entry.state.name.lower()
+                why = STATE_WORDS[entry.state]
                 self._write_down(What.BOX, box=entry.server, why=why, more={"start": start})
--- a/fernweir/front/record.py
+++ b/fernweir/front/record.py
@@ -8,12 +8,11 @@
 
 import json
 from collections.abc import Iterable, Iterator
-from dataclasses import fields, is_dataclass
 from enum import Enum, IntEnum
-from typing import IO, Any, get_args, get_type_hints
+from typing import IO, Any, get_args
 
-from fernweir import interface
 from fernweir.brain import Controller
+from fernweir.front.stored_types import BY_CLASS, BY_NAME
 from fernweir.interface import Action, Event, Settings
 
 FORMAT = 1
@@ -24,10 +23,11 @@
 
 
 def to_plain(value: Any) -> Any:
-    """A value of the interface as JSON has it; a dataclass names its type."""
-    if is_dataclass(value) and not isinstance(value, type):
-        plain = {item.name: to_plain(getattr(value, item.name)) for item in fields(value)}
-        return {"is": type(value).__name__, **plain}
+    """A value of the interface as JSON has it; a dataclass names its type, see `stored_types`."""
+    stored = BY_CLASS.get(type(value))
+    if stored is not None:
+        pairs = zip(stored.names, stored.attributes, strict=True)
+        return {"is": stored.name, **{name: to_plain(getattr(value, attr)) for name, attr in pairs}}
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, tuple):
@@ -38,11 +38,11 @@
 def from_plain(plain: Any, hint: Any = None) -> Any:
     """The value that `to_plain` wrote, checked against the interface's types."""
     if isinstance(plain, dict):
-        kind = getattr(interface, str(plain.get("is")), None)
-        if not (isinstance(kind, type) and is_dataclass(kind)):
+        stored = BY_NAME.get(str(plain.get("is")))
+        if stored is None:
             raise RecordError(f"unknown type {plain.get('is')}")
-        hints = get_type_hints(kind)
-        return kind(**{item.name: from_plain(plain[item.name], hints[item.name]) for item in fields(kind)})
+        pairs = zip(stored.names, stored.hints, strict=True)
+        return stored.kind(*(from_plain(plain[name], hint) for name, hint in pairs))
     if isinstance(hint, type) and issubclass(hint, IntEnum | Enum):
         return hint(plain)
     if isinstance(plain, list):
--- /dev/null
+++ b/fernweir/front/stored_types.py
@@ -0,0 +1,102 @@
+"""The names under which values of the interface are stored and sent, whatever their classes are called.
+
+A front's record names a value's type and fields, and a node tells its peers its settings in such words. So
+this table is a format: a class or field that is renamed keeps its stored name here.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field, fields
+from enum import Enum
+from typing import Any, get_type_hints
+
+from fernweir import interface
+
+
+@dataclass(frozen=True, slots=True)
+class StoredType:
+    """One class of the interface as it is stored.
+
+    Attributes:
+        kind: Today's class.
+        name: The stored name of the type.
+        field_names: The stored names of the fields, in the class's order, separated by spaces.
+        names: The same, apart.
+        attributes: Today's names of the fields.
+        hints: The types of the fields.
+    """
+
+    kind: type[Any]
+    name: str
+    field_names: str
+    names: tuple[str, ...] = field(init=False)
+    attributes: tuple[str, ...] = field(init=False)
+    hints: tuple[Any, ...] = field(init=False)
+
+    def __post_init__(self) -> None:
+        hints = get_type_hints(self.kind)
+        attributes = tuple(one.name for one in fields(self.kind))
+        object.__setattr__(self, "names", tuple(self.field_names.split()))
+        object.__setattr__(self, "attributes", attributes)
+        object.__setattr__(self, "hints", tuple(hints[name] for name in attributes))
+
+
+STORED_TYPES = (
+    StoredType(
+        interface.SessionClass,
+        "SessionClass",
+        "name aim_ms deadline_ms gain effect scale lowest_rung top_rung seats",
+    ),
+    StoredType(interface.Budget, "Budget", "span_ms free share"),
+    StoredType(interface.ColdRule, "ColdRule", "warm_up_ms cold_from fall_multiple fall_ms"),
+    StoredType(
+        interface.Settings,
+        "Settings",
+        "classes fronts ordinal period_ms cells racks rates_kb worths kind_streams weight_kb "
+        "uplink_kb switch_cost_s seen_after_ms tell_ms report_fields must_subscribe may_probe "
+        "attempts_cap retry_after_max_ms answer_slack_ms drain_grace_ms cold budget",
+    ),
+    StoredType(interface.ServerEntry, "ServerEntry", "server state started_at cell kind weight"),
+    StoredType(interface.ListUpdate, "ListUpdate", "kind version entries"),
+    StoredType(
+        interface.Viewer,
+        "Viewer",
+        "session cls key title first_cell copies top_rung length_ms left_ms moved returning",
+    ),
+    StoredType(interface.Arrival, "Arrival", "viewer"),
+    StoredType(interface.TakenOver, "TakenOver", "viewer server"),
+    StoredType(interface.Started, "Started", "session server attempt took_ms"),
+    StoredType(interface.Ended, "Ended", "session server attempt result closed took_ms report"),
+    StoredType(interface.Abandoned, "Abandoned", "session"),
+    StoredType(interface.Note, "Note", "session server attempt kind level"),
+    StoredType(interface.TimerFired, "TimerFired", "token"),
+    StoredType(interface.Probed, "Probed", "server result took_ms report"),
+    StoredType(interface.Message, "Message", "sender body"),
+    StoredType(interface.Place, "Place", "session server timeout_ms"),
+    StoredType(interface.SetRung, "SetRung", "session rung"),
+    StoredType(interface.Move, "Move", "session"),
+    StoredType(interface.Refuse, "Refuse", "session retry_after_ms"),
+    StoredType(interface.Fail, "Fail", "session"),
+    StoredType(interface.Timer, "Timer", "token after_ms"),
+    StoredType(interface.Probe, "Probe", "server"),
+    StoredType(interface.Subscribe, "Subscribe", "active"),
+    StoredType(interface.Log, "Log", "text"),
+)
+BY_CLASS = {one.kind: one for one in STORED_TYPES}
+BY_NAME = {one.name: one for one in STORED_TYPES}
+_EFFECTS = {"repeatable": "REPEATABLE", "by_key": "BY_KEY", "once": "ONCE"}
+
+
+def stored_text(value: Any) -> str:
+    """A setting's value as text that peers compare: how Python showed it when the format was made."""
+    stored = BY_CLASS.get(type(value))
+    if stored is not None:
+        pairs = zip(stored.names, stored.attributes, strict=True)
+        shown = (f"{name}={stored_text(getattr(value, attribute))}" for name, attribute in pairs)
+        return f"{stored.name}({', '.join(shown)})"
+    if isinstance(value, Enum):
+        return f"<Effect.{_EFFECTS[value.value]}: {value.value!r}>"
+    if isinstance(value, tuple):
+        inner = ", ".join(map(stored_text, value))
+        return f"({inner},)" if len(value) == 1 else f"({inner})"
+    return repr(value)
--- a/fernweir/interface.py
+++ b/fernweir/interface.py
@@ -44,6 +44,21 @@
     MOOT = 7
 
 
+# The words for results and states in logs, journals and records. They are stored: a renamed member keeps its
+# word.
+RESULT_WORDS = {
+    Result.ERROR: "error",
+    Result.OK: "ok",
+    Result.FULL: "full",
+    Result.TIMEOUT: "timeout",
+    Result.CONNECT_FAILED: "connect_failed",
+    Result.RESET: "reset",
+    Result.CANCELLED: "cancelled",
+    Result.MOOT: "moot",
+}
+STATE_WORDS = {ServerState.GONE: "gone", ServerState.READY: "ready", ServerState.DRAINING: "draining"}
+
+
 class NoteKind(IntEnum):
     DELIVERED = 1
     RUNG = 2
--- a/fernweir/node/peering.py
+++ b/fernweir/node/peering.py
@@ -9,7 +9,7 @@
 import asyncio
 import time
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass, fields, replace
+from dataclasses import dataclass, replace
 from pathlib import Path
 from typing import Any
 
@@ -19,6 +19,7 @@
 from fernweir.config.peers import PeerName, PeersSection, check_peers
 from fernweir.front.acting import Acting
 from fernweir.front.core import Core
+from fernweir.front.stored_types import BY_CLASS, stored_text
 from fernweir.interface import ListKind, ListUpdate, ServerState
 from fernweir.node.config import ConfigError, NodeConfig
 from fernweir.node.feed import Feed
@@ -172,7 +173,9 @@
 
 def _platform(config: NodeConfig) -> dict[str, str]:
     """The platform's settings that all nodes have alike, by name."""
-    said = {one.name: repr(getattr(config.settings, one.name)) for one in fields(config.settings)}
+    stored = BY_CLASS[type(config.settings)]
+    pairs = zip(stored.names, stored.attributes, strict=True)
+    said = {name: stored_text(getattr(config.settings, attribute)) for name, attribute in pairs}
     said |= {
         "kinds": repr(config.kinds),
         "connect_ms": repr(config.connect_ms),
--- a/fernweir/node/servers.py
+++ b/fernweir/node/servers.py
@@ -17,7 +17,7 @@
 from fernweir.front.core import Core
 from fernweir.front.host import Phase
 from fernweir.front.names import number_of
-from fernweir.interface import ListUpdate, NoteKind, Result, ServerState
+from fernweir.interface import RESULT_WORDS, ListUpdate, NoteKind, Result, ServerState
 from fernweir.node.buffer import Shell
 from fernweir.node.config import Address, NodeConfig
 from fernweir.node.course import At, Course
@@ -333,7 +333,7 @@
         if end.result is not Result.OK:
             self.core.log.info(
                 "set-up failed", session=command.session.jti, server=self.feed.names.get(command.server),
-                attempt=command.attempt, result=end.result.name.lower(), why=end.why,
+                attempt=command.attempt, result=RESULT_WORDS[end.result], why=end.why,
             )  # fmt: skip
         self.core.host.set_up_done(self.core.now(), command.session.jti, command.attempt, end)
         self.core.kick()
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -48,6 +48,7 @@
 from fernweir.journal.store import Journal
 from fernweir.node import config as node_config
 from fernweir.node import frames, jsonl
+from fernweir.node import peering as node_peering
 from fernweir.node.feed import Feed
 from fernweir.node.requests import Requests
 from fernweir.seats import book
@@ -609,6 +610,11 @@
         return node_config.load({"ROUTER_CONFIG": str(path)})
 
 
+def read_platform(data: bytes) -> dict[str, str]:
+    """What nodes tell one another of their settings: it crosses the peers' wire, and is compared as text."""
+    return node_peering._platform(read_node_config(data))
+
+
 # --- simulator's wire, records, HTTP ---
 
 
@@ -732,6 +738,7 @@
     "node-frame-fields": Format(read_frame_fields),
     "node-feed": Format(read_feed),
     "node-config": Format(read_node_config),
+    "node-platform": Format(read_platform),
     "wire-frame": Format(read_wire_frame),
     "wire-settings": Format(wire.parse_settings),
     "wire-action": Format(None, lambda one: wire.encode_action(build(one))),
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -25,6 +25,7 @@
 from fernweir.audit.records import AnyRecord
 from fernweir.config.ini import Section
 from fernweir.control.messages import Ask
+from fernweir.front import stored_types
 from fernweir.front.record import replay
 from fernweir.journal import picture
 from fernweir.journal.events import What
@@ -280,8 +281,52 @@
 
 
 def test_a_changed_type_name_in_a_record_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.delattr(interface, "Refuse")
-    assert "record-value" in broken()
+    kept = stored_types.BY_CLASS[interface.Refuse]
+    renamed = stored_types.StoredType(kept.kind, "Reject", kept.field_names)
+    monkeypatch.setitem(stored_types.BY_CLASS, interface.Refuse, renamed)
+    assert broken() == {"record-value"}
+
+
+def test_a_type_that_a_record_lacks_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.delitem(stored_types.BY_NAME, "Refuse")
+    assert broken() == {"record-value"}
+
+
+@pytest.fixture
+def renamed_interface() -> Iterator[None]:
+    """The classes of the interface and the members of its enums under other names."""
+    kept = {kind: (kind.__name__, kind.__qualname__) for kind in stored_types.BY_CLASS}
+    members = [one for enum in (interface.Effect, interface.Result, interface.ServerState) for one in enum]
+    names = [one.name for one in members]
+    try:
+        for kind in kept:
+            kind.__name__, kind.__qualname__ = f"New{kind.__name__}", f"New{kind.__qualname__}"
+        for member in members:
+            member._name_ = f"NEW_{member.name}"
+        yield
+    finally:
+        for kind, (name, qualified) in kept.items():
+            kind.__name__, kind.__qualname__ = name, qualified
+        for member, name in zip(members, names, strict=True):
+            member._name_ = name
+
+
+def test_a_renamed_class_or_member_of_the_interface_changes_no_byte(renamed_interface: None) -> None:
+    assert repr(interface.Fail(1)) == "NewFail(session=1)"
+    assert broken() == set()
+    lines = read_compressed("front_day.record.gz").decode().splitlines()
+    assert replay(lines) == (DECISIONS["front_day"]["batches"], None)
+    assert (
+        digest(answer_wire_stream(read_compressed("wire_stream.gz"))) == DECISIONS["wire"]["answers_digest"]
+    )
+
+
+def test_every_class_of_the_interface_has_a_stored_name_for_each_field() -> None:
+    kinds = [one for one in vars(interface).values() if isinstance(one, type) and is_dataclass(one)]
+    assert set(kinds) == set(stored_types.BY_CLASS)
+    assert all(len(one.names) == len(one.attributes) for one in stored_types.STORED_TYPES)
+    assert set(interface.RESULT_WORDS) == set(interface.Result)
+    assert set(interface.STATE_WORDS) == set(interface.ServerState)
 
 
 def test_a_changed_order_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
