--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -9,7 +9,7 @@
 import json
 import zlib
 from collections.abc import Callable, Mapping
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from pathlib import Path
 from tempfile import TemporaryDirectory
 from types import SimpleNamespace
@@ -17,15 +17,20 @@
 
 import msgspec
 
+from fernweir.front import peering as front_peering
+from fernweir.front.boxlist import BoxList, read_document
+from fernweir.interface import Effect, Settings
+from fernweir.node import peering as node_peering
 from fernweir.peers import foresight, lateness, peer, replacing, weighing
 from fernweir.peers.acts import desk, plan, segment, versions
+from fernweir.peers.acts.answers import Answerer, value_of
 from fernweir.peers.acts.block import Sealed, read, records, seal
 from fernweir.peers.acts.chain import Chain, Head
-from fernweir.peers.acts.clock import Sure, When
+from fernweir.peers.acts.clock import Clocks, Sure, When
 from fernweir.peers.acts.copies import Copies
 from fernweir.peers.acts.heads import from_bytes, to_bytes
 from fernweir.peers.acts.merge import Answer, Found, Gap, Said, StillOn, Why
-from fernweir.peers.acts.messages import Keep
+from fernweir.peers.acts.messages import Ask, Keep, Piece, Select
 from fernweir.peers.acts.messages import Ping as ClockPing
 from fernweir.peers.acts.rules import ActRules
 from fernweir.peers.acts.store import Store
@@ -56,6 +61,7 @@
 from fernweir.peers.wire.frames import Frames, frame
 from fernweir.peers.wire.seal import Opened, Seal, SealRules
 from tests.golden_peers import plain
+from tests.helpers import BUDGET, CLASS, COLD, SETTINGS
 
 KEYS = (bytes(range(32)), bytes(range(64, 128)))
 LIFE = 1_700_000_000_123
@@ -201,14 +207,13 @@
     return [_read_block(sealed.data) for sealed in segment.unpack(data, ActRules())]
 
 
-def _copies(me: str) -> Copies:
-    rules = ActRules()
+def _copies(me: str, rules: ActRules) -> Copies:
     return Copies(me, LIFE, rules, Chain(me, LIFE, rules), Store(me, rules))
 
 
 def _packed_copy() -> bytes:
     """The message with which an owner sends a block to be kept, packed as it is large."""
-    copies = _copies("front-a")
+    copies = _copies("front-a", ActRules())
     copies.members(0.0, {"front-a": LIFE, "front-b": LIFE})
     copies.chain.wall(0.0, 1.7e12, 1.5)
     for act, rested in ACTS:
@@ -221,7 +226,7 @@
 
 def _read_copy(data: bytes) -> Any:
     """What a holder has after it came."""
-    copies = _copies("front-b")
+    copies = _copies("front-b", ActRules())
     copies.members(0.0, {"front-a": LIFE, "front-b": LIFE})
     copies.heard(0.0, "front-a", msgspec.msgpack.decode(data, type=Keep))
     shelf = copies.store.shelf("front-a", LIFE)
@@ -234,6 +239,34 @@
     return msgspec.msgpack.encode(msgspec.structs.replace(message, data=zlib.decompress(message.data)))
 
 
+def _selects() -> list[Select]:
+    """Each field that a question can name, and each kind of version, by value and as runs."""
+    wanted = [Select(), Select(deeds=(Deed.MOVE, Deed.LEASE)), Select(session="session-2"), Select(box=3)]
+    wanted += [Select(title="title-1"), Select(tenant="t\u00e9nant-4"), Select(outcome="outcome-1")]
+    wanted += [Select(since=1_010.0, until=1_030.0), Select(deeds=(Deed.REFUSED,), context=20)]
+    for kind in ("program", "settings", "epoch", "boxes", "keys", "format", "unknown"):
+        wanted += [Select(kind=kind, value=value_of(RESTED[0], kind)), Select(kind=kind, runs=True)]
+    return wanted
+
+
+def _pieces() -> bytes:
+    """What a front answers to questions about its own record, from blocks and from segments with an index."""
+    found = []
+    for rules in (ActRules(), ActRules(segment_blocks=1)):
+        copies = _copies("front-a", rules)
+        for sealed in _blocks():
+            copies.store.put(sealed)
+        answerer = Answerer(copies, Clocks("front-a", LIFE, rules, 1), rules)
+        for number, select in enumerate(_selects()):
+            ask = Ask(number, "front-a", LIFE, select, 1, 0, 3, 100, 60_000, True)
+            found.append(answerer.answer(1_600.0, ask))
+    return msgspec.msgpack.encode(found)
+
+
+def _read_pieces(data: bytes) -> Any:
+    return plain(msgspec.msgpack.decode(data, type=list[Piece]))
+
+
 def _head(head: Head) -> Format:
     return Format(lambda: to_bytes(head), lambda data: plain(from_bytes(data)))
 
@@ -348,6 +381,46 @@
     return roster.sums
 
 
+# --- what the rest of a front gives to its peers ---
+
+
+def _node_settings(settings: Settings) -> dict[str, str]:
+    """The settings whose digest tells nodes whether they act on the same ones."""
+    config: Any = SimpleNamespace(settings=settings, kinds=("small", "large"), connect_ms=250.0, idle_ms=None)
+    return node_peering._platform(config)
+
+
+def _all_settings() -> Settings:
+    classes = [replace(CLASS, name=str(effect.value), effect=effect) for effect in Effect]
+    return replace(SETTINGS, classes=tuple(classes), cold=COLD, budget=BUDGET, ordinal=3)
+
+
+def _few_settings() -> Settings:
+    unset = {"uplink_kb": None, "attempts_cap": None, "retry_after_max_ms": None, "drain_grace_ms": None}
+    return replace(SETTINGS, classes=(CLASS,), **unset)  # type: ignore[arg-type]
+
+
+def _box_list() -> bytes:
+    """A held list as a front gives it to a peer that lacks it."""
+    boxes = BoxList(SETTINGS)
+    box = {"box": 1, "host": "10.0.0.1", "port": 8_001, "state": "ready", "boot": "b-1", "age_s": 5.5}
+    lines = [{**box, "cell": 1, "kind": 0, "weight": 1.5}]
+    lines += [{**box, "box": 2, "state": "draining", "cell": 2, "boot": "", "age_s": None}]
+    lines += [{**box, "box": 3, "state": "gone", "cell": 3}]
+    told = {"epoch": "e-1", "version": 7, "boxes": lines}
+    told["lessons"] = [{"title": "title-1", "cell": 1, "copies": 2}, {"title": "a.b", "cell": 0, "copies": 1}]
+    boxes.take_whole(0.0, read_document(json.dumps(told)))
+    return boxes.to_cache()
+
+
+def _read_box_list(data: bytes) -> Any:
+    """The document's content, and the rows of which the digest of a list is made."""
+    document = read_document(data)
+    lessons = [(one.title, one.cell, one.copies) for one in document.lessons]
+    rows = front_peering._rows(document.boxes, lessons)
+    return [document.epoch, document.version, plain(rows), versions.boxes_digest(rows).hex()]
+
+
 # --- answers to operators ---
 
 
@@ -425,6 +498,7 @@
     "acts.block.final": _block(2),
     "acts.segment": Format(_segment, _read_segment, packed=True),
     "acts.copy": Format(_packed_copy, _read_copy, packed=True),
+    "acts.pieces": Format(_pieces, _read_pieces),
     "acts.head": _head(Head(7, b"0123456789abcdef", 1_234.5, 3, True)),
     "acts.head.none": _head(Head(0, b"", 0.5)),
     "acts.digest.boxes": _made(lambda: versions.boxes_digest(ROWS)),
@@ -458,6 +532,11 @@
     ),
     "channel.payload.digest": _made(lambda: cut.payload_digest(b"a manifest")),
     "rendezvous": _made(lambda: rendezvous("channel-1", [f"front-{number}" for number in range(8)])),
+    "front.list": Format(_box_list, _read_box_list),
+    "node.settings": _made(lambda: [_node_settings(_all_settings()), _node_settings(_few_settings())]),
+    "node.settings.digest": _made(
+        lambda: versions.settings_digest({"platform": _node_settings(_all_settings())}, ())
+    ),
     "answer.still": _made(lambda: _answer(plan.parse({"question": "still", "at": 5.0, "value": "ab"}))),
     "answer.after_drain": _made(lambda: _answer(plan.parse({"question": "after-drain", "box": 5}))),
     "answer.refusal": _made(lambda: _answer(plan.parse({"question": "refusal", "session": "s"}))),
