--- a/fernweir/peers/acts/desk.py
+++ b/fernweir/peers/acts/desk.py
@@ -6,8 +6,6 @@
 from math import isinf
 from typing import Any
 
-import msgspec
-
 from fernweir.peers.acts import plan
 from fernweir.peers.acts.clock import When
 from fernweir.peers.acts.merge import Answer, Found, Gap, StillOn
@@ -93,8 +91,11 @@
 
 
 def _versions(one: Versions) -> dict[str, Any]:
-    plain = msgspec.structs.asdict(one)
-    return {name: value.hex() if isinstance(value, bytes) else value for name, value in plain.items()}
+    return {
+        "program": one.program, "settings": one.settings.hex(), "epoch": one.epoch,
+        "boxes": one.boxes.hex(), "boxes_told_at": one.boxes_told_at, "keys": one.keys.hex(),
+        "format": one.format,
+    }  # fmt: skip
 
 
 def _span(when: When, wall: float) -> list[float | None]:
--- a/fernweir/peers/lateness.py
+++ b/fernweir/peers/lateness.py
@@ -125,9 +125,9 @@
             self._apply(now, event)
         elif isinstance(event, ShutOut | Back):
             self._shut_out()
-            out = event.name if isinstance(event, ShutOut) else ""
+            out, why = (event.name, event.why) if isinstance(event, ShutOut) else ("", "")
             what = "peer is shut out" if out else "peer is back"
-            self._out.add(Said(what, {"name": event.name, "why": getattr(event, "why", "")}, out))
+            self._out.add(Said(what, {"name": event.name, "why": why}, out))
         elif isinstance(event, Refrain):
             self._out.add(Resign(event.why, event.wait_ms))
             self._out.add(Said("takes no new sessions" if event.why else "takes sessions again",
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -13,6 +13,7 @@
 import msgspec
 
 from fernweir.peers.acts.desk import to_plain as answer_to_plain
+from fernweir.peers.acts.heads import Missing, Shortened, Tampered
 from fernweir.peers.acts.merge import Answer
 from fernweir.peers.acts.messages import KINDS as ACT_KINDS
 from fernweir.peers.acts.plan import Question
@@ -61,6 +62,12 @@
 _DIRECTORY = (Registered, Unregistered, Where, There)
 _LOAD, _HEAD = "load", "acts.head"
 _STALE_MS = 1_000.0
+TROUBLE_TEXTS: dict[type[Trouble], str] = {
+    Missing: "record of acts missing",
+    Shortened: "record of acts shortened",
+    Tampered: "record of acts tampered",
+}
+"""What is logged for trouble with a front's record; operators watch for these texts."""
 
 
 class Load(msgspec.Struct, frozen=True, array_like=True):
@@ -454,8 +461,7 @@
             if event.shut_out:
                 self._record(Act(now, Deed.SHUTOUT, outcome=event.shut_out))
         elif isinstance(event, Trouble):
-            text = f"record of acts {type(event).__name__.lower()}"
-            self._tell(text, owner=event.owner, life=event.life)
+            self._tell(TROUBLE_TEXTS[type(event)], owner=event.owner, life=event.life)
         elif isinstance(event, Suspected | Cleared):
             self._tell("peer suspected" if isinstance(event, Suspected) else "peer cleared", name=event.name)
 
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -28,7 +28,7 @@
 from fernweir.peers.acts.chain import Chain, Head
 from fernweir.peers.acts.clock import Clocks, Sure, When
 from fernweir.peers.acts.copies import Copies
-from fernweir.peers.acts.heads import from_bytes, to_bytes
+from fernweir.peers.acts.heads import Missing, Shortened, Tampered, from_bytes, to_bytes
 from fernweir.peers.acts.merge import Answer, Found, Gap, Said, StillOn, Why
 from fernweir.peers.acts.messages import Ask, Keep, Piece, Select
 from fernweir.peers.acts.messages import Ping as ClockPing
@@ -384,7 +384,7 @@
 # --- what the rest of a front gives to its peers ---
 
 
-def _node_settings(settings: Settings) -> dict[str, str]:
+def node_settings(settings: Settings) -> dict[str, str]:
     """The settings whose digest tells nodes whether they act on the same ones."""
     config: Any = SimpleNamespace(settings=settings, kinds=("small", "large"), connect_ms=250.0, idle_ms=None)
     return node_peering._platform(config)
@@ -533,9 +533,12 @@
     "channel.payload.digest": _made(lambda: cut.payload_digest(b"a manifest")),
     "rendezvous": _made(lambda: rendezvous("channel-1", [f"front-{number}" for number in range(8)])),
     "front.list": Format(_box_list, _read_box_list),
-    "node.settings": _made(lambda: [_node_settings(_all_settings()), _node_settings(_few_settings())]),
+    "node.settings": _made(lambda: [node_settings(_all_settings()), node_settings(_few_settings())]),
     "node.settings.digest": _made(
-        lambda: versions.settings_digest({"platform": _node_settings(_all_settings())}, ())
+        lambda: versions.settings_digest({"platform": node_settings(_all_settings())}, ())
+    ),
+    "log.record_trouble": _made(
+        lambda: [peer.TROUBLE_TEXTS[kind] for kind in (Missing, Shortened, Tampered)]
     ),
     "answer.still": _made(lambda: _answer(plan.parse({"question": "still", "at": 5.0, "value": "ab"}))),
     "answer.after_drain": _made(lambda: _answer(plan.parse({"question": "after-drain", "box": 5}))),
--- a/tests/test_golden_peers.py
+++ b/tests/test_golden_peers.py
@@ -7,6 +7,7 @@
 
 from __future__ import annotations
 
+import dataclasses
 import importlib
 import pkgutil
 from collections.abc import Iterator
@@ -17,11 +18,13 @@
 import pytest
 
 import fernweir.peers
+from fernweir.interface import Effect, Settings
 from fernweir.peers.base import Message
 from fernweir.peers.peer import KINDS
 from fernweir.peers.wire.codec import Codec
 from tests import golden_peers as golden
-from tests.golden_peers_formats import FORMATS, unpacked
+from tests.golden_peers_formats import FORMATS, node_settings, unpacked
+from tests.helpers import BUDGET, CLASS, COLD, SETTINGS
 
 PARTS = sorted({name.partition(".")[0] for name in golden.TYPES})
 SAMPLES = {sample["name"]: sample for part in PARTS for sample in golden.load(part)}
@@ -68,6 +71,29 @@
     assert made == stored
 
 
+def _settings_with(name: str, value: object) -> Settings:
+    """Settings that are alike but for one value; `name` may be that of a part and of its field."""
+    settings = dataclasses.replace(SETTINGS, classes=(CLASS,), cold=COLD, budget=BUDGET)
+    part, _, field = name.partition(".")
+    if not field:
+        return dataclasses.replace(settings, **{part: value})
+    whole = getattr(settings, part)
+    if isinstance(whole, tuple):
+        return dataclasses.replace(settings, **{part: (dataclasses.replace(whole[0], **{field: value}),)})
+    return dataclasses.replace(settings, **{part: dataclasses.replace(whole, **{field: value})})
+
+
+def test_each_setting_that_nodes_share_counts_in_their_digest() -> None:
+    """`ordinal` alone differs from node to node; a setting that is added has to be written out as well."""
+    parts = {"classes": CLASS, "cold": COLD, "budget": BUDGET}
+    names = [field.name for field in dataclasses.fields(SETTINGS) if field.name not in parts]
+    names += [f"{part}.{field.name}" for part, whole in parts.items() for field in dataclasses.fields(whole)]
+    plain = node_settings(_settings_with("ordinal", 0))
+    for name in names:
+        value = Effect.ONCE if name == "classes.effect" else -7
+        assert (node_settings(_settings_with(name, value)) == plain) is (name == "ordinal"), name
+
+
 # --- layouts ---
 
 
--- a/tests/test_peers_lease.py
+++ b/tests/test_peers_lease.py
@@ -18,6 +18,9 @@
 import msgspec
 import pytest
 
+from fernweir.peers.lease.holder import Holder
+from fernweir.peers.lease.messages import Promised, Propose
+from fernweir.peers.lease.rules import KeeperSet, LeaseRules
 from fernweir.rehearsal import leases
 from fernweir.rehearsal.explore import explore
 from tests.peers_mutants import Mutant, broken
@@ -833,6 +836,22 @@
     assert site.owners(CHANNEL) == ["b"]
 
 
+def test_answers_meant_for_another_life_of_the_holder_are_passed_over() -> None:
+    """Said directly, as the holder finds a message's life by the name of its field."""
+    life, keepers = 7, ("front-a", "front-b", "front-c")
+    holder = Holder("front-a", life, LeaseRules(), 1, [KeeperSet(1, keepers)])
+    holder.want(0.0, "channel")
+    holder.tick(1.0)
+    asked = {one.to: one.message.items for one in holder.take()}
+    assert set(asked) == set(keepers)
+    for keeper, items in asked.items():
+        holder.heard(2.0, keeper, Promised(life - 1, items))
+    assert not holder.take()
+    for keeper, items in asked.items():
+        holder.heard(2.0, keeper, Promised(life, items))
+    assert {type(one.message) for one in holder.take()} == {Propose}
+
+
 def test_many_channels_go_in_few_messages() -> None:
     site, _ = _calm(load(), "a")
     (owner,) = site.named("a")
