--- a/tests/golden_peers.py
+++ b/tests/golden_peers.py
@@ -442,7 +442,7 @@
 
 
 def encode(value: msgspec.Struct) -> bytes:
-    """msgpack for what goes by position, JSON for what goes by name, as the code has them."""
+    """Msgpack for what goes by position, JSON for what goes by name, as the code has them."""
     config = value.__struct_config__
     return msgspec.msgpack.encode(value) if config.array_like else msgspec.json.encode(value)
 
