--- a/bench/golden_state_samples.py
+++ b/bench/golden_state_samples.py
@@ -7,8 +7,11 @@
 from __future__ import annotations
 
 import json
+import tempfile
 from dataclasses import dataclass, replace
+from pathlib import Path
 from typing import Any, get_args
+from unittest import mock
 
 import google_crc32c
 import orjson
@@ -16,6 +19,7 @@
 
 from bench.golden_state_wire import WIRE_SETTINGS, event_records
 from fernweir import interface as i
+from fernweir.appliance.backup import back_up
 from fernweir.audit.records import AnyRecord
 from fernweir.control.desk import KIND
 from fernweir.control.orders import Command, Do, OrderRules, Orders, SiteNow
@@ -194,6 +198,7 @@
         Sample("log", "seat-log", log),
         Sample("log with snapshot", "seat-log", with_snapshot),
         Sample("log with torn tail", "seat-log-torn", torn),
+        Sample("dump", "ledger-dump", with_snapshot),
     ]
 
 
@@ -280,9 +285,23 @@
         Sample("empty", "orders-file", write_orders(Orders())),
         Sample("first format", "orders-file-1", head + b"\n" + body + b"\n"),
         Sample("unit", "unit-format", write_unit_format(0)),
+        Sample("backup", "unit-backup", unit_backup()),
     ]
 
 
+def unit_backup() -> bytes:
+    """A backup of a small folder of a unit, at a fixed time."""
+    with tempfile.TemporaryDirectory() as name, mock.patch("time.time", lambda: NOW_S):
+        root = Path(name) / "unit"
+        (root / "state").mkdir(parents=True)
+        (root / "unit.ini").write_text("[unit]\nname = unit\nfronts = 1\n")
+        (root / "keys.json").write_text(KEYS)
+        (root / "state" / "orders.json").write_bytes(write_orders(some_orders()))
+        (root / "state" / "format.json").write_bytes(write_unit_format(0))
+        back_up(root, Path(name) / "unit.backup")
+        return (Path(name) / "unit.backup").read_bytes()
+
+
 # --- lists and tokens ---
 
 
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -18,11 +18,14 @@
 from typing import Any, cast, get_type_hints
 
 import orjson
+from click.testing import CliRunner
 from pydantic import BaseModel, TypeAdapter
 
 from fernweir import interface, wire
+from fernweir.appliance import backup
 from fernweir.appliance import layout as unit_layout
 from fernweir.audit import records as audit
+from fernweir.cli.main import main as command_line
 from fernweir.control import messages as control
 from fernweir.control import orders as operators
 from fernweir.control.channel import Channel, snapshot_lines
@@ -437,6 +440,23 @@
         return layout.format.read_bytes()
 
 
+def read_backup(data: bytes) -> Any:
+    """The manifest and the files of a unit's backup, whose checksums hold."""
+    with tempfile.TemporaryDirectory() as name:
+        path = Path(name) / "unit.backup"
+        path.write_bytes(data)
+        manifest, files = backup.check(path)
+    return [manifest, files]
+
+
+def dumped_ledger(data: bytes) -> list[str]:
+    """The lines of `fernweir ledger dump` for the files of a seat log."""
+    with tempfile.TemporaryDirectory() as name:
+        write_folder(Path(name), unpack_files(data))
+        done = CliRunner().invoke(command_line, ["ledger", "dump", name])
+    return [str(done.exit_code), *done.output.splitlines()]
+
+
 class FixedSite:
     """What an order desk can do at a front and see of it, for the control conversation."""
 
@@ -720,6 +740,8 @@
     ),
     "seat-log": Format(read_seat_log),
     "seat-log-torn": Format(lambda data: [read_seat_log(data), opened_seat_log(data).decode()]),
+    "ledger-dump": Format(dumped_ledger),
+    "unit-backup": Format(read_backup),
     "orders-file": Format(read_orders, write_orders),
     "orders-file-1": Format(read_orders),
     "unit-format": Format(read_unit_format, write_unit_format),
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 import importlib
+import io
 import json
 import pkgutil
 import struct
@@ -23,10 +24,11 @@
 import fernweir
 from fernweir import interface, wire
 from fernweir.audit.records import AnyRecord
+from fernweir.brain import Controller
 from fernweir.config.ini import Section
 from fernweir.control.messages import Ask
 from fernweir.front import stored_types
-from fernweir.front.record import replay
+from fernweir.front.record import Recorder, read_record, replay
 from fernweir.journal import picture
 from fernweir.journal.events import What
 from fernweir.node import frames, jsonl
@@ -375,6 +377,16 @@
     assert replay(lines) == (DECISIONS["front_day"]["batches"], None)
 
 
+def test_the_recorded_front_day_is_recorded_again_to_the_byte() -> None:
+    text = read_compressed("front_day.record.gz").decode()
+    settings, seed, batches = read_record(text.splitlines())
+    controller, file = Controller(settings, seed), io.StringIO()
+    recorder = Recorder(file, settings, seed)
+    for now, events, _ in batches:
+        recorder.watch(now, events, controller.handle(now, events))
+    assert file.getvalue() == text
+
+
 def test_another_decision_in_the_record_is_found() -> None:
     lines = read_compressed("front_day.record.gz").decode().splitlines()
     place = next(number for number, line in enumerate(lines) if '"is":"Place"' in line)
