--- a/tests/golden_names.py
+++ b/tests/golden_names.py
@@ -8,7 +8,8 @@
 from typing import Any
 
 import click
-from pydantic import BaseModel
+from pydantic import AliasChoices, BaseModel, ValidationError
+from pydantic.fields import FieldInfo
 
 from fernweir import interface
 from fernweir.appliance import doctor, layout, supervise
@@ -73,19 +74,46 @@
 _VARIABLE = re.compile(r"\"((?:ROUTER|FERNWEIR)_[A-Z0-9_]+)\"")
 
 
+def written_key(name: str, field: FieldInfo) -> str:
+    """How a key is written in a file: the first spelling where there are several."""
+    if isinstance(field.validation_alias, AliasChoices):
+        return str(field.validation_alias.choices[0])
+    return str(field.alias or name)
+
+
 def section_keys() -> dict[str, list[str]]:
     """The accepted keys of every INI section, as they are written in a file."""
     return {
-        name: sorted(str(one.alias or key) for key, one in schema.model_fields.items())
+        name: sorted(written_key(key, one) for key, one in schema.model_fields.items())
         for name, schema in SECTIONS.items()
     }
 
 
+def accepted_spellings(schema: type[BaseModel], keys: list[str]) -> list[str]:
+    """Those of the keys, with hyphens or with underscores, that a section takes."""
+    spellings = {spelling for key in keys for spelling in (key, key.replace("-", "_"))}
+    return sorted(one for one in spellings if is_accepted(schema, one))
+
+
+def is_accepted(schema: type[BaseModel], key: str) -> bool:
+    """Whether a section takes a key, alone: beside its other spelling a second one is refused."""
+    try:
+        schema.model_validate({key: ""})
+    except ValidationError as error:
+        return all(one["type"] != "extra_forbidden" for one in error.errors())
+    return True
+
+
+def section_spellings() -> dict[str, list[str]]:
+    """Every spelling of a key that is accepted, by section."""
+    return {name: accepted_spellings(SECTIONS[name], keys) for name, keys in section_keys().items()}
+
+
 def section_defaults() -> dict[str, dict[str, Any]]:
     """What a key stands for when it is left out; keys that must be there are missing here."""
     return {
         name: {
-            str(one.alias or key): plain_default(one.get_default(call_default_factory=True))
+            written_key(key, one): plain_default(one.get_default(call_default_factory=True))
             for key, one in sorted(schema.model_fields.items())
             if not one.is_required()
         }
@@ -189,6 +217,7 @@
         codes = exit_codes(Path(folder))
     return {
         "ini_keys": section_keys(),
+        "ini_spellings": section_spellings(),
         "ini_defaults": section_defaults(),
         "environment": environment_names(),
         "commands": command_tree(),
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -53,6 +53,7 @@
     parameters_of,
     section_defaults,
     section_keys,
+    section_spellings,
 )
 
 
@@ -235,6 +236,7 @@
 
 def test_the_accepted_keys_and_defaults_of_settings_stay() -> None:
     assert section_keys() == NAMES["ini_keys"]
+    assert section_spellings() == NAMES["ini_spellings"]
     assert json.loads(json.dumps(section_defaults())) == NAMES["ini_defaults"]
 
 
