--- a/bench/golden_state_samples.py
+++ b/bench/golden_state_samples.py
@@ -291,7 +291,7 @@
 
 def unit_backup() -> bytes:
     """A backup of a small folder of a unit, at a fixed time."""
-    with tempfile.TemporaryDirectory() as name, mock.patch("time.time", lambda: NOW_S):
+    with tempfile.TemporaryDirectory() as name, mock.patch("time.time", return_value=NOW_S):
         root = Path(name) / "unit"
         (root / "state").mkdir(parents=True)
         (root / "unit.ini").write_text("[unit]\nname = unit\nfronts = 1\n")
@@ -449,37 +449,57 @@
 
 # --- simulator's wire and records ---
 
-ENTRY = i.ServerEntry(11, i.ServerState.READY, 900.0, 3, 1, 2.5)
+ENTRY = i.Endpoint(11, i.ServerState.READY, 900.0, 3, 1, 2.5)
 VIEWER = i.Viewer(1, 1, 2**63 + 1, 2**63 + 5, 3, 4, 2, 5000.5, 2500.0, True, True)
 SETTINGS = i.Settings(
     classes=tuple(
         i.SessionClass(name, 900.0, 3000.0, 2.0, effect, 1.5, 1, 2, 40)
-        for name, effect in zip(("film", "course", "talk"), i.Effect, strict=True)
+        for name, effect in zip(("film", "course", "talk"), i.Idempotency, strict=True)
     ),
-    fronts=3, ordinal=1, period_ms=10.0, cells=8, racks=2, rates_kb=(100.0, 200.0, 400.0),
-    worths=(0.25, 0.5, 1.0), kind_streams=(20, 30), weight_kb=2000.0, uplink_kb=9000.0, switch_cost_s=0.5,
-    seen_after_ms=500.0, tell_ms=2000.0, report_fields=("x0", "x1"), must_subscribe=True, may_probe=True,
-    attempts_cap=3, retry_after_max_ms=1500.0, answer_slack_ms=40.0, drain_grace_ms=1000.0,
-    cold=i.ColdRule(8000.0, 0.5, 2.5, 3000.0), budget=i.Budget(10_000.0, 5.0, 0.1),
-)  # fmt: skip
+    front_count=3,
+    front_index=1,
+    batch_period_ms=10.0,
+    zone_count=8,
+    rack_count=2,
+    rung_rates_kbyte_s=(100.0, 200.0, 400.0),
+    rung_utilities=(0.25, 0.5, 1.0),
+    streams_by_server_type=(20, 30),
+    link_rate_per_weight_kbyte_s=2000.0,
+    uplink_rate_kbyte_s=9000.0,
+    switch_cost_s=0.5,
+    report_delay_ms=500.0,
+    report_interval_ms=2000.0,
+    report_fields=("x0", "x1"),
+    must_subscribe=True,
+    may_check_health=True,
+    max_attempts=3,
+    max_retry_after_ms=1500.0,
+    reply_slack_ms=40.0,
+    drain_grace_ms=1000.0,
+    slow_start=i.SlowStart(8000.0, 0.5, 2.5, 3000.0),
+    retry_budget=i.RetryBudget(10_000.0, 5.0, 0.1),
+)
 EVENTS: list[i.Event] = [
-    *(i.ListUpdate(kind, 7, (ENTRY,)) for kind in i.ListKind),
-    *(i.ListUpdate(i.ListKind.DELTA, 8, (replace(ENTRY, state=state),)) for state in i.ServerState),
+    *(i.EndpointListUpdate(kind, 7, (ENTRY,)) for kind in i.EndpointListKind),
+    *(
+        i.EndpointListUpdate(i.EndpointListKind.DELTA, 8, (replace(ENTRY, state=state),))
+        for state in i.ServerState
+    ),
     i.Arrival(VIEWER),
-    i.Arrival(replace(VIEWER, length_ms=None, moved=False, returning=False)),
-    i.TakenOver(VIEWER, 11),
-    i.Started(1, 11, 2, 120.5),
-    *(i.Ended(1, 11, 2, result, True, 130.5, (0.25, 0.5)) for result in i.Result),
-    i.Ended(1, 11, 2, i.Result.OK, False, 130.5, ()),
-    i.Abandoned(1),
-    *(i.Note(1, 11, 2, kind, 0.5) for kind in i.NoteKind),
+    i.Arrival(replace(VIEWER, length_ms=None, was_moved=False, is_returning=False)),
+    i.SessionRecovered(VIEWER, 11),
+    i.AttemptSucceeded(1, 11, 2, 120.5),
+    *(i.AttemptEnded(1, 11, 2, result, True, 130.5, (0.25, 0.5)) for result in i.Result),
+    i.AttemptEnded(1, 11, 2, i.Result.OK, False, 130.5, ()),
+    i.ClientGone(1),
+    *(i.ServerNotice(1, 11, 2, kind, 0.5) for kind in i.NoticeKind),
     i.TimerFired(9),
-    *(i.Probed(11, result, 12.5, (0.25,)) for result in i.Result),
-    i.Message(3, b"\x00\xff"),
+    *(i.HealthCheckEnded(11, result, 12.5, (0.25,)) for result in i.Result),
+    i.FrontMessage(3, b"\x00\xff"),
 ]
 ACTIONS: list[i.Action] = [
-    i.Place(1, 11, 450.0), i.SetRung(1, 2), i.Move(1), i.Refuse(1, 750.5), i.Fail(1), i.Timer(9, 250.0),
-    i.Probe(11), i.Subscribe(True), i.Subscribe(False), i.Log("server 11 é"),
+    i.Place(1, 11, 450.0), i.SetRung(1, 2), i.Move(1), i.Reject(1, 750.5), i.Fail(1), i.SetTimer(9, 250.0),
+    i.CheckHealth(11), i.Subscribe(True), i.Subscribe(False), i.Log("server 11 é"),
 ]  # fmt: skip
 
 
--- a/bench/left.py
+++ b/bench/left.py
@@ -28,7 +28,7 @@
 WAYS = ("release", "reset", "close", "half-close", "unread", "cut", "time")
 STILL_OPEN = ("release", "half-close", "time")  # of these ways: its side hears what becomes of it
 WAIT_MS, LATE_MS = 1_500.0, 400.0
-SMALL = replace(PLAIN, uplink_kb=700.0)  # a few sessions fill a server
+SMALL = replace(PLAIN, uplink_rate_kbyte_s=700.0)  # a few sessions fill a server
 
 
 class Case:
@@ -343,7 +343,7 @@
 
 
 PLACES = (
-    Place("the module holds it", module, settings=replace(SETTINGS, fronts=2), begun_ms=60_000.0),
+    Place("the module holds it", module, settings=replace(SETTINGS, front_count=2), begun_ms=60_000.0),
     Place("no room, then room", place, settings=SMALL, unread=True),
     Place("no server listed, then one", unlisted, unread=True),
     Place("connection coming up", connection),
--- a/bench/peers_days.py
+++ b/bench/peers_days.py
@@ -168,7 +168,7 @@
         self.bytes_a_second = tuple(
             sorted((after - sent) / span for sent, after in zip(before, self._sent(), strict=True))
         )
-        number = max(self.fronts, key=lambda one: self.fronts[one].core.host.sessions)
+        number = max(self.fronts, key=lambda one: self.fronts[one].core.sessions.session_count)
         killed = self.loop.time()
         kill = asyncio.ensure_future(self._play(Fault(4.0, 8.0, Kind.KILL, number)))
         others = [front.peers.peer for one, front in self.fronts.items() if one != number and front.peers]
--- a/bench/peers_estimate.py
+++ b/bench/peers_estimate.py
@@ -23,7 +23,7 @@
 import click
 
 from bench.peers_load import LoadPlan, Scene, drawn_query, drawn_rows, scene
-from fernweir.interface import Effect, SessionClass, Settings
+from fernweir.interface import Idempotency, SessionClass, Settings
 from fernweir.journal.disk import JournalFolder
 from fernweir.journal.events import Entry
 from fernweir.journal.store import Journal
@@ -45,29 +45,29 @@
 
 
 SETTINGS = Settings(
-    classes=(SessionClass("film", 1_000.0, 4_000.0, 1.0, Effect.REPEATABLE, 1.0, 0, 3, 0),),
-    fronts=1,
-    ordinal=0,
-    period_ms=10.0,
-    cells=24,
-    racks=4,
-    rates_kb=(100.0, 200.0, 400.0, 800.0),
-    worths=(0.25, 0.5, 0.8, 1.0),
-    kind_streams=(60,),
-    weight_kb=40_000.0,
-    uplink_kb=200_000.0,
+    classes=(SessionClass("film", 1_000.0, 4_000.0, 1.0, Idempotency.IDEMPOTENT, 1.0, 0, 3, 0),),
+    front_count=1,
+    front_index=0,
+    batch_period_ms=10.0,
+    zone_count=24,
+    rack_count=4,
+    rung_rates_kbyte_s=(100.0, 200.0, 400.0, 800.0),
+    rung_utilities=(0.25, 0.5, 0.8, 1.0),
+    streams_by_server_type=(60,),
+    link_rate_per_weight_kbyte_s=40_000.0,
+    uplink_rate_kbyte_s=200_000.0,
     switch_cost_s=0.5,
-    seen_after_ms=500.0,
-    tell_ms=2_000.0,
+    report_delay_ms=500.0,
+    report_interval_ms=2_000.0,
     report_fields=("x0", "x1"),
     must_subscribe=False,
-    may_probe=True,
-    attempts_cap=3,
-    retry_after_max_ms=1_000.0,
-    answer_slack_ms=40.0,
+    may_check_health=True,
+    max_attempts=3,
+    max_retry_after_ms=1_000.0,
+    reply_slack_ms=40.0,
     drain_grace_ms=1_000.0,
-    cold=None,
-    budget=None,
+    slow_start=None,
+    retry_budget=None,
 )  # of the rehearsals
 
 
--- a/fernweir/adapter.py
+++ b/fernweir/adapter.py
@@ -5,7 +5,7 @@
 import sys
 from typing import BinaryIO
 
-from fernweir.brain import Controller
+from fernweir.controller import Controller
 from fernweir.interface import Event
 from fernweir.wire import (
     HEADER,
--- a/fernweir/config/front.py
+++ b/fernweir/config/front.py
@@ -29,7 +29,7 @@
     Size,
     YesNo,
 )
-from fernweir.interface import Budget, ColdRule, Effect, SessionClass, Settings
+from fernweir.interface import Idempotency, RetryBudget, SessionClass, Settings, SlowStart
 
 
 def _http_url(value: str) -> str:
@@ -329,44 +329,44 @@
 ) -> Settings:
     budget = cold = None
     if rules.budget_span is not None:
-        budget = Budget(rules.budget_span, rules.budget_free, rules.budget_share)
+        budget = RetryBudget(rules.budget_span, rules.budget_free, rules.budget_share)
     if rules.cold_warm_up is not None:
-        cold = ColdRule(rules.cold_warm_up, rules.cold_from, rules.cold_multiple, rules.cold_span)
+        cold = SlowStart(rules.cold_warm_up, rules.cold_from, rules.cold_multiple, rules.cold_span)
     return Settings(
         classes=tuple(
             SessionClass(
                 name=name,
-                aim_ms=one.aim,
+                latency_objective_ms=one.aim,
                 deadline_ms=one.deadline,
-                gain=one.gain,
-                effect=Effect(one.effect),
-                scale=one.scale,
+                priority_weight=one.gain,
+                idempotency=Idempotency(one.effect),
+                rate_multiplier=one.scale,
                 lowest_rung=one.lowest_rung,
                 top_rung=one.top_rung if one.top_rung is not None else len(ladder.rates) - 1,
                 seats=one.seats,
             )
             for name, one in classes.items()
         ),
-        fronts=front.fronts,
-        ordinal=front.ordinal,
-        period_ms=front.batch,
-        cells=fleet.cells,
-        racks=fleet.racks,
-        rates_kb=tuple(ladder.rates),
-        worths=tuple(ladder.worths),
-        kind_streams=tuple(fleet.streams),
-        weight_kb=fleet.link,
-        uplink_kb=fleet.uplink,
+        front_count=front.fronts,
+        front_index=front.ordinal,
+        batch_period_ms=front.batch,
+        zone_count=fleet.cells,
+        rack_count=fleet.racks,
+        rung_rates_kbyte_s=tuple(ladder.rates),
+        rung_utilities=tuple(ladder.worths),
+        streams_by_server_type=tuple(fleet.streams),
+        link_rate_per_weight_kbyte_s=fleet.link,
+        uplink_rate_kbyte_s=fleet.uplink,
         switch_cost_s=ladder.switch_cost / 1000.0,
-        seen_after_ms=reports.seen_after,
-        tell_ms=reports.tell,
+        report_delay_ms=reports.seen_after,
+        report_interval_ms=reports.tell,
         report_fields=tuple(reports.fields),
         must_subscribe=False,
-        may_probe=reports.probes,
-        attempts_cap=rules.attempts,
-        retry_after_max_ms=rules.retry_after_max,
-        answer_slack_ms=rules.answer_slack,
+        may_check_health=reports.probes,
+        max_attempts=rules.attempts,
+        max_retry_after_ms=rules.retry_after_max,
+        reply_slack_ms=rules.answer_slack,
         drain_grace_ms=rules.drain_grace,
-        cold=cold,
-        budget=budget,
+        slow_start=cold,
+        retry_budget=budget,
     )
--- a/fernweir/control/overlay.py
+++ b/fernweir/control/overlay.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from fernweir.interface import ListKind, ListUpdate, ServerEntry, ServerState
+from fernweir.interface import Endpoint, EndpointListKind, EndpointListUpdate, ServerState
 
 
 class Overlay:
@@ -17,7 +17,7 @@
 
     def __init__(self, drained: Callable[[int], bool]) -> None:
         self._drained = drained
-        self._entries: dict[int, ServerEntry] = {}
+        self._entries: dict[int, Endpoint] = {}
         self._told: dict[int, ServerState] = {}
         self._version = 0
 
@@ -26,11 +26,11 @@
         """What the list itself says."""
         return {box: entry.state for box, entry in self._entries.items()}
 
-    def list_says(self, update: ListUpdate) -> ListUpdate:
+    def list_says(self, update: EndpointListUpdate) -> EndpointListUpdate:
         """The update as the module is to hear it."""
-        if update.kind is ListKind.FAILED:
+        if update.kind is EndpointListKind.FAILED:
             return update
-        if update.kind in (ListKind.CACHED, ListKind.FULL):
+        if update.kind in (EndpointListKind.CACHED, EndpointListKind.FULL):
             self._entries, self._told = {}, {}
         self._version = update.version
         entries = []
@@ -39,19 +39,19 @@
             entries.append(self._laid_over(entry))
         return replace(update, entries=tuple(entries))
 
-    def orders_changed(self) -> ListUpdate | None:
+    def orders_changed(self) -> EndpointListUpdate | None:
         """What the module must hear after a change of orders, or None."""
         changed = []
         for entry in self._entries.values():
             if self._state(entry) is not self._told[entry.server]:
                 changed.append(self._laid_over(entry))
-        return ListUpdate(ListKind.DELTA, self._version, tuple(changed)) if changed else None
+        return EndpointListUpdate(EndpointListKind.DELTA, self._version, tuple(changed)) if changed else None
 
-    def _state(self, entry: ServerEntry) -> ServerState:
+    def _state(self, entry: Endpoint) -> ServerState:
         if entry.state is ServerState.READY and self._drained(entry.server):
             return ServerState.DRAINING
         return entry.state
 
-    def _laid_over(self, entry: ServerEntry) -> ServerEntry:
+    def _laid_over(self, entry: Endpoint) -> Endpoint:
         state = self._told[entry.server] = self._state(entry)
         return entry if state is entry.state else replace(entry, state=state)
--- a/fernweir/control/statefile.py
+++ b/fernweir/control/statefile.py
@@ -8,7 +8,7 @@
 import google_crc32c
 import orjson
 
-from fernweir.front.safefile import write_file
+from fernweir.front.atomic_file import write_file
 
 
 class StateFileError(ValueError):
--- a/fernweir/brain.py
+++ b/fernweir/controller.py
@@ -14,10 +14,36 @@
 from random import Random
 
 from fernweir.interface import (
-    Abandoned, Action, Arrival, Effect, Ended, Event, Fail, ListKind, ListUpdate, Log, Note, NoteKind, Place,
-    Probe, Probed, RESULT_WORDS, Refuse, Result, ServerEntry, ServerState, SessionClass, SetRung, Settings,
-    Started, Subscribe, TakenOver, Timer, TimerFired, Viewer,
-)  # fmt: skip
+    ClientGone,
+    Action,
+    Arrival,
+    Idempotency,
+    AttemptEnded,
+    Event,
+    Fail,
+    EndpointListKind,
+    EndpointListUpdate,
+    Log,
+    ServerNotice,
+    NoticeKind,
+    Place,
+    CheckHealth,
+    HealthCheckEnded,
+    Reject,
+    RESULT_LABELS,
+    Result,
+    Endpoint,
+    ServerState,
+    SessionClass,
+    SetRung,
+    Settings,
+    AttemptSucceeded,
+    Subscribe,
+    SessionRecovered,
+    SetTimer,
+    TimerFired,
+    Viewer,
+)
 
 MARK = 0.80  # a link or uplink under this share takes more
 STEP = 0.20  # playing sessions drop a rung for each such step that the load lies above the mark
@@ -37,7 +63,7 @@
 GONE_MS = 60_000.0  # a server gone for so long is forgotten
 TITLES = 4096  # so many titles are remembered to have played here
 UPKEEP_TOKEN = 1
-NEVER_RAN = (Result.FULL, Result.CONNECT_FAILED, Result.MOOT)
+NEVER_RAN = (Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT)
 FAILED = (Result.ERROR, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET)
 LOST = (Result.CONNECT_FAILED, Result.RESET)  # the process is gone, so what comes back is cold
 
@@ -228,7 +254,7 @@
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.seed = settings, seed
-        self.span_ms = settings.budget.span_ms if settings.budget else RATE_MS
+        self.span_ms = settings.retry_budget.window_ms if settings.retry_budget else RATE_MS
         self.ready = 1
         self.seats: Counter[tuple[int, int]] = Counter()
         self.taken: deque[float] = deque()
@@ -239,22 +265,22 @@
 
     def may_send(self, session: Session, now: float) -> bool:
         """One attempt at a time, within seats, cap and budget, and never twice what mustn't be."""
-        cap, kind = self.settings.attempts_cap, session.kind
+        cap, kind = self.settings.max_attempts, session.kind
         if session.out or session.playing or (cap is not None and session.attempts >= cap):
             return False
-        if session.may_have_run and kind.effect is not Effect.REPEATABLE:
+        if session.may_have_run and kind.idempotency is not Idempotency.IDEMPOTENT:
             return False
-        if kind.seats and self.seats[session.viewer.title, session.viewer.cls] >= kind.seats:
+        if kind.seats and self.seats[session.viewer.title, session.viewer.class_index] >= kind.seats:
             return False
         return session.attempts == 0 or self.within_budget(now)
 
     def within_budget(self, now: float) -> bool:
-        budget = self.settings.budget
+        budget = self.settings.retry_budget
         if budget is None:
             return True
-        while self.extra and self.extra[0] < now - budget.span_ms:
+        while self.extra and self.extra[0] < now - budget.window_ms:
             self.extra.popleft()
-        return len(self.extra) + 1 <= budget.free + budget.share * self.taken_lately(now)
+        return len(self.extra) + 1 <= budget.min_retries + budget.retry_ratio * self.taken_lately(now)
 
     def taken_lately(self, now: float) -> int:
         while self.taken and self.taken[0] <= now - self.span_ms:
@@ -263,10 +289,13 @@
 
     def warmth(self, server: Server, now: float) -> float:
         """Share of its capacity that a server has at least reached."""
-        cold = self.settings.cold
-        if cold is None or now - server.cold_since >= cold.warm_up_ms:
+        cold = self.settings.slow_start
+        if cold is None or now - server.cold_since >= cold.window_ms:
             return 1.0
-        return cold.cold_from + (1.0 - cold.cold_from) * max(now - server.cold_since, 0.0) / cold.warm_up_ms
+        return (
+            cold.initial_factor
+            + (1.0 - cold.initial_factor) * max(now - server.cold_since, 0.0) / cold.window_ms
+        )
 
     def cold_turn(self, server: Server, session: Session, now: float) -> bool:
         """Whether a cold server takes this session: a lot decides that is drawn from the front's seed.
@@ -276,13 +305,13 @@
         against a herd on a server that has just come back, also before the list says so. Harm: a
         front with more than its part of the arrivals thins too much.
         """
-        cold, warmth = self.settings.cold, self.warmth(server, now)
+        cold, warmth = self.settings.slow_start, self.warmth(server, now)
         if cold is None or (warmth >= 1.0 and not server.lost):
             return True
-        pace = server.streams * (cold.cold_from if server.lost else warmth) / cold.warm_up_ms
+        pace = server.streams * (cold.initial_factor if server.lost else warmth) / cold.window_ms
         if (now - server.cold_sent_at) * pace < 1.0:
             return False
-        fleet = self.settings.fronts * (self.taken_lately(now) + 1) / self.span_ms
+        fleet = self.settings.front_count * (self.taken_lately(now) + 1) / self.span_ms
         return lot(session.viewer.session ^ self.seed, server.id) * fleet * min(HERD / self.ready, 1.0) < pace
 
     def sent(self, session: Session, server: Server, now: float) -> None:
@@ -291,7 +320,7 @@
         server.cold_sent_at = now
 
     def hold(self, session: Session, count: int) -> None:
-        self.seats[session.viewer.title, session.viewer.cls] += count
+        self.seats[session.viewer.title, session.viewer.class_index] += count
 
 
 class Controller:
@@ -304,23 +333,29 @@
         self.servers: dict[int, Server] = {}
         self.sessions: dict[int, Session] = {}
         self.prices: Counter[float] = Counter()  # of the next step up, of sessions that play
-        self.in_rack: list[dict[int, Session]] = [{} for _ in range(settings.racks)]
+        self.in_rack: list[dict[int, Session]] = [{} for _ in range(settings.rack_count)]
         self.waiting: dict[int, list[Session]] = {}
         self.played: dict[int, None] = {}  # titles that some server here has set up, oldest first
         self.watched: dict[int, Server] = {}  # with own sessions, strikes, or news since the last look
-        self.fade_ms = 2.0 * max(settings.tell_ms + settings.seen_after_ms, UPKEEP_MS)
-        self.late_ms = settings.seen_after_ms + UPKEEP_MS
+        self.fade_ms = 2.0 * max(settings.report_interval_ms + settings.report_delay_ms, UPKEEP_MS)
+        self.late_ms = settings.report_delay_ms + UPKEEP_MS
         self.usual_link, self.usual_uplink = Usual(), Usual(first=1.0)
-        self.uplinks_kb = (settings.uplink_kb or inf) * settings.racks
+        self.uplinks_kb = (settings.uplink_rate_kbyte_s or inf) * settings.rack_count
         self.uplinks = [
-            Meter(self.uplinks_kb, self.usual_uplink, self.fade_ms) for _ in range(settings.racks)
+            Meter(self.uplinks_kb, self.usual_uplink, self.fade_ms) for _ in range(settings.rack_count)
         ]
-        self.aim_ms = min((kind.aim_ms for kind in settings.classes), default=1000.0)
+        self.aim_ms = min((kind.latency_objective_ms for kind in settings.classes), default=1000.0)
         self.takers: dict[type, Callable[..., None]] = {
-            Arrival: self._arrive, Started: self._started, Ended: self._ended, Abandoned: self._drop_request,
-            Note: self._note, TakenOver: self._take_over, TimerFired: self._upkeep, Probed: self._probed,
-            ListUpdate: self._list,
-        }  # fmt: skip
+            Arrival: self._arrive,
+            AttemptSucceeded: self._started,
+            AttemptEnded: self._ended,
+            ClientGone: self._drop_request,
+            ServerNotice: self._note,
+            SessionRecovered: self._take_over,
+            TimerFired: self._upkeep,
+            HealthCheckEnded: self._probed,
+            EndpointListUpdate: self._list,
+        }
         self.now, self.looked_at, self.stood_ms = -inf, inf, 0.0
         self.ask_again_at = inf
         self.out: list[Action] = []
@@ -330,7 +365,7 @@
         first, self.now, self.out = self.now == -inf, now_ms, []
         self.stood_ms = max(now_ms - self.looked_at - 2.0 * UPKEEP_MS, 0.0)  # what is found may be as old
         if first:
-            self.out += [Timer(UPKEEP_TOKEN, UPKEEP_MS)] + [Subscribe(True)] * self.settings.must_subscribe
+            self.out += [SetTimer(UPKEEP_TOKEN, UPKEEP_MS)] + [Subscribe(True)] * self.settings.must_subscribe
         for event in events:
             if take := self.takers.get(type(event)):
                 take(event)
@@ -340,15 +375,15 @@
         self.rerung.clear()
         return self.out
 
-    def _list(self, update: ListUpdate) -> None:
-        if update.kind is ListKind.FAILED:
+    def _list(self, update: EndpointListUpdate) -> None:
+        if update.kind is EndpointListKind.FAILED:
             self.ask_again_at = self.now + self.aim_ms
             return
-        if update.kind is not ListKind.DELTA:
+        if update.kind is not EndpointListKind.DELTA:
             listed = {entry.server for entry in update.entries}
             for server in self.servers.values():
                 if server.id not in listed:
-                    server.state = ServerState.GONE
+                    server.state = ServerState.REMOVED
         for entry in update.entries:
             self._entry(entry)
         for server in list(self.servers.values()):
@@ -361,7 +396,7 @@
         Guards against a fleet that is replaced for days, whose every server would be looked at for each
         title. Harm: one that comes back under its id after that has its learnt load to learn again.
         """
-        if server.state is not ServerState.GONE:
+        if server.state is not ServerState.REMOVED:
             server.gone_at = inf
             return
         server.gone_at = min(server.gone_at, self.now)
@@ -375,7 +410,7 @@
 
         Where no uplink is reported, it is also what these links carry, and no link of a gone server.
         """
-        there = [server for server in self.servers.values() if server.state is not ServerState.GONE]
+        there = [server for server in self.servers.values() if server.state is not ServerState.REMOVED]
         self.guards.ready = max(sum(1 for server in there if server.state is ServerState.READY), 1)
         total_kb = sum(server.link.capacity_kb for server in there)
         for rack, uplink in enumerate(self.uplinks if there else ()):
@@ -384,13 +419,17 @@
             if "x1" not in self.settings.report_fields:
                 uplink.feeders = links
 
-    def _entry(self, entry: ServerEntry) -> None:
+    def _entry(self, entry: Endpoint) -> None:
         settings, server = self.settings, self.servers.get(entry.server)
-        rack = entry.cell % settings.racks
+        rack = entry.zone % settings.rack_count
         if server is None:
-            streams = settings.kind_streams[entry.kind] if entry.kind < len(settings.kind_streams) else 1
-            link_kb = settings.weight_kb * (entry.weight if entry.weight > 0 else 1.0)
-            link = Meter(link_kb, self.usual_link, self.fade_ms, settings.fronts)
+            streams = (
+                settings.streams_by_server_type[entry.server_type]
+                if entry.server_type < len(settings.streams_by_server_type)
+                else 1
+            )
+            link_kb = settings.link_rate_per_weight_kbyte_s * (entry.weight if entry.weight > 0 else 1.0)
+            link = Meter(link_kb, self.usual_link, self.fade_ms, settings.front_count)
             server = self.servers[entry.server] = Server(
                 entry.server, link, self.uplinks[rack], streams, rack, started_at=entry.started_at
             )
@@ -398,22 +437,22 @@
         elif entry.started_at > server.started_at:
             self._begin(server, entry.started_at)
             server.link.forget()
-        server.state, server.cell, server.weight = entry.state, entry.cell, max(entry.weight, 1e-3)
+        server.state, server.cell, server.weight = entry.state, entry.zone, max(entry.weight, 1e-3)
 
     def _begin(self, server: Server, started_at: float) -> None:
         """The list tells when its process started; 0 says nothing."""
         server.started_at, server.cold_since = started_at, started_at or -inf
-        if self.settings.cold is not None:
-            server.link.new_until = server.cold_since + self.settings.cold.warm_up_ms
+        if self.settings.slow_start is not None:
+            server.link.new_until = server.cold_since + self.settings.slow_start.window_ms
 
     # --- 2. Order and placement ---
 
     def _arrive(self, event: Arrival) -> None:
         self.guards.taken.append(self.now)
-        self._place(self._open(event.viewer, self.now + event.viewer.left_ms))
+        self._place(self._open(event.viewer, self.now + event.viewer.remaining_ms))
 
     def _open(self, viewer: Viewer, answer_by: float) -> Session:
-        kind = self.settings.classes[viewer.cls]
+        kind = self.settings.classes[viewer.class_index]
         top = max(min(viewer.top_rung, kind.top_rung), 0)
         session = Session(viewer, kind, self.now, answer_by, kind.lowest_rung, top)
         self.sessions[viewer.session] = session
@@ -458,8 +497,8 @@
         """
         holders, old = self._order(session), self.now - self.fade_ms
         unheard = [one for one in holders if not one.sessions and one.link.told_at < old]
-        time = session.answer_by - self.now >= session.kind.aim_ms and session.attempts == 0
-        may = self.settings.may_probe and self.settings.fronts > 1 and time and not session.asked
+        time = session.answer_by - self.now >= session.kind.latency_objective_ms and session.attempts == 0
+        may = self.settings.may_check_health and self.settings.front_count > 1 and time and not session.asked
         return may and server in unheard and 2 * len(unheard) > len(holders)
 
     def _order(self, session: Session) -> list[Server]:
@@ -468,9 +507,9 @@
         One order for all titles would send all fronts to the same few servers, of whose load each
         front learns only by being turned away.
         """
-        viewer, cells, gone = session.viewer, self.settings.cells, ServerState.GONE
+        viewer, cells, gone = session.viewer, self.settings.zone_count, ServerState.REMOVED
         listed = [one for one in self.servers.values() if one.state is not gone]
-        holders = [one for one in listed if (one.cell - viewer.first_cell) % cells < viewer.copies]
+        holders = [one for one in listed if (one.cell - viewer.first_zone) % cells < viewer.replicas]
         return sorted(holders, key=lambda one: (lot(viewer.title, one.id) / one.weight, one.id))
 
     def _fair_rung(self, server: Server, session: Session) -> int:
@@ -539,7 +578,7 @@
         return server.link.after(self.now, kb) < warm and server.uplink.after(self.now, kb) < mark
 
     def _rate_kb(self, session: Session, rung: int) -> float:
-        return self.settings.rates_kb[rung] * session.kind.scale
+        return self.settings.rung_rates_kbyte_s[rung] * session.kind.rate_multiplier
 
     def _send(self, session: Session, server: Server, rung: int) -> None:
         """The one way out for a set-up; the guards have the last word."""
@@ -547,7 +586,7 @@
         if not (self.guards.may_send(session, now) and self.guards.may_go_to(server, session, now)):
             self._give_up(session)
             return
-        timeout = min(session.kind.aim_ms * ATTEMPT_AIMS, session.answer_by - now)
+        timeout = min(session.kind.latency_objective_ms * ATTEMPT_AIMS, session.answer_by - now)
         self.guards.sent(session, server, now)
         self.guards.hold(session, 1)
         session.attempts += 1
@@ -585,26 +624,26 @@
         """The final answer, at once: a refusal where nothing can have run, else a failure."""
         rid = session.viewer.session
         self.sessions.pop(rid, None)
-        if session.may_have_run and session.kind.effect is not Effect.REPEATABLE:
+        if session.may_have_run and session.kind.idempotency is not Idempotency.IDEMPOTENT:
             self.out.append(Fail(rid))
         else:
-            self.out.append(Refuse(rid, self.settings.retry_after_max_ms or 0.0))
+            self.out.append(Reject(rid, self.settings.max_retry_after_ms or 0.0))
 
-    def _take_over(self, event: TakenOver) -> None:
+    def _take_over(self, event: SessionRecovered) -> None:
         session, server = self._open(event.viewer, inf), self.servers.get(event.server)
         session.playing = session.may_have_run = session.told_start = True
         session.attempts = 1
         self._known_title(session)
         # Handed over low with links idle, it may climb as soon as they are told, or after a round of notes.
         session.as_handed = True
-        session.climbed_at = self.now + min(self.settings.tell_ms + self.late_ms - CLIMB_MS, 0.0)
+        session.climbed_at = self.now + min(self.settings.report_interval_ms + self.late_ms - CLIMB_MS, 0.0)
         if server is not None:
             self.guards.hold(session, 1)
             self._join(session, server)
 
     # --- 4. Health and attempts ---
 
-    def _started(self, event: Started) -> None:
+    def _started(self, event: AttemptSucceeded) -> None:
         session = self.sessions.get(event.session)
         if session is None or session.server is None:
             return
@@ -619,7 +658,7 @@
             self.out.append(Log(f"server {server.id} sets up again after {server.strikes} failures"))
         server.strikes, server.suspect_until = 0, -inf
 
-    def _ended(self, event: Ended) -> None:
+    def _ended(self, event: AttemptEnded) -> None:
         session, server = self.sessions.get(event.session), self.servers.get(event.server)
         stray = event.result is Result.ERROR and session is not None and self._stray(session, server)
         if server is not None:
@@ -637,7 +676,7 @@
         if event.result not in NEVER_RAN:
             session.may_have_run = True
         self._leave(session)
-        if event.closed or session.playing:
+        if event.is_final or session.playing:
             self.sessions.pop(event.session, None)
         elif stray and session.attempts > 1:
             self._give_up(session)
@@ -681,7 +720,7 @@
         if server.strikes == 1:
             if result is Result.TIMEOUT:
                 self._probe(server)
-            self.out.append(Log(f"server {server.id} is suspect: {RESULT_WORDS[result]}"))
+            self.out.append(Log(f"server {server.id} is suspect: {RESULT_LABELS[result]}"))
 
     def _doubt(self, server: Server, gone: bool) -> None:
         """Takes its process for gone, so that what comes back is cold."""
@@ -700,7 +739,7 @@
             server.lost, server.doubted_at = False, -inf
             server.cold_since = server.started_at or -inf
 
-    def _probed(self, event: Probed) -> None:
+    def _probed(self, event: HealthCheckEnded) -> None:
         server = self.servers.get(event.server)
         if server is None:
             return
@@ -717,7 +756,7 @@
             if session.viewer.session in self.sessions and not session.out:
                 self._place(session)
 
-    def _drop_request(self, event: Abandoned) -> None:
+    def _drop_request(self, event: ClientGone) -> None:
         session = self.sessions.get(event.session)
         if session is not None and session.out:
             session.answer_by = -inf
@@ -735,10 +774,10 @@
             elif name == "x1":
                 server.uplink.hear(value, seen_at)
 
-    def _note(self, note: Note) -> None:
+    def _note(self, note: ServerNotice) -> None:
         session, server = self.sessions.get(note.session), self.servers.get(note.server)
-        if note.kind is NoteKind.RUNG:
-            known = 0 <= note.level < len(self.settings.rates_kb)
+        if note.kind is NoticeKind.RUNG:
+            known = 0 <= note.level < len(self.settings.rung_rates_kbyte_s)
             if session is not None and session.server is not None and known:
                 self._count(session, session.server, -1)
                 session.rung = int(note.level)
@@ -750,13 +789,13 @@
         seen_at = self.now - self.late_ms - self.stood_ms
         if session is not None:
             self._lives(server, session)
-        if note.kind is NoteKind.DELIVERED:
+        if note.kind is NoticeKind.DELIVERED:
             self._short(server, note.level, seen_at)
             return
         if session is not None and not session.told_start:
-            session.told_start = note.kind is NoteKind.UPLINK or "x1" not in self.settings.report_fields
+            session.told_start = note.kind is NoticeKind.UPLINK or "x1" not in self.settings.report_fields
             seen_at = self.now - self.stood_ms
-        (server.link if note.kind is NoteKind.LINK else server.uplink).hear(note.level, seen_at)
+        (server.link if note.kind is NoticeKind.LINK else server.uplink).hear(note.level, seen_at)
 
     def _short(self, server: Server, share: float, seen_at: float) -> None:
         """Sessions there get less than they ask: the server is full, and so is one of its two lines.
@@ -787,7 +826,7 @@
         alone = len(used) == 1 and bool(uplink.feeders)
         link_well = link.fresh(self.now) and link.load(self.now) < MARK
         rack_short = whole_rack or (alone and link_well) or (again and uplink.fresh(self.now))
-        (uplink if rack_short else link).hear(over, seen_at, sample=self.settings.tell_ms > 0.0)
+        (uplink if rack_short else link).hear(over, seen_at, sample=self.settings.report_interval_ms > 0.0)
 
     # --- 3. Rungs of playing sessions ---
 
@@ -795,7 +834,7 @@
         if event.token != UPKEEP_TOKEN:
             return
         self.looked_at = self.now
-        self.out.append(Timer(UPKEEP_TOKEN, UPKEEP_MS))
+        self.out.append(SetTimer(UPKEEP_TOKEN, UPKEEP_MS))
         if self.ask_again_at <= self.now:
             self.ask_again_at = inf
             self.out.append(Subscribe(True))
@@ -813,9 +852,9 @@
                 del self.watched[server.id]
 
     def _probe(self, server: Server) -> None:
-        if self.settings.may_probe and not server.probing:
+        if self.settings.may_check_health and not server.probing:
             server.probing = True
-            self.out.append(Probe(server.id))
+            self.out.append(CheckHealth(server.id))
 
     def _relieve(self, meter: Meter, sessions: dict[int, Session]) -> None:
         """Own sessions give up their part of what lies above the mark.
@@ -855,9 +894,9 @@
     def _price(self, session: Session, rung: int) -> float:
         """Worth lost for each kB a second freed by stepping down from `rung` until the next climb."""
         settings = self.settings
-        seconds = (settings.worths[rung] - settings.worths[rung - 1]) * CLIMB_MS / 1000.0
+        seconds = (settings.rung_utilities[rung] - settings.rung_utilities[rung - 1]) * CLIMB_MS / 1000.0
         freed = self._rate_kb(session, rung) - self._rate_kb(session, rung - 1)
-        return (seconds + settings.switch_cost_s) * session.kind.gain / max(freed, 1e-9)
+        return (seconds + settings.switch_cost_s) * session.kind.priority_weight / max(freed, 1e-9)
 
     def _climb(self, server: Server) -> None:
         """One session a look climbs where all stays under the mark, into this front's part of the room.
@@ -890,7 +929,7 @@
         if not settled and not (session.as_handed and told):
             return False
         left_s = (session.taken_at + (session.viewer.length_ms or inf) - self.now) / 1000.0
-        gain = self.settings.worths[session.rung + 1] - self.settings.worths[session.rung]
+        gain = self.settings.rung_utilities[session.rung + 1] - self.settings.rung_utilities[session.rung]
         return gain * left_s > self.settings.switch_cost_s
 
     def _set_rung(self, session: Session, rung: int) -> None:
--- a/fernweir/front/boxes.py
+++ b/fernweir/front/boxes.py
@@ -9,15 +9,15 @@
 from urllib.parse import quote
 
 from fernweir.front.boxlist import BoxList
-from fernweir.front.commands import ChangeRung, Release, SendProbe, SetUp, SetUpResult
-from fernweir.front.core import BadAnswerError, Core
-from fernweir.front.notes import NotesError, NotesState, Told
+from fernweir.front.commands import ChangeRung, ReleaseSession, SendHealthCheck, SetUp, SetUpResult
+from fernweir.front.dispatcher import Dispatcher, InvalidServerReplyError
+from fernweir.front.response_classification import judge, load_report
 from fernweir.front.rungsync import RungSync, Send
-from fernweir.front.verdict import judge, load_report
+from fernweir.front.server_notices import NotesError, NotesState, Told
 from fernweir.http.client import Call, Origin, Outcome, Pool, Reply
 from fernweir.http.parse import ResponseHead
 from fernweir.http.sse import EventReader
-from fernweir.interface import RESULT_WORDS, Result
+from fernweir.interface import RESULT_LABELS, Result
 
 MERGE_PATCH = "application/merge-patch+json"  # RFC 7396
 Under = tuple[str, int]  # the channel and the fence by which a session is steered
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        core: Core,
+        core: Dispatcher,
         pool: Pool,
         streams: Pool,
         boxes: BoxList,
@@ -61,10 +61,10 @@
     # --- commands ---
 
     def set_up(self, command: SetUp) -> None:
-        core, host, jti = self.core, self.core.host, command.session.jti
+        core, host, jti = self.core, self.core.sessions, command.request.session_id
         sent_at = core.now()
         origin = self.boxes.address(command.server)
-        carrier = core.carriers[command.session.via]
+        carrier = core.set_up_codecs[command.request.protocol]
 
         def done(reply: Reply) -> None:
             result, why = judge(reply)
@@ -72,17 +72,17 @@
             if result is Result.OK:
                 try:
                     payload = carrier.accept(command, reply)
-                except BadAnswerError as error:
+                except InvalidServerReplyError as error:
                     result, why = Result.ERROR, str(error)
             now = core.now()
             if result is not Result.OK:
                 core.log.info(
                     "set-up failed", session=jti, box=command.server, attempt=command.attempt,
-                    result=RESULT_WORDS[result], why=why,
+                    result=RESULT_LABELS[result], why=why,
                 )  # fmt: skip
             end = SetUpResult(result, now - sent_at, load_report(reply), payload, why)
-            host.set_up_done(now, jti, command.attempt, end)
-            core.kick()
+            host.on_attempt_finished(now, jti, command.attempt, end)
+            core.schedule_step()
             if result is Result.OK:
                 self._listen(command.server)
 
@@ -98,26 +98,28 @@
             headers=request.headers,
             body=request.body,
             timeout_s=command.timeout_ms / 1000.0,
-            wanted=lambda: host.still_wanted(jti, command.attempt),
+            wanted=lambda: host.is_attempt_wanted(jti, command.attempt),
         )
 
     def change_rung(self, command: ChangeRung) -> None:
-        send = self._rungs.want(command.jti, command.attempt, command.server, command.rung)
+        send = self._rungs.want(command.session_id, command.attempt, command.server, command.rung)
         if send is not None:
             self._send_rung(send)
 
-    def release(self, command: Release) -> None:
-        self._rungs.forget(command.jti, command.attempt)
-        self._delete(command, self._under(command.jti), again=True)
+    def release(self, command: ReleaseSession) -> None:
+        self._rungs.forget(command.session_id, command.attempt)
+        self._delete(command, self._under(command.session_id), again=True)
 
-    def probe(self, command: SendProbe) -> None:
+    def check_health(self, command: SendHealthCheck) -> None:
         core, sent_at = self.core, self.core.now()
 
         def done(reply: Reply) -> None:
             result, _ = judge(reply)
             now = core.now()
-            core.host.probe_done(now, command.server, result, now - sent_at, load_report(reply))
-            core.kick()
+            core.sessions.on_health_check_finished(
+                now, command.server, result, now - sent_at, load_report(reply)
+            )
+            core.schedule_step()
 
         origin = self.boxes.address(command.server)
         if origin is None:
@@ -143,7 +145,7 @@
 
     def drop(self, box: int, session: str, attempt: int, why: str, under: Under) -> None:
         """Takes back what runs at a box and is no session of this front's."""
-        self._delete(Release(session, attempt, box, why), under, again=True)
+        self._delete(ReleaseSession(session, attempt, box, why), under, again=True)
 
     def listen(self, server: int) -> None:
         """Hears a box's notes, as for sessions that were taken over there."""
@@ -163,8 +165,8 @@
             result, why = judge(reply)
             if reply.status == 404 and reply.outcome is Outcome.ANSWERED:
                 self._rungs.forget(send.jti, send.attempt)
-                core.host.session_over(core.now(), send.jti, send.attempt, Result.RESET)
-                core.kick()
+                core.sessions.on_session_ended(core.now(), send.jti, send.attempt, Result.RESET)
+                core.schedule_step()
                 return
             arrived = result is Result.OK
             if not arrived:
@@ -193,17 +195,17 @@
             self._send_rung(send)
         self._rungs_later()
 
-    def _delete(self, command: Release, under: Under | None, again: bool) -> None:
+    def _delete(self, command: ReleaseSession, under: Under | None, again: bool) -> None:
         def done(reply: Reply) -> None:
             # Once more, for an answer that was lost; after that the box's own idle limit must do.
             if again and reply.outcome is not Outcome.ANSWERED and not self.closed:
                 self.core.loop.call_later(self.times.call_s, self._delete, command, under, False)
 
-        origin, target = self.boxes.address(command.server), _session(command.jti, command.attempt)
+        origin, target = self.boxes.address(command.server), _session(command.session_id, command.attempt)
         if origin is None:
             return
-        if command.after_segment and again:
-            body = json.dumps({"end": command.why}).encode()
+        if command.may_finish_segment and again:
+            body = json.dumps({"end": command.reason}).encode()
             self._call(origin, "PATCH", target, done, body, under)
         else:
             self._call(origin, "DELETE", target, done, under=under)
@@ -222,7 +224,7 @@
         )
 
     def _under(self, jti: str) -> Under | None:
-        return self.core.owner.fence(jti) if self.core.owner is not None else None
+        return self.core.channel_ownership.fence(jti) if self.core.channel_ownership is not None else None
 
     def _listen(self, server: int) -> None:
         if server not in self._streams and not self.closed:
@@ -238,7 +240,7 @@
 
     def __init__(self, client: BoxClient, server: int) -> None:
         self.client, self.server = client, server
-        self.core, self.host = client.core, client.core.host
+        self.core, self.host = client.core, client.core.sessions
         self.state = NotesState()
         self._reader = EventReader()
         self._call: Call | None = None
@@ -252,7 +254,7 @@
     def stop(self) -> None:
         self._stopped = True
         self.client._streams.pop(self.server, None)
-        self.host.box_doubtful(self.server, False)
+        self.host.on_server_silence_changed(self.server, False)
         if self._call is not None:
             self._call.cancel()
 
@@ -263,7 +265,7 @@
         if origin is None:
             self._lost("not listed")
             return
-        self.state.asked(self.host.playing_at(self.server))
+        self.state.asked(self.host.sessions_playing_at(self.server))
         self._reader = EventReader()
         headers = [("authorization", f"Bearer {self.client._token()}"), ("accept", "text/event-stream")]
         self._call = self.client.streams.request(
@@ -279,7 +281,7 @@
         self._heard_at = self.core.loop.time()
         if self._doubtful:
             self._doubtful = False
-            self.host.box_doubtful(self.server, False)
+            self.host.on_server_silence_changed(self.server, False)
 
     def _data(self, data: bytes) -> None:
         self._hear()
@@ -300,12 +302,12 @@
                 self._tries = 0
             for one in news:
                 if isinstance(one, Told):
-                    self.host.note(now, one.jti, one.attempt, one.kind, one.level)
+                    self.host.on_server_notice(now, one.jti, one.attempt, one.kind, one.level)
                 else:
                     self.client._rungs.forget(one.jti, one.attempt)
-                    self.host.session_over(now, one.jti, one.attempt, one.result)
+                    self.host.on_session_ended(now, one.jti, one.attempt, one.result)
         if events:
-            self.core.kick()
+            self.core.schedule_step()
 
     def _ended(self, reply: Reply) -> None:
         self._call = None
@@ -324,21 +326,21 @@
 
     def _lost(self, why: str) -> None:
         """Nobody listens there any more: the process is gone, and its sessions with it."""
-        count = self.host.box_lost(self.core.now(), self.server)
+        count = self.host.on_server_lost(self.core.now(), self.server)
         self.core.log.info("box lost", box=self.server, sessions=count, why=why)
         self.stop()
-        self.core.kick()
+        self.core.schedule_step()
 
     def _doubt(self) -> None:
         if not self._doubtful:
             self._doubtful = True
-            self.host.box_doubtful(self.server, True)
+            self.host.on_server_silence_changed(self.server, True)
 
     def _watch(self) -> None:
         if self._stopped:
             return
         now, times = self.core.loop.time(), self.client.times
-        if self.host.playing_at(self.server):
+        if self.host.sessions_playing_at(self.server):
             self._used_at = now
         elif now - self._used_at > times.unused_s:
             self.stop()
--- a/fernweir/front/boxlist.py
+++ b/fernweir/front/boxlist.py
@@ -15,9 +15,9 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
 from fernweir.front.names import number_of
-from fernweir.interface import ListKind, ListUpdate, ServerEntry, ServerState, Settings
+from fernweir.interface import Endpoint, EndpointListKind, EndpointListUpdate, ServerState, Settings
 
-_STATES = {"ready": ServerState.READY, "draining": ServerState.DRAINING, "gone": ServerState.GONE}
+_STATES = {"ready": ServerState.READY, "draining": ServerState.DRAINING, "gone": ServerState.REMOVED}
 Slug = Annotated[str, Field(min_length=1, max_length=128, pattern=r"^[A-Za-z0-9][A-Za-z0-9._~-]*$")]
 
 
@@ -100,16 +100,18 @@
         line = self.boxes.get(box)
         return (line.host, line.port) if line is not None else None
 
-    def take_whole(self, now: float, document: ListDocument, *, cached: bool = False) -> ListUpdate | None:
+    def take_whole(
+        self, now: float, document: ListDocument, *, cached: bool = False
+    ) -> EndpointListUpdate | None:
         """A whole list; None if it is older than what is held of the same epoch, or the same."""
         if document.epoch == self.epoch and document.version <= self.version:
             return None
         self._check(document)
         self.boxes = {}
         self._lesson_lines, self.lessons = {}, {}
-        return self._apply(now, document, ListKind.CACHED if cached else ListKind.FULL)
+        return self._apply(now, document, EndpointListKind.CACHED if cached else EndpointListKind.FULL)
 
-    def take_changes(self, now: float, document: ListDocument) -> ListUpdate | None:
+    def take_changes(self, now: float, document: ListDocument) -> EndpointListUpdate | None:
         """Differences; None if they are known already. ListGapError if they build on something else."""
         if document.epoch != self.epoch or document.base is None or document.base > self.version:
             raise ListGapError(
@@ -120,7 +122,7 @@
         if document.base < self.version:
             raise ListGapError(f"changes on version {document.base}, held is {self.version}")
         self._check(document)
-        return self._apply(now, document, ListKind.DELTA)
+        return self._apply(now, document, EndpointListKind.DELTA)
 
     def to_cache(self) -> bytes:
         """The held list as a document. Ages are left out: a cached box counts as running for long."""
@@ -137,21 +139,20 @@
         if len(set(numbers)) != len(numbers):
             raise ListError("a box is listed twice")
         for line in document.boxes:
-            if line.cell >= self._settings.cells:
-                raise ListError(f"box {line.box}: cell {line.cell} of {self._settings.cells}")
+            if line.cell >= self._settings.zone_count:
+                raise ListError(f"box {line.box}: cell {line.cell} of {self._settings.zone_count}")
         for lesson in document.lessons:
-            if lesson.cell >= self._settings.cells or lesson.copies > self._settings.cells:
-                raise ListError(
-                    f"lesson {lesson.title}: cells {lesson.cell}+{lesson.copies} of {self._settings.cells}"
-                )
+            if lesson.cell >= self._settings.zone_count or lesson.copies > self._settings.zone_count:
+                where = f"cells {lesson.cell}+{lesson.copies} of {self._settings.zone_count}"
+                raise ListError(f"lesson {lesson.title}: {where}")
 
-    def _apply(self, now: float, document: ListDocument, kind: ListKind) -> ListUpdate:
+    def _apply(self, now: float, document: ListDocument, kind: EndpointListKind) -> EndpointListUpdate:
         self.epoch, self.version = document.epoch, document.version
         entries = []
         for line in document.boxes:
             self.boxes[line.box] = line
             entries.append(
-                ServerEntry(
+                Endpoint(
                     line.box,
                     _STATES[line.state],
                     self._start_of(now, line),
@@ -163,7 +164,7 @@
         for lesson in document.lessons:
             self._lesson_lines[lesson.title] = lesson
             self.lessons[lesson.title] = Lesson(number_of(lesson.title), lesson.cell, lesson.copies)
-        return ListUpdate(kind, document.version & 0xFFFFFFFF, tuple(entries))
+        return EndpointListUpdate(kind, document.version & 0xFFFFFFFF, tuple(entries))
 
     def _start_of(self, now: float, line: BoxLine) -> float:
         """When this life of the box began on our clock; 0 is long ago.
--- a/fernweir/front/commands.py
+++ b/fernweir/front/commands.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class SessionRequest:
     """A request that was taken. `wait_ms` is how long its viewer waits from now on.
 
     `via` names the protocol, whose carrier knows what a set-up looks like on the way to a box. `body` is
@@ -18,19 +18,19 @@
     """
 
     ticket: int
-    via: str
-    jti: str
-    who: str
+    protocol: str
+    session_id: str
+    subject: str
     title_name: str
     title: int
-    first_cell: int
-    copies: int
-    cls: int
+    first_zone: int
+    replicas: int
+    class_index: int
     top_rung: int
-    wait_ms: float
+    max_wait_ms: float
     tenant: str = ""
-    key: int = 0
-    returning: bool = False
+    viewer_key: int = 0
+    is_returning: bool = False
     body: object = None
 
 
@@ -39,10 +39,10 @@
     """How an attempt ended. `payload` is what the protocol made of the box's answer; None unless OK."""
 
     result: Result
-    took_ms: float
+    duration_ms: float
     report: dict[str, float]
     payload: object = None
-    why: str = ""
+    reason: str = ""
 
 
 # --- commands: what the shells must do ---
@@ -52,7 +52,7 @@
 class SetUp:
     """Send the attempt; its end goes to `Host.set_up_done`, exactly once."""
 
-    session: Ask
+    request: SessionRequest
     attempt: int
     server: int
     rung: int
@@ -61,72 +61,72 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeRung:
-    jti: str
+    session_id: str
     attempt: int
     server: int
     rung: int
 
 
 @dataclass(frozen=True, slots=True)
-class Release:
+class ReleaseSession:
     """Tell a box that one attempt's session, playing or doubtful, is wanted no more.
 
     `after_segment`: what plays may end its segment first, and its player is told why.
     """
 
-    jti: str
+    session_id: str
     attempt: int
     server: int
-    why: str
-    after_segment: bool = False
+    reason: str
+    may_finish_segment: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class SendProbe:
+class SendHealthCheck:
     server: int
 
 
 @dataclass(frozen=True, slots=True)
-class Arm:
+class StartTimer:
     """Call `Host.timer_fired` with the token after that time."""
 
     token: int
-    after_ms: float
+    delay_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Follow:
-    active: bool
+class WatchEndpointList:
+    is_active: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class LogLine:
     """A line of the module's or the host's for the log."""
 
     text: str
-    session: str | None = None
-    box: int | None = None
+    session_id: str | None = None
+    server: int | None = None
 
 
-class Kind(Enum):
+class ReplyKind(Enum):
     """What an answer says."""
 
     PLAYS = "plays"
-    REFUSED = "refused"
+    REJECTED = "refused"
     FAILED = "failed"
     CONFLICT = "conflict"
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class SessionReply:
     """The one answer of a ticket. `server`, `rung`, `attempt` and `payload` hold for PLAYS only."""
 
     ticket: int
-    kind: Kind
-    why: str = ""
+    kind: ReplyKind
+    reason: str = ""
     retry_after_ms: float = 0.0
-    timed_out: bool = False
-    session: Ask | None = None
+    is_timeout: bool = False
+    request: SessionRequest | None = None
     server: int = -1
     attempt: int = 0
     rung: int = 0
@@ -134,30 +134,42 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Admit:
+class CheckEntitlement:
     """Ask whether the session may play at all; the verdict goes to `Host.admitted` by `answer_by`."""
 
-    session: Ask
-    answer_by: float
+    request: SessionRequest
+    deadline: float
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
+class EntitlementReleased:
     """A session that was asked to be admitted is over, however it ended; or `moved`, and another front's."""
 
-    jti: str
-    moved: bool = False
+    session_id: str
+    is_handed_over: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Over:
+class SessionOver:
     """A session that played is over. `by_viewer`: its viewer ended it and need not be told."""
 
-    session: Ask
+    request: SessionRequest
     result: Result
-    why: str
-    moved: bool = False
-    by_viewer: bool = False
-
-
-Command = SetUp | ChangeRung | Release | SendProbe | Arm | Follow | Say | Answer | Admit | Left | Over
+    reason: str
+    is_moved: bool = False
+    is_ended_by_viewer: bool = False
+
+
+Command = (
+    SetUp
+    | ChangeRung
+    | ReleaseSession
+    | SendHealthCheck
+    | StartTimer
+    | WatchEndpointList
+    | LogLine
+    | SessionReply
+    | CheckEntitlement
+    | EntitlementReleased
+    | SessionOver
+)
--- a/fernweir/front/dash.py
+++ b/fernweir/front/dash.py
@@ -17,8 +17,8 @@
 
 from fernweir.entitlement.introspect import Judged, Word
 from fernweir.front.boxlist import BoxList
-from fernweir.front.commands import Answer, Ask, Kind, SetUp
-from fernweir.front.core import BadAnswerError, BoxRequest, Core
+from fernweir.front.commands import ReplyKind, SessionReply, SessionRequest, SetUp
+from fernweir.front.dispatcher import Dispatcher, InvalidServerReplyError, ServerRequest
 from fernweir.front.introspection import TokenDesk
 from fernweir.front.manifest import Manifest, ManifestCache, ManifestError
 from fernweir.http.client import Reply
@@ -66,7 +66,7 @@
 
     def __init__(
         self,
-        core: Core,
+        core: Dispatcher,
         boxes: BoxList,
         settings: Settings,
         classes: dict[str, int],
@@ -85,12 +85,14 @@
         self.public_url = public_url.rstrip("/")
         self._wall_s, self._most_waiting = wall_s, most_waiting
         self._desk, self._plays_unanswered = desk, plays_unanswered
-        self._manifests = ManifestCache(len(settings.rates_kb))
+        self._manifests = ManifestCache(len(settings.rung_rates_kbyte_s))
         self._signed: OrderedDict[tuple[str, int, int, int, tuple[str, int] | None], tuple[str, float]] = (
             OrderedDict()
         )
-        self._seeking: dict[int, Callable[[Answer | None], None]] = {}  # by ticket: asked of other fronts
-        core.carriers[_VIA] = self
+        self._seeking: dict[
+            int, Callable[[SessionReply | None], None]
+        ] = {}  # by ticket: asked of other fronts
+        core.set_up_codecs[_VIA] = self
 
     # --- viewers ---
 
@@ -146,7 +148,7 @@
 
         At most half of what the viewer waits is spent on the question; the rest is for its set-up.
         """
-        if self.core.host.closing or len(desk) >= self._most_waiting:
+        if self.core.sessions.is_closing or len(desk) >= self._most_waiting:
             raise _RefusedError(503, "busy", "too many requests wait", (("retry-after", "1"),))
         kinds = self.settings.classes
         kind = kinds[self.classes[claims.cls]] if claims else min(kinds, key=lambda one: one.deadline_ms)
@@ -192,18 +194,18 @@
         if claims.title != path[1]:
             raise _challenge(TokenError(TokenFault.TITLE, "the token is for another lesson"))
         if exchange.method in ("DELETE", "HEAD"):
-            held, finder = self.core.host.session(claims.jti), self.core.finder
+            held, finder = self.core.sessions.session(claims.jti), self.core.session_locator
             if held is None and finder is not None:
                 what = "end" if exchange.method == "DELETE" else "look"
                 finder.tell(
                     claims.jti, what, lambda found: self._guard(exchange, lambda: self._say(exchange, found))
                 )
             elif exchange.method == "DELETE":
-                ended = self.core.host.release(self.core.now(), claims.jti)
-                self.core.kick()
+                ended = self.core.sessions.release_session(self.core.now(), claims.jti)
+                self.core.schedule_step()
                 self._say(exchange, ended)
             else:
-                self._say(exchange, held is not None and held.told > 0)
+                self._say(exchange, held is not None and held.informed_viewers > 0)
         else:
             self._take(exchange, claims, in_query, spent_ms)
 
@@ -239,8 +241,13 @@
 
     def _covered(self, claims: SessionClaims) -> bool:
         """A session that plays on a renewed lease may ask for its manifest with the token it began with."""
-        keeper, held = self.core.keeper, self.core.host.session(claims.jti)
-        return keeper is not None and held is not None and held.told > 0 and keeper.covers(claims.jti)
+        keeper, held = self.core.entitlement_check, self.core.sessions.session(claims.jti)
+        return (
+            keeper is not None
+            and held is not None
+            and held.informed_viewers > 0
+            and keeper.is_entitled(claims.jti)
+        )
 
     def _take(self, exchange: Exchange, claims: SessionClaims, in_query: bool, spent_ms: float) -> None:
         if not self.boxes.epoch:
@@ -248,48 +255,48 @@
         lesson = self.boxes.lessons.get(claims.title)
         if lesson is None:
             raise _RefusedError(404, "no-lesson", "no such lesson")
-        if self.core.host.closing or len(self.core.host.ledger) >= self._most_waiting:
-            why = "front is stopping" if self.core.host.closing else "too many requests wait"
+        if self.core.sessions.is_closing or len(self.core.sessions.reply_ledger) >= self._most_waiting:
+            why = "front is stopping" if self.core.sessions.is_closing else "too many requests wait"
             raise _RefusedError(503, "busy", why, (("retry-after", "1"), ("connection", "close")))
         cls = self.classes[claims.cls]
         kind = self.settings.classes[cls]
         if min(claims.top, kind.top_rung) < kind.lowest_rung:
             raise _RefusedError(403, "no-rung", "this viewer can use no rung that its class may play")
-        ask = Ask(
-            ticket=self.core.ticket(),
-            via=_VIA,
-            jti=claims.jti,
-            who=claims.sub,
+        ask = SessionRequest(
+            ticket=self.core.next_ticket(),
+            protocol=_VIA,
+            session_id=claims.jti,
+            subject=claims.sub,
             title_name=claims.title,
             title=lesson.number,
-            first_cell=lesson.first_cell,
-            copies=lesson.copies,
-            cls=cls,
+            first_zone=lesson.first_cell,
+            replicas=lesson.copies,
+            class_index=cls,
             top_rung=claims.top,
-            wait_ms=max(wait_ms(exchange, kind) - spent_ms, 0.0),
+            max_wait_ms=max(wait_ms(exchange, kind) - spent_ms, 0.0),
             tenant=claims.tenant or "",
         )
         location = f"{self.public_url}/lessons/{quote(claims.title, safe='')}/manifest.mpd"
         if in_query:
             location += exchange.head.target[exchange.head.target.index("?") :]
-        finder, begun = self.core.finder, self.core.now()
+        finder, begun = self.core.session_locator, self.core.now()
 
-        def here(ask: Ask) -> None:
-            exchange.on_gone = lambda: self.core.withdraw(ask.ticket)
-            exchange.on_left = lambda: self.core.leave(ask.ticket)
-            self.core.ask(ask, lambda answer: self._answer(exchange, answer, location))
+        def here(ask: SessionRequest) -> None:
+            exchange.on_gone = lambda: self.core.withdraw_request(ask.ticket)
+            exchange.on_left = lambda: self.core.on_client_half_closed(ask.ticket)
+            self.core.submit(ask, lambda answer: self._answer(exchange, answer, location))
             if exchange.left:  # before it was taken: what plays is still answered so
-                self.core.leave(ask.ticket)
+                self.core.on_client_half_closed(ask.ticket)
 
-        def found(answer: Answer | None) -> None:
+        def found(answer: SessionReply | None) -> None:
             if self._seeking.pop(ask.ticket, None) is None or exchange.gone:
                 return
             if answer is not None:
                 self._answer(exchange, answer, location)
             else:
-                here(replace(ask, wait_ms=max(ask.wait_ms - (self.core.now() - begun), 0.0)))
+                here(replace(ask, max_wait_ms=max(ask.max_wait_ms - (self.core.now() - begun), 0.0)))
 
-        if finder is None or self.core.host.session(ask.jti) is not None:
+        if finder is None or self.core.sessions.session(ask.session_id) is not None:
             here(ask)
         else:
             self._seeking[ask.ticket] = found
@@ -298,9 +305,9 @@
     def give_up(self) -> None:
         """The front stops: who waits for what other fronts say is answered now."""
         for ticket, found in list(self._seeking.items()):
-            found(Answer(ticket, Kind.REFUSED, "front is stopping", 1_000.0))
+            found(SessionReply(ticket, ReplyKind.REJECTED, "front is stopping", 1_000.0))
 
-    def _answer(self, exchange: Exchange, answer: Answer, location: str) -> None:
+    def _answer(self, exchange: Exchange, answer: SessionReply, location: str) -> None:
         if exchange.gone:
             return
         try:
@@ -311,33 +318,33 @@
                 exchange.respond(500, [*_CORS, ("connection", "close")])
             raise
 
-    def _write_answer(self, exchange: Exchange, answer: Answer, location: str) -> None:
-        if answer.kind is Kind.PLAYS and answer.session is not None:
+    def _write_answer(self, exchange: Exchange, answer: SessionReply, location: str) -> None:
+        if answer.kind is ReplyKind.PLAYS and answer.request is not None:
             body = self._document(answer, location)
             if body is not None:
                 fields = [("content-type", MPD_TYPE), ("cache-control", "no-store")]
-                exchange.on_gone = lambda: self.core.unheard(answer)
+                exchange.on_gone = lambda: self.core.on_reply_undelivered(answer)
                 exchange.respond(200, [*_CORS, *fields], body)
                 return
-            answer = Answer(answer.ticket, Kind.FAILED, "its box is no longer listed")
+            answer = SessionReply(answer.ticket, ReplyKind.FAILED, "its box is no longer listed")
         status, kind, fields = 503, "refused", []
-        if answer.kind is Kind.REFUSED:
+        if answer.kind is ReplyKind.REJECTED:
             fields = [("retry-after", str(max(ceil(answer.retry_after_ms / 1000.0), 0)))]
-        elif answer.kind is Kind.CONFLICT:
+        elif answer.kind is ReplyKind.CONFLICT:
             status, kind = 409, "conflict"
         else:
-            status, kind = (504, "timed-out") if answer.timed_out else (502, "failed")
-        wait = answer.retry_after_ms if answer.kind is Kind.REFUSED else None
-        body = problem(status, answer.why, kind=_PROBLEM + kind, retry_after_ms=wait)
+            status, kind = (504, "timed-out") if answer.is_timeout else (502, "failed")
+        wait = answer.retry_after_ms if answer.kind is ReplyKind.REJECTED else None
+        body = problem(status, answer.reason, kind=_PROBLEM + kind, retry_after_ms=wait)
         exchange.respond(status, [*_CORS, *fields, ("content-type", MEDIA_TYPE)], body)
 
-    def _document(self, answer: Answer, location: str) -> bytes | None:
-        ask, manifest = answer.session, answer.payload
+    def _document(self, answer: SessionReply, location: str) -> bytes | None:
+        ask, manifest = answer.request, answer.payload
         address = self.boxes.address(answer.server)
         if ask is None or address is None or not isinstance(manifest, Manifest):
             return None
         base = f"http://{address[0]}:{address[1]}/lessons/{quote(ask.title_name, safe='')}/"
-        lowest = self.settings.classes[ask.cls].lowest_rung
+        lowest = self.settings.classes[ask.class_index].lowest_rung
         token = self._box_token(ask, answer.server, answer.attempt, answer.rung)
         return self._manifests.render(
             manifest, lowest, answer.rung, base, f"box-{answer.server}", location, f"token={token}"
@@ -345,23 +352,23 @@
 
     # --- boxes ---
 
-    def request(self, command: SetUp) -> BoxRequest:
-        ask = command.session
+    def request(self, command: SetUp) -> ServerRequest:
+        ask = command.request
         token = self._box_token(ask, command.server, command.attempt, command.rung)
         target = f"/lessons/{quote(ask.title_name, safe='')}/manifest.mpd"
-        return BoxRequest("GET", target, (("authorization", f"Bearer {token}"), ("accept", MPD_TYPE)))
+        return ServerRequest("GET", target, (("authorization", f"Bearer {token}"), ("accept", MPD_TYPE)))
 
     def accept(self, command: SetUp, reply: Reply) -> object:
-        kind = self.settings.classes[command.session.cls]
+        kind = self.settings.classes[command.request.class_index]
         if reply.status != 200 or not reply.headers.get("content-type").startswith(MPD_TYPE):
-            raise BadAnswerError(
+            raise InvalidServerReplyError(
                 f"status {reply.status} with {reply.headers.get('content-type')[:40]}, no MPD"
             )
-        top = min(command.session.top_rung, kind.top_rung)
+        top = min(command.request.top_rung, kind.top_rung)
         try:
             return self._manifests.judge(reply.body, kind.lowest_rung, max(top, kind.lowest_rung))
         except ManifestError as error:
-            raise BadAnswerError(f"manifest: {error}") from None
+            raise InvalidServerReplyError(f"manifest: {error}") from None
 
     def pack(self, payload: object) -> tuple[bytes, bytes]:
         if not isinstance(payload, Manifest):
@@ -374,13 +381,13 @@
             top = max(min(top_rung, kind.top_rung), kind.lowest_rung)
             return self._manifests.judge(data, kind.lowest_rung, top)
         except ManifestError as error:
-            raise BadAnswerError(f"manifest: {error}") from None
+            raise InvalidServerReplyError(f"manifest: {error}") from None
 
-    def _box_token(self, ask: Ask, server: int, attempt: int, rung: int) -> str:
+    def _box_token(self, ask: SessionRequest, server: int, attempt: int, rung: int) -> str:
         """The token of one attempt; the viewer's document mostly carries the one of its set-up."""
-        owner = self.core.owner
-        under = owner.fence(ask.jti) if owner is not None else None
-        key, now = (ask.jti, server, attempt, rung, under), self._wall_s()
+        owner = self.core.channel_ownership
+        under = owner.fence(ask.session_id) if owner is not None else None
+        key, now = (ask.session_id, server, attempt, rung, under), self._wall_s()
         signed = self._signed.get(key)
         if signed is not None and now < signed[1]:
             return signed[0]
@@ -391,7 +398,13 @@
         return token
 
     def _sign_box_token(
-        self, ask: Ask, server: int, attempt: int, rung: int, now: float, under: tuple[str, int] | None
+        self,
+        ask: SessionRequest,
+        server: int,
+        attempt: int,
+        rung: int,
+        now: float,
+        under: tuple[str, int] | None,
     ) -> str:
         channel, fence = under or (None, 0)
         return self.keyring.sign(
@@ -400,11 +413,11 @@
                 aud=f"{self.rules.box_audience}:{server}",
                 iat=int(now),
                 exp=int(now + self.rules.box_life_s),
-                sub=ask.who,
-                jti=ask.jti,
+                sub=ask.subject,
+                jti=ask.session_id,
                 title=ask.title_name,
-                cls=self.settings.classes[ask.cls].name,
-                top=min(ask.top_rung, self.settings.classes[ask.cls].top_rung),
+                cls=self.settings.classes[ask.class_index].name,
+                top=min(ask.top_rung, self.settings.classes[ask.class_index].top_rung),
                 front=self.front,
                 attempt=attempt,
                 rung=rung,
--- a/fernweir/front/gate.py
+++ b/fernweir/front/entitlement_gate.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 
 from fernweir.entitlement.client import EntitlementClient
-from fernweir.front.commands import Admit, Left
-from fernweir.front.core import Core
+from fernweir.front.commands import CheckEntitlement, EntitlementReleased
+from fernweir.front.dispatcher import Dispatcher
 from fernweir.seats.book import Book, Reply, Revoke, Send, Verdict, Want
 from fernweir.seats.log import LogError, SeatLog
 from fernweir.seats.records import encode_table
@@ -19,7 +19,7 @@
     """`plays_unanswered` names the classes whose sessions play when the server says nothing."""
 
     def __init__(
-        self, core: Core, book: Book, log: SeatLog, client: EntitlementClient, sync_s: float
+        self, core: Dispatcher, book: Book, log: SeatLog, client: EntitlementClient, sync_s: float
     ) -> None:
         self.core, self.book, self.log, self.client = core, book, log, client
         self._sync_s = sync_s
@@ -35,30 +35,30 @@
             self.core.loop.call_later(self._sync_s, self._commit)
         return self.log.append(body)
 
-    def admit(self, command: Admit) -> None:
-        ask, settings = command.session, self.core.host.settings
-        kind = settings.classes[ask.cls]
-        want = Want(ask.jti, ask.tenant, ask.title_name, kind.name, ask.who, kind.gain)
-        self.book.want(self.core.now(), want, command.answer_by)
+    def check(self, command: CheckEntitlement) -> None:
+        ask, settings = command.request, self.core.sessions.settings
+        kind = settings.classes[ask.class_index]
+        want = Want(ask.session_id, ask.tenant, ask.title_name, kind.name, ask.subject, kind.priority_weight)
+        self.book.want(self.core.now(), want, command.deadline)
         self.kick()
 
-    def left(self, command: Left) -> None:
+    def on_session_released(self, command: EntitlementReleased) -> None:
         """The seat of a session that is another front's now is that front's to ask for: it is given back
         only when that had its time, or a third viewer could have it in between."""
-        if command.moved:
-            self._moved.add(command.jti)
-            self.core.loop.call_later(_MOVED_S, self._moved_on, command.jti)
+        if command.is_handed_over:
+            self._moved.add(command.session_id)
+            self.core.loop.call_later(_MOVED_S, self._moved_on, command.session_id)
             return
-        self.book.unwant(self.core.now(), command.jti)
+        self.book.unwant(self.core.now(), command.session_id)
         self.kick()
 
     def _moved_on(self, jti: str) -> None:
         self._moved.discard(jti)
-        if not self._stopped and self.core.host.session(jti) is None:
+        if not self._stopped and self.core.sessions.session(jti) is None:
             self.book.unwant(self.core.now(), jti)
             self.kick()
 
-    def covers(self, jti: str) -> bool:
+    def is_entitled(self, jti: str) -> bool:
         return self.book.covers(self.core.now(), jti)
 
     def kick(self) -> None:
@@ -89,21 +89,23 @@
         self._kicked = False
         if self._stopped:
             return
-        now, host = self.core.now(), self.core.host
+        now, host = self.core.now(), self.core.sessions
         for command in self.book.take(now):
             if isinstance(command, Send):
                 self._send(command)
             elif isinstance(command, Verdict):
                 seat = self.book.seats.get(command.session)
                 plays = command.granted or (command.granted is None and seat is not None and seat.wanted)
-                host.admitted(now, command.session, bool(plays), command.why, command.retry_after_ms)
+                host.on_entitlement_decided(
+                    now, command.session, bool(plays), command.why, command.retry_after_ms
+                )
             elif isinstance(command, Revoke):
                 self.core.log.info("session revoked", session=command.session, why=command.why)
-                host.revoke(now, command.session, command.why)
+                host.revoke_session(now, command.session, command.why)
             elif command.lead_ms is not None and self.on_lead is not None:
                 # Renewed: the viewer's next manifest carries a box token signed anew; see docs/seats.md.
                 self.on_lead(command.lead_ms)
-            self.core.kick()
+            self.core.schedule_step()
         due = self.book.next_due(now)
         if self._wake is not None:
             self._wake.cancel()
--- a/fernweir/front/explain.py
+++ b/fernweir/front/explain.py
@@ -9,8 +9,8 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from fernweir.brain import Controller, Server, Session
-from fernweir.interface import STATE_WORDS, ServerState
+from fernweir.controller import Controller, Server, Session
+from fernweir.interface import SERVER_STATE_LABELS, ServerState
 
 _KEPT = 65_536
 
@@ -66,13 +66,13 @@
 
     def _why_nowhere(self, session: Session) -> Reason:
         kind, holders = session.kind, self._order(session)
-        if session.may_have_run and kind.effect.value != "repeatable":
+        if session.may_have_run and kind.idempotency.value != "repeatable":
             return Reason("its set-up may have run, and must not run twice")
-        if kind.seats and self.guards.seats[session.viewer.title, session.viewer.cls] >= kind.seats:
+        if kind.seats and self.guards.seats[session.viewer.title, session.viewer.class_index] >= kind.seats:
             return Reason(f"all {kind.seats} seats of class {kind.name} are taken here")
         if session.answer_by <= self.now:
             return Reason("its time is over")
-        cap = self.settings.attempts_cap
+        cap = self.settings.max_attempts
         if cap is not None and session.attempts >= cap:
             return Reason(f"{session.attempts} attempts were made, no more are allowed")
         if session.attempts and not self.guards.within_budget(self.now):
@@ -87,7 +87,7 @@
     def _kept_out(self, session: Session, server: Server) -> str:
         now = self.now
         if server.state is not ServerState.READY:
-            return STATE_WORDS[server.state]
+            return SERVER_STATE_LABELS[server.state]
         if server.suspect_until > now or (server.strikes and (server.probing or server.setting_up)):
             return "suspect"
         if len(server.sessions) >= server.streams:
--- a/fernweir/front/follower.py
+++ b/fernweir/front/follower.py
@@ -8,12 +8,12 @@
 from random import Random
 from urllib.parse import urlsplit
 
+from fernweir.front.atomic_file import write_file
 from fernweir.front.boxlist import BoxList, ListError, ListGapError, read_document
-from fernweir.front.core import Core
-from fernweir.front.safefile import write_file
+from fernweir.front.dispatcher import Dispatcher
 from fernweir.http.client import Call, Pool, Reply
 from fernweir.http.sse import EventReader, ServerEvent
-from fernweir.interface import ListKind, ListUpdate
+from fernweir.interface import EndpointListKind, EndpointListUpdate
 
 _FIRST_PAUSE_S, _LONGEST_PAUSE_S, _CACHE_PAUSE_S = 0.1, 5.0, 0.5
 
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        core: Core,
+        core: Dispatcher,
         pool: Pool,
         boxes: BoxList,
         url: str,
@@ -119,10 +119,10 @@
             self._tell(update)
             self._cache_later()
 
-    def _tell(self, update: ListUpdate) -> None:
+    def _tell(self, update: EndpointListUpdate) -> None:
         self.listed.set()
-        self.core.host.box_list(self.core.now(), update)
-        self.core.kick()
+        self.core.sessions.on_endpoint_list(self.core.now(), update)
+        self.core.schedule_step()
 
     def _break(self) -> None:
         if self._call is not None:
@@ -135,8 +135,10 @@
         if not self._failed:
             self._failed = True
             self.core.log.warning("list server away", why=reply.detail or reply.outcome.value)
-            self.core.host.box_list(self.core.now(), ListUpdate(ListKind.FAILED, 0, ()))
-            self.core.kick()
+            self.core.sessions.on_endpoint_list(
+                self.core.now(), EndpointListUpdate(EndpointListKind.FAILED, 0, ())
+            )
+            self.core.schedule_step()
         asked = (self._reader.retry_ms or 0) / 1000.0
         pause = min(_FIRST_PAUSE_S * 2.0**self._tries, _LONGEST_PAUSE_S)
         self._tries += 1
--- a/fernweir/front/introspection.py
+++ b/fernweir/front/introspection.py
@@ -10,7 +10,7 @@
 from pydantic import BaseModel, ConfigDict, ValidationError
 
 from fernweir.entitlement.introspect import Introspector, Judged, Question, Told, Word
-from fernweir.front.core import Core
+from fernweir.front.dispatcher import Dispatcher
 from fernweir.http.client import Outcome, Pool, Reply
 
 
@@ -44,7 +44,7 @@
 
     def __init__(
         self,
-        core: Core,
+        core: Dispatcher,
         pool: Pool,
         judge: Introspector,
         url: str,
--- a/fernweir/front/keyset.py
+++ b/fernweir/front/keyset.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from urllib.parse import urlsplit
 
-from fernweir.front.core import Core
+from fernweir.front.dispatcher import Dispatcher
 from fernweir.http.client import Outcome, Pool, Reply
 from fernweir.tokens import Keyring, KeyringError
 
@@ -17,7 +17,7 @@
 
     def __init__(
         self,
-        core: Core,
+        core: Dispatcher,
         pool: Pool,
         keyring: Keyring,
         url: str,
--- a/fernweir/front/steering.py
+++ b/fernweir/front/operator_controls.py
@@ -8,15 +8,15 @@
 
 from fernweir.control.orders import Orders, SiteNow
 from fernweir.front.boxlist import BoxList
-from fernweir.front.core import Core
-from fernweir.front.host import Phase
+from fernweir.front.dispatcher import Dispatcher
+from fernweir.front.session_manager import SessionPhase
 from fernweir.interface import ServerState
 
 
 class Steering:
     """See `control.desk.Hands`."""
 
-    def __init__(self, core: Core, boxes: BoxList, wall_offset_s: float) -> None:
+    def __init__(self, core: Dispatcher, boxes: BoxList, wall_offset_s: float) -> None:
         self._core, self._boxes = core, boxes
         self._wall_offset_ms = wall_offset_s * 1000.0
         self._timers: set[asyncio.TimerHandle] = set()
@@ -42,13 +42,13 @@
 
     def _site(self) -> SiteNow:
         """Of the list as it stands; loads are what the module takes them for."""
-        host, controller, now = self._core.host, self._core.host.controller, self.now()
-        listed = host.listed
-        lines, cells = self._boxes.boxes, host.settings.cells
+        host, controller, now = self._core.sessions, self._core.sessions.controller, self.now()
+        listed = host.endpoint_states
+        lines, cells = self._boxes.boxes, host.settings.zone_count
         servers = controller.servers
         return SiteNow(
             ready=frozenset(box for box, state in listed.items() if state is ServerState.READY),
-            known=frozenset(box for box, state in listed.items() if state is not ServerState.GONE),
+            known=frozenset(box for box, state in listed.items() if state is not ServerState.REMOVED),
             holders={
                 title: [
                     box
@@ -57,28 +57,28 @@
                 ]
                 for title, lesson in self._boxes.lessons.items()
             },
-            playing={box: len(host.playing_at(box)) for box in listed},
+            playing={box: len(host.sessions_playing_at(box)) for box in listed},
             carried_kb={
                 box: servers[box].link.load(now) * servers[box].link.capacity_kb
                 for box, state in listed.items()
                 # What is only guessed, as the module must, is not what an operator is to decide on.
-                if box in servers and state is not ServerState.GONE and servers[box].link.fresh(now)
+                if box in servers and state is not ServerState.REMOVED and servers[box].link.fresh(now)
             },
             own_kb={box: servers[box].link.own_kb for box in listed if box in servers},
             capacity_kb={box: servers[box].link.capacity_kb for box in listed if box in servers},
-            sessions=frozenset(host.held()),
+            sessions=frozenset(host.records()),
         )
 
     def orders_changed(self, orders: Orders, then: Callable[[list[str]], None]) -> None:
-        self._core.host.orders_changed(self.now())
+        self._core.sessions.on_operator_orders_changed(self.now())
         self._core.after_step(lambda: then([]))
 
     def end(self, id: str, session: str, why: str) -> None:
-        self._core.host.revoke(self.now(), session, why)
-        self._core.kick()
+        self._core.sessions.revoke_session(self.now(), session, why)
+        self._core.schedule_step()
 
     def limits(self) -> Mapping[str, Any]:
-        settings = self._core.host.settings
+        settings = self._core.sessions.settings
         return {
             "classes": {
                 kind.name: {
@@ -89,13 +89,17 @@
                 }
                 for kind in settings.classes
             },
-            "attempts": settings.attempts_cap,
+            "attempts": settings.max_attempts,
             "drain_grace_ms": settings.drain_grace_ms,
-            "retry_after_max_ms": settings.retry_after_max_ms,
+            "retry_after_max_ms": settings.max_retry_after_ms,
             "budget": None
-            if settings.budget is None
-            else [settings.budget.span_ms, settings.budget.free, settings.budget.share],
-            "fronts": settings.fronts,
+            if settings.retry_budget is None
+            else [
+                settings.retry_budget.window_ms,
+                settings.retry_budget.min_retries,
+                settings.retry_budget.retry_ratio,
+            ],
+            "fronts": settings.front_count,
         }
 
     def gauges(self) -> dict[str, Any]:
@@ -103,7 +107,7 @@
 
         A box's are link, uplink, its rack, and whether each of the two was told lately or is a guess.
         """
-        host, now = self._core.host, self.now()
+        host, now = self._core.sessions, self.now()
         settings = host.settings
         loads = {
             str(box): [
@@ -114,19 +118,21 @@
                 int(one.uplink.fresh(now)),
             ]
             for box, one in sorted(host.controller.servers.items())
-            if one.state is not ServerState.GONE
+            if one.state is not ServerState.REMOVED
         }
         worth = most = 0.0
-        for held in host.held().values():
-            if held.phase is Phase.PLAYING:
-                kind = settings.classes[held.ask.cls]
-                worth += kind.gain * settings.worths[held.rung]
-                most += kind.gain * settings.worths[min(held.ask.top_rung, kind.top_rung)]
+        for held in host.records().values():
+            if held.phase is SessionPhase.PLAYING:
+                kind = settings.classes[held.request.class_index]
+                worth += kind.priority_weight * settings.rung_utilities[held.rung]
+                most += (
+                    kind.priority_weight * settings.rung_utilities[min(held.request.top_rung, kind.top_rung)]
+                )
         return {
             "boxes": loads,
             "worth": round(worth, 2),
             "worth_most": round(most, 2),
-            "waiting": len(host.ledger),
+            "waiting": len(host.reply_ledger),
         }
 
     def call_at(self, due: float, do: Callable[[], None]) -> None:
--- a/fernweir/front/acting.py
+++ b/fernweir/front/peer_view.py
@@ -8,10 +8,10 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from fernweir.front.commands import Ask
-from fernweir.front.core import Core
-from fernweir.front.host import Held, Phase
-from fernweir.interface import ListUpdate
+from fernweir.front.commands import SessionRequest
+from fernweir.front.dispatcher import Dispatcher
+from fernweir.front.session_manager import SessionPhase, SessionRecord
+from fernweir.interface import EndpointListUpdate
 from fernweir.peers.port import Act, Deed, Listener, Terms
 
 
@@ -31,12 +31,12 @@
 class Acting:
     """The host's observer, too. `wall_ms` gives wall time now."""
 
-    def __init__(self, core: Core, boxes: Boxes, wall_ms: Callable[[], float]) -> None:
+    def __init__(self, core: Dispatcher, boxes: Boxes, wall_ms: Callable[[], float]) -> None:
         self._core, self._list, self._wall_ms = core, boxes, wall_ms
         self._listener: Listener | None = None
         self._draining: set[int] = set()
         self._told_at: float | None = None  # wall ms of the last list
-        core.host.observer = self
+        core.sessions.observer = self
 
     # --- what peers ask ---
 
@@ -46,43 +46,49 @@
             listener.list_told(self._core.now(), self._list.list_rows(), self._told_at)
 
     def load(self) -> int:
-        return self._core.host.sessions
+        return self._core.sessions.session_count
 
     def out(self) -> list[str]:
-        return [jti for jti, held in self._core.host.held().items() if held.phase is Phase.OUT]
+        return [
+            jti for jti, held in self._core.sessions.records().items() if held.phase is SessionPhase.IN_FLIGHT
+        ]
 
     def holds(self, session: str) -> bool:
-        return self._core.host.session(session) is not None
+        return self._core.sessions.session(session) is not None
 
     def terms(self) -> Terms:
-        settings = self._core.host.settings
-        dearest = max((one.scale for one in settings.classes), default=1.0)
-        budget = settings.budget
-        rungs = tuple(rate * dearest for rate in settings.rates_kb) or (0.0,)
-        return Terms(rungs) if budget is None else Terms(rungs, budget.span_ms, budget.free, budget.share)
+        settings = self._core.sessions.settings
+        dearest = max((one.rate_multiplier for one in settings.classes), default=1.0)
+        budget = settings.retry_budget
+        rungs = tuple(rate * dearest for rate in settings.rung_rates_kbyte_s) or (0.0,)
+        return (
+            Terms(rungs)
+            if budget is None
+            else Terms(rungs, budget.window_ms, budget.min_retries, budget.retry_ratio)
+        )
 
     def hold_back(self, why: str, wait_ms: float) -> None:
-        self._core.host.held_back = (why, wait_ms) if why else None
+        self._core.sessions.new_sessions_blocked = (why, wait_ms) if why else None
 
     # --- what happens here (host.Observer) ---
 
-    def placed(self, now: float, held: Held) -> None:
+    def on_attempt_started(self, now: float, held: SessionRecord) -> None:
         self._act(now, Deed.SETUP, held)
 
-    def stands(self, now: float, held: Held) -> None:
+    def on_session_updated(self, now: float, held: SessionRecord) -> None:
         """Of use to who has channels only, as is `over`."""
 
-    def moved(self, now: float, held: Held) -> None:
+    def on_session_moved(self, now: float, held: SessionRecord) -> None:
         self._act(now, Deed.MOVE, held)
 
-    def turned_away(self, now: float, ask: Ask, why: str) -> None:
+    def on_request_rejected(self, now: float, ask: SessionRequest, why: str) -> None:
         if self._listener is not None:
-            act = Act(now, Deed.REFUSED, ask.jti, ask.title_name, ask.tenant, outcome=why)
+            act = Act(now, Deed.REFUSED, ask.session_id, ask.title_name, ask.tenant, outcome=why)
             self._listener.acted(act)
 
-    def over(self, now: float, held: Held, why: str) -> None: ...
+    def on_session_closed(self, now: float, held: SessionRecord, why: str) -> None: ...
 
-    def listed(self, now: float, update: ListUpdate) -> None:
+    def on_endpoint_list(self, now: float, update: EndpointListUpdate) -> None:
         draining, self._told_at = self._list.draining(), self._wall_ms()
         if self._listener is not None:
             self._listener.list_told(now, self._list.list_rows(), self._told_at)
@@ -91,8 +97,10 @@
                 self._listener.acted(Act(now, Deed.DRAIN, box=number, outcome=f"heard{name}"))
         self._draining = draining
 
-    def _act(self, now: float, deed: Deed, held: Held) -> None:
+    def _act(self, now: float, deed: Deed, held: SessionRecord) -> None:
         if self._listener is not None:
-            ask, (number, name) = held.ask, self._list.named(held.server)
+            ask, (number, name) = held.request, self._list.named(held.server)
             outcome = f"try {held.attempt}{name}"
-            self._listener.acted(Act(now, deed, ask.jti, ask.title_name, ask.tenant, number, outcome=outcome))
+            self._listener.acted(
+                Act(now, deed, ask.session_id, ask.title_name, ask.tenant, number, outcome=outcome)
+            )
--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -10,12 +10,12 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import Any
 
-from fernweir.front.acting import Acting
 from fernweir.front.boxes import BoxClient
 from fernweir.front.boxlist import BoxLine, BoxList, ListError, read_document
-from fernweir.front.commands import Answer, Ask, Kind
-from fernweir.front.core import BadAnswerError, Core
-from fernweir.front.host import Held, Phase
+from fernweir.front.commands import ReplyKind, SessionReply, SessionRequest
+from fernweir.front.dispatcher import Dispatcher, InvalidServerReplyError
+from fernweir.front.peer_view import Acting
+from fernweir.front.session_manager import SessionPhase, SessionRecord
 from fernweir.http.client import Outcome, Reply
 from fernweir.interface import Result
 from fernweir.peers.acts.versions import boxes_digest
@@ -29,7 +29,7 @@
     """`wall_ms` gives wall time now. `fences` is asked under which channel and fence a session is steered."""
 
     def __init__(
-        self, core: Core, boxes: BoxList, client: BoxClient, classes: Mapping[str, int],
+        self, core: Dispatcher, boxes: BoxList, client: BoxClient, classes: Mapping[str, int],
         wall_ms: Callable[[], float],
     ) -> None:  # fmt: skip
         super().__init__(core, self, wall_ms)
@@ -41,7 +41,7 @@
     # --- what peers ask of the front ---
 
     def standing(self) -> list[Standing]:
-        return [self._standing(held) for held in self._core.host.held().values() if _plays(held)]
+        return [self._standing(held) for held in self._core.sessions.records().values() if _plays(held)]
 
     def payload(self, digest: bytes) -> bytes | None:
         return self._payloads.get(digest)
@@ -51,13 +51,17 @@
         return [box for box, line in self._boxes.boxes.items() if line.state != "gone"]
 
     def racks(self) -> list[tuple[str, frozenset[int], float]]:
-        settings = self._core.host.settings
-        boxes: dict[int, set[int]] = {rack: set() for rack in range(settings.racks)}
+        settings = self._core.sessions.settings
+        boxes: dict[int, set[int]] = {rack: set() for rack in range(settings.rack_count)}
         for box, line in self._boxes.boxes.items():
-            boxes[line.cell % settings.racks].add(box)
+            boxes[line.cell % settings.rack_count].add(box)
         # Without a figure for uplinks they are no limit: as much as all links together.
         return [
-            (str(rack), frozenset(those), settings.uplink_kb or settings.weight_kb * max(len(those), 1))
+            (
+                str(rack),
+                frozenset(those),
+                settings.uplink_rate_kbyte_s or settings.link_rate_per_weight_kbyte_s * max(len(those), 1),
+            )
             for rack, those in boxes.items()
         ]
 
@@ -76,47 +80,57 @@
             self._core.log.warning("a peer's list is no good", why=str(error))
             return False
         if update is not None:
-            self._core.host.box_list(now, update)
-            self._core.kick()
+            self._core.sessions.on_endpoint_list(now, update)
+            self._core.schedule_step()
         return update is not None
 
     def take_over(self, now: float, standing: Standing, payload: bytes | None) -> bool:
         core, lesson = self._core, self._boxes.lessons.get(standing.title)
-        cls, carrier = self._classes.get(standing.cls), core.carriers.get(standing.via)
+        cls, carrier = self._classes.get(standing.cls), core.set_up_codecs.get(standing.via)
         if lesson is None or cls is None or carrier is None:
             return False
         unpacked = None
         if payload is not None:
             try:
                 unpacked = carrier.unpack(cls, standing.top_rung, payload)
-            except BadAnswerError as error:
+            except InvalidServerReplyError as error:
                 core.log.warning("inherited payload is no good", session=standing.session, why=str(error))
             else:
                 self._keep(standing.payload, payload)
-        ask = Ask(
-            ticket=0, via=standing.via, jti=standing.session, who=standing.who, title_name=standing.title,
-            title=lesson.number, first_cell=lesson.first_cell, copies=lesson.copies, cls=cls,
-            top_rung=standing.top_rung, wait_ms=0.0, tenant=standing.tenant, key=standing.key,
-        )  # fmt: skip
-        taken = core.host.take_over(
+        ask = SessionRequest(
+            ticket=0,
+            protocol=standing.via,
+            session_id=standing.session,
+            subject=standing.who,
+            title_name=standing.title,
+            title=lesson.number,
+            first_zone=lesson.first_cell,
+            replicas=lesson.copies,
+            class_index=cls,
+            top_rung=standing.top_rung,
+            max_wait_ms=0.0,
+            tenant=standing.tenant,
+            viewer_key=standing.key,
+        )
+        taken = core.sessions.adopt_session(
             now, ask, standing.box, attempt=standing.attempt, rung=standing.rung, payload=unpacked,
             told=max(standing.answers, 1), answerable=unpacked is not None,
         )  # fmt: skip
         if taken:
             self._client.listen(standing.box)
-            core.kick()
+            core.schedule_step()
         return taken
 
     def ended(self, now: float, session: str, attempt: int) -> None:
-        self._core.host.session_over(now, session, attempt, Result.RESET)
-        self._core.kick()
+        self._core.sessions.on_session_ended(now, session, attempt, Result.RESET)
+        self._core.schedule_step()
 
     def let_go(self, now: float, session: str) -> bool:
         self._letting_go = True  # another's now, not over: standbys must not be told of an end
-        gone = self._core.host.let_go(now, session)
+        gone = self._core.sessions.hand_over_session(now, session)
         self._letting_go = False
         if gone:
-            self._core.kick()
+            self._core.schedule_step()
         return gone
 
     def release(
@@ -135,49 +149,51 @@
 
     def carry(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
         core, number = self._core, request.number
-        held = core.host.session(request.session)
+        held = core.sessions.session(request.session)
         if held is None:
             then(core.now(), Carried(number, "none"))
         elif request.what == "look":
-            then(core.now(), Carried(number, "done" if held.told else "none"))
+            then(core.now(), Carried(number, "done" if held.informed_viewers else "none"))
         elif request.what == "end":
-            ended = core.host.release(core.now(), request.session)
-            core.kick()
+            ended = core.sessions.release_session(core.now(), request.session)
+            core.schedule_step()
             then(core.now(), Carried(number, "done" if ended else "none"))
         else:
             self._ask(request, then)
 
-    def answer(self, ask: Ask, carried: Carried) -> Answer | None:
+    def answer(self, ask: SessionRequest, carried: Carried) -> SessionReply | None:
         """What another front said to a request of this one's viewer; None if it holds no such session."""
         if carried.kind in ("none", "done"):
             return None
-        kind = Kind(carried.kind)
-        if kind is not Kind.PLAYS:
-            return Answer(
-                ask.ticket, kind, carried.why, carried.retry_ms, timed_out=carried.timed_out, session=ask
+        kind = ReplyKind(carried.kind)
+        if kind is not ReplyKind.PLAYS:
+            return SessionReply(
+                ask.ticket, kind, carried.why, carried.retry_ms, is_timeout=carried.timed_out, request=ask
             )
         try:
-            payload = self._core.carriers[ask.via].unpack(ask.cls, ask.top_rung, carried.data)
-        except BadAnswerError as error:
-            return Answer(ask.ticket, Kind.FAILED, str(error), session=ask)
-        return Answer(
-            ask.ticket, kind, session=ask, server=carried.box, attempt=carried.attempt, rung=carried.rung,
+            payload = self._core.set_up_codecs[ask.protocol].unpack(
+                ask.class_index, ask.top_rung, carried.data
+            )
+        except InvalidServerReplyError as error:
+            return SessionReply(ask.ticket, ReplyKind.FAILED, str(error), request=ask)
+        return SessionReply(
+            ask.ticket, kind, request=ask, server=carried.box, attempt=carried.attempt, rung=carried.rung,
             payload=payload,
         )  # fmt: skip
 
     # --- what happens at the front ---
 
-    def stands(self, now: float, held: Held) -> None:
+    def on_session_updated(self, now: float, held: SessionRecord) -> None:
         if self._listener is not None and _plays(held):
             self._listener.stands(now, self._standing(held))
 
-    def over(self, now: float, held: Held, why: str) -> None:
+    def on_session_closed(self, now: float, held: SessionRecord, why: str) -> None:
         if self._listener is None or self._letting_go:
             return
         if _plays(held):
-            self._listener.over(now, held.ask.jti)
+            self._listener.over(now, held.request.session_id)
         else:
-            self._listener.failed(now, held.ask.jti)
+            self._listener.failed(now, held.request.session_id)
 
     def named(self, box: int) -> tuple[int, str]:
         return box, ""
@@ -193,22 +209,22 @@
 
     def _ask(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
         core, lesson = self._core, self._boxes.lessons.get(request.title)
-        cls, carrier = self._classes.get(request.cls), core.carriers.get(request.via)
+        cls, carrier = self._classes.get(request.cls), core.set_up_codecs.get(request.via)
         if lesson is None or cls is None or carrier is None:
             why = "lesson or class is not known to the session's front"
             then(core.now(), Carried(request.number, "failed", why))
             return
 
-        def answered(answer: Answer) -> None:
-            digest, data = carrier.pack(answer.payload) if answer.kind is Kind.PLAYS else (b"", b"")
+        def answered(answer: SessionReply) -> None:
+            digest, data = carrier.pack(answer.payload) if answer.kind is ReplyKind.PLAYS else (b"", b"")
             then(
                 core.now(),
                 Carried(
                     request.number,
                     answer.kind.value,
-                    answer.why[:1_000],
+                    answer.reason[:1_000],
                     answer.retry_after_ms,
-                    answer.timed_out,
+                    answer.is_timeout,
                     answer.server,
                     answer.attempt,
                     answer.rung,
@@ -217,25 +233,36 @@
                 ),
             )
 
-        ask = Ask(
-            ticket=core.ticket(), via=request.via, jti=request.session, who=request.who,
-            title_name=request.title, title=lesson.number, first_cell=lesson.first_cell,
-            copies=lesson.copies, cls=cls, top_rung=request.top_rung, wait_ms=request.wait_ms,
+        ask = SessionRequest(
+            ticket=core.next_ticket(), protocol=request.via, session_id=request.session, subject=request.who,
+            title_name=request.title, title=lesson.number, first_zone=lesson.first_cell,
+            replicas=lesson.copies, class_index=cls, top_rung=request.top_rung, max_wait_ms=request.wait_ms,
             tenant=request.tenant,
         )  # fmt: skip
-        core.ask(ask, answered)
+        core.submit(ask, answered)
 
-    def _standing(self, held: Held) -> Standing:
-        ask = held.ask
-        carrier = self._core.carriers[ask.via]
+    def _standing(self, held: SessionRecord) -> Standing:
+        ask = held.request
+        carrier = self._core.set_up_codecs[ask.protocol]
         digest, data = carrier.pack(held.payload)
         if digest:
             self._keep(digest, data)
         return Standing(
-            session=ask.jti, via=ask.via, who=ask.who, title=ask.title_name, cls=self._names[ask.cls],
-            top_rung=ask.top_rung, tenant=ask.tenant, key=ask.key, box=held.server, attempt=held.attempt,
-            rung=held.rung, payload=digest, answers=held.told, spent=held.attempt,
-        )  # fmt: skip
+            session=ask.session_id,
+            via=ask.protocol,
+            who=ask.subject,
+            title=ask.title_name,
+            cls=self._names[ask.class_index],
+            top_rung=ask.top_rung,
+            tenant=ask.tenant,
+            key=ask.viewer_key,
+            box=held.server,
+            attempt=held.attempt,
+            rung=held.rung,
+            payload=digest,
+            answers=held.informed_viewers,
+            spent=held.attempt,
+        )
 
     def _keep(self, digest: bytes, data: bytes) -> None:
         self._payloads[digest] = data
@@ -253,8 +280,8 @@
     return [*rows, (-1, sorted(map(list, lessons)))]
 
 
-def _plays(held: Held) -> bool:
-    return held.phase is Phase.PLAYING
+def _plays(held: SessionRecord) -> bool:
+    return held.phase is SessionPhase.PLAYING
 
 
 def _claimed(box: int, reply: Reply) -> Claimed:
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -24,17 +24,17 @@
 from fernweir.entitlement.queue import QueueRules
 from fernweir.front.boxes import BoxClient, BoxTimes
 from fernweir.front.boxlist import BoxList
-from fernweir.front.commands import Ask
-from fernweir.front.core import Core, Log
+from fernweir.front.commands import SessionRequest
 from fernweir.front.dash import DashService, TokenRules
+from fernweir.front.dispatcher import Dispatcher, Log
+from fernweir.front.entitlement_gate import Gate
 from fernweir.front.follower import ListFollower
-from fernweir.front.gate import Gate
-from fernweir.front.host import Host, HostLimits
 from fernweir.front.introspection import TokenDesk
 from fernweir.front.keyset import KeySetFollower
+from fernweir.front.operator_controls import Steering
 from fernweir.front.record import Recorder
-from fernweir.front.steering import Steering
-from fernweir.front.usecheck import UseCheck
+from fernweir.front.seat_reconciliation import UseCheck
+from fernweir.front.session_manager import SessionLimits, SessionManager
 from fernweir.http.client import Pool
 from fernweir.http.parse import Limits
 from fernweir.http.server import Server, ServerLimits
@@ -56,7 +56,7 @@
 class Front:
     """A running front."""
 
-    core: Core
+    core: Dispatcher
     server: Server
     boxes: BoxClient
     list: ListFollower
@@ -79,10 +79,10 @@
         self.server.stop_listening()
         if self.desk is not None:
             self.desk.give_up()
-        whole = await self.core.drained(within_s)
+        whole = await self.core.drain(within_s)
         if self.peers is not None:
             handed = await self.peers.leave(within_s)
-            self.core.log.info("sessions handed on", whole=handed, left=self.core.host.sessions)
+            self.core.log.info("sessions handed on", whole=handed, left=self.core.sessions.session_count)
             await self.peers.stop()
         self.server.close_when_done()
         if self.gate is not None:
@@ -90,7 +90,7 @@
             self.core.log.info("seats given back", left=left)
         if self.service is not None:
             self.service.give_up()
-        self.core.last_step()
+        self.core.run_last_step()
         await asyncio.sleep(0)  # connections end in order with what that answered
         self.kill()
         return whole
@@ -150,10 +150,10 @@
     if section.record is not None:
         record = open(config.path(section.record), "w", encoding="utf-8")  # noqa: SIM115 - closed by stop
         watch = Recorder(record, settings, section.seed).watch
-    limits = HostLimits(margin_ms=section.margin, linger_ms=section.linger)
+    limits = SessionLimits(reply_margin_ms=section.margin, unclaimed_session_ttl_ms=section.linger)
     log = structlog.get_logger().bind(front=section.name)
     control = None if config.control is None else _Control(config, config.control, offset, log)
-    host = Host(
+    host = SessionManager(
         settings,
         section.seed,
         limits,
@@ -163,7 +163,7 @@
         turned_away=None if control is None else control.turned_away,
         overlay=None if control is None else control.overlay,
     )
-    core = Core(host, batch_ms=section.batch, log=log)
+    core = Dispatcher(host, batch_ms=section.batch, log=log)
     pool = Pool(
         per_origin=config.boxes.connections,
         connect_s=config.boxes.connect_time / 1000.0,
@@ -177,7 +177,7 @@
     times = BoxTimes(probe_s=config.boxes.probe_time / 1000.0, call_s=config.boxes.call_time / 1000.0)
     streams = Pool(per_origin=2, connect_s=config.boxes.connect_time / 1000.0)
     client = BoxClient(core, pool, streams, boxes, token, times, section.seed)
-    core.doer = client
+    core.server_transport = client
     gate = None
     if config.entitlement is not None:
         files = files or DiskFiles(config.path(config.entitlement.ledger))
@@ -258,7 +258,7 @@
 
 
 async def _start_peers(
-    config: FrontConfig, core: Core, boxes: BoxList, client: BoxClient, keyring: Keyring,
+    config: FrontConfig, core: Dispatcher, boxes: BoxList, client: BoxClient, keyring: Keyring,
     wall_s: Callable[[], float], nonce: Callable[[int], bytes],
 ) -> Peers:  # fmt: skip
     from fernweir.front.peering import Peering
@@ -293,7 +293,7 @@
     )
     port = Peering(core, boxes, client, config.class_names, wall_ms)
     peers = await Peers.start(core, port, begin, wall_ms, nonce)
-    core.owner = core.finder = Reach(core, port, peers, config.settings)
+    core.channel_ownership = core.session_locator = Reach(core, port, peers, config.settings)
     return peers
 
 
@@ -322,18 +322,18 @@
         self.journal = Journal(config.front.name, rules, self._folder, wall_offset_ms=wall_offset_s * 1000.0)
         self.journal.on_trouble = self._trouble
         self.desk: OrderDesk | None = None
-        self._host: Host | None = None
+        self._host: SessionManager | None = None
         self._steering: Steering | None = None
         self._channel: Channel | None = None
 
-    def turned_away(self, ask: Ask) -> str:
+    def turned_away(self, ask: SessionRequest) -> str:
         if not (self.orders.holds or self.orders.caps) or self._host is None:
             return ""
-        playing = self._host.count_by(ask.title_name, ask.tenant) if self.orders.caps else {}
+        playing = self._host.count_sessions_by_phase(ask.title_name, ask.tenant) if self.orders.caps else {}
         return self.orders.turned_away(ask.title_name, ask.tenant, playing)
 
-    async def start(self, core: Core, boxes: BoxList) -> None:
-        section, self._host = self._section, core.host
+    async def start(self, core: Dispatcher, boxes: BoxList) -> None:
+        section, self._host = self._section, core.sessions
         self._steering = Steering(core, boxes, self._offset)
         rules = DeskRules(tuple(section.operators), section.led)
         file = None if section.led else self._file
@@ -372,7 +372,7 @@
 def _make_desk(
     section: IntrospectionSection,
     seed: int,
-    core: Core,
+    core: Dispatcher,
     pool: Pool,
     token: Callable[[], str],
     wall_s: Callable[[], float],
@@ -389,7 +389,7 @@
 
 
 def _make_gate(
-    config: FrontConfig, core: Core, pool: Pool, token: Callable[[], str], offset_s: float, files: Files
+    config: FrontConfig, core: Dispatcher, pool: Pool, token: Callable[[], str], offset_s: float, files: Files
 ) -> Gate:
     """Opens the seat log and takes up what an earlier life left. ConfigError if the log is damaged."""
     section = config.entitlement
@@ -419,7 +419,7 @@
     gate = Gate(core, book, log, client, section.sync / 1000.0)
     gates.append(gate)
     book.recover(now, now / 1000.0 + offset_s, table)
-    core.keeper = gate
+    core.entitlement_check = gate
     if found.torn_bytes or table:
         core.log.info("seat log recovered", seats=len(table), torn_bytes=found.torn_bytes)
     gate.kick()
@@ -477,10 +477,14 @@
     if until_eof:
         stop_at_eof(stopping)
     await stopping.wait()
-    log.info("front stops", waiting=len(front.core.host.ledger), sessions=front.core.host.sessions)
+    log.info(
+        "front stops",
+        waiting=len(front.core.sessions.reply_ledger),
+        sessions=front.core.sessions.session_count,
+    )
     whole = await front.stop(config.front.stop_within / 1000.0)
-    counts = front.core.host.counts
-    log.info("front stopped", whole=whole, plays=counts.plays, refused=counts.refused, failed=counts.failed)
+    counts = front.core.sessions.metrics
+    log.info("front stopped", whole=whole, plays=counts.plays, refused=counts.rejected, failed=counts.failed)
     return 0 if whole else 1
 
 
--- a/fernweir/front/record.py
+++ b/fernweir/front/record.py
@@ -11,7 +11,7 @@
 from enum import Enum, IntEnum
 from typing import IO, Any, get_args
 
-from fernweir.brain import Controller
+from fernweir.controller import Controller
 from fernweir.front.stored_types import BY_CLASS, BY_NAME
 from fernweir.interface import Action, Event, Settings
 
--- a/fernweir/front/verdict.py
+++ b/fernweir/front/response_classification.py
@@ -20,7 +20,7 @@
     Outcome.REFUSED: Result.CONNECT_FAILED,
     Outcome.UNREACHED: Result.CONNECT_FAILED,
     Outcome.UNSENT: Result.CONNECT_FAILED,
-    Outcome.UNWANTED: Result.MOOT,
+    Outcome.UNWANTED: Result.NOT_SENT,
     Outcome.RESET: Result.RESET,
     Outcome.CUT: Result.RESET,
     Outcome.SILENT: Result.TIMEOUT,
--- a/fernweir/front/usecheck.py
+++ b/fernweir/front/seat_reconciliation.py
@@ -10,7 +10,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from fernweir.front.gate import Gate
+from fernweir.front.entitlement_gate import Gate
 from fernweir.http.client import Outcome, Pool, Reply
 from fernweir.seats.reconcile import Findings, Listed, Reconciler, Report
 
--- a/fernweir/front/notes.py
+++ b/fernweir/front/server_notices.py
@@ -11,13 +11,13 @@
 from dataclasses import dataclass
 
 from fernweir.http.sse import ServerEvent
-from fernweir.interface import NoteKind, Result
+from fernweir.interface import NoticeKind, Result
 
 _KINDS = {
-    "delivered": NoteKind.DELIVERED,
-    "rung": NoteKind.RUNG,
-    "link": NoteKind.LINK,
-    "uplink": NoteKind.UPLINK,
+    "delivered": NoticeKind.DELIVERED,
+    "rung": NoticeKind.RUNG,
+    "link": NoticeKind.LINK,
+    "uplink": NoticeKind.UPLINK,
 }
 _ENDS = {"finished": Result.OK, "left": Result.OK, "broken": Result.RESET, "idle": Result.RESET}
 
@@ -32,7 +32,7 @@
 
     jti: str
     attempt: int
-    kind: NoteKind
+    kind: NoticeKind
     level: float
 
 
--- a/fernweir/interface.py
+++ b/fernweir/interface.py
@@ -10,21 +10,21 @@
 from enum import Enum, IntEnum
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """What setting a session up a second time does."""
 
-    REPEATABLE = "repeatable"
-    BY_KEY = "by_key"
-    ONCE = "once"
+    IDEMPOTENT = "repeatable"
+    WITH_KEY = "by_key"
+    NOT_IDEMPOTENT = "once"
 
 
 class ServerState(IntEnum):
-    GONE = 0
+    REMOVED = 0
     READY = 1
     DRAINING = 2
 
 
-class ListKind(IntEnum):
+class EndpointListKind(IntEnum):
     FAILED = 0
     CACHED = 1
     FULL = 2
@@ -41,12 +41,12 @@
     CONNECT_FAILED = 4
     RESET = 5
     CANCELLED = 6
-    MOOT = 7
+    NOT_SENT = 7
 
 
 # The words for results and states in logs, journals and records. They are stored: a renamed member keeps its
 # word.
-RESULT_WORDS = {
+RESULT_LABELS = {
     Result.ERROR: "error",
     Result.OK: "ok",
     Result.FULL: "full",
@@ -54,12 +54,16 @@
     Result.CONNECT_FAILED: "connect_failed",
     Result.RESET: "reset",
     Result.CANCELLED: "cancelled",
-    Result.MOOT: "moot",
+    Result.NOT_SENT: "moot",
+}
+SERVER_STATE_LABELS = {
+    ServerState.REMOVED: "gone",
+    ServerState.READY: "ready",
+    ServerState.DRAINING: "draining",
 }
-STATE_WORDS = {ServerState.GONE: "gone", ServerState.READY: "ready", ServerState.DRAINING: "draining"}
 
 
-class NoteKind(IntEnum):
+class NoticeKind(IntEnum):
     DELIVERED = 1
     RUNG = 2
     LINK = 3
@@ -71,33 +75,33 @@
     """One class of session; `seats` of 0 is no cap."""
 
     name: str
-    aim_ms: float
+    latency_objective_ms: float
     deadline_ms: float
-    gain: float
-    effect: Effect
-    scale: float
+    priority_weight: float
+    idempotency: Idempotency
+    rate_multiplier: float
     lowest_rung: int
     top_rung: int
     seats: int
 
 
 @dataclass(frozen=True, slots=True)
-class Budget:
+class RetryBudget:
     """Attempts beyond a session's first that a front may make in any span."""
 
-    span_ms: float
-    free: float
-    share: float
+    window_ms: float
+    min_retries: float
+    retry_ratio: float
 
 
 @dataclass(frozen=True, slots=True)
-class ColdRule:
+class SlowStart:
     """How fast a server that has just started may be sent set-ups, by all fronts together."""
 
-    warm_up_ms: float
-    cold_from: float
-    fall_multiple: float
-    fall_ms: float
+    window_ms: float
+    initial_factor: float
+    overload_multiple: float
+    overload_window_ms: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,47 +109,47 @@
     """The deployment as told at start. A value of None: that rule or source is not in force."""
 
     classes: tuple[SessionClass, ...]
-    fronts: int
-    ordinal: int
-    period_ms: float
-    cells: int
-    racks: int
-    rates_kb: tuple[float, ...]
-    worths: tuple[float, ...]
-    kind_streams: tuple[int, ...]
-    weight_kb: float
-    uplink_kb: float | None
+    front_count: int
+    front_index: int
+    batch_period_ms: float
+    zone_count: int
+    rack_count: int
+    rung_rates_kbyte_s: tuple[float, ...]
+    rung_utilities: tuple[float, ...]
+    streams_by_server_type: tuple[int, ...]
+    link_rate_per_weight_kbyte_s: float
+    uplink_rate_kbyte_s: float | None
     switch_cost_s: float
-    seen_after_ms: float
-    tell_ms: float
+    report_delay_ms: float
+    report_interval_ms: float
     report_fields: tuple[str, ...]
     must_subscribe: bool
-    may_probe: bool
-    attempts_cap: int | None
-    retry_after_max_ms: float | None
-    answer_slack_ms: float
+    may_check_health: bool
+    max_attempts: int | None
+    max_retry_after_ms: float | None
+    reply_slack_ms: float
     drain_grace_ms: float | None
-    cold: ColdRule | None
-    budget: Budget | None
+    slow_start: SlowStart | None
+    retry_budget: RetryBudget | None
 
 
 @dataclass(frozen=True, slots=True)
-class ServerEntry:
+class Endpoint:
     """One line of the server list; `started_at` of 0 is long ago."""
 
     server: int
     state: ServerState
     started_at: float
-    cell: int
-    kind: int
+    zone: int
+    server_type: int
     weight: float
 
 
 @dataclass(frozen=True, slots=True)
-class ListUpdate:
-    kind: ListKind
+class EndpointListUpdate:
+    kind: EndpointListKind
     version: int
-    entries: tuple[ServerEntry, ...]
+    entries: tuple[Endpoint, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -153,16 +157,16 @@
     """Who wants which title, and what can be played; `length_ms` is a rough hint or None."""
 
     session: int
-    cls: int
+    class_index: int
     key: int
     title: int
-    first_cell: int
-    copies: int
+    first_zone: int
+    replicas: int
     top_rung: int
     length_ms: float | None
-    left_ms: float
-    moved: bool
-    returning: bool
+    remaining_ms: float
+    was_moved: bool
+    is_returning: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -173,7 +177,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TakenOver:
+class SessionRecovered:
     """A session that already played on `server` when this front started."""
 
     viewer: Viewer
@@ -181,39 +185,39 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Started:
+class AttemptSucceeded:
     session: int
     server: int
     attempt: int
-    took_ms: float
+    duration_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class AttemptEnded:
     """One attempt is over; `closed` means that no answer is owed any more."""
 
     session: int
     server: int
     attempt: int
     result: Result
-    closed: bool
-    took_ms: float
+    is_final: bool
+    duration_ms: float
     report: tuple[float, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Abandoned:
+class ClientGone:
     session: int
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class ServerNotice:
     """News from a server on one of its sessions; what `level` is depends on `kind`."""
 
     session: int
     server: int
     attempt: int
-    kind: NoteKind
+    kind: NoticeKind
     level: float
 
 
@@ -223,22 +227,33 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class HealthCheckEnded:
     server: int
     result: Result
-    took_ms: float
+    duration_ms: float
     report: tuple[float, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Message:
+class FrontMessage:
     """A message from another front; the controller has no use for any so far."""
 
     sender: int
     body: bytes
 
 
-Event = ListUpdate | Arrival | TakenOver | Started | Ended | Abandoned | Note | TimerFired | Probed | Message
+Event = (
+    EndpointListUpdate
+    | Arrival
+    | SessionRecovered
+    | AttemptSucceeded
+    | AttemptEnded
+    | ClientGone
+    | ServerNotice
+    | TimerFired
+    | HealthCheckEnded
+    | FrontMessage
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -260,7 +275,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     session: int
     retry_after_ms: float
 
@@ -271,13 +286,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Timer:
+class SetTimer:
     token: int
     after_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
+class CheckHealth:
     server: int
 
 
@@ -291,4 +306,4 @@
     text: str
 
 
-Action = Place | SetRung | Move | Refuse | Fail | Timer | Probe | Subscribe | Log
+Action = Place | SetRung | Move | Reject | Fail | SetTimer | CheckHealth | Subscribe | Log
--- a/fernweir/journal/disk.py
+++ b/fernweir/journal/disk.py
@@ -18,7 +18,7 @@
 import google_crc32c
 import orjson
 
-from fernweir.front.safefile import write_file
+from fernweir.front.atomic_file import write_file
 from fernweir.journal.events import Entry, EntryError, from_row, to_row
 from fernweir.journal.segment import unpack
 
--- a/fernweir/node/feed.py
+++ b/fernweir/node/feed.py
@@ -14,11 +14,11 @@
 from typing import Any
 
 from fernweir.front.names import number_of
-from fernweir.interface import ListKind, ListUpdate, ServerEntry, ServerState, Settings
+from fernweir.interface import Endpoint, EndpointListKind, EndpointListUpdate, ServerState, Settings
 from fernweir.node.config import Address, ConfigError, address
 
 MOST_BYTES = 256 * 1024  # of one event; the first holds the whole list
-_STATES = {"up": ServerState.READY, "draining": ServerState.DRAINING, "removed": ServerState.GONE}
+_STATES = {"up": ServerState.READY, "draining": ServerState.DRAINING, "removed": ServerState.REMOVED}
 
 
 class FeedError(ValueError):
@@ -38,7 +38,7 @@
         self.names: dict[int, str] = {}
         self.since: dict[int, float] = {}  # Unix ms, as told
 
-    def start(self, known: tuple[object, ...], last: int) -> Iterator[ListUpdate]:
+    def start(self, known: tuple[object, ...], last: int) -> Iterator[EndpointListUpdate]:
         """The events of the configuration, whose first holds the whole list.
 
         As on the feed each is told before the next is read: what is heard of a server's end forgets it, and
@@ -50,14 +50,14 @@
             if not self._next(event):
                 continue
             try:
-                update = self._event(event, ListKind.CACHED)
+                update = self._event(event, EndpointListKind.CACHED)
             except FeedError:  # it would be the same from the feed, and nodes that run have left it out
-                update = self._rest_of(event, ListKind.CACHED)
+                update = self._rest_of(event, EndpointListKind.CACHED)
             if update is not None:
                 yield update
         self.last = max(self.last, last)
 
-    def line(self, line: bytes) -> ListUpdate | None:
+    def line(self, line: bytes) -> EndpointListUpdate | None:
         """One line of the feed. FeedError if the node has to ask again."""
         try:
             body = json.loads(line)
@@ -71,12 +71,12 @@
         if not self._next(body):
             return None
         try:
-            return self._event(body, ListKind.FULL)
+            return self._event(body, EndpointListKind.FULL)
         except FeedError:
             if line != self._refused:
                 self._refused = line
                 raise
-        return self._rest_of(body, ListKind.FULL)
+        return self._rest_of(body, EndpointListKind.FULL)
 
     def forget(self, server: int) -> None:
         """A gone server with nothing left here."""
@@ -93,18 +93,18 @@
             raise FeedError(f"event {n} comes after {self.last}")
         return n > self.last
 
-    def _rest_of(self, body: Any, whole: ListKind) -> ListUpdate | None:
+    def _rest_of(self, body: Any, whole: EndpointListKind) -> EndpointListUpdate | None:
         """What can be read of an event that was not spoilt on its way."""
         self.left_out += 1
         return self._event(body, whole, partly=True)
 
-    def _event(self, body: Any, whole: ListKind, partly: bool = False) -> ListUpdate | None:
+    def _event(self, body: Any, whole: EndpointListKind, partly: bool = False) -> EndpointListUpdate | None:
         update = self._members(body.get("members"), whole, partly)
         self.last = body["n"]
         self.fresh += 1
         return update
 
-    def _members(self, members: object, whole: ListKind, partly: bool) -> ListUpdate | None:
+    def _members(self, members: object, whole: EndpointListKind, partly: bool) -> EndpointListUpdate | None:
         if not isinstance(members, dict):
             return None  # an event of another kind
         lines, version = members.get("endpoints"), members.get("index")
@@ -124,10 +124,10 @@
         for entry, name, there, since in read:
             self.names[entry.server], self.addresses[entry.server] = name, there
             self.since[entry.server] = since
-        kind = whole if full else ListKind.DELTA
-        return ListUpdate(kind, version & 0xFFFFFFFF, tuple(entry for entry, *_ in read))
+        kind = whole if full else EndpointListKind.DELTA
+        return EndpointListUpdate(kind, version & 0xFFFFFFFF, tuple(entry for entry, *_ in read))
 
-    def _endpoint(self, line: Any) -> tuple[ServerEntry, str, Address, float]:
+    def _endpoint(self, line: Any) -> tuple[Endpoint, str, Address, float]:
         try:
             name, state = line["name"], _STATES[line["status"]]
             cell, weight, since = int(line["group"]), float(line["weight"]), float(line["since_ms"] or 0)
@@ -139,4 +139,4 @@
         if not (math.isfinite(weight) and math.isfinite(since)):
             raise FeedError("an endpoint that can't be read")
         started = max(since - self._offset, 0.0) if since > 0.0 else 0.0
-        return ServerEntry(number, state, started, cell, kind, weight), name, there, since
+        return Endpoint(number, state, started, cell, kind, weight), name, there, since
--- a/fernweir/node/follow.py
+++ b/fernweir/node/follow.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
-from fernweir.front.core import Core
-from fernweir.interface import ListUpdate
+from fernweir.front.dispatcher import Dispatcher
+from fernweir.interface import EndpointListUpdate
 from fernweir.node.asking import Asking
 from fernweir.node.buffer import Shell
 from fernweir.node.config import Address
@@ -20,7 +20,7 @@
     `Asking` alone knows what is under way; here is its one timer, and the connection of its newest opening.
     """
 
-    def __init__(self, core: Core, feed: Feed, servers: Servers, there: Address, seed: int) -> None:
+    def __init__(self, core: Dispatcher, feed: Feed, servers: Servers, there: Address, seed: int) -> None:
         self.core, self.feed, self.servers, self.there = core, feed, servers, there
         self._asking = Asking(seed)
         self._conn: _Connection | None = None
@@ -39,10 +39,10 @@
         if self._asking.moved():
             self._open()
 
-    def tell(self, update: ListUpdate) -> None:
-        self.core.host.box_list(self.core.now(), update)
+    def tell(self, update: EndpointListUpdate) -> None:
+        self.core.sessions.on_endpoint_list(self.core.now(), update)
         self.servers.listed(update)
-        self.core.kick()
+        self.core.schedule_step()
 
     # --- what a connection says of itself ---
 
--- a/fernweir/node/peering.py
+++ b/fernweir/node/peering.py
@@ -17,10 +17,10 @@
 
 from fernweir.config import ini
 from fernweir.config.peers import PeerName, PeersSection, check_peers
-from fernweir.front.acting import Acting
-from fernweir.front.core import Core
+from fernweir.front.dispatcher import Dispatcher
+from fernweir.front.peer_view import Acting
 from fernweir.front.stored_types import BY_CLASS, stored_text
-from fernweir.interface import ListKind, ListUpdate, ServerState
+from fernweir.interface import EndpointListKind, EndpointListUpdate, ServerState
 from fernweir.node.config import ConfigError, NodeConfig
 from fernweir.node.feed import Feed
 from fernweir.peers.forward.messages import Carried, Carry
@@ -61,7 +61,7 @@
         raise ConfigError(str(error)) from None
 
 
-async def start_peers(core: Core, feed: Feed, config: NodeConfig, file: PeersFile) -> Peers:
+async def start_peers(core: Dispatcher, feed: Feed, config: NodeConfig, file: PeersFile) -> Peers:
     """Listens and joins, before the node takes its list. OSError if the address can't be had."""
     offset_ms = (time.time() - core.loop.time()) * 1000.0
 
@@ -93,16 +93,16 @@
         self._feed = feed
         self._rows: dict[int, list[Any]] = {}
 
-    def take(self, update: ListUpdate) -> None:
-        if update.kind is not ListKind.DELTA:
+    def take(self, update: EndpointListUpdate) -> None:
+        if update.kind is not EndpointListKind.DELTA:
             self._rows.clear()
         for one in update.entries:
-            if one.state is ServerState.GONE:
+            if one.state is ServerState.REMOVED:
                 self._rows.pop(one.server, None)
             else:
                 self._rows[one.server] = [
                     _STATES[one.state], self._feed.since[one.server], *self._feed.addresses[one.server],
-                    one.cell, one.kind, one.weight,
+                    one.zone, one.server_type, one.weight,
                 ]  # fmt: skip
 
     def boxes(self) -> list[int]:
@@ -121,13 +121,13 @@
 class NodePort(Acting):
     """Implements `peers.port.Port` without channels: nothing is handed on, taken over or claimed."""
 
-    def __init__(self, core: Core, feed: Feed, wall_ms: Callable[[], float]) -> None:
+    def __init__(self, core: Dispatcher, feed: Feed, wall_ms: Callable[[], float]) -> None:
         self._told = Told(feed)
         super().__init__(core, self._told, wall_ms)
 
-    def listed(self, now: float, update: ListUpdate) -> None:
+    def on_endpoint_list(self, now: float, update: EndpointListUpdate) -> None:
         self._told.take(update)
-        super().listed(now, update)
+        super().on_endpoint_list(now, update)
 
     def standing(self) -> list[Standing]:
         return []
--- a/fernweir/node/program.py
+++ b/fernweir/node/program.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from fernweir.front.core import Core
-from fernweir.front.host import Host, HostLimits
+from fernweir.front.dispatcher import Dispatcher
+from fernweir.front.session_manager import SessionLimits, SessionManager
 from fernweir.node.config import ConfigError, NodeConfig, load
 from fernweir.node.ending import Ending
 from fernweir.node.feed import Feed, FeedError
@@ -40,8 +40,8 @@
         loop = asyncio.get_running_loop()
         self.config, self.log, self._environment = config, log, environment
         # Nobody returns to a session here, and what passes its viewer's time has failed in time.
-        limits = HostLimits(margin_ms=0.0, linger_ms=0.0)
-        self.core = Core(Host(config.settings, config.seed, limits), log=log)
+        limits = SessionLimits(reply_margin_ms=0.0, unclaimed_session_ttl_ms=0.0)
+        self.core = Dispatcher(SessionManager(config.settings, config.seed, limits), log=log)
         offset_ms = (time.time() - loop.time()) * 1000.0
         self.feed = Feed(config.settings, config.kinds, offset_ms)
         shares = Shares(config.sockets)
@@ -83,14 +83,14 @@
         """SIGTERM: what still comes is answered with a refusal; what stands plays on as long as it may."""
         if not self.ending.begin():
             return
-        self.core.host.close()
-        self.log.info("stopping", sessions=self.core.host.sessions, within_ms=self.ending.plays_ms)
+        self.core.sessions.stop_accepting()
+        self.log.info("stopping", sessions=self.core.sessions.session_count, within_ms=self.ending.plays_ms)
         self._end = self.core.loop.call_later(self.ending.plays_ms / 1000.0, self._give_up)
 
     def _give_up(self) -> None:
         """The time is over: what is still open is answered, and let go where it is out."""
-        self.core.host.give_up(self.core.now())
-        self.core.kick()
+        self.core.sessions.abandon_open_requests(self.core.now())
+        self.core.schedule_step()
         self.ended.set()
 
     async def finish(self) -> None:
@@ -113,7 +113,7 @@
             self._end.cancel()
         self.follower.stop()
         self.viewers.stop()
-        self.core.last_step()  # what that gave rise to, as the release of what nobody heard of
+        self.core.run_last_step()  # what that gave rise to, as the release of what nobody heard of
         self.core.stop()
         self.servers.close()
 
--- a/fernweir/node/requests.py
+++ b/fernweir/node/requests.py
@@ -5,7 +5,7 @@
 import math
 import re
 
-from fernweir.front.commands import Ask
+from fernweir.front.commands import SessionRequest
 from fernweir.front.names import number_of
 from fernweir.interface import Settings
 from fernweir.node.jsonl import LineError, Message, Value
@@ -21,7 +21,7 @@
         self._settings = settings
         self._classes = {one.name: place for place, one in enumerate(settings.classes)}
 
-    def read(self, message: Message, ticket: int) -> tuple[Ask, str]:
+    def read(self, message: Message, ticket: int) -> tuple[SessionRequest, str]:
         """What is asked, and the server it plays at already, or none. LineError says what is wrong."""
         id, fields, settings = message.id, message.fields, self._settings
         extras = _extras(id, fields.get("extras"))
@@ -39,26 +39,30 @@
         if message.sdp is None and not at:
             raise LineError("a set-up without a description", id)
         home, copies = _count(id, extras, "home"), _count(id, extras, "copies")
-        top = _count(id, extras, "top", len(settings.rates_kb) - 1)
-        if home >= settings.cells or not 1 <= copies <= settings.cells or top >= len(settings.rates_kb):
+        top = _count(id, extras, "top", len(settings.rung_rates_kbyte_s) - 1)
+        if (
+            home >= settings.zone_count
+            or not 1 <= copies <= settings.zone_count
+            or top >= len(settings.rung_rates_kbyte_s)
+        ):
             raise LineError("extras are out of range", id)
         viewer = extras.get("viewer", "0" * 16)
         if not _HEX.fullmatch(viewer):
             raise LineError("viewer is no key", id)
-        ask = Ask(
+        ask = SessionRequest(
             ticket=ticket,
-            via=VIA,
-            jti=id,
-            who=viewer,
+            protocol=VIA,
+            session_id=id,
+            subject=viewer,
             title_name=title,
             title=number_of(title),
-            first_cell=home,
-            copies=copies,
-            cls=cls,
+            first_zone=home,
+            replicas=copies,
+            class_index=cls,
             top_rung=top,
-            wait_ms=left if math.isfinite(left) else kind.deadline_ms,
-            key=int(viewer, 16),
-            returning=extras.get("again") == "1",
+            max_wait_ms=left if math.isfinite(left) else kind.deadline_ms,
+            viewer_key=int(viewer, 16),
+            is_returning=extras.get("again") == "1",
             body=(message.sdp or "").encode(),
         )
         return ask, at
--- a/fernweir/node/servers.py
+++ b/fernweir/node/servers.py
@@ -13,11 +13,18 @@
 from dataclasses import dataclass, field
 from math import ceil
 
-from fernweir.front.commands import Ask, ChangeRung, Release, SendProbe, SetUp, SetUpResult
-from fernweir.front.core import Core
-from fernweir.front.host import Phase
+from fernweir.front.commands import (
+    ChangeRung,
+    ReleaseSession,
+    SendHealthCheck,
+    SessionRequest,
+    SetUp,
+    SetUpResult,
+)
+from fernweir.front.dispatcher import Dispatcher
 from fernweir.front.names import number_of
-from fernweir.interface import RESULT_WORDS, ListUpdate, NoteKind, Result, ServerState
+from fernweir.front.session_manager import SessionPhase
+from fernweir.interface import RESULT_LABELS, EndpointListUpdate, NoticeKind, Result, ServerState
 from fernweir.node.buffer import Shell
 from fernweir.node.config import Address, NodeConfig
 from fernweir.node.course import At, Course
@@ -34,13 +41,13 @@
 _BEFORE_MOST = 32  # failed attempts of one connection that a late word may be of
 _SAID_MOST, _SAID_MS = 64, 1_000.0  # releases that a break may have cost, and for how long
 # Other causes before the answer are as a reset; but who says so lives, and may mean an earlier attempt.
-_BEFORE = {34: Result.FULL, 41: Result.RESET, 47: Result.ERROR, 102: Result.MOOT}
+_BEFORE = {34: Result.FULL, 41: Result.RESET, 47: Result.ERROR, 102: Result.NOT_SENT}
 _AFTER = {16: Result.OK, 31: Result.CANCELLED}
 _NOTES = {
-    "got": NoteKind.DELIVERED,
-    "level": NoteKind.RUNG,
-    "port": NoteKind.LINK,
-    "spine": NoteKind.UPLINK,
+    "got": NoticeKind.DELIVERED,
+    "level": NoticeKind.RUNG,
+    "port": NoticeKind.LINK,
+    "spine": NoticeKind.UPLINK,
 }
 
 
@@ -109,7 +116,7 @@
 class Servers:
     """Carries out commands towards media servers and tells the host what they say."""
 
-    def __init__(self, core: Core, feed: Feed, config: NodeConfig, shares: Shares) -> None:
+    def __init__(self, core: Dispatcher, feed: Feed, config: NodeConfig, shares: Shares) -> None:
         self.core, self.feed, self.shares = core, feed, shares
         self.settings = config.settings
         self.connect_s, self.idle_ms = config.connect_ms / 1000.0, config.idle_ms
@@ -120,7 +127,7 @@
         self._tests = 0
         self._started: dict[int, float] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        core.doer = self
+        core.server_transport = self
         core.loop.call_later(_UPKEEP_S, self._upkeep)
 
     # --- commands ---
@@ -129,37 +136,37 @@
         link = self._link(command.server)
         attempt = Attempt(command, self.core.now())
         if link is None:
-            end = SetUpResult(Result.MOOT, 0.0, {}, why="not listed")
+            end = SetUpResult(Result.NOT_SENT, 0.0, {}, reason="not listed")
             self.core.loop.call_soon(self._done, command, end)
             return
-        link.attempts[command.session.jti] = attempt
+        link.attempts[command.request.session_id] = attempt
         attempt.timer = self.core.loop.call_later(
             max(command.timeout_ms, 0.0) / 1000.0, self._timed_out, link, attempt
         )
         self._carry(link, attempt)
 
     def change_rung(self, command: ChangeRung) -> None:
-        rung = Frame(Type.RATE, command.jti, {Code.RUNG: b"%d" % command.rung})
-        self._tell(command.server, command.jti, rung)
+        rung = Frame(Type.RATE, command.session_id, {Code.RUNG: b"%d" % command.rung})
+        self._tell(command.server, command.session_id, rung)
 
-    def release(self, command: Release) -> None:
+    def release(self, command: ReleaseSession) -> None:
         link = self.links.get(command.server)
         if link is None:
             return
-        attempt = link.attempts.pop(command.jti, None)
+        attempt = link.attempts.pop(command.session_id, None)
         if attempt is not None:
             self._settle(attempt)
-        if command.jti not in link.stays:
+        if command.session_id not in link.stays:
             return  # never written there, or over by the server's own word
-        self._let_go(link, command.jti)
-        stay = link.stays.pop(command.jti, None)
+        self._let_go(link, command.session_id)
+        stay = link.stays.pop(command.session_id, None)
         if stay is not None and stay.conn is not None:
             stay.conn.close_if_spent()
 
     def _let_go(self, link: Link, id: str) -> None:
         self._tell(link.server, id, _given_up(id))
 
-    def probe(self, command: SendProbe) -> None:
+    def check_health(self, command: SendHealthCheck) -> None:
         link = self._link(command.server)
         if link is None:
             self.core.loop.call_soon(self._probed, command.server, Result.CONNECT_FAILED, 0.0, {})
@@ -173,24 +180,24 @@
 
     # --- what the rest of the node tells ---
 
-    def take_over(self, ask: Ask, name: str) -> bool:
+    def take_over(self, ask: SessionRequest, name: str) -> bool:
         """A session that plays at that server already. False if it isn't taken."""
         server, now = number_of(name), self.core.now()
-        if server not in self.feed.addresses or not self.core.host.take_over(now, ask, server):
+        if server not in self.feed.addresses or not self.core.sessions.adopt_session(now, ask, server):
             return False
         link = self._link(server)
         assert link is not None
         if not link.stays:  # what was found there before says nothing of what plays there now
             link.watch = self._watch()
-        link.stays[ask.jti] = Stay(None, now)
-        self.core.kick()
+        link.stays[ask.session_id] = Stay(None, now)
+        self.core.schedule_step()
         return True
 
-    def listed(self, update: ListUpdate) -> None:
+    def listed(self, update: EndpointListUpdate) -> None:
         """A server that started anew holds nothing of before."""
         for entry in update.entries:
             link, before = self.links.get(entry.server), self._started.get(entry.server, 0.0)
-            if entry.state is ServerState.GONE:
+            if entry.state is ServerState.REMOVED:
                 self._started.pop(entry.server, None)
                 if link is None:
                     self.feed.forget(entry.server)
@@ -206,7 +213,7 @@
         for link in list(self.links.values()):
             self._relisted(link)
         self.drop_unwanted()
-        self.core.kick()
+        self.core.schedule_step()
 
     def _relisted(self, link: Link) -> None:
         """Where it isn't at the address of before, nothing new goes there: another may listen by now."""
@@ -228,7 +235,7 @@
         self._look(link)
 
     def _gone(self, link: Link) -> bool:
-        return self.core.host.listed.get(link.server, ServerState.GONE) is ServerState.GONE
+        return self.core.sessions.endpoint_states.get(link.server, ServerState.REMOVED) is ServerState.REMOVED
 
     def drop_unwanted(self) -> None:
         """What waits for its connection and is wanted no more ends now, not when that comes up."""
@@ -258,15 +265,15 @@
 
     def _wanted(self, link: Link, attempt: Attempt) -> bool:
         """Asked until it is written; what isn't wanted any more ends here."""
-        if self.core.host.still_wanted(attempt.command.session.jti, attempt.command.attempt):
+        if self.core.sessions.is_attempt_wanted(attempt.command.request.session_id, attempt.command.attempt):
             return True
         took = self.core.now() - attempt.sent_at
-        self._finish(link, attempt, SetUpResult(Result.MOOT, took, {}, why="not wanted any more"))
+        self._finish(link, attempt, SetUpResult(Result.NOT_SENT, took, {}, reason="not wanted any more"))
         return False
 
     def _wanted_now(self, link: Link, attempt: Attempt) -> bool:
         """At the last moment: its viewer may have left, or its time run out, since the loop looked."""
-        self.hear_viewer(attempt.command.session.jti)
+        self.hear_viewer(attempt.command.request.session_id)
         if self.core.now() - attempt.sent_at > attempt.command.timeout_ms:
             self._timed_out(link, attempt)  # its timer is due, and late as the loop is
             return False
@@ -276,19 +283,19 @@
         if not self._wanted_now(link, attempt):
             return
         attempt.connects += 1
-        conn = attempt.conn = self._free(link, attempt.command.session.jti) or self._connect(link)
-        conn.attempts[attempt.command.session.jti] = attempt
+        conn = attempt.conn = self._free(link, attempt.command.request.session_id) or self._connect(link)
+        conn.attempts[attempt.command.request.session_id] = attempt
         if conn.usable:
             self._write(link, attempt)
 
     def _write(self, link: Link, attempt: Attempt) -> None:
         command, conn = attempt.command, attempt.conn
-        ask, jti = command.session, command.session.jti
+        ask, jti = command.request, command.request.session_id
         assert conn is not None and isinstance(ask.body, bytes)
         now = self.core.now()
         left = command.timeout_ms - (now - attempt.sent_at)
         parameters: dict[int, bytes] = {
-            Code.CLASS: self._classes[ask.cls],
+            Code.CLASS: self._classes[ask.class_index],
             Code.WAIT: b"%d" % max(ceil(left), 1),
             Code.TITLE: ask.title_name.encode(),
             Code.RUNG: b"%d" % command.rung,
@@ -311,7 +318,7 @@
         self._finish(link, attempt, SetUpResult(result, self.core.now() - attempt.sent_at, {}))
 
     def _finish(self, link: Link, attempt: Attempt, end: SetUpResult) -> None:
-        jti = attempt.command.session.jti
+        jti = attempt.command.request.session_id
         if link.attempts.get(jti) is not attempt:
             return
         del link.attempts[jti]
@@ -324,19 +331,25 @@
         if attempt.timer is not None:
             attempt.timer.cancel()
         if attempt.conn is not None:
-            attempt.conn.attempts.pop(attempt.command.session.jti, None)
+            attempt.conn.attempts.pop(attempt.command.request.session_id, None)
             attempt.conn.used_at = self.core.now()
             if attempt.written and not well:
-                attempt.conn.before.add(attempt.command.session.jti)
+                attempt.conn.before.add(attempt.command.request.session_id)
 
     def _done(self, command: SetUp, end: SetUpResult) -> None:
         if end.result is not Result.OK:
             self.core.log.info(
-                "set-up failed", session=command.session.jti, server=self.feed.names.get(command.server),
-                attempt=command.attempt, result=RESULT_WORDS[end.result], why=end.why,
-            )  # fmt: skip
-        self.core.host.set_up_done(self.core.now(), command.session.jti, command.attempt, end)
-        self.core.kick()
+                "set-up failed",
+                session=command.request.session_id,
+                server=self.feed.names.get(command.server),
+                attempt=command.attempt,
+                result=RESULT_LABELS[end.result],
+                why=end.reason,
+            )
+        self.core.sessions.on_attempt_finished(
+            self.core.now(), command.request.session_id, command.attempt, end
+        )
+        self.core.schedule_step()
 
     # --- probes ---
 
@@ -357,8 +370,8 @@
         self._probed(link.server, result, self.core.now() - test.sent_at, report or {})
 
     def _probed(self, server: int, result: Result, took_ms: float, report: dict[str, float]) -> None:
-        self.core.host.probe_done(self.core.now(), server, result, took_ms, report)
-        self.core.kick()
+        self.core.sessions.on_health_check_finished(self.core.now(), server, result, took_ms, report)
+        self.core.schedule_step()
 
     # --- what servers say ---
 
@@ -379,10 +392,10 @@
             self._released(conn, frame)
         elif frame.type is Type.NOTE:
             kind, level = _NOTES.get(frame.text(Code.NOTE)), frame.number(Code.LEVEL)
-            held = self.core.host.session(id)
+            held = self.core.sessions.session(id)
             if kind is not None and held is not None and held.server == link.server:
-                self.core.host.note(now, id, held.attempt, kind, level)
-                self.core.kick()
+                self.core.sessions.on_server_notice(now, id, held.attempt, kind, level)
+                self.core.schedule_step()
         # A second copy, an answer nobody asked for, a release heard: nothing follows from them.
 
     def _meant(self, conn: Connection, id: str) -> Attempt | None:
@@ -406,7 +419,7 @@
             else:
                 link.stays.pop(id, None)
             took = self.core.now() - attempt.sent_at
-            self._finish(link, attempt, SetUpResult(result, took, report, why=f"cause {cause}"))
+            self._finish(link, attempt, SetUpResult(result, took, report, reason=f"cause {cause}"))
         elif stay is None or id in link.attempts:
             return  # heard already; or an earlier attempt's
         elif stay.conn is conn or id not in conn.before or not stay.heard:
@@ -416,11 +429,11 @@
 
     def _over(self, link: Link, id: str, result: Result) -> None:
         """A server's own word, or proof, that it holds a session no more."""
-        held = self.core.host.session(id)
+        held = self.core.sessions.session(id)
         link.stays.pop(id, None)
-        if held is not None and held.server == link.server and held.phase is Phase.PLAYING:
-            self.core.host.session_over(self.core.now(), id, held.attempt, result)
-            self.core.kick()
+        if held is not None and held.server == link.server and held.phase is SessionPhase.PLAYING:
+            self.core.sessions.on_session_ended(self.core.now(), id, held.attempt, result)
+            self.core.schedule_step()
 
     # --- connections ---
 
@@ -482,7 +495,7 @@
         self._broken(link, lives=False)
         for attempt in list(conn.attempts.values()):
             took = self.core.now() - attempt.sent_at
-            self._finish(link, attempt, SetUpResult(Result.CONNECT_FAILED, took, {}, why=why))
+            self._finish(link, attempt, SetUpResult(Result.CONNECT_FAILED, took, {}, reason=why))
         for id, test in list(link.tests.items()):
             if test.conn is conn:
                 self._test_over(link, id, Result.CONNECT_FAILED)
@@ -516,7 +529,7 @@
         link.kept.clear()
         self._retire(link)
         for attempt in link.broken:
-            link.stays.pop(attempt.command.session.jti, None)
+            link.stays.pop(attempt.command.request.session_id, None)
 
     def _retire(self, link: Link) -> None:
         """Nothing new goes on its connections: their other ends are gone, though nobody may ever say so."""
@@ -558,7 +571,7 @@
                 attempt.broke = why
             elif attempt.connects >= _CONNECTS:
                 took = self.core.now() - attempt.sent_at
-                self._finish(link, attempt, SetUpResult(Result.CONNECT_FAILED, took, {}, why=why))
+                self._finish(link, attempt, SetUpResult(Result.CONNECT_FAILED, took, {}, reason=why))
             else:
                 self._carry(link, attempt)
         for id, test in list(link.tests.items()):
@@ -572,7 +585,7 @@
         """A server that lives may have written an answer that was lost: the host has it released there."""
         for attempt in link.broken:
             took = self.core.now() - attempt.sent_at
-            self._finish(link, attempt, SetUpResult(broke(lives), took, {}, why=attempt.broke))
+            self._finish(link, attempt, SetUpResult(broke(lives), took, {}, reason=attempt.broke))
 
     def _tell(self, server: int, id: str, frame: Frame) -> None:
         """On the connection of the set-up, else on any, else on the next that comes up."""
@@ -656,9 +669,9 @@
         for attempt in list(link.attempts.values()):
             took, never = now - attempt.sent_at, not attempt.written
             result = Result.CONNECT_FAILED if never else Result.RESET
-            self._finish(link, attempt, SetUpResult(result, took, {}, why="server lost"))
-        self.core.host.box_lost(now, link.server)
-        self.core.kick()
+            self._finish(link, attempt, SetUpResult(result, took, {}, reason="server lost"))
+        self.core.sessions.on_server_lost(now, link.server)
+        self.core.schedule_step()
 
 
 def _given_up(id: str) -> Frame:
--- a/fernweir/node/settings.py
+++ b/fernweir/node/settings.py
@@ -87,11 +87,11 @@
 
 def agree(settings: Settings) -> None:
     """What was read, taken together."""
-    rungs = len(settings.rates_kb)
+    rungs = len(settings.rung_rates_kbyte_s)
     if not 0 < rungs <= _BYTE + 1:
         raise SettingError("Extra.RatesKb is no ladder of rates")
-    if len(settings.worths) < rungs:
-        raise SettingError(f"Extra.LevelWorth has {len(settings.worths)} values for {rungs} rungs")
+    if len(settings.rung_utilities) < rungs:
+        raise SettingError(f"Extra.LevelWorth has {len(settings.rung_utilities)} values for {rungs} rungs")
     for place, one in enumerate(settings.classes):
         if one.deadline_ms <= 0.0:
             raise SettingError(f"Categories.{place}.Deadline leaves no time for an answer")
@@ -106,18 +106,18 @@
     ration over no time, or a cap of no attempts at all, is none; and with no usual bound of a set-up its
     deadline is what bounds it.
     """
-    cold, budget = settings.cold, settings.budget
+    cold, budget = settings.slow_start, settings.retry_budget
     return replace(
         settings,
         classes=tuple(map(_bounded, settings.classes)),
-        attempts_cap=settings.attempts_cap or None,
-        cold=cold if cold is not None and cold.warm_up_ms > 0.0 else None,
-        budget=budget if budget is not None and budget.span_ms > 0.0 else None,
+        max_attempts=settings.max_attempts or None,
+        slow_start=cold if cold is not None and cold.window_ms > 0.0 else None,
+        retry_budget=budget if budget is not None and budget.window_ms > 0.0 else None,
     )
 
 
 def _bounded(one: SessionClass) -> SessionClass:
-    return one if one.aim_ms > 0.0 else replace(one, aim_ms=one.deadline_ms)
+    return one if one.latency_objective_ms > 0.0 else replace(one, latency_objective_ms=one.deadline_ms)
 
 
 def _found(told: dict[str, Any], path: str) -> Iterator[Any]:
--- a/fernweir/node/viewers.py
+++ b/fernweir/node/viewers.py
@@ -8,8 +8,8 @@
 from collections import deque
 from math import ceil
 
-from fernweir.front.commands import Answer, Kind, Over
-from fernweir.front.core import Core
+from fernweir.front.commands import ReplyKind, SessionOver, SessionReply
+from fernweir.front.dispatcher import Dispatcher
 from fernweir.interface import Result
 from fernweir.node.buffer import Shell
 from fernweir.node.config import Address
@@ -31,7 +31,9 @@
 class Viewers:
     """Takes what viewers send, and tells them answers and ends."""
 
-    def __init__(self, core: Core, requests: Requests, servers: Servers, door: Door[Connection]) -> None:
+    def __init__(
+        self, core: Dispatcher, requests: Requests, servers: Servers, door: Door[Connection]
+    ) -> None:
         self.core, self.requests, self.servers, self.door = core, requests, servers, door
         self.ready = False
         self.remembered = Remembered()
@@ -44,7 +46,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._made: set[Connection] = set()  # whose transport is there, closing ones too
         self.came = 0  # reads and connections so far
-        core.on_over = self.over
+        core.on_session_over = self.over
         servers.hear_viewer = self.hear
 
     # --- connections ---
@@ -154,7 +156,7 @@
 
     def take(self, connection: Connection, message: Message) -> None:
         if message.type == "ping":
-            passed = self.ready and not self.core.host.closing
+            passed = self.ready and not self.core.sessions.is_closing
             connection.send(Message("pong", message.id, cause=1 if passed else 0))
         elif message.type == "setup":
             self._set_up(connection, message)
@@ -170,32 +172,32 @@
             self._drop(id)
             self.remembered.add(id)
             raise LineError("an id that is open", id)
-        ticket = core.ticket()
+        ticket = core.next_ticket()
         ask, at = self.requests.read(message, ticket)
         if at:
             if self.servers.take_over(ask, at):
                 self._stands(id, connection)
-            elif core.host.session(id) is None:
+            elif core.sessions.session(id) is None:
                 self.remembered.add(id)  # its viewer may end it meanwhile: one end is enough
                 connection.send(Message("release", id, cause=BROKEN))
             return
-        if core.host.session(id) is not None or id in self.remembered:
+        if core.sessions.session(id) is not None or id in self.remembered:
             raise LineError("an id that is in use")
         if not connection.visit.takes:
-            self._say(id, connection, Answer(ticket, Kind.REFUSED))
+            self._say(id, connection, SessionReply(ticket, ReplyKind.REJECTED))
             return
         self.open[id] = (ticket, connection)
         connection.visit.requests.add(id)
         self.door.opened(connection)
-        core.ask(ask, lambda answer: self._answer(id, answer))
+        core.submit(ask, lambda answer: self._answer(id, answer))
 
     def _release(self, connection: Connection, message: Message) -> None:
         id, core = message.id, self.core
         if id in self.open:
             self._drop(id)
             self.remembered.add(id)
-        elif core.host.release(core.now(), id):
-            core.kick()
+        elif core.sessions.release_session(core.now(), id):
+            core.schedule_step()
         elif id not in self.remembered and id not in self.home:  # there: its end is about to be told
             self.remembered.add(id)  # its set-up may lie unread on another connection: this was its answer
             raise LineError("no such session", id)
@@ -205,25 +207,25 @@
         ticket, connection = self.open.pop(id)
         connection.visit.requests.discard(id)
         self.door.closed(connection, self.core.now())
-        self.core.withdraw(ticket)
+        self.core.withdraw_request(ticket)
         if connection.visit.spent:  # after the rest of what is being read
             self.core.loop.call_soon(connection.close_if_spent)
 
-    def _answer(self, id: str, answer: Answer) -> None:
+    def _answer(self, id: str, answer: SessionReply) -> None:
         _, connection = self.open.pop(id)
         connection.visit.requests.discard(id)
         self.door.closed(connection, self.core.now())
         self._say(id, connection, answer)
         connection.close_if_spent()
 
-    def _say(self, id: str, connection: Connection, answer: Answer) -> None:
-        if answer.kind is Kind.PLAYS:
+    def _say(self, id: str, connection: Connection, answer: SessionReply) -> None:
+        if answer.kind is ReplyKind.PLAYS:
             assert isinstance(answer.payload, str)
             connection.tell(id, write(Message("answer", id, sdp=answer.payload)))
             self._stands(id, connection)
             return
         self.remembered.add(id)
-        if answer.kind is Kind.REFUSED:
+        if answer.kind is ReplyKind.REJECTED:
             wait = ceil(answer.retry_after_ms)
             fields: dict[str, str | int | float] = {"wait": str(wait)} if wait > 0 else {}
             connection.send(Message("release", id, fields, REFUSED))
@@ -244,19 +246,19 @@
         for _, id_over, end in untold:
             self._tell(id_over, end)
 
-    def over(self, over: Over) -> None:
+    def over(self, over: SessionOver) -> None:
         """What stood is over: its viewer hears on its connection, else on any that served viewers."""
-        id = over.session.jti
+        id = over.request.session_id
         self.remembered.add(id)
         connection = self.home.pop(id, None)
         if connection is not None:
             connection.visit.sessions.discard(id)
             connection.visit.forget(id)
-        if over.by_viewer:
+        if over.is_ended_by_viewer:
             return
         message = (
             Message("move", id)
-            if over.moved
+            if over.is_moved
             else Message("release", id, cause=_ENDS.get(over.result, BROKEN))
         )
         self._tell(id, write(message), connection)
@@ -275,7 +277,7 @@
     def left(self, connection: Connection) -> None:
         """A viewer ended its side, though it may still read: what it asked is answered, nothing begins."""
         for id in connection.visit.requests:
-            self.core.leave(self.open[id][0])
+            self.core.on_client_half_closed(self.open[id][0])
         self.servers.drop_unwanted()  # what waits for its connection is not sent on when that comes up
 
     def lost(self, connection: Connection, why: str, broke: bool) -> None:
@@ -303,8 +305,8 @@
                 continue
             # Nobody knows that it stands. That it is over is told all the same, wherever its viewer may hear.
             self.core.log.info("answer not heard", session=id, why=why)
-            self.core.host.revoke(now, id, "its viewer left")
-            self.core.kick()
+            self.core.sessions.revoke_session(now, id, "its viewer left")
+            self.core.schedule_step()
 
 
 class Connection(Shell):
--- a/fernweir/node/watch.py
+++ b/fernweir/node/watch.py
@@ -42,11 +42,15 @@
     """One server."""
 
     def __init__(self, settings: Settings, connect_ms: float, now: float) -> None:
-        told = settings.tell_ms + settings.seen_after_ms if settings.tell_ms > 0.0 else _QUIET_ABSENT_MS
+        told = (
+            settings.report_interval_ms + settings.report_delay_ms
+            if settings.report_interval_ms > 0.0
+            else _QUIET_ABSENT_MS
+        )
         self.look_ms = min(connect_ms, _LOOK_MS)
         # One more than it takes: the first may wait for a connection that was begun just before.
         looks_ms = (_FAILED_LOOKS + 1) * (self.look_ms + EVERY_MS)
-        self._quiet_ms = min(told + settings.period_ms, _PROOF_WITHIN_MS - looks_ms)
+        self._quiet_ms = min(told + settings.batch_period_ms, _PROOF_WITHIN_MS - looks_ms)
         self._heard_at = self._failed_at = now
         self._failed = 0
         self._ended = False  # its process is: that needs no silence as proof
--- a/fernweir/peers/program.py
+++ b/fernweir/peers/program.py
@@ -14,7 +14,7 @@
 
 from fernweir.config.ini import ConfigError, Problem
 from fernweir.config.peers import PeersSection
-from fernweir.front.core import Core
+from fernweir.front.dispatcher import Dispatcher
 from fernweir.journal.store import Blocks
 from fernweir.peers.acts.desk import FleetQuestions
 from fernweir.peers.acts.plan import Question
@@ -66,7 +66,7 @@
 class Peers:
     """A running front's peers."""
 
-    def __init__(self, core: Core) -> None:
+    def __init__(self, core: Dispatcher) -> None:
         self._core = core
         self.links: Links
         self.peer: Peer
@@ -82,7 +82,7 @@
 
     @classmethod
     async def start(
-        cls, core: Core, port: Port, begin: Beginning, wall_ms: Callable[[], float],
+        cls, core: Dispatcher, port: Port, begin: Beginning, wall_ms: Callable[[], float],
         nonce: Callable[[int], bytes] = os.urandom,
     ) -> Peers:  # fmt: skip
         """Listens and joins. OSError if the address can't be had."""
--- a/fernweir/peers/reach.py
+++ b/fernweir/peers/reach.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from fernweir.front.commands import Answer, Ask
-from fernweir.front.core import Core
+from fernweir.front.commands import SessionReply, SessionRequest
+from fernweir.front.dispatcher import Dispatcher
 from fernweir.front.peering import Peering
 from fernweir.interface import Settings
 from fernweir.peers.forward.messages import Carried, Carry
@@ -15,20 +15,28 @@
 class Reach:
     """The core's `Owner` and `Finder`, of a front whose sessions are in channels."""
 
-    def __init__(self, core: Core, port: Peering, peers: Peers, settings: Settings) -> None:
+    def __init__(self, core: Dispatcher, port: Peering, peers: Peers, settings: Settings) -> None:
         self._core, self._port, self._peers, self._settings = core, port, peers, settings
 
     def fence(self, jti: str) -> tuple[str, int] | None:
         return self._peers.peer.fence(self._core.now(), jti)
 
-    def ask(self, ask: Ask, then: Callable[[Answer | None], None]) -> None:
+    def ask(self, ask: SessionRequest, then: Callable[[SessionReply | None], None]) -> None:
         def end(now: float, carried: Carried | None) -> None:
             then(None if carried is None else self._port.answer(ask, carried))
 
         request = Carry(
-            self._peers.peer.forward.number(), "ask", ask.jti, ask.via, ask.who, ask.title_name,
-            self._settings.classes[ask.cls].name, ask.top_rung, ask.tenant, ask.wait_ms,
-        )  # fmt: skip
+            self._peers.peer.forward.number(),
+            "ask",
+            ask.session_id,
+            ask.protocol,
+            ask.subject,
+            ask.title_name,
+            self._settings.classes[ask.class_index].name,
+            ask.top_rung,
+            ask.tenant,
+            ask.max_wait_ms,
+        )
         self._peers.peer.find(self._core.now(), request, end)
         self._peers.kick()
 
@@ -36,7 +44,7 @@
         def end(now: float, carried: Carried | None) -> None:
             then(None if carried is not None and carried.kind == "refused" else carried is not None)
 
-        number, wait_ms = self._peers.peer.forward.number(), self._core.host.limits.held_retry_ms
+        number, wait_ms = self._peers.peer.forward.number(), self._core.sessions.limits.blocked_retry_after_ms
         request = Carry(number, what, jti, "", "", "", "", 0, "", wait_ms)
         self._peers.peer.find(self._core.now(), request, end)
         self._peers.kick()
--- a/fernweir/rehearsal/fleet/inside.py
+++ b/fernweir/rehearsal/fleet/inside.py
@@ -12,8 +12,8 @@
 from typing import Any
 
 from fernweir.dash.mpd import read_mpd
-from fernweir.front.host import Phase
 from fernweir.front.program import Front
+from fernweir.front.session_manager import SessionPhase
 from fernweir.http.client import Reply
 from fernweir.peers.peer import Peer
 from fernweir.rehearsal.fleet.roaming import RoamingViewers
@@ -30,8 +30,8 @@
     peers = {name: front.peers.peer for name, front in fronts.items() if front.peers is not None}
     holders: dict[str, list[str]] = defaultdict(list)
     for name, front in fronts.items():
-        for session, held in front.core.host.held().items():
-            if held.phase is Phase.PLAYING:
+        for session, held in front.core.sessions.records().items():
+            if held.phase is SessionPhase.PLAYING:
                 holders[session].append(name)
     wrong = [f"{one} is held by {' and '.join(names)}" for one, names in holders.items() if len(names) > 1]
     running: set[str] = set()
@@ -68,7 +68,7 @@
 
 def _tables(peer: Peer, front: Front, parts: int) -> list[str]:
     """Tables that hold what is dead, or never ends."""
-    owning, held = peer.owning, front.core.host.held()
+    owning, held = peer.owning, front.core.sessions.records()
     wrong = [f"its table of {what} has {one}, which it does not hold" for what, names in (
         ("channels", owning._channel), ("attempts", owning._placed), ("registered", peer.directory._own),
     ) for one in names if one not in held]  # fmt: skip
@@ -83,7 +83,7 @@
         ("questions", peer.recording._asked), ("stale fronts", peer.lateness.out()),
     ):  # fmt: skip
         wrong += [f"{what} left: {', '.join(map(str, table))[:200]}"] if table else []
-    if front.core.host.observer is None:
+    if front.core.sessions.observer is None:
         wrong.append("nobody is told of its sessions")
     return wrong
 
--- a/fernweir/rehearsal/hours.py
+++ b/fernweir/rehearsal/hours.py
@@ -23,9 +23,25 @@
 from fernweir.control.follow import Follower
 from fernweir.control.orders import Order, Orders
 from fernweir.control.overlay import Overlay
-from fernweir.front.commands import Answer, Arm, Ask, Release, SendProbe, SetUp, SetUpResult
-from fernweir.front.host import Host, Phase
-from fernweir.interface import ListKind, ListUpdate, NoteKind, Result, ServerEntry, ServerState, Settings
+from fernweir.front.commands import (
+    ReleaseSession,
+    SendHealthCheck,
+    SessionReply,
+    SessionRequest,
+    SetUp,
+    SetUpResult,
+    StartTimer,
+)
+from fernweir.front.session_manager import SessionManager, SessionPhase
+from fernweir.interface import (
+    Endpoint,
+    EndpointListKind,
+    EndpointListUpdate,
+    NoticeKind,
+    Result,
+    ServerState,
+    Settings,
+)
 from fernweir.journal.disk import JournalFolder
 from fernweir.journal.events import Entry, What, to_row
 from fernweir.journal.picture import Picture
@@ -72,7 +88,9 @@
         self.journal.restore(*self.folder.open())
         self.here = Picture()  # the front's own
         self.orders = Orders()
-        self.host = Host(settings, plan.seed, journal=self.journal, overlay=Overlay(self.orders.drained))
+        self.host = SessionManager(
+            settings, plan.seed, journal=self.journal, overlay=Overlay(self.orders.drained)
+        )
         self.console = Follower()
         self.history = History()
         self.console.on_entry = self.history.add
@@ -91,7 +109,7 @@
         self._snapshot()
         for box in range(1, plan.boxes + 1):
             self._alive[box] = 0.0
-        self._list(ListKind.FULL, list(self._alive))
+        self._list(EndpointListKind.FULL, list(self._alive))
         self._at(self.now, self._arrive)
         for box in self._alive:
             self._at(self.now + dice.expovariate(1.0 / (45.0 * _MINUTE)), self._fall, box)
@@ -109,11 +127,11 @@
     def _play(self, end: float) -> None:
         while self._events and self._events[0][0] < end:
             at, _, do, args = heapq.heappop(self._events)
-            due = self.host.next_due()
+            due = self.host.next_deadline()
             while due is not None and due < at:
                 self.now = max(self.now, due)
                 self._step()
-                again = self.host.next_due()
+                again = self.host.next_deadline()
                 due = again if again != due else None
             self.now = max(self.now, at)
             do(*args)
@@ -130,9 +148,9 @@
         self.result.sessions += 1
         title = min(int(self.dice.paretovariate(0.7)), 40)
         copies = min(6, self.plan.boxes)
-        cell = (title * 5) % self.host.settings.cells
+        cell = (title * 5) % self.host.settings.zone_count
         cls = self.dice.randrange(len(self.host.settings.classes))
-        self.host.ask(self.now, Ask(
+        self.host.request_session(self.now, SessionRequest(
             self._tickets, "none", f"s{self._tickets}", "p", f"lesson-{title}", title, cell, copies, cls, 4,
             3_000.0, f"tenant-{title % 7}",
         ))  # fmt: skip
@@ -141,7 +159,7 @@
     def _fall(self, box: int) -> None:
         """A box dies; the list learns of it, and of its new life, later."""
         self._alive.pop(box, None)
-        self.host.box_lost(self.now, box)
+        self.host.on_server_lost(self.now, box)
         self._at(self.now + 2_000.0, self._tell, box)
         self._at(self.now + self.dice.uniform(20_000.0, 120_000.0), self._rise, box)
 
@@ -151,17 +169,21 @@
         self._at(self.now + self.dice.expovariate(1.0 / (45.0 * _MINUTE)), self._fall, box)
 
     def _tell(self, box: int) -> None:
-        self._list(ListKind.DELTA, [box])
+        self._list(EndpointListKind.DELTA, [box])
 
-    def _list(self, kind: ListKind, boxes: list[int]) -> None:
+    def _list(self, kind: EndpointListKind, boxes: list[int]) -> None:
         entries = tuple(
-            ServerEntry(
-                box, ServerState.READY if box in self._alive else ServerState.GONE, self._alive.get(box, 0.0),
-                (box - 1) % self.host.settings.cells, 0, 1.0,
+            Endpoint(
+                box,
+                ServerState.READY if box in self._alive else ServerState.REMOVED,
+                self._alive.get(box, 0.0),
+                (box - 1) % self.host.settings.zone_count,
+                0,
+                1.0,
             )
             for box in boxes
-        )  # fmt: skip
-        self.host.box_list(self.now, ListUpdate(kind, 1, entries))
+        )
+        self.host.on_endpoint_list(self.now, EndpointListUpdate(kind, 1, entries))
 
     def _order(self) -> None:
         box = str(self.dice.randint(1, self.plan.boxes))
@@ -169,7 +191,7 @@
             del self.orders.drains[box]
         elif len(self.orders.drains) < 3:
             self.orders.drains[box] = Order("ann", int(self.now))
-        self.host.orders_changed(self.now)
+        self.host.on_operator_orders_changed(self.now)
         more = {"by": "ann", **self.orders.tables()}
         self.journal.add(self.now, What.ORDER, why=f"box {box}", more=more)
         self._at(self.now + 7.0 * _MINUTE, self._order)
@@ -178,39 +200,41 @@
         for command in self.host.step(self.now):
             if isinstance(command, SetUp):
                 self._at(self.now + self.dice.uniform(5.0, 60.0), self._set_up, command)
-            elif isinstance(command, SendProbe):
+            elif isinstance(command, SendHealthCheck):
                 self._at(self.now + 5.0, self._probe, command.server)
-            elif isinstance(command, Arm):
-                self._at(self.now + command.after_ms, self.host.timer_fired, self.now + command.after_ms,
+            elif isinstance(command, StartTimer):
+                self._at(self.now + command.delay_ms, self.host.on_timer, self.now + command.delay_ms,
                          command.token)  # fmt: skip
-            elif isinstance(command, Answer | Release):
+            elif isinstance(command, SessionReply | ReleaseSession):
                 pass  # viewers here leave by their own clock, and boxes do as they are told
-        self.result.most_held = max(self.result.most_held, self.host.sessions)
+        self.result.most_held = max(self.result.most_held, self.host.session_count)
 
     def _set_up(self, command: SetUp) -> None:
-        jti, box = command.session.jti, command.server
+        jti, box = command.request.session_id, command.server
         alive = box in self._alive
         fails = self.dice.random() < 0.01
         result = Result.CONNECT_FAILED if not alive else Result.FULL if fails else Result.OK
         report = {"x0": self._load(box), "x1": 0.3}
-        self.host.set_up_done(self.now, jti, command.attempt, SetUpResult(result, 20.0, report, "manifest"))
+        self.host.on_attempt_finished(
+            self.now, jti, command.attempt, SetUpResult(result, 20.0, report, "manifest")
+        )
         if result is Result.OK:
             at = self.now + self.dice.uniform(*self.plan.play_ms)
-            self._at(at, self.host.session_over, at, jti, command.attempt, Result.OK)
+            self._at(at, self.host.on_session_ended, at, jti, command.attempt, Result.OK)
             self._at(self.now + 10_000.0, self._news, jti, command.attempt, box)
 
     def _news(self, jti: str, attempt: int, box: int) -> None:
         held = self.host.session(jti)
-        if held is not None and held.phase is Phase.PLAYING:
-            self.host.note(self.now, jti, attempt, NoteKind.LINK, self._load(box))
+        if held is not None and held.phase is SessionPhase.PLAYING:
+            self.host.on_server_notice(self.now, jti, attempt, NoticeKind.LINK, self._load(box))
             self._at(self.now + 60_000.0, self._news, jti, attempt, box)
 
     def _load(self, box: int) -> float:
-        return min(len(self.host.playing_at(box)) / 60.0, 1.5)
+        return min(len(self.host.sessions_playing_at(box)) / 60.0, 1.5)
 
     def _probe(self, box: int) -> None:
         result = Result.OK if box in self._alive else Result.CONNECT_FAILED
-        self.host.probe_done(self.now, box, result, 2.0, {"x0": self._load(box), "x1": 0.3})
+        self.host.on_health_check_finished(self.now, box, result, 2.0, {"x0": self._load(box), "x1": 0.3})
 
     # --- the console ---
 
@@ -263,7 +287,7 @@
         minute = round(self.now / _MINUTE)
         if minute % 60 == 0:
             result.python_mb.append(tracemalloc.get_traced_memory()[0] / 1e6)
-            self.say(f"  {minute // 60} h: {self.host.sessions} sessions, {self.journal.last} entries, "
+            self.say(f"  {minute // 60} h: {self.host.session_count} sessions, {self.journal.last} entries, "
                      f"{result.python_mb[-1]:.1f} MB")  # fmt: skip
         self._at(self.now + _MINUTE, self._look)
 
@@ -274,14 +298,16 @@
         self._flush()
         picture = self.console.picture
         assert picture is not None
-        held = {jti: (one.phase.value, one.server if one.phase is not Phase.ASKED else -1)
-                for jti, one in self.host.held().items()}  # fmt: skip
+        held = {jti: (one.phase.value, one.server if one.phase is not SessionPhase.PENDING else -1)
+                for jti, one in self.host.records().items()}  # fmt: skip
         shown = {row.session: (row.phase, row.box) for row in picture.sessions.values()}
         if held != shown:
             result.wrong.append(f"{len(held.items() ^ shown.items())} sessions are shown otherwise than held")
         for box, row in picture.boxes.items():
-            if row.playing != len(self.host.playing_at(box)):
-                result.wrong.append(f"box {box}: {row.playing} shown, {len(self.host.playing_at(box))} held")
+            if row.playing != len(self.host.sessions_playing_at(box)):
+                result.wrong.append(
+                    f"box {box}: {row.playing} shown, {len(self.host.sessions_playing_at(box))} held"
+                )
             if (row.state == "draining") != (str(box) in self.orders.drains and box in self._alive):
                 result.wrong.append(f"box {box} is shown {row.state}")
         if picture.to_plain() != self.here.to_plain():
--- a/fernweir/rehearsal/virtual.py
+++ b/fernweir/rehearsal/virtual.py
@@ -340,7 +340,7 @@
 
     async def _stop(self) -> None:
         for number, front in sorted(self.fronts.items()):
-            open_answers = len(front.core.host.ledger)
+            open_answers = len(front.core.sessions.reply_ledger)
             whole = await front.stop(5.0)
             self.trace.write("front.down", front=f"front-{number}")
             if not whole or open_answers:
--- a/fernweir/wire.py
+++ b/fernweir/wire.py
@@ -8,36 +8,36 @@
 from dataclasses import dataclass
 
 from fernweir.interface import (
-    Abandoned,
     Action,
     Arrival,
-    Budget,
-    ColdRule,
-    Effect,
-    Ended,
+    AttemptEnded,
+    AttemptSucceeded,
+    CheckHealth,
+    ClientGone,
+    Endpoint,
+    EndpointListKind,
+    EndpointListUpdate,
     Event,
     Fail,
-    ListKind,
-    ListUpdate,
+    FrontMessage,
+    HealthCheckEnded,
+    Idempotency,
     Log,
-    Message,
     Move,
-    Note,
-    NoteKind,
+    NoticeKind,
     Place,
-    Probe,
-    Probed,
-    Refuse,
+    Reject,
     Result,
-    ServerEntry,
+    RetryBudget,
+    ServerNotice,
     ServerState,
     SessionClass,
+    SessionRecovered,
     SetRung,
+    SetTimer,
     Settings,
-    Started,
+    SlowStart,
     Subscribe,
-    TakenOver,
-    Timer,
     TimerFired,
     Viewer,
 )
@@ -113,7 +113,7 @@
     """Turns frame bodies into batches; keeps the numbered lists, which outlive a frame."""
 
     def __init__(self) -> None:
-        self._pages: dict[int, tuple[ServerEntry, ...]] = {}
+        self._pages: dict[int, tuple[Endpoint, ...]] = {}
 
     def decode(self, records: int, now_ms: float, number: int, body: bytes) -> Batch:
         reader = _Reader(body, number)
@@ -143,7 +143,7 @@
         for _ in range(int(count)):
             state, started, _, cell, kind, weight, server = reader.take(_ENTRY)
             state = ServerState(reader.enum(ServerState, state))
-            entries.append(ServerEntry(int(server), state, started, int(cell), int(kind), weight))
+            entries.append(Endpoint(int(server), state, started, int(cell), int(kind), weight))
         self._pages[int(page)] = tuple(entries)
 
     def _record(self, code: int, reader: _Reader, start: int) -> Event | Configure | Killed:
@@ -153,36 +153,38 @@
         if code == _TAKEN_OVER:
             rid, cls, _, key, title, left, work, cell, copies, top, marks, server = reader.take(_TAKEN)
             viewer = _viewer(rid, marks, top, work, key, left, title, cls, cell, copies)
-            return TakenOver(viewer, int(server))
+            return SessionRecovered(viewer, int(server))
         if code == _NOTE:
             rid, server, topic, shot, level = reader.take(struct.Struct("<IIBBf"))
-            kind = NoteKind(reader.enum(NoteKind, topic))
-            return Note(int(rid), int(server), int(shot), kind, level)
+            kind = NoticeKind(reader.enum(NoticeKind, topic))
+            return ServerNotice(int(rid), int(server), int(shot), kind, level)
         if code == _STARTED:
             rid, server, took, shot = reader.take(struct.Struct("<IIdB"))
-            return Started(int(rid), int(server), int(shot), took)
+            return AttemptSucceeded(int(rid), int(server), int(shot), took)
         if code == _ENDED:
             rid, server, result, closed, shot, took = reader.take(struct.Struct("<IIBBBd"))
             outcome = Result(reader.enum(Result, result))
-            return Ended(int(rid), int(server), int(shot), outcome, bool(closed), took, reader.report())
+            return AttemptEnded(
+                int(rid), int(server), int(shot), outcome, bool(closed), took, reader.report()
+            )
         if code == _ABANDONED:
-            return Abandoned(int(reader.take(struct.Struct("<I"))[0]))
+            return ClientGone(int(reader.take(struct.Struct("<I"))[0]))
         if code == _FIRED:
             return TimerFired(int(reader.take(struct.Struct("<I"))[0]))
         if code == _PROBED:
             took, result, server = reader.take(struct.Struct("<dBI"))
-            return Probed(int(server), Result(reader.enum(Result, result)), took, reader.report())
+            return HealthCheckEnded(int(server), Result(reader.enum(Result, result)), took, reader.report())
         if code == _MESSAGE:
             sender, count = reader.take(struct.Struct("<HH"))
-            return Message(int(sender), reader.raw(int(count)))
+            return FrontMessage(int(sender), reader.raw(int(count)))
         if code == _LIST:
             how, version, page = reader.take(struct.Struct("<BIB"))
-            list_kind = ListKind(reader.enum(ListKind, how))
-            if list_kind is ListKind.FAILED:
-                return ListUpdate(list_kind, int(version), ())
+            list_kind = EndpointListKind(reader.enum(EndpointListKind, how))
+            if list_kind is EndpointListKind.FAILED:
+                return EndpointListUpdate(list_kind, int(version), ())
             if int(page) not in self._pages:
                 raise WireError(f"{reader.where}: list {page} at byte {start} was never sent")
-            return ListUpdate(list_kind, int(version), self._pages[int(page)])
+            return EndpointListUpdate(list_kind, int(version), self._pages[int(page)])
         if code == _CONFIGURE:
             seed, count = reader.take(struct.Struct("<QI"))
             return Configure(int(seed), parse_settings(reader.raw(int(count))))
@@ -201,9 +203,9 @@
         raise WireError(f"session {rid}: a needed value is not a number")
     hint = float(work) if flags & _HINT_VALID and math.isfinite(work) and work >= 0 else None
     return Viewer(
-        session=int(rid), cls=int(cls), key=int(key), title=int(title), first_cell=int(cell),
-        copies=int(copies), top_rung=int(top), length_ms=hint, left_ms=float(left),
-        moved=bool(flags & _MOVED), returning=bool(flags & _RETURNING),
+        session=int(rid), class_index=int(cls), key=int(key), title=int(title), first_zone=int(cell),
+        replicas=int(copies), top_rung=int(top), length_ms=hint, remaining_ms=float(left),
+        was_moved=bool(flags & _MOVED), is_returning=bool(flags & _RETURNING),
     )  # fmt: skip
 
 
@@ -211,13 +213,13 @@
     match action:
         case Place(session, server, timeout):
             return struct.pack("<HIId", 320, session, server, timeout)
-        case Refuse(session, after):
+        case Reject(session, after):
             return struct.pack("<HId", 321, session, after)
         case Fail(session):
             return struct.pack("<HI", 322, session)
-        case Timer(token, after):
+        case SetTimer(token, after):
             return struct.pack("<HId", 324, token, after)
-        case Probe(server):
+        case CheckHealth(server):
             return struct.pack("<HI", 325, server)
         case Log(text):
             return encode_text(328, text)
@@ -298,7 +300,7 @@
     via = fields.table.get("Feedback.Via", "off")
     cold = budget = None
     if "Obligations.WarmUp" in fields.table and "Obligations.FallMultiple" in fields.table:
-        cold = ColdRule(
+        cold = SlowStart(
             fields.number("Obligations.WarmUp"),
             fields.number("Obligations.ColdFrom"),
             fields.number("Obligations.FallMultiple"),
@@ -306,33 +308,33 @@
         )
     if "Obligations.BudgetSpan" in fields.table:
         free, share = (fields.number(f"Obligations.{key}", 0.0) for key in ("FreeResends", "ExtraShare"))
-        budget = Budget(fields.number("Obligations.BudgetSpan"), free, share)
+        budget = RetryBudget(fields.number("Obligations.BudgetSpan"), free, share)
     cap = fields.optional("Limits.AttemptsCap")
     heeds = fields.flag("Limits.RetryAfter")
     return Settings(
         classes=tuple(_session_class(fields, place, count, len(rates)) for place in range(count)),
-        fronts=max(1, int(fields.number("Instances"))),
-        ordinal=int(fields.number("Ordinal")),
-        period_ms=fields.number("Period"),
-        cells=max(1, int(fields.number("Extra.Cells"))),
-        racks=max(1, int(fields.number("Extra.Groups"))),
-        rates_kb=rates,
-        worths=fields.numbers("Extra.LevelWorth"),
-        kind_streams=tuple(int(value) for value in fields.numbers("Extra.KindSlots")),
-        weight_kb=fields.number("Extra.WeightKb"),
-        uplink_kb=fields.optional("Extra.UplinkKb"),
+        front_count=max(1, int(fields.number("Instances"))),
+        front_index=int(fields.number("Ordinal")),
+        batch_period_ms=fields.number("Period"),
+        zone_count=max(1, int(fields.number("Extra.Cells"))),
+        rack_count=max(1, int(fields.number("Extra.Groups"))),
+        rung_rates_kbyte_s=rates,
+        rung_utilities=fields.numbers("Extra.LevelWorth"),
+        streams_by_server_type=tuple(int(value) for value in fields.numbers("Extra.KindSlots")),
+        link_rate_per_weight_kbyte_s=fields.number("Extra.WeightKb"),
+        uplink_rate_kbyte_s=fields.optional("Extra.UplinkKb"),
         switch_cost_s=fields.number("Extra.SwitchCostS", 0.0),
-        seen_after_ms=fields.number("Extra.SeenAfter", 0.0),
-        tell_ms=fields.number("Extra.Tell", 0.0),
+        report_delay_ms=fields.number("Extra.SeenAfter", 0.0),
+        report_interval_ms=fields.number("Extra.Tell", 0.0),
         report_fields=names if via != "off" else (),
         must_subscribe=fields.table.get("Discovery") == "subscribe",
-        may_probe=fields.flag("Limits.MayProbe"),
-        attempts_cap=None if cap is None else int(cap),
-        retry_after_max_ms=fields.optional("Limits.MaxRetryAfter") if heeds else None,
-        answer_slack_ms=fields.number("Obligations.AnswerSlack", 0.0),
+        may_check_health=fields.flag("Limits.MayProbe"),
+        max_attempts=None if cap is None else int(cap),
+        max_retry_after_ms=fields.optional("Limits.MaxRetryAfter") if heeds else None,
+        reply_slack_ms=fields.number("Obligations.AnswerSlack", 0.0),
         drain_grace_ms=fields.optional("Obligations.DrainGrace"),
-        cold=cold,
-        budget=budget,
+        slow_start=cold,
+        retry_budget=budget,
     )
 
 
@@ -345,16 +347,16 @@
 
     path = f"Categories.{place}"
     try:
-        effect = Effect(fields.text(f"{path}.Idempotency"))
+        effect = Idempotency(fields.text(f"{path}.Idempotency"))
     except ValueError:
         raise WireError(f"settings: {path}.Idempotency has an unreadable value") from None
     return SessionClass(
         name=fields.text(f"{path}.Name"),
-        aim_ms=fields.number(f"{path}.Aim"),
+        latency_objective_ms=fields.number(f"{path}.Aim"),
         deadline_ms=fields.number(f"{path}.Deadline"),
-        gain=fields.number(f"{path}.Gain"),
-        effect=effect,
-        scale=extra("ClassScale", 1.0),
+        priority_weight=fields.number(f"{path}.Gain"),
+        idempotency=effect,
+        rate_multiplier=extra("ClassScale", 1.0),
         lowest_rung=int(extra("LowestRung", 0)),
         top_rung=min(int(extra("ClassTop", rungs - 1)), rungs - 1),
         seats=int(extra("Seats", 0)),
--- a/tests/fuzzing/boxlist.py
+++ b/tests/fuzzing/boxlist.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from fernweir.front.boxlist import BoxList, ListError, ListGapError, read_document
-from fernweir.interface import ListKind
+from fernweir.interface import EndpointListKind
 from tests.fuzzing import Target, mutate, same
 from tests.helpers import SETTINGS
 
@@ -37,9 +37,9 @@
         boxes, lessons = document.get("boxes", []), document.get("lessons", [])
         if len({one["box"] for one in boxes}) < len(boxes):
             return "wrong"
-        if any(one["cell"] >= SETTINGS.cells for one in [*boxes, *lessons]):
+        if any(one["cell"] >= SETTINGS.zone_count for one in [*boxes, *lessons]):
             return "wrong"
-        if any(one["copies"] > SETTINGS.cells for one in lessons):
+        if any(one["copies"] > SETTINGS.zone_count for one in lessons):
             return "wrong"
         if base is None:
             self.boxes, self.lessons = {}, {}
@@ -90,11 +90,11 @@
             take = ours.take_whole if document.base is None else ours.take_changes
             update = take(now, document)
             said: Any = update and [
-                (one.server, _STATES[one.state], one.started_at, one.cell, one.weight)
+                (one.server, _STATES[one.state], one.started_at, one.zone, one.weight)
                 for one in update.entries
             ]
             if update is not None:
-                whole = update.kind is ListKind.FULL
+                whole = update.kind is EndpointListKind.FULL
                 same((whole, update.version), (document.base is None, document.version % 2**32), line)
         except ListGapError:
             said = "gap"
--- a/tests/fuzzing/feed.py
+++ b/tests/fuzzing/feed.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from fernweir.front.names import number_of
-from fernweir.interface import ListKind, ListUpdate
+from fernweir.interface import EndpointListKind, EndpointListUpdate
 from fernweir.node.feed import Feed, FeedError
 from tests.fuzzing import Target, mutate, same
 from tests.helpers import SETTINGS
@@ -110,12 +110,12 @@
         return name, (host, int(port)), (name, number, start, group, KINDS.index(line["type"]), weight)
 
 
-def _told(update: ListUpdate | None, names: dict[int, str]) -> Told | None:
+def _told(update: EndpointListUpdate | None, names: dict[int, str]) -> Told | None:
     if update is None:
         return None
-    kind = "whole" if update.kind is ListKind.FULL else "changes"
+    kind = "whole" if update.kind is EndpointListKind.FULL else "changes"
     entries = [
-        (names[one.server], int(one.state.value), one.started_at, one.cell, one.kind, one.weight)
+        (names[one.server], int(one.state.value), one.started_at, one.zone, one.server_type, one.weight)
         for one in update.entries
     ]
     return kind, update.version, entries
