--- a/tests/fuzzing/host.py
+++ b/tests/fuzzing/host.py
@@ -15,20 +15,20 @@
 from random import Random
 
 from fernweir.front.commands import (
-    Admit,
-    Answer,
-    Ask,
+    CheckEntitlement,
     Command,
-    Kind,
-    Left,
-    Over,
-    Release,
-    SendProbe,
+    EntitlementReleased,
+    ReleaseSession,
+    ReplyKind,
+    SendHealthCheck,
+    SessionOver,
+    SessionReply,
+    SessionRequest,
     SetUp,
     SetUpResult,
 )
-from fernweir.front.host import Held, Host, HostLimits, Phase
-from fernweir.interface import ListKind, ListUpdate, NoteKind, Result, ServerState
+from fernweir.front.session_manager import SessionLimits, SessionManager, SessionPhase, SessionRecord
+from fernweir.interface import EndpointListKind, EndpointListUpdate, NoticeKind, Result, ServerState
 from tests.fuzzing import Finding, Tape, Target, same
 from tests.helpers import SETTINGS, entry
 
@@ -41,7 +41,7 @@
 class Seen:
     """A session as an observer knows it."""
 
-    phase: Phase
+    phase: SessionPhase
     attempt: int
     server: int
     told: int = 0
@@ -55,23 +55,25 @@
         self.ended: list[str] = []
         self.turned: int = 0
 
-    def placed(self, now: float, held: Held) -> None:
-        self.held[held.ask.jti] = Seen(Phase.OUT, held.attempt, held.server)
+    def on_attempt_started(self, now: float, held: SessionRecord) -> None:
+        self.held[held.request.session_id] = Seen(SessionPhase.IN_FLIGHT, held.attempt, held.server)
 
-    def stands(self, now: float, held: Held) -> None:
-        self.held[held.ask.jti] = Seen(Phase.PLAYING, held.attempt, held.server, held.told)
+    def on_session_updated(self, now: float, held: SessionRecord) -> None:
+        self.held[held.request.session_id] = Seen(
+            SessionPhase.PLAYING, held.attempt, held.server, held.informed_viewers
+        )
 
-    def moved(self, now: float, held: Held) -> None:
-        same(held.ask.jti in self.held, True, "moved, and not held")
+    def on_session_moved(self, now: float, held: SessionRecord) -> None:
+        same(held.request.session_id in self.held, True, "moved, and not held")
 
-    def turned_away(self, now: float, ask: Ask, why: str) -> None:
+    def on_request_rejected(self, now: float, ask: SessionRequest, why: str) -> None:
         self.turned += 1
 
-    def over(self, now: float, held: Held, why: str) -> None:
-        self.held.pop(held.ask.jti, None)
-        self.ended.append(held.ask.jti)
+    def on_session_closed(self, now: float, held: SessionRecord, why: str) -> None:
+        self.held.pop(held.request.session_id, None)
+        self.ended.append(held.request.session_id)
 
-    def listed(self, now: float, update: ListUpdate) -> None:
+    def on_endpoint_list(self, now: float, update: EndpointListUpdate) -> None:
         pass
 
 
@@ -79,9 +81,9 @@
     def __init__(self, tape: Tape) -> None:
         self.tape, self.now, self.tickets, self.tokens = tape, 1_000.0, 0, 0
         self.gated, self.returns = tape.below(2) > 0, tape.below(2) > 0
-        settings = replace(SETTINGS, may_probe=tape.below(2) > 0)
-        limits = HostLimits(linger_ms=_LINGER_MS if self.returns else 0.0)
-        self.host = Host(settings, 7, limits, gated=self.gated)
+        settings = replace(SETTINGS, may_check_health=tape.below(2) > 0)
+        limits = SessionLimits(unclaimed_session_ttl_ms=_LINGER_MS if self.returns else 0.0)
+        self.host = SessionManager(settings, 7, limits, gated=self.gated)
         self.fold = Fold()
         self.host.observer = self.fold
         self.states = dict.fromkeys((1, 2, 3), ServerState.READY)
@@ -92,17 +94,17 @@
         self.runs: set[Run] = set()
         self.cut: set[Run] = set()  # released before their end came
         self.gone: set[Run] = set()  # ended in this turn: what is said of them crosses that
-        self.given: list[Ask] = []  # let go in this turn
-        self.asked: list[Admit] = []
+        self.given: list[SessionRequest] = []  # let go in this turn
+        self.asked: list[CheckEntitlement] = []
         self.admitted: set[str] = set()  # who still owes a `Left`
         self.lives = 0
-        self.plays: list[Answer] = []  # said in this turn
+        self.plays: list[SessionReply] = []  # said in this turn
         self.probes: list[int] = []
         self.step()
 
     def tell(self, boxes: tuple[int, ...]) -> None:
         entries = tuple(entry(box, cell=box, state=self.states[box]) for box in boxes)
-        self.host.box_list(self.now, ListUpdate(ListKind.DELTA, 2, entries))
+        self.host.on_endpoint_list(self.now, EndpointListUpdate(EndpointListKind.DELTA, 2, entries))
 
     # --- commands ---
 
@@ -114,50 +116,50 @@
         self.given.clear()
 
     def do(self, command: Command) -> None:
-        if isinstance(command, Answer):
+        if isinstance(command, SessionReply):
             due = self.due.pop(command.ticket, None)
             if due is None or self.now > due:
                 raise Finding(f"{command} comes twice, late, or to nobody")
-            self.refused_or_failed += command.kind is not Kind.PLAYS
-            if command.kind is Kind.PLAYS:
+            self.refused_or_failed += command.kind is not ReplyKind.PLAYS
+            if command.kind is ReplyKind.PLAYS:
                 self.plays.append(command)
         elif isinstance(command, SetUp):
-            jti = command.session.jti
-            if jti in self.out or self.host.held()[jti].phase is not Phase.OUT:
+            jti = command.request.session_id
+            if jti in self.out or self.host.records()[jti].phase is not SessionPhase.IN_FLIGHT:
                 raise Finding(f"two attempts of {jti}")
-            if self.host.still_wanted(jti, command.attempt):
+            if self.host.is_attempt_wanted(jti, command.attempt):
                 self.out[jti] = command
             else:
-                end = SetUpResult(Result.MOOT, 1.0, {})
-                self.host.set_up_done(self.now, jti, command.attempt, end)
-        elif isinstance(command, Release):
-            run = (command.jti, command.attempt, command.server)
-            out = self.out.get(command.jti)
+                end = SetUpResult(Result.NOT_SENT, 1.0, {})
+                self.host.on_attempt_finished(self.now, jti, command.attempt, end)
+        elif isinstance(command, ReleaseSession):
+            run = (command.session_id, command.attempt, command.server)
+            out = self.out.get(command.session_id)
             if run in self.runs:
                 self.runs.discard(run)
             elif out is not None and (out.attempt, out.server) == run[1:]:
                 self.cut.add(run)
             elif run not in self.gone:
                 raise Finding(f"{run} is released, and does not run")
-        elif isinstance(command, Over):
-            if any(command.session is ask for ask in self.given):
+        elif isinstance(command, SessionOver):
+            if any(command.request is ask for ask in self.given):
                 raise Finding(f"{command} was let go")
-        elif isinstance(command, Admit):
-            if command.session.jti in self.admitted:
-                raise Finding(f"{command.session.jti} is admitted twice")
-            self.admitted.add(command.session.jti)
+        elif isinstance(command, CheckEntitlement):
+            if command.request.session_id in self.admitted:
+                raise Finding(f"{command.request.session_id} is admitted twice")
+            self.admitted.add(command.request.session_id)
             self.asked.append(command)
-        elif isinstance(command, Left):
-            if command.jti not in self.admitted:
-                raise Finding(f"{command.jti} left, and was not there")
-            self.admitted.discard(command.jti)
-        elif isinstance(command, SendProbe):
+        elif isinstance(command, EntitlementReleased):
+            if command.session_id not in self.admitted:
+                raise Finding(f"{command.session_id} left, and was not there")
+            self.admitted.discard(command.session_id)
+        elif isinstance(command, SendHealthCheck):
             self.probes.append(command.server)
 
     def pass_(self, ms: float) -> None:
         self.step()
         end = self.now + ms
-        while (due := self.host.next_due()) is not None and due < end:
+        while (due := self.host.next_deadline()) is not None and due < end:
             self.now = max(due, self.now)
             self.step()
         self.now = end
@@ -169,55 +171,55 @@
         tape, host, now = self.tape, self.host, self.now
         what, jti = tape.below(20), self.token()
         held = host.session(jti)
-        playing = held is not None and held.phase is Phase.PLAYING
+        playing = held is not None and held.phase is SessionPhase.PLAYING
         if what <= 3:
             self.ask(jti if self.returns else self.fresh())
         elif what == 4 and self.due:
             ticket = tape.one(sorted(self.due))
-            if ticket in host.ledger:
+            if ticket in host.reply_ledger:
                 del self.due[ticket]
-            host.withdraw(now, ticket)
+            host.withdraw_request(now, ticket)
         elif what <= 8 and self.out:
             self.end(self.out.pop(tape.one(sorted(self.out))))
         elif what == 9 and playing:
             assert held is not None
             self.ended((jti, held.attempt, held.server))
-            host.session_over(now, jti, held.attempt, tape.one((Result.OK, Result.RESET)))
+            host.on_session_ended(now, jti, held.attempt, tape.one((Result.OK, Result.RESET)))
         elif what == 10:
-            same(host.release(now, jti), playing, jti)
+            same(host.release_session(now, jti), playing, jti)
         elif what == 11:
             self.let_go(jti, held, playing)
         elif what == 12:
             self.take_over(jti if self.returns else self.fresh())
         elif what == 13:
             box = 1 + tape.below(3)
-            self.states[box] = tape.one((ServerState.READY, ServerState.DRAINING, ServerState.GONE))
+            self.states[box] = tape.one((ServerState.READY, ServerState.DRAINING, ServerState.REMOVED))
             self.tell((box,))
         elif what == 14:
             box = 1 + tape.below(3)
             if tape.below(2):
                 seen = self.fold.held.values()
-                lost = sum((one.phase, one.server) == (Phase.PLAYING, box) for one in seen)
+                lost = sum((one.phase, one.server) == (SessionPhase.PLAYING, box) for one in seen)
                 self.gone |= {one for one in self.runs if one[2] == box}
                 self.runs = {one for one in self.runs if one[2] != box}
-                same(host.box_lost(now, box), lost, "sessions that a box takes with it")
+                same(host.on_server_lost(now, box), lost, "sessions that a box takes with it")
             else:
-                host.box_doubtful(box, tape.below(2) > 0)
+                host.on_server_silence_changed(box, tape.below(2) > 0)
         elif what == 15 and self.asked:
             verdict = self.asked.pop(tape.below(len(self.asked)))
-            host.admitted(now, verdict.session.jti, tape.below(3) > 0, "no seat", 100.0)
+            host.on_entitlement_decided(now, verdict.request.session_id, tape.below(3) > 0, "no seat", 100.0)
         elif what == 16:
             if tape.below(2):
-                host.revoke(now, jti, "lapsed")
+                host.revoke_session(now, jti, "lapsed")
             elif held is not None:
-                host.note(now, jti, tape.below(3), NoteKind.RUNG, float(tape.below(5)))
+                host.on_server_notice(now, jti, tape.below(3), NoticeKind.RUNG, float(tape.below(5)))
         elif what == 17 and self.plays:
-            host.unheard(now, self.plays.pop())
+            host.on_reply_undelivered(now, self.plays.pop())
         elif what == 18 and self.probes:
             result = Result.OK if tape.below(2) else Result.TIMEOUT
-            host.probe_done(now, self.probes.pop(), result, 1.0, {"x0": 0.2, "x1": 0.2})
+            host.on_health_check_finished(now, self.probes.pop(), result, 1.0, {"x0": 0.2, "x1": 0.2})
         else:
-            host.timer_fired(now, 1)
+            host.on_timer(now, 1)
         if tape.below(2):
             self.pass_(tape.one((0.0, 1.0, 30.0, 250.0, 600.0, 4_000.0)))
 
@@ -226,26 +228,26 @@
         self.gone.add(run)
 
     def token(self) -> str:
-        if self.returns or not self.host.held():
+        if self.returns or not self.host.records():
             return self.tape.one("abcd")
-        return self.tape.one(sorted(self.host.held()))
+        return self.tape.one(sorted(self.host.records()))
 
     def fresh(self) -> str:
         self.tokens += 1
         return f"n{self.tokens}"
 
-    def request(self, jti: str, wait_ms: float) -> Ask:
+    def request(self, jti: str, wait_ms: float) -> SessionRequest:
         cls = self.tape.below(2)
-        return Ask(self.tickets, "dash", jti, "who", "lesson", 5, 0, 4, cls, 3, wait_ms)
+        return SessionRequest(self.tickets, "dash", jti, "who", "lesson", 5, 0, 4, cls, 3, wait_ms)
 
     def ask(self, jti: str) -> None:
         wait = self.tape.one((4_000.0, 400.0, 50.0, 4_000.0))
         self.tickets += 1
         self.due[self.tickets] = self.now + wait
-        self.host.ask(self.now, self.request(jti, wait))
+        self.host.request_session(self.now, self.request(jti, wait))
 
     def end(self, setup: SetUp) -> None:
-        jti, result = setup.session.jti, self.tape.one((Result.OK, Result.OK, *Result))
+        jti, result = setup.request.session_id, self.tape.one((Result.OK, Result.OK, *Result))
         run = (jti, setup.attempt, setup.server)
         if run in self.cut:
             self.cut.discard(run)
@@ -254,15 +256,15 @@
         else:
             self.gone.add(run)
         payload = "manifest" if result is Result.OK else None
-        self.host.set_up_done(
+        self.host.on_attempt_finished(
             self.now, jti, setup.attempt, SetUpResult(result, 5.0, {"x0": 0.1, "x1": 0.1}, payload)
         )
 
-    def let_go(self, jti: str, held: Held | None, playing: bool) -> None:
+    def let_go(self, jti: str, held: SessionRecord | None, playing: bool) -> None:
         run = (jti, held.attempt, held.server) if held is not None else ("", 0, 0)
-        same(self.host.let_go(self.now, jti), playing, jti)
+        same(self.host.hand_over_session(self.now, jti), playing, jti)
         if held is not None and playing:
-            self.given.append(held.ask)
+            self.given.append(held.request)
             self.runs.discard(run)  # whatever is said of it from now on is a fault
             same(self.host.session(jti), None, "let go, and held")
 
@@ -270,40 +272,41 @@
         box, attempt = 1 + self.tape.below(4), self.tape.below(3)
         run = (jti, attempt, box)
         free = (
-            self.host.session(jti) is None and self.states.get(box, ServerState.GONE) is not ServerState.GONE
+            self.host.session(jti) is None
+            and self.states.get(box, ServerState.REMOVED) is not ServerState.REMOVED
         )
         if free and (run in self.runs or run in self.gone or jti in self.out):
             return  # no peer has what this front has not let go of yet
         told, answerable = self.tape.below(2), self.tape.below(4) > 0
         ask = replace(self.request(jti, 0.0), ticket=0)
         rung = self.tape.one((None, 1))
-        taken = self.host.take_over(
+        taken = self.host.adopt_session(
             self.now, ask, box, attempt=attempt, rung=rung, told=told, answerable=answerable
         )
         same(taken, free, (jti, box))
         if taken:
             self.runs.add(run)
-            self.fold.held[jti] = Seen(Phase.PLAYING, attempt, box, told)
+            self.fold.held[jti] = Seen(SessionPhase.PLAYING, attempt, box, told)
 
     # --- what must hold ---
 
     def agree(self) -> None:
-        held = self.host.held()
+        held = self.host.records()
         for jti, one in held.items():
-            if one.phase in (Phase.OUT, Phase.PLAYING):
+            if one.phase in (SessionPhase.IN_FLIGHT, SessionPhase.PLAYING):
                 seen = self.fold.held.get(jti)
                 ours = (one.phase, one.attempt, one.server)
                 same(ours, seen and (seen.phase, seen.attempt, seen.server), jti)
-                if one.phase is Phase.PLAYING and (jti, one.attempt, one.server) not in self.runs:
+                if one.phase is SessionPhase.PLAYING and (jti, one.attempt, one.server) not in self.runs:
                     raise Finding(f"{jti} plays, and runs nowhere")
         same(sorted(set(self.fold.held) - set(held)), [], "over, and not told")
 
     def quiet(self) -> None:
         """Nothing of this turn is left to be done: boxes run what is held, and nothing else."""
-        held = self.host.held()
+        held = self.host.records()
         for jti, attempt, server in self.runs:
             one = held.get(jti)
-            if one is None or (one.phase, one.attempt, one.server) != (Phase.PLAYING, attempt, server):
+            if one is None or (one.phase, one.attempt, one.server) != (SessionPhase.PLAYING, attempt, server):
                 raise Finding(f"{jti} runs at {server}, attempt {attempt}: {one}")
         if self.gated and not set(held) <= self.admitted:
             raise Finding(f"held without a seat asked for: {set(held) - self.admitted}")
@@ -316,15 +319,15 @@
             self.pass_(1_000.0)
             self.quiet()
         same(self.due, {}, "requests without an answer")
-        same((len(self.host.ledger), self.host._by_ticket), (0, {}), "tickets left")
-        for jti in list(self.host.held()):
-            self.host.revoke(self.now, jti, "the end")
+        same((len(self.host.reply_ledger), self.host._by_ticket), (0, {}), "tickets left")
+        for jti in list(self.host.records()):
+            self.host.revoke_session(self.now, jti, "the end")
         self.pass_(5_000.0)
         for _ in range(3):
             while self.out:
                 self.end(self.out.pop(min(self.out)))
-            for jti in list(self.host.held()):
-                self.host.revoke(self.now, jti, "the end")
+            for jti in list(self.host.records()):
+                self.host.revoke_session(self.now, jti, "the end")
             self.pass_(5_000.0)
         self.agree()
         same((self.runs, self.admitted, self.host._at_server), (set(), set(), {}), "left behind")
--- a/tests/golden_decisions.py
+++ b/tests/golden_decisions.py
@@ -18,7 +18,7 @@
 from unittest import mock
 
 from fernweir.adapter import serve
-from fernweir.brain import Controller
+from fernweir.controller import Controller
 from fernweir.front.record import read_record
 from fernweir.interface import Action, Event
 from fernweir.rehearsal.loop import MemoryTransport
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -36,7 +36,7 @@
 from fernweir.dash.mpd import read_mpd
 from fernweir.entitlement import client as leases
 from fernweir.entitlement import introspect
-from fernweir.front import boxlist, introspection, usecheck
+from fernweir.front import boxlist, introspection, seat_reconciliation
 from fernweir.front.record import from_plain, to_plain
 from fernweir.http import client as http_client
 from fernweir.http import parse as http
@@ -71,27 +71,27 @@
     # Settings, events and actions of the controller.
     "settings": interface.Settings,
     "session-class": interface.SessionClass,
-    "retry-budget": interface.Budget,
-    "slow-start": interface.ColdRule,
-    "server-entry": interface.ServerEntry,
-    "list-update": interface.ListUpdate,
+    "retry-budget": interface.RetryBudget,
+    "slow-start": interface.SlowStart,
+    "server-entry": interface.Endpoint,
+    "list-update": interface.EndpointListUpdate,
     "viewer": interface.Viewer,
     "arrival": interface.Arrival,
-    "taken-over": interface.TakenOver,
-    "started": interface.Started,
-    "ended": interface.Ended,
-    "abandoned": interface.Abandoned,
-    "note": interface.Note,
+    "taken-over": interface.SessionRecovered,
+    "started": interface.AttemptSucceeded,
+    "ended": interface.AttemptEnded,
+    "abandoned": interface.ClientGone,
+    "note": interface.ServerNotice,
     "timer-fired": interface.TimerFired,
-    "probed": interface.Probed,
-    "front-message": interface.Message,
+    "probed": interface.HealthCheckEnded,
+    "front-message": interface.FrontMessage,
     "place": interface.Place,
     "set-rung": interface.SetRung,
     "move": interface.Move,
-    "refuse": interface.Refuse,
+    "refuse": interface.Reject,
     "fail": interface.Fail,
-    "timer": interface.Timer,
-    "probe": interface.Probe,
+    "timer": interface.SetTimer,
+    "probe": interface.CheckHealth,
     "subscribe": interface.Subscribe,
     "log": interface.Log,
     # The simulator's wire.
@@ -145,9 +145,9 @@
     "lease-reply": book.Reply,
     "introspection": introspection.Introspection,
     "introspection-told": introspect.Told,
-    "use-page": usecheck.UsePage,
-    "use-lease": usecheck.UseLease,
-    "use-place": usecheck.UsePlace,
+    "use-page": seat_reconciliation.UsePage,
+    "use-lease": seat_reconciliation.UseLease,
+    "use-place": seat_reconciliation.UsePlace,
     # Audit traces.
     "trace-terms": audit.Terms,
     "trace-class": audit.TermsClass,
@@ -610,9 +610,23 @@
     """A viewer's set-up line as a request, in the order of its fields here."""
     ask, at = Requests(interface_settings()).read(jsonl.read(data), 7)
     return [
-        ask.ticket, ask.via, ask.jti, ask.who, ask.title_name, ask.title, ask.first_cell, ask.copies, ask.cls,
-        ask.top_rung, ask.wait_ms, ask.tenant, ask.key, ask.returning, ask.body, at,
-    ]  # fmt: skip
+        ask.ticket,
+        ask.protocol,
+        ask.session_id,
+        ask.subject,
+        ask.title_name,
+        ask.title,
+        ask.first_zone,
+        ask.replicas,
+        ask.class_index,
+        ask.top_rung,
+        ask.max_wait_ms,
+        ask.tenant,
+        ask.viewer_key,
+        ask.is_returning,
+        ask.body,
+        at,
+    ]
 
 
 def read_feed(data: bytes) -> Any:
@@ -792,7 +806,7 @@
     "lease-replies": Format(read_lease_reply),
     "lease-answer": Format(leases.LeaseAnswer.model_validate_json),
     "introspection": Format(read_introspection),
-    "use-page": Format(usecheck.UsePage.model_validate_json),
+    "use-page": Format(seat_reconciliation.UsePage.model_validate_json),
 }
 
 
--- a/tests/golden_names.py
+++ b/tests/golden_names.py
@@ -49,18 +49,18 @@
 }
 # Enums whose members' values are stored, sent, or shown; the other ones never leave the process.
 ENUMS: dict[str, type[Enum]] = {
-    "effect": interface.Effect,
+    "effect": interface.Idempotency,
     "server-state": interface.ServerState,
-    "list-kind": interface.ListKind,
+    "list-kind": interface.EndpointListKind,
     "result": interface.Result,
-    "note-kind": interface.NoteKind,
+    "note-kind": interface.NoticeKind,
     "journal-event": events.What,
     "order-kind": orders.Do,
     "order-outcome": orders.Outcome,
     "frame-type": frames.Type,
     "frame-parameter": frames.Code,
     "token-fault": claims.TokenFault,
-    "reply-kind": commands.Kind,
+    "reply-kind": commands.ReplyKind,
     "http-outcome": client.Outcome,
     "introspection-word": introspect.Word,
     "seat-operation": book.Op,
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -19,7 +19,7 @@
 
 from fernweir.front import peering as front_peering
 from fernweir.front.boxlist import BoxList, read_document
-from fernweir.interface import Effect, Settings
+from fernweir.interface import Idempotency, Settings
 from fernweir.node import peering as node_peering
 from fernweir.peers import foresight, lateness, peer, replacing, weighing
 from fernweir.peers.acts import desk, plan, segment, versions
@@ -391,12 +391,12 @@
 
 
 def _all_settings() -> Settings:
-    classes = [replace(CLASS, name=str(effect.value), effect=effect) for effect in Effect]
-    return replace(SETTINGS, classes=tuple(classes), cold=COLD, budget=BUDGET, ordinal=3)
+    classes = [replace(CLASS, name=str(effect.value), idempotency=effect) for effect in Idempotency]
+    return replace(SETTINGS, classes=tuple(classes), slow_start=COLD, retry_budget=BUDGET, front_index=3)
 
 
 def _few_settings() -> Settings:
-    unset = {"uplink_kb": None, "attempts_cap": None, "retry_after_max_ms": None, "drain_grace_ms": None}
+    unset = dict.fromkeys(("uplink_rate_kbyte_s", "max_attempts", "max_retry_after_ms", "drain_grace_ms"))
     return replace(SETTINGS, classes=(CLASS,), **unset)  # type: ignore[arg-type]
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,84 +4,84 @@
 
 from dataclasses import replace
 
-from fernweir.brain import Controller
+from fernweir.controller import Controller
 from fernweir.interface import (
     Action,
     Arrival,
-    Budget,
-    ColdRule,
-    Effect,
-    Ended,
+    AttemptEnded,
+    AttemptSucceeded,
+    Endpoint,
+    EndpointListKind,
+    EndpointListUpdate,
     Event,
-    ListKind,
-    ListUpdate,
-    Note,
-    NoteKind,
+    Idempotency,
+    NoticeKind,
     Place,
     Result,
-    ServerEntry,
+    RetryBudget,
+    ServerNotice,
     ServerState,
     SessionClass,
+    SessionRecovered,
     SetRung,
     Settings,
-    Started,
-    TakenOver,
+    SlowStart,
     TimerFired,
     Viewer,
 )
 
 CLASS = SessionClass(
     name="film",
-    aim_ms=1000.0,
+    latency_objective_ms=1000.0,
     deadline_ms=4000.0,
-    gain=1.0,
-    effect=Effect.REPEATABLE,
-    scale=1.0,
+    priority_weight=1.0,
+    idempotency=Idempotency.IDEMPOTENT,
+    rate_multiplier=1.0,
     lowest_rung=0,
     top_rung=3,
     seats=0,
 )
 SETTINGS = Settings(
-    classes=(CLASS, replace(CLASS, name="course", lowest_rung=1, gain=3.0)),
-    fronts=1,
-    ordinal=0,
-    period_ms=10.0,
-    cells=4,
-    racks=2,
-    rates_kb=(100.0, 200.0, 400.0, 800.0),
-    worths=(0.25, 0.5, 0.8, 1.0),
-    kind_streams=(20,),
-    weight_kb=2000.0,
-    uplink_kb=6000.0,
+    classes=(CLASS, replace(CLASS, name="course", lowest_rung=1, priority_weight=3.0)),
+    front_count=1,
+    front_index=0,
+    batch_period_ms=10.0,
+    zone_count=4,
+    rack_count=2,
+    rung_rates_kbyte_s=(100.0, 200.0, 400.0, 800.0),
+    rung_utilities=(0.25, 0.5, 0.8, 1.0),
+    streams_by_server_type=(20,),
+    link_rate_per_weight_kbyte_s=2000.0,
+    uplink_rate_kbyte_s=6000.0,
     switch_cost_s=0.5,
-    seen_after_ms=500.0,
-    tell_ms=2000.0,
+    report_delay_ms=500.0,
+    report_interval_ms=2000.0,
     report_fields=("x0", "x1"),
     must_subscribe=False,
-    may_probe=True,
-    attempts_cap=3,
-    retry_after_max_ms=1000.0,
-    answer_slack_ms=40.0,
+    may_check_health=True,
+    max_attempts=3,
+    max_retry_after_ms=1000.0,
+    reply_slack_ms=40.0,
     drain_grace_ms=1000.0,
-    cold=None,
-    budget=None,
+    slow_start=None,
+    retry_budget=None,
 )
-COLD = ColdRule(warm_up_ms=10_000.0, cold_from=0.5, fall_multiple=2.5, fall_ms=3000.0)
-BUDGET = Budget(span_ms=10_000.0, free=1.0, share=0.0)
+COLD = SlowStart(window_ms=10_000.0, initial_factor=0.5, overload_multiple=2.5, overload_window_ms=3000.0)
+BUDGET = RetryBudget(window_ms=10_000.0, min_retries=1.0, retry_ratio=0.0)
 
 
-def entry(server: int, cell: int = 0, weight: float = 1.0, **more: object) -> ServerEntry:
-    base = ServerEntry(server, ServerState.READY, 0.0, cell, 0, weight)
+def entry(server: int, cell: int = 0, weight: float = 1.0, **more: object) -> Endpoint:
+    base = Endpoint(server, ServerState.READY, 0.0, cell, 0, weight)
     return replace(base, **more)  # type: ignore[arg-type]
 
 
 class Front:
     """One controller, a clock, and the events said shortly."""
 
-    def __init__(self, *entries: ServerEntry, settings: Settings = SETTINGS, seed: int = 7) -> None:
+    def __init__(self, *entries: Endpoint, settings: Settings = SETTINGS, seed: int = 7) -> None:
         self.brain = Controller(settings, seed)
         self.now = 0.0
-        self.send(ListUpdate(ListKind.FULL, 1, entries or (entry(1), entry(2, cell=1))))
+        self.send(EndpointListUpdate(EndpointListKind.FULL, 1, entries or (entry(1), entry(2, cell=1))))
 
     def send(self, *events: Event, after: float = 10.0) -> list[Action]:
         self.now += after
@@ -93,20 +93,20 @@
     def start(self, session: int, cls: int = 0, **more: object) -> Place:
         """Asks, and lets the set-up succeed."""
         place = placed(self.ask(session, cls, **more))[0]
-        self.send(Started(session, place.server, 0, 100.0))
+        self.send(AttemptSucceeded(session, place.server, 0, 100.0))
         return place
 
     def end(
         self, session: int, server: int, result: Result, attempt: int = 0, closed: bool = False
     ) -> list[Action]:
-        return self.send(Ended(session, server, attempt, result, closed, 100.0, ()))
+        return self.send(AttemptEnded(session, server, attempt, result, closed, 100.0, ()))
 
-    def note(self, session: int, server: int, kind: NoteKind, level: float) -> list[Action]:
-        return self.send(Note(session, server, 0, kind, level))
+    def note(self, session: int, server: int, kind: NoticeKind, level: float) -> list[Action]:
+        return self.send(ServerNotice(session, server, 0, kind, level))
 
     def take_over(self, session: int, server: int, rung: int, cls: int = 0, **more: object) -> list[Action]:
-        over = TakenOver(viewer(session, cls, **more), server)
-        return self.send(over, Note(session, server, 0, NoteKind.RUNG, float(rung)))
+        over = SessionRecovered(viewer(session, cls, **more), server)
+        return self.send(over, ServerNotice(session, server, 0, NoticeKind.RUNG, float(rung)))
 
     def tick(self, after: float = 250.0) -> list[Action]:
         return self.send(TimerFired(1), after=after)
@@ -115,16 +115,16 @@
 def viewer(session: int, cls: int = 0, **more: object) -> Viewer:
     base = Viewer(
         session=session,
-        cls=cls,
+        class_index=cls,
         key=session,
         title=5,
-        first_cell=0,
-        copies=4,
+        first_zone=0,
+        replicas=4,
         top_rung=3,
         length_ms=None,
-        left_ms=4000.0,
-        moved=False,
-        returning=False,
+        remaining_ms=4000.0,
+        was_moved=False,
+        is_returning=False,
     )
     return replace(base, **more)  # type: ignore[arg-type]
 
--- a/tests/node_scene.py
+++ b/tests/node_scene.py
@@ -24,7 +24,7 @@
 from tests.sockets import HOST, Far, SteppedLoop, until
 
 OFFER = "9d41c07a\r\nc=IN IP4 10.4.7.9\r\nm=audio 31000 RTP/AVP 0\r\n"
-PLAIN = replace(SETTINGS, may_probe=False)
+PLAIN = replace(SETTINGS, may_check_health=False)
 
 
 class Told(AssertionError):
@@ -261,7 +261,7 @@
 
     def line(self, name: str, status: str = "up", since_ms: float = 0) -> dict[str, Any]:
         host, port = self.servers[name].address
-        cell = list(self.servers).index(name) % self.settings.cells
+        cell = list(self.servers).index(name) % self.settings.zone_count
         return {
             "name": name, "address": f"{host}:{port}", "zone": "z", "type": "box", "group": cell,
             "status": status, "weight": 1, "since_ms": since_ms,
@@ -292,7 +292,7 @@
         return [(name, frame) for name, server in self.servers.items() for frame in server.setups]
 
     def brain_server(self, name: str) -> Any:
-        return self.node.core.host.controller.servers[number_of(name)]
+        return self.node.core.sessions.controller.servers[number_of(name)]
 
     def stop(self) -> None:
         self.node.stop()
@@ -561,9 +561,11 @@
         self.look()
         core, servers = self.node.core, self.node.servers
         assert self.faults == [] and self.loop.faults == [], (self.faults, self.loop.faults)
-        assert len(core.host.ledger) == 0 and not core._answers and not self.node.viewers.open
+        assert (
+            len(core.sessions.reply_ledger) == 0 and not core._reply_callbacks and not self.node.viewers.open
+        )
         for name, server in self.far.items():
-            held = set(core.host.playing_at(number_of(name)))
+            held = set(core.sessions.sessions_playing_at(number_of(name)))
             assert server.standing() <= held, f"{name} holds {server.standing() - held}, which nobody holds"
         for link in servers.links.values():
             assert not link.attempts and not link.tests and not link.broken, link
@@ -571,7 +573,7 @@
         tables = (door._fresh, door._idle, door._busy, door._parting, door._halves, viewers.spoken)
         assert all(viewers._made.issuperset(table) for table in tables), tables
         assert not door._busy and not any(one.visit.requests for one in viewers._made)
-        assert set(viewers.home) <= set(core.host.held()) and not core.host._by_ticket
+        assert set(viewers.home) <= set(core.sessions.records()) and not core.sessions._by_ticket
         taking, there = (one.visit.takes for one in viewers._made), (not one.over for one in self.viewers)
         assert sum(taking) <= sum(there), "connections of viewers that are gone"
 
--- a/tests/peers_mutants/fuzz.py
+++ b/tests/peers_mutants/fuzz.py
@@ -7,9 +7,13 @@
 _LINES, _FRAMES, _FEED = "fernweir/node/jsonl.py", "fernweir/node/frames.py", "fernweir/node/feed.py"
 _HTTP, _SSE, _INI = "fernweir/http/parse.py", "fernweir/http/sse.py", "fernweir/config/ini.py"
 _CODEC = "fernweir/peers/wire/codec.py"
-_LEDGER, _BOXES, _DISK = "fernweir/front/ledger.py", "fernweir/front/boxlist.py", "fernweir/journal/disk.py"
+_LEDGER, _BOXES, _DISK = (
+    "fernweir/front/reply_ledger.py",
+    "fernweir/front/boxlist.py",
+    "fernweir/journal/disk.py",
+)
 _STORE = "fernweir/journal/store.py"
-_HOST, _BOOK = "fernweir/front/host.py", "fernweir/seats/book.py"
+_HOST, _BOOK = "fernweir/front/session_manager.py", "fernweir/seats/book.py"
 _DESK, _TABLE = "fernweir/peers/forward/desk.py", "fernweir/peers/members/table.py"
 
 BY_TARGET: dict[str, list[Mutant]] = {
@@ -69,7 +73,13 @@
         Mutant("sixteen messages", _CODEC, "if count < 16", "if count <= 16", 200),
     ],
     "ledger": [
-        Mutant("one that is due now waits", _LEDGER, "self._due[0][0] <= now:", "self._due[0][0] < now:", 30),
+        Mutant(
+            "one that is due now waits",
+            _LEDGER,
+            "self._deadlines[0][0] <= now:",
+            "self._deadlines[0][0] < now:",
+            30,
+        ),
         Mutant(
             "an answered one falls due",
             _LEDGER,
@@ -142,18 +152,18 @@
         Mutant(
             "an end of what was let go",
             _HOST,
-            """self._close(held, Result.CANCELLED, "another front's now", let_go=True)""",
-            """self._end(held, Result.CANCELLED, "another front's now")""",
+            """self._close_session(held, Result.CANCELLED, "another front's now", let_go=True)""",
+            """self._end_session(held, Result.CANCELLED, "another front's now")""",
             60,
         ),
         Mutant(
             "an end that nobody is told",
             _HOST,
-            "self.observer.over(self._now, held, why)",
-            "held.told = held.told",
+            "self.observer.on_session_closed(self._now, held, why)",
+            "held.informed_viewers = held.informed_viewers",
             30,
         ),
-        Mutant("taken over twice", _HOST, "if ask.jti in self._held or ", "if ", 100),
+        Mutant("taken over twice", _HOST, "ask.session_id in self._records\n            or ", "", 100),
         Mutant(
             "doubtful ends not released",
             _HOST,
@@ -164,29 +174,31 @@
         Mutant(
             "nobody waits, nothing released",
             _HOST,
-            "            self._release(held, why)\n            self._close(held, Result.CANCELLED, why)",
-            "            self._close(held, Result.CANCELLED, why)",
+            "            self._release_at_server(held, why)\n"
+            "            self._close_session(held, Result.CANCELLED, why)",
+            "            self._close_session(held, Result.CANCELLED, why)",
             200,
         ),
         Mutant(
             "a seat not given back",
             _HOST,
-            "        if self._gated:\n            self._out.append(Left",
-            "        if self._gated and held.told:\n            self._out.append(Left",
+            "        if self._checks_entitlement:\n            self._commands.append(EntitlementReleased",
+            "        if self._checks_entitlement and held.informed_viewers:\n"
+            "            self._commands.append(EntitlementReleased",
             60,
         ),
         Mutant(
             "a viewer who left is answered",
             _HOST,
-            'held.tickets.remove(ticket)\n            self._unwanted(held, "its viewer left")',
-            'self._unwanted(held, "its viewer left")',
+            'held.tickets.remove(ticket)\n            self._on_no_viewer_waiting(held, "its viewer left")',
+            'self._on_no_viewer_waiting(held, "its viewer left")',
             60,
         ),
         Mutant(
             "a lost box ends what is out",
             _HOST,
-            "self._at_server.get(server, {}).values() if held.phase is Phase.PLAYING]",
-            "self._at_server.get(server, {}).values()]",
+            "self._at_server.get(server, {}).values() if held.phase is SessionPhase.PLAYING\n",
+            "self._at_server.get(server, {}).values()\n",
             200,
         ),
     ],
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -11,10 +11,10 @@
 import pytest
 
 from fernweir.audit import TraceError, audit_lines, render_table
-from fernweir.brain import Guards
-from fernweir.front.commands import Answer
-from fernweir.front.core import Core
-from fernweir.front.host import Host
+from fernweir.controller import Guards
+from fernweir.front.commands import SessionReply
+from fernweir.front.dispatcher import Dispatcher
+from fernweir.front.session_manager import SessionManager
 from fernweir.rehearsal.site import SitePlan
 from fernweir.standin.site import Cold, SiteClass, SiteTimes
 from tests.scene import Scene, play
@@ -238,34 +238,36 @@
 
 
 def test_a_front_that_holds_answers_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    plain = Core._do
+    plain = Dispatcher._execute
 
-    def late(self: Core, command: Any) -> None:
-        if isinstance(command, Answer):
+    def late(self: Dispatcher, command: Any) -> None:
+        if isinstance(command, SessionReply):
             self.loop.call_later(1.2, plain, self, command)
         else:
             plain(self, command)
 
-    monkeypatch.setattr(Core, "_do", late)
+    monkeypatch.setattr(Dispatcher, "_execute", late)
     play(crowd, replace(PLAN, classes=FREE), broken=("1",))
 
 
 def test_a_front_that_loses_answers(monkeypatch: pytest.MonkeyPatch) -> None:
-    plain = Core._do
+    plain = Dispatcher._execute
     monkeypatch.setattr(
-        Core, "_do", lambda self, command: None if isinstance(command, Answer) else plain(self, command)
+        Dispatcher,
+        "_execute",
+        lambda self, command: None if isinstance(command, SessionReply) else plain(self, command),
     )
     play(crowd, replace(PLAN, classes=FREE), broken=("1",))
 
 
 def test_a_front_that_sets_up_each_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    plain = Host.ask
+    plain = SessionManager.request_session
 
-    def forgetful(self: Host, now: float, ask: Any) -> None:
-        self._held.pop(ask.jti, None)
+    def forgetful(self: SessionManager, now: float, ask: Any) -> None:
+        self._records.pop(ask.session_id, None)
         plain(self, now, ask)
 
-    monkeypatch.setattr(Host, "ask", forgetful)
+    monkeypatch.setattr(SessionManager, "request_session", forgetful)
 
     async def story(scene: Scene) -> None:
         for box in scene.site.boxes:
@@ -280,12 +282,12 @@
 
 def test_a_front_that_ignores_drains(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Guards, "may_go_to", lambda *args: True)
-    monkeypatch.setattr(Host, "still_wanted", lambda *args: True)
+    monkeypatch.setattr(SessionManager, "is_attempt_wanted", lambda *args: True)
 
     async def story(scene: Scene) -> None:
         box = await scene.first_choice()
         scene.site.tell(box, "draining")
-        await until(lambda: scene.fronts[0].core.host._states[box].name == "DRAINING")
+        await until(lambda: scene.fronts[0].core.sessions._server_states[box].name == "DRAINING")
         said = scene.of("list.told", box=box, state="draining")[0]["t"]
         await until(lambda: scene.loop.time() * 1000 > said + 60)
         await scene.ask(scene.wish())
--- a/tests/test_boxlist.py
+++ b/tests/test_boxlist.py
@@ -10,14 +10,14 @@
 from hypothesis import strategies as st
 
 from fernweir.front.boxlist import BoxList, ListError, ListGapError, read_document
-from fernweir.front.notes import NotesError, NotesState, Over, Told
+from fernweir.front.response_classification import judge, load_report
 from fernweir.front.rungsync import RungSync, Send
-from fernweir.front.verdict import judge, load_report
+from fernweir.front.server_notices import NotesError, NotesState, Over, Told
 from fernweir.http.client import Outcome, Reply
 from fernweir.http.headers import Headers
 from fernweir.http.problem import problem
 from fernweir.http.sse import ServerEvent
-from fernweir.interface import ListKind, NoteKind, Result, ServerState
+from fernweir.interface import EndpointListKind, NoticeKind, Result, ServerState
 from tests.helpers import SETTINGS
 
 
@@ -33,11 +33,11 @@
     held = BoxList(SETTINGS)
     lesson = {"title": "t", "cell": 1, "copies": 2}
     first = held.take_whole(10_000.0, document(3, line(1), line(2, age_s=2.0), lessons=[lesson]))
-    assert first is not None and first.kind is ListKind.FULL and held.last_id == "e:3"
+    assert first is not None and first.kind is EndpointListKind.FULL and held.last_id == "e:3"
     assert [entry.started_at for entry in first.entries] == [0.0, 8_000.0]
     assert held.lessons["t"].first_cell == 1 and held.address(2) == ("127.0.0.1", 1)
     delta = held.take_changes(12_000.0, document(4, line(2, state="draining", age_s=4.1), base=3))
-    assert delta is not None and delta.kind is ListKind.DELTA
+    assert delta is not None and delta.kind is EndpointListKind.DELTA
     assert delta.entries[0].state is ServerState.DRAINING
     assert delta.entries[0].started_at == 8_000.0  # the same life, whatever its age now comes to
     back = held.take_changes(20_000.0, document(5, line(2, boot="b", age_s=0.5), base=4))
@@ -58,7 +58,7 @@
         9_000.0, document(3, line(1, age_s=1.0), lessons=[{"title": "t", "cell": 0, "copies": 1}])
     )
     cached = again.take_whole(5.0, read_document(held.to_cache()), cached=True)
-    assert cached is not None and cached.kind is ListKind.CACHED and again.lessons == held.lessons
+    assert cached is not None and cached.kind is EndpointListKind.CACHED and again.lessons == held.lessons
     assert cached.entries[0].started_at == 0.0
     assert again.take_whole(6.0, document(4, line(1))) is not None
 
@@ -101,7 +101,7 @@
         Over("c", 0, Result.RESET, "unknown to its box"),
     ]
     note = {"session": "a", "attempt": 0, "level": 0.5}
-    assert state.take(ServerEvent(json.dumps(note), "uplink")) == [Told("a", 0, NoteKind.UPLINK, 0.5)]
+    assert state.take(ServerEvent(json.dumps(note), "uplink")) == [Told("a", 0, NoticeKind.UPLINK, 0.5)]
     ended = {"session": "a", "attempt": 0, "reason": "finished"}
     assert state.take(ServerEvent(json.dumps(ended), "ended")) == [Over("a", 0, Result.OK, "finished")]
     assert state.take(ServerEvent("{}", "something-newer")) == []
@@ -182,7 +182,7 @@
         ),
         (Reply(Outcome.REFUSED), Result.CONNECT_FAILED),
         (Reply(Outcome.UNSENT), Result.CONNECT_FAILED),
-        (Reply(Outcome.UNWANTED), Result.MOOT),
+        (Reply(Outcome.UNWANTED), Result.NOT_SENT),
         (Reply(Outcome.RESET), Result.RESET),
         (Reply(Outcome.CUT, 200), Result.RESET),
         (Reply(Outcome.SILENT), Result.TIMEOUT),
@@ -193,7 +193,7 @@
 )
 def test_what_a_reply_proves(reply: Reply, result: Result) -> None:
     assert judge(reply)[0] is result
-    assert reply.outcome.never_ran == (result in (Result.CONNECT_FAILED, Result.MOOT))
+    assert reply.outcome.never_ran == (result in (Result.CONNECT_FAILED, Result.NOT_SENT))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -8,7 +8,7 @@
 
 from fernweir.config.front import load_front, parse_front
 from fernweir.config.ini import ConfigError, IniFile
-from fernweir.interface import Effect
+from fernweir.interface import Idempotency
 
 EXAMPLE = Path(__file__).parent.parent / "docs" / "example-front.ini"
 
@@ -22,9 +22,13 @@
 def test_the_example_is_good() -> None:
     config = load_front(EXAMPLE)
     briefing = config.settings.classes[config.class_names["briefing"]]
-    assert (briefing.aim_ms, briefing.lowest_rung, briefing.effect) == (800.0, 1, Effect.REPEATABLE)
-    assert config.settings.budget is not None and config.settings.budget.share == 0.1
-    assert config.settings.cold is not None and config.settings.cold.warm_up_ms == 8000.0
+    assert (briefing.latency_objective_ms, briefing.lowest_rung, briefing.idempotency) == (
+        800.0,
+        1,
+        Idempotency.IDEMPOTENT,
+    )
+    assert config.settings.retry_budget is not None and config.settings.retry_budget.retry_ratio == 0.1
+    assert config.settings.slow_start is not None and config.settings.slow_start.window_ms == 8000.0
 
 
 def test_every_mistake_is_named_with_its_line() -> None:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -22,7 +22,7 @@
 from fernweir.control.overlay import Overlay
 from fernweir.control.statefile import StateFileError, read_state, write_state
 from fernweir.front.program import start_front
-from fernweir.interface import ListKind, ListUpdate, ServerState
+from fernweir.interface import EndpointListKind, EndpointListUpdate, ServerState
 from fernweir.journal.events import What
 from fernweir.journal.picture import Picture
 from fernweir.journal.store import Journal
@@ -188,25 +188,27 @@
         self.listed: dict[int, ServerState] = {}
         self.told: dict[int, ServerState] = {}
 
-    def tell(self, update: ListUpdate | None) -> None:
+    def tell(self, update: EndpointListUpdate | None) -> None:
         if update is None:
             return
-        if update.kind in (ListKind.FULL, ListKind.CACHED):
+        if update.kind in (EndpointListKind.FULL, EndpointListKind.CACHED):
             self.told = {}
         self.told |= {one.server: one.state for one in update.entries}
 
     @rule(
         states=st.dictionaries(st.integers(1, 4), st.sampled_from(list(ServerState)), max_size=4),
-        kind=st.sampled_from([ListKind.FULL, ListKind.DELTA, ListKind.DELTA, ListKind.FAILED]),
+        kind=st.sampled_from(
+            [EndpointListKind.FULL, EndpointListKind.DELTA, EndpointListKind.DELTA, EndpointListKind.FAILED]
+        ),
     )
-    def list_says(self, states: dict[int, ServerState], kind: ListKind) -> None:
-        if kind is ListKind.FAILED:
+    def list_says(self, states: dict[int, ServerState], kind: EndpointListKind) -> None:
+        if kind is EndpointListKind.FAILED:
             states = {}
-        elif kind is ListKind.FULL:
+        elif kind is EndpointListKind.FULL:
             self.listed = {}
         self.listed |= states
         entries = tuple(entry(box, state=state) for box, state in states.items())
-        self.tell(self.overlay.list_says(ListUpdate(kind, 1, entries)))
+        self.tell(self.overlay.list_says(EndpointListUpdate(kind, 1, entries)))
 
     @rule(box=st.integers(1, 5), drain=st.booleans())
     def order(self, box: int, drain: bool) -> None:
@@ -273,17 +275,17 @@
 
 def the_same(scene: Scene, watcher: ControlClient) -> bool:
     """Whether what is shown is what the host holds now."""
-    picture, host = watcher.follower.picture, scene.fronts[0].core.host
+    picture, host = watcher.follower.picture, scene.fronts[0].core.sessions
     assert picture is not None
     shown = {row.session: (row.phase, row.box, row.rung) for row in picture.sessions.values()}
     held = {
         jti: (one.phase.value, one.server, one.sent_rung)
         if one.phase.value != "asked"
         else ("asked", -1, shown.get(jti, (0, 0, -1))[2])
-        for jti, one in host.held().items()
+        for jti, one in host.records().items()
     }
     return shown == held and all(
-        box.playing == len(host.playing_at(number)) for number, box in picture.boxes.items()
+        box.playing == len(host.sessions_playing_at(number)) for number, box in picture.boxes.items()
     )
 
 
@@ -353,7 +355,7 @@
         await until(lambda: picture.boxes[first].state == "gone")
         await ann.ask("undrain", target=str(first))
         await until(lambda: picture.boxes[first].drained_by == "")
-        assert first not in scene.fronts[0].core.host._states
+        assert first not in scene.fronts[0].core.sessions._server_states
         ann.close()
 
     control_scene(story, drains_at_once="5")
@@ -415,7 +417,7 @@
     async def story(scene: Scene, ann: ControlClient) -> None:
         assert ann._transport is not None
         ann._transport.pause_reading()
-        journal = scene.fronts[0].core.host.journal
+        journal = scene.fronts[0].core.sessions.journal
         assert journal is not None
         control = scene.fronts[0].control
         assert control is not None
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,18 +8,18 @@
 from fernweir.interface import (
     Action,
     Arrival,
-    Ended,
+    AttemptEnded,
+    AttemptSucceeded,
+    CheckHealth,
+    EndpointListKind,
+    EndpointListUpdate,
     Event,
     Fail,
-    ListKind,
-    ListUpdate,
+    HealthCheckEnded,
     Place,
-    Probe,
-    Probed,
-    Refuse,
+    Reject,
     Result,
     ServerState,
-    Started,
     TimerFired,
 )
 from tests.helpers import COLD, SETTINGS, Front, entry, viewer
@@ -33,7 +33,7 @@
     """What is true of the servers, and the rules checked on what both fronts do together."""
 
     def __init__(self) -> None:
-        told = replace(SETTINGS, cold=COLD, fronts=2)
+        told = replace(SETTINGS, slow_start=COLD, front_count=2)
         servers = [entry(1), entry(2, cell=1), entry(3, cell=2)]
         self.fronts = [Front(*servers, settings=told, seed=number) for number in range(2)]
         self.now, self.sessions = 0.0, 0
@@ -60,23 +60,29 @@
             self.shots[action.session] = self.shots.get(action.session, -1) + 1
             self.sent[action.server].append(self.now)
             self.keep_to_the_pace(action.server)
-        elif isinstance(action, Refuse | Fail):
+        elif isinstance(action, Reject | Fail):
             assert action.session in owed and action.session not in out
             del owed[action.session]
-        elif isinstance(action, Probe):
+        elif isinstance(action, CheckHealth):
             self.probes[front].append(action.server)
 
     def keep_to_the_pace(self, server: int) -> None:
         age = self.now - self.started[server]
-        if self.started[server] and age < COLD.warm_up_ms:
-            warmth = COLD.cold_from + (1.0 - COLD.cold_from) * age / COLD.warm_up_ms
-            bears = SETTINGS.kind_streams[0] * warmth / COLD.warm_up_ms * COLD.fall_ms * COLD.fall_multiple
-            window = max(self.started[server], self.now - COLD.fall_ms)
+        if self.started[server] and age < COLD.window_ms:
+            warmth = COLD.initial_factor + (1.0 - COLD.initial_factor) * age / COLD.window_ms
+            bears = (
+                SETTINGS.streams_by_server_type[0]
+                * warmth
+                / COLD.window_ms
+                * COLD.overload_window_ms
+                * COLD.overload_multiple
+            )
+            window = max(self.started[server], self.now - COLD.overload_window_ms)
             assert sum(at >= window for at in self.sent[server]) <= bears + 1.0
 
     def end(self, front: int, session: int, result: Result) -> None:
         place = self.out[front].pop(session)
-        self.play(front, Ended(session, place.server, self.shots[session], result, False, 50.0, ()))
+        self.play(front, AttemptEnded(session, place.server, self.shots[session], result, False, 50.0, ()))
 
     def step(self, what: int, pick: int, result: int, wait: float) -> None:
         self.now += wait
@@ -89,15 +95,19 @@
         elif what == 4 and out:
             place = self.out[front].pop(out[0])
             del self.owed[front][out[0]]
-            self.play(front, Started(out[0], place.server, self.shots[out[0]], 50.0))
+            self.play(front, AttemptSucceeded(out[0], place.server, self.shots[out[0]], 50.0))
         elif what == 5 and out:
             self.end(front, out[0], Result(result))
         elif what == 6:
             self.play(front, TimerFired(1))
         elif what == 7:
             self.now += 2500.0
-            late = [Ended(one, self.out[front][one].server, self.shots[one], Result.TIMEOUT, False, 500.0, ())
-                    for one in out]  # fmt: skip
+            late = [
+                AttemptEnded(
+                    one, self.out[front][one].server, self.shots[one], Result.TIMEOUT, False, 500.0, ()
+                )
+                for one in out
+            ]
             self.out[front].clear()
             self.play(front, *late, TimerFired(1))
         elif what == 8:
@@ -107,7 +117,7 @@
             self.tell(server)
         while self.probes[front]:
             answer = Result.OK if self.state[self.probes[front][0]] is ServerState.READY else Result.TIMEOUT
-            self.play(front, Probed(self.probes[front].pop(0), answer, 5.0, ()))
+            self.play(front, HealthCheckEnded(self.probes[front].pop(0), answer, 5.0, ()))
 
     def restart(self, server: int) -> None:
         self.state[server], self.started[server] = ServerState.READY, self.now
@@ -115,14 +125,16 @@
             for session in [one for one, place in self.out[front].items() if place.server == server]:
                 self.out[front].pop(session)
                 self.owed[front].pop(session)
-                self.play(front, Ended(session, server, self.shots[session], Result.RESET, True, 50.0, ()))
+                self.play(
+                    front, AttemptEnded(session, server, self.shots[session], Result.RESET, True, 50.0, ())
+                )
         self.tell(server)
 
     def tell(self, server: int) -> None:
         state, started = self.state[server], self.started[server]
         news = entry(server, cell=server - 1, state=state, started_at=started)
         for front in range(2):
-            self.play(front, ListUpdate(ListKind.DELTA, 2, (news,)))
+            self.play(front, EndpointListUpdate(EndpointListKind.DELTA, 2, (news,)))
 
 
 @settings(derandomize=True, deadline=None, max_examples=120)
--- a/tests/test_front_sockets.py
+++ b/tests/test_front_sockets.py
@@ -13,8 +13,8 @@
 import pytest
 
 from fernweir.dash.mpd import read_mpd
-from fernweir.front.host import Phase
 from fernweir.front.record import replay
+from fernweir.front.session_manager import SessionPhase
 from fernweir.rehearsal.hostile import PAYLOADS, HostileCounts, attack, raw
 from fernweir.rehearsal.site import SitePlan
 from fernweir.standin.site import Cold, SiteClass, SiteTimes
@@ -34,8 +34,8 @@
         (setup,) = scene.of("box.setup")
         (answer,) = scene.of("viewer.answer")
         assert answer["rungs"] == list(range(1, setup["rung"] + 1))
-        host = scene.fronts[0].core.host
-        await until(lambda: host.sessions == 0)  # the box told the front that it ended
+        host = scene.fronts[0].core.sessions
+        await until(lambda: host.session_count == 0)  # the box told the front that it ended
         assert host.controller.sessions == {}
         assert {record["status"] for record in scene.of("box.segment")} == {200}
 
@@ -88,7 +88,7 @@
             reply = await scene.http("GET", target)
             assert (reply.status, json.loads(reply.body)["type"]) == (status, f"urn:fernweir:problem:{kind}")
             assert ("www-authenticate" in reply.headers) == (status == 401)
-        assert scene.fronts[0].core.host.ledger.counts.taken == 0
+        assert scene.fronts[0].core.sessions.reply_ledger.metrics.opened == 0
 
     play(story, PLAN)
 
@@ -178,9 +178,9 @@
         await until(lambda: scene.of("box.setup", session=viewer.session))
         await viewer.end_side()
         assert (await viewer.read()).startswith(b"HTTP/1.1 503 ")
-        host = scene.fronts[0].core.host
-        await until(lambda: host.sessions == 0 and host.controller.sessions == {})
-        assert len(scene.of("box.setup", session=viewer.session)) == 1 and len(host.ledger) == 0
+        host = scene.fronts[0].core.sessions
+        await until(lambda: host.session_count == 0 and host.controller.sessions == {})
+        assert len(scene.of("box.setup", session=viewer.session)) == 1 and len(host.reply_ledger) == 0
 
     play(story, PLAN)
 
@@ -193,17 +193,22 @@
             scene.behave(other, late_ms=250.0)
         first = asyncio.ensure_future(scene.ask(scene.wish(top=1)))
         await until(lambda: len(scene.of("box.setup", box=box)) == 2)  # it has the one connection
-        viewer, host = Leaver(scene, scene.wish(top=1)), scene.fronts[0].core.host
+        viewer, host = Leaver(scene, scene.wish(top=1)), scene.fronts[0].core.sessions
         viewer.ask()
-        await until(lambda: viewer.session in host.held() and host.held()[viewer.session].phase is Phase.OUT)
+        await until(
+            lambda: (
+                viewer.session in host.records()
+                and host.records()[viewer.session].phase is SessionPhase.IN_FLIGHT
+            )
+        )
         if how == "breaks":
             viewer.reset()
-            await until(lambda: not host.held()[viewer.session].tickets)
+            await until(lambda: not host.records()[viewer.session].tickets)
         else:
             await viewer.end_side()
             assert (await viewer.read()).startswith(b"HTTP/1.1 503 ")
         assert (await first).status == 200
-        await until(lambda: viewer.session not in host.held())
+        await until(lambda: viewer.session not in host.records())
         assert scene.of("box.setup", session=viewer.session) == []
 
     play(story, PLAN, extra="[boxes]\nconnections = 1\nconnect-time = 2 s")
@@ -223,7 +228,7 @@
         seen = await viewer.read()
         assert seen.count(b"HTTP/1.1 ") == 1 and seen.startswith(b"HTTP/1.1 200" if plays else b"HTTP/1.1 ")
         assert len(scene.of("box.setup", session=wish.session)) <= 1
-        assert len(scene.fronts[0].core.host.ledger) == 0
+        assert len(scene.fronts[0].core.sessions.reply_ledger) == 0
 
     play(story, PLAN)
 
@@ -231,16 +236,16 @@
 def test_a_front_that_is_out_of_descriptors_takes_no_box_for_dead() -> None:
     async def story(scene: Scene) -> None:
         assert (await scene.ask(scene.wish(play_s=5.0))).status == 200
-        host, client = scene.fronts[0].core.host, scene.fronts[0].boxes
+        host, client = scene.fronts[0].core.sessions, scene.fronts[0].boxes
         box = int(scene.of("box.setup")[0]["box"])
         await until(lambda: client._streams[box].state.greeted)
         with patch.object(scene.loop, "create_connection", side_effect=OSError(errno.EMFILE, "too many")):
             for watcher in list(scene.site.boxes[box]._watchers.values()):
                 watcher.exchange.drop()
             await until(lambda: client._streams[box]._tries > 1)
-            assert len(host.playing_at(box)) == 1
+            assert len(host.sessions_playing_at(box)) == 1
         await until(lambda: client._streams[box]._tries == 0)
-        assert len(host.playing_at(box)) == 1
+        assert len(host.sessions_playing_at(box)) == 1
 
     play(story, PLAN)
 
@@ -261,13 +266,13 @@
     async def story(scene: Scene) -> None:
         for box in scene.site.boxes:
             scene.behave(box, late_ms=100.0)
-        viewer, host = Leaver(scene, scene.wish()), scene.fronts[0].core.host
+        viewer, host = Leaver(scene, scene.wish()), scene.fronts[0].core.sessions
         viewer.ask()
         await until(lambda: scene.of("box.setup"))
         await viewer.end_side()
         viewer.reset()
         await until(lambda: scene.of("box.end", session=viewer.session, why="released"))
-        assert host.sessions == 0  # after the time that is kept for its return
+        assert host.session_count == 0  # after the time that is kept for its return
 
     play(story, PLAN, extra="linger = 200 ms")
 
@@ -327,8 +332,8 @@
         watching = asyncio.ensure_future(scene.viewers.watch(scene.wish(play_s=1.5)))
         await until(lambda: len(scene.of("box.segment")) > 0)
         scene.site.boxes[box].die()
-        host = scene.fronts[0].core.host
-        await until(lambda: not host.playing_at(box))
+        host = scene.fronts[0].core.sessions
+        await until(lambda: not host.sessions_playing_at(box))
         scene.site.tell(box, "gone")
         await scene.site.restart(box)
         scene.site.tell(box)
@@ -382,22 +387,22 @@
 def test_two_hundred_boxes_then_none_then_an_older_list() -> None:
     async def story(scene: Scene) -> None:
         front = scene.fronts[0]
-        assert len(front.core.host._states) == 200
+        assert len(front.core.sessions._server_states) == 200
         playing = scene.wish()
         assert (await scene.ask(playing)).status == 200
         lines = list(scene.site.list.lines.values())
         version = scene.site.list.version
         scene.site.list.replace([])
-        await until(lambda: not front.core.host._states)
+        await until(lambda: not front.core.sessions._server_states)
         late = scene.wish()
         assert (await scene.ask(late)).status == 503
-        assert front.core.host.sessions == 1  # what plays goes on
+        assert front.core.sessions.session_count == 1  # what plays goes on
         scene.site.list.lines = {line.box: line for line in lines}
         scene.site.list.rewind(version)  # goes back to the full list, by an older version
         assert (await scene.ask(scene.wish())).status == 503
         scene.site.list.version += 5
         scene.site.list.tell_whole()
-        await until(lambda: len(front.core.host._states) == 200)
+        await until(lambda: len(front.core.sessions._server_states) == 200)
         assert (await scene.ask(scene.wish())).status == 200
 
     play(story, replace(PLAN, boxes=200, racks=10, lessons=20))
@@ -415,7 +420,7 @@
         box = next(iter(scene.site.boxes))
         await until(lambda: len(scene.site.list._streams) == 1)
         scene.site.tell(box, "draining")
-        await until(lambda: again.core.host._states[box].name == "DRAINING")
+        await until(lambda: again.core.sessions._server_states[box].name == "DRAINING")
 
     play(story, PLAN)
 
@@ -453,14 +458,14 @@
 def test_a_front_told_to_stop_answers_who_waits_for_other_fronts() -> None:
     async def story(scene: Scene) -> None:
         front = scene.fronts[0]
-        front.core.finder = Mock()  # says nothing
+        front.core.session_locator = Mock()  # says nothing
         viewer = Leaver(scene, scene.wish())
         viewer.ask()
-        await until(lambda: front.core.finder.ask.called)
+        await until(lambda: front.core.session_locator.ask.called)
         read = asyncio.ensure_future(viewer.read())
         await front.stop(10.0)
         assert (await read).startswith(b"HTTP/1.1 503 ")
-        front.core.finder.ask.call_args.args[1](None)  # their word comes late
+        front.core.session_locator.ask.call_args.args[1](None)  # their word comes late
 
     play(story, PLAN)
 
@@ -507,8 +512,8 @@
         assert (await scene.ask(wish)).status == 200
         silent = int(scene.of("box.setup")[0]["box"])
         scene.behave(silent, hang=True)
-        host = scene.fronts[0].core.host
-        await until(lambda: silent in host._doubtful)
+        host = scene.fronts[0].core.sessions
+        await until(lambda: silent in host._silent_servers)
         assert (await scene.ask(wish)).status == 200
         assert int(scene.of("box.setup")[-1]["box"]) != silent
         assert (await scene.ask(scene.wish(cls="briefing"))).status == 503
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -136,7 +136,7 @@
         assert (await scene.ask(wish)).status == 200
         mine.forget()
         await until(lambda: len(mine.leases) == 1)
-        assert scene.fronts[0].core.host.sessions == 1 and not scene.of("box.end")
+        assert scene.fronts[0].core.sessions.session_count == 1 and not scene.of("box.end")
 
     play(story, PLAN, desk=mine)
 
@@ -167,8 +167,8 @@
         assert len(scene.of("box.setup")) == 1
         stranger = scene.wish(life_s=-1.0)
         assert (await scene.ask(stranger)).status == 401  # nothing stands in for it
-        host = scene.fronts[0].core.host
-        await until(lambda: host.sessions == 0)
+        host = scene.fronts[0].core.sessions
+        await until(lambda: host.session_count == 0)
         assert (await scene.ask(wish)).status == 401  # nor for one whose session is over
 
     play(story, replace(PLAN, token_lines="skew = 0 ms\nbox-life = 4 s"), desk=mine)
--- a/tests/test_golden_peers.py
+++ b/tests/test_golden_peers.py
@@ -18,7 +18,7 @@
 import pytest
 
 import fernweir.peers
-from fernweir.interface import Effect, Settings
+from fernweir.interface import Idempotency, Settings
 from fernweir.peers.base import Message
 from fernweir.peers.peer import KINDS
 from fernweir.peers.wire.codec import Codec
@@ -73,7 +73,7 @@
 
 def _settings_with(name: str, value: object) -> Settings:
     """Settings that are alike but for one value; `name` may be that of a part and of its field."""
-    settings = dataclasses.replace(SETTINGS, classes=(CLASS,), cold=COLD, budget=BUDGET)
+    settings = dataclasses.replace(SETTINGS, classes=(CLASS,), slow_start=COLD, retry_budget=BUDGET)
     part, _, field = name.partition(".")
     if not field:
         return dataclasses.replace(settings, **{part: value})
@@ -84,14 +84,14 @@
 
 
 def test_each_setting_that_nodes_share_counts_in_their_digest() -> None:
-    """`ordinal` alone differs from node to node; a setting that is added has to be written out as well."""
-    parts = {"classes": CLASS, "cold": COLD, "budget": BUDGET}
+    """`front_index` alone differs from node to node; one that is added has to be written out as well."""
+    parts = {"classes": CLASS, "slow_start": COLD, "retry_budget": BUDGET}
     names = [field.name for field in dataclasses.fields(SETTINGS) if field.name not in parts]
     names += [f"{part}.{field.name}" for part, whole in parts.items() for field in dataclasses.fields(whole)]
-    plain = node_settings(_settings_with("ordinal", 0))
+    plain = node_settings(_settings_with("front_index", 0))
     for name in names:
-        value = Effect.ONCE if name == "classes.effect" else -7
-        assert (node_settings(_settings_with(name, value)) == plain) is (name == "ordinal"), name
+        value = Idempotency.NOT_IDEMPOTENT if name == "classes.idempotency" else -7
+        assert (node_settings(_settings_with(name, value)) == plain) is (name == "front_index"), name
 
 
 # --- layouts ---
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -24,9 +24,9 @@
 import fernweir
 from fernweir import interface, wire
 from fernweir.audit.records import AnyRecord
-from fernweir.brain import Controller
 from fernweir.config.ini import Section
 from fernweir.control.messages import Ask
+from fernweir.controller import Controller
 from fernweir.front import stored_types
 from fernweir.front.record import Recorder, read_record, replay
 from fernweir.journal import picture
@@ -125,7 +125,7 @@
     "interface", "wire", "journal.events", "journal.segment", "journal.picture", "seats.records", "seats.log",
     "control.orders", "control.messages", "node.jsonl", "node.frames", "node.config", "http.parse",
     "http.sse",
-    "front.boxlist", "dash.build", "entitlement.client", "front.usecheck", "front.introspection",
+    "front.boxlist", "dash.build", "entitlement.client", "front.seat_reconciliation", "front.introspection",
 )  # fmt: skip
 IN_MEMORY_MODELS = {
     "fernweir.audit.records.Record": "what all records of a trace share",
@@ -143,7 +143,7 @@
     "fernweir.seats.book.State": "where a seat stands; the log stores records instead",
     "fernweir.seats.book.Said": "what a reply of the entitlement server means",
     "fernweir.rehearsal.fleet.process.Life": "whether a process of the rig lives; its value is only printed",
-    "fernweir.front.host.Phase": "where a session stands",
+    "fernweir.front.session_manager.SessionPhase": "where a session stands",
     "fernweir.entitlement.queue.Turn": "the order within the queue of requests",
     "fernweir.entitlement.policy.BreakerState": "where the circuit breaker stands",
 }
@@ -285,9 +285,9 @@
 
 
 def test_a_changed_type_name_in_a_record_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    kept = stored_types.BY_CLASS[interface.Refuse]
+    kept = stored_types.BY_CLASS[interface.Reject]
     renamed = stored_types.StoredType(kept.kind, "Reject", kept.field_names)
-    monkeypatch.setitem(stored_types.BY_CLASS, interface.Refuse, renamed)
+    monkeypatch.setitem(stored_types.BY_CLASS, interface.Reject, renamed)
     assert broken() == {"record-value"}
 
 
@@ -300,7 +300,9 @@
 def renamed_interface() -> Iterator[None]:
     """The classes of the interface and the members of its enums under other names."""
     kept = {kind: (kind.__name__, kind.__qualname__) for kind in stored_types.BY_CLASS}
-    members = [one for enum in (interface.Effect, interface.Result, interface.ServerState) for one in enum]
+    members = [
+        one for enum in (interface.Idempotency, interface.Result, interface.ServerState) for one in enum
+    ]
     names = [one.name for one in members]
     try:
         for kind in kept:
@@ -329,8 +331,8 @@
     kinds = [one for one in vars(interface).values() if isinstance(one, type) and is_dataclass(one)]
     assert set(kinds) == set(stored_types.BY_CLASS)
     assert all(len(one.names) == len(one.attributes) for one in stored_types.STORED_TYPES)
-    assert set(interface.RESULT_WORDS) == set(interface.Result)
-    assert set(interface.STATE_WORDS) == set(interface.ServerState)
+    assert set(interface.RESULT_LABELS) == set(interface.Result)
+    assert set(interface.SERVER_STATE_LABELS) == set(interface.ServerState)
 
 
 def test_a_changed_order_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -6,6 +6,7 @@
 from collections import Counter
 from collections.abc import Awaitable, Callable
 from dataclasses import replace
+from typing import TypeVar
 from unittest.mock import Mock, patch
 
 import pytest
@@ -13,43 +14,55 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from fernweir.brain import Controller
+from fernweir.controller import Controller
 from fernweir.front.commands import (
-    Answer,
-    Ask,
     ChangeRung,
     Command,
-    Kind,
-    Left,
-    Over,
-    Release,
-    SendProbe,
+    EntitlementReleased,
+    ReleaseSession,
+    ReplyKind,
+    SendHealthCheck,
+    SessionOver,
+    SessionReply,
+    SessionRequest,
     SetUp,
     SetUpResult,
 )
-from fernweir.front.core import Core
-from fernweir.front.host import Host, HostLimits, Phase
-from fernweir.front.ledger import Ledger, LedgerError
-from fernweir.interface import Action, Effect, Event, ListKind, ListUpdate, NoteKind, Result, ServerState
+from fernweir.front.dispatcher import Dispatcher
+from fernweir.front.reply_ledger import ReplyLedger, ReplyLedgerError
+from fernweir.front.session_manager import SessionLimits, SessionManager, SessionPhase
+from fernweir.interface import (
+    Action,
+    EndpointListKind,
+    EndpointListUpdate,
+    Event,
+    Idempotency,
+    NoticeKind,
+    Result,
+    ServerState,
+)
 from fernweir.journal.events import What
 from fernweir.journal.picture import Picture
 from fernweir.journal.store import Journal, JournalRules
 from tests.helpers import BUDGET, COLD, SETTINGS, entry
 from tests.sockets import until
 
-ALONE = replace(SETTINGS, may_probe=False)
+ALONE = replace(SETTINGS, may_check_health=False)
 SEATS = replace(ALONE, classes=(replace(SETTINGS.classes[0], seats=2), SETTINGS.classes[1]))
 
 
+Said = TypeVar("Said")
+
+
 class Desk:
     """A host with a clock that the test moves, and what it said."""
 
     def __init__(self, settings: object = ALONE, boxes: int = 2, **more: object) -> None:
-        limits = HostLimits(margin_ms=40.0, linger_ms=500.0)
-        self.host = Host(settings, 7, limits, **more)  # type: ignore[arg-type]
+        limits = SessionLimits(reply_margin_ms=40.0, unclaimed_session_ttl_ms=500.0)
+        self.host = SessionManager(settings, 7, limits, **more)  # type: ignore[arg-type]
         self.now, self.tickets, self.said = 1000.0, 0, []  # type: ignore[var-annotated]
         entries = tuple(entry(number, cell=number % 4) for number in range(1, boxes + 1))
-        self.host.box_list(self.now, ListUpdate(ListKind.FULL, 1, entries))
+        self.host.on_endpoint_list(self.now, EndpointListUpdate(EndpointListKind.FULL, 1, entries))
         self.step(0)
 
     def step(self, after: float = 1.0) -> list[Command]:
@@ -60,20 +73,20 @@
 
     def ask(self, jti: str, **more: object) -> int:
         self.tickets += 1
-        ask = Ask(self.tickets, "dash", jti, "who", "lesson", 5, 0, 4, 0, 3, 4000.0)
-        self.host.ask(self.now, replace(ask, **more))  # type: ignore[arg-type]
+        ask = SessionRequest(self.tickets, "dash", jti, "who", "lesson", 5, 0, 4, 0, 3, 4000.0)
+        self.host.request_session(self.now, replace(ask, **more))  # type: ignore[arg-type]
         return self.tickets
 
     def done(self, setup: SetUp, result: Result = Result.OK) -> None:
         end = SetUpResult(result, 5.0, {"x0": 0.1, "x1": 0.1}, "manifest" if result is Result.OK else None)
-        self.host.set_up_done(self.now, setup.session.jti, setup.attempt, end)
+        self.host.on_attempt_finished(self.now, setup.request.session_id, setup.attempt, end)
 
-    def of(self, kind: type) -> list:  # type: ignore[type-arg]
+    def of(self, kind: type[Said]) -> list[Said]:
         return [one for one in self.said if isinstance(one, kind)]
 
-    def answers(self) -> dict[int, Kind]:
-        found: dict[int, Kind] = {}
-        for answer in self.of(Answer):
+    def answers(self) -> dict[int, ReplyKind]:
+        found: dict[int, ReplyKind] = {}
+        for answer in self.of(SessionReply):
             assert answer.ticket not in found, "answered twice"
             found[answer.ticket] = answer.kind
         return found
@@ -90,10 +103,10 @@
     desk.step()
     fourth = desk.ask("a")  # while it plays
     desk.step()
-    assert desk.answers() == dict.fromkeys((first, second, third, fourth), Kind.PLAYS)
+    assert desk.answers() == dict.fromkeys((first, second, third, fourth), ReplyKind.PLAYS)
     assert len(desk.of(SetUp)) == 1
-    assert {answer.rung for answer in desk.of(Answer)} == {setup.rung}
-    desk.host.session_over(desk.now, "a", 0, Result.OK)
+    assert {answer.rung for answer in desk.of(SessionReply)} == {setup.rung}
+    desk.host.on_session_ended(desk.now, "a", 0, Result.OK)
     desk.ask("a")  # after it ended: a new session of the same viewer
     desk.step()
     assert len(desk.of(SetUp)) == 2
@@ -104,36 +117,38 @@
     desk.ask("a")
     other = desk.ask("a", title=6)
     desk.step()
-    assert desk.answers() == {other: Kind.CONFLICT} and len(desk.of(SetUp)) == 1
+    assert desk.answers() == {other: ReplyKind.CONFLICT} and len(desk.of(SetUp)) == 1
 
 
 def test_a_viewer_who_drops_and_asks_again_finds_its_set_up() -> None:
     desk = Desk()
     gone = desk.ask("a")
     desk.step()
-    desk.host.withdraw(desk.now, gone)
+    desk.host.withdraw_request(desk.now, gone)
     desk.step()
     desk.done(desk.of(SetUp)[0])
     desk.step()
     assert desk.answers() == {}
     again = desk.ask("a")
     desk.step(100)
-    assert desk.answers() == {again: Kind.PLAYS} and len(desk.of(SetUp)) == 1
+    assert desk.answers() == {again: ReplyKind.PLAYS} and len(desk.of(SetUp)) == 1
 
 
 def test_what_nobody_comes_back_for_is_released() -> None:
     desk = Desk()
-    desk.host.withdraw(desk.now, desk.ask("a"))
+    desk.host.withdraw_request(desk.now, desk.ask("a"))
     desk.ask("b")
     desk.step()
-    setups = {setup.session.jti: setup for setup in desk.of(SetUp)}
+    setups = {setup.request.session_id: setup for setup in desk.of(SetUp)}
     assert set(setups) == {"b"}  # one who left before the batch is never set up
-    desk.host.withdraw(desk.now, 2)
+    desk.host.withdraw_request(desk.now, 2)
     desk.done(setups["b"])
     desk.step()
-    assert desk.host.next_due() is not None  # the shell must wake it
+    assert desk.host.next_deadline() is not None  # the shell must wake it
     desk.step(600)
-    assert [release.jti for release in desk.of(Release)] == ["b"] and desk.host.sessions == 0
+    assert [release.session_id for release in desk.of(ReleaseSession)] == [
+        "b"
+    ] and desk.host.session_count == 0
 
 
 def test_who_leaves_while_its_answer_is_on_its_way_is_as_one_who_left_before() -> None:
@@ -142,32 +157,34 @@
     desk.step()
     desk.done(desk.of(SetUp)[0])
     desk.step()
-    first, second = desk.of(Answer)
-    desk.host.unheard(desk.now, first)
+    first, second = desk.of(SessionReply)
+    desk.host.on_reply_undelivered(desk.now, first)
     desk.step(600)
-    assert desk.host.sessions == 1  # the other heard
-    desk.host.unheard(desk.now, second)
+    assert desk.host.session_count == 1  # the other heard
+    desk.host.on_reply_undelivered(desk.now, second)
     desk.step(400)
-    assert desk.host.sessions == 1  # it may come back
+    assert desk.host.session_count == 1  # it may come back
     desk.step(200)
-    assert [release.jti for release in desk.of(Release)] == ["a"] and desk.host.sessions == 0
+    assert [release.session_id for release in desk.of(ReleaseSession)] == [
+        "a"
+    ] and desk.host.session_count == 0
 
 
 def test_after_its_last_waiter_left_a_failed_attempt_is_not_followed_by_another() -> None:
     desk = Desk()
     ticket = desk.ask("a")
     desk.step()
-    desk.host.withdraw(desk.now, ticket)
+    desk.host.withdraw_request(desk.now, ticket)
     desk.done(desk.of(SetUp)[0], Result.ERROR)
     desk.step()
-    assert len(desk.of(SetUp)) == 1 and desk.host.sessions == 0
+    assert len(desk.of(SetUp)) == 1 and desk.host.session_count == 0
     assert desk.host.controller.sessions == {}
 
 
 @pytest.mark.parametrize("answer_first", [True, False])
 def test_deadline_and_answer_in_one_instant_give_one_answer(answer_first: bool) -> None:
     desk = Desk()
-    ticket = desk.ask("a", wait_ms=300.0)
+    ticket = desk.ask("a", max_wait_ms=300.0)
     desk.step()
     desk.now = 1000.0 + 300.0 - 40.0  # the very instant at which the ledger gives up
     if answer_first:
@@ -188,7 +205,7 @@
         desk.ask(name)
     desk.step()
     assert len(desk.of(SetUp)) == 2
-    assert list(desk.answers().values()) == [Kind.REFUSED]
+    assert list(desk.answers().values()) == [ReplyKind.REJECTED]
 
 
 def test_a_drain_stops_a_set_up_that_has_not_left() -> None:
@@ -196,14 +213,14 @@
     ticket = desk.ask("a")
     desk.step()
     (setup,) = desk.of(SetUp)
-    assert desk.host.still_wanted("a", 0)
+    assert desk.host.is_attempt_wanted("a", 0)
     drained = entry(setup.server, cell=1, state=ServerState.DRAINING)
-    desk.host.box_list(desk.now, ListUpdate(ListKind.DELTA, 2, (drained,)))
-    assert not desk.host.still_wanted("a", 0)
-    desk.done(setup, Result.MOOT)
+    desk.host.on_endpoint_list(desk.now, EndpointListUpdate(EndpointListKind.DELTA, 2, (drained,)))
+    assert not desk.host.is_attempt_wanted("a", 0)
+    desk.done(setup, Result.NOT_SENT)
     desk.step()
-    assert desk.answers() == {ticket: Kind.REFUSED} and len(desk.of(SetUp)) == 1
-    assert desk.of(Release) == []  # nothing can run there
+    assert desk.answers() == {ticket: ReplyKind.REJECTED} and len(desk.of(SetUp)) == 1
+    assert desk.of(ReleaseSession) == []  # nothing can run there
 
 
 def test_doubtful_ends_are_released_and_proven_ones_not() -> None:
@@ -219,7 +236,7 @@
         desk.step()
         desk.done(desk.of(SetUp)[0], result)
         desk.step()
-        assert len(desk.of(Release)) == releases and len(desk.of(SetUp)) == 2
+        assert len(desk.of(ReleaseSession)) == releases and len(desk.of(SetUp)) == 2
 
 
 def test_a_viewer_of_a_silent_box_is_placed_anew() -> None:
@@ -228,10 +245,10 @@
     desk.step()
     desk.done(desk.of(SetUp)[0])
     desk.step()
-    desk.host.box_doubtful(desk.of(SetUp)[0].server, True)
+    desk.host.on_server_silence_changed(desk.of(SetUp)[0].server, True)
     desk.ask("a")
     desk.step()
-    assert len(desk.of(SetUp)) == 2 and [one.attempt for one in desk.of(Release)] == [0]
+    assert len(desk.of(SetUp)) == 2 and [one.attempt for one in desk.of(ReleaseSession)] == [0]
 
 
 def test_a_lost_box_ends_its_sessions_only() -> None:
@@ -242,11 +259,11 @@
     for setup in desk.of(SetUp):
         desk.done(setup)
     desk.step()
-    at = {setup.session.jti: setup.server for setup in desk.of(SetUp)}
+    at = {setup.request.session_id: setup.server for setup in desk.of(SetUp)}
     assert set(at.values()) == {1, 2}
-    assert desk.host.box_lost(desk.now, 1) == sum(server == 1 for server in at.values())
-    assert set(desk.host.playing_at(2)) == {jti for jti, server in at.items() if server == 2}
-    assert desk.host.playing_at(1) == {}
+    assert desk.host.on_server_lost(desk.now, 1) == sum(server == 1 for server in at.values())
+    assert set(desk.host.sessions_playing_at(2)) == {jti for jti, server in at.items() if server == 2}
+    assert desk.host.sessions_playing_at(1) == {}
 
 
 def test_a_rung_set_while_the_set_up_is_out_follows_it() -> None:
@@ -255,12 +272,12 @@
     desk.step()
     (setup,) = desk.of(SetUp)
     held = desk.host.session("a")
-    assert held is not None and held.phase is Phase.OUT
+    assert held is not None and held.phase is SessionPhase.IN_FLIGHT
     held.rung -= 1
     desk.done(setup)
     desk.step()
     assert [(one.rung, one.attempt) for one in desk.of(ChangeRung)] == [(setup.rung - 1, 0)]
-    desk.host.note(desk.now, "a", 0, NoteKind.RUNG, 0.0)
+    desk.host.on_server_notice(desk.now, "a", 0, NoticeKind.RUNG, 0.0)
     assert held.rung == 0
 
 
@@ -268,49 +285,49 @@
     desk = Desk()
     first = desk.ask("a")
     desk.step()
-    desk.host.close()
+    desk.host.stop_accepting()
     late = desk.ask("b")
     desk.step()
-    assert desk.answers() == {late: Kind.REFUSED}
+    assert desk.answers() == {late: ReplyKind.REJECTED}
     desk.done(desk.of(SetUp)[0])
     desk.step()
-    assert desk.answers()[first] is Kind.PLAYS and len(desk.host.ledger) == 0
+    assert desk.answers()[first] is ReplyKind.PLAYS and len(desk.host.reply_ledger) == 0
 
 
-@pytest.mark.parametrize("effect", list(Effect))
-def test_a_front_about_to_end_answers_all_that_waits_and_lets_go_what_is_out(effect: Effect) -> None:
-    kind = replace(ALONE.classes[0], effect=effect)
+@pytest.mark.parametrize("effect", list(Idempotency))
+def test_a_front_about_to_end_answers_all_that_waits_and_lets_go_what_is_out(effect: Idempotency) -> None:
+    kind = replace(ALONE.classes[0], idempotency=effect)
     desk = Desk(replace(ALONE, classes=(kind, ALONE.classes[1])), boxes=1)
-    desk.host.limits = replace(desk.host.limits, linger_ms=0.0)
+    desk.host.limits = replace(desk.host.limits, unclaimed_session_ttl_ms=0.0)
     out, ran, held = desk.ask("out"), desk.ask("ran"), 0
     desk.step()
-    desk.done(next(one for one in desk.of(SetUp) if one.session.jti == "ran"), Result.ERROR)
+    desk.done(next(one for one in desk.of(SetUp) if one.request.session_id == "ran"), Result.ERROR)
     held = desk.ask("held")  # the module has not heard of it yet
     desk.said.clear()
-    desk.host.give_up(desk.now)
+    desk.host.abandon_open_requests(desk.now)
     desk.step()
-    unsure = Kind.REFUSED if effect is Effect.REPEATABLE else Kind.FAILED
-    assert desk.answers() == {out: unsure, ran: unsure, held: Kind.REFUSED}
-    assert {one.jti for one in desk.of(Release)} == {"out", "ran"} and not desk.of(SetUp)
-    assert desk.host.sessions == 0 and len(desk.host.ledger) == 0
+    unsure = ReplyKind.REJECTED if effect is Idempotency.IDEMPOTENT else ReplyKind.FAILED
+    assert desk.answers() == {out: unsure, ran: unsure, held: ReplyKind.REJECTED}
+    assert {one.session_id for one in desk.of(ReleaseSession)} == {"out", "ran"} and not desk.of(SetUp)
+    assert desk.host.session_count == 0 and len(desk.host.reply_ledger) == 0
     desk.said.clear()
-    desk.host.give_up(desk.now)
+    desk.host.abandon_open_requests(desk.now)
     assert desk.step() == []
 
 
 def test_the_ledger_refuses_a_second_answer() -> None:
-    ledger = Ledger()
+    ledger = ReplyLedger()
     ledger.open(1, 100.0)
-    with pytest.raises(LedgerError):
+    with pytest.raises(ReplyLedgerError):
         ledger.open(1, 100.0)
-    ledger.answer(1)
-    with pytest.raises(LedgerError):
-        ledger.answer(1)
-    assert not ledger.leave(1) and ledger.overdue(200.0) == [] and ledger.next_due() is None
+    ledger.close(1)
+    with pytest.raises(ReplyLedgerError):
+        ledger.close(1)
+    assert not ledger.withdraw(1) and ledger.overdue(200.0) == [] and ledger.next_deadline() is None
     for ticket in range(1000):
         ledger.open(ticket + 2, float(ticket))
-        ledger.answer(ticket + 2)
-    assert len(ledger._due) <= 65, "answered tickets pile up"
+        ledger.close(ticket + 2)
+    assert len(ledger._deadlines) <= 65, "answered tickets pile up"
 
 
 class HostStory(RuleBasedStateMachine):
@@ -322,8 +339,8 @@
         self.journal = Journal("f", JournalRules(run=16))
         self.journal.watchers.append(self.picture.fold)
         kinds = tuple(replace(kind, seats=seats) for kind in SETTINGS.classes)
-        base = replace(SETTINGS, classes=kinds, may_probe=probes, fronts=2, drain_grace_ms=0.0)
-        settings = replace(base, budget=BUDGET, cold=COLD) if strict else base
+        base = replace(SETTINGS, classes=kinds, may_check_health=probes, front_count=2, drain_grace_ms=0.0)
+        settings = replace(base, retry_budget=BUDGET, slow_start=COLD) if strict else base
         # The module decides the same whether or not it is asked for its reasons.
         self.silent = Controller(settings, 7)
         self.desk = Desk(settings, boxes=4, journal=self.journal, watch=self.decides_alike)
@@ -341,52 +358,54 @@
     def run(self, after: float = 0.0) -> None:
         self.batch(0.0)  # what happened in this instant
         end = self.desk.now + after
-        while (due := self.desk.host.next_due()) is not None and due < end:  # as the shell's timer does
+        while (due := self.desk.host.next_deadline()) is not None and due < end:  # as the shell's timer does
             self.batch(max(due - self.desk.now, 0.0))
         self.batch(end - self.desk.now)
 
     def batch(self, after: float) -> None:
         for command in self.desk.step(after):
             if isinstance(command, SetUp):
-                jti = command.session.jti
+                jti = command.request.session_id
                 assert jti not in self.out, "two attempts out"
-                if not self.desk.host.still_wanted(jti, command.attempt):
+                if not self.desk.host.is_attempt_wanted(jti, command.attempt):
                     held = self.desk.host.session(jti)
-                    assert command.server in self.draining or held is None or not held.waited_for
-                    self.desk.done(command, Result.MOOT)
+                    assert command.server in self.draining or held is None or not held.has_waiting_viewer
+                    self.desk.done(command, Result.NOT_SENT)
                     continue
                 assert command.server not in self.draining
-                assert command.rung >= self.desk.host.settings.classes[command.session.cls].lowest_rung
+                assert (
+                    command.rung >= self.desk.host.settings.classes[command.request.class_index].lowest_rung
+                )
                 self.out[jti] = command
-            elif isinstance(command, Answer):
+            elif isinstance(command, SessionReply):
                 assert command.ticket not in self.left
                 assert self.desk.now <= self.due.pop(command.ticket), "late"
                 self.answers[command.kind.value] += 1
-            elif isinstance(command, SendProbe):
+            elif isinstance(command, SendHealthCheck):
                 self.probes.append(command.server)
-            elif isinstance(command, Release):
-                self.playing.pop(command.jti, None)
+            elif isinstance(command, ReleaseSession):
+                self.playing.pop(command.session_id, None)
 
     @rule(name=st.sampled_from("abcd"), cls=st.integers(0, 1), wait=st.sampled_from([50.0, 400.0, 4000.0]))
     def ask(self, name: str, cls: int, wait: float) -> None:
-        ticket = self.desk.ask(name, cls=cls, wait_ms=wait)
+        ticket = self.desk.ask(name, class_index=cls, max_wait_ms=wait)
         self.due[ticket] = self.desk.now + wait
 
     @rule(number=st.integers(0, 30))
     def leave(self, number: int) -> None:
         if self.due:
             ticket = sorted(self.due)[number % len(self.due)]
-            if ticket in self.desk.host.ledger:  # else its answer is on the way already
+            if ticket in self.desk.host.reply_ledger:  # else its answer is on the way already
                 del self.due[ticket]
                 self.left.add(ticket)
-            self.desk.host.withdraw(self.desk.now, ticket)
+            self.desk.host.withdraw_request(self.desk.now, ticket)
 
     @rule(number=st.integers(0, 30))
     def side_ends(self, number: int) -> None:
         if self.due:
             ticket = sorted(self.due)[number % len(self.due)]
             self.ended.add(ticket)
-            self.desk.host.leave(self.desk.now, ticket)
+            self.desk.host.on_client_half_closed(self.desk.now, ticket)
 
     @rule(number=st.integers(0, 30), result=st.sampled_from([Result.OK, *Result]))
     def attempt_ends(self, number: int, result: Result) -> None:
@@ -401,31 +420,33 @@
     def session_ends(self, number: int, result: Result) -> None:
         if self.playing:
             jti = sorted(self.playing)[number % len(self.playing)]
-            self.desk.host.session_over(self.desk.now, jti, self.playing.pop(jti).attempt, result)
+            self.desk.host.on_session_ended(self.desk.now, jti, self.playing.pop(jti).attempt, result)
 
     @rule(ok=st.booleans())
     def probe_ends(self, ok: bool) -> None:
         if self.probes:
             result = Result.OK if ok else Result.TIMEOUT
-            self.desk.host.probe_done(self.desk.now, self.probes.pop(), result, 1.0, {"x0": 0.2, "x1": 0.2})
+            self.desk.host.on_health_check_finished(
+                self.desk.now, self.probes.pop(), result, 1.0, {"x0": 0.2, "x1": 0.2}
+            )
 
     @rule(server=st.integers(1, 4), state=st.sampled_from([ServerState.READY, ServerState.DRAINING]))
     def told(self, server: int, state: ServerState) -> None:
         (self.draining.add if state is ServerState.DRAINING else self.draining.discard)(server)
-        update = ListUpdate(ListKind.DELTA, 2, (entry(server, cell=server % 4, state=state),))
-        self.desk.host.box_list(self.desk.now, update)
+        update = EndpointListUpdate(EndpointListKind.DELTA, 2, (entry(server, cell=server % 4, state=state),))
+        self.desk.host.on_endpoint_list(self.desk.now, update)
 
     @rule(server=st.integers(1, 4))
     def box_lost(self, server: int) -> None:
-        self.desk.host.box_lost(self.desk.now, server)
+        self.desk.host.on_server_lost(self.desk.now, server)
         self.playing = {jti: one for jti, one in self.playing.items() if one.server != server}
 
     @rule(after=st.sampled_from([0.0, 1.0, 250.0]))
     def time_goes_on(self, after: float) -> None:
         self.run(after)
-        self.desk.host.timer_fired(self.desk.now, 1)
+        self.desk.host.on_timer(self.desk.now, 1)
         self.run()
-        due = self.desk.host.next_due()
+        due = self.desk.host.next_deadline()
         if due is not None and due <= self.desk.now:
             self.run()
 
@@ -433,15 +454,17 @@
     def accounts_agree(self) -> None:
         if hasattr(self, "desk"):
             host = self.desk.host
-            for held in host._held.values():  # what waits or is to be placed waits for somebody who stays
-                if held.phase is not Phase.OUT:
-                    assert self.ended.isdisjoint(held.tickets) and not held.leaving
+            for held in host._records.values():  # what waits or is to be placed waits for somebody who stays
+                if held.phase is not SessionPhase.IN_FLIGHT:
+                    assert self.ended.isdisjoint(held.tickets) and not held.half_closed_tickets
             if not (host._events or host._abandoned):
-                assert set(host.controller.sessions) == {one.number for one in host._held.values()}
-                out = Counter(one.server for one in host._held.values() if one.phase is Phase.OUT)
+                assert set(host.controller.sessions) == {one.number for one in host._records.values()}
+                out = Counter(
+                    one.server for one in host._records.values() if one.phase is SessionPhase.IN_FLIGHT
+                )
                 servers = host.controller.servers.values()
                 assert {one.id: one.setting_up for one in servers if one.setting_up} == dict(out)
-            assert {ticket for ticket in self.left if ticket in host.ledger} == set()
+            assert {ticket for ticket in self.left if ticket in host.reply_ledger} == set()
             for jti, setup in self.out.items():
                 held = host.session(jti)
                 assert held is None or held.attempt >= setup.attempt
@@ -453,16 +476,16 @@
             return
         host, picture = self.desk.host, self.picture
         rows = {row.session: row for row in picture.sessions.values()}
-        assert set(rows) == set(host._held)
-        for jti, held in host._held.items():
+        assert set(rows) == set(host._records)
+        for jti, held in host._records.items():
             assert (rows[jti].phase, rows[jti].attempt) == (held.phase.value, held.attempt)
-            if held.phase in (Phase.OUT, Phase.PLAYING):
+            if held.phase in (SessionPhase.IN_FLIGHT, SessionPhase.PLAYING):
                 assert (rows[jti].box, rows[jti].rung) == (held.server, held.sent_rung)
         for number, box in picture.boxes.items():
-            assert box.playing == len(host.playing_at(number))
-            assert ServerState[box.state.upper()] is host._states[number]
-            assert box.silent == (number in host._doubtful)
-        waiting = sum(isinstance(one, Answer) for one in host._out)
+            assert box.playing == len(host.sessions_playing_at(number))
+            assert ServerState[box.state.upper()] is host._server_states[number]
+            assert box.silent == (number in host._silent_servers)
+        waiting = sum(isinstance(one, SessionReply) for one in host._commands)
         assert sum(picture.answers.values()) == sum(self.answers.values()) + waiting
         assert Picture.from_plain(picture.to_plain()) == picture
 
@@ -474,14 +497,14 @@
                 self.desk.done(self.out.pop(jti), Result.TIMEOUT)
             self.run(100.0)
         assert self.due == {}, "a request without an answer"
-        assert len(self.desk.host.ledger) == 0
+        assert len(self.desk.host.reply_ledger) == 0
         again = Picture()
         for one in self.journal.entries(1):
             again.fold(one)
         assert again == self.picture and +self.picture.answers == self.answers
         lives = Counter(one.session for one in self.journal.entries(1) if one.what is What.ASKED)
         ends = Counter(one.session for one in self.journal.entries(1) if one.what is What.ENDED)
-        assert lives - ends == Counter(jti for jti in self.desk.host._held)
+        assert lives - ends == Counter(jti for jti in self.desk.host._records)
 
 
 HostStory.TestCase.settings = hypothesis_settings(max_examples=200, stateful_step_count=40)
@@ -490,52 +513,56 @@
 
 def test_a_session_taken_over_plays_counts_and_its_end_is_told_once() -> None:
     desk = Desk(SEATS)
-    ask = Ask(0, "x", "a", "who", "lesson", 5, 0, 4, 0, 3, 4000.0, key=77)
-    assert desk.host.take_over(desk.now, ask, 1)
-    assert not desk.host.take_over(desk.now, ask, 2)  # told again: held already
-    assert not desk.host.take_over(desk.now, replace(ask, jti="b"), 99)  # no such box
+    ask = SessionRequest(0, "x", "a", "who", "lesson", 5, 0, 4, 0, 3, 4000.0, viewer_key=77)
+    assert desk.host.adopt_session(desk.now, ask, 1)
+    assert not desk.host.adopt_session(desk.now, ask, 2)  # told again: held already
+    assert not desk.host.adopt_session(desk.now, replace(ask, session_id="b"), 99)  # no such box
     desk.step()
     for name in ("c", "d"):  # one seat of two is left
         desk.ask(name)
         desk.step()
     assert len(desk.of(SetUp)) == 1
-    desk.host.session_over(desk.now, "a", 0, Result.RESET)
-    desk.host.session_over(desk.now, "a", 0, Result.RESET)
+    desk.host.on_session_ended(desk.now, "a", 0, Result.RESET)
+    desk.host.on_session_ended(desk.now, "a", 0, Result.RESET)
     desk.step()
-    assert [(over.session.jti, over.by_viewer) for over in desk.of(Over)] == [("a", False)]
-    assert desk.host.sessions == 1
+    assert [(over.request.session_id, over.is_ended_by_viewer) for over in desk.of(SessionOver)] == [
+        ("a", False)
+    ]
+    assert desk.host.session_count == 1
 
 
 def test_where_nobody_returns_an_attempt_is_released_when_its_viewer_leaves() -> None:
     desk = Desk()
-    desk.host.limits = HostLimits(margin_ms=0.0, linger_ms=0.0)
-    ticket = desk.ask("a", key=77, body=b"offer")
+    desk.host.limits = SessionLimits(reply_margin_ms=0.0, unclaimed_session_ttl_ms=0.0)
+    ticket = desk.ask("a", viewer_key=77, body=b"offer")
     desk.step()
     (setup,) = desk.of(SetUp)
-    assert setup.session.body == b"offer"
-    desk.host.withdraw(desk.now, ticket)
+    assert setup.request.body == b"offer"
+    desk.host.withdraw_request(desk.now, ticket)
     desk.done(setup)  # its answer comes in the same moment
     desk.step()
-    assert [(one.jti, one.attempt) for one in desk.of(Release)] == [("a", 0)]
-    assert desk.answers() == {} and desk.of(Over) == [] and desk.host.sessions == 0
-    assert not desk.host._past  # a viewer with a key of its own leaves nothing behind
+    assert [(one.session_id, one.attempt) for one in desk.of(ReleaseSession)] == [("a", 0)]
+    assert desk.answers() == {} and desk.of(SessionOver) == [] and desk.host.session_count == 0
+    assert not desk.host._known_viewers  # a viewer with a key of its own leaves nothing behind
 
 
 def test_a_front_that_stops_waits_for_nobody_whose_viewers_all_left() -> None:
     async def story() -> bool:
-        core = Core(Host(ALONE, 7), log=None)
-        core.doer = Mock()  # the set-up stays out
-        core.host.box_list(core.now(), ListUpdate(ListKind.FULL, 1, (entry(1),)))
-        ask = Ask(core.ticket(), "dash", "a", "who", "lesson", 5, 0, 4, 0, 3, 4000.0)
-        core.ask(ask, lambda answer: None)
-        asyncio.get_running_loop().call_soon(core.withdraw, ask.ticket)
-        return await core.drained(10.0)
+        core = Dispatcher(SessionManager(ALONE, 7), log=None)
+        core.server_transport = Mock()  # the set-up stays out
+        core.sessions.on_endpoint_list(core.now(), EndpointListUpdate(EndpointListKind.FULL, 1, (entry(1),)))
+        ask = SessionRequest(core.next_ticket(), "dash", "a", "who", "lesson", 5, 0, 4, 0, 3, 4000.0)
+        core.submit(ask, lambda answer: None)
+        asyncio.get_running_loop().call_soon(core.withdraw_request, ask.ticket)
+        return await core.drain(10.0)
 
     assert asyncio.run(story())
 
 
 NEVER_TWICE = 1  # the class of SETTINGS that may not simply be set up again
-FRONT_WAITS = replace(ALONE, classes=(ALONE.classes[0], replace(ALONE.classes[1], effect=Effect.ONCE)))
+FRONT_WAITS = replace(
+    ALONE, classes=(ALONE.classes[0], replace(ALONE.classes[1], idempotency=Idempotency.NOT_IDEMPOTENT))
+)
 
 
 @pytest.mark.parametrize("gated", [True, False])
@@ -544,59 +571,59 @@
     ticket = desk.ask("a")
     if gated:
         desk.step()
-    desk.host.leave(desk.now, ticket)
-    desk.host.leave(desk.now, ticket)  # told twice, answered once
+    desk.host.on_client_half_closed(desk.now, ticket)
+    desk.host.on_client_half_closed(desk.now, ticket)  # told twice, answered once
     desk.step()
-    assert desk.answers() == {ticket: Kind.REFUSED} and desk.of(SetUp) == []
-    desk.host.admitted(desk.now, "a", True)  # the verdict comes late
+    assert desk.answers() == {ticket: ReplyKind.REJECTED} and desk.of(SetUp) == []
+    desk.host.on_entitlement_decided(desk.now, "a", True)  # the verdict comes late
     desk.step()
     desk.step()
-    assert desk.of(SetUp) == [] and desk.host.sessions == 0 and len(desk.host.ledger) == 0
-    assert [left.jti for left in desk.of(Left)] == ["a"] * gated
+    assert desk.of(SetUp) == [] and desk.host.session_count == 0 and len(desk.host.reply_ledger) == 0
+    assert [left.session_id for left in desk.of(EntitlementReleased)] == ["a"] * gated
 
 
 def test_who_ends_its_side_while_an_attempt_is_out_hears_how_it_ended() -> None:
     desk = Desk()
     ticket = desk.ask("a")
     desk.step()
-    desk.host.leave(desk.now, ticket)
+    desk.host.on_client_half_closed(desk.now, ticket)
     desk.step()
     assert desk.answers() == {}
     desk.done(desk.of(SetUp)[0])
     desk.step()
-    assert desk.answers() == {ticket: Kind.PLAYS} and desk.host.sessions == 1
-    desk.host.leave(desk.now, ticket)  # as its answer is being written
+    assert desk.answers() == {ticket: ReplyKind.PLAYS} and desk.host.session_count == 1
+    desk.host.on_client_half_closed(desk.now, ticket)  # as its answer is being written
     desk.step(2000)
-    assert desk.of(Release) == []  # it heard
+    assert desk.of(ReleaseSession) == []  # it heard
 
 
 @pytest.mark.parametrize(
     ("cls", "result", "said"),
     [
-        (0, Result.ERROR, Kind.REFUSED),
-        (NEVER_TWICE, Result.ERROR, Kind.FAILED),  # a refusal would say that it never ran
-        (NEVER_TWICE, Result.MOOT, Kind.REFUSED),
-        (NEVER_TWICE, Result.FULL, Kind.REFUSED),
-        (NEVER_TWICE, Result.CONNECT_FAILED, Kind.REFUSED),
-        (NEVER_TWICE, Result.TIMEOUT, Kind.FAILED),
+        (0, Result.ERROR, ReplyKind.REJECTED),
+        (NEVER_TWICE, Result.ERROR, ReplyKind.FAILED),  # a refusal would say that it never ran
+        (NEVER_TWICE, Result.NOT_SENT, ReplyKind.REJECTED),
+        (NEVER_TWICE, Result.FULL, ReplyKind.REJECTED),
+        (NEVER_TWICE, Result.CONNECT_FAILED, ReplyKind.REJECTED),
+        (NEVER_TWICE, Result.TIMEOUT, ReplyKind.FAILED),
     ],
 )
 def test_after_its_viewer_ended_its_side_no_further_attempt_begins(
-    cls: int, result: Result, said: Kind
+    cls: int, result: Result, said: ReplyKind
 ) -> None:
     desk = Desk(FRONT_WAITS)
-    ticket = desk.ask("a", cls=cls)
+    ticket = desk.ask("a", class_index=cls)
     desk.step()
     (setup,) = desk.of(SetUp)
-    assert desk.host.still_wanted("a", 0)
-    desk.host.leave(desk.now, ticket)
-    assert not desk.host.still_wanted("a", 0)  # were it not sent yet, it would not be
+    assert desk.host.is_attempt_wanted("a", 0)
+    desk.host.on_client_half_closed(desk.now, ticket)
+    assert not desk.host.is_attempt_wanted("a", 0)  # were it not sent yet, it would not be
     desk.done(setup, result)
     desk.step()
     desk.step()
     assert desk.answers() == {ticket: said} and desk.of(SetUp) == [setup]
-    assert desk.host.sessions == 0 and desk.host.controller.sessions == {}
-    assert len(desk.host.ledger) == 0
+    assert desk.host.session_count == 0 and desk.host.controller.sessions == {}
+    assert len(desk.host.reply_ledger) == 0
 
 
 def test_a_failed_attempt_and_the_end_of_a_viewers_side_in_one_batch_either_way_round() -> None:
@@ -607,20 +634,20 @@
         (setup,) = desk.of(SetUp)
         if fails_first:
             desk.done(setup, Result.ERROR)
-        desk.host.leave(desk.now, ticket)
+        desk.host.on_client_half_closed(desk.now, ticket)
         if not fails_first:
             desk.done(setup, Result.ERROR)
         desk.step()
-        assert desk.answers() == {ticket: Kind.REFUSED} and desk.of(SetUp) == [setup]
-        assert desk.host.sessions == 0
+        assert desk.answers() == {ticket: ReplyKind.REJECTED} and desk.of(SetUp) == [setup]
+        assert desk.host.session_count == 0
 
 
-@pytest.mark.parametrize("how", ["withdraw", "leave"])
+@pytest.mark.parametrize("how", ["withdraw_request", "on_client_half_closed"])
 @pytest.mark.parametrize("before", ["arrival", "failed attempt", "probe"])
 def test_the_module_holds_nobody_whose_viewer_left_in_the_batch_that_would_place_it(
     before: str, how: str
 ) -> None:
-    desk = Desk(replace(SETTINGS, fronts=2) if before == "probe" else ALONE)
+    desk = Desk(replace(SETTINGS, front_count=2) if before == "probe" else ALONE)
     if before == "probe":
         desk.step(60_000)  # of no server anything is known
     ticket = desk.ask("a")
@@ -629,119 +656,127 @@
         desk.done(desk.of(SetUp)[0], Result.ERROR)
     elif before == "probe":
         desk.step()
-        (probe,) = desk.of(SendProbe)
-        desk.host.probe_done(desk.now, probe.server, Result.OK, 1.0, {"x0": 0.2, "x1": 0.2})
+        (probe,) = desk.of(SendHealthCheck)
+        desk.host.on_health_check_finished(desk.now, probe.server, Result.OK, 1.0, {"x0": 0.2, "x1": 0.2})
     getattr(desk.host, how)(desk.now, ticket)
     desk.step()
     desk.step()
     module = desk.host.controller
     assert len(desk.of(SetUp)) == (before == "failed attempt")
     assert module.sessions == {} and not any(one.setting_up for one in module.servers.values())
-    assert desk.host.sessions == 0 and len(desk.host.ledger) == 0
+    assert desk.host.session_count == 0 and len(desk.host.reply_ledger) == 0
 
 
 def test_a_session_goes_on_for_those_who_still_wait() -> None:
     desk = Desk()
     leaver, stayer = desk.ask("a"), desk.ask("a")
     desk.step()
-    desk.host.leave(desk.now, leaver)
-    assert desk.host.still_wanted("a", 0)
+    desk.host.on_client_half_closed(desk.now, leaver)
+    assert desk.host.is_attempt_wanted("a", 0)
     desk.done(desk.of(SetUp)[0], Result.ERROR)
     desk.step()
-    assert desk.answers() == {leaver: Kind.REFUSED} and len(desk.of(SetUp)) == 2
-    desk.host.leave(desk.now, stayer)
+    assert desk.answers() == {leaver: ReplyKind.REJECTED} and len(desk.of(SetUp)) == 2
+    desk.host.on_client_half_closed(desk.now, stayer)
     again = desk.ask("a")  # who comes while it is out is waited for
-    assert desk.host.still_wanted("a", 1)
+    assert desk.host.is_attempt_wanted("a", 1)
     desk.done(desk.of(SetUp)[1])
     desk.step()
-    assert desk.answers() == {leaver: Kind.REFUSED, stayer: Kind.PLAYS, again: Kind.PLAYS}
+    assert desk.answers() == {leaver: ReplyKind.REJECTED, stayer: ReplyKind.PLAYS, again: ReplyKind.PLAYS}
 
 
 def test_a_leavers_time_runs_on_and_its_connection_may_break_besides() -> None:
     desk = Desk()
-    first, second = desk.ask("a", wait_ms=300.0), desk.ask("b")
+    first, second = desk.ask("a", max_wait_ms=300.0), desk.ask("b")
     desk.step()
-    desk.host.leave(desk.now, first)
-    desk.host.leave(desk.now, second)
-    desk.host.withdraw(desk.now, second)
+    desk.host.on_client_half_closed(desk.now, first)
+    desk.host.on_client_half_closed(desk.now, second)
+    desk.host.withdraw_request(desk.now, second)
     desk.step(300)
-    assert desk.answers() == {first: Kind.FAILED}
+    assert desk.answers() == {first: ReplyKind.FAILED}
     for setup in desk.of(SetUp):
         desk.done(setup, Result.ERROR)
     desk.step()
-    assert desk.answers() == {first: Kind.FAILED} and desk.host.sessions == 0
-    assert len(desk.of(SetUp)) == 2 and len(desk.host.ledger) == 0
+    assert desk.answers() == {first: ReplyKind.FAILED} and desk.host.session_count == 0
+    assert len(desk.of(SetUp)) == 2 and len(desk.host.reply_ledger) == 0
 
 
-def core_story(story: Callable[[Core, Mock], Awaitable[None]], **limits: float) -> None:
+def core_story(story: Callable[[Dispatcher, Mock], Awaitable[None]], **limits: float) -> None:
     """Plays a story against a core with one box, whose ways and log are stand-ins."""
 
     async def run() -> None:
-        host = Host(ALONE, 7, HostLimits(margin_ms=0.0, linger_ms=0.0, **limits))
-        core, doer = Core(host, log=Mock()), Mock()
-        core.doer = doer
-        host.box_list(core.now(), ListUpdate(ListKind.FULL, 1, (entry(1),)))
+        host = SessionManager(
+            ALONE, 7, SessionLimits(reply_margin_ms=0.0, unclaimed_session_ttl_ms=0.0, **limits)
+        )
+        core, doer = Dispatcher(host, log=Mock()), Mock()
+        core.server_transport = doer
+        host.on_endpoint_list(core.now(), EndpointListUpdate(EndpointListKind.FULL, 1, (entry(1),)))
         await story(core, doer)
         core.stop()
 
     asyncio.run(run())
 
 
-def put(core: Core, jti: str, got: list[Answer], wait_ms: float = 4000.0) -> int:
-    ask = Ask(core.ticket(), "dash", jti, "who", "lesson", 5, 0, 4, 0, 3, wait_ms)
-    core.ask(ask, got.append)
+def put(core: Dispatcher, jti: str, got: list[SessionReply], wait_ms: float = 4000.0) -> int:
+    ask = SessionRequest(core.next_ticket(), "dash", jti, "who", "lesson", 5, 0, 4, 0, 3, wait_ms)
+    core.submit(ask, got.append)
     return ask.ticket
 
 
 def test_a_set_up_or_probe_that_could_not_be_begun_ends_as_one_that_failed() -> None:
-    async def story(core: Core, doer: Mock) -> None:
+    async def story(core: Dispatcher, doer: Mock) -> None:
         doer.set_up.side_effect = doer.probe.side_effect = ValueError("a fault of this program")
-        got: list[Answer] = []
+        got: list[SessionReply] = []
         put(core, "a", got)
         await until(lambda: got)  # long before its time is over
-        assert got[0].kind is Kind.REFUSED and core.host.sessions == 0 and len(core.host.ledger) == 0
-        module = core.host.controller
+        assert (
+            got[0].kind is ReplyKind.REJECTED
+            and core.sessions.session_count == 0
+            and len(core.sessions.reply_ledger) == 0
+        )
+        module = core.sessions.controller
         assert not any(one.setting_up or one.probing for one in module.servers.values())
 
     core_story(story)
 
 
 def test_a_fault_in_telling_one_viewer_costs_no_other_its_answer_and_leaves_no_session() -> None:
-    async def story(core: Core, doer: Mock) -> None:
-        got: list[Answer] = []
-        ask = Ask(core.ticket(), "dash", "a", "who", "lesson", 5, 0, 4, 0, 3, 4000.0)
-        core.ask(ask, Mock(side_effect=ValueError("a fault of this program")))
+    async def story(core: Dispatcher, doer: Mock) -> None:
+        got: list[SessionReply] = []
+        ask = SessionRequest(core.next_ticket(), "dash", "a", "who", "lesson", 5, 0, 4, 0, 3, 4000.0)
+        core.submit(ask, Mock(side_effect=ValueError("a fault of this program")))
         await until(lambda: doer.set_up.called)
-        core.host.set_up_done(core.now(), "a", 0, SetUpResult(Result.OK, 1.0, {}, "manifest"))
-        core.host.close()
+        core.sessions.on_attempt_finished(core.now(), "a", 0, SetUpResult(Result.OK, 1.0, {}, "manifest"))
+        core.sessions.stop_accepting()
         put(core, "b", got)
         await until(lambda: got)
-        assert await core.drained(10.0) and core.host.sessions == 0  # nobody heard that it plays
+        assert await core.drain(10.0) and core.sessions.session_count == 0  # nobody heard that it plays
         await until(lambda: doer.release.called)
 
     core_story(story)
 
 
 def test_a_batch_that_fails_leaves_what_was_asked_its_time_and_its_answer() -> None:
-    async def story(core: Core, doer: Mock) -> None:
-        got: list[Answer] = []
-        with patch.object(core.host.controller, "handle", side_effect=ValueError("a fault of the module")):
+    async def story(core: Dispatcher, doer: Mock) -> None:
+        got: list[SessionReply] = []
+        with patch.object(
+            core.sessions.controller, "handle", side_effect=ValueError("a fault of the module")
+        ):
             put(core, "a", got, 50.0)
             core.after_step(Mock(side_effect=ValueError("a fault of this program")))
             await until(lambda: core.log.error.called)
         await until(lambda: got)
-        assert got[0].kind is Kind.FAILED and got[0].timed_out and core.host.sessions == 0
+        assert got[0].kind is ReplyKind.FAILED and got[0].is_timeout and core.sessions.session_count == 0
 
     core_story(story)
 
 
 def test_what_is_asked_in_the_turn_of_the_stop_is_answered_before_it() -> None:
-    async def story(core: Core, doer: Mock) -> None:
-        got: list[Answer] = []
-        assert await core.drained(10.0)
+    async def story(core: Dispatcher, doer: Mock) -> None:
+        got: list[SessionReply] = []
+        assert await core.drain(10.0)
         put(core, "a", got)
-        core.last_step()
+        core.run_last_step()
         core.stop()
-        assert [one.kind for one in got] == [Kind.REFUSED] and len(core.host.ledger) == 0
+        assert [one.kind for one in got] == [ReplyKind.REJECTED] and len(core.sessions.reply_ledger) == 0
 
     core_story(story)
--- a/tests/test_import_contracts.py
+++ b/tests/test_import_contracts.py
@@ -100,5 +100,5 @@
         for path in (ROOT / "fernweir").iterdir()
         if path.suffix == ".py" or (path / "__init__.py").exists()
     }
-    allowed = {"fernweir.__init__", "fernweir.brain", "fernweir.interface", "fernweir.node"}
+    allowed = {"fernweir.__init__", "fernweir.controller", "fernweir.interface", "fernweir.node"}
     assert contracts(ROOT)["node-imports"]["forbidden_modules"] == sorted(here - allowed)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -4,7 +4,7 @@
 
 
 def test_brain_keeps_its_line_limits() -> None:
-    text = (Path(__file__).parent.parent / "fernweir" / "brain.py").read_text()
+    text = (Path(__file__).parent.parent / "fernweir" / "controller.py").read_text()
     lines = text.splitlines()
     assert sum(1 for line in lines if line.strip()) <= 860
     assert max(map(len, lines)) <= 110
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from fernweir.front.commands import Answer, SendProbe
+from fernweir.front.commands import SendHealthCheck, SessionReply
 from fernweir.front.names import number_of
 from fernweir.http.reset import reset
 from fernweir.node.frames import Code, Frame, Type
@@ -64,7 +64,7 @@
         assert scene.ends[wish.id].cause == 16 and second.raw[-1].id == wish.id
         second.send(Message("release", other.id, cause=16))  # its viewer ends the other
         await until(lambda: any(one == (other.id, 16) for one in scene.servers[name].releases))
-        await until(lambda: not scene.node.core.host.sessions)
+        await until(lambda: not scene.node.core.sessions.session_count)
         assert other.id not in scene.ends
 
     play(story)
@@ -81,7 +81,7 @@
         await until(lambda: server.writers)  # the node comes to hear of its session
         note = {Code.NOTE: b"level", Code.LEVEL: b"3"}
         server.say(Frame(Type.NOTE, wish.id, note))
-        held = scene.node.core.host.session(wish.id)
+        held = scene.node.core.sessions.session(wish.id)
         assert held is not None
         await until(lambda: held.rung == 3)
         scene.answers[wish.id] = Message("answer", wish.id)
@@ -143,7 +143,7 @@
         server, known = scene.servers["s-1"], scene.brain_server("s-1")
         server.pings_to_break = broken
         known.probing = True
-        scene.node.servers.probe(SendProbe(number_of("s-1")))
+        scene.node.servers.check_health(SendHealthCheck(number_of("s-1")))
         await until(lambda: not known.probing)
         assert server.pings == 3 and bool(known.strikes) is not lives
 
@@ -159,7 +159,7 @@
         viewer.send(*wishes)
         for wish in wishes:
             assert (await viewer.answer(wish.id)).type == "answer"
-        assert len(scene.setups()) == 4 and scene.node.core.host.sessions == 4
+        assert len(scene.setups()) == 4 and scene.node.core.sessions.session_count == 4
 
     play(story)
 
@@ -172,10 +172,10 @@
             writer.transport.abort()
         server.writers.clear()
         await until(lambda: server.writers)  # the node comes back to hear
-        assert scene.node.core.host.sessions == 1
+        assert scene.node.core.sessions.session_count == 1
         server.die()
         await until(lambda: wish.id in scene.ends)
-        assert scene.brain_server(name).lost and not scene.node.core.host.sessions
+        assert scene.brain_server(name).lost and not scene.node.core.sessions.session_count
 
     play(story)
 
@@ -195,12 +195,12 @@
         loop.create_connection = cut_off  # type: ignore[method-assign,assignment]
         await until(lambda: wish.id in scene.ends)
         assert scene.ends[wish.id].cause == 41 and scene.brain_server(name).lost
-        assert other.id not in scene.ends and scene.node.core.host.sessions == 1
+        assert other.id not in scene.ends and scene.node.core.sessions.session_count == 1
         viewer.send(third := scene.setup())
         assert (await viewer.answer(third.id)).type == "answer"
         assert len(silent.setups) == 2
 
-    play(story, settings=replace(PLAIN, tell_ms=200.0, seen_after_ms=100.0))
+    play(story, settings=replace(PLAIN, report_interval_ms=200.0, report_delay_ms=100.0))
 
 
 @pytest.mark.parametrize("late_s", [0.6, 5.0])  # past the attempt's time-out; past the viewer's deadline
@@ -213,7 +213,7 @@
         loop.time = lambda: time() + late_s  # type: ignore[method-assign]
         assert (await viewer.answer(wish.id)).type == "answer"
         assert len(scene.setups()) == 1 and not server.releases
-        assert scene.node.core.host.sessions == 1 and not scene.node.viewers.open
+        assert scene.node.core.sessions.session_count == 1 and not scene.node.viewers.open
 
     play(story)
 
@@ -226,7 +226,7 @@
         for say in says if first == "viewer" else reversed(says):
             say()
         await until(lambda: (wish.id, 16) in server.releases)
-        assert not scene.node.core.host.sessions and wish.id not in scene.ends
+        assert not scene.node.core.sessions.session_count and wish.id not in scene.ends
         assert len(scene.setups()) == 1 and not scene.node.viewers.open
 
     play(story)
@@ -241,7 +241,7 @@
         says = [lambda: viewer.send(Message("release", wish.id, cause=16)), lambda: server.say(end)]
         for say in says if first == "viewer" else reversed(says):
             say()
-        await until(lambda: not scene.node.core.host.sessions)
+        await until(lambda: not scene.node.core.sessions.session_count)
         viewer.send(Message("ping", "0" * 15 + "1", cause=0))
         await until(lambda: any(one.type == "pong" for one in viewer.raw))
         assert all(one.cause == 16 for one in viewer.raw if one.type == "release")
@@ -260,7 +260,7 @@
         second.finish(wish.id)
         assert (await viewer.answer(wish.id)).sdp == f"{second.name} {wish.id}\r\n"
         await until(lambda: not scene.node.servers.links[number_of(server.name)].conns)
-        assert scene.node.core.host.sessions == 1 and wish.id not in scene.ends
+        assert scene.node.core.sessions.session_count == 1 and wish.id not in scene.ends
 
     play(story)
 
@@ -299,7 +299,7 @@
         viewer.send(*wishes)
         await until(lambda: scene.setups())
         viewer.send(*(Message("release", wish.id, cause=16) for wish in wishes))  # in one read
-        await until(lambda: not scene.node.core.host.sessions)
+        await until(lambda: not scene.node.core.sessions.session_count)
         await until(lambda: not any(server.out for server in scene.servers.values()))
         assert not scene.answers and not scene.node.viewers.open
 
@@ -316,7 +316,7 @@
         server.play(end, wish.id, server.out[wish.id])
         assert (await viewer.answer(wish.id)).type == ("answer" if end == "answer" else "release")
         await until(lambda: viewer.closed)  # told at once that this was all
-        assert scene.node.core.host.sessions == (end == "answer") and len(scene.setups()) == 1
+        assert scene.node.core.sessions.session_count == (end == "answer") and len(scene.setups()) == 1
         assert end == "answer" or viewer.raw[0].cause == 34
 
     play(story)
@@ -326,7 +326,7 @@
     async def story(scene: Scene) -> None:
         viewer, _wish, _server = await one_under_way(scene)
         reset(viewer._writer.transport)  # type: ignore[arg-type]
-        await until(lambda: not scene.node.core.host.sessions)
+        await until(lambda: not scene.node.core.sessions.session_count)
         assert len(scene.setups()) == 1
         await until(lambda: not any(server.out for server in scene.servers.values()))
 
@@ -521,7 +521,9 @@
         await until(lambda: scene.node.feed.last == 3)
         for one in (name, unused):
             number = number_of(one)
-            assert number not in scene.node.feed.names and number not in scene.node.core.host.listed
+            assert (
+                number not in scene.node.feed.names and number not in scene.node.core.sessions.endpoint_states
+            )
 
     play(story)
 
@@ -556,7 +558,7 @@
 def test_the_scene_sees_a_second_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     once = Viewers._answer
 
-    def twice(self: Viewers, id: str, answer: Answer) -> None:
+    def twice(self: Viewers, id: str, answer: SessionReply) -> None:
         connection = self.open[id][1]
         once(self, id, answer)
         connection.send(Message("answer", id, sdp="again"))
@@ -628,7 +630,7 @@
         for server in servers:
             server.script.clear()
         await until(lambda: waits.keys() <= scene.answers.keys() and not scene.node.viewers.open)
-        held = scene.node.core.host.held
+        held = scene.node.core.sessions.records
         await until(lambda: {*held()} == {id for server in servers for id in server.stands})
         await until(lambda: not given_up & held().keys())
         assert not any(server.out for server in servers)
--- a/tests/test_node_crossing_viewers.py
+++ b/tests/test_node_crossing_viewers.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from fernweir.interface import Effect
+from fernweir.interface import Idempotency
 from fernweir.node.frames import Code, Frame, Type
 from fernweir.node.jsonl import Message, write
 from fernweir.node.limits import HUSH_MS, Door
@@ -178,11 +178,11 @@
 
 @pytest.mark.parametrize("how", WAYS)
 @pytest.mark.parametrize("first", ["viewer", "server"])
-@pytest.mark.parametrize("effect", [Effect.REPEATABLE, Effect.ONCE])
+@pytest.mark.parametrize("effect", [Idempotency.IDEMPOTENT, Idempotency.NOT_IDEMPOTENT])
 def test_who_leaves_beside_a_failing_attempt_gets_no_further_one(
-    how: str, first: str, effect: Effect
+    how: str, first: str, effect: Idempotency
 ) -> None:
-    settings = replace(PLAIN, classes=tuple(replace(one, effect=effect) for one in PLAIN.classes))
+    settings = replace(PLAIN, classes=tuple(replace(one, idempotency=effect) for one in PLAIN.classes))
     with staged(3, settings) as stage:
         viewer = stage.far_viewer()
         id, line = stage.set_up(viewer)
@@ -219,14 +219,14 @@
         line.answer(out)
         assert hears(stage, viewer, out).type == hears(stage, other, others).type == "answer"
         stage.loop.until(lambda: viewer.look() is not None and viewer.over)
-        assert stage.node.core.host.sessions == 2
+        assert stage.node.core.sessions.session_count == 2
 
 
 @pytest.mark.parametrize("how", WAYS)
 @pytest.mark.parametrize("first", ["viewer", "server"])
 def test_who_leaves_while_the_module_holds_it_is_not_placed(how: str, first: str) -> None:
     """It waits for word of a server of which nothing is known; that comes in the turn in which it leaves."""
-    with staged(settings=replace(SETTINGS, fronts=2)) as stage:
+    with staged(settings=replace(SETTINGS, front_count=2)) as stage:
         stage.loop.advance(60_000)
         viewer = stage.far_viewer()
         viewer.send(wish := stage.setup())
@@ -239,7 +239,7 @@
             return bool(pings)
 
         stage.loop.until(asked)
-        assert stage.node.core.host.session(wish.id) is not None and stage.sent_to(wish.id) == []
+        assert stage.node.core.sessions.session(wish.id) is not None and stage.sent_to(wish.id) == []
         (line,) = stage.far["s-0"].lines
         fd, there = near(stage, viewer), stage.loop.near(line.sock)
         stage.loop.selected.held |= {fd, there}
@@ -267,13 +267,15 @@
         viewer.close()
         stage.loop.settle()
         line.answer(id)
-        stage.loop.until(lambda: id in stage.node.viewers.home or stage.node.core.host.session(id) is None)
+        stage.loop.until(
+            lambda: id in stage.node.viewers.home or stage.node.core.sessions.session(id) is None
+        )
         stage.loop.settle()
         if seen == "a sweep after the answer":
             stage.loop.advance(2 * SWEEP_MS)
         stage.loop.selected.held.clear()
         stage.loop.until(lambda: released(stage, id))
-        assert stage.node.core.host.sessions == 1 and len(stage.sent_to(id)) == 1
+        assert stage.node.core.sessions.session_count == 1 and len(stage.sent_to(id)) == 1
 
 
 def test_an_answer_half_written_to_a_reader_that_breaks_ends_its_session() -> None:
@@ -285,11 +287,13 @@
         while not ours_.unsent:
             ours_.write(write(Message("pong", "0" * 16, cause=1)) * 100)
         line.answer(id)
-        stage.loop.until(lambda: stage.node.core.host.playing_at(stage.node.core.host.session(id).server))  # type: ignore[union-attr]
+        stage.loop.until(
+            lambda: stage.node.core.sessions.sessions_playing_at(stage.node.core.sessions.session(id).server)
+        )  # type: ignore[union-attr]
         assert ours_.unsent
         viewer.reset()
         stage.loop.until(lambda: released(stage, id))
-        assert stage.node.core.host.sessions == 0
+        assert stage.node.core.sessions.session_count == 0
 
 
 def test_a_viewer_that_half_closed_and_read_its_answer_keeps_its_session() -> None:
@@ -304,7 +308,7 @@
         stage.loop.until(lambda: viewer.look() is not None and viewer.over)  # told at once that this is all
         stage.loop.advance(DOUBT_MS + 2 * SWEEP_MS)
         viewer.close()
-        assert len(ours(stage)) == 1 and stage.node.core.host.sessions == 2
+        assert len(ours(stage)) == 1 and stage.node.core.sessions.session_count == 2
         line.release(id, 16)  # its end comes on another connection
         stage.loop.until(lambda: other.look() is not None and id in stage.ends)
 
@@ -316,7 +320,7 @@
         id, line = stage.stands(viewer)
         viewer.reset()
         stage.loop.advance(DOUBT_MS)
-        assert stage.node.core.host.sessions == 2 and not released(stage, id)
+        assert stage.node.core.sessions.session_count == 2 and not released(stage, id)
         line.release(id, 16)
         stage.loop.until(lambda: other.look() is not None and id in stage.ends)
 
@@ -331,7 +335,7 @@
             wish = stage.setup()
             id = wish.id
             ask_and_hold(stage, viewer, wish)
-        stage.node.core.host.close()
+        stage.node.core.sessions.stop_accepting()
         viewer.end()
         stage.loop.settle()
         stage.loop.selected.held.clear()
@@ -364,7 +368,7 @@
             lambda: len(ours(stage)) == 2 and Side.PARTED not in {o.visit.side for o in ours(stage)}
         )
         line_two.answer(wait)
-        assert hears(stage, two, wait).type == "answer" and stage.node.core.host.sessions == 2
+        assert hears(stage, two, wait).type == "answer" and stage.node.core.sessions.session_count == 2
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -494,7 +498,7 @@
 
 @pytest.mark.parametrize("how", ["half", "endless", "mistakes"])
 def test_a_connection_ended_by_the_node_answers_what_is_open_first(how: str) -> None:
-    slow = tuple(replace(one, aim_ms=20_000.0, deadline_ms=60_000.0) for one in PLAIN.classes)
+    slow = tuple(replace(one, latency_objective_ms=20_000.0, deadline_ms=60_000.0) for one in PLAIN.classes)
     with staged(settings=replace(PLAIN, classes=slow)) as stage:
         viewer = stage.far_viewer()
         id, line = stage.set_up(viewer, left="60000")
@@ -516,7 +520,7 @@
             line.answer(id)
         assert hears(stage, viewer, id).type == "answer"
         stage.loop.until(lambda: viewer.look() is not None and viewer.over)
-        assert stage.sent_to(late.id) == [] and stage.node.core.host.sessions == 1
+        assert stage.sent_to(late.id) == [] and stage.node.core.sessions.session_count == 1
         assert len(stage.node.viewers.door) == 0
 
 
@@ -590,7 +594,7 @@
         stage.loop.until(lambda: released(stage, id))
         stage.loop.settle()
         viewer.look()
-        assert id not in stage.answers and stage.node.core.host.sessions == 0
+        assert id not in stage.answers and stage.node.core.sessions.session_count == 0
 
 
 @pytest.mark.parametrize("first", ["set-up", "release"])
@@ -626,7 +630,7 @@
         line = stage.far["s-0"].line_of(id)
         line.answer(id)
         stage.loop.until(lambda: again.look() is not None and id in stage.answers)
-        assert stage.node.core.host.sessions == 1
+        assert stage.node.core.sessions.session_count == 1
         stage.far["s-0"].lines[0].ended.discard(id)
 
 
@@ -665,7 +669,7 @@
         stage.loop.selected.held.clear()
         stage.loop.settle()
         assert "no such session" not in stage.log.getvalue()
-        assert id not in stage.node.viewers.home and stage.node.core.host.sessions == 1
+        assert id not in stage.node.viewers.home and stage.node.core.sessions.session_count == 1
 
 
 def test_an_end_that_nobody_can_hear_waits_for_the_next_connection_with_a_session() -> None:
@@ -692,7 +696,7 @@
         while not one.unsent:
             one.write(write(Message("pong", "0" * 16, cause=1)) * 100)
         line.release(id, 16)
-        stage.loop.until(lambda: stage.node.core.host.session(id) is None)
+        stage.loop.until(lambda: stage.node.core.sessions.session(id) is None)
         stage.loop.settle()
         assert id not in stage.ends
         home.reset()
@@ -707,7 +711,7 @@
         viewer.send(lost, Message("ping", "0" * 15 + "1", cause=0))
         stage.loop.until(lambda: viewer.look() is not None and len(viewer.raw) == 2)
         assert [(one.type, one.cause) for one in viewer.raw] == [("release", 41), ("pong", 0)]
-        assert stage.node.core.host.sessions == 0 and stage.sent_to(lost.id) == []
+        assert stage.node.core.sessions.session_count == 0 and stage.sent_to(lost.id) == []
         viewer.send(
             Message("release", lost.id, cause=16)
         )  # crossed the word of its end, or is written beside it
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -16,11 +16,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fernweir.brain import Controller
 from fernweir.cli import main
-from fernweir.front.commands import Ask, Release, SetUp, SetUpResult
-from fernweir.front.host import Host, HostLimits
-from fernweir.interface import Action, Event, ListKind, ListUpdate, Result, ServerState
+from fernweir.controller import Controller
+from fernweir.front.commands import ReleaseSession, SessionRequest, SetUp, SetUpResult
+from fernweir.front.session_manager import SessionLimits, SessionManager
+from fernweir.interface import Action, EndpointListKind, EndpointListUpdate, Event, Result, ServerState
 from fernweir.node import frames, jsonl
 from fernweir.node.config import ConfigError, flat, load
 from fernweir.node.feed import Feed, FeedError
@@ -145,13 +145,17 @@
 def test_a_feed_takes_each_event_once_in_order_and_asks_again_after_a_gap() -> None:
     feed = Feed(SETTINGS, ("box",), offset_ms=1000.0)
     (whole,) = feed.start((event(1, endpoint("a"), endpoint("b"), snapshot=True),), 1)
-    assert (whole.kind, len(whole.entries)) == (ListKind.CACHED, 2)
+    assert (whole.kind, len(whole.entries)) == (EndpointListKind.CACHED, 2)
 
-    def tell(body: object) -> ListUpdate | None:
+    def tell(body: object) -> EndpointListUpdate | None:
         return feed.line(json.dumps(body).encode())
 
     started = tell(event(2, endpoint("c", since_ms=5000)))
-    assert started is not None and started.kind is ListKind.DELTA and started.entries[0].started_at == 4000.0
+    assert (
+        started is not None
+        and started.kind is EndpointListKind.DELTA
+        and started.entries[0].started_at == 4000.0
+    )
     assert tell(event(2, endpoint("c"))) is None and tell(2) is None
     for bad in (
         event(4, endpoint("a")),
@@ -167,7 +171,7 @@
     with pytest.raises(FeedError):
         feed.line(b'{"n":3,"mem')
     gone = tell(event(3, endpoint("a", status="removed")))
-    assert gone is not None and gone.entries[0].state is ServerState.GONE and feed.last == 3
+    assert gone is not None and gone.entries[0].state is ServerState.REMOVED and feed.last == 3
 
 
 def test_the_door_prefers_those_who_speak_and_forgets_who_left() -> None:
@@ -197,7 +201,7 @@
 
 def test_a_server_is_lost_by_proof_only() -> None:
     watch = Watch(SETTINGS, 250.0, 0.0)
-    quiet = SETTINGS.tell_ms + SETTINGS.seen_after_ms + SETTINGS.period_ms
+    quiet = SETTINGS.report_interval_ms + SETTINGS.report_delay_ms + SETTINGS.batch_period_ms
     assert watch.look(1e6, holds=False, connected=False, connecting=False) is Verdict.WELL
     watch.heard(0.0)
     assert watch.look(quiet - 1, True, True, False) is Verdict.WELL
@@ -282,13 +286,17 @@
 def test_the_module_decides_alike_through_the_node_and_through_the_adapter() -> None:
     """What the host hands to its module, handed to another by hand, gives the same actions."""
     seen: list[tuple[float, list[Event], list[Action]]] = []
-    limits = HostLimits(margin_ms=0.0, linger_ms=0.0)
-    host = Host(SETTINGS, 11, limits, lambda now, events, actions: seen.append((now, events, list(actions))))
-    host.box_list(0.0, ListUpdate(ListKind.CACHED, 1, tuple(entry(n, cell=n % 4) for n in range(1, 6))))
+    limits = SessionLimits(reply_margin_ms=0.0, unclaimed_session_ttl_ms=0.0)
+    host = SessionManager(
+        SETTINGS, 11, limits, lambda now, events, actions: seen.append((now, events, list(actions)))
+    )
+    host.on_endpoint_list(
+        0.0, EndpointListUpdate(EndpointListKind.CACHED, 1, tuple(entry(n, cell=n % 4) for n in range(1, 6)))
+    )
     out, now = host.step(0.0), 0.0
     for number in range(200):
         now += 7.0
-        ask = Ask(
+        ask = SessionRequest(
             number,
             "platform",
             f"{number:016x}",
@@ -300,22 +308,22 @@
             number % 2,
             3,
             900.0,
-            key=number + 1,
+            viewer_key=number + 1,
         )
-        host.ask(now, ask)
+        host.request_session(now, ask)
         for command in out:
             if isinstance(command, SetUp):
                 result = (Result.OK, Result.ERROR, Result.RESET, Result.FULL)[number % 4]
-                jti = command.session.jti
-                host.set_up_done(
+                jti = command.request.session_id
+                host.on_attempt_finished(
                     now, jti, command.attempt, SetUpResult(result, 3.0, {"x0": 0.2, "x1": 0.1}, "d")
                 )
         if number % 5 == 0:
-            host.withdraw(now, number)
+            host.withdraw_request(now, number)
         if number % 11 == 0:
-            host.timer_fired(now, 1)
+            host.on_timer(now, 1)
         out = host.step(now)
-        assert not any(isinstance(one, Release) and one.attempt < 0 for one in out)
+        assert not any(isinstance(one, ReleaseSession) and one.attempt < 0 for one in out)
     other = Controller(SETTINGS, 11)
     assert len(seen) == 201
     for at, events, actions in seen:
--- a/tests/test_node_peers.py
+++ b/tests/test_node_peers.py
@@ -178,7 +178,7 @@
         heard = [row["outcome"] for row in told[0]["rows"] if row["front"] == "n2"]
         assert heard == ["heard at s-1", "heard at s-1"]  # by the first event of all, and now
 
-        port = node.core.host.observer
+        port = node.core.sessions.observer
         assert isinstance(port, NodePort)
         port.hold_back("shut out", 5_000.0)
         refused = await fleet.ask(node)
@@ -223,7 +223,7 @@
         "code = program.main()\n"
         "known = set(sys.stdlib_module_names) | {'fernweir', '__main__'}\n"
         "other = {name for name in sys.modules if name.partition('.')[0] not in known}\n"
-        "parts = ('fernweir.peers', 'fernweir.config', 'fernweir.node.peering', 'fernweir.front.acting')\n"
+        "parts = ('fernweir.peers', 'fernweir.config', 'fernweir.node.peering', 'fernweir.front.peer_view')\n"
         "other |= {name for name in sys.modules if name.startswith(parts)}\n"
         "print('loaded', code, sorted(other), file=sys.stderr)\n"
     )
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -41,7 +41,7 @@
         self.plain, self.file = settings, folder / "config.json"
         self.address = free_address()
         self.node = SimpleNamespace(viewers=SimpleNamespace(address=self.address))  # type: ignore[assignment]
-        super().__init__(SimpleNamespace(cells=4), 128)  # type: ignore[arg-type]
+        super().__init__(SimpleNamespace(zone_count=4), 128)  # type: ignore[arg-type]
 
     def configure(self, feed: Address) -> None:
         lines = [self.line(name) for name in self.servers]
--- a/tests/test_node_settings.py
+++ b/tests/test_node_settings.py
@@ -17,18 +17,18 @@
 
 import pytest
 
-from fernweir.brain import Controller
+from fernweir.controller import Controller
 from fernweir.front.names import number_of
 from fernweir.interface import (
     Arrival,
-    ColdRule,
-    Ended,
+    AttemptEnded,
+    EndpointListKind,
+    EndpointListUpdate,
     Event,
-    ListKind,
-    ListUpdate,
     Place,
     Result,
     ServerState,
+    SlowStart,
     TimerFired,
 )
 from fernweir.node.config import ConfigError, NodeConfig, load
@@ -126,20 +126,21 @@
     """Plays to the module what makes it use all of its settings; a fault in one comes out here."""
     settings, dice = config.settings, Random(3)
     brain, now, rid = Controller(settings, config.seed), 1000.0, 0
-    entries = tuple(entry(n, cell=n, kind=n % 2, started_at=900.0 * (n % 2)) for n in range(1, 5))
+    entries = tuple(entry(n, cell=n, server_type=n % 2, started_at=900.0 * (n % 2)) for n in range(1, 5))
     report = (0.4,) * len(settings.report_fields)
-    events: list[Event] = [ListUpdate(ListKind.CACHED, 1, entries)]
+    events: list[Event] = [EndpointListUpdate(EndpointListKind.CACHED, 1, entries)]
     results = (Result.RESET, Result.TIMEOUT, Result.FULL, Result.ERROR, Result.CONNECT_FAILED)
     for _ in range(8):
         for cls in range(len(settings.classes)):
             rid += 1
-            wanted = viewer(rid, cls=cls, left_ms=settings.classes[cls].deadline_ms)
-            events.append(Arrival(replace(wanted, top_rung=len(settings.rates_kb) - 1)))
+            wanted = viewer(rid, cls=cls, remaining_ms=settings.classes[cls].deadline_ms)
+            events.append(Arrival(replace(wanted, top_rung=len(settings.rung_rates_kbyte_s) - 1)))
         placed = [one for one in brain.handle(now, events) if isinstance(one, Place)]
         now += 60.0
         events = [TimerFired(1)]
         events += [
-            Ended(one.session, one.server, 0, dice.choice(results), False, 9.0, report) for one in placed
+            AttemptEnded(one.session, one.server, 0, dice.choice(results), False, 9.0, report)
+            for one in placed
         ]
 
 
@@ -147,14 +148,14 @@
     config = loaded(tmp_path, BODY)
     assert [one.name for one in config.settings.classes] == ["film, long", "2026", "true"]
     assert config.kinds == ("box, small", "box 2")
-    assert (config.connect_ms, config.idle_ms, config.settings.attempts_cap) == (120.0, 6000.0, 3)
+    assert (config.connect_ms, config.idle_ms, config.settings.max_attempts) == (120.0, 6000.0, 3)
     line = {
         "name": "s-0", "address": "127.0.0.1:9", "zone": "z", "type": "box 2", "group": 0, "status": "up",
         "weight": 1, "since_ms": 0,
     }  # fmt: skip
     first = {"n": 1, "members": {"index": 1, "snapshot": True, "endpoints": [line]}}
     (update,) = Feed(config.settings, config.kinds, 0.0).start((first,), 1)
-    assert [(one.server, one.kind, one.state) for one in update.entries] == [
+    assert [(one.server, one.server_type, one.state) for one in update.entries] == [
         (number_of("s-0"), 1, ServerState.READY)
     ]
 
@@ -177,11 +178,11 @@
     for none in (0, ABSENT, None):
         config = loaded(tmp_path, told(Limits={"ConnectTimeout": none, "ConnIdle": none}))
         assert (config.connect_ms, config.idle_ms) == (longest, math.inf)
-        assert loaded(tmp_path, told(Limits={"AttemptsCap": none})).settings.attempts_cap is None
-        assert loaded(tmp_path, told(Obligations={"BudgetSpan": none})).settings.budget is None
-        assert loaded(tmp_path, told(Obligations={"WarmUp": none})).settings.cold is None
-        assert loaded(tmp_path, told(Extra={"Tell": none})).settings.tell_ms == 0.0
-        assert not loaded(tmp_path, told(Limits={"MaxRetryAfter": none})).settings.retry_after_max_ms
+        assert loaded(tmp_path, told(Limits={"AttemptsCap": none})).settings.max_attempts is None
+        assert loaded(tmp_path, told(Obligations={"BudgetSpan": none})).settings.retry_budget is None
+        assert loaded(tmp_path, told(Obligations={"WarmUp": none})).settings.slow_start is None
+        assert loaded(tmp_path, told(Extra={"Tell": none})).settings.report_interval_ms == 0.0
+        assert not loaded(tmp_path, told(Limits={"MaxRetryAfter": none})).settings.max_retry_after_ms
         assert not loaded(tmp_path, told(Obligations={"DrainGrace": none})).settings.drain_grace_ms
         seats = [0, 0, 0] if none == 0 else none
         classes = loaded(tmp_path, told(Extra={"Seats": seats})).settings.classes
@@ -189,9 +190,9 @@
     first = BODY["settings"]["Categories"][0]
     aimless = told()
     aimless["settings"]["Categories"][0] = {**first, "Aim": 0}
-    assert loaded(tmp_path, aimless).settings.classes[0].aim_ms == first["Deadline"]
+    assert loaded(tmp_path, aimless).settings.classes[0].latency_objective_ms == first["Deadline"]
     kept = loaded(tmp_path, BODY).settings
-    assert kept.cold == ColdRule(6000.0, 0.4, 2.5, 3000.0) and kept.classes[1].seats == 4
+    assert kept.slow_start == SlowStart(6000.0, 0.4, 2.5, 3000.0) and kept.classes[1].seats == 4
 
 
 def test_any_setting_spoilt_in_any_way_is_used_or_named(tmp_path: Path) -> None:
--- a/tests/test_peers_boxes.py
+++ b/tests/test_peers_boxes.py
@@ -80,11 +80,11 @@
     async def story(scene: Scene) -> None:
         ports, told = [], []
         for number, front in enumerate(scene.fronts):
-            client = front.core.doer
+            client = front.core.server_transport
             assert isinstance(client, BoxClient)
-            classes = {one.name: place for place, one in enumerate(front.core.host.settings.classes)}
+            classes = {one.name: place for place, one in enumerate(front.core.sessions.settings.classes)}
             port = Peering(front.core, client.boxes, client, classes, lambda: 0.0)
-            front.core.owner = _Owner("front-0:1/0", 5 + number)
+            front.core.channel_ownership = _Owner("front-0:1/0", 5 + number)
             told.append(_Told())
             port.listen(told[-1])
             ports.append(port)
@@ -116,13 +116,15 @@
         )  # woken, and none the wiser
         await until(lambda: bool(claims))
         assert not claims[0].accepted and claims[0].fence == 6 and claims[0].sessions == ()
-        assert scene.fronts[1].core.host.sessions == 1  # its stream of notes did not take it for lost
+        assert (
+            scene.fronts[1].core.sessions.session_count == 1
+        )  # its stream of notes did not take it for lost
         assert (await scene.http("DELETE", "/lessons/lesson-0/session", wish, front=1)).status == 204
         await until(lambda: scene.of("box.end"))
         (end,) = scene.of("box.end")
         assert end["front"] == "front-1" and end["why"] == "released"
         assert told[1].ends == [wish.session]
-        assert all(front.core.host.sessions == 0 for front in scene.fronts)
+        assert all(front.core.sessions.session_count == 0 for front in scene.fronts)
 
     play(story, PLAN, fronts=2)
 
@@ -130,27 +132,27 @@
 def test_a_channel_s_session_outlives_its_front_and_steering_past_the_overlap_is_refused() -> None:
     async def story(scene: Scene) -> None:
         front = scene.fronts[0]
-        client = front.core.doer
+        client = front.core.server_transport
         assert isinstance(client, BoxClient)
-        owner = front.core.owner = _Owner("front-0:1/0", 5)
+        owner = front.core.channel_ownership = _Owner("front-0:1/0", 5)
         wish = scene.wish(play_s=30.0)
         assert (await scene.http("GET", "/lessons/lesson-0/manifest.mpd", wish)).status == 200
         (setup,) = scene.of("box.setup")
         box = scene.site.boxes[int(setup["box"])]
         claims: list[object] = []
-        heir = scene.fronts[1].core.doer
+        heir = scene.fronts[1].core.server_transport
         assert isinstance(heir, BoxClient)
         heir.claim(box.spec.number, "front-0:1/0", 9, 400.0, claims.append)
         await until(lambda: bool(claims))
         began = box._loop.time()
         await until(lambda: box._loop.time() - began > 0.45)
-        host = front.core.host
-        assert host.release(front.core.now(), wish.session)  # past its bound: refused at the box
-        front.core.kick()
+        host = front.core.sessions
+        assert host.release_session(front.core.now(), wish.session)  # past its bound: refused at the box
+        front.core.schedule_step()
         await until(lambda: [one for one in scene.of("box.steer") if not one["accepted"]])
         assert (wish.session, 0) in box.sessions
         owner.under = None  # steering without a fence is refused as well
-        host.session_over(front.core.now(), wish.session, 0, Result.OK)
+        host.on_session_ended(front.core.now(), wish.session, 0, Result.OK)
         client.drop(box.spec.number, wish.session, 0, "another's", ("front-0:1/0", 5))
         front.kill()
         began = box._loop.time()
--- a/tests/test_peers_fleet.py
+++ b/tests/test_peers_fleet.py
@@ -78,12 +78,12 @@
         assert (await scene.http("GET", path, first, front=1)).status == 200
         assert (await scene.http("HEAD", path, first, front=2)).status == 200
         assert len(scene.of("box.setup", session=first.session)) == 1
-        hosts = [front.core.host for front in scene.fronts]
-        assert [host.sessions for host in hosts] == [9, 0, 0]
+        hosts = [front.core.sessions for front in scene.fronts]
+        assert [host.session_count for host in hosts] == [9, 0, 0]
         await until(lambda: all(copied(one) >= 9 for one in peers[1:]))
         scene.trace.write("front.down", front="front-0")
         scene.fronts[0].kill()
-        await until(lambda: hosts[1].sessions + hosts[2].sessions == 9)
+        await until(lambda: hosts[1].session_count + hosts[2].session_count == 9)
         for wish in wishes:
             at = 1 if hosts[1].session(wish.session) is None else 2
             await reach(scene, wish, at)
@@ -102,12 +102,12 @@
         wishes = [scene.wish(f"lesson-{number % 3}", play_s=60.0) for number in range(9)]
         for wish in wishes:
             assert (await scene.ask(wish, front=0)).status == 200
-        hosts = [front.core.host for front in scene.fronts]
+        hosts = [front.core.sessions for front in scene.fronts]
         leaving = peers[0]
         scene.trace.write("front.down", front="front-0")
         assert await scene.fronts[0].stop(10.0)
-        assert leaving.peer.left and hosts[0].sessions == 0
-        assert hosts[1].sessions + hosts[2].sessions == 9
+        assert leaving.peer.left and hosts[0].session_count == 0
+        assert hosts[1].session_count + hosts[2].session_count == 9
         for wish in wishes:
             await reach(scene, wish, 1)
             await reach(scene, wish, 2)
@@ -129,9 +129,9 @@
         await until(lambda: all(copied(one) >= 4 for one in peers[1:]))
         scene.trace.write("front.down", front="front-0")
         assert await scene.fronts[0].stop(10.0)
-        hosts = [front.core.host for front in scene.fronts[1:]]
+        hosts = [front.core.sessions for front in scene.fronts[1:]]
         await until(lambda: sum(len(scene.desk.held_by(name)) for name in ("front-1", "front-2")) == 4)
-        assert sum(host.sessions for host in hosts) == 4 and not scene.of("box.end")
+        assert sum(host.session_count for host in hosts) == 4 and not scene.of("box.end")
         report = scene.desk.report
         assert report.most_over == 0 and report.most_by_session == 1
         # Four seats changed hands: fenced by the heirs, or, on a slow machine, run out just before.
@@ -226,7 +226,7 @@
             {"order": "drain-rack", "rack": ""},
         ):
             asker.questions.ask(order, told.append)
-        standing = [front.core.host.held().values() for front in scene.fronts]
+        standing = [front.core.sessions.records().values() for front in scene.fronts]
         there = [sum(held.server % 2 == 1 for held in each) for each in standing]  # cell 0, 2: boxes 1, 3
         low, _, high = told[0]["sessions"]
         assert low <= sum(there) <= high and told[0]["missing"] == []
@@ -277,7 +277,7 @@
         await until(lambda: len(fronts[3].peer.owning.owned()) >= 2)
         scene.trace.write("front.down", front="front-0")
         scene.fronts[0].kill()
-        hosts = [one.core.host for one in scene.fronts[1:]]
+        hosts = [one.core.sessions for one in scene.fronts[1:]]
         await until(lambda: any(host.session(wish.session) is not None for host in hosts))
         assert len(scene.of("box.setup")) == 1 and not scene.of("box.end")
 
--- a/tests/test_peers_hard.py
+++ b/tests/test_peers_hard.py
@@ -163,7 +163,7 @@
         second, node = self.fronts[2], self._node(2)
         await asyncio.sleep(3.0)
         assert first.peers is not None and second.peers is not None
-        self.refused = [one.core.host.held_back for one in (first, second)]
+        self.refused = [one.core.sessions.new_sessions_blocked for one in (first, second)]
         self.loop.kill(node)
         self.fronts[2], self.ports[2] = first, port
         self.lives[2] -= 1
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -4,16 +4,16 @@
 
 import pytest
 
-from fernweir.brain import Meter, Usual
+from fernweir.controller import Meter, Usual
 from fernweir.interface import (
-    Ended,
-    ListKind,
-    ListUpdate,
-    NoteKind,
+    AttemptEnded,
+    CheckHealth,
+    EndpointListKind,
+    EndpointListUpdate,
+    HealthCheckEnded,
+    NoticeKind,
     Place,
-    Probe,
-    Probed,
-    Refuse,
+    Reject,
     Result,
     ServerState,
     SetRung,
@@ -46,14 +46,14 @@
 def test_only_holders_of_the_title_are_asked() -> None:
     for title in range(10):
         front = Front(entry(1), entry(2, cell=1), entry(3, cell=2))
-        assert placed(front.ask(1, title=title, first_cell=1, copies=1))[0].server == 2
-        assert placed(front.ask(2, title=title, first_cell=3, copies=2))[0].server == 1
+        assert placed(front.ask(1, title=title, first_zone=1, replicas=1))[0].server == 2
+        assert placed(front.ask(2, title=title, first_zone=3, replicas=2))[0].server == 1
 
 
 def test_next_holder_when_the_first_is_over_the_mark() -> None:
     front = Front()
     front.start(1)
-    front.note(1, 1, NoteKind.LINK, 0.7)
+    front.note(1, 1, NoticeKind.LINK, 0.7)
     assert placed(front.ask(2))[0].server == 2
 
 
@@ -61,8 +61,8 @@
     front = Front(entry(1), entry(2, cell=2), entry(3, cell=1))
     front.start(1)
     front.take_over(9, 3, 0)
-    front.note(1, 1, NoteKind.UPLINK, 0.79)
-    front.note(9, 3, NoteKind.UPLINK, 0.2)
+    front.note(1, 1, NoticeKind.UPLINK, 0.79)
+    front.note(9, 3, NoticeKind.UPLINK, 0.2)
     assert placed(front.ask(2))[0].server == 3
 
 
@@ -70,8 +70,8 @@
     front = Front()
     front.start(1)
     front.take_over(2, 2, 0)
-    front.note(1, 1, NoteKind.LINK, 0.75)
-    front.note(2, 2, NoteKind.LINK, 0.55)
+    front.note(1, 1, NoticeKind.LINK, 0.75)
+    front.note(2, 2, NoticeKind.LINK, 0.55)
     actions = front.ask(3)
     assert placed(actions)[0].server == 2
     assert SetRung(3, 1) in actions
@@ -79,29 +79,29 @@
 
 def test_past_the_mark_a_small_rack_is_not_the_roomiest_at_all_fronts() -> None:
     """Issue 11: room in kB is least negative on the smallest uplink, so every front chose that rack."""
-    settings = replace(SETTINGS, cells=6)
+    settings = replace(SETTINGS, zone_count=6)
     counts = {1: 0, 2: 0, 3: 0, 4: 0}
     for title in range(100):
         front = Front(entry(1), entry(2, cell=1), entry(3, cell=3), entry(4, cell=5), settings=settings)
         front.take_over(1, 1, 0)
         front.take_over(2, 2, 0)
-        front.note(1, 1, NoteKind.UPLINK, 0.9)
-        front.note(2, 2, NoteKind.UPLINK, 0.9)
-        counts[placed(front.ask(3, title=title, copies=6))[0].server] += 1
+        front.note(1, 1, NoticeKind.UPLINK, 0.9)
+        front.note(2, 2, NoticeKind.UPLINK, 0.9)
+        counts[placed(front.ask(3, title=title, replicas=6))[0].server] += 1
     assert counts[1] <= 40
 
 
 def test_refusal_says_when_to_come_back() -> None:
     front = Front(entry(1))
     front.start(1, top_rung=0)
-    front.note(1, 1, NoteKind.LINK, 0.98)
-    assert front.ask(2)[-1] == Refuse(2, 1000.0)
+    front.note(1, 1, NoticeKind.LINK, 0.98)
+    assert front.ask(2)[-1] == Reject(2, 1000.0)
 
 
 def test_room_is_made_rather_than_refusing_while_others_watch_at_high_rungs() -> None:
     front = Front(entry(1))
     front.start(1)
-    front.note(1, 1, NoteKind.LINK, 0.98)
+    front.note(1, 1, NoticeKind.LINK, 0.98)
     actions = front.ask(2)
     assert placed(actions)[0].server == 1
     assert actions[-1] == SetRung(1, 2)
@@ -122,7 +122,7 @@
         front.take_over(1, 1, 2)
         for _ in range(20):
             front.now += 1000.0
-            front.note(1, 1, NoteKind.LINK, level)
+            front.note(1, 1, NoticeKind.LINK, level)
         front.now += 60_000.0
     assert SetRung(2, 3) in few.ask(2)
     assert SetRung(2, 3) not in many.ask(2)
@@ -133,8 +133,8 @@
     front.take_over(1, 1, 2)
     front.take_over(2, 2, 2)
     for _ in range(20):
-        front.note(1, 1, NoteKind.LINK, 0.9)
-        front.note(2, 2, NoteKind.LINK, 0.3)
+        front.note(1, 1, NoticeKind.LINK, 0.9)
+        front.note(2, 2, NoticeKind.LINK, 0.3)
     front.now += 60_000.0
     loads = [server.link.load(front.now) for server in front.brain.servers.values()]
     assert loads == pytest.approx([0.9, 0.3])
@@ -144,7 +144,7 @@
     front = Front(entry(1), entry(2, cell=1))
     front.take_over(1, 1, 2)
     for level in 20 * [0.75]:
-        front.note(1, 1, NoteKind.LINK, level)
+        front.note(1, 1, NoticeKind.LINK, level)
     action = front.ask(2)
     assert SetRung(2, 0) in action
     assert placed(action)[0].server == 2
@@ -154,7 +154,7 @@
     """i33c865: the usual grew from 0, so a crowd at the start met racks that all looked empty."""
     front = Front(entry(1), entry(2, cell=1))
     front.take_over(1, 1, 0)
-    front.note(1, 1, NoteKind.UPLINK, 0.9)
+    front.note(1, 1, NoticeKind.UPLINK, 0.9)
     assert front.brain.servers[2].uplink.load(front.now) > 0.8
     assert SetRung(2, 3) not in front.ask(2)
 
@@ -162,18 +162,18 @@
 def test_a_report_that_ends_a_played_session_is_as_old_as_its_start() -> None:
     front = Front()
     front.start(1, top_rung=0)
-    front.note(1, 1, NoteKind.LINK, 0.2)
+    front.note(1, 1, NoticeKind.LINK, 0.2)
     front.now += 5000.0
-    front.send(Ended(1, 1, 0, Result.OK, True, 9000.0, (1.2, 1.2)))
+    front.send(AttemptEnded(1, 1, 0, Result.OK, True, 9000.0, (1.2, 1.2)))
     assert placed(front.ask(2))[0].server == 1
 
 
 def test_not_a_number_in_a_report_is_no_report() -> None:
     front = Front()
     front.start(1, top_rung=0)
-    front.note(1, 1, NoteKind.LINK, 0.2)
-    front.note(1, 1, NoteKind.LINK, float("nan"))
-    front.note(1, 1, NoteKind.UPLINK, -1.0)
+    front.note(1, 1, NoticeKind.LINK, 0.2)
+    front.note(1, 1, NoticeKind.LINK, float("nan"))
+    front.note(1, 1, NoticeKind.UPLINK, -1.0)
     assert placed(front.ask(2))[0].server == 1
 
 
@@ -188,34 +188,34 @@
 def test_a_newer_report_with_room_ends_a_full_mark() -> None:
     front = Front()
     front.start(1, top_rung=0)
-    front.note(1, 1, NoteKind.DELIVERED, 0.9)
+    front.note(1, 1, NoticeKind.DELIVERED, 0.9)
     assert placed(front.ask(2, top_rung=0))[0].server == 2
     front.now += 2000.0
-    front.note(1, 1, NoteKind.LINK, 0.3)
+    front.note(1, 1, NoticeKind.LINK, 0.3)
     assert placed(front.ask(3, top_rung=0))[0].server == 1
 
 
 def test_a_server_that_is_gone_is_no_holder_whose_silence_asks_for_a_probe() -> None:
-    settings = replace(SETTINGS, fronts=50)
+    settings = replace(SETTINGS, front_count=50)
     front = Front(*(entry(server, cell=server - 1) for server in (1, 2, 3)), settings=settings)
     front.take_over(9, 2, 0)
-    front.send(ListUpdate(ListKind.DELTA, 2, (entry(3, cell=2, state=ServerState.GONE),)))
+    front.send(EndpointListUpdate(EndpointListKind.DELTA, 2, (entry(3, cell=2, state=ServerState.REMOVED),)))
     actions = front.ask(1)
-    assert placed(actions)[0].server == 1 and Probe(1) not in actions
+    assert placed(actions)[0].server == 1 and CheckHealth(1) not in actions
 
 
 def test_one_of_several_fronts_probes_a_server_it_knows_nothing_of_and_places_by_the_answer() -> None:
-    front = Front(settings=replace(SETTINGS, fronts=50))
+    front = Front(settings=replace(SETTINGS, front_count=50))
     actions = front.ask(1)
-    assert Probe(1) in actions and placed(actions) == []
-    answer = front.send(Probed(1, Result.OK, 5.0, (0.9, 0.5)))
+    assert CheckHealth(1) in actions and placed(actions) == []
+    answer = front.send(HealthCheckEnded(1, Result.OK, 5.0, (0.9, 0.5)))
     assert placed(answer)[0].server == 2
 
 
 def test_no_probe_where_there_is_no_time_or_the_server_is_known() -> None:
-    front = Front(settings=replace(SETTINGS, fronts=50))
-    assert len(placed(front.ask(1, left_ms=500.0))) == 1
-    front = Front(settings=replace(SETTINGS, fronts=50))
+    front = Front(settings=replace(SETTINGS, front_count=50))
+    assert len(placed(front.ask(1, remaining_ms=500.0))) == 1
+    front = Front(settings=replace(SETTINGS, front_count=50))
     front.take_over(1, 1, 0)
     assert placed(front.ask(2))[0].server == 1
 
@@ -224,44 +224,44 @@
     front = Front(entry(1), entry(2, cell=1))
     for session in range(1, 4):
         front.take_over(session, 2, 0)
-    assert SetRung(9, 3) not in front.ask(9, first_cell=0, copies=1)
+    assert SetRung(9, 3) not in front.ask(9, first_zone=0, replicas=1)
 
 
 def test_a_cold_server_without_room_does_not_refuse_for_the_others() -> None:
-    settings = replace(SETTINGS, cold=COLD, may_probe=False)
+    settings = replace(SETTINGS, slow_start=COLD, may_check_health=False)
     front = Front(entry(1, weight=9.0), entry(2, cell=1), settings=settings)
     front.take_over(9, 1, 0)
     front.take_over(8, 2, 0)
-    front.note(9, 1, NoteKind.LINK, 0.6)  # under the mark, yet over what it bears while it is cold
-    front.note(8, 2, NoteKind.LINK, 0.7)
+    front.note(9, 1, NoticeKind.LINK, 0.6)  # under the mark, yet over what it bears while it is cold
+    front.note(8, 2, NoticeKind.LINK, 0.7)
     front.brain.servers[1].cold_since = front.now
     assert placed(front.ask(1))[0].server == 2
 
 
 def test_a_server_that_has_just_started_is_taken_for_empty_not_for_usual() -> None:
-    settings = replace(SETTINGS, cold=COLD, may_probe=False, fronts=2)
+    settings = replace(SETTINGS, slow_start=COLD, may_check_health=False, front_count=2)
     front = Front(entry(1), settings=settings)
     front.take_over(9, 1, 0)
-    front.note(9, 1, NoteKind.LINK, 0.9)
+    front.note(9, 1, NoticeKind.LINK, 0.9)
     front.now += 60_000.0
-    front.send(ListUpdate(ListKind.DELTA, 2, (entry(2, started_at=front.now),)))
+    front.send(EndpointListUpdate(EndpointListKind.DELTA, 2, (entry(2, started_at=front.now),)))
     link = front.brain.servers[2].link
     assert link.load(front.now) == 0.0 < front.brain.usual_link.level
     front.take_over(7, 2, 1)
     assert link.load(front.now) == pytest.approx(2 * 200.0 / 2000.0)
-    assert link.load(front.now + COLD.warm_up_ms) == front.brain.usual_link.level
+    assert link.load(front.now + COLD.window_ms) == front.brain.usual_link.level
 
 
 def test_news_of_a_session_from_before_ends_the_doubt_whether_its_server_restarted() -> None:
-    front = Front(settings=replace(SETTINGS, cold=COLD))
+    front = Front(settings=replace(SETTINGS, slow_start=COLD))
     place = front.start(1)
-    front.send(Ended(99, place.server, 0, Result.CONNECT_FAILED, True, 10.0, ()))
+    front.send(AttemptEnded(99, place.server, 0, Result.CONNECT_FAILED, True, 10.0, ()))
     server = front.brain.servers[place.server]
-    front.note(1, place.server, NoteKind.LINK, 0.5)  # may have been on its way before
+    front.note(1, place.server, NoticeKind.LINK, 0.5)  # may have been on its way before
     assert server.lost
     front.now += 2_000.0
     front.send(TimerFired(1))
-    front.note(1, place.server, NoteKind.LINK, 0.5)
+    front.note(1, place.server, NoticeKind.LINK, 0.5)
     assert not server.lost and front.brain.guards.warmth(server, front.now) == 1.0
 
 
--- a/tests/test_reconcile.py
+++ b/tests/test_reconcile.py
@@ -161,7 +161,7 @@
                 == sorted(["other", *(wish.session for wish in wishes)])
             )
         )
-        assert front.core.host.sessions == 3
+        assert front.core.sessions.session_count == 3
 
     play(story, PLAN, desk=mine)
 
@@ -181,7 +181,7 @@
         judged = use.judged
         await until(lambda: use.judged > judged + 3)
         assert use.last.contradiction and "lists 1" in use.last.contradiction
-        assert len(mine.leases) == 4 and scene.fronts[0].core.host.sessions == 4
+        assert len(mine.leases) == 4 and scene.fronts[0].core.sessions.session_count == 4
         scene.entitlement.doctor = lambda page: page.update(fence="many")
         assert (await scene.ask(scene.wish())).status == 200
 
--- a/tests/test_rehearsals.py
+++ b/tests/test_rehearsals.py
@@ -19,7 +19,14 @@
 from fernweir.rehearsal.hours import Hours, HoursPlan
 from tests.helpers import SETTINGS
 
-WIDE = replace(SETTINGS, kind_streams=(60,), cells=24, racks=4, weight_kb=40_000.0, uplink_kb=200_000.0)
+WIDE = replace(
+    SETTINGS,
+    streams_by_server_type=(60,),
+    zone_count=24,
+    rack_count=4,
+    link_rate_per_weight_kbyte_s=40_000.0,
+    uplink_rate_kbyte_s=200_000.0,
+)
 HEAD = "session phase lesson class box rung since"
 BOXES = "box state plays out link uplink list drained by"
 
--- a/tests/test_titles.py
+++ b/tests/test_titles.py
@@ -4,10 +4,10 @@
 
 from dataclasses import replace
 
-from fernweir.interface import ListKind, ListUpdate, Refuse, Result, ServerState
+from fernweir.interface import EndpointListKind, EndpointListUpdate, Reject, Result, ServerState
 from tests.helpers import SETTINGS, Front, entry, placed
 
-ALONE = replace(SETTINGS, may_probe=False)
+ALONE = replace(SETTINGS, may_check_health=False)
 
 
 def test_a_title_that_nobody_has_makes_no_server_a_suspect() -> None:
@@ -18,7 +18,7 @@
     assert second.server != first.server
     after = front.end(2, second.server, Result.ERROR, attempt=1)
     assert not placed(after), "a third server was asked"
-    assert [type(one) for one in after] == [Refuse]
+    assert [type(one) for one in after] == [Reject]
     assert all(server.strikes == 0 for server in front.brain.servers.values())
 
 
@@ -37,13 +37,17 @@
     second = placed(front.end(2, first.server, Result.ERROR))[0]
     assert front.brain.servers[first.server].strikes == 1
     after = front.end(2, second.server, Result.ERROR, attempt=1)
-    assert [type(one) for one in after] == [Refuse]
+    assert [type(one) for one in after] == [Reject]
     assert all(server.strikes == 0 for server in front.brain.servers.values())
     assert placed(front.ask(3, title=5))[0].server == first.server
 
 
 def test_the_titles_remembered_are_bounded() -> None:
-    front = Front(settings=replace(ALONE, kind_streams=(10_000,), rates_kb=(0.001, 0.002, 0.003, 0.004)))
+    front = Front(
+        settings=replace(
+            ALONE, streams_by_server_type=(10_000,), rung_rates_kbyte_s=(0.001, 0.002, 0.003, 0.004)
+        )
+    )
     for title in range(5000):
         front.start(title + 1, title=title)
         front.end(title + 1, front.brain.sessions[title + 1].server.id, Result.OK, closed=True)  # type: ignore[union-attr]
@@ -54,9 +58,12 @@
     front = Front(entry(1), entry(2, cell=1), settings=ALONE)
     place = front.start(1, title=5)
     for number in range(3, 300):
-        came, went = entry(number, cell=number % 4), entry(number - 1, state=ServerState.GONE)
-        front.send(ListUpdate(ListKind.DELTA, number, (came, went)), after=5_000.0)
-    front.send(ListUpdate(ListKind.DELTA, 300, (entry(1, state=ServerState.GONE),)), after=90_000.0)
-    front.send(ListUpdate(ListKind.DELTA, 301, ()), after=90_000.0)
+        came, went = entry(number, cell=number % 4), entry(number - 1, state=ServerState.REMOVED)
+        front.send(EndpointListUpdate(EndpointListKind.DELTA, number, (came, went)), after=5_000.0)
+    front.send(
+        EndpointListUpdate(EndpointListKind.DELTA, 300, (entry(1, state=ServerState.REMOVED),)),
+        after=90_000.0,
+    )
+    front.send(EndpointListUpdate(EndpointListKind.DELTA, 301, ()), after=90_000.0)
     assert len(front.brain.servers) < 4 and place.server in front.brain.servers
     assert place.server in (1, 2) and not set(front.brain.watched) - set(front.brain.servers)
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -14,11 +14,11 @@
 
 import pytest
 
-from fernweir.brain import Guards
+from fernweir.controller import Guards
 from fernweir.front import boxlist
-from fernweir.front.host import Host
 from fernweir.front.manifest import ManifestCache
-from fernweir.front.verdict import judge
+from fernweir.front.response_classification import judge
+from fernweir.front.session_manager import SessionManager
 from fernweir.interface import Result, ServerState
 from fernweir.rehearsal.faults import Fault, Kind, ScheduleError, draw, read_schedule
 from fernweir.rehearsal.loop import NODE, DeadlockError, LivelockError, NotVirtualError, VirtualLoop, run
@@ -283,15 +283,15 @@
 
 
 def a_refused_session_is_answered_twice(patch: pytest.MonkeyPatch) -> None:
-    kept = Host._turn_away
+    kept = SessionManager._reject_waiting_viewers
 
-    def wrong(self: Host, held: Any, why: str, retry_after_ms: float) -> None:
+    def wrong(self: SessionManager, held: Any, why: str, retry_after_ms: float) -> None:
         tickets = list(held.tickets)
         kept(self, held, why, retry_after_ms)
         for ticket in tickets:
-            self.ledger.answer(ticket)
+            self.reply_ledger.close(ticket)
 
-    patch.setattr(Host, "_turn_away", wrong)
+    patch.setattr(SessionManager, "_reject_waiting_viewers", wrong)
 
 
 def leases_are_kept_after_their_end(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -13,7 +13,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fernweir.interface import Arrival, ListKind, ListUpdate, Place, Refuse, ServerState, SetRung
+from fernweir.interface import (
+    Arrival,
+    EndpointListKind,
+    EndpointListUpdate,
+    Place,
+    Reject,
+    ServerState,
+    SetRung,
+)
 from fernweir.wire import Configure, Decoder, WireError, encode_action, encode_reply, parse_settings
 from tests.helpers import SETTINGS
 
@@ -122,16 +130,18 @@
     records = (select(1), configure(), page(0, 5), listing(2, 0), page(0, 6, 7), listing(3, 0))
     body = b"".join(records)
     lists = [
-        item for _, item in Decoder().decode(len(records), 0.0, 1, body).items if isinstance(item, ListUpdate)
+        item
+        for _, item in Decoder().decode(len(records), 0.0, 1, body).items
+        if isinstance(item, EndpointListUpdate)
     ]
     assert [[line.server for line in update.entries] for update in lists] == [[5], [6, 7]]
-    assert lists[0].kind is ListKind.FULL and lists[0].entries[0].state is ServerState.READY
+    assert lists[0].kind is EndpointListKind.FULL and lists[0].entries[0].state is ServerState.READY
 
 
 def test_absent_rules_are_off_and_unknown_keys_are_skipped() -> None:
     told = parse_settings(TEXT.encode())
-    assert told.cold is None and told.budget is None and told.attempts_cap is None
-    assert told.retry_after_max_ms == 1500.0
+    assert told.slow_start is None and told.retry_budget is None and told.max_attempts is None
+    assert told.max_retry_after_ms == 1500.0
     assert told.classes[0].top_rung == 2 and told.classes[0].seats == 0
 
 
@@ -144,7 +154,7 @@
         server,
         after,
     )
-    assert struct.unpack("<HId", encode_action(Refuse(session, after))) == (321, session, after)
+    assert struct.unpack("<HId", encode_action(Reject(session, after))) == (321, session, after)
 
 
 @settings(derandomize=True, deadline=None)
@@ -153,7 +163,7 @@
     body = select(1) + knock(rid)
     ((_, event),) = Decoder().decode(2, 5.0, 1, body).items
     assert isinstance(event, Arrival)
-    assert (event.viewer.session, event.viewer.left_ms, event.viewer.title) == (rid, 3000.0, 5)
+    assert (event.viewer.session, event.viewer.remaining_ms, event.viewer.title) == (rid, 3000.0, 5)
     with pytest.raises(WireError):
         Decoder().decode(2, 5.0, 1, body[:-cut])
 
