--- a/bench/golden_state_wire.py
+++ b/bench/golden_state_wire.py
@@ -7,7 +7,7 @@
 import struct
 from random import Random
 
-from fernweir.adapter import Host
+from fernweir.adapter import ControllerPool
 from fernweir.wire import HEADER, Decoder
 
 WIRE_SETTINGS = """Categories.count=2
@@ -79,7 +79,7 @@
 
     def __init__(self, seed: int) -> None:
         self._random = Random(seed)
-        self._host, self._decoder = Host(), Decoder()
+        self._host, self._decoder = ControllerPool(), Decoder()
         self._due: list[tuple[float, int, int, bytes]] = []
         self._sequence, self._batches = itertools.count(), itertools.count(1)
         self._attempts: dict[tuple[int, int], int] = {}
@@ -175,7 +175,7 @@
             body += struct.pack("<HI", _SELECT, front) + record
             count += 2 + (record[:2] == struct.pack("<H", _PAGE))
         self.stream += HEADER.pack(count, 12 + len(body), self._now, number) + body
-        answer = self._host.answer(self._decoder.decode(count, self._now, number, body))
+        answer = self._host.handle_batch(self._decoder.decode(count, self._now, number, body))
         at, front = 8, 0
         while at < len(answer):
             (code,) = struct.unpack_from("<H", answer, at)
--- a/fernweir/adapter.py
+++ b/fernweir/adapter.py
@@ -12,7 +12,7 @@
     Batch,
     Configure,
     Decoder,
-    Killed,
+    FrontTerminated,
     WireError,
     encode_action,
     encode_fault,
@@ -22,19 +22,19 @@
 _HEADER_AFTER_LENGTH = HEADER.size - 8
 
 
-class Host:
+class ControllerPool:
     """The controllers of one process; they share nothing."""
 
     def __init__(self) -> None:
         self._fronts: dict[int, Controller] = {}
 
-    def answer(self, batch: Batch) -> bytes:
+    def handle_batch(self, batch: Batch) -> bytes:
         todo: dict[int, list[Event]] = {}
         for front, item in batch.items:
             if isinstance(item, Configure):
                 self._fronts[front] = Controller(item.settings, item.seed)
                 todo[front] = []
-            elif isinstance(item, Killed):
+            elif isinstance(item, FrontTerminated):
                 self._fronts.pop(front, None)
                 todo.pop(front, None)
             elif front in self._fronts:
@@ -60,14 +60,14 @@
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answers batches until the input ends between two frames."""
-    host, decoder = Host(), Decoder()
+    host, decoder = ControllerPool(), Decoder()
     while first := source.read(1):
         header = first + _read(source, HEADER.size - 1, "frame header")
         records, length, now_ms, number = HEADER.unpack(header)
         if length < _HEADER_AFTER_LENGTH:
             raise WireError(f"batch {number}: a length of {length} is too short for a header")
         body = _read(source, length - _HEADER_AFTER_LENGTH, f"batch {number}")
-        sink.write(host.answer(decoder.decode(records, now_ms, number, body)))
+        sink.write(host.handle_batch(decoder.decode(records, now_ms, number, body)))
         sink.flush()
 
 
--- a/fernweir/controller.py
+++ b/fernweir/controller.py
@@ -1,7 +1,8 @@
-"""Every decision of a front. The types it takes and gives are in fernweir/interface.py.
+"""Every decision of a front, as a pure state machine; its events and actions are in fernweir/interface.py.
 
-A front owns one Controller. It hands over what it saw, in order, and carries out what comes back.
-Read from the top: the constants, the account of loads, the servers, the guards, then the controller.
+A front owns one Controller, hands over the events that it saw, in order, and carries out the actions that
+`Controller.handle` returns. Times (`now`, `..._at`, `..._until`) are milliseconds of the front's clock, rates
+and capacities kB a second, and loads ratios of demand to capacity.
 """
 
 from __future__ import annotations
@@ -13,933 +14,972 @@
 from math import inf, log
 from random import Random
 
-from fernweir.interface import (
-    ClientGone,
-    Action,
-    Arrival,
-    Idempotency,
-    AttemptEnded,
-    Event,
-    Fail,
-    EndpointListKind,
-    EndpointListUpdate,
-    Log,
-    ServerNotice,
-    NoticeKind,
-    Place,
-    CheckHealth,
-    HealthCheckEnded,
-    Reject,
-    RESULT_LABELS,
-    Result,
-    Endpoint,
-    ServerState,
-    SessionClass,
-    SetRung,
-    Settings,
-    AttemptSucceeded,
-    Subscribe,
-    SessionRecovered,
-    SetTimer,
-    TimerFired,
-    Viewer,
-)
-
-MARK = 0.80  # a link or uplink under this share takes more
-STEP = 0.20  # playing sessions drop a rung for each such step that the load lies above the mark
-RELIEVED = MARK + 0.75 * STEP  # where stepping down leaves the load
-FULL_MARK_MS = 5_000.0  # how long a refusal as full or a short delivery keeps new sessions away
-SHORT_MS = 1_500.0  # short deliveries this close together have one cause
-CLIMB_MS = 10_000.0  # a playing session climbs at most once in this time
-SETTLE_MS = 5_000.0  # and not so soon after a step down
-UPKEEP_MS = 250.0  # how often playing sessions and suspects are looked at
-ATTEMPT_AIMS = 0.5  # time-out of an attempt, in aims: a second one still meets the aim
-SUSPECT_AIMS = 1.0  # first suspicion, in aims; doubles with every failure in a row
-SUSPECT_DOUBLINGS = 3
-LEARN = 0.2  # weight of the newest report in what is learnt of the others' part of a load
-RATE_MS = 10_000.0  # own arrivals of this long tell what all fronts take
-HERD = 4.0  # a cold server is left room for so many times a server's usual part of the arrivals
-FEW = 0.05  # own sessions under this share of a line tell nothing of the others on it
-GONE_MS = 60_000.0  # a server gone for so long is forgotten
-TITLES = 4096  # so many titles are remembered to have played here
-UPKEEP_TOKEN = 1
-NEVER_RAN = (Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT)
-FAILED = (Result.ERROR, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET)
-LOST = (Result.CONNECT_FAILED, Result.RESET)  # the process is gone, so what comes back is cold
-
-
-def lot(title: int, server: int) -> float:
-    """A number over 0, the same at all fronts, spread like the wait for an arrival at a pace of 1."""
-    digest = blake2b(b"%d %d" % (title, server), digest_size=8).digest()
+from fernweir import interface
+from fernweir.interface import RESULT_LABELS, Idempotency, NoticeKind, Result, ServerState, Settings, Viewer
+
+TARGET_UTILIZATION = 0.80  # load under which a link or uplink accepts more; the rest absorbs bursts
+DOWNSWITCH_STEP = 0.20  # load above the target for which sessions switch down by one rung
+DOWNSWITCH_TARGET = TARGET_UTILIZATION + 0.75 * DOWNSWITCH_STEP  # load after shedding: never too much is shed
+FULL_BACKOFF_MS = 5_000.0  # no new sessions after a refusal as full or a shortfall; a few report intervals
+SHORTFALL_WINDOW_MS = 1_500.0  # shortfalls this close together have one cause: reports differ in their age
+SHORTFALL_RATIO = 0.98  # delivered over demanded; above this the difference is measurement noise
+UPSWITCH_INTERVAL_MS = 10_000.0  # between two upswitches of a session: viewers notice each switch
+DOWNSWITCH_HOLD_MS = 5_000.0  # from a downswitch to the next upswitch of a session
+MAINTENANCE_INTERVAL_MS = 250.0  # how often playing sessions and suspected servers are examined
+ATTEMPT_TIMEOUT_IN_OBJECTIVES = 0.5  # in latency objectives: after a timeout a retry can still meet its own
+EJECTION_IN_OBJECTIVES = 1.0  # first ejection, in latency objectives; doubles with each consecutive failure
+MAX_EJECTION_DOUBLINGS = 3  # bounds an ejection at eight times the first
+EWMA_WEIGHT = 0.2  # weight of the newest report in a moving average: about the last five count
+ARRIVAL_WINDOW_MS = 10_000.0  # over which arrivals are counted where no retry budget sets a window
+THUNDERING_HERD_FACTOR = 4.0  # arrivals that a warming server is prepared for, over its equal part of them
+MIN_OWN_RATIO = 0.05  # own demand under this ratio of a capacity tells nothing about other fronts' demand
+FORGET_REMOVED_AFTER_MS = 60_000.0  # longer than a restart of a server takes
+MAX_PLAYED_TITLES = 4096  # bounds the memory for titles that have played
+MAINTENANCE_TOKEN = 1
+NEVER_RAN_RESULTS = (Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT)
+FAILURE_RESULTS = (Result.ERROR, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET)
+CONNECTION_LOST_RESULTS = (Result.CONNECT_FAILED, Result.RESET)  # the process ended; the next one warms up
+
+
+def exponential_draw(key: int, server_id: int) -> float:
+    """Returns a positive draw from the exponential distribution of mean 1, the same at all fronts."""
+    digest = blake2b(b"%d %d" % (key, server_id), digest_size=8).digest()
     return -log((int.from_bytes(digest, "big") + 0.5) / 2.0**64)
 
 
-# --- 1. Account -----------------------------------------------------------------------------------
+def rendezvous_score(title: int, server: Server) -> float:
+    """Returns the server's score for a title in weighted rendezvous hashing; the lowest ranks first."""
+    return exponential_draw(title, server.server_id) / server.weight
+
+
+# --- Load estimation ------------------------------------------------------------------------------
 
 
 @dataclass(slots=True, eq=False)
-class Usual:
-    """What links, or uplinks, have lately been heard to carry: stands in for what nothing is known of.
-
-    A full line is heard of more often, by every front with a session there. So the plain mean, which
-    decides on single lines, errs to the full side; `evenly`, for sums of lines, counts each report
-    by one over its level. Guards against a rack taken for full because its busiest servers are.
-    Harm: what is heard of whatever it carries, as by a probe, pulls `evenly` too low. The first
-    report counts by `first`: one of an uplink, which sums many links, is taken as it stands.
+class TypicalLoad:
+    """Moving averages of the reported loads of all links, or all uplinks: the estimate without a report.
+
+    A loaded link is reported more often, by every front with a session there: `mean`, for single links, errs
+    to the high side. `harmonic_mean`, for sums of links, weights a report by one over its load, or a rack
+    would count as full for its busiest servers; reports of health checks pull it too low.
     """
 
-    first: float = LEARN
-    level: float = 0.0
-    evenly: float = 0.0
-
-    def hear(self, level: float) -> None:
-        self.level += (min(level, 1.0 / MARK) - self.level) * (LEARN if self.level else self.first)
-        heard = 1.0 / max(level, FEW)
-        before = 1.0 / self.evenly if self.evenly else heard
-        self.evenly = 1.0 / (before + (heard - before) * LEARN)
-
-
-class Meter:
-    """What is asked of one link or uplink over what it gives: last told, plus own changes since."""
-
-    def __init__(self, capacity_kb: float, usual: Usual, fade_ms: float, fronts: int = 1) -> None:
-        self.capacity_kb = max(capacity_kb, 1.0)
-        self.fronts = fronts
-        self.new_until = -inf
-        self.usual = usual
-        self.fade_ms = fade_ms
-        self.own_kb = self.per_own = 0.0
-        self.told: float | None = None
-        self.told_at = -inf
-        self.relieved_at = -inf
-        self.feeders: list[Meter] = []
-        self._since: deque[tuple[float, float]] = deque()
-
-    def add(self, now: float, kb: float) -> None:
-        self.own_kb += kb
-        self._since.append((now, kb))
-        while self._since[0][0] <= now - 2.0 * self.fade_ms:  # no report seen before that tells anything
-            self._since.popleft()
-
-    def hear(self, level: float, seen_at: float, sample: bool = True) -> None:
-        """Takes a report of how it stood at `seen_at`, unless something newer is known.
-
-        `sample`: whether it tells of lines at large, too.
-        """
-        if not 0.0 <= level < inf or seen_at < self.told_at:
+    first_weight: float = EWMA_WEIGHT  # of the first report in `mean`
+    mean: float = 0.0
+    harmonic_mean: float = 0.0
+
+    def observe(self, load: float) -> None:
+        """Takes one reported load into the averages."""
+        weight = EWMA_WEIGHT if self.mean else self.first_weight
+        self.mean += (min(load, 1.0 / TARGET_UTILIZATION) - self.mean) * weight
+        observed = 1.0 / max(load, MIN_OWN_RATIO)
+        previous = 1.0 / self.harmonic_mean if self.harmonic_mean else observed
+        self.harmonic_mean = 1.0 / (previous + (observed - previous) * EWMA_WEIGHT)
+
+
+class LoadEstimator:
+    """Estimates the load of one link or uplink from its last report and own changes of rate since."""
+
+    def __init__(
+        self, capacity_kbyte_s: float, typical: TypicalLoad, decay_ms: float, front_count: int = 1
+    ) -> None:
+        self.capacity_kbyte_s = max(capacity_kbyte_s, 1.0)
+        self.front_count = front_count
+        self.slow_start_until = -inf
+        self.typical, self.decay_ms = typical, decay_ms
+        self.own_kbyte_s = self.total_to_own_ratio = 0.0
+        self.reported_load: float | None = None
+        self.reported_at = self.shed_at = -inf
+        self.member_links: list[LoadEstimator] = []  # of an uplink without reports of its own
+        self._own_changes: deque[tuple[float, float]] = deque()
+
+    def add_own_rate(self, now: float, rate_kbyte_s: float) -> None:
+        """Adds a change, positive or negative, to the rate of this front's own sessions."""
+        self.own_kbyte_s += rate_kbyte_s
+        self._own_changes.append((now, rate_kbyte_s))
+        while self._own_changes[0][0] <= now - 2.0 * self.decay_ms:  # a report as old as this has no weight
+            self._own_changes.popleft()
+
+    def observe(self, load: float, observed_at: float, is_sample: bool = True) -> None:
+        """Takes a report from `observed_at` unless a newer one is known; a sample is typical load too."""
+        if not 0.0 <= load < inf or observed_at < self.reported_at:
             return
-        self.told, self.told_at = level, seen_at
-        if sample:
-            self.usual.hear(level)
-        if self.own_kb >= FEW * self.capacity_kb:
-            ratio = level * self.capacity_kb / self.own_kb
-            self.per_own += (ratio - self.per_own) * (LEARN if self.per_own else 1.0)
-        while self._since and self._since[0][0] <= seen_at:
-            self._since.popleft()
-
-    def forget(self) -> None:
-        self.told, self.told_at = None, -inf
-        self._since.clear()
+        self.reported_load, self.reported_at = load, observed_at
+        if is_sample:
+            self.typical.observe(load)
+        if self.own_kbyte_s >= MIN_OWN_RATIO * self.capacity_kbyte_s:
+            ratio = load * self.capacity_kbyte_s / self.own_kbyte_s
+            weight = EWMA_WEIGHT if self.total_to_own_ratio else 1.0
+            self.total_to_own_ratio += (ratio - self.total_to_own_ratio) * weight
+        while self._own_changes and self._own_changes[0][0] <= observed_at:
+            self._own_changes.popleft()
+
+    def forget_report(self) -> None:
+        """Drops the last report: it describes a process that has ended."""
+        self.reported_load, self.reported_at = None, -inf
+        self._own_changes.clear()
 
     def load(self, now: float) -> float:
-        """The load now: as last told, plus own changes since.
-
-        A report fades into own sessions times what was learnt to be asked for each of them, or, with
-        few, into what is usual; both under the first step, as a short line makes itself heard. Guards
-        against late reports, and against taking what nothing is known of for empty. Harm: an empty
-        server is taken for a usual one. One that has just started did begin empty, and holds what
-        fronts like this one have put there since.
+        """Returns the last report plus own changes; as the report gets late it decays into the prior load."""
+        prior = min(self._prior_load(now), DOWNSWITCH_TARGET)  # an overloaded link would have been reported
+        if self.reported_load is None or now - self.reported_at >= 2.0 * self.decay_ms:
+            return prior
+        own_change_kbyte_s = sum(rate for _, rate in self._own_changes)
+        known = max(self.reported_load + own_change_kbyte_s / self.capacity_kbyte_s, 0.0)
+        decay = min(max((now - self.reported_at) / self.decay_ms - 1.0, 0.0), 1.0)
+        return known * (1.0 - decay) + prior * decay
+
+    def _prior_load(self, now: float) -> float:
+        """Estimates the load without the last report.
+
+        A process in slow start began empty and carries what fronts like this one have placed since. Otherwise
+        own load is scaled by the learnt ratio, or, where own sessions are few, the typical load counts.
         """
-        if self.feeders:
-            guess = sum(one.asked_kb(now) for one in self.feeders) / self.capacity_kb
-        elif now < self.new_until:
-            guess = self.own_kb * self.fronts / self.capacity_kb
-        else:
-            learnt, own = self.per_own > 0.0, self.own_kb / self.capacity_kb
-            guess = own * self.per_own if learnt and own >= FEW else max(self.usual.level, own)
-        guess = min(guess, RELIEVED)
-        if self.told is None or now - self.told_at >= 2.0 * self.fade_ms:
-            return guess
-        known = max(self.told + sum(kb for _, kb in self._since) / self.capacity_kb, 0.0)
-        faded = min(max((now - self.told_at) / self.fade_ms - 1.0, 0.0), 1.0)
-        return known * (1.0 - faded) + guess * faded
+        if self.member_links:
+            return sum(link.demand_kbyte_s(now) for link in self.member_links) / self.capacity_kbyte_s
+        if now < self.slow_start_until:
+            return self.own_kbyte_s * self.front_count / self.capacity_kbyte_s
+        own_load = self.own_kbyte_s / self.capacity_kbyte_s
+        if self.total_to_own_ratio > 0.0 and own_load >= MIN_OWN_RATIO:
+            return own_load * self.total_to_own_ratio
+        return max(self.typical.mean, own_load)
+
+    def has_recent_report(self, now: float) -> bool:
+        """Whether the last report is too young to have begun to decay."""
+        return self.reported_load is not None and now - self.reported_at < self.decay_ms
+
+    def demand_kbyte_s(self, now: float) -> float:
+        """Returns what an unreported uplink carries for this link: at most the link's capacity."""
+        if self.has_recent_report(now):
+            return min(self.load(now), 1.0) * self.capacity_kbyte_s
+        load = max(self.typical.harmonic_mean, self.own_kbyte_s / self.capacity_kbyte_s)
+        return min(load, 1.0) * self.capacity_kbyte_s
 
-    def fresh(self, now: float) -> bool:
-        return self.told is not None and now - self.told_at < self.fade_ms
+    def load_with(self, now: float, rate_kbyte_s: float) -> float:
+        """Returns the load that there would be with a rate added."""
+        return self.load(now) + rate_kbyte_s / self.capacity_kbyte_s
 
-    def asked_kb(self, now: float) -> float:
-        """What an unreported uplink carries for this link, a full one at most."""
-        level = self.load(now) if self.fresh(now) else max(self.usual.evenly, self.own_kb / self.capacity_kb)
-        return min(level, 1.0) * self.capacity_kb
 
-    def after(self, now: float, kb: float) -> float:
-        return self.load(now) + kb / self.capacity_kb
+# --- Servers and sessions -------------------------------------------------------------------------
 
 
 @dataclass(slots=True, eq=False)
 class Server:
     """One media server as this front knows it."""
 
-    id: int
-    link: Meter
-    uplink: Meter
-    streams: int
+    server_id: int
+    link: LoadEstimator
+    uplink: LoadEstimator
+    stream_slots: int
     rack: int
     state: ServerState = ServerState.READY
     started_at: float = 0.0
-    cell: int = 0
+    zone: int = 0
     weight: float = 1.0
     sessions: dict[int, Session] = field(default_factory=dict)
-    setting_up: int = 0
+    attempts_in_flight: int = 0
     full_until: float = -inf
-    short_at: float = -inf
-    strikes: int = 0
-    suspect_until: float = -inf
-    probing: bool = False
-    climbed_at: float = -inf
-    climb_kb: float = 0.0
-    lost: bool = False
-    gone_at: float = inf
-    cold_since: float = -inf
-    cold_sent_at: float = -inf
-    doubted_at: float = -inf
-
-    def room(self, now: float, warmth: float) -> tuple[float, float]:
-        """Orders holders by room: by the rate left under the mark, and where none is left by load.
-
-        Rate over the mark would call the smallest line the roomiest, at all fronts at once, and the
-        more so the longer it goes on: guards against a fleet taken for full being served by its few
-        smallest racks. Also covers mixed links and uplinks. Harm: past the mark a wide line, which
-        bears a given rate with a smaller rise, ranks no better than a narrow one. A cold server has
-        the room that its warmth leaves: else it would be the roomiest, and refuse for all others.
+    shortfall_at: float = -inf
+    consecutive_failures: int = 0
+    ejected_until: float = -inf
+    is_checking_health: bool = False
+    upswitch_report_at: float = -inf  # time of the report that the upswitch budget follows from
+    upswitch_budget_kbyte_s: float = 0.0
+    is_presumed_dead: bool = False
+    suspected_at: float = -inf
+    removed_at: float = inf
+    warming_since: float = -inf
+    last_attempt_at: float = -inf
+
+    def headroom(self, now: float, slow_start_factor: float) -> tuple[float, float]:
+        """Returns a key that orders servers by headroom: the rate under the target, then the lower load.
+
+        A ratio instead of a rate would put the smallest links first, at all fronts at once. Above the target
+        a wide link ranks no better than a narrow one of the same load. A warming server's capacity counts
+        only by its slow-start factor: otherwise it would have the most headroom and refuse what it gets.
         """
-        link, uplink = self.link.load(now) / warmth, self.uplink.load(now)
-        link_kb, uplink_kb = self.link.capacity_kb * warmth, self.uplink.capacity_kb
-        left_kb = min((MARK - link) * link_kb, (MARK - uplink) * uplink_kb)
-        return max(left_kb, 0.0), -max(link, uplink)
+        link, uplink = self.link.load(now) / slow_start_factor, self.uplink.load(now)
+        link_kbyte_s = self.link.capacity_kbyte_s * slow_start_factor
+        link_headroom = (TARGET_UTILIZATION - link) * link_kbyte_s
+        uplink_headroom = (TARGET_UTILIZATION - uplink) * self.uplink.capacity_kbyte_s
+        return max(min(link_headroom, uplink_headroom), 0.0), -max(link, uplink)
 
     def load(self, now: float) -> float:
+        """Returns the load of the busier of its link and uplink."""
         return max(self.link.load(now), self.uplink.load(now))
 
+    def has_recent_reports(self, now: float) -> bool:
+        """Whether link and uplink were reported lately; an uplink without reports follows its links."""
+        return all(one.member_links or one.has_recent_report(now) for one in (self.link, self.uplink))
+
 
 @dataclass(slots=True, eq=False)
 class Session:
     """A session from its request to its end."""
 
     viewer: Viewer
-    kind: SessionClass
-    taken_at: float
-    answer_by: float
+    session_class: interface.SessionClass
+    arrived_at: float
+    reply_deadline: float
     rung: int
-    top: int
+    top_rung: int
     server: Server | None = None
     attempts: int = 0
-    out: bool = False
-    playing: bool = False
+    is_in_flight: bool = False  # an attempt is open
+    is_playing: bool = False
     may_have_run: bool = False
-    tried: list[int] = field(default_factory=list)
-    climbed_at: float = 0.0
-    eased_at: float = -inf
-    told_start: bool = False
-    as_handed: bool = False
-    asked: bool = False
-    erred: Server | None = None
+    attempted_servers: list[int] = field(default_factory=list)
+    upswitched_at: float = 0.0
+    downswitched_at: float = -inf
+    has_start_report: bool = False
+    is_at_recovered_rung: bool = False
+    has_awaited_health_check: bool = False
+    last_error_server: Server | None = None
 
 
-# --- 5. Guards of the rules -----------------------------------------------------------------------
+# --- Safety rules ---------------------------------------------------------------------------------
 
 
-class Guards:
-    """The last check on every send."""
+class SafetyRules:
+    """The limits that every attempt is checked against once more just before it is sent."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.seed = settings, seed
-        self.span_ms = settings.retry_budget.window_ms if settings.retry_budget else RATE_MS
-        self.ready = 1
-        self.seats: Counter[tuple[int, int]] = Counter()
-        self.taken: deque[float] = deque()
-        self.extra: deque[float] = deque()
-
-    def may_go_to(self, server: Server, session: Session, now: float) -> bool:
-        return server.state is ServerState.READY and self.cold_turn(server, session, now)
-
-    def may_send(self, session: Session, now: float) -> bool:
-        """One attempt at a time, within seats, cap and budget, and never twice what mustn't be."""
-        cap, kind = self.settings.max_attempts, session.kind
-        if session.out or session.playing or (cap is not None and session.attempts >= cap):
+        budget = settings.retry_budget
+        self.arrival_window_ms = budget.window_ms if budget else ARRIVAL_WINDOW_MS
+        self.ready_servers = 1
+        self.seats_in_use: Counter[tuple[int, int]] = Counter()  # by title and class
+        self.arrivals: deque[float] = deque()
+        self.retries: deque[float] = deque()
+
+    def is_eligible(self, server: Server, session: Session, now: float) -> bool:
+        """Whether a server may take a session."""
+        return server.state is ServerState.READY and self.slow_start_admits(server, session, now)
+
+    def may_attempt(self, session: Session, now: float) -> bool:
+        """Whether a session may have an attempt: one at a time, within limits, repeated if idempotent."""
+        limit, session_class = self.settings.max_attempts, session.session_class
+        if session.is_in_flight or session.is_playing or (limit is not None and session.attempts >= limit):
             return False
-        if session.may_have_run and kind.idempotency is not Idempotency.IDEMPOTENT:
+        if session.may_have_run and session_class.idempotency is not Idempotency.IDEMPOTENT:
             return False
-        if kind.seats and self.seats[session.viewer.title, session.viewer.class_index] >= kind.seats:
+        if session_class.seats and self.count_seats(session) >= session_class.seats:
             return False
-        return session.attempts == 0 or self.within_budget(now)
+        return session.attempts == 0 or self.is_within_retry_budget(now)
 
-    def within_budget(self, now: float) -> bool:
+    def is_within_retry_budget(self, now: float) -> bool:
+        """Whether the retry budget, if there is one, permits another retry."""
         budget = self.settings.retry_budget
         if budget is None:
             return True
-        while self.extra and self.extra[0] < now - budget.window_ms:
-            self.extra.popleft()
-        return len(self.extra) + 1 <= budget.min_retries + budget.retry_ratio * self.taken_lately(now)
-
-    def taken_lately(self, now: float) -> int:
-        while self.taken and self.taken[0] <= now - self.span_ms:
-            self.taken.popleft()
-        return len(self.taken)
-
-    def warmth(self, server: Server, now: float) -> float:
-        """Share of its capacity that a server has at least reached."""
-        cold = self.settings.slow_start
-        if cold is None or now - server.cold_since >= cold.window_ms:
+        while self.retries and self.retries[0] < now - budget.window_ms:
+            self.retries.popleft()
+        allowed = budget.min_retries + budget.retry_ratio * self.count_recent_arrivals(now)
+        return len(self.retries) + 1 <= allowed
+
+    def count_recent_arrivals(self, now: float) -> int:
+        """Returns how many requests arrived here within the arrival window."""
+        while self.arrivals and self.arrivals[0] <= now - self.arrival_window_ms:
+            self.arrivals.popleft()
+        return len(self.arrivals)
+
+    def slow_start_factor(self, server: Server, now: float) -> float:
+        """Returns the part of its capacity, up to 1, that a warming server has reached at least."""
+        slow_start, age_ms = self.settings.slow_start, now - server.warming_since
+        if slow_start is None or age_ms >= slow_start.window_ms:
             return 1.0
-        return (
-            cold.initial_factor
-            + (1.0 - cold.initial_factor) * max(now - server.cold_since, 0.0) / cold.window_ms
-        )
+        initial = slow_start.initial_factor
+        return initial + (1.0 - initial) * max(age_ms, 0.0) / slow_start.window_ms
 
-    def cold_turn(self, server: Server, session: Session, now: float) -> bool:
-        """Whether a cold server takes this session: a lot decides that is drawn from the front's seed.
+    def slow_start_admits(self, server: Server, session: Session, now: float) -> bool:
+        """Whether a warming server takes this session, by a draw from the front's seed.
 
-        What all fronts take, by own arrivals times fronts, and HERD times one server's usual part of
-        that stay within the pace of the cold server; no front alone goes faster than that. Guards
-        against a herd on a server that has just come back, also before the list says so. Harm: a
-        front with more than its part of the arrivals thins too much.
+        All fronts together, taken as own arrivals times fronts, stay within the server's rate, and so does
+        each front alone. A server presumed dead is limited before the endpoint list tells that it restarted.
+        A front with more than its part of the arrivals admits too few.
         """
-        cold, warmth = self.settings.slow_start, self.warmth(server, now)
-        if cold is None or (warmth >= 1.0 and not server.lost):
+        slow_start, factor = self.settings.slow_start, self.slow_start_factor(server, now)
+        if slow_start is None or (factor >= 1.0 and not server.is_presumed_dead):
             return True
-        pace = server.streams * (cold.initial_factor if server.lost else warmth) / cold.window_ms
-        if (now - server.cold_sent_at) * pace < 1.0:
+        factor = slow_start.initial_factor if server.is_presumed_dead else factor
+        server_rate = server.stream_slots * factor / slow_start.window_ms
+        if (now - server.last_attempt_at) * server_rate < 1.0:
             return False
-        fleet = self.settings.front_count * (self.taken_lately(now) + 1) / self.span_ms
-        return lot(session.viewer.session ^ self.seed, server.id) * fleet * min(HERD / self.ready, 1.0) < pace
+        fleet_rate = (
+            self.settings.front_count * (self.count_recent_arrivals(now) + 1) / self.arrival_window_ms
+        )
+        part = min(THUNDERING_HERD_FACTOR / self.ready_servers, 1.0)
+        draw = exponential_draw(session.viewer.session ^ self.seed, server.server_id)
+        return draw * fleet_rate * part < server_rate
 
-    def sent(self, session: Session, server: Server, now: float) -> None:
+    def record_attempt(self, session: Session, server: Server, now: float) -> None:
+        """Counts an attempt against the retry budget and the server's slow start."""
         if session.attempts > 0:
-            self.extra.append(now)
-        server.cold_sent_at = now
+            self.retries.append(now)
+        server.last_attempt_at = now
+
+    def count_seats(self, session: Session) -> int:
+        """Returns the seats in use for the session's title and class at this front."""
+        return self.seats_in_use[session.viewer.title, session.viewer.class_index]
 
-    def hold(self, session: Session, count: int) -> None:
-        self.seats[session.viewer.title, session.viewer.class_index] += count
+    def add_seats(self, session: Session, count: int) -> None:
+        """Reserves (1) or releases (-1) a seat for the session's title and class."""
+        self.seats_in_use[session.viewer.title, session.viewer.class_index] += count
 
 
 class Controller:
-    """The decisions of one front: `handle` what was seen, get what to do."""
+    """The decisions of one front: `handle` takes what was seen and returns what to do."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
-        self.guards = Guards(settings, seed)
-        self.dice = Random(seed)
+        self.safety_rules = SafetyRules(settings, seed)
+        self.rng = Random(seed)
         self.servers: dict[int, Server] = {}
         self.sessions: dict[int, Session] = {}
-        self.prices: Counter[float] = Counter()  # of the next step up, of sessions that play
-        self.in_rack: list[dict[int, Session]] = [{} for _ in range(settings.rack_count)]
-        self.waiting: dict[int, list[Session]] = {}
-        self.played: dict[int, None] = {}  # titles that some server here has set up, oldest first
-        self.watched: dict[int, Server] = {}  # with own sessions, strikes, or news since the last look
-        self.fade_ms = 2.0 * max(settings.report_interval_ms + settings.report_delay_ms, UPKEEP_MS)
-        self.late_ms = settings.report_delay_ms + UPKEEP_MS
-        self.usual_link, self.usual_uplink = Usual(), Usual(first=1.0)
-        self.uplinks_kb = (settings.uplink_rate_kbyte_s or inf) * settings.rack_count
-        self.uplinks = [
-            Meter(self.uplinks_kb, self.usual_uplink, self.fade_ms) for _ in range(settings.rack_count)
-        ]
-        self.aim_ms = min((kind.latency_objective_ms for kind in settings.classes), default=1000.0)
-        self.takers: dict[type, Callable[..., None]] = {
-            Arrival: self._arrive,
-            AttemptSucceeded: self._started,
-            AttemptEnded: self._ended,
-            ClientGone: self._drop_request,
-            ServerNotice: self._note,
-            SessionRecovered: self._take_over,
-            TimerFired: self._upkeep,
-            HealthCheckEnded: self._probed,
-            EndpointListUpdate: self._list,
+        self.upswitch_priorities: Counter[float] = Counter()  # how many playing sessions have each priority
+        self.sessions_by_rack: list[dict[int, Session]] = [{} for _ in range(settings.rack_count)]
+        self.awaiting_health_check: dict[int, list[Session]] = {}
+        self.played_titles: dict[int, None] = {}  # titles that some server here has set up, oldest first
+        self.watched_servers: dict[int, Server] = {}  # with own sessions, failures or unexamined reports
+        report_cycle_ms = settings.report_interval_ms + settings.report_delay_ms
+        self.decay_ms = 2.0 * max(report_cycle_ms, MAINTENANCE_INTERVAL_MS)
+        self.report_age_ms = settings.report_delay_ms + MAINTENANCE_INTERVAL_MS
+        self.typical_link_load, self.typical_uplink_load = TypicalLoad(), TypicalLoad(first_weight=1.0)
+        self.total_uplink_kbyte_s = total = (settings.uplink_rate_kbyte_s or inf) * settings.rack_count
+        typical = self.typical_uplink_load
+        self.uplinks = [LoadEstimator(total, typical, self.decay_ms) for _ in range(settings.rack_count)]
+        objectives = (session_class.latency_objective_ms for session_class in settings.classes)
+        self.shortest_objective_ms = min(objectives, default=1000.0)
+        self.handlers: dict[type, Callable[..., None]] = {
+            interface.Arrival: self._on_arrival,
+            interface.AttemptSucceeded: self._on_attempt_succeeded,
+            interface.AttemptEnded: self._on_attempt_ended,
+            interface.ClientGone: self._on_client_gone,
+            interface.ServerNotice: self._on_server_notice,
+            interface.SessionRecovered: self._on_session_recovered,
+            interface.TimerFired: self._on_timer,
+            interface.HealthCheckEnded: self._on_health_check_ended,
+            interface.EndpointListUpdate: self._on_endpoint_list,
         }
-        self.now, self.looked_at, self.stood_ms = -inf, inf, 0.0
-        self.ask_again_at = inf
-        self.out: list[Action] = []
-        self.rerung: dict[int, None] = {}
-
-    def handle(self, now_ms: float, events: list[Event]) -> list[Action]:
-        first, self.now, self.out = self.now == -inf, now_ms, []
-        self.stood_ms = max(now_ms - self.looked_at - 2.0 * UPKEEP_MS, 0.0)  # what is found may be as old
-        if first:
-            self.out += [SetTimer(UPKEEP_TOKEN, UPKEEP_MS)] + [Subscribe(True)] * self.settings.must_subscribe
+        self.now, self.maintained_at, self.resubscribe_at, self.stall_ms = -inf, inf, inf, 0.0
+        self.actions: list[interface.Action] = []
+        self.rung_changes: dict[int, None] = {}  # sessions, in order of their first change in this step
+
+    def handle(self, now_ms: float, events: list[interface.Event]) -> list[interface.Action]:
+        """Takes the events since the last call, in order, and returns the actions to carry out, in order.
+
+        `now_ms` is the front's clock and never goes back. Events without a handler are ignored.
+        """
+        is_first, self.now, self.actions = self.now == -inf, now_ms, []
+        # After a stall of the front's process, events may be older than usual by its length.
+        self.stall_ms = max(now_ms - self.maintained_at - 2.0 * MAINTENANCE_INTERVAL_MS, 0.0)
+        if is_first:
+            self.actions.append(interface.SetTimer(MAINTENANCE_TOKEN, MAINTENANCE_INTERVAL_MS))
+            if self.settings.must_subscribe:
+                self.actions.append(interface.Subscribe(True))
         for event in events:
-            if take := self.takers.get(type(event)):
-                take(event)
-        for rid in self.rerung:
-            if rid in self.sessions:
-                self.out.append(SetRung(rid, self.sessions[rid].rung))
-        self.rerung.clear()
-        return self.out
-
-    def _list(self, update: EndpointListUpdate) -> None:
-        if update.kind is EndpointListKind.FAILED:
-            self.ask_again_at = self.now + self.aim_ms
+            if handler := self.handlers.get(type(event)):
+                handler(event)
+        for session_id in self.rung_changes:
+            if session_id in self.sessions:
+                self.actions.append(interface.SetRung(session_id, self.sessions[session_id].rung))
+        self.rung_changes.clear()
+        return self.actions
+
+    # --- Endpoint list ---
+
+    def _on_endpoint_list(self, update: interface.EndpointListUpdate) -> None:
+        if update.kind is interface.EndpointListKind.FAILED:
+            self.resubscribe_at = self.now + self.shortest_objective_ms
             return
-        if update.kind is not EndpointListKind.DELTA:
-            listed = {entry.server for entry in update.entries}
+        if update.kind is not interface.EndpointListKind.DELTA:
+            listed = {endpoint.server for endpoint in update.entries}
             for server in self.servers.values():
-                if server.id not in listed:
+                if server.server_id not in listed:
                     server.state = ServerState.REMOVED
-        for entry in update.entries:
-            self._entry(entry)
+        for endpoint in update.entries:
+            self._apply_endpoint(endpoint)
         for server in list(self.servers.values()):
-            self._bury(server)
-        self._size_up()
+            self._forget_if_removed(server)
+        self._divide_uplink_capacity()
 
-    def _bury(self, server: Server) -> None:
-        """Forgets a server that is long gone and that nothing here names any more.
-
-        Guards against a fleet that is replaced for days, whose every server would be looked at for each
-        title. Harm: one that comes back under its id after that has its learnt load to learn again.
-        """
+    def _forget_if_removed(self, server: Server) -> None:
+        """Forgets a server that was removed long ago: else each title is looked for in a replaced fleet."""
         if server.state is not ServerState.REMOVED:
-            server.gone_at = inf
+            server.removed_at = inf
             return
-        server.gone_at = min(server.gone_at, self.now)
-        named = server.sessions or server.setting_up or server.probing or server.id in self.waiting
-        if self.now - server.gone_at > GONE_MS and not named:
-            del self.servers[server.id]
-            self.watched.pop(server.id, None)
-
-    def _size_up(self) -> None:
-        """Shares out what uplinks carry: only the mean is told, so each gets its part by its links.
-
-        Where no uplink is reported, it is also what these links carry, and no link of a gone server.
-        """
-        there = [server for server in self.servers.values() if server.state is not ServerState.REMOVED]
-        self.guards.ready = max(sum(1 for server in there if server.state is ServerState.READY), 1)
-        total_kb = sum(server.link.capacity_kb for server in there)
-        for rack, uplink in enumerate(self.uplinks if there else ()):
-            links = [server.link for server in there if server.rack == rack]
-            uplink.capacity_kb = max(1.0, sum(one.capacity_kb for one in links) / total_kb * self.uplinks_kb)
+        server.removed_at = min(server.removed_at, self.now)
+        has_attempts = server.attempts_in_flight or server.is_checking_health
+        is_in_use = server.sessions or has_attempts or server.server_id in self.awaiting_health_check
+        if self.now - server.removed_at > FORGET_REMOVED_AFTER_MS and not is_in_use:
+            del self.servers[server.server_id]
+            self.watched_servers.pop(server.server_id, None)
+
+    def _divide_uplink_capacity(self) -> None:
+        """Gives each uplink a part of the total by its rack's links, its load too where none is reported."""
+        listed = [server for server in self.servers.values() if server.state is not ServerState.REMOVED]
+        self.safety_rules.ready_servers = max(sum(one.state is ServerState.READY for one in listed), 1)
+        total_kbyte_s = sum(server.link.capacity_kbyte_s for server in listed)
+        for rack, uplink in enumerate(self.uplinks if listed else ()):
+            links = [server.link for server in listed if server.rack == rack]
+            part = sum(link.capacity_kbyte_s for link in links) / total_kbyte_s
+            uplink.capacity_kbyte_s = max(1.0, part * self.total_uplink_kbyte_s)
             if "x1" not in self.settings.report_fields:
-                uplink.feeders = links
+                uplink.member_links = links
 
-    def _entry(self, entry: Endpoint) -> None:
-        settings, server = self.settings, self.servers.get(entry.server)
-        rack = entry.zone % settings.rack_count
+    def _apply_endpoint(self, endpoint: interface.Endpoint) -> None:
+        server = self.servers.get(endpoint.server)
         if server is None:
-            streams = (
-                settings.streams_by_server_type[entry.server_type]
-                if entry.server_type < len(settings.streams_by_server_type)
-                else 1
-            )
-            link_kb = settings.link_rate_per_weight_kbyte_s * (entry.weight if entry.weight > 0 else 1.0)
-            link = Meter(link_kb, self.usual_link, self.fade_ms, settings.front_count)
-            server = self.servers[entry.server] = Server(
-                entry.server, link, self.uplinks[rack], streams, rack, started_at=entry.started_at
-            )
-            self._begin(server, entry.started_at)
-        elif entry.started_at > server.started_at:
-            self._begin(server, entry.started_at)
-            server.link.forget()
-        server.state, server.cell, server.weight = entry.state, entry.zone, max(entry.weight, 1e-3)
-
-    def _begin(self, server: Server, started_at: float) -> None:
-        """The list tells when its process started; 0 says nothing."""
-        server.started_at, server.cold_since = started_at, started_at or -inf
+            server = self.servers[endpoint.server] = self._new_server(endpoint)
+            self._on_process_start(server, endpoint.started_at)
+        elif endpoint.started_at > server.started_at:
+            self._on_process_start(server, endpoint.started_at)
+            server.link.forget_report()
+        server.state, server.zone, server.weight = endpoint.state, endpoint.zone, max(endpoint.weight, 1e-3)
+
+    def _new_server(self, endpoint: interface.Endpoint) -> Server:
+        settings, rack = self.settings, endpoint.zone % self.settings.rack_count
+        slots = settings.streams_by_server_type
+        stream_slots = slots[endpoint.server_type] if endpoint.server_type < len(slots) else 1
+        weight = endpoint.weight if endpoint.weight > 0 else 1.0
+        link_kbyte_s = settings.link_rate_per_weight_kbyte_s * weight
+        link = LoadEstimator(link_kbyte_s, self.typical_link_load, self.decay_ms, settings.front_count)
+        return Server(endpoint.server, link, self.uplinks[rack], stream_slots, rack)
+
+    def _on_process_start(self, server: Server, started_at: float) -> None:
+        """Starts a server's slow start at the time that the list gives; 0 means that it is unknown."""
+        server.started_at, server.warming_since = started_at, started_at or -inf
         if self.settings.slow_start is not None:
-            server.link.new_until = server.cold_since + self.settings.slow_start.window_ms
+            server.link.slow_start_until = server.warming_since + self.settings.slow_start.window_ms
 
-    # --- 2. Order and placement ---
+    # --- Ranking and placement ---
 
-    def _arrive(self, event: Arrival) -> None:
-        self.guards.taken.append(self.now)
-        self._place(self._open(event.viewer, self.now + event.viewer.remaining_ms))
+    def _on_arrival(self, event: interface.Arrival) -> None:
+        self.safety_rules.arrivals.append(self.now)
+        self._place_session(self._open_session(event.viewer, self.now + event.viewer.remaining_ms))
 
-    def _open(self, viewer: Viewer, answer_by: float) -> Session:
-        kind = self.settings.classes[viewer.class_index]
-        top = max(min(viewer.top_rung, kind.top_rung), 0)
-        session = Session(viewer, kind, self.now, answer_by, kind.lowest_rung, top)
+    def _open_session(self, viewer: Viewer, reply_deadline: float) -> Session:
+        session_class = self.settings.classes[viewer.class_index]
+        top_rung = max(min(viewer.top_rung, session_class.top_rung), 0)
+        lowest_rung = session_class.lowest_rung
+        session = Session(viewer, session_class, self.now, reply_deadline, lowest_rung, top_rung)
         self.sessions[viewer.session] = session
         return session
 
-    def _place(self, session: Session) -> None:
-        """Sends the next attempt of a session, or gives its final answer at once."""
-        may = self.guards.may_send(session, self.now) and session.answer_by > self.now
-        choice = self._choose(session) if may else None
+    def _place_session(self, session: Session) -> None:
+        """Sends the next attempt of a session, or its final reply if there can be none."""
+        may_attempt = self.safety_rules.may_attempt(session, self.now) and session.reply_deadline > self.now
+        choice = self._choose_server(session) if may_attempt else None
         if choice is None:
-            self._give_up(session)
+            self._reject_or_fail(session)
             return
         server, rung = choice
-        if self._blind(session, server):
-            session.asked = True
-            self.waiting.setdefault(server.id, []).append(session)
-            self._probe(server)
+        if self._needs_health_check(session, server):
+            session.has_awaited_health_check = True
+            self.awaiting_health_check.setdefault(server.server_id, []).append(session)
+            self._check_health(server)
             return
-        self._send(session, server, rung)
+        self._send_attempt(session, server, rung)
 
-    def _choose(self, session: Session) -> tuple[Server, int] | None:
-        """The first free holder at the highest usable rung, else the roomiest at what fits there."""
-        usable = [server for server in self._order(session) if self._usable(server, session)]
-        holders = [server for server in usable if not self._marked_full(server)] or usable
-        holders = [server for server in holders if server.id not in session.tried] or holders
+    def _choose_server(self, session: Session) -> tuple[Server, int] | None:
+        """Returns the first holder that fits the top rung, else the one with the most headroom."""
+        usable = [server for server in self._ranked_holders(session) if self._is_usable(server, session)]
+        holders = [server for server in usable if not self._is_full(server)] or usable
+        holders = [one for one in holders if one.server_id not in session.attempted_servers] or holders
         for server in holders:
-            if self._fits(server, session, session.top):
+            if self._fits(server, session, session.top_rung):
                 return server, self._fair_rung(server, session)
         if not holders:
             return None
-        roomiest = max(holders, key=lambda one: one.room(self.now, self.guards.warmth(one, self.now)))
-        for rung in range(session.top - 1, session.kind.lowest_rung - 1, -1):
+        roomiest = max(holders, key=self._headroom)
+        lowest_rung = session.session_class.lowest_rung
+        for rung in range(session.top_rung - 1, lowest_rung - 1, -1):
             if self._fits(roomiest, session, rung):
                 return roomiest, rung
-        return (roomiest, session.kind.lowest_rung) if self._make_room(roomiest, session) else None
-
-    def _blind(self, session: Session, server: Server) -> bool:
-        """Whether to probe first: no session on the server nor news of it, nor of most holders.
-
-        Guards against fronts too small to hear of most servers. Also covers notes that stay out.
-        Harm: the price of a probe, at most one a session, where the guess was right.
-        """
-        holders, old = self._order(session), self.now - self.fade_ms
-        unheard = [one for one in holders if not one.sessions and one.link.told_at < old]
-        time = session.answer_by - self.now >= session.kind.latency_objective_ms and session.attempts == 0
-        may = self.settings.may_check_health and self.settings.front_count > 1 and time and not session.asked
-        return may and server in unheard and 2 * len(unheard) > len(holders)
-
-    def _order(self, session: Session) -> list[Server]:
-        """The listed holders of a title, each drawn for it in proportion to its weight: alike at all fronts.
-
-        One order for all titles would send all fronts to the same few servers, of whose load each
-        front learns only by being turned away.
-        """
-        viewer, cells, gone = session.viewer, self.settings.zone_count, ServerState.REMOVED
-        listed = [one for one in self.servers.values() if one.state is not gone]
-        holders = [one for one in listed if (one.cell - viewer.first_zone) % cells < viewer.replicas]
-        return sorted(holders, key=lambda one: (lot(viewer.title, one.id) / one.weight, one.id))
+        return (roomiest, lowest_rung) if self._free_capacity(roomiest, session) else None
+
+    def _headroom(self, server: Server) -> tuple[float, float]:
+        return server.headroom(self.now, self.safety_rules.slow_start_factor(server, self.now))
+
+    def _needs_health_check(self, session: Session, server: Server) -> bool:
+        """Whether to check first: neither the server nor most other holders are known, as at small fronts."""
+        holders, oldest = self._ranked_holders(session), self.now - self.decay_ms
+        unknown = [one for one in holders if not one.sessions and one.link.reported_at < oldest]
+        objective_ms = session.session_class.latency_objective_ms
+        has_time = session.reply_deadline - self.now >= objective_ms and session.attempts == 0
+        may_check = self.settings.may_check_health and self.settings.front_count > 1
+        may_check = may_check and has_time and not session.has_awaited_health_check
+        return may_check and server in unknown and 2 * len(unknown) > len(holders)
+
+    def _ranked_holders(self, session: Session) -> list[Server]:
+        """Returns the listed servers with the title by rendezvous hashing, which is alike at all fronts."""
+        viewer, zones, removed = session.viewer, self.settings.zone_count, ServerState.REMOVED
+        listed = [server for server in self.servers.values() if server.state is not removed]
+        holders = [server for server in listed if (server.zone - viewer.first_zone) % zones < viewer.replicas]
+        return sorted(holders, key=lambda server: (rendezvous_score(viewer.title, server), server.server_id))
 
     def _fair_rung(self, server: Server, session: Session) -> int:
-        """The highest usable rung, or less while most own sessions are held below theirs.
+        """Returns the top rung, or a lower one while most own sessions are held below theirs.
 
-        Each step must be worth as much for its rate as the next step of the middle one of them.
-        Guards against newcomers taking at the top what many could share. Also covers uplinks that
-        carry less than told. Harm: a front held low by one bad rack starts all newcomers low.
+        Each step must have at least the marginal priority, so that newcomers do not take at the top rung what
+        many could share. One bad rack that holds a front's sessions low starts all of its newcomers low.
         """
-        rung, worth = session.top, self._going_price()
-        while rung > session.kind.lowest_rung and self._price(session, rung) < worth:
+        rung, marginal_priority = session.top_rung, self._marginal_priority()
+        lowest_rung = session.session_class.lowest_rung
+        while rung > lowest_rung and self._priority_per_rate(session, rung) < marginal_priority:
             rung -= 1
         return rung
 
-    def _going_price(self) -> float:
-        """What the next step up is worth to the middle one of the own sessions that play."""
-        prices = sorted((price, count) for price, count in self.prices.items() if count > 0)
-        middle = sum(count for _, count in prices) // 2
-        for price, count in prices:
-            middle -= count
-            if middle < 0:
-                return price
+    def _marginal_priority(self) -> float:
+        """Returns the median, over own playing sessions, of the priority of their next upswitch."""
+        priorities = sorted((key, count) for key, count in self.upswitch_priorities.items() if count > 0)
+        remaining = sum(count for _, count in priorities) // 2
+        for priority, count in priorities:
+            remaining -= count
+            if remaining < 0:
+                return priority
         return 0.0
 
-    def _tally(self, session: Session, step: int) -> None:
-        """Keeps count of going prices: looking at all sessions at each arrival grows with what is held."""
-        if session.playing:
-            at_top = session.rung >= session.top
-            self.prices[0.0 if at_top else self._price(session, session.rung + 1)] += step
-
-    def _make_room(self, server: Server, session: Session) -> bool:
-        """Rather than refuse, fills the first step above the mark, stepping own sessions down for it.
+    def _count_priority(self, session: Session, step: int) -> None:
+        """Keeps the counts for the marginal priority, so that an arrival need not visit all sessions."""
+        if session.is_playing:
+            is_at_top = session.rung >= session.top_rung
+            priority = 0.0 if is_at_top else self._priority_per_rate(session, session.rung + 1)
+            self.upswitch_priorities[priority] += step
 
-        Guards against viewers turned away while others watch at high rungs. Also covers a mark
-        lowered by old reports. Harm: every step down costs its session a switch.
-        """
-        lowest, limit = session.kind.lowest_rung, MARK + STEP
+    def _free_capacity(self, server: Server, session: Session) -> bool:
+        """Switches own sessions down until this one fits, rather than reject it while others watch well."""
+        lowest_rung, limit = session.session_class.lowest_rung, TARGET_UTILIZATION + DOWNSWITCH_STEP
         for _ in range(len(self.sessions)):
-            if self._fits(server, session, lowest, limit):
+            if self._fits(server, session, lowest_rung, limit):
                 return True
-            link_over = server.link.load(self.now) > server.uplink.load(self.now)
-            if not self._step_down(server.sessions if link_over else self.in_rack[server.rack], {}):
+            is_link_busier = server.link.load(self.now) > server.uplink.load(self.now)
+            sessions = server.sessions if is_link_busier else self.sessions_by_rack[server.rack]
+            if not self._downswitch(sessions, {}, inf):
                 return False
         return False
 
-    def _usable(self, server: Server, session: Session) -> bool:
-        now = self.now
-        if server.suspect_until > now or (server.probing and server.strikes):
+    def _is_usable(self, server: Server, session: Session) -> bool:
+        """Whether a server may be chosen; after a failure one attempt or health check at a time tests it."""
+        is_tested = server.is_checking_health or server.attempts_in_flight
+        if server.ejected_until > self.now or (server.consecutive_failures and is_tested):
             return False
-        if server.strikes and server.setting_up:
-            return False
-        return len(server.sessions) < server.streams and self.guards.may_go_to(server, session, now)
-
-    def _marked_full(self, server: Server) -> bool:
-        """Full for five seconds, or until a report seen after the mark shows it under the mark.
-
-        Where every holder is marked, all are asked all the same: guards against a moment's shortage
-        everywhere shutting a front's viewers out. Harm: an attempt that is turned away at once.
-        """
-        seen_since = server.link.told_at > server.full_until - FULL_MARK_MS
-        return server.full_until > self.now and not (seen_since and server.load(self.now) < MARK)
-
-    def _fits(self, server: Server, session: Session, rung: int, mark: float = MARK) -> bool:
-        kb = self._rate_kb(session, rung)
-        warm = mark * self.guards.warmth(server, self.now)
-        return server.link.after(self.now, kb) < warm and server.uplink.after(self.now, kb) < mark
-
-    def _rate_kb(self, session: Session, rung: int) -> float:
-        return self.settings.rung_rates_kbyte_s[rung] * session.kind.rate_multiplier
-
-    def _send(self, session: Session, server: Server, rung: int) -> None:
-        """The one way out for a set-up; the guards have the last word."""
-        now, rid = self.now, session.viewer.session
-        if not (self.guards.may_send(session, now) and self.guards.may_go_to(server, session, now)):
-            self._give_up(session)
+        has_slot = len(server.sessions) < server.stream_slots
+        return has_slot and self.safety_rules.is_eligible(server, session, self.now)
+
+    def _is_full(self, server: Server) -> bool:
+        """Whether a server refused as full lately, and no later report shows it under the target."""
+        has_later_report = server.link.reported_at > server.full_until - FULL_BACKOFF_MS
+        has_capacity = has_later_report and server.load(self.now) < TARGET_UTILIZATION
+        return server.full_until > self.now and not has_capacity
+
+    def _fits(self, server: Server, session: Session, rung: int, target: float = TARGET_UTILIZATION) -> bool:
+        rate_kbyte_s = self._rate_kbyte_s(session, rung)
+        link_target = target * self.safety_rules.slow_start_factor(server, self.now)
+        fits_link = server.link.load_with(self.now, rate_kbyte_s) < link_target
+        return fits_link and server.uplink.load_with(self.now, rate_kbyte_s) < target
+
+    def _rate_kbyte_s(self, session: Session, rung: int) -> float:
+        return self.settings.rung_rates_kbyte_s[rung] * session.session_class.rate_multiplier
+
+    def _send_attempt(self, session: Session, server: Server, rung: int) -> None:
+        """Sends an attempt if the safety rules permit it; all attempts are sent here."""
+        now, session_id, rules = self.now, session.viewer.session, self.safety_rules
+        if not (rules.may_attempt(session, now) and rules.is_eligible(server, session, now)):
+            self._reject_or_fail(session)
             return
-        timeout = min(session.kind.latency_objective_ms * ATTEMPT_AIMS, session.answer_by - now)
-        self.guards.sent(session, server, now)
-        self.guards.hold(session, 1)
+        objective_ms = session.session_class.latency_objective_ms
+        timeout_ms = min(objective_ms * ATTEMPT_TIMEOUT_IN_OBJECTIVES, session.reply_deadline - now)
+        rules.record_attempt(session, server, now)
+        rules.add_seats(session, 1)
         session.attempts += 1
-        session.out = True
-        session.tried.append(server.id)
+        session.is_in_flight = True
+        session.attempted_servers.append(server.server_id)
         session.rung = rung
-        self._join(session, server)
-        server.setting_up += 1
-        self.out.append(SetRung(rid, rung))
-        self.out.append(Place(rid, server.id, timeout))
+        self._assign_server(session, server)
+        server.attempts_in_flight += 1
+        self.actions.append(interface.SetRung(session_id, rung))
+        self.actions.append(interface.Place(session_id, server.server_id, timeout_ms))
 
-    def _join(self, session: Session, server: Server) -> None:
+    def _assign_server(self, session: Session, server: Server) -> None:
         session.server = server
         server.sessions[session.viewer.session] = session
-        self.in_rack[server.rack][session.viewer.session] = session
-        self.watched[server.id] = server
-        self._count(session, server, 1)
-
-    def _count(self, session: Session, server: Server, step: int) -> None:
-        kb = step * self._rate_kb(session, session.rung)
-        self._tally(session, step)
-        server.link.add(self.now, kb)
-        server.uplink.add(self.now, kb)
-
-    def _leave(self, session: Session) -> None:
+        self.sessions_by_rack[server.rack][session.viewer.session] = session
+        self.watched_servers[server.server_id] = server
+        self._count_rate(session, server, 1)
+
+    def _count_rate(self, session: Session, server: Server, step: int) -> None:
+        """Adds (1) or removes (-1) a session's rate and priority at its present rung."""
+        rate_kbyte_s = step * self._rate_kbyte_s(session, session.rung)
+        self._count_priority(session, step)
+        server.link.add_own_rate(self.now, rate_kbyte_s)
+        server.uplink.add_own_rate(self.now, rate_kbyte_s)
+
+    def _release_server(self, session: Session) -> None:
         server = session.server
         if server is not None:
             del server.sessions[session.viewer.session]
-            del self.in_rack[server.rack][session.viewer.session]
-            self._count(session, server, -1)
-            self.guards.hold(session, -1)
+            del self.sessions_by_rack[server.rack][session.viewer.session]
+            self._count_rate(session, server, -1)
+            self.safety_rules.add_seats(session, -1)
             session.server = None
 
-    def _give_up(self, session: Session) -> None:
-        """The final answer, at once: a refusal where nothing can have run, else a failure."""
-        rid = session.viewer.session
-        self.sessions.pop(rid, None)
-        if session.may_have_run and session.kind.idempotency is not Idempotency.IDEMPOTENT:
-            self.out.append(Fail(rid))
+    def _reject_or_fail(self, session: Session) -> None:
+        """Sends the final reply: a rejection where no attempt can have run, else a failure."""
+        session_id = session.viewer.session
+        self.sessions.pop(session_id, None)
+        if session.may_have_run and session.session_class.idempotency is not Idempotency.IDEMPOTENT:
+            self.actions.append(interface.Fail(session_id))
         else:
-            self.out.append(Reject(rid, self.settings.max_retry_after_ms or 0.0))
+            self.actions.append(interface.Reject(session_id, self.settings.max_retry_after_ms or 0.0))
 
-    def _take_over(self, event: SessionRecovered) -> None:
-        session, server = self._open(event.viewer, inf), self.servers.get(event.server)
-        session.playing = session.may_have_run = session.told_start = True
+    def _on_session_recovered(self, event: interface.SessionRecovered) -> None:
+        session, server = self._open_session(event.viewer, inf), self.servers.get(event.server)
+        session.is_playing = session.may_have_run = session.has_start_report = True
         session.attempts = 1
-        self._known_title(session)
-        # Handed over low with links idle, it may climb as soon as they are told, or after a round of notes.
-        session.as_handed = True
-        session.climbed_at = self.now + min(self.settings.report_interval_ms + self.late_ms - CLIMB_MS, 0.0)
+        self._remember_title(session)
+        # At a low rung on idle links it may switch up with the first reports, or else after a report cycle.
+        session.is_at_recovered_rung = True
+        report_cycle_ms = self.settings.report_interval_ms + self.report_age_ms
+        session.upswitched_at = self.now + min(report_cycle_ms - UPSWITCH_INTERVAL_MS, 0.0)
         if server is not None:
-            self.guards.hold(session, 1)
-            self._join(session, server)
+            self.safety_rules.add_seats(session, 1)
+            self._assign_server(session, server)
 
-    # --- 4. Health and attempts ---
+    # --- Attempts and health ---
 
-    def _started(self, event: AttemptSucceeded) -> None:
+    def _on_attempt_succeeded(self, event: interface.AttemptSucceeded) -> None:
         session = self.sessions.get(event.session)
         if session is None or session.server is None:
             return
-        session.playing, session.out, session.climbed_at = True, False, self.now
-        self._known_title(session)
-        self._tally(session, 1)
+        session.is_playing, session.is_in_flight, session.upswitched_at = True, False, self.now
+        self._remember_title(session)
+        self._count_priority(session, 1)
         server = session.server
-        server.setting_up -= 1
-        if server.lost:
-            server.lost, server.cold_since = False, self.now
-        if server.strikes:
-            self.out.append(Log(f"server {server.id} sets up again after {server.strikes} failures"))
-        server.strikes, server.suspect_until = 0, -inf
-
-    def _ended(self, event: AttemptEnded) -> None:
+        server.attempts_in_flight -= 1
+        if server.is_presumed_dead:
+            server.is_presumed_dead, server.warming_since = False, self.now
+        if failures := server.consecutive_failures:
+            text = f"server {server.server_id} sets up again after {failures} failures"
+            self.actions.append(interface.Log(text))
+        server.consecutive_failures, server.ejected_until = 0, -inf
+
+    def _on_attempt_ended(self, event: interface.AttemptEnded) -> None:
         session, server = self.sessions.get(event.session), self.servers.get(event.server)
-        stray = event.result is Result.ERROR and session is not None and self._stray(session, server)
+        is_request_at_fault = False
+        if session is not None and event.result is Result.ERROR:
+            is_request_at_fault = self._attribute_error_to_request(session, server)
         if server is not None:
-            if session is None or not session.playing:
-                self._hear_report(server, event.report)
-            if event.result in FAILED and not stray:
-                self._suspect(server, event.result)
+            if session is None or not session.is_playing:
+                self._observe_report(server, event.report)
+            if event.result in FAILURE_RESULTS and not is_request_at_fault:
+                self._eject(server, event.result)
             elif event.result is Result.FULL:
-                server.full_until = self.now + FULL_MARK_MS
-        if session is None:
-            return
-        if session.out and session.server is not None:
-            session.server.setting_up -= 1
-        session.out = False
-        if event.result not in NEVER_RAN:
+                server.full_until = self.now + FULL_BACKOFF_MS
+        if session is not None:
+            self._end_attempt(session, event, is_request_at_fault)
+
+    def _end_attempt(self, session: Session, event: interface.AttemptEnded, is_own_fault: bool) -> None:
+        """Releases the attempt's server, then forgets, rejects or places the session."""
+        if session.is_in_flight and session.server is not None:
+            session.server.attempts_in_flight -= 1
+        session.is_in_flight = False
+        if event.result not in NEVER_RAN_RESULTS:
             session.may_have_run = True
-        self._leave(session)
-        if event.is_final or session.playing:
+        self._release_server(session)
+        if event.is_final or session.is_playing:
             self.sessions.pop(event.session, None)
-        elif stray and session.attempts > 1:
-            self._give_up(session)
+        elif is_own_fault and session.attempts > 1:
+            self._reject_or_fail(session)
         else:
-            self._place(session)
+            self._place_session(session)
 
-    def _stray(self, session: Session, server: Server | None) -> bool:
-        """Whether an error may be the request's own fault: its title never played here, or two servers err.
+    def _attribute_error_to_request(self, session: Session, server: Server | None) -> bool:
+        """Whether an error may be the request's own: its title never played here, or two servers err.
 
-        Guards against requests for titles that nobody has, and for what has ended, each of which would
-        make a suspect of every server that it tries. Two servers are asked, no third, and the first is
-        cleared. Also covers titles just taken away. Harm: a server that fails all it is asked is
-        suspected only by titles that have played, and not where two such servers meet in one request.
+        Requests for titles that no server has must not eject each server they attempt: the first is cleared.
         """
-        first, session.erred = session.erred, server
-        if first is not None and first is not server and first.strikes == 1:
-            first.strikes, first.suspect_until = 0, -inf
-        return first not in (None, server) or session.viewer.title not in self.played
-
-    def _known_title(self, session: Session) -> None:
-        self.played[session.viewer.title] = None
-        if len(self.played) > TITLES:
-            del self.played[next(iter(self.played))]
-
-    def _suspect(self, server: Server, result: Result) -> None:
-        """Keeps new sessions off a server that failed, for longer with every failure in a row.
-
-        Guards against servers that error, hang, go silent or die while the list still calls them
-        ready; should cover any server that sets up badly. Harm: one unlucky failure costs the head
-        of the order an aim's time.
-        """
-        self.watched[server.id] = server
-        self._doubt(server, result in LOST)
-        if self.now < server.suspect_until or (result is Result.TIMEOUT and self.stood_ms > 0.0):
+        first, session.last_error_server = session.last_error_server, server
+        if first is not None and first is not server and first.consecutive_failures == 1:
+            first.consecutive_failures, first.ejected_until = 0, -inf
+        return first not in (None, server) or session.viewer.title not in self.played_titles
+
+    def _remember_title(self, session: Session) -> None:
+        self.played_titles[session.viewer.title] = None
+        if len(self.played_titles) > MAX_PLAYED_TITLES:
+            del self.played_titles[next(iter(self.played_titles))]
+
+    def _eject(self, server: Server, result: Result) -> None:
+        """Ejects a server that failed, for longer with every consecutive failure, whatever the list says."""
+        self.watched_servers[server.server_id] = server
+        if result in CONNECTION_LOST_RESULTS:
+            self._presume_dead(server)
+        if self.now < server.ejected_until or (result is Result.TIMEOUT and self.stall_ms > 0.0):
             return
-        doublings = min(server.strikes, SUSPECT_DOUBLINGS)
-        server.strikes += 1
-        server.suspect_until = self.now + self.aim_ms * SUSPECT_AIMS * 2.0**doublings
-        if result in LOST:
-            server.link.forget()
-        if server.strikes == 1:
+        doublings = min(server.consecutive_failures, MAX_EJECTION_DOUBLINGS)
+        server.consecutive_failures += 1
+        ejection_ms = self.shortest_objective_ms * EJECTION_IN_OBJECTIVES * 2.0**doublings
+        server.ejected_until = self.now + ejection_ms
+        if result in CONNECTION_LOST_RESULTS:
+            server.link.forget_report()
+        if server.consecutive_failures == 1:
             if result is Result.TIMEOUT:
-                self._probe(server)
-            self.out.append(Log(f"server {server.id} is suspect: {RESULT_LABELS[result]}"))
-
-    def _doubt(self, server: Server, gone: bool) -> None:
-        """Takes its process for gone, so that what comes back is cold."""
-        if gone and not server.lost:
-            server.lost, server.doubted_at = True, self.now
-
-    def _lives(self, server: Server, session: Session) -> None:
-        """News of a session that plays there from before the doubt: its process has not ended.
-
-        Guards against a server taken for cold, and its sessions squeezed, for one broken connection.
-        Also covers probes that were lost. Harm: none known; what a process said before its end is
-        no older than the latest of notes.
-        """
-        heard = self.now - self.late_ms - self.stood_ms
-        if session.playing and session.server is server and session.taken_at < server.doubted_at < heard:
-            server.lost, server.doubted_at = False, -inf
-            server.cold_since = server.started_at or -inf
-
-    def _probed(self, event: HealthCheckEnded) -> None:
+                self._check_health(server)
+            text = f"server {server.server_id} is suspect: {RESULT_LABELS[result]}"
+            self.actions.append(interface.Log(text))
+
+    def _presume_dead(self, server: Server) -> None:
+        """Presumes that the server's process has ended, so that the next one has a slow start."""
+        if not server.is_presumed_dead:
+            server.is_presumed_dead, server.suspected_at = True, self.now
+
+    def _refute_death(self, server: Server, session: Session) -> None:
+        """Ends the presumption if a session from before it still plays: only a connection was lost."""
+        observed_at = self._report_time()
+        is_older = session.arrived_at < server.suspected_at < observed_at
+        if session.is_playing and session.server is server and is_older:
+            server.is_presumed_dead, server.suspected_at = False, -inf
+            server.warming_since = server.started_at or -inf
+
+    def _on_health_check_ended(self, event: interface.HealthCheckEnded) -> None:
         server = self.servers.get(event.server)
         if server is None:
             return
-        server.probing = False
-        self._hear_report(server, event.report)
+        server.is_checking_health = False
+        self._observe_report(server, event.report)
         if event.result is not Result.OK:
-            self._doubt(server, event.result is not Result.ERROR)
-            self._suspect(server, event.result)
-        elif server.lost:
-            server.lost, server.cold_since = False, self.now
-        elif server.strikes == 1:
-            server.suspect_until = -inf
-        for session in self.waiting.pop(server.id, []):
-            if session.viewer.session in self.sessions and not session.out:
-                self._place(session)
-
-    def _drop_request(self, event: ClientGone) -> None:
+            if event.result is not Result.ERROR:
+                self._presume_dead(server)
+            self._eject(server, event.result)
+        elif server.is_presumed_dead:
+            server.is_presumed_dead, server.warming_since = False, self.now
+        elif server.consecutive_failures == 1:
+            server.ejected_until = -inf
+        for session in self.awaiting_health_check.pop(server.server_id, []):
+            if session.viewer.session in self.sessions and not session.is_in_flight:
+                self._place_session(session)
+
+    def _on_client_gone(self, event: interface.ClientGone) -> None:
         session = self.sessions.get(event.session)
-        if session is not None and session.out:
-            session.answer_by = -inf
+        if session is not None and session.is_in_flight:
+            session.reply_deadline = -inf
         elif session is not None:
-            self._leave(session)
+            self._release_server(session)
             del self.sessions[event.session]
 
-    def _hear_report(self, server: Server, report: tuple[float, ...]) -> None:
-        """Takes the report of a set-up or a probe; one that ends a played session is as old as that."""
-        self.watched[server.id] = server
-        seen_at = self.now - self.late_ms - self.stood_ms
+    # --- Load reports ---
+
+    def _report_time(self) -> float:
+        """Returns the time of a report that arrives now, if it is as late as reports can be."""
+        return self.now - self.report_age_ms - self.stall_ms
+
+    def _observe_report(self, server: Server, report: tuple[float, ...]) -> None:
+        """Takes the report of an attempt or health check; one that ends a playing session is as old as it."""
+        self.watched_servers[server.server_id] = server
+        observed_at = self._report_time()
         for name, value in zip(self.settings.report_fields, report, strict=False):
             if name == "x0" or (name == "cpu" and value < 0.99):
-                server.link.hear(value, seen_at)
+                server.link.observe(value, observed_at)
             elif name == "x1":
-                server.uplink.hear(value, seen_at)
-
-    def _note(self, note: ServerNotice) -> None:
-        session, server = self.sessions.get(note.session), self.servers.get(note.server)
-        if note.kind is NoticeKind.RUNG:
-            known = 0 <= note.level < len(self.settings.rung_rates_kbyte_s)
-            if session is not None and session.server is not None and known:
-                self._count(session, session.server, -1)
-                session.rung = int(note.level)
-                self._count(session, session.server, 1)
+                server.uplink.observe(value, observed_at)
+
+    def _on_server_notice(self, notice: interface.ServerNotice) -> None:
+        session, server = self.sessions.get(notice.session), self.servers.get(notice.server)
+        if notice.kind is NoticeKind.RUNG:
+            self._on_rung_notice(session, notice.level)
             return
         if server is None:
             return
-        self.watched[server.id] = server
-        seen_at = self.now - self.late_ms - self.stood_ms
+        self.watched_servers[server.server_id] = server
+        observed_at = self._report_time()
         if session is not None:
-            self._lives(server, session)
-        if note.kind is NoticeKind.DELIVERED:
-            self._short(server, note.level, seen_at)
+            self._refute_death(server, session)
+        if notice.kind is NoticeKind.DELIVERED:
+            self._on_delivery_notice(server, notice.level, observed_at)
             return
-        if session is not None and not session.told_start:
-            session.told_start = note.kind is NoticeKind.UPLINK or "x1" not in self.settings.report_fields
-            seen_at = self.now - self.stood_ms
-        (server.link if note.kind is NoticeKind.LINK else server.uplink).hear(note.level, seen_at)
-
-    def _short(self, server: Server, share: float, seen_at: float) -> None:
-        """Sessions there get less than they ask: the server is full, and so is one of its two lines.
-
-        Where the account knew nothing of it, the uplink is taken to be short if half of the rack's
-        servers with own sessions deliver short at the time, else the link. With sessions on one
-        server only there is nothing to compare: an unreported uplink is short if the link was lately
-        told under the mark. No report tells whether relief of it was enough, so a short delivery
-        seen after that is news. Guards against links and uplinks that give less than their weight,
-        and against late reports. Harm: a link that shrank since it was told holds its rack low.
-        Where servers don't tell how full their lines are, only short ones are heard of, which is no
-        sample: guards against one shortage holding all newcomers low for good.
+        if session is not None and not session.has_start_report:
+            # The notices of a session's start are sent at once; the last of them is the uplink's.
+            is_last = notice.kind is NoticeKind.UPLINK or "x1" not in self.settings.report_fields
+            session.has_start_report = is_last
+            observed_at = self.now - self.stall_ms
+        estimator = server.link if notice.kind is NoticeKind.LINK else server.uplink
+        estimator.observe(notice.level, observed_at)
+
+    def _on_rung_notice(self, session: Session | None, rung: float) -> None:
+        is_known = 0 <= rung < len(self.settings.rung_rates_kbyte_s)
+        if session is not None and session.server is not None and is_known:
+            self._count_rate(session, session.server, -1)
+            session.rung = int(rung)
+            self._count_rate(session, session.server, 1)
+
+    def _on_delivery_notice(self, server: Server, delivered_ratio: float, observed_at: float) -> None:
+        """Takes a shortfall: sessions get less than they demand, so the server's link or uplink is full.
+
+        If the estimate did not show that, one of the two gets a load that does, again after each shedding.
+        Where servers report no loads, shortfalls alone are known: these are not representative: no sample.
         """
-        if not 0.0 <= share < 0.98:
+        if not 0.0 <= delivered_ratio < SHORTFALL_RATIO:
             return
-        server.full_until, server.short_at = self.now + FULL_MARK_MS, self.now
-        over = 1.0 / max(share, 0.1)
+        server.full_until, server.shortfall_at = self.now + FULL_BACKOFF_MS, self.now
+        load = 1.0 / max(delivered_ratio, 0.1)
         link, uplink = server.link, server.uplink
-        if seen_at < max(link.relieved_at, uplink.relieved_at) + SHORT_MS:
+        if observed_at < max(link.shed_at, uplink.shed_at) + SHORTFALL_WINDOW_MS:
             return
-        acted = bool(uplink.feeders) and uplink.told_at <= uplink.relieved_at
-        again = acted and uplink.load(self.now) >= link.load(self.now)
-        if server.load(self.now) >= over - STEP and not again:
+        has_shed_unreported = bool(uplink.member_links) and uplink.reported_at <= uplink.shed_at
+        is_repeated = has_shed_unreported and uplink.load(self.now) >= link.load(self.now)
+        if server.load(self.now) >= load - DOWNSWITCH_STEP and not is_repeated:
             return
-        used = [one for one in self.watched.values() if one.rack == server.rack and one.sessions]
-        short = [one for one in used if one.short_at > self.now - SHORT_MS]
-        whole_rack = len(short) > 1 and 2 * len(short) >= len(used)
-        alone = len(used) == 1 and bool(uplink.feeders)
-        link_well = link.fresh(self.now) and link.load(self.now) < MARK
-        rack_short = whole_rack or (alone and link_well) or (again and uplink.fresh(self.now))
-        (uplink if rack_short else link).hear(over, seen_at, sample=self.settings.report_interval_ms > 0.0)
-
-    # --- 3. Rungs of playing sessions ---
-
-    def _upkeep(self, event: TimerFired) -> None:
-        if event.token != UPKEEP_TOKEN:
+        estimator = uplink if self._is_uplink_short(server, is_repeated) else link
+        is_sample = self.settings.report_interval_ms > 0.0
+        estimator.observe(load, observed_at, is_sample)
+
+    def _is_uplink_short(self, server: Server, is_repeated: bool) -> bool:
+        """Whether half of a rack's servers in use are short, or its only one is and the link is not full."""
+        now, link, uplink = self.now, server.link, server.uplink
+        rack = [one for one in self.watched_servers.values() if one.rack == server.rack and one.sessions]
+        short = [one for one in rack if one.shortfall_at > now - SHORTFALL_WINDOW_MS]
+        is_rack_short = len(short) > 1 and 2 * len(short) >= len(rack)
+        is_alone = len(rack) == 1 and bool(uplink.member_links)
+        is_link_free = link.has_recent_report(now) and link.load(now) < TARGET_UTILIZATION
+        is_uplink_known = is_repeated and uplink.has_recent_report(now)
+        return is_rack_short or (is_alone and is_link_free) or is_uplink_known
+
+    # --- Rungs of playing sessions ---
+
+    def _on_timer(self, event: interface.TimerFired) -> None:
+        if event.token != MAINTENANCE_TOKEN:
             return
-        self.looked_at = self.now
-        self.out.append(SetTimer(UPKEEP_TOKEN, UPKEEP_MS))
-        if self.ask_again_at <= self.now:
-            self.ask_again_at = inf
-            self.out.append(Subscribe(True))
-        watched = sorted(self.watched.values(), key=lambda one: one.id)
+        self.maintained_at = self.now
+        self.actions.append(interface.SetTimer(MAINTENANCE_TOKEN, MAINTENANCE_INTERVAL_MS))
+        if self.resubscribe_at <= self.now:
+            self.resubscribe_at = inf
+            self.actions.append(interface.Subscribe(True))
+        watched = sorted(self.watched_servers.values(), key=lambda server: server.server_id)
         for server in watched:
-            if server.lost and server.suspect_until <= self.now and server.setting_up == 0:
-                self._probe(server)
-            self._relieve(server.link, server.sessions)
-        for rack in sorted({one.rack for one in watched}):
-            self._relieve(self.uplinks[rack], self.in_rack[rack])
+            is_idle = server.ejected_until <= self.now and server.attempts_in_flight == 0
+            if server.is_presumed_dead and is_idle:
+                self._check_health(server)
+            self._shed_load(server.link, server.sessions)
+        for rack in sorted({server.rack for server in watched}):
+            self._shed_load(self.uplinks[rack], self.sessions_by_rack[rack])
         for server in watched:
             if server.sessions:
-                self._climb(server)
-            elif not server.strikes:
-                del self.watched[server.id]
-
-    def _probe(self, server: Server) -> None:
-        if self.settings.may_check_health and not server.probing:
-            server.probing = True
-            self.out.append(CheckHealth(server.id))
-
-    def _relieve(self, meter: Meter, sessions: dict[int, Session]) -> None:
-        """Own sessions give up their part of what lies above the mark.
-
-        Then nothing until a report shows how it stood after that: the other fronts heard the same and
-        give up their part too, and to count only one's own would give up all of it at every front.
-        On an unreported uplink, which is relieved again if it stays short, a draw decides on less
-        than a rung; elsewhere a rung too many costs less than a line that stays short.
+                self._upswitch(server)
+            elif not server.consecutive_failures:
+                del self.watched_servers[server.server_id]
+
+    def _check_health(self, server: Server) -> None:
+        if self.settings.may_check_health and not server.is_checking_health:
+            server.is_checking_health = True
+            self.actions.append(interface.CheckHealth(server.server_id))
+
+    def _shed_load(self, estimator: LoadEstimator, sessions: dict[int, Session]) -> None:
+        """Switches own sessions down by this front's part of the load above the target, once for a report.
+
+        Other fronts got the same report and shed their part too. On an unreported uplink, which is shed again
+        while it is short, a draw decides on less than a rung; elsewhere a rung too many is better than that.
         """
-        load = meter.load(self.now)
-        steps = int((load - MARK) / STEP + 1e-9)
-        if meter.told_at <= meter.relieved_at or steps < 1:
+        load = estimator.load(self.now)
+        steps = int((load - TARGET_UTILIZATION) / DOWNSWITCH_STEP + 1e-9)
+        if estimator.reported_at <= estimator.shed_at or steps < 1:
             return
-        meter.relieved_at = self.now
-        excess = meter.own_kb * (1.0 - RELIEVED / load)
-        least = {rid: one.rung - steps for rid, one in sessions.items()}
-        while excess > 0 and (freed := self._step_down(sessions, least, excess if meter.feeders else inf)):
-            excess -= freed
-
-    def _step_down(
-        self, sessions: dict[int, Session], least: dict[int, int], needed_kb: float = inf
-    ) -> float:
-        """Steps down the session that loses least worth for the rate it frees; tells that rate."""
-        able = [
-            one for rid, one in sessions.items()
-            if one.playing and one.rung > max(one.kind.lowest_rung, least.get(rid, 0))
-        ]  # fmt: skip
+        estimator.shed_at = self.now
+        excess_kbyte_s = estimator.own_kbyte_s * (1.0 - DOWNSWITCH_TARGET / load)
+        floors = {session_id: session.rung - steps for session_id, session in sessions.items()}
+        while excess_kbyte_s > 0:
+            max_kbyte_s = excess_kbyte_s if estimator.member_links else inf
+            freed_kbyte_s = self._downswitch(sessions, floors, max_kbyte_s)
+            if not freed_kbyte_s:
+                return
+            excess_kbyte_s -= freed_kbyte_s
+
+    def _downswitch(self, sessions: dict[int, Session], floors: dict[int, int], max_kbyte_s: float) -> float:
+        """Switches the session down that loses the least priority for its rate; returns the rate freed, or 0.
+
+        `floors` are lowest rungs by session. A draw decides where a step frees more than `max_kbyte_s`.
+        """
+        able = [one for one in sessions.values() if one.is_playing and one.rung > self._floor(one, floors)]
         if not able:
             return 0.0
-        session = min(able, key=lambda one: (self._price(one, one.rung), one.viewer.session))
-        freed = self._rate_kb(session, session.rung) - self._rate_kb(session, session.rung - 1)
-        if needed_kb < freed and self.dice.random() * freed > needed_kb:
+        session = min(able, key=lambda one: (self._priority_per_rate(one, one.rung), one.viewer.session))
+        freed_kbyte_s = self._step_kbyte_s(session, session.rung)
+        if max_kbyte_s < freed_kbyte_s and self.rng.random() * freed_kbyte_s > max_kbyte_s:
             return 0.0
         self._set_rung(session, session.rung - 1)
-        return freed
+        return freed_kbyte_s
+
+    @staticmethod
+    def _floor(session: Session, floors: dict[int, int]) -> int:
+        return max(session.session_class.lowest_rung, floors.get(session.viewer.session, 0))
 
-    def _price(self, session: Session, rung: int) -> float:
-        """Worth lost for each kB a second freed by stepping down from `rung` until the next climb."""
+    def _step_kbyte_s(self, session: Session, rung: int) -> float:
+        """Returns the difference in rate between a rung and the next lower one."""
+        return self._rate_kbyte_s(session, rung) - self._rate_kbyte_s(session, rung - 1)
+
+    def _priority_per_rate(self, session: Session, rung: int) -> float:
+        """Returns the weighted utility-seconds that a step down from `rung` loses for each kB/s it frees."""
         settings = self.settings
-        seconds = (settings.rung_utilities[rung] - settings.rung_utilities[rung - 1]) * CLIMB_MS / 1000.0
-        freed = self._rate_kb(session, rung) - self._rate_kb(session, rung - 1)
-        return (seconds + settings.switch_cost_s) * session.kind.priority_weight / max(freed, 1e-9)
+        gain = settings.rung_utilities[rung] - settings.rung_utilities[rung - 1]
+        utility_s = gain * UPSWITCH_INTERVAL_MS / 1000.0
+        rate_kbyte_s = max(self._step_kbyte_s(session, rung), 1e-9)
+        return (utility_s + settings.switch_cost_s) * session.session_class.priority_weight / rate_kbyte_s
 
-    def _climb(self, server: Server) -> None:
-        """One session a look climbs where all stays under the mark, into this front's part of the room.
+    def _upswitch(self, server: Server) -> None:
+        """Switches one session up if its server stays under the target, within the upswitch budget.
 
-        The part goes by own part of the load and lasts until the next note; a draw decides on less
-        than a rung. So what many fronts do on one note adds up to the room, not to a rung each.
+        The budget is this front's part of the headroom until the next report; a draw decides on less than a
+        rung. So the upswitches of many fronts after one report add up to the headroom, not to a rung each.
         """
-        choices = [one for one in server.sessions.values() if self._may_climb(one)]
-        if not choices or server.load(self.now) >= MARK or self._marked_full(server):
+        choices = [session for session in server.sessions.values() if self._may_upswitch(session)]
+        if not choices or server.load(self.now) >= TARGET_UTILIZATION or self._is_full(server):
             return
-        session = max(choices, key=lambda one: (self._price(one, one.rung + 1), -one.viewer.session))
-        lines = (server.link, server.uplink)
-        if server.link.told_at > server.climbed_at:
-            part = min(one.own_kb * (MARK / max(one.load(self.now), 0.01) - 1.0) for one in lines)
-            server.climbed_at, server.climb_kb = server.link.told_at, max(part, 0.0)
-        for rung in range(session.top, session.rung, -1):
-            kb = self._rate_kb(session, rung) - self._rate_kb(session, session.rung)
-            drawn = rung == session.rung + 1 and self.dice.random() * kb < server.climb_kb
-            if (drawn or kb <= server.climb_kb) and all(one.after(self.now, kb) < MARK for one in lines):
-                server.climb_kb -= kb
+        priority = self._priority_per_rate
+        session = max(choices, key=lambda one: (priority(one, one.rung + 1), -one.viewer.session))
+        self._renew_upswitch_budget(server)
+        for rung in range(session.top_rung, session.rung, -1):
+            rate_kbyte_s = self._rate_kbyte_s(session, rung) - self._rate_kbyte_s(session, session.rung)
+            budget = server.upswitch_budget_kbyte_s
+            is_drawn = rung == session.rung + 1 and self.rng.random() * rate_kbyte_s < budget
+            if (is_drawn or rate_kbyte_s <= budget) and self._stays_under_target(server, rate_kbyte_s):
+                server.upswitch_budget_kbyte_s -= rate_kbyte_s
                 self._set_rung(session, rung)
                 return
-        server.climb_kb = 0.0
+        server.upswitch_budget_kbyte_s = 0.0
 
-    def _may_climb(self, session: Session) -> bool:
-        if not session.playing or session.rung >= session.top or session.server is None:
+    def _renew_upswitch_budget(self, server: Server) -> None:
+        if server.link.reported_at > server.upswitch_report_at:
+            budgets = (
+                one.own_kbyte_s * (TARGET_UTILIZATION / max(one.load(self.now), 0.01) - 1.0)
+                for one in (server.link, server.uplink)
+            )
+            server.upswitch_report_at = server.link.reported_at
+            server.upswitch_budget_kbyte_s = max(min(budgets), 0.0)
+
+    def _stays_under_target(self, server: Server, rate_kbyte_s: float) -> bool:
+        loads = (one.load_with(self.now, rate_kbyte_s) for one in (server.link, server.uplink))
+        return all(load < TARGET_UTILIZATION for load in loads)
+
+    def _may_upswitch(self, session: Session) -> bool:
+        """Whether a session may switch up now, and the rest of it is worth the cost of a switch."""
+        server = session.server
+        if server is None or not session.is_playing or session.rung >= session.top_rung:
             return False
-        told = all(one.feeders or one.fresh(self.now) for one in (session.server.link, session.server.uplink))
-        settled = max(session.climbed_at + CLIMB_MS, session.eased_at + SETTLE_MS) <= self.now
-        if not settled and not (session.as_handed and told):
+        interval_end = session.upswitched_at + UPSWITCH_INTERVAL_MS
+        is_settled = max(interval_end, session.downswitched_at + DOWNSWITCH_HOLD_MS) <= self.now
+        if not is_settled and not (session.is_at_recovered_rung and server.has_recent_reports(self.now)):
             return False
-        left_s = (session.taken_at + (session.viewer.length_ms or inf) - self.now) / 1000.0
+        remaining_s = (session.arrived_at + (session.viewer.length_ms or inf) - self.now) / 1000.0
         gain = self.settings.rung_utilities[session.rung + 1] - self.settings.rung_utilities[session.rung]
-        return gain * left_s > self.settings.switch_cost_s
+        return gain * remaining_s > self.settings.switch_cost_s
 
     def _set_rung(self, session: Session, rung: int) -> None:
         if session.server is None:
             return
-        self._count(session, session.server, -1)
+        self._count_rate(session, session.server, -1)
         if rung > session.rung:
-            session.climbed_at = self.now
+            session.upswitched_at = self.now
         else:
-            session.eased_at = self.now
-        session.rung, session.as_handed = rung, False
-        self._count(session, session.server, 1)
-        self.rerung[session.viewer.session] = None
+            session.downswitched_at = self.now
+        session.rung, session.is_at_recovered_rung = rung, False
+        self._count_rate(session, session.server, 1)
+        self.rung_changes[session.viewer.session] = None
--- a/fernweir/front/explain.py
+++ b/fernweir/front/explain.py
@@ -35,13 +35,13 @@
     def take_reason(self, session: int) -> Reason:
         return self.reasons.pop(session, _NONE)
 
-    def _send(self, session: Session, server: Server, rung: int) -> None:
+    def _send_attempt(self, session: Session, server: Server, rung: int) -> None:
         self._remember(session, self._why_here(session, server, rung))
-        super()._send(session, server, rung)
+        super()._send_attempt(session, server, rung)
 
-    def _give_up(self, session: Session) -> None:
+    def _reject_or_fail(self, session: Session) -> None:
         self._remember(session, self._why_nowhere(session))
-        super()._give_up(session)
+        super()._reject_or_fail(session)
 
     def _remember(self, session: Session, reason: Reason) -> None:
         self.reasons[session.viewer.session] = reason
@@ -49,37 +49,37 @@
             del self.reasons[next(iter(self.reasons))]
 
     def _why_here(self, session: Session, server: Server, rung: int) -> Reason:
-        holders = self._order(session)
+        holders = self._ranked_holders(session)
         passed = []
         for holder in holders:
             if holder is server:
                 break
-            passed.append((holder.id, self._kept_out(session, holder)))
-        first = self._fits(server, session, session.top)
+            passed.append((holder.server_id, self._kept_out(session, holder)))
+        first = self._fits(server, session, session.top_rung)
         place = "first" if not passed else f"{len(passed) + 1}th in order, first"
         why = f"{place} under the mark" if first else "roomiest, none under the mark"
         if session.attempts:
             why += f", attempt {session.attempts + 1}"
-        if rung < session.top:
-            why += f", at rung {rung} of {session.top}"
+        if rung < session.top_rung:
+            why += f", at rung {rung} of {session.top_rung}"
         return Reason(why, tuple(passed), *_loads(server, self.now))
 
     def _why_nowhere(self, session: Session) -> Reason:
-        kind, holders = session.kind, self._order(session)
+        kind, holders = session.session_class, self._ranked_holders(session)
         if session.may_have_run and kind.idempotency.value != "repeatable":
             return Reason("its set-up may have run, and must not run twice")
-        if kind.seats and self.guards.seats[session.viewer.title, session.viewer.class_index] >= kind.seats:
+        if kind.seats and self.safety_rules.count_seats(session) >= kind.seats:
             return Reason(f"all {kind.seats} seats of class {kind.name} are taken here")
-        if session.answer_by <= self.now:
+        if session.reply_deadline <= self.now:
             return Reason("its time is over")
         cap = self.settings.max_attempts
         if cap is not None and session.attempts >= cap:
             return Reason(f"{session.attempts} attempts were made, no more are allowed")
-        if session.attempts and not self.guards.within_budget(self.now):
+        if session.attempts and not self.safety_rules.is_within_retry_budget(self.now):
             return Reason("the budget of further attempts is used up")
         if not holders:
             return Reason("no listed box holds the lesson")
-        passed = tuple((one.id, self._kept_out(session, one)) for one in holders)
+        passed = tuple((one.server_id, self._kept_out(session, one)) for one in holders)
         counts = Counter(why for _, why in passed)
         words = ", ".join(f"{count} {why}" for why, count in sorted(counts.items()))
         return Reason(f"none of {len(holders)} holders: {words}", passed)
@@ -88,15 +88,17 @@
         now = self.now
         if server.state is not ServerState.READY:
             return SERVER_STATE_LABELS[server.state]
-        if server.suspect_until > now or (server.strikes and (server.probing or server.setting_up)):
+        if server.ejected_until > now or (
+            server.consecutive_failures and (server.is_checking_health or server.attempts_in_flight)
+        ):
             return "suspect"
-        if len(server.sessions) >= server.streams:
+        if len(server.sessions) >= server.stream_slots:
             return "out of streams"
-        if server.id in session.tried:
+        if server.server_id in session.attempted_servers:
             return "tried before"
-        if self._marked_full(server):
+        if self._is_full(server):
             return "full"
-        if self.guards.warmth(server, now) < 1.0 or server.lost:
+        if self.safety_rules.slow_start_factor(server, now) < 1.0 or server.is_presumed_dead:
             return "cold"
         return "over the mark"
 
--- a/fernweir/front/operator_controls.py
+++ b/fernweir/front/operator_controls.py
@@ -59,13 +59,15 @@
             },
             playing={box: len(host.sessions_playing_at(box)) for box in listed},
             carried_kb={
-                box: servers[box].link.load(now) * servers[box].link.capacity_kb
+                box: servers[box].link.load(now) * servers[box].link.capacity_kbyte_s
                 for box, state in listed.items()
                 # What is only guessed, as the module must, is not what an operator is to decide on.
-                if box in servers and state is not ServerState.REMOVED and servers[box].link.fresh(now)
+                if box in servers
+                and state is not ServerState.REMOVED
+                and servers[box].link.has_recent_report(now)
             },
-            own_kb={box: servers[box].link.own_kb for box in listed if box in servers},
-            capacity_kb={box: servers[box].link.capacity_kb for box in listed if box in servers},
+            own_kb={box: servers[box].link.own_kbyte_s for box in listed if box in servers},
+            capacity_kb={box: servers[box].link.capacity_kbyte_s for box in listed if box in servers},
             sessions=frozenset(host.records()),
         )
 
@@ -114,8 +116,8 @@
                 round(one.link.load(now), 3),
                 round(one.uplink.load(now), 3),
                 one.rack,
-                int(one.link.fresh(now)),
-                int(one.uplink.fresh(now)),
+                int(one.link.has_recent_report(now)),
+                int(one.uplink.has_recent_report(now)),
             ]
             for box, one in sorted(host.controller.servers.items())
             if one.state is not ServerState.REMOVED
--- a/fernweir/node/config.py
+++ b/fernweir/node/config.py
@@ -12,7 +12,7 @@
 
 from fernweir.interface import Settings
 from fernweir.node.settings import SettingError, agree, check, in_force
-from fernweir.wire import Fields, WireError, read_settings
+from fernweir.wire import SettingsTable, WireError, read_settings
 
 Address = tuple[str, int]
 
@@ -92,7 +92,7 @@
         raise ConfigError(f"name is no text: {ascii(name)[:60]}")
     listen, feed = address(body.get("listen"), "listen"), address(body.get("feed"), "feed")
     told = body.get("settings")
-    fields = Fields(flat(told))
+    fields = SettingsTable(flat(told))
     settings, kinds = _settings(told, fields)
     longest = max(one.deadline_ms for one in settings.classes)
     return NodeConfig(
@@ -111,7 +111,7 @@
     )
 
 
-def _settings(told: Any, fields: Fields) -> tuple[Settings, tuple[str, ...]]:
+def _settings(told: Any, fields: SettingsTable) -> tuple[Settings, tuple[str, ...]]:
     try:
         check(told)
         settings = read_settings(fields)
--- a/fernweir/wire.py
+++ b/fernweir/wire.py
@@ -56,7 +56,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Killed:
+class FrontTerminated:
     """A front has been terminated."""
 
 
@@ -64,7 +64,7 @@
 class Batch:
     number: int
     now_ms: float
-    items: tuple[tuple[int, Event | Configure | Killed], ...]
+    items: tuple[tuple[int, Event | Configure | FrontTerminated], ...]
 
 
 HEADER = struct.Struct("<IIdI")
@@ -119,7 +119,7 @@
         reader = _Reader(body, number)
         if not math.isfinite(now_ms):
             raise WireError(f"batch {number}: the clock is not a number")
-        items: list[tuple[int, Event | Configure | Killed]] = []
+        items: list[tuple[int, Event | Configure | FrontTerminated]] = []
         front: int | None = None
         for _ in range(records):
             start = reader.at
@@ -146,7 +146,7 @@
             entries.append(Endpoint(int(server), state, started, int(cell), int(kind), weight))
         self._pages[int(page)] = tuple(entries)
 
-    def _record(self, code: int, reader: _Reader, start: int) -> Event | Configure | Killed:
+    def _record(self, code: int, reader: _Reader, start: int) -> Event | Configure | FrontTerminated:
         if code == _ARRIVAL:
             rid, marks, top, work, key, left, title, cls, _, cell, copies = reader.take(_KNOCK)
             return Arrival(_viewer(rid, marks, top, work, key, left, title, cls, cell, copies))
@@ -189,7 +189,7 @@
             seed, count = reader.take(struct.Struct("<QI"))
             return Configure(int(seed), parse_settings(reader.raw(int(count))))
         if code == _KILLED:
-            return Killed()
+            return FrontTerminated()
         raise WireError(f"{reader.where}: unknown event code {code} at byte {start}")
 
 
@@ -246,7 +246,7 @@
     return _REPLY.pack(4 + len(body), number) + body
 
 
-class Fields:
+class SettingsTable:
     """The settings as a table of paths; says which key is missing or unreadable."""
 
     def __init__(self, table: dict[str, str]) -> None:
@@ -290,10 +290,10 @@
     except UnicodeDecodeError:
         raise WireError("settings: not UTF-8 text") from None
     pairs = (line.partition("=") for line in text.splitlines() if line)
-    return read_settings(Fields({key: value for key, _, value in pairs}))
+    return read_settings(SettingsTable({key: value for key, _, value in pairs}))
 
 
-def read_settings(fields: Fields) -> Settings:
+def read_settings(fields: SettingsTable) -> Settings:
     rates = fields.numbers("Extra.RatesKb")
     count = int(fields.number("Categories.count"))
     names = tuple(name for name in fields.table.get("Feedback.Names", "").split(",") if name)
@@ -338,7 +338,7 @@
     )
 
 
-def _session_class(fields: Fields, place: int, count: int, rungs: int) -> SessionClass:
+def _session_class(fields: SettingsTable, place: int, count: int, rungs: int) -> SessionClass:
     def extra(key: str, absent: float) -> float:
         values = fields.numbers(f"Extra.{key}", (absent,) * count)
         if place >= len(values):
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -96,7 +96,7 @@
     "log": interface.Log,
     # The simulator's wire.
     "configure": wire.Configure,
-    "killed": wire.Killed,
+    "killed": wire.FrontTerminated,
     "batch": wire.Batch,
     # The node's protocols and configuration.
     "node-line": jsonl.Message,
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -11,7 +11,7 @@
 import pytest
 
 from fernweir.audit import TraceError, audit_lines, render_table
-from fernweir.controller import Guards
+from fernweir.controller import SafetyRules
 from fernweir.front.commands import SessionReply
 from fernweir.front.dispatcher import Dispatcher
 from fernweir.front.session_manager import SessionManager
@@ -281,7 +281,7 @@
 
 
 def test_a_front_that_ignores_drains(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Guards, "may_go_to", lambda *args: True)
+    monkeypatch.setattr(SafetyRules, "is_eligible", lambda *args: True)
     monkeypatch.setattr(SessionManager, "is_attempt_wanted", lambda *args: True)
 
     async def story(scene: Scene) -> None:
@@ -296,8 +296,8 @@
 
 
 def test_a_front_that_does_not_pace_cold_boxes(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Guards, "cold_turn", lambda *args: True)
-    monkeypatch.setattr(Guards, "warmth", lambda *args: 1.0)
+    monkeypatch.setattr(SafetyRules, "slow_start_admits", lambda *args: True)
+    monkeypatch.setattr(SafetyRules, "slow_start_factor", lambda *args: 1.0)
     cold = Cold(warm_up_ms=10_000.0, cold_from=0.3, multiple=2.0, window_ms=1000.0)
 
     async def story(scene: Scene) -> None:
@@ -338,7 +338,7 @@
 
 
 def test_a_front_that_knows_no_budget(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Guards, "within_budget", lambda *args: True)
+    monkeypatch.setattr(SafetyRules, "is_within_retry_budget", lambda *args: True)
 
     async def story(scene: Scene) -> None:
         for box in scene.site.boxes:
--- a/tests/test_front_sockets.py
+++ b/tests/test_front_sockets.py
@@ -339,7 +339,9 @@
         scene.site.tell(box)
         shown = await watching
         assert shown.breaks == 1 and shown.played_s > 0
-        started = [server.cold_since for server in host.controller.servers.values() if server.id == box]
+        started = [
+            server.warming_since for server in host.controller.servers.values() if server.server_id == box
+        ]
         assert started[0] > 0
 
     play(story, PLAN)
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -463,7 +463,9 @@
                     one.server for one in host._records.values() if one.phase is SessionPhase.IN_FLIGHT
                 )
                 servers = host.controller.servers.values()
-                assert {one.id: one.setting_up for one in servers if one.setting_up} == dict(out)
+                assert {
+                    one.server_id: one.attempts_in_flight for one in servers if one.attempts_in_flight
+                } == dict(out)
             assert {ticket for ticket in self.left if ticket in host.reply_ledger} == set()
             for jti, setup in self.out.items():
                 held = host.session(jti)
@@ -663,7 +665,7 @@
     desk.step()
     module = desk.host.controller
     assert len(desk.of(SetUp)) == (before == "failed attempt")
-    assert module.sessions == {} and not any(one.setting_up for one in module.servers.values())
+    assert module.sessions == {} and not any(one.attempts_in_flight for one in module.servers.values())
     assert desk.host.session_count == 0 and len(desk.host.reply_ledger) == 0
 
 
@@ -734,7 +736,7 @@
             and len(core.sessions.reply_ledger) == 0
         )
         module = core.sessions.controller
-        assert not any(one.setting_up or one.probing for one in module.servers.values())
+        assert not any(one.attempts_in_flight or one.is_checking_health for one in module.servers.values())
 
     core_story(story)
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -112,7 +112,7 @@
         assert (await viewer.answer(known.id)).type == "answer" and known.id not in scene.ends
         await until(lambda: wish.id not in scene.servers[head].stands)  # an answer may have been spoilt
         # Its process lived all the while, so nothing may make the module think that it comes back cold.
-        assert scene.brain_server(head).lost is (move == "41")
+        assert scene.brain_server(head).is_presumed_dead is (move == "41")
 
     play(story)
 
@@ -132,7 +132,7 @@
         loop.create_connection = reset_first  # type: ignore[method-assign]
         viewer.send(wish)
         assert (await viewer.answer(wish.id)).type == "answer" and not resets[0]
-        assert not any(scene.brain_server(name).lost for name in scene.servers)
+        assert not any(scene.brain_server(name).is_presumed_dead for name in scene.servers)
 
     play(story)
 
@@ -142,10 +142,10 @@
     async def story(scene: Scene) -> None:
         server, known = scene.servers["s-1"], scene.brain_server("s-1")
         server.pings_to_break = broken
-        known.probing = True
+        known.is_checking_health = True
         scene.node.servers.check_health(SendHealthCheck(number_of("s-1")))
-        await until(lambda: not known.probing)
-        assert server.pings == 3 and bool(known.strikes) is not lives
+        await until(lambda: not known.is_checking_health)
+        assert server.pings == 3 and bool(known.consecutive_failures) is not lives
 
     play(story)
 
@@ -175,7 +175,7 @@
         assert scene.node.core.sessions.session_count == 1
         server.die()
         await until(lambda: wish.id in scene.ends)
-        assert scene.brain_server(name).lost and not scene.node.core.sessions.session_count
+        assert scene.brain_server(name).is_presumed_dead and not scene.node.core.sessions.session_count
 
     play(story)
 
@@ -194,7 +194,7 @@
 
         loop.create_connection = cut_off  # type: ignore[method-assign,assignment]
         await until(lambda: wish.id in scene.ends)
-        assert scene.ends[wish.id].cause == 41 and scene.brain_server(name).lost
+        assert scene.ends[wish.id].cause == 41 and scene.brain_server(name).is_presumed_dead
         assert other.id not in scene.ends and scene.node.core.sessions.session_count == 1
         viewer.send(third := scene.setup())
         assert (await viewer.answer(third.id)).type == "answer"
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -29,7 +29,7 @@
 from fernweir.node.limits import HUSH_MS, Door, Remembered
 from fernweir.node.logs import NodeLog
 from fernweir.node.watch import EVERY_MS, Verdict, Watch
-from fernweir.wire import Fields, parse_settings, read_settings
+from fernweir.wire import SettingsTable, parse_settings, read_settings
 from tests.helpers import SETTINGS, entry
 from tests.test_wire import TEXT
 
@@ -250,7 +250,7 @@
 
 
 def test_the_settings_read_alike_from_json_and_from_the_simulators_text() -> None:
-    assert read_settings(Fields(flat(nested(TEXT)))) == parse_settings(TEXT.encode())
+    assert read_settings(SettingsTable(flat(nested(TEXT)))) == parse_settings(TEXT.encode())
     assert flat({"a": [1, 2.5], "b": True, "c": None, "d": ["x y"]}) == {
         "a": "1,2.5",
         "b": "true",
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from fernweir.controller import Meter, Usual
+from fernweir.controller import LoadEstimator, TypicalLoad
 from fernweir.interface import (
     AttemptEnded,
     CheckHealth,
@@ -234,7 +234,7 @@
     front.take_over(8, 2, 0)
     front.note(9, 1, NoticeKind.LINK, 0.6)  # under the mark, yet over what it bears while it is cold
     front.note(8, 2, NoticeKind.LINK, 0.7)
-    front.brain.servers[1].cold_since = front.now
+    front.brain.servers[1].warming_since = front.now
     assert placed(front.ask(1))[0].server == 2
 
 
@@ -246,10 +246,10 @@
     front.now += 60_000.0
     front.send(EndpointListUpdate(EndpointListKind.DELTA, 2, (entry(2, started_at=front.now),)))
     link = front.brain.servers[2].link
-    assert link.load(front.now) == 0.0 < front.brain.usual_link.level
+    assert link.load(front.now) == 0.0 < front.brain.typical_link_load.mean
     front.take_over(7, 2, 1)
     assert link.load(front.now) == pytest.approx(2 * 200.0 / 2000.0)
-    assert link.load(front.now + COLD.window_ms) == front.brain.usual_link.level
+    assert link.load(front.now + COLD.window_ms) == front.brain.typical_link_load.mean
 
 
 def test_news_of_a_session_from_before_ends_the_doubt_whether_its_server_restarted() -> None:
@@ -258,20 +258,22 @@
     front.send(AttemptEnded(99, place.server, 0, Result.CONNECT_FAILED, True, 10.0, ()))
     server = front.brain.servers[place.server]
     front.note(1, place.server, NoticeKind.LINK, 0.5)  # may have been on its way before
-    assert server.lost
+    assert server.is_presumed_dead
     front.now += 2_000.0
     front.send(TimerFired(1))
     front.note(1, place.server, NoticeKind.LINK, 0.5)
-    assert not server.lost and front.brain.guards.warmth(server, front.now) == 1.0
+    assert (
+        not server.is_presumed_dead and front.brain.safety_rules.slow_start_factor(server, front.now) == 1.0
+    )
 
 
 def test_what_a_line_has_taken_since_a_report_is_kept_no_longer_than_that_report_tells() -> None:
     """An uplink may be told of once a day: what is put there since must not be summed up for ever."""
-    line = Meter(1_000.0, Usual(), fade_ms=2_000.0)
-    line.hear(0.4, seen_at=0.0)
+    line = LoadEstimator(1_000.0, TypicalLoad(), decay_ms=2_000.0)
+    line.observe(0.4, observed_at=0.0)
     for step in range(1, 5_001):
-        line.add(step * 100.0, 1.0 if step % 2 else -1.0)
-    assert len(line._since) == 40  # of twice the fading
-    line.hear(0.3, seen_at=498_000.0)
-    line.add(500_000.0, 100.0)
+        line.add_own_rate(step * 100.0, 1.0 if step % 2 else -1.0)
+    assert len(line._own_changes) == 40  # of twice the fading
+    line.observe(0.3, observed_at=498_000.0)
+    line.add_own_rate(500_000.0, 100.0)
     assert line.load(500_000.0) == pytest.approx(0.4)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -229,7 +229,7 @@
     front.now += 2000.0
     found = front.send(AttemptEnded(1, 1, 0, Result.TIMEOUT, False, 500.0, ()), TimerFired(1))
     assert placed(found)[0].server == 2 and CheckHealth(1) not in found
-    assert front.brain.servers[1].strikes == 0
+    assert front.brain.servers[1].consecutive_failures == 0
 
 
 def test_a_note_found_after_a_standstill_does_not_pass_for_new() -> None:
@@ -239,4 +239,4 @@
     front.note(1, 1, NoticeKind.LINK, 0.1)
     front.now += 2000.0
     front.send(ServerNotice(1, 1, 0, NoticeKind.LINK, 0.9), TimerFired(1))
-    assert front.brain.servers[1].link.told_at <= front.now - 2000.0
+    assert front.brain.servers[1].link.reported_at <= front.now - 2000.0
--- a/tests/test_titles.py
+++ b/tests/test_titles.py
@@ -19,7 +19,7 @@
     after = front.end(2, second.server, Result.ERROR, attempt=1)
     assert not placed(after), "a third server was asked"
     assert [type(one) for one in after] == [Reject]
-    assert all(server.strikes == 0 for server in front.brain.servers.values())
+    assert all(server.consecutive_failures == 0 for server in front.brain.servers.values())
 
 
 def test_an_error_on_a_title_that_played_still_counts_against_its_server() -> None:
@@ -27,7 +27,7 @@
     front.start(1, title=5)
     first = placed(front.ask(2, title=5))[0]
     front.end(2, first.server, Result.ERROR)
-    assert front.brain.servers[first.server].strikes == 1
+    assert front.brain.servers[first.server].consecutive_failures == 1
 
 
 def test_a_request_that_two_servers_fail_alike_clears_both() -> None:
@@ -35,10 +35,10 @@
     front.start(1, title=5)
     first = placed(front.ask(2, title=5))[0]
     second = placed(front.end(2, first.server, Result.ERROR))[0]
-    assert front.brain.servers[first.server].strikes == 1
+    assert front.brain.servers[first.server].consecutive_failures == 1
     after = front.end(2, second.server, Result.ERROR, attempt=1)
     assert [type(one) for one in after] == [Reject]
-    assert all(server.strikes == 0 for server in front.brain.servers.values())
+    assert all(server.consecutive_failures == 0 for server in front.brain.servers.values())
     assert placed(front.ask(3, title=5))[0].server == first.server
 
 
@@ -50,8 +50,8 @@
     )
     for title in range(5000):
         front.start(title + 1, title=title)
-        front.end(title + 1, front.brain.sessions[title + 1].server.id, Result.OK, closed=True)  # type: ignore[union-attr]
-    assert len(front.brain.played) == 4096 and 4999 in front.brain.played
+        front.end(title + 1, front.brain.sessions[title + 1].server.server_id, Result.OK, closed=True)  # type: ignore[union-attr]
+    assert len(front.brain.played_titles) == 4096 and 4999 in front.brain.played_titles
 
 
 def test_servers_long_gone_are_forgotten_but_not_those_with_sessions() -> None:
@@ -66,4 +66,4 @@
     )
     front.send(EndpointListUpdate(EndpointListKind.DELTA, 301, ()), after=90_000.0)
     assert len(front.brain.servers) < 4 and place.server in front.brain.servers
-    assert place.server in (1, 2) and not set(front.brain.watched) - set(front.brain.servers)
+    assert place.server in (1, 2) and not set(front.brain.watched_servers) - set(front.brain.servers)
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from fernweir.controller import Guards
+from fernweir.controller import SafetyRules
 from fernweir.front import boxlist
 from fernweir.front.manifest import ManifestCache
 from fernweir.front.response_classification import judge
@@ -261,16 +261,16 @@
 
 
 def the_budget_is_not_looked_at(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Guards, "within_budget", lambda self, now: True)
+    patch.setattr(SafetyRules, "is_within_retry_budget", lambda self, now: True)
 
 
 def cold_boxes_are_taken_for_warm(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Guards, "cold_turn", lambda self, server, session, now: True)
-    patch.setattr(Guards, "warmth", lambda self, server, now: 1.0)
+    patch.setattr(SafetyRules, "slow_start_admits", lambda self, server, session, now: True)
+    patch.setattr(SafetyRules, "slow_start_factor", lambda self, server, now: 1.0)
 
 
 def seats_are_not_counted(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Guards, "hold", lambda self, session, count: None)
+    patch.setattr(SafetyRules, "add_seats", lambda self, session, count: None)
 
 
 def the_floor_is_forgotten(patch: pytest.MonkeyPatch) -> None:
