--- a/fernweir/front/dispatcher.py
+++ b/fernweir/front/dispatcher.py
@@ -279,7 +279,7 @@
             self.sessions.on_health_check_finished(now, command.server, Result.ERROR, 0.0, {})
         elif isinstance(command, CheckEntitlement):
             self.sessions.on_entitlement_decided(
-                now, command.request.session_id, plays=False, why="nobody could be asked"
+                now, command.request.session_id, plays=False, reason="nobody could be asked"
             )
         elif isinstance(command, SessionReply):
             self.on_reply_undelivered(command)
--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -114,7 +114,7 @@
         )
         taken = core.sessions.adopt_session(
             now, ask, standing.box, attempt=standing.attempt, rung=standing.rung, payload=unpacked,
-            told=max(standing.answers, 1), answerable=unpacked is not None,
+            informed_viewers=max(standing.answers, 1), is_answerable=unpacked is not None,
         )  # fmt: skip
         if taken:
             self._client.listen(standing.box)
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -158,9 +158,9 @@
         section.seed,
         limits,
         watch,
-        gated=config.entitlement is not None,
+        checks_entitlement=config.entitlement is not None,
         journal=None if control is None else control.journal,
-        turned_away=None if control is None else control.turned_away,
+        rejection_reason=None if control is None else control.turned_away,
         overlay=None if control is None else control.overlay,
     )
     core = Dispatcher(host, batch_ms=section.batch, log=log)
--- a/fernweir/front/session_manager.py
+++ b/fernweir/front/session_manager.py
@@ -1,966 +1,397 @@
-"""The host owns one `Controller`, the sessions and the ledger of answers; it has no I/O and no clock.
+"""The state machine of a front's sessions, without I/O and without a clock.
 
-Shells tell it what happened (methods that take `now`, milliseconds of a clock that only moves forward) and
-call `step`, which hands all that has happened since to the module in one batch and returns commands. The
-host adds no placement of its own. What it settles is what the module doesn't see: that requests with the
-same token share one session, that an answer is given once and in time, and that what may run at a box
-without being wanted is released there.
+Shells report what happened by methods that take `now`, in milliseconds of a monotonic clock, and call `step`,
+which hands all events since the last call to the controller in one batch and returns commands for the shells.
+The manager adds no placement of its own. It settles what the controller does not see: requests with the same
+session id share one session, each request gets one reply in time, and what may run at a server without being
+wanted is released there.
 
-A session, by its token's id, is in one of four phases: GATED (where entitlement is asked first; the module
-has not heard of it), ASKED (the module holds it, nothing is out), OUT (one attempt is out) and PLAYING. It
-leaves the table when the module is told that it ended.
+A session is in one of four phases (`SessionPhase`). It leaves the table when the controller is notified that
+it ended.
 """
 
 from __future__ import annotations
 
-import heapq
-import re
-from collections import OrderedDict
 from collections.abc import Callable
-from dataclasses import dataclass, field
-from enum import Enum
-from typing import TYPE_CHECKING, Protocol
+from typing import TYPE_CHECKING
 
 from fernweir.controller import Controller
-from fernweir.front.commands import (
-    ChangeRung,
-    CheckEntitlement,
-    Command,
-    EntitlementReleased,
-    LogLine,
-    ReleaseSession,
-    ReplyKind,
-    SendHealthCheck,
-    SessionOver,
-    SessionReply,
-    SessionRequest,
-    SetUp,
-    SetUpResult,
-    StartTimer,
-    WatchEndpointList,
-)
-from fernweir.front.reply_ledger import ReplyLedger
+from fernweir.front.commands import Command, SessionReply, SessionRequest, SetUpResult
+from fernweir.front.server_states import ServerStates
+from fernweir.front.session_actions import ControllerActions
+from fernweir.front.session_attempts import SessionAttempts
+from fernweir.front.session_context import SessionContext
+from fernweir.front.session_endings import SessionEndings
+from fernweir.front.session_entitlements import SessionEntitlements
+from fernweir.front.session_handover import AdoptedSession, SessionHandover
+from fernweir.front.session_interfaces import BatchObserver, SessionLimits, SessionMetrics, SessionObserver
+from fernweir.front.session_journal import SessionJournal
+from fernweir.front.session_record import SessionPhase, SessionRecord
+from fernweir.front.session_replies import SessionReplies
+from fernweir.front.session_requests import SessionRequests
+from fernweir.front.session_table import SessionTable
 from fernweir.interface import (
     RESULT_LABELS,
-    SERVER_STATE_LABELS,
-    Action,
-    Arrival,
-    AttemptEnded,
-    AttemptSucceeded,
-    CheckHealth,
-    ClientGone,
-    EndpointListKind,
     EndpointListUpdate,
-    Event,
-    Fail,
     HealthCheckEnded,
-    Idempotency,
-    Log,
-    Move,
     NoticeKind,
-    Place,
-    Reject,
     Result,
     ServerNotice,
     ServerState,
-    SessionRecovered,
-    SetRung,
-    SetTimer,
     Settings,
-    Subscribe,
     TimerFired,
-    Viewer,
 )
 from fernweir.journal.events import What
 
-if TYPE_CHECKING:  # observers, which a front may do without
+if TYPE_CHECKING:  # a front may do without a journal and operators' orders, so that they are not loaded
     from fernweir.control.overlay import Overlay
     from fernweir.front.explain import ExplainingController
     from fernweir.journal.store import Journal
 
-_NEVER_RAN = (Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT)
-_ANSWERED = {
-    ReplyKind.PLAYS: What.PLAYS,
-    ReplyKind.REJECTED: What.REFUSED,
-    ReplyKind.FAILED: What.FAILED,
-    ReplyKind.CONFLICT: What.CONFLICT,
-}
-_NAMED_BOX = re.compile(r"server (\d+)")
-_NOTES = {"x0": NoticeKind.LINK, "x1": NoticeKind.UPLINK}
+__all__ = [
+    "BatchObserver",
+    "SessionLimits",
+    "SessionManager",
+    "SessionMetrics",
+    "SessionObserver",
+    "SessionPhase",
+    "SessionRecord",
+]
 
+_ENDED_BY_VIEWER = "ended by its viewer"
 
-class SessionPhase(Enum):
-    AWAITING_ENTITLEMENT = "gated"
-    PENDING = "asked"
-    IN_FLIGHT = "out"
-    PLAYING = "playing"
 
+class SessionManager:
+    """The sessions of a front; see the module for how shells use it.
 
-@dataclass(frozen=True, slots=True)
-class SessionLimits:
-    """Times in milliseconds. `margin` is kept of each viewer's wait for the answer's way back.
+    Its parts share a `SessionContext`; each state has one part as its owner.
 
-    `linger` is how long what was set up for a viewer who left is kept for its return; with 0 nobody
-    returns to a session, and an attempt that nobody waits for is released at once.
+    Attributes:
+        settings: The deployment.
+        controller: Decides where sessions are placed and what they play.
+        journal: Where events are written.
+        metrics: Counters since the start.
+        reply_ledger: The open requests.
     """
 
-    reply_margin_ms: float = 40.0
-    unclaimed_session_ttl_ms: float = 2_000.0
-    max_remembered_viewers: int = 65_536
-    blocked_retry_after_ms: float = 5_000.0  # when to come again for what an operator holds back
-    entitlement_wait_ratio: float = (
-        0.5  # of a viewer's wait, for the verdict: a set-up must fit into the rest
-    )
-
-
-@dataclass(slots=True, eq=False)
-class SessionRecord:
-    """One session, from the first request with its token until the module is told of its end."""
-
-    request: SessionRequest
-    number: int
-    key: int
-    phase: SessionPhase = SessionPhase.PENDING
-    tickets: list[int] = field(default_factory=list)
-    half_closed_tickets: set[int] = field(
-        default_factory=set
-    )  # of these, whose viewers ended their side; only while OUT
-    may_have_run: bool = False  # an attempt of it ended so that it may stand at a box unseen
-    attempts: int = 0
-    server: int = -1
-    rung: int = 0
-    sent_rung: int = 0
-    payload: object = None
-    last_result: Result | None = None
-    reply_deadline: float = 0.0
-    was_moved: bool = False
-    informed_viewers: int = 0  # viewers who heard that it plays
-    is_answerable: bool = True
+    def __init__(  # noqa: PLR0913 - each is an optional part of a front
+        self,
+        settings: Settings,
+        seed: int,
+        limits: SessionLimits | None = None,
+        batch_observer: BatchObserver | None = None,
+        *,
+        checks_entitlement: bool = False,
+        journal: Journal | None = None,
+        rejection_reason: Callable[[SessionRequest], str] | None = None,
+        overlay: Overlay | None = None,
+    ) -> None:
+        """Makes a manager without sessions.
+
+        Args:
+            settings: The deployment.
+            seed: Seed of the controller's random draws.
+            limits: Limits of the manager.
+            batch_observer: Is shown every batch, for recording.
+            checks_entitlement: Whether sessions begin only after an entitlement check.
+            journal: Where events are written, with the controller's reasons.
+            rejection_reason: Returns why a new session may not begin; an empty text if it may.
+            overlay: Operators' orders on servers.
+        """
+        explaining = None if journal is None else _make_explaining_controller(settings, seed)
+        self.settings = settings
+        self.journal = journal
+        self.controller = explaining or Controller(settings, seed)
+        self._batch_observer = batch_observer
+        context = self._context = SessionContext(settings, limits or SessionLimits())
+        table = self._table = SessionTable()
+        recorder = self._journal = SessionJournal(context, journal, explaining)
+        servers = self._servers = ServerStates(context, recorder, overlay)
+        replies = SessionReplies(context, table, recorder)
+        endings = self._endings = SessionEndings(
+            context, table, recorder, checks_entitlement=checks_entitlement
+        )
+        attempts = self._attempts = SessionAttempts(context, table, recorder, replies, endings)
+        self._requests = SessionRequests(
+            context,
+            table,
+            recorder,
+            servers,
+            replies,
+            endings,
+            attempts,
+            checks_entitlement=checks_entitlement,
+            rejection_reason=rejection_reason,
+        )
+        self._handover = SessionHandover(
+            context, table, servers, endings, attempts, checks_entitlement=checks_entitlement
+        )
+        self._entitlements = SessionEntitlements(context, table, replies, endings, attempts)
+        self._actions = ControllerActions(context, table, recorder, replies, endings, attempts)
+        self.metrics = context.metrics
+        self.reply_ledger = replies.ledger
 
-    @property
-    def attempt(self) -> int:
-        return self.attempts - 1
+    # --- parts that others use ---
 
     @property
-    def has_waiting_viewer(self) -> bool:
-        """Whether somebody waits who has not ended its side: only for such an attempt may begin."""
-        return any(ticket not in self.half_closed_tickets for ticket in self.tickets)
+    def limits(self) -> SessionLimits:
+        """Limits of the manager."""
+        return self._context.limits
 
+    @limits.setter
+    def limits(self, limits: SessionLimits) -> None:
+        self._context.limits = limits
 
-@dataclass(slots=True)
-class SessionMetrics:
-    plays: int = 0
-    rejected: int = 0
-    failed: int = 0
-    joined: int = 0
-    conflicts: int = 0
-    set_ups: int = 0
-    released: int = 0
-    batches: int = 0
+    @property
+    def observer(self) -> SessionObserver | None:
+        """Is notified of what happens to sessions."""
+        return self._context.observer
 
+    @observer.setter
+    def observer(self, observer: SessionObserver | None) -> None:
+        self._context.observer = observer
 
-BatchObserver = Callable[[float, list[Event], list[Action]], None]
+    @property
+    def is_closing(self) -> bool:
+        """Whether the front stops and begins no session."""
+        return self._requests.is_closing
 
+    @property
+    def new_sessions_blocked(self) -> tuple[str, float] | None:
+        """Why no new session may begin and the Retry-After in milliseconds; None if they may."""
+        return self._requests.new_sessions_blocked
 
-class SessionObserver(Protocol):
-    """Who is told of what happens to sessions, in order; a front that stands alone has none."""
+    @new_sessions_blocked.setter
+    def new_sessions_blocked(self, blocked: tuple[str, float] | None) -> None:
+        self._requests.new_sessions_blocked = blocked
 
-    def on_attempt_started(self, now: float, held: SessionRecord) -> None:
-        """An attempt leaves for a box."""
+    # --- requests ---
 
-    def on_session_updated(self, now: float, held: SessionRecord) -> None:
-        """It plays; or its rung, or how often its viewers were told, has changed."""
+    def request_session(self, now: float, request: SessionRequest) -> None:
+        """Handles a request. One with a known session id joins that session, without another attempt."""
+        self._context.now = now
+        self._requests.on_request(now, request)
 
-    def on_session_moved(self, now: float, held: SessionRecord) -> None: ...
+    def withdraw_request(self, now: float, ticket: int) -> None:
+        """Handles that a client disconnected. An attempt in flight may be wanted when the viewer returns."""
+        self._context.now = now
+        self._requests.withdraw(ticket)
 
-    def on_request_rejected(self, now: float, ask: SessionRequest, why: str) -> None:
-        """A request was answered otherwise than that its session plays."""
+    def on_client_half_closed(self, now: float, ticket: int) -> None:
+        """A client closed its sending side, though it may still read: no attempt begins for it.
 
-    def on_session_closed(self, now: float, held: SessionRecord, why: str) -> None:
-        """It is held no more, whether it had played or not."""
+        Before an attempt the request is answered at once. An attempt in flight may end, and is answered if
+        the session plays; one whose first byte has not left is wanted only if other viewers wait
+        (`is_attempt_wanted`).
+        """
+        self._requests.on_client_half_closed(now, ticket)
 
-    def on_endpoint_list(self, now: float, update: EndpointListUpdate) -> None: ...
+    def on_reply_undelivered(self, now: float, reply: SessionReply) -> None:
+        """A viewer left before the reply that its session plays was written: as if it had left before."""
+        self._requests.on_reply_undelivered(now, reply)
 
+    def stop_accepting(self) -> None:
+        """Rejects new sessions from now on; requests that were accepted are still answered."""
+        self._requests.is_closing = True
 
-class SessionManager:
-    """See the module's page. `watch` is shown every batch, for recording."""
+    def abandon_open_requests(self, now: float) -> None:
+        """Answers all waiting requests and releases attempts in flight, because the front ends.
 
-    def __init__(
-        self,
-        settings: Settings,
-        seed: int,
-        limits: SessionLimits | None = None,
-        watch: BatchObserver | None = None,
-        *,
-        gated: bool = False,
-        journal: Journal | None = None,
-        turned_away: Callable[[SessionRequest], str] | None = None,
-        overlay: Overlay | None = None,
-    ) -> None:
-        self.settings = settings
-        self.limits = limits or SessionLimits()
-        self.journal = journal
-        self._overlay = overlay
-        self._rejection_reason = turned_away  # says why a new session may not begin, or nothing
-        self._explaining: ExplainingController | None = None
-        if journal is not None:  # only who keeps a journal pays for the reasons in it
-            from fernweir.front.explain import ExplainingController
-
-            self._explaining = ExplainingController(settings, seed)
-        self.controller = self._explaining or Controller(settings, seed)
-        self.reply_ledger = ReplyLedger()
-        self.metrics = SessionMetrics()
-        self.is_closing = False
-        self.observer: SessionObserver | None = None
-        self.new_sessions_blocked: tuple[str, float] | None = (
-            None  # why no new session may begin, and for how long, ms
-        )
-        self._batch_observer = watch
-        self._checks_entitlement = gated
-        self._records: dict[str, SessionRecord] = {}
-        self._by_number: dict[int, SessionRecord] = {}
-        self._at_server: dict[int, dict[str, SessionRecord]] = {}
-        self._by_ticket: dict[int, SessionRecord] = {}
-        self._server_states: dict[int, ServerState] = {}
-        self._silent_servers: set[int] = set()
-        self._last_listed: dict[int, tuple[ServerState, float]] = {}
-        self._now = 0.0
-        self._events: list[Event] = []
-        self._abandoned: dict[int, None] = {}  # since the last batch
-        self._commands: list[Command] = []
-        self._next_number = 1
-        self._unclaimed_deadlines: list[tuple[float, str, int]] = []
-        self._known_viewers: OrderedDict[str | int, tuple[int, bool]] = OrderedDict()
-
-    # --- what the shells tell ---
-
-    def request_session(self, now: float, ask: SessionRequest) -> None:
-        """A request was taken. A token that is known joins its session: there is no second set-up."""
-        self._now = now
-        self.reply_ledger.open(ask.ticket, now + max(ask.max_wait_ms - self.limits.reply_margin_ms, 0.0))
-        held = self._records.get(ask.session_id)
-        if held is None:
-            if self.is_closing:
-                self._send_reply(SessionReply(ask.ticket, ReplyKind.REJECTED, "front is stopping", 0.0), ask)
-                return
-            why, wait_ms = self._block_reason(ask)
-            if why:
-                self.metrics.rejected += 1
-                self._send_reply(SessionReply(ask.ticket, ReplyKind.REJECTED, why, wait_ms), ask)
-                return
-            self._begin_session(now, ask)
-            return
-        if (held.request.title, held.request.class_index, held.request.protocol) != (
-            ask.title,
-            ask.class_index,
-            ask.protocol,
-        ):
-            self.metrics.conflicts += 1
-            why = "session id is in use for another title or class"
-            self._send_reply(SessionReply(ask.ticket, ReplyKind.CONFLICT, why), ask)
-            return
-        if held.phase is SessionPhase.PLAYING and (
-            held.server in self._silent_servers or not held.is_answerable
-        ):
-            # It comes again while its box says nothing: it does not play there, whatever the account says.
-            why = "its box fell silent" if held.is_answerable else "what it was answered from is lost"
-            self._release_at_server(held, why)
-            self._end_session(held, Result.RESET, why)
-            self._begin_session(now, ask)
-            return
-        self.metrics.joined += 1
-        if held.phase is SessionPhase.PLAYING:
-            self._reply_plays(held, ask.ticket)
-        else:
-            held.tickets.append(ask.ticket)
-            self._by_ticket[ask.ticket] = held
-
-    def adopt_session(
-        self, now: float, ask: SessionRequest, server: int, *, attempt: int = 0, rung: int | None = None,
-        payload: object = None, told: int = 1, answerable: bool = True,
-    ) -> bool:  # fmt: skip
-        """A session that plays there, placed by another front or before this one's start.
-
-        `attempt` is the one that set it up, `rung` what it plays where that is known, `payload` what its
-        viewers are answered from; where that was lost, it is not `answerable`: it plays on, and begins anew
-        if its viewer asks again. False if it is held, or its box is gone.
+        Requests are rejected where a retry does no harm, else failed.
         """
-        if (
-            ask.session_id in self._records
-            or self._server_states.get(server, ServerState.REMOVED) is ServerState.REMOVED
-        ):
-            return False
-        held = self._create_record(now, ask)
-        held.phase, held.server, held.attempts, held.informed_viewers = (
-            SessionPhase.PLAYING,
-            server,
-            attempt + 1,
-            told,
-        )
-        held.payload, held.is_answerable = payload, answerable
-        self._at_server.setdefault(server, {})[ask.session_id] = held
-        self._events.append(SessionRecovered(self._viewer(now, held), server))
-        if rung is not None:
-            held.rung = held.sent_rung = rung
-            self._events.append(ServerNotice(held.number, server, attempt, NoticeKind.RUNG, float(rung)))
-        if not told:
-            self._expect_viewer_return(now, held)
-        if self._checks_entitlement:  # its seat is to move here; it plays on until that is refused
-            self._commands.append(
-                CheckEntitlement(ask, now + self.settings.classes[ask.class_index].deadline_ms)
-            )
-        return True
+        self._context.now = now
+        self._requests.abandon_all()
 
-    def hand_over_session(self, now: float, jti: str) -> bool:
-        """A session that plays is another front's from now on: neither box nor viewer is told of an end.
+    # --- sessions ---
 
-        False if it does not play here.
+    def adopt_session(  # noqa: PLR0913 - what another front knows of a session
+        self,
+        now: float,
+        request: SessionRequest,
+        server: int,
+        *,
+        attempt: int = 0,
+        rung: int | None = None,
+        payload: object = None,
+        informed_viewers: int = 1,
+        is_answerable: bool = True,
+    ) -> bool:
+        """Stores a session that plays at a server, placed by another front or before the start of this one.
+
+        The arguments are those of `AdoptedSession`.
+
+        Returns:
+            False if the session is known here, or its server is not listed.
         """
-        held = self._records.get(jti)
-        if held is None or held.phase is not SessionPhase.PLAYING:
-            return False
-        self._now = now
-        self._close_session(held, Result.CANCELLED, "another front's now", let_go=True)
-        return True
+        adopted = AdoptedSession(request, server, attempt, rung, payload, informed_viewers, is_answerable)
+        return self._handover.adopt(now, adopted)
 
-    def withdraw_request(self, now: float, ticket: int) -> None:
-        """The viewer of a request is gone. The attempt that is out may still be wanted when it returns."""
-        self._now = now
-        held = self._by_ticket.pop(ticket, None)
-        if self.reply_ledger.withdraw(ticket) and held is not None:
-            held.tickets.remove(ticket)
-            self._on_no_viewer_waiting(held, "its viewer left")
-
-    def on_client_half_closed(self, now: float, ticket: int) -> None:
-        """The viewer of a request ended its side, though it may still read: no attempt begins for it.
+    def hand_over_session(self, now: float, session_id: str) -> bool:
+        """Forgets a session that belongs to another front now; neither server nor viewer sees an end.
 
-        What the module or the gate still holds is answered at once. An attempt that is out may end, and is
-        answered if it plays; one whose first byte has not left is `still_wanted` only if others wait.
+        Returns:
+            False if it does not play here.
         """
-        held = self._by_ticket.get(ticket)
-        if held is None:
-            return
-        self._now = now
-        held.half_closed_tickets.add(ticket)
-        if held.phase is not SessionPhase.IN_FLIGHT:
-            self._answer_half_closed(held)
-            self._on_no_viewer_waiting(held, "its viewer left")
-
-    def on_reply_undelivered(self, now: float, answer: SessionReply) -> None:
-        """A viewer left while word that its session plays was on its way: as if it had left before."""
-        held = self._records.get(answer.request.session_id) if answer.request is not None else None
-        if held is None or held.phase is not SessionPhase.PLAYING or held.attempt != answer.attempt:
-            return
-        self._now = now
-        held.informed_viewers -= 1
-        if held.informed_viewers:
-            return
-        if self.limits.unclaimed_session_ttl_ms > 0.0:
-            self._expect_viewer_return(now, held)
-        else:
-            self._release_at_server(held, "its viewer left")
-            self._close_session(held, Result.CANCELLED, "its viewer left")
-
-    def on_attempt_finished(self, now: float, jti: str, attempt: int, end: SetUpResult) -> None:
-        """The one end of an attempt. One that comes for a session no longer held is released."""
-        held = self._records.get(jti)
-        if held is None or held.phase is not SessionPhase.IN_FLIGHT or held.attempt != attempt:
-            return
-        self._now = now
-        if end.result is Result.OK:
-            self._on_attempt_succeeded(now, held, end)
-            return
-        if end.result not in _NEVER_RAN:
-            held.may_have_run = True
-            self._release_at_server(held, f"set-up ended as {RESULT_LABELS[end.result]}")
-        held.last_result = end.result
-        held.phase = SessionPhase.PENDING
-        why = RESULT_LABELS[end.result] + (f": {end.reason}" if end.reason else "")
-        self._journal_event(What.FAILED_TRY, held, why=why, more={"took_ms": round(end.duration_ms, 1)})
-        self._detach_from_server(held)
-        report = tuple(end.report[name] for name in self.settings.report_fields if name in end.report)
-        if len(report) < len(self.settings.report_fields):
-            report = ()
-        self._answer_half_closed(held)
-        if not held.tickets:  # nobody waits: the module must not place it again
-            self._abandoned[held.number] = None
-            self._remove_record(held, "nobody waited any more")
-        self._events.append(
-            AttemptEnded(
-                held.number, held.server, attempt, end.result, not held.tickets, end.duration_ms, report
-            )
-        )
+        return self._handover.hand_over(now, session_id)
 
     def on_entitlement_decided(
-        self, now: float, jti: str, plays: bool, why: str = "", retry_after_ms: float = 0.0
+        self, now: float, session_id: str, plays: bool, reason: str = "", retry_after_ms: float = 0.0
     ) -> None:
-        """The verdict on a session that was to be admitted."""
-        held = self._records.get(jti)
-        if held is not None and held.phase is SessionPhase.PLAYING and not plays:  # taken over without a seat
-            self.revoke_session(now, jti, why)
-            return
-        if held is None or held.phase is not SessionPhase.AWAITING_ENTITLEMENT:
-            return
-        self._now = now
-        if plays:
-            self._submit_to_controller(now, held)
-            return
-        self._reject_waiting_viewers(held, why, retry_after_ms)
-        self._remove_record(held, why)
+        """The entitlement check of a session has ended; `plays` says whether it may play."""
+        self._entitlements.on_decided(now, session_id, plays, reason, retry_after_ms)
 
-    def revoke_session(self, now: float, jti: str, why: str) -> None:
-        """A session may no longer play: it ends at its box, for this reason."""
-        held = self._records.get(jti)
-        if held is None:
-            return
-        self._now = now
-        if held.phase is SessionPhase.PLAYING:
-            self._release_at_server(held, why, after_segment=True)
-            self._end_session(held, Result.CANCELLED, why)
-        elif (
-            held.phase is not SessionPhase.IN_FLIGHT
-        ):  # what is out is seen through; nobody waits for it any more
-            self._reject_waiting_viewers(held, why, 0.0)
-            self._on_no_viewer_waiting(held, why)
-        else:
-            self._reject_waiting_viewers(held, why, 0.0)
+    def revoke_session(self, now: float, session_id: str, reason: str) -> None:
+        """Ends a session that may no longer play; an attempt in flight is seen through for nobody."""
+        self._entitlements.revoke(now, session_id, reason)
 
-    def is_attempt_wanted(self, jti: str, attempt: int) -> bool:
-        """Asked at the last moment before an attempt's first byte leaves: drains and ends stop it there.
+    def release_session(self, now: float, session_id: str) -> bool:
+        """Ends a session for its viewer; False if none plays here."""
+        record = self._table.find_playing(session_id)
+        if record is None:
+            return False
+        self._context.now = now
+        self._endings.release_at_server(record, _ENDED_BY_VIEWER)
+        self._endings.end_session(record, Result.OK, _ENDED_BY_VIEWER, is_ended_by_viewer=True)
+        return True
+
+    # --- servers ---
+
+    def is_attempt_wanted(self, session_id: str, attempt: int) -> bool:
+        """Whether the first byte of an attempt may leave; asked at the last moment before.
 
-        So does it if nobody waits any more but those who ended their side. Who drops and comes again finds
-        what had left already.
+        It may not if the server is draining or gone, or if nobody waits but clients that closed their
+        sending side. A viewer who disconnects and returns finds an attempt that had left already.
         """
-        held = self._records.get(jti)
-        if held is None or held.phase is not SessionPhase.IN_FLIGHT or held.attempt != attempt:
+        record = self._table.find_attempt(session_id, attempt, SessionPhase.IN_FLIGHT)
+        if record is None:
             return False
-        return held.has_waiting_viewer and self._server_states.get(held.server) is ServerState.READY
+        return record.has_waiting_viewer and self._servers.states.get(record.server) is ServerState.READY
 
-    def on_session_ended(self, now: float, jti: str, attempt: int, result: Result) -> None:
-        """A session that played has ended at its box, or with it."""
-        held = self._records.get(jti)
-        if held is None or held.phase is not SessionPhase.PLAYING or held.attempt != attempt:
+    def on_attempt_finished(self, now: float, session_id: str, attempt: int, outcome: SetUpResult) -> None:
+        """An attempt has ended; reported once. It is ignored for a session that is no longer stored."""
+        record = self._table.find_attempt(session_id, attempt, SessionPhase.IN_FLIGHT)
+        if record is None:
             return
-        self._now = now
-        self._end_session(held, result, "over" if result is Result.OK else f"over: {RESULT_LABELS[result]}")
+        self._context.now = now
+        if outcome.result is Result.OK:
+            self._attempts.on_attempt_succeeded(now, record, outcome)
+        else:
+            self._attempts.on_attempt_failed(record, outcome)
 
-    def release_session(self, now: float, jti: str) -> bool:
-        """The viewer ends its session here. False if there is none that plays."""
-        held = self._records.get(jti)
-        if held is None or held.phase is not SessionPhase.PLAYING:
-            return False
-        self._now = now
-        self._release_at_server(held, "ended by its viewer")
-        self._end_session(held, Result.OK, "ended by its viewer", by_viewer=True)
-        return True
+    def on_session_ended(self, now: float, session_id: str, attempt: int, result: Result) -> None:
+        """A session that played has ended at its server."""
+        record = self._table.find_attempt(session_id, attempt, SessionPhase.PLAYING)
+        if record is None:
+            return
+        self._context.now = now
+        reason = "over" if result is Result.OK else f"over: {RESULT_LABELS[result]}"
+        self._endings.end_session(record, result, reason)
 
     def on_server_lost(self, now: float, server: int) -> int:
-        """A box took its sessions with it; tells how many."""
-        self._now = now
-        lost = [
-            held for held in self._at_server.get(server, {}).values() if held.phase is SessionPhase.PLAYING
-        ]
-        self._journal_event(What.LOST, box=server, more={"sessions": len(lost)})
-        for held in lost:
-            self._end_session(held, Result.RESET, "its box was lost")
+        """A server and its sessions are lost; returns how many played there."""
+        self._context.now = now
+        lost = self._table.playing_at(server)
+        self._journal.record_server(What.LOST, server, details={"sessions": len(lost)})
+        for record in lost:
+            self._endings.end_session(record, Result.RESET, "its box was lost")
         return len(lost)
 
-    def on_server_silence_changed(self, server: int, doubtful: bool) -> None:
-        """Whether a box that holds sessions has stopped saying anything, though its process may run."""
-        if doubtful == (server in self._silent_servers):
+    def on_server_silence_changed(self, server: int, is_silent: bool) -> None:
+        """A server with sessions has stopped to send anything, though its process may run; or sends again."""
+        self._servers.set_silent(server, is_silent)
+
+    def on_server_notice(
+        self, now: float, session_id: str, attempt: int, kind: NoticeKind, level: float
+    ) -> None:
+        """A server has sent news of a session; it is ignored unless that attempt plays."""
+        record = self._table.find_attempt(session_id, attempt, SessionPhase.PLAYING)
+        if record is None:
             return
-        if doubtful:
-            self._silent_servers.add(server)
-        else:
-            self._silent_servers.discard(server)
-        self._journal_event(What.SILENT if doubtful else What.HEARD, box=server)
-
-    def on_server_notice(self, now: float, jti: str, attempt: int, kind: NoticeKind, level: float) -> None:
-        """News from a box on a session; of others it says nothing that the module could place."""
-        held = self._records.get(jti)
-        if held is not None and held.phase is SessionPhase.PLAYING and held.attempt == attempt:
-            self._events.append(ServerNotice(held.number, held.server, attempt, kind, level))
-            if kind is NoticeKind.RUNG and 0 <= level < len(self.settings.rung_rates_kbyte_s):
-                changed = held.rung != int(level)
-                if changed:
-                    self._now = now
-                    self._journal_event(What.RUNG, held, rung=int(level), why="its box")
-                held.rung = held.sent_rung = int(level)
-                if changed and self.observer is not None:
-                    self.observer.on_session_updated(now, held)
+        self._context.events.append(ServerNotice(record.number, record.server, attempt, kind, level))
+        if kind is NoticeKind.RUNG and 0 <= level < len(self.settings.rung_rates_kbyte_s):
+            self._attempts.on_rung_reported(now, record, int(level))
 
     def on_health_check_finished(
-        self, now: float, server: int, result: Result, took_ms: float, report: dict[str, float]
+        self, now: float, server: int, result: Result, duration_ms: float, report: dict[str, float]
     ) -> None:
-        values = tuple(report[name] for name in self.settings.report_fields if name in report)
-        self._events.append(
-            HealthCheckEnded(
-                server, result, took_ms, values if len(values) == len(self.settings.report_fields) else ()
-            )
-        )
+        """A health check has ended, with the server's load report if it sent one."""
+        values = self._attempts.select_report(report)
+        self._context.events.append(HealthCheckEnded(server, result, duration_ms, values))
 
     def on_endpoint_list(self, now: float, update: EndpointListUpdate) -> None:
-        self._now = now
-        if self.journal is not None:
-            self._journal_endpoint_list(update)
-        if self.observer is not None:
-            self.observer.on_endpoint_list(now, update)
-        self._apply_endpoint_list(update if self._overlay is None else self._overlay.list_says(update))
+        """The endpoint list has changed."""
+        self._context.now = now
+        self._servers.update(update)
 
     def on_operator_orders_changed(self, now: float) -> None:
-        """An operator's orders changed what the module is told of the list."""
-        self._now = now
-        update = self._overlay.orders_changed() if self._overlay is not None else None
-        if update is not None:
-            self._apply_endpoint_list(update)
-
-    def _apply_endpoint_list(self, update: EndpointListUpdate) -> None:
-        self._events.append(update)
-        if update.kind in (EndpointListKind.CACHED, EndpointListKind.FULL):
-            self._server_states = {}
-        for entry in update.entries:
-            if entry.state is ServerState.REMOVED:
-                self._server_states.pop(entry.server, None)
-            else:
-                self._server_states[entry.server] = entry.state
-
-    def on_timer(self, now: float, token: int) -> None:
-        self._events.append(TimerFired(token))
-
-    def stop_accepting(self) -> None:
-        """Nothing new is taken from now on; what was taken is still answered."""
-        self.is_closing = True
+        """Operators' orders have changed what the controller gets of the endpoint list."""
+        self._context.now = now
+        self._servers.on_operator_orders_changed()
 
-    def abandon_open_requests(self, now: float) -> None:
-        """The front is about to end: whatever waits is answered now, and what is out is let go at its box.
-
-        Refused where asking again does no harm, else failed.
-        """
-        self._now = now
-        why = "front is stopping"
-        for held in [one for one in self._records.values() if one.tickets]:
-            held.half_closed_tickets.update(held.tickets)
-            self._answer_half_closed(held, why)
-            self._on_no_viewer_waiting(held, why)
-
-    # --- what the shells ask ---
+    # --- questions ---
 
     @property
     def session_count(self) -> int:
-        return len(self._records)
+        """Number of sessions in any phase."""
+        return len(self._table.by_id)
 
-    def sessions_playing_at(self, server: int) -> dict[str, int]:
-        """Sessions that play at a box, with the attempt that set each up."""
-        there = self._at_server.get(server, {})
-        return {jti: held.attempt for jti, held in there.items() if held.phase is SessionPhase.PLAYING}
+    @property
+    def endpoint_states(self) -> dict[int, ServerState]:
+        """The states of the endpoint list, whatever operators have ordered."""
+        return self._servers.listed
 
-    def session(self, jti: str) -> SessionRecord | None:
-        return self._records.get(jti)
+    def session(self, session_id: str) -> SessionRecord | None:
+        """Returns the record of a session, in any phase."""
+        return self._table.by_id.get(session_id)
 
     def records(self) -> dict[str, SessionRecord]:
-        """All sessions by their token's id; not to be changed."""
-        return self._records
+        """Returns all records by their session ids; callers must not change it."""
+        return self._table.by_id
 
-    @property
-    def endpoint_states(self) -> dict[int, ServerState]:
-        """What the list says of each box, whatever operators have ordered."""
-        return self._server_states if self._overlay is None else self._overlay.listed
+    def sessions_playing_at(self, server: int) -> dict[str, int]:
+        """Returns the ids of the sessions that play at a server, with the attempts that set them up."""
+        return {record.request.session_id: record.attempt for record in self._table.playing_at(server)}
 
-    def count_sessions_by_phase(self, lesson: str, tenant: str) -> dict[str, int]:
-        """Sessions held now of a lesson and of a tenant, as limits name them."""
-        asks = [held.request for held in self._records.values()]
+    def count_sessions_by_phase(self, title: str, tenant: str) -> dict[str, int]:
+        """Returns the numbers of sessions of a title and of a tenant, by the names that limits have."""
+        requests = [record.request for record in self._table.by_id.values()]
         return {
-            f"lesson:{lesson}": sum(ask.title_name == lesson for ask in asks),
-            f"tenant:{tenant}": sum(ask.tenant == tenant for ask in asks),
+            f"lesson:{title}": sum(request.title_name == title for request in requests),
+            f"tenant:{tenant}": sum(request.tenant == tenant for request in requests),
         }
 
-    def next_deadline(self) -> float | None:
-        """When `step` must be called at the latest, though nothing happens before."""
-        due = self.reply_ledger.next_deadline()
-        if self._unclaimed_deadlines and (due is None or self._unclaimed_deadlines[0][0] < due):
-            return self._unclaimed_deadlines[0][0]
-        return due
+    # --- time ---
+
+    def on_timer(self, now: float, token: int) -> None:
+        """A timer has fired that a `StartTimer` command started."""
+        self._context.events.append(TimerFired(token))
 
-    # --- one batch ---
+    def next_deadline(self) -> float | None:
+        """Returns when `step` must be called at the latest, in milliseconds; None if nothing is due."""
+        reply_deadline = self.reply_ledger.next_deadline()
+        unclaimed_deadline = self._endings.next_unclaimed_deadline()
+        if reply_deadline is None or unclaimed_deadline is None:
+            return unclaimed_deadline if reply_deadline is None else reply_deadline
+        return min(reply_deadline, unclaimed_deadline)
 
     def step(self, now: float) -> list[Command]:
-        """Hands what happened to the module, and returns what is to be done, in order."""
-        self._now = now
-        self._expire_deadlines(now)
-        events = self._take_events()
+        """Hands the events since the last call to the controller; returns what is to be done, in order."""
+        context = self._context
+        context.now = now
+        self._requests.fail_overdue(now)
+        self._endings.end_unclaimed_sessions(now)
+        events = context.take_events()
         if events:
-            self.metrics.batches += 1
+            context.metrics.batches += 1
             actions = self.controller.handle(now, events)
             if self._batch_observer is not None:
                 self._batch_observer(now, events, actions)
-            for action in actions:
-                self._apply_action(action)
-        out, self._commands = self._commands, []
-        return out
+            self._actions.apply(actions)
+        return context.take_commands()
 
-    def _take_events(self) -> list[Event]:
-        """What happened, in order, but for sessions that nobody waits for any more: that is told first.
 
-        What came before it in this batch (its arrival, the end of an attempt, a probe's) would make the
-        module place a session that is known here no longer, and it would hold it for ever.
-        """
-        events, self._events = self._events, []
-        gone, self._abandoned = self._abandoned, {}
-        if not gone:
-            return events
-        heard = [one for one in events if not (isinstance(one, Arrival) and one.viewer.session in gone)]
-        return [*map(ClientGone, gone), *heard]
-
-    def _expire_deadlines(self, now: float) -> None:
-        for ticket in self.reply_ledger.overdue(now):
-            held = self._by_ticket.pop(ticket, None)
-            self.metrics.failed += 1
-            ask = held.request if held is not None else None
-            self._send_reply(
-                SessionReply(ticket, ReplyKind.FAILED, "no answer in time", is_timeout=True), ask
-            )
-            if held is not None:
-                held.tickets.remove(ticket)
-                self._on_no_viewer_waiting(held, "no answer in time")
-        while self._unclaimed_deadlines and self._unclaimed_deadlines[0][0] <= now:
-            _, jti, number = heapq.heappop(self._unclaimed_deadlines)
-            held = self._records.get(jti)
-            if held is not None and held.number == number and not held.informed_viewers:
-                self._release_at_server(held, "its viewer did not come back")
-                self._end_session(held, Result.CANCELLED, "its viewer did not come back")
-
-    def _apply_action(self, action: Action) -> None:
-        if isinstance(action, SetTimer):
-            self._commands.append(StartTimer(action.token, action.after_ms))
-        elif isinstance(action, CheckHealth):
-            self._commands.append(SendHealthCheck(action.server))
-        elif isinstance(action, Subscribe):
-            self._commands.append(WatchEndpointList(action.active))
-        elif isinstance(action, Log):
-            named = _NAMED_BOX.search(action.text)
-            self._commands.append(LogLine(action.text, server=int(named[1]) if named else None))
-        else:
-            held = self._by_number.get(action.session)
-            if held is not None:
-                self._apply_session_action(held, action)
-
-    def _apply_session_action(
-        self, held: SessionRecord, action: Place | SetRung | Move | Reject | Fail
-    ) -> None:
-        if isinstance(action, SetRung):
-            held.rung = action.rung
-            if held.phase is SessionPhase.PLAYING:
-                self._send_rung(held)
-        elif isinstance(action, Place):
-            held.attempts += 1
-            held.phase, held.server, held.sent_rung = SessionPhase.IN_FLIGHT, action.server, held.rung
-            self._at_server.setdefault(action.server, {})[held.request.session_id] = held
-            self.metrics.set_ups += 1
-            if self.journal is not None:
-                self._journal_placement(held)
-            if self.observer is not None:
-                self.observer.on_attempt_started(self._now, held)
-            self._commands.append(
-                SetUp(held.request, held.attempt, action.server, held.rung, action.timeout_ms)
-            )
-        elif isinstance(action, Move):
-            self._journal_event(What.MOVED, held)
-            if self.observer is not None:
-                self.observer.on_session_moved(self._now, held)
-            self._release_at_server(held, "moved")
-            self._end_session(held, Result.CANCELLED, "moved", moved=True)
-        else:
-            self._finish_rejected(held, action)
-
-    def _finish_rejected(self, held: SessionRecord, action: Reject | Fail) -> None:
-        tickets, held.tickets = held.tickets, []
-        detail: dict[str, object] = {}
-        if self._explaining is not None:
-            reason = self._explaining.take_reason(held.number)
-            detail = {"detail": reason.why, "passed": [list(one) for one in reason.passed]}
-        for ticket in tickets:
-            del self._by_ticket[ticket]
-            if isinstance(action, Reject):
-                self.metrics.rejected += 1
-                why = (
-                    "no box has room"
-                    if held.last_result is None
-                    else "set-up failed and may not be tried again"
-                )
-                answer = SessionReply(
-                    ticket, ReplyKind.REJECTED, why, action.retry_after_ms, request=held.request
-                )
-            else:
-                self.metrics.failed += 1
-                late = held.last_result is Result.TIMEOUT
-                answer = SessionReply(
-                    ticket, ReplyKind.FAILED, "set-up failed", is_timeout=late, request=held.request
-                )
-            self._send_reply(answer, held.request, detail)
-        self._remove_record(held, "refused" if isinstance(action, Reject) else "failed")
-
-    # --- pieces ---
-
-    def _block_reason(self, ask: SessionRequest) -> tuple[str, float]:
-        """Why a new session may not begin, and when to come again, ms; an empty reason if it may."""
-        if self.new_sessions_blocked is not None:
-            return self.new_sessions_blocked
-        why = self._rejection_reason(ask) if self._rejection_reason is not None else ""
-        return why, self.limits.blocked_retry_after_ms
-
-    def _create_record(self, now: float, ask: SessionRequest) -> SessionRecord:
-        key, moved = self._known_viewers.pop(ask.viewer_key or ask.session_id, (0, False))
-        held = SessionRecord(ask, self._next_number, ask.viewer_key or key or self._next_number)
-        self._next_number = self._next_number % 0xFFFFFFFF + 1
-        self._records[ask.session_id] = self._by_number[held.number] = held
-        held.reply_deadline, held.was_moved = now + ask.max_wait_ms, moved
-        return held
-
-    def _begin_session(self, now: float, ask: SessionRequest) -> None:
-        held = self._create_record(now, ask)
-        held.tickets.append(ask.ticket)
-        self._by_ticket[ask.ticket] = held
-        self._journal_event(What.ASKED, held)
-        if self._checks_entitlement:
-            held.phase = SessionPhase.AWAITING_ENTITLEMENT
-            self._commands.append(
-                CheckEntitlement(ask, now + ask.max_wait_ms * self.limits.entitlement_wait_ratio)
-            )
-        else:
-            self._submit_to_controller(now, held)
-
-    def _submit_to_controller(self, now: float, held: SessionRecord) -> None:
-        held.phase = SessionPhase.PENDING
-        self._events.append(Arrival(self._viewer(now, held)))
-
-    def _viewer(self, now: float, held: SessionRecord) -> Viewer:
-        ask = held.request
-        return Viewer(
-            session=held.number,
-            class_index=ask.class_index,
-            key=held.key,
-            title=ask.title,
-            first_zone=ask.first_zone,
-            replicas=ask.replicas,
-            top_rung=ask.top_rung,
-            length_ms=None,
-            remaining_ms=max(held.reply_deadline - now - 2.0 * self.limits.reply_margin_ms, 0.0),
-            was_moved=held.was_moved,
-            is_returning=ask.is_returning if ask.viewer_key else held.key != held.number,
-        )
-
-    def _on_attempt_succeeded(self, now: float, held: SessionRecord, end: SetUpResult) -> None:
-        held.phase, held.payload, held.last_result = SessionPhase.PLAYING, end.payload, None
-        self._journal_event(
-            What.STARTED, held, rung=held.sent_rung, more={"took_ms": round(end.duration_ms, 1)}
-        )
-        self._events.append(AttemptSucceeded(held.number, held.server, held.attempt, end.duration_ms))
-        for name, kind in _NOTES.items():
-            if name in end.report and (name == "x0" or name in self.settings.report_fields):
-                self._events.append(
-                    ServerNotice(held.number, held.server, held.attempt, kind, end.report[name])
-                )
-        if held.rung != held.sent_rung:
-            self._send_rung(held)
-        tickets, held.tickets = held.tickets, []
-        held.half_closed_tickets.clear()
-        for ticket in tickets:
-            del self._by_ticket[ticket]
-            self._reply_plays(held, ticket)
-        if not tickets:
-            self._expect_viewer_return(now, held)
-        if self.observer is not None:
-            self.observer.on_session_updated(now, held)
-
-    def _expect_viewer_return(self, now: float, held: SessionRecord) -> None:
-        heapq.heappush(
-            self._unclaimed_deadlines,
-            (now + self.limits.unclaimed_session_ttl_ms, held.request.session_id, held.number),
-        )
-
-    def _reply_plays(self, held: SessionRecord, ticket: int) -> None:
-        held.informed_viewers += 1
-        if held.informed_viewers > 1 and self.observer is not None:
-            self.observer.on_session_updated(self._now, held)
-        self.metrics.plays += 1
-        self._send_reply(
-            SessionReply(
-                ticket,
-                ReplyKind.PLAYS,
-                request=held.request,
-                server=held.server,
-                attempt=held.attempt,
-                rung=held.rung,
-                payload=held.payload,
-            ),
-            held.request,
-        )
-
-    def _reject_waiting_viewers(self, held: SessionRecord, why: str, retry_after_ms: float) -> None:
-        tickets, held.tickets = held.tickets, []
-        for ticket in tickets:
-            del self._by_ticket[ticket]
-            self.metrics.rejected += 1
-            self._send_reply(
-                SessionReply(ticket, ReplyKind.REJECTED, why, retry_after_ms, request=held.request),
-                held.request,
-            )
-
-    def _answer_half_closed(self, held: SessionRecord, why: str = "its viewer left") -> None:
-        """Answers those who ended their side. A refusal says that asking again does no harm."""
-        ran = held.may_have_run or held.phase is SessionPhase.IN_FLIGHT
-        once = (
-            ran and self.settings.classes[held.request.class_index].idempotency is not Idempotency.IDEMPOTENT
-        )
-        for ticket in [one for one in held.tickets if one in held.half_closed_tickets]:
-            held.tickets.remove(ticket)
-            del self._by_ticket[ticket]
-            if once:
-                self.metrics.failed += 1
-                late = held.last_result is Result.TIMEOUT
-                answer = SessionReply(ticket, ReplyKind.FAILED, why, is_timeout=late, request=held.request)
-            else:
-                self.metrics.rejected += 1
-                answer = SessionReply(ticket, ReplyKind.REJECTED, why, request=held.request)
-            self._send_reply(answer, held.request)
-        held.half_closed_tickets.clear()
-
-    def _send_reply(
-        self, answer: SessionReply, ask: SessionRequest | None, detail: dict[str, object] | None = None
-    ) -> None:
-        self.reply_ledger.close(answer.ticket)
-        self._commands.append(answer)
-        if self.observer is not None and ask is not None and answer.kind is not ReplyKind.PLAYS:
-            self.observer.on_request_rejected(self._now, ask, answer.reason)
-        if self.journal is not None and ask is not None:
-            self.journal.add(
-                self._now, _ANSWERED[answer.kind], session=ask.session_id, lesson=ask.title_name,
-                cls=self.settings.classes[ask.class_index].name, tenant=ask.tenant, box=answer.server,
-                why=answer.reason, more=detail,
-            )  # fmt: skip
-
-    def _on_no_viewer_waiting(self, held: SessionRecord, why: str) -> None:
-        """After its last waiter left: what the module only holds is dropped, what is out is seen through."""
-        if held.phase is SessionPhase.AWAITING_ENTITLEMENT and not held.tickets:
-            self._remove_record(held, why)
-        elif held.phase is SessionPhase.PENDING and not held.tickets:
-            self._abandoned[held.number] = None
-            self._remove_record(held, why)
-        elif (
-            held.phase is SessionPhase.IN_FLIGHT
-            and not held.tickets
-            and self.limits.unclaimed_session_ttl_ms <= 0.0
-        ):
-            self._abandoned[held.number] = None
-            self._release_at_server(held, why)
-            self._close_session(held, Result.CANCELLED, why)
-
-    def _send_rung(self, held: SessionRecord) -> None:
-        held.sent_rung = held.rung
-        self._journal_event(What.RUNG, held, rung=held.rung, why="this front")
-        if self.observer is not None:
-            self.observer.on_session_updated(self._now, held)
-        self._commands.append(ChangeRung(held.request.session_id, held.attempt, held.server, held.rung))
-
-    def _release_at_server(self, held: SessionRecord, why: str, after_segment: bool = False) -> None:
-        self.metrics.released += 1
-        self._commands.append(
-            ReleaseSession(held.request.session_id, held.attempt, held.server, why, after_segment)
-        )
-
-    def _end_session(
-        self, held: SessionRecord, result: Result, why: str, moved: bool = False, by_viewer: bool = False
-    ) -> None:
-        self._commands.append(SessionOver(held.request, result, why, moved, by_viewer))
-        self._close_session(held, result, why, moved)
-
-    def _close_session(
-        self, held: SessionRecord, result: Result, why: str, moved: bool = False, let_go: bool = False
-    ) -> None:
-        self._events.append(AttemptEnded(held.number, held.server, held.attempt, result, True, 0.0, ()))
-        self._detach_from_server(held)
-        self._remove_record(held, why, moved, let_go)
-
-    def _detach_from_server(self, held: SessionRecord) -> None:
-        there = self._at_server.get(held.server)
-        if there is not None:
-            there.pop(held.request.session_id, None)
-            if not there:
-                del self._at_server[held.server]
-
-    def _remove_record(
-        self, held: SessionRecord, why: str, moved: bool = False, let_go: bool = False
-    ) -> None:
-        self._journal_event(What.ENDED, held, why=why)
-        if self.observer is not None:
-            self.observer.on_session_closed(self._now, held, why)
-        self._records.pop(held.request.session_id, None)
-        self._by_number.pop(held.number, None)
-        if self._checks_entitlement:
-            self._commands.append(EntitlementReleased(held.request.session_id, let_go))
-        # A viewer who comes again is known to the module by its key; one that brings it, only if moved.
-        if held.request.viewer_key and not moved:
-            return
-        self._known_viewers[held.request.viewer_key or held.request.session_id] = (held.key, moved)
-        if len(self._known_viewers) > self.limits.max_remembered_viewers:
-            self._known_viewers.popitem(last=False)
-
-    # --- the journal ---
-
-    def _journal_event(
-        self,
-        what: What,
-        held: SessionRecord | None = None,
-        *,
-        box: int | None = None,
-        rung: int = -1,
-        why: str = "",
-        more: dict[str, object] | None = None,
-    ) -> None:
-        if self.journal is None:
-            return
-        if held is None:
-            self.journal.add(self._now, what, box=-1 if box is None else box, why=why, more=more)
-            return
-        ask, there = (
-            held.request,
-            held.phase in (SessionPhase.IN_FLIGHT, SessionPhase.PLAYING) or what is What.FAILED_TRY,
-        )
-        self.journal.add(
-            self._now,
-            what,
-            session=ask.session_id,
-            lesson=ask.title_name,
-            cls=self.settings.classes[ask.class_index].name,
-            tenant=ask.tenant,
-            box=held.server if there else -1,
-            attempt=held.attempt if there else -1,
-            rung=rung,
-            why=why,
-            more=more,
-        )
+def _make_explaining_controller(settings: Settings, seed: int) -> ExplainingController:
+    """Loads and makes a controller that gives reasons; a front without a journal needs neither."""
+    from fernweir.front.explain import ExplainingController
 
-    def _journal_placement(self, held: SessionRecord) -> None:
-        assert self._explaining is not None
-        reason = self._explaining.take_reason(held.number)
-        more = {
-            "passed": [list(one) for one in reason.passed],
-            "link": reason.link,
-            "uplink": reason.uplink,
-        }
-        self._journal_event(What.SETUP, held, rung=held.rung, why=reason.why, more=more)
-
-    def _journal_endpoint_list(self, update: EndpointListUpdate) -> None:
-        """Boxes whose state or life changed, and those that a whole list no longer names."""
-        if update.kind in (EndpointListKind.CACHED, EndpointListKind.FULL):
-            named = {entry.server for entry in update.entries}
-            for server in [server for server in self._last_listed if server not in named]:
-                del self._last_listed[server]
-                self._journal_event(What.BOX, box=server, why="unlisted")
-        for entry in update.entries:
-            now = (entry.state, entry.started_at)
-            if self._last_listed.get(entry.server) != now:
-                self._last_listed[entry.server] = now
-                start = f"{entry.started_at:.0f}" if entry.started_at else ""
-                why = SERVER_STATE_LABELS[entry.state]
-                self._journal_event(What.BOX, box=entry.server, why=why, more={"start": start})
+    return ExplainingController(settings, seed)
--- a/tests/fuzzing/host.py
+++ b/tests/fuzzing/host.py
@@ -83,7 +83,7 @@
         self.gated, self.returns = tape.below(2) > 0, tape.below(2) > 0
         settings = replace(SETTINGS, may_check_health=tape.below(2) > 0)
         limits = SessionLimits(unclaimed_session_ttl_ms=_LINGER_MS if self.returns else 0.0)
-        self.host = SessionManager(settings, 7, limits, gated=self.gated)
+        self.host = SessionManager(settings, 7, limits, checks_entitlement=self.gated)
         self.fold = Fold()
         self.host.observer = self.fold
         self.states = dict.fromkeys((1, 2, 3), ServerState.READY)
@@ -281,7 +281,7 @@
         ask = replace(self.request(jti, 0.0), ticket=0)
         rung = self.tape.one((None, 1))
         taken = self.host.adopt_session(
-            self.now, ask, box, attempt=attempt, rung=rung, told=told, answerable=answerable
+            self.now, ask, box, attempt=attempt, rung=rung, informed_viewers=told, is_answerable=answerable
         )
         same(taken, free, (jti, box))
         if taken:
@@ -319,7 +319,7 @@
             self.pass_(1_000.0)
             self.quiet()
         same(self.due, {}, "requests without an answer")
-        same((len(self.host.reply_ledger), self.host._by_ticket), (0, {}), "tickets left")
+        same((len(self.host.reply_ledger), self.host._table.by_ticket), (0, {}), "tickets left")
         for jti in list(self.host.records()):
             self.host.revoke_session(self.now, jti, "the end")
         self.pass_(5_000.0)
@@ -330,7 +330,7 @@
                 self.host.revoke_session(self.now, jti, "the end")
             self.pass_(5_000.0)
         self.agree()
-        same((self.runs, self.admitted, self.host._at_server), (set(), set(), {}), "left behind")
+        same((self.runs, self.admitted, self.host._table.by_server), (set(), set(), {}), "left behind")
 
 
 def check(data: bytes) -> None:
--- a/tests/node_scene.py
+++ b/tests/node_scene.py
@@ -573,7 +573,7 @@
         tables = (door._fresh, door._idle, door._busy, door._parting, door._halves, viewers.spoken)
         assert all(viewers._made.issuperset(table) for table in tables), tables
         assert not door._busy and not any(one.visit.requests for one in viewers._made)
-        assert set(viewers.home) <= set(core.sessions.records()) and not core.sessions._by_ticket
+        assert set(viewers.home) <= set(core.sessions.records()) and not core.sessions._table.by_ticket
         taking, there = (one.visit.takes for one in viewers._made), (not one.over for one in self.viewers)
         assert sum(taking) <= sum(there), "connections of viewers that are gone"
 
--- a/tests/peers_mutants/fuzz.py
+++ b/tests/peers_mutants/fuzz.py
@@ -13,7 +13,9 @@
     "fernweir/journal/disk.py",
 )
 _STORE = "fernweir/journal/store.py"
-_HOST, _BOOK = "fernweir/front/session_manager.py", "fernweir/seats/book.py"
+_MANAGER, _BOOK = "fernweir/front/session_manager.py", "fernweir/seats/book.py"
+_HANDOVER, _ENDINGS = "fernweir/front/session_handover.py", "fernweir/front/session_endings.py"
+_ATTEMPTS, _REQUESTS = "fernweir/front/session_attempts.py", "fernweir/front/session_requests.py"
 _DESK, _TABLE = "fernweir/peers/forward/desk.py", "fernweir/peers/members/table.py"
 
 BY_TARGET: dict[str, list[Mutant]] = {
@@ -151,54 +153,54 @@
     "host": [
         Mutant(
             "an end of what was let go",
-            _HOST,
-            """self._close_session(held, Result.CANCELLED, "another front's now", let_go=True)""",
-            """self._end_session(held, Result.CANCELLED, "another front's now")""",
+            _HANDOVER,
+            """close_session(record, Result.CANCELLED, "another front's now", is_handed_over=True)""",
+            """end_session(record, Result.CANCELLED, "another front's now")""",
             60,
         ),
         Mutant(
             "an end that nobody is told",
-            _HOST,
-            "self.observer.on_session_closed(self._now, held, why)",
-            "held.informed_viewers = held.informed_viewers",
+            _ENDINGS,
+            "context.observer.on_session_closed(context.now, record, reason)",
+            "record.informed_viewers = record.informed_viewers",
             30,
         ),
-        Mutant("taken over twice", _HOST, "ask.session_id in self._records\n            or ", "", 100),
+        Mutant("taken over twice", _HANDOVER, "request.session_id in self._table.by_id or ", "", 100),
         Mutant(
             "doubtful ends not released",
-            _HOST,
-            "if end.result not in _NEVER_RAN:",
-            "if end.result is Result.TIMEOUT:",
+            _ATTEMPTS,
+            "if outcome.result not in NEVER_RAN:",
+            'if outcome.result.name == "TIMEOUT":',
             60,
         ),
         Mutant(
             "nobody waits, nothing released",
-            _HOST,
-            "            self._release_at_server(held, why)\n"
-            "            self._close_session(held, Result.CANCELLED, why)",
-            "            self._close_session(held, Result.CANCELLED, why)",
+            _ENDINGS,
+            "            self.release_at_server(record, reason)\n"
+            "            self.close_session(record, Result.CANCELLED, reason)",
+            "            self.close_session(record, Result.CANCELLED, reason)",
             200,
         ),
         Mutant(
             "a seat not given back",
-            _HOST,
-            "        if self._checks_entitlement:\n            self._commands.append(EntitlementReleased",
-            "        if self._checks_entitlement and held.informed_viewers:\n"
-            "            self._commands.append(EntitlementReleased",
+            _ENDINGS,
+            "        if self._checks_entitlement:\n            context.commands.append(EntitlementReleased",
+            "        if self._checks_entitlement and record.informed_viewers:\n"
+            "            context.commands.append(EntitlementReleased",
             60,
         ),
         Mutant(
             "a viewer who left is answered",
-            _HOST,
-            'held.tickets.remove(ticket)\n            self._on_no_viewer_waiting(held, "its viewer left")',
-            'self._on_no_viewer_waiting(held, "its viewer left")',
+            _REQUESTS,
+            "record.tickets.remove(ticket)\n            self._endings.on_viewer_left(record, _VIEWER_LEFT)",
+            "self._endings.on_viewer_left(record, _VIEWER_LEFT)",
             60,
         ),
         Mutant(
             "a lost box ends what is out",
-            _HOST,
-            "self._at_server.get(server, {}).values() if held.phase is SessionPhase.PLAYING\n",
-            "self._at_server.get(server, {}).values()\n",
+            _MANAGER,
+            "lost = self._table.playing_at(server)",
+            "lost = list(self._table.by_server.get(server, {}).values())",
             200,
         ),
     ],
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -61,7 +61,7 @@
         self.viewers.fronts[name] = front.address
         self.fronts.append(front)
         await front.list.listed.wait()
-        await until(lambda: len(front.core.sessions._server_states) >= len(self.site.boxes))
+        await until(lambda: len(front.core.sessions._servers.states) >= len(self.site.boxes))
         return front
 
     def close(self) -> None:
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -264,7 +264,7 @@
     plain = SessionManager.request_session
 
     def forgetful(self: SessionManager, now: float, ask: Any) -> None:
-        self._records.pop(ask.session_id, None)
+        self._table.by_id.pop(ask.session_id, None)
         plain(self, now, ask)
 
     monkeypatch.setattr(SessionManager, "request_session", forgetful)
@@ -287,7 +287,7 @@
     async def story(scene: Scene) -> None:
         box = await scene.first_choice()
         scene.site.tell(box, "draining")
-        await until(lambda: scene.fronts[0].core.sessions._server_states[box].name == "DRAINING")
+        await until(lambda: scene.fronts[0].core.sessions._servers.states[box].name == "DRAINING")
         said = scene.of("list.told", box=box, state="draining")[0]["t"]
         await until(lambda: scene.loop.time() * 1000 > said + 60)
         await scene.ask(scene.wish())
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -355,7 +355,7 @@
         await until(lambda: picture.boxes[first].state == "gone")
         await ann.ask("undrain", target=str(first))
         await until(lambda: picture.boxes[first].drained_by == "")
-        assert first not in scene.fronts[0].core.sessions._server_states
+        assert first not in scene.fronts[0].core.sessions._servers.states
         ann.close()
 
     control_scene(story, drains_at_once="5")
--- a/tests/test_front_sockets.py
+++ b/tests/test_front_sockets.py
@@ -389,13 +389,13 @@
 def test_two_hundred_boxes_then_none_then_an_older_list() -> None:
     async def story(scene: Scene) -> None:
         front = scene.fronts[0]
-        assert len(front.core.sessions._server_states) == 200
+        assert len(front.core.sessions._servers.states) == 200
         playing = scene.wish()
         assert (await scene.ask(playing)).status == 200
         lines = list(scene.site.list.lines.values())
         version = scene.site.list.version
         scene.site.list.replace([])
-        await until(lambda: not front.core.sessions._server_states)
+        await until(lambda: not front.core.sessions._servers.states)
         late = scene.wish()
         assert (await scene.ask(late)).status == 503
         assert front.core.sessions.session_count == 1  # what plays goes on
@@ -404,7 +404,7 @@
         assert (await scene.ask(scene.wish())).status == 503
         scene.site.list.version += 5
         scene.site.list.tell_whole()
-        await until(lambda: len(front.core.sessions._server_states) == 200)
+        await until(lambda: len(front.core.sessions._servers.states) == 200)
         assert (await scene.ask(scene.wish())).status == 200
 
     play(story, replace(PLAN, boxes=200, racks=10, lessons=20))
@@ -422,7 +422,7 @@
         box = next(iter(scene.site.boxes))
         await until(lambda: len(scene.site.list._streams) == 1)
         scene.site.tell(box, "draining")
-        await until(lambda: again.core.sessions._server_states[box].name == "DRAINING")
+        await until(lambda: again.core.sessions._servers.states[box].name == "DRAINING")
 
     play(story, PLAN)
 
@@ -515,7 +515,7 @@
         silent = int(scene.of("box.setup")[0]["box"])
         scene.behave(silent, hang=True)
         host = scene.fronts[0].core.sessions
-        await until(lambda: silent in host._silent_servers)
+        await until(lambda: silent in host._servers.silent)
         assert (await scene.ask(wish)).status == 200
         assert int(scene.of("box.setup")[-1]["box"]) != silent
         assert (await scene.ask(scene.wish(cls="briefing"))).status == 503
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -143,7 +143,7 @@
     "fernweir.seats.book.State": "where a seat stands; the log stores records instead",
     "fernweir.seats.book.Said": "what a reply of the entitlement server means",
     "fernweir.rehearsal.fleet.process.Life": "whether a process of the rig lives; its value is only printed",
-    "fernweir.front.session_manager.SessionPhase": "where a session stands",
+    "fernweir.front.session_record.SessionPhase": "where a session stands",
     "fernweir.entitlement.queue.Turn": "the order within the queue of requests",
     "fernweir.entitlement.policy.BreakerState": "where the circuit breaker stands",
 }
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -343,7 +343,7 @@
         settings = replace(base, retry_budget=BUDGET, slow_start=COLD) if strict else base
         # The module decides the same whether or not it is asked for its reasons.
         self.silent = Controller(settings, 7)
-        self.desk = Desk(settings, boxes=4, journal=self.journal, watch=self.decides_alike)
+        self.desk = Desk(settings, boxes=4, journal=self.journal, batch_observer=self.decides_alike)
         self.out: dict[str, SetUp] = {}
         self.playing: dict[str, SetUp] = {}
         self.due: dict[int, float] = {}
@@ -454,13 +454,15 @@
     def accounts_agree(self) -> None:
         if hasattr(self, "desk"):
             host = self.desk.host
-            for held in host._records.values():  # what waits or is to be placed waits for somebody who stays
+            for (
+                held
+            ) in host._table.by_id.values():  # what waits or is to be placed waits for somebody who stays
                 if held.phase is not SessionPhase.IN_FLIGHT:
                     assert self.ended.isdisjoint(held.tickets) and not held.half_closed_tickets
-            if not (host._events or host._abandoned):
-                assert set(host.controller.sessions) == {one.number for one in host._records.values()}
+            if not (host._context.events or host._context.abandoned):
+                assert set(host.controller.sessions) == {one.number for one in host._table.by_id.values()}
                 out = Counter(
-                    one.server for one in host._records.values() if one.phase is SessionPhase.IN_FLIGHT
+                    one.server for one in host._table.by_id.values() if one.phase is SessionPhase.IN_FLIGHT
                 )
                 servers = host.controller.servers.values()
                 assert {
@@ -478,16 +480,16 @@
             return
         host, picture = self.desk.host, self.picture
         rows = {row.session: row for row in picture.sessions.values()}
-        assert set(rows) == set(host._records)
-        for jti, held in host._records.items():
+        assert set(rows) == set(host._table.by_id)
+        for jti, held in host._table.by_id.items():
             assert (rows[jti].phase, rows[jti].attempt) == (held.phase.value, held.attempt)
             if held.phase in (SessionPhase.IN_FLIGHT, SessionPhase.PLAYING):
                 assert (rows[jti].box, rows[jti].rung) == (held.server, held.sent_rung)
         for number, box in picture.boxes.items():
             assert box.playing == len(host.sessions_playing_at(number))
-            assert ServerState[box.state.upper()] is host._server_states[number]
-            assert box.silent == (number in host._silent_servers)
-        waiting = sum(isinstance(one, SessionReply) for one in host._commands)
+            assert ServerState[box.state.upper()] is host._servers.states[number]
+            assert box.silent == (number in host._servers.silent)
+        waiting = sum(isinstance(one, SessionReply) for one in host._context.commands)
         assert sum(picture.answers.values()) == sum(self.answers.values()) + waiting
         assert Picture.from_plain(picture.to_plain()) == picture
 
@@ -506,7 +508,7 @@
         assert again == self.picture and +self.picture.answers == self.answers
         lives = Counter(one.session for one in self.journal.entries(1) if one.what is What.ASKED)
         ends = Counter(one.session for one in self.journal.entries(1) if one.what is What.ENDED)
-        assert lives - ends == Counter(jti for jti in self.desk.host._records)
+        assert lives - ends == Counter(jti for jti in self.desk.host._table.by_id)
 
 
 HostStory.TestCase.settings = hypothesis_settings(max_examples=200, stateful_step_count=40)
@@ -545,7 +547,7 @@
     desk.step()
     assert [(one.session_id, one.attempt) for one in desk.of(ReleaseSession)] == [("a", 0)]
     assert desk.answers() == {} and desk.of(SessionOver) == [] and desk.host.session_count == 0
-    assert not desk.host._known_viewers  # a viewer with a key of its own leaves nothing behind
+    assert not desk.host._table.known_viewers  # a viewer with a key of its own leaves nothing behind
 
 
 def test_a_front_that_stops_waits_for_nobody_whose_viewers_all_left() -> None:
@@ -569,7 +571,7 @@
 
 @pytest.mark.parametrize("gated", [True, False])
 def test_who_ends_its_side_before_an_attempt_is_out_is_refused_at_once(gated: bool) -> None:
-    desk = Desk(gated=gated)
+    desk = Desk(checks_entitlement=gated)
     ticket = desk.ask("a")
     if gated:
         desk.step()
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -18,7 +18,7 @@
 from fernweir.front import boxlist
 from fernweir.front.manifest import ManifestCache
 from fernweir.front.response_classification import judge
-from fernweir.front.session_manager import SessionManager
+from fernweir.front.session_replies import SessionReplies
 from fernweir.interface import Result, ServerState
 from fernweir.rehearsal.faults import Fault, Kind, ScheduleError, draw, read_schedule
 from fernweir.rehearsal.loop import NODE, DeadlockError, LivelockError, NotVirtualError, VirtualLoop, run
@@ -283,15 +283,15 @@
 
 
 def a_refused_session_is_answered_twice(patch: pytest.MonkeyPatch) -> None:
-    kept = SessionManager._reject_waiting_viewers
+    kept = SessionReplies.reject_waiting_viewers
 
-    def wrong(self: SessionManager, held: Any, why: str, retry_after_ms: float) -> None:
+    def wrong(self: SessionReplies, held: Any, why: str, retry_after_ms: float) -> None:
         tickets = list(held.tickets)
         kept(self, held, why, retry_after_ms)
         for ticket in tickets:
-            self.reply_ledger.close(ticket)
+            self.ledger.close(ticket)
 
-    patch.setattr(SessionManager, "_reject_waiting_viewers", wrong)
+    patch.setattr(SessionReplies, "reject_waiting_viewers", wrong)
 
 
 def leases_are_kept_after_their_end(patch: pytest.MonkeyPatch) -> None:
