--- a/fernweir/front/session_attempts.py
+++ b/fernweir/front/session_attempts.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from fernweir.controller import NEVER_RAN
+from fernweir.controller import NEVER_RAN_RESULTS
 from fernweir.front.commands import ChangeRung, SetUp, SetUpResult
 from fernweir.front.session_context import SessionContext
 from fernweir.front.session_endings import SessionEndings
@@ -110,7 +110,7 @@
     def on_attempt_failed(self, record: SessionRecord, outcome: SetUpResult) -> None:
         """An attempt ended without success: it is released if it may have run, and the controller decides."""
         context, attempt = self._context, record.attempt
-        if outcome.result not in NEVER_RAN:
+        if outcome.result not in NEVER_RAN_RESULTS:
             record.may_have_run = True
             self._endings.release_at_server(record, f"set-up ended as {RESULT_LABELS[outcome.result]}")
         record.last_result = outcome.result
