--- a/bench/golden_state_samples.py
+++ b/bench/golden_state_samples.py
@@ -33,7 +33,7 @@
 from fernweir.node.jsonl import TYPES as LINE_TYPES
 from fernweir.node.jsonl import Message, write
 from fernweir.seats import records as seats
-from fernweir.seats.book import Op
+from fernweir.seats.seat_manager import Operation
 from fernweir.tokens.claims import BoxClaims, ControlClaims, SessionClaims
 from fernweir.wire import HEADER
 from tests.golden_formats import (
@@ -175,24 +175,28 @@
 
 def seat_log() -> list[Sample]:
     """Records, tables, and whole logs with a snapshot and with a torn tail."""
-    full = seats.Kept(
+    full = seats.SeatRecord(
         "s2", 4, "t1", "l1", "film", "ann", 2.5, "lease-1", 8, 1_800_000_100.5, 1_800_000_000.25
     )
-    bare = seats.Kept("s3", 0, "", "", "", "", 0.0)
-    held = seats.held("s1", "lease-9", 3, 1_800_000_050.0)
-    table = seats.encode_table({one.session: one for one in (full, bare)})
-    batch = [seats.asked(full), seats.held("s2", "lease-2", 9, 1_800_000_200.0), seats.asked(bare)]
+    bare = seats.SeatRecord("s3", 0, "", "", "", "", 0.0)
+    held = seats.encode_granted("s1", "lease-9", 3, 1_800_000_050.0)
+    table = seats.encode_table({one.session_id: one for one in (full, bare)})
+    batch = [
+        seats.encode_requested(full),
+        seats.encode_granted("s2", "lease-2", 9, 1_800_000_200.0),
+        seats.encode_requested(bare),
+    ]
     log = write_seat_log(None, 0, [batch])
-    with_snapshot = write_seat_log(table, 3, [[seats.gone("s2"), seats.asked(bare)]])
+    with_snapshot = write_seat_log(table, 3, [[seats.encode_removed("s2"), seats.encode_requested(bare)]])
     files = {name: bytes.fromhex(text) for name, text in json.loads(with_snapshot).items()}
     newest = max(name for name in files if name.endswith(".log"))
     files[newest] = files[newest][:-5]
     torn = json.dumps({name: data.hex() for name, data in sorted(files.items())}).encode()
     return [
-        Sample("full", "seat-asked", seats.asked(full)),
-        Sample("bare", "seat-asked", seats.asked(bare)),
+        Sample("full", "seat-asked", seats.encode_requested(full)),
+        Sample("bare", "seat-asked", seats.encode_requested(bare)),
         Sample("held", "seat-held", held),
-        Sample("gone", "seat-gone", seats.gone("s1")),
+        Sample("gone", "seat-gone", seats.encode_removed("s1")),
         Sample("table", "seat-table", table),
         Sample("empty table", "seat-table", seats.encode_table({})),
         Sample("log", "seat-log", log),
@@ -621,13 +625,15 @@
 
 def entitlement() -> list[Sample]:
     """Requests to an entitlement server and its answers."""
-    seat = seats.Kept("s1", 2, "t1", "l1", "film", "ann", 1.5, "lease/1", 7, 9.0, 1_800_000_000.1234)
+    seat = seats.SeatRecord("s1", 2, "t1", "l1", "film", "ann", 1.5, "lease/1", 7, 9.0, 1_800_000_000.1234)
     lease = '{"lease":"lease-1","fence":3,"expires_in_ms":5000.5}'
-    replies: list[Any] = [[op.value, "answered", 200, [], lease] for op in Op]
-    replies += [[Op.ASK.value, "answered", status, [["retry-after", "2"]], ""] for status in
+    replies: list[Any] = [[op.value, "answered", 200, [], lease] for op in Operation]
+    replies += [[Operation.ACQUIRE.value, "answered", status, [["retry-after", "2"]], ""] for status in
                 (200, 204, 403, 404, 409, 410, 412, 500, 503)]  # fmt: skip
     replies += [
-        [Op.RENEW.value, outcome.value, 0, [], ""] for outcome in Outcome if outcome.value != "answered"
+        [Operation.RENEW.value, outcome.value, 0, [], ""]
+        for outcome in Outcome
+        if outcome.value != "answered"
     ]
     active = {
         "active": True,
@@ -642,7 +648,7 @@
     places = [{"tenant": "t1", "lesson": "l1", "class": "film", "used": 4}]
     page = {"fence": 9, "total": 1, "leases": leases, "places": places, "next": "k2"}
     return [
-        Sample("requests", "lease-requests", value=[[op.value, plain(seat)] for op in Op]),
+        Sample("requests", "lease-requests", value=[[op.value, plain(seat)] for op in Operation]),
         Sample("replies", "lease-replies", json.dumps(replies).encode()),
         Sample("lease", "lease-answer", lease.encode()),
         Sample("active", "introspection", json.dumps(active).encode()),
--- a/bench/renewals.py
+++ b/bench/renewals.py
@@ -10,7 +10,15 @@
 import click
 
 from fernweir.entitlement.queue import QueueRules
-from fernweir.seats.book import Book, BookRules, Op, Reply, Said, Send, Want
+from fernweir.seats.seat_manager import (
+    LeaseResponse,
+    Operation,
+    ResponseStatus,
+    SeatManager,
+    SeatManagerConfig,
+    SeatRequest,
+    SendLeaseRequest,
+)
 
 
 @click.command()
@@ -24,27 +32,31 @@
         return len(log)
 
     ttl, now, fence = 30_000.0, 0.0, 0
-    book = Book(
+    book = SeatManager(
         now,
         1,
         append,
         lambda cls: False,
-        rules=BookRules(ttl_most_ms=ttl),
-        queue=QueueRules(at_once=1_000_000),
+        config=SeatManagerConfig(max_ttl_ms=ttl),
+        queue_config=QueueRules(at_once=1_000_000),
     )
     for number in range(seats):
-        book.want(now, Want(f"s{number}", "t", "l", "c", "p", 1.0), now + 2_000.0)
+        book.request_seat(now, SeatRequest(f"s{number}", "t", "l", "c", "p", 1.0), now + 2_000.0)
 
     def turn() -> int:
         nonlocal fence
-        book.durable(now, len(log))
-        sends = [one for one in book.take(now) if isinstance(one, Send)]
+        book.on_log_synced(now, len(log))
+        sends = [one for one in book.advance(now) if isinstance(one, SendLeaseRequest)]
         for send in sends:
             fence += 1
-            book.replied(now + 1.0, send.number, Reply(Said.DONE, f"L{send.seat.session}", fence, ttl))
-        return sum(send.op is Op.RENEW for send in sends)
+            book.on_response(
+                now + 1.0,
+                send.request_id,
+                LeaseResponse(ResponseStatus.SUCCEEDED, f"L{send.record.session_id}", fence, ttl),
+            )
+        return sum(send.operation is Operation.RENEW for send in sends)
 
-    while turn() or book.queue.out:
+    while turn() or book.send_queue.out:
         pass
     begun, renewed = time.process_time(), 0
     while now < 10 * ttl:
--- a/bench/seats.py
+++ b/bench/seats.py
@@ -16,10 +16,10 @@
 import click
 
 from fernweir.seats import records
-from fernweir.seats.files import DiskFiles
-from fernweir.seats.log import LogRules, SeatLog, recover
-from fernweir.seats.records import Kept, fold_all
-from fernweir.seats.wheel import Wheel
+from fernweir.seats.file_store import DiskFileStore
+from fernweir.seats.log import LogConfig, SeatLog, recover_log
+from fernweir.seats.records import SeatRecord, rebuild_table
+from fernweir.seats.timing_wheel import TimingWheel
 
 
 def timed(do: Callable[[], object]) -> float:
@@ -30,11 +30,11 @@
 
 def wheel_run(count: int) -> None:
     """Sets, moves each once as a renewal does, and fires all."""
-    dice, wheel = Random(1), Wheel[int](0.0, 10.0)
-    timers = [wheel.set(dice.uniform(0, 30_000.0), number) for number in range(count)]
+    dice, wheel = Random(1), TimingWheel[int](0.0, 10.0)
+    timers = [wheel.schedule(dice.uniform(0, 30_000.0), number) for number in range(count)]
     for number, timer in enumerate(timers):
         wheel.cancel(timer)
-        wheel.set(dice.uniform(30_000.0, 60_000.0), number)
+        wheel.schedule(dice.uniform(30_000.0, 60_000.0), number)
     fired = 0
     for step in range(601):
         fired += len(wheel.advance(step * 100.0))
@@ -73,21 +73,21 @@
 
 
 def wheel_set_only(count: int) -> None:
-    dice, wheel = Random(1), Wheel[int](0.0, 10.0)
-    timers = [wheel.set(dice.uniform(0, 30_000.0), number) for number in range(count)]
+    dice, wheel = Random(1), TimingWheel[int](0.0, 10.0)
+    timers = [wheel.schedule(dice.uniform(0, 30_000.0), number) for number in range(count)]
     for number, timer in enumerate(timers):
         wheel.cancel(timer)
-        wheel.set(dice.uniform(30_000.0, 60_000.0), number)
+        wheel.schedule(dice.uniform(30_000.0, 60_000.0), number)
 
 
 def appends(folder: Path, count: int, group: int) -> float:
     """Leases a second: two records each, `group` of them to a sync."""
-    log = SeatLog(DiskFiles(folder), LogRules())
+    log = SeatLog(DiskFileStore(folder), LogConfig())
     log.open()
     begun = time.perf_counter()
     for number in range(count):
-        log.append(records.asked(Kept(f"s{number}", number, "t", "l", "c", "p", 1.0)))
-        log.append(records.held(f"s{number}", f"L{number}", number, 1.0))
+        log.append(records.encode_requested(SeatRecord(f"s{number}", number, "t", "l", "c", "p", 1.0)))
+        log.append(records.encode_granted(f"s{number}", f"L{number}", number, 1.0))
         if number % group == group - 1:
             log.commit()
     log.commit()
@@ -112,10 +112,10 @@
     for count in [n for n in (1_000, 10_000, 100_000, 1_000_000) if n <= most]:
         with tempfile.TemporaryDirectory() as folder:
             appends(Path(folder), count // 2, 4_096)
-            files = DiskFiles(Path(folder))
+            files = DiskFileStore(Path(folder))
             begun = time.perf_counter()
-            found = recover(files)
-            table = fold_all(found.snapshot, found.records)
+            found = recover_log(files)
+            table = rebuild_table(found.snapshot, found.records)
             print(f"{count:>10} {time.perf_counter() - begun:>10.3f}   {len(table)} seats")
 
 
--- a/fernweir/cli/ledger.py
+++ b/fernweir/cli/ledger.py
@@ -5,23 +5,39 @@
 import json
 import sys
 from collections.abc import Callable
-from dataclasses import asdict
 from functools import wraps
 from pathlib import Path
 
 import click
 
-from fernweir.seats.files import DiskFiles
-from fernweir.seats.log import LogError, Recovered, compact, recover
-from fernweir.seats.records import RecordError, Table, encode_table, fold_all
+from fernweir.seats.file_store import DiskFileStore
+from fernweir.seats.log import LogError, RecoveredLog, compact_log, recover_log
+from fernweir.seats.records import RecordError, SeatRecord, SeatTable, encode_table, rebuild_table
 
 _FOLDER = click.Path(path_type=Path, file_okay=False, exists=True)
 
 
-def _read(folder: Path) -> tuple[DiskFiles, Recovered, Table]:
-    files = DiskFiles(folder)
-    found = recover(files)
-    return files, found, fold_all(found.snapshot, found.records)
+def _read(folder: Path) -> tuple[DiskFileStore, RecoveredLog, SeatTable]:
+    files = DiskFileStore(folder)
+    found = recover_log(files)
+    return files, found, rebuild_table(found.snapshot, found.records)
+
+
+def _dumped_seat(record: SeatRecord) -> dict[str, object]:
+    """A seat as `dump` prints it; the keys and their order are a format."""
+    return {
+        "session": record.session_id,
+        "generation": record.generation,
+        "tenant": record.tenant,
+        "lesson": record.title,
+        "cls": record.class_name,
+        "person": record.subject,
+        "worth": record.priority_weight,
+        "lease": record.lease_id,
+        "fence": record.fence,
+        "until": record.expires_at_s,
+        "asked_at": record.requested_at_s,
+    }
 
 
 def _reporting(command: Callable[[Path], None]) -> Callable[[Path], None]:
@@ -47,11 +63,13 @@
 def verify(folder: Path) -> None:
     """Check every record. Exit code 2 if something is damaged; a torn tail is normal after a crash."""
     _, found, table = _read(folder)
-    held = sum(bool(seat.lease) for seat in table.values())
-    click.echo(f"{len(found.records)} records after the snapshot, newest {found.last}")
+    held = sum(bool(seat.lease_id) for seat in table.values())
+    click.echo(f"{len(found.records)} records after the snapshot, newest {found.last_sequence}")
     click.echo(f"{len(table)} seats, {held} held")
-    if found.torn_in:
-        click.echo(f"{found.torn_in}: a torn tail of {found.torn_bytes} bytes, cut off at the next start")
+    if found.torn_segment:
+        click.echo(
+            f"{found.torn_segment}: a torn tail of {found.torn_bytes} bytes, cut off at the next start"
+        )
 
 
 @ledger.command("dump")
@@ -60,7 +78,7 @@
 def dump(folder: Path) -> None:
     """Print each seat as a line of JSON."""
     for seat in _read(folder)[2].values():
-        click.echo(json.dumps(asdict(seat)))
+        click.echo(json.dumps(_dumped_seat(seat)))
 
 
 @ledger.command("compact")
@@ -69,5 +87,5 @@
 def compact_command(folder: Path) -> None:
     """Replace all records by one snapshot of what they come to."""
     files, found, table = _read(folder)
-    compact(files, encode_table(table), found.last)
+    compact_log(files, encode_table(table), found.last_sequence)
     click.echo(f"{len(found.records)} records became one snapshot of {len(table)} seats")
--- a/fernweir/entitlement/client.py
+++ b/fernweir/entitlement/client.py
@@ -14,10 +14,15 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
 from fernweir.http.client import Outcome, Pool, Reply
-from fernweir.seats.book import Op, Said, Send
-from fernweir.seats.book import Reply as Told
+from fernweir.seats.seat_manager import LeaseResponse, Operation, ResponseStatus, SendLeaseRequest
 
-_SAID = {403: Said.DENIED, 404: Said.GONE, 409: Said.FULL, 410: Said.GONE, 412: Said.FENCED}
+_SAID = {
+    403: ResponseStatus.DENIED,
+    404: ResponseStatus.LEASE_UNKNOWN,
+    409: ResponseStatus.NO_SEAT_FREE,
+    410: ResponseStatus.LEASE_UNKNOWN,
+    412: ResponseStatus.FENCED,
+}
 
 
 class LeaseAnswer(BaseModel):
@@ -30,24 +35,26 @@
     expires_in_ms: Annotated[float, Field(gt=0)]
 
 
-def read_reply(op: Op, reply: Reply) -> Told:
+def read_reply(op: Operation, reply: Reply) -> LeaseResponse:
     """What an HTTP reply says. Whatever does not prove an end is doubtful."""
     if reply.outcome.never_ran:
-        return Told(Said.NEVER)
+        return LeaseResponse(ResponseStatus.NOT_EXECUTED)
     if reply.outcome is not Outcome.ANSWERED:
-        return Told(Said.DOUBTFUL)
+        return LeaseResponse(ResponseStatus.INDETERMINATE)
     if reply.status in _SAID:
         wait = reply.headers.get("retry-after")
-        return Told(_SAID[reply.status], retry_after_ms=float(wait) * 1000.0 if wait.isdigit() else 0.0)
+        return LeaseResponse(
+            _SAID[reply.status], retry_after_ms=float(wait) * 1000.0 if wait.isdigit() else 0.0
+        )
     if not 200 <= reply.status < 300:
-        return Told(Said.DOUBTFUL)
-    if op is Op.RELEASE:
-        return Told(Said.DONE)
+        return LeaseResponse(ResponseStatus.INDETERMINATE)
+    if op is Operation.RELEASE:
+        return LeaseResponse(ResponseStatus.SUCCEEDED)
     try:
         lease = LeaseAnswer.model_validate_json(reply.body)
     except ValidationError:
-        return Told(Said.DOUBTFUL)
-    return Told(Said.DONE, lease.lease, lease.fence, lease.expires_in_ms)
+        return LeaseResponse(ResponseStatus.INDETERMINATE)
+    return LeaseResponse(ResponseStatus.SUCCEEDED, lease.lease, lease.fence, lease.expires_in_ms)
 
 
 class EntitlementClient:
@@ -59,9 +66,9 @@
         self._base = parts.path.rstrip("/")
         self._pool, self._name, self._token = pool, name, token
 
-    def send(self, command: Send, done: Callable[[Told], None]) -> None:
-        seat = command.seat
-        key = f"{self._name}.{command.key}"
+    def send(self, command: SendLeaseRequest, done: Callable[[LeaseResponse], None]) -> None:
+        seat = command.record
+        key = f"{self._name}.{command.idempotency_key}"
         headers = [
             ("authorization", f"Bearer {self._token()}"),
             ("idempotency-key", f'"{key}"'),
@@ -69,25 +76,25 @@
         ]
         body: dict[str, object] = {}
         method, target = "POST", f"{self._base}/leases"
-        if command.op is Op.ASK:
+        if command.operation is Operation.ACQUIRE:
             body = {
-                "session": seat.session,
+                "session": seat.session_id,
                 "tenant": seat.tenant,
-                "lesson": seat.lesson,
-                "class": seat.cls,
-                "person": seat.person,
-                "asked_at_ms": round(seat.asked_at * 1000.0),
+                "lesson": seat.title,
+                "class": seat.class_name,
+                "person": seat.subject,
+                "asked_at_ms": round(seat.requested_at_s * 1000.0),
             }
-        elif command.op is Op.RENEW:
-            target += f"/{quote(seat.lease, safe='')}/renew"
-            body = {"fence": seat.fence, "session": seat.session}
+        elif command.operation is Operation.RENEW:
+            target += f"/{quote(seat.lease_id, safe='')}/renew"
+            body = {"fence": seat.fence, "session": seat.session_id}
         else:
             method, target = "DELETE", f"{self._base}/keys/{quote(key, safe='')}"
         self._pool.request(
             self._origin,
             method,
             target,
-            lambda reply: done(read_reply(command.op, reply)),
+            lambda reply: done(read_reply(command.operation, reply)),
             headers=headers,
             body=json.dumps(body).encode() if body else b"",
             timeout_s=command.timeout_ms / 1000.0,
--- a/fernweir/front/entitlement_gate.py
+++ b/fernweir/front/entitlement_gate.py
@@ -8,9 +8,16 @@
 from fernweir.entitlement.client import EntitlementClient
 from fernweir.front.commands import CheckEntitlement, EntitlementReleased
 from fernweir.front.dispatcher import Dispatcher
-from fernweir.seats.book import Book, Reply, Revoke, Send, Verdict, Want
 from fernweir.seats.log import LogError, SeatLog
 from fernweir.seats.records import encode_table
+from fernweir.seats.seat_manager import (
+    AdmissionDecision,
+    LeaseResponse,
+    RevokeSession,
+    SeatManager,
+    SeatRequest,
+    SendLeaseRequest,
+)
 
 _MOVED_S = 2.0
 
@@ -19,7 +26,7 @@
     """`plays_unanswered` names the classes whose sessions play when the server says nothing."""
 
     def __init__(
-        self, core: Dispatcher, book: Book, log: SeatLog, client: EntitlementClient, sync_s: float
+        self, core: Dispatcher, book: SeatManager, log: SeatLog, client: EntitlementClient, sync_s: float
     ) -> None:
         self.core, self.book, self.log, self.client = core, book, log, client
         self._sync_s = sync_s
@@ -38,8 +45,10 @@
     def check(self, command: CheckEntitlement) -> None:
         ask, settings = command.request, self.core.sessions.settings
         kind = settings.classes[ask.class_index]
-        want = Want(ask.session_id, ask.tenant, ask.title_name, kind.name, ask.subject, kind.priority_weight)
-        self.book.want(self.core.now(), want, command.deadline)
+        want = SeatRequest(
+            ask.session_id, ask.tenant, ask.title_name, kind.name, ask.subject, kind.priority_weight
+        )
+        self.book.request_seat(self.core.now(), want, command.deadline)
         self.kick()
 
     def on_session_released(self, command: EntitlementReleased) -> None:
@@ -49,17 +58,17 @@
             self._moved.add(command.session_id)
             self.core.loop.call_later(_MOVED_S, self._moved_on, command.session_id)
             return
-        self.book.unwant(self.core.now(), command.session_id)
+        self.book.cancel_request(self.core.now(), command.session_id)
         self.kick()
 
     def _moved_on(self, jti: str) -> None:
         self._moved.discard(jti)
         if not self._stopped and self.core.sessions.session(jti) is None:
-            self.book.unwant(self.core.now(), jti)
+            self.book.cancel_request(self.core.now(), jti)
             self.kick()
 
     def is_entitled(self, jti: str) -> bool:
-        return self.book.covers(self.core.now(), jti)
+        return self.book.has_valid_lease(self.core.now(), jti)
 
     def kick(self) -> None:
         if not self._kicked and not self._stopped:
@@ -72,7 +81,7 @@
         What moved a moment ago is its heir's to ask for, and lapses if that never does.
         """
         for session in [one for one in self.book.seats if one not in self._moved]:
-            self.book.unwant(self.core.now(), session)
+            self.book.cancel_request(self.core.now(), session)
         self.kick()
         end = self.core.loop.time() + within_s
         while self.book.seats.keys() - self._moved and self.core.loop.time() < end:
@@ -90,31 +99,33 @@
         if self._stopped:
             return
         now, host = self.core.now(), self.core.sessions
-        for command in self.book.take(now):
-            if isinstance(command, Send):
+        for command in self.book.advance(now):
+            if isinstance(command, SendLeaseRequest):
                 self._send(command)
-            elif isinstance(command, Verdict):
-                seat = self.book.seats.get(command.session)
-                plays = command.granted or (command.granted is None and seat is not None and seat.wanted)
+            elif isinstance(command, AdmissionDecision):
+                seat = self.book.seats.get(command.session_id)
+                plays = command.is_granted or (
+                    command.is_granted is None and seat is not None and seat.is_wanted
+                )
                 host.on_entitlement_decided(
-                    now, command.session, bool(plays), command.why, command.retry_after_ms
+                    now, command.session_id, bool(plays), command.reason, command.retry_after_ms
                 )
-            elif isinstance(command, Revoke):
-                self.core.log.info("session revoked", session=command.session, why=command.why)
-                host.revoke_session(now, command.session, command.why)
-            elif command.lead_ms is not None and self.on_lead is not None:
+            elif isinstance(command, RevokeSession):
+                self.core.log.info("session revoked", session=command.session_id, why=command.reason)
+                host.revoke_session(now, command.session_id, command.reason)
+            elif command.remaining_ms is not None and self.on_lead is not None:
                 # Renewed: the viewer's next manifest carries a box token signed anew; see docs/seats.md.
-                self.on_lead(command.lead_ms)
+                self.on_lead(command.remaining_ms)
             self.core.schedule_step()
-        due = self.book.next_due(now)
+        due = self.book.next_deadline(now)
         if self._wake is not None:
             self._wake.cancel()
         if due is not None:
             self._wake = self.core.loop.call_at(max(due, now + 1.0) / 1000.0, self.kick)
 
-    def _send(self, command: Send) -> None:
-        def done(reply: Reply) -> None:
-            self.book.replied(self.core.now(), command.number, reply)
+    def _send(self, command: SendLeaseRequest) -> None:
+        def done(reply: LeaseResponse) -> None:
+            self.book.on_response(self.core.now(), command.request_id, reply)
             self.kick()
 
         self.client.send(command, done)
@@ -125,12 +136,12 @@
             return
         try:
             number = self.log.commit()
-            if self.log.wants_snapshot:
-                self.log.snapshot(encode_table(self.book.table()))
+            if self.log.is_snapshot_due:
+                self.log.write_snapshot(encode_table(self.book.records()))
         except LogError as error:
-            if self.book.writable:
+            if self.book.is_log_writable:
                 self.core.log.error("seats can't be written down", why=str(error))
-            self.book.unwritable(self.core.now())
+            self.book.on_log_failed(self.core.now())
         else:
-            self.book.durable(self.core.now(), number)
+            self.book.on_log_synced(self.core.now(), number)
         self.kick()
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -40,10 +40,10 @@
 from fernweir.http.server import Server, ServerLimits
 from fernweir.journal.disk import JournalFolder
 from fernweir.journal.store import Journal, JournalRules
-from fernweir.seats.book import Book, BookRules
-from fernweir.seats.files import DiskFiles, Files
+from fernweir.seats.file_store import DiskFileStore, FileStore
 from fernweir.seats.log import LogError, SeatLog
-from fernweir.seats.records import RecordError, fold_all
+from fernweir.seats.records import RecordError, rebuild_table
+from fernweir.seats.seat_manager import SeatManager, SeatManagerConfig
 from fernweir.tokens import Keyring, KeyringError
 
 if TYPE_CHECKING:  # loaded only where the settings ask for it
@@ -128,7 +128,7 @@
 
 
 async def start_front(
-    config: FrontConfig, *, wall_offset_s: float | None = None, files: Files | None = None,
+    config: FrontConfig, *, wall_offset_s: float | None = None, files: FileStore | None = None,
     nonce: Callable[[int], bytes] = os.urandom, peers_apart_s: float = 0.0,
 ) -> Front:  # fmt: skip
     """Listens and follows the list. ConfigError or OSError when it can't.
@@ -180,7 +180,7 @@
     core.server_transport = client
     gate = None
     if config.entitlement is not None:
-        files = files or DiskFiles(config.path(config.entitlement.ledger))
+        files = files or DiskFileStore(config.path(config.entitlement.ledger))
         gate = _make_gate(config, core, pool, token, offset, files)
     use = None
     if gate is not None and config.entitlement is not None:
@@ -389,7 +389,12 @@
 
 
 def _make_gate(
-    config: FrontConfig, core: Dispatcher, pool: Pool, token: Callable[[], str], offset_s: float, files: Files
+    config: FrontConfig,
+    core: Dispatcher,
+    pool: Pool,
+    token: Callable[[], str],
+    offset_s: float,
+    files: FileStore,
 ) -> Gate:
     """Opens the seat log and takes up what an earlier life left. ConfigError if the log is damaged."""
     section = config.entitlement
@@ -398,27 +403,29 @@
     log = SeatLog(files)
     try:
         found = log.open()
-        table = fold_all(found.snapshot, found.records)
+        table = rebuild_table(found.snapshot, found.records)
     except (LogError, RecordError, OSError) as error:
         raise ConfigError(str(folder), [Problem("entitlement", "ledger", 0, str(error))]) from None
     now = core.now()
     gates: list[Gate] = []
-    book = Book(
+    book = SeatManager(
         now,
         config.front.seed,
         lambda body: gates[0].append(body),
         lambda cls: cls in config.plays_unanswered,
-        rules=BookRules(
-            call_ms=section.call_time, ttl_most_ms=section.longest_lease, reclaim_ms=section.reclaim
+        config=SeatManagerConfig(
+            call_timeout_ms=section.call_time,
+            max_ttl_ms=section.longest_lease,
+            reclaim_after_ms=section.reclaim,
         ),
-        queue=QueueRules(at_once=section.at_once),
-        generation=found.last,
+        queue_config=QueueRules(at_once=section.at_once),
+        generation=found.last_sequence,
     )
-    book.wall_offset_s = offset_s
+    book.wall_clock_offset_s = offset_s
     client = EntitlementClient(pool, section.url, config.front.name, token)
     gate = Gate(core, book, log, client, section.sync / 1000.0)
     gates.append(gate)
-    book.recover(now, now / 1000.0 + offset_s, table)
+    book.recover_seats(now, now / 1000.0 + offset_s, table)
     core.entitlement_check = gate
     if found.torn_bytes or table:
         core.log.info("seat log recovered", seats=len(table), torn_bytes=found.torn_bytes)
--- a/fernweir/front/seat_reconciliation.py
+++ b/fernweir/front/seat_reconciliation.py
@@ -12,7 +12,7 @@
 
 from fernweir.front.entitlement_gate import Gate
 from fernweir.http.client import Outcome, Pool, Reply
-from fernweir.seats.reconcile import Findings, Listed, Reconciler, Report
+from fernweir.seats.reconciliation import ListedLease, Reconciler, ReconciliationResult, UsageReport
 
 _PAGES = 1_000
 
@@ -70,7 +70,7 @@
         self._pages: list[UsePage] = []
         self._timer: asyncio.TimerHandle | None = None
         self.reconciler = Reconciler(gate.book)
-        self.last = Findings()
+        self.last = ReconciliationResult()
         self.judged = 0
         self._plan()
 
@@ -85,7 +85,7 @@
 
     def _begin(self) -> None:
         self._pages = []
-        self.reconciler.asked(self._gate.core.now())
+        self.reconciler.on_report_requested(self._gate.core.now())
         self._ask("")
 
     def _ask(self, after: str) -> None:
@@ -117,24 +117,26 @@
 
     def _judge(self) -> None:
         core, first, last = self._gate.core, self._pages[0], self._pages[-1]
-        found = self.reconciler.judge(core.now(), self._report(first, last))
+        found = self.reconciler.on_report(core.now(), self._report(first, last))
         self.last, self.judged = found, self.judged + 1
         if found.contradiction:
             core.log.warning("use contradicts itself", why=found.contradiction)
-        if found.missing or found.strays:
-            core.log.info("use differs", asked_again=len(found.missing), given_back=len(found.strays))
+        if found.renewed_sessions or found.released_leases:
+            core.log.info(
+                "use differs", asked_again=len(found.renewed_sessions), given_back=len(found.released_leases)
+            )
         self._gate.kick()
 
-    def _report(self, first: UsePage, last: UsePage) -> Report:
+    def _report(self, first: UsePage, last: UsePage) -> UsageReport:
         listed = []
         for page in self._pages:
             for one in page.leases:
                 session, _, generation = one.key.removeprefix(self._prefix).rpartition(".")
                 if one.key.startswith(self._prefix) and session == one.session and generation.isdecimal():
-                    listed.append(Listed(one.lease, one.session, int(generation), one.fence))
+                    listed.append(ListedLease(one.lease, one.session, int(generation), one.fence))
         rows = sum(len(page.leases) for page in self._pages)
         # Between pages leases come and go: only a report that stood still can contradict itself by its total.
         total = first.total if first.fence == last.fence and first.total == last.total else rows
         listed_total = len(listed) if total == rows else total
         used = {(one.tenant, one.lesson, one.cls): one.used for one in last.places}
-        return Report(last.fence, listed_total, tuple(listed), used)
+        return UsageReport(last.fence, listed_total, tuple(listed), used)
--- a/fernweir/rehearsal/storm.py
+++ b/fernweir/rehearsal/storm.py
@@ -14,13 +14,31 @@
 from random import Random
 
 from fernweir.entitlement.policy import RetryRules
-from fernweir.seats.book import Book, BookRules, Op, Renewed, Reply, Revoke, Said, Send, Verdict, Want
-from fernweir.seats.log import LogRules, SeatLog
-from fernweir.seats.memory import MemoryFiles
-from fernweir.seats.records import encode_table, fold_all
+from fernweir.seats.log import LogConfig, SeatLog
+from fernweir.seats.memory_file_store import MemoryFileStore
+from fernweir.seats.records import encode_table, rebuild_table
+from fernweir.seats.seat_manager import (
+    AdmissionDecision,
+    LeaseRenewed,
+    LeaseResponse,
+    Operation,
+    ResponseStatus,
+    RevokeSession,
+    SeatManager,
+    SeatManagerConfig,
+    SeatRequest,
+    SendLeaseRequest,
+)
 from fernweir.standin.leases import DeskAnswer, LeaseDesk
 
-_SAID = {200: Said.DONE, 403: Said.DENIED, 404: Said.GONE, 409: Said.FULL, 410: Said.GONE, 412: Said.FENCED}
+_SAID = {
+    200: ResponseStatus.SUCCEEDED,
+    403: ResponseStatus.DENIED,
+    404: ResponseStatus.LEASE_UNKNOWN,
+    409: ResponseStatus.NO_SEAT_FREE,
+    410: ResponseStatus.LEASE_UNKNOWN,
+    412: ResponseStatus.FENCED,
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,30 +93,35 @@
     def __init__(self, storm: Storm, number: int) -> None:
         self.storm, self.name = storm, f"f{number}"
         self.number = number
-        self.files = MemoryFiles()
+        self.files = MemoryFileStore()
         self.lives = 0
         self.up = False
-        self.playing: dict[str, Want] = {}
-        self.owed: dict[str, Want] = {}
+        self.playing: dict[str, SeatRequest] = {}
+        self.owed: dict[str, SeatRequest] = {}
         self.start()
 
     def start(self) -> None:
         storm = self.storm
         self.lives += 1
         if storm.plan.broken == "ledger" and self.lives > 1:
-            self.files = MemoryFiles()
-        self.log = SeatLog(self.files, LogRules(segment_bytes=65_536, snapshot_records=2_000))
+            self.files = MemoryFileStore()
+        self.log = SeatLog(self.files, LogConfig(segment_bytes=65_536, records_per_snapshot=2_000))
         found = self.log.open()
-        table = fold_all(found.snapshot, found.records)
+        table = rebuild_table(found.snapshot, found.records)
         self.table = table
-        self.book = Book(
-            storm.now, storm.plan.seed * 100 + self.number * 10 + self.lives, self.append, lambda cls: False,
-            rules=BookRules(call_ms=800.0, ttl_most_ms=storm.plan.ttl_ms, reclaim_ms=3_000.0),
-            retry=RetryRules(free=200.0),
+        self.book = SeatManager(
+            storm.now,
+            storm.plan.seed * 100 + self.number * 10 + self.lives,
+            self.append,
+            lambda cls: False,
+            config=SeatManagerConfig(
+                call_timeout_ms=800.0, max_ttl_ms=storm.plan.ttl_ms, reclaim_after_ms=3_000.0
+            ),
+            retry_config=RetryRules(free=200.0),
             # Keys of a life that lost its log must not be those of the life before.
             generation=self.lives * 1_000_000,
-        )  # fmt: skip
-        self.book.recover(storm.now, storm.now / 1000.0, table)
+        )
+        self.book.recover_seats(storm.now, storm.now / 1000.0, table)
         self.up = True
         self.committing = False
         self.woken_at = float("inf")
@@ -114,28 +137,28 @@
             return
         self.committing = False
         number = self.log.commit()
-        self.book.durable(self.storm.now, number)
-        if self.log.wants_snapshot:
-            self.log.snapshot(encode_table(self.book.table()))
+        self.book.on_log_synced(self.storm.now, number)
+        if self.log.is_snapshot_due:
+            self.log.write_snapshot(encode_table(self.book.records()))
         self.run()
 
     def run(self) -> None:
         storm = self.storm
         if not self.up:
             return
-        for command in self.book.take(storm.now):
-            if isinstance(command, Send):
+        for command in self.book.advance(storm.now):
+            if isinstance(command, SendLeaseRequest):
                 storm.send(self, command)
-            elif isinstance(command, Verdict):
+            elif isinstance(command, AdmissionDecision):
                 self._verdict(command)
-            elif isinstance(command, Revoke):
-                storm.result.revoked[command.why] += 1
-                storm.stop(self, command.session)
-            elif isinstance(command, Renewed):
+            elif isinstance(command, RevokeSession):
+                storm.result.revoked[command.reason] += 1
+                storm.stop(self, command.session_id)
+            elif isinstance(command, LeaseRenewed):
                 storm.result.renewed += 1
-                if command.lead_ms is not None:
-                    storm.result.leads_ms.append(command.lead_ms)
-        due = self.book.next_due(storm.now)
+                if command.remaining_ms is not None:
+                    storm.result.leads_ms.append(command.remaining_ms)
+        due = self.book.next_deadline(storm.now)
         if due is not None and due < self.woken_at:
             self.woken_at = max(due, storm.now + 1.0)
             storm.at(self.woken_at, self._wake, self.lives, self.woken_at)
@@ -145,15 +168,15 @@
             self.woken_at = float("inf")
             self.run()
 
-    def _verdict(self, verdict: Verdict) -> None:
+    def _verdict(self, verdict: AdmissionDecision) -> None:
         storm = self.storm
-        want = self.owed.pop(verdict.session, None)
+        want = self.owed.pop(verdict.session_id, None)
         if want is None:
             return
-        if verdict.granted:
+        if verdict.is_granted:
             storm.result.granted += 1
             storm.begin(self, want)
-        elif verdict.granted is None:
+        elif verdict.is_granted is None:
             storm.result.unanswered += 1
         else:
             storm.result.refused += 1
@@ -203,7 +226,7 @@
             arrive += dice.expovariate(plan.rate) * 1000.0
             lesson = f"l{min(int(dice.paretovariate(0.8)), plan.lessons)}"
             worth = dice.choice((1.0, 3.0))
-            want = Want(
+            want = SeatRequest(
                 f"s{number}", f"t{number % 3}", lesson, "briefing" if worth > 1 else "training", "p", worth
             )
             self.at(arrive, self.arrive, want)
@@ -222,34 +245,34 @@
         self._judge()
         return self.result
 
-    def arrive(self, want: Want) -> None:
+    def arrive(self, want: SeatRequest) -> None:
         front = self.dice.choice(self.fronts)
-        if not front.up or want.session in front.playing or want.session in front.owed:
+        if not front.up or want.session_id in front.playing or want.session_id in front.owed:
             return
         self.result.asked += 1
-        front.owed[want.session] = want
-        front.book.want(self.now, want, self.now + 2_500.0)
+        front.owed[want.session_id] = want
+        front.book.request_seat(self.now, want, self.now + 2_500.0)
         if self.dice.random() < 0.05:  # its set-up is repeated at once
-            front.book.want(self.now, want, self.now + 2_500.0)
+            front.book.request_seat(self.now, want, self.now + 2_500.0)
         front.run()
 
-    def begin(self, front: _Front, want: Want) -> None:
-        front.playing[want.session] = want
-        place = (want.tenant, want.lesson, want.cls)
+    def begin(self, front: _Front, want: SeatRequest) -> None:
+        front.playing[want.session_id] = want
+        place = (want.tenant, want.title, want.class_name)
         self._playing[place] += 1
         over = self._playing[place] - self.plan.seats
         self.result.most_playing_over = max(self.result.most_playing_over, over)
-        self.later(self.dice.uniform(*self.plan.play_ms), self._finish, front, front.lives, want.session)
+        self.later(self.dice.uniform(*self.plan.play_ms), self._finish, front, front.lives, want.session_id)
 
     def stop(self, front: _Front, session: str) -> None:
         want = front.playing.pop(session, None)
         if want is not None:
-            self._playing[want.tenant, want.lesson, want.cls] -= 1
+            self._playing[want.tenant, want.title, want.class_name] -= 1
 
     def _finish(self, front: _Front, life: int, session: str) -> None:
         if front.up and front.lives == life and session in front.playing:
             self.stop(front, session)
-            front.book.unwant(self.now, session)
+            front.book.cancel_request(self.now, session)
             front.run()
 
     def _kill(self) -> None:
@@ -259,45 +282,49 @@
 
     # --- the network and the server ---
 
-    def send(self, front: _Front, send: Send) -> None:
+    def send(self, front: _Front, send: SendLeaseRequest) -> None:
         dice, plan = self.dice, self.plan
         life = front.lives
         if dice.random() < 0.005:
-            self.later(1.0, self._answer, front, life, send.number, Reply(Said.NEVER))
+            self.later(
+                1.0, self._answer, front, life, send.request_id, LeaseResponse(ResponseStatus.NOT_EXECUTED)
+            )
             return
         over = self.now + send.timeout_ms
-        self.at(over, self._answer, front, life, send.number, Reply(Said.DOUBTFUL))
+        self.at(over, self._answer, front, life, send.request_id, LeaseResponse(ResponseStatus.INDETERMINATE))
         if dice.random() < plan.lost_request:
             return
         slow = dice.random() < 0.02
         delay = dice.uniform(1.0, 10.0) * plan.slow * (150.0 if slow else 1.0)
         self.later(delay, self._serve, front, life, send, over)
 
-    def _serve(self, front: _Front, life: int, send: Send, over: float) -> None:
+    def _serve(self, front: _Front, life: int, send: SendLeaseRequest, over: float) -> None:
         plan = self.plan
         if plan.away is not None and plan.away[0] <= self.now < plan.away[1]:
             return
-        seat = send.seat
-        key = f"{front.name}.{send.key}"
-        if plan.broken == "key" and send.op is Op.ASK:
+        seat = send.record
+        key = f"{front.name}.{send.idempotency_key}"
+        if plan.broken == "key" and send.operation is Operation.ACQUIRE:
             self._keys += 1
             key = f"{key}.{self._keys}"
-        place = (seat.tenant, seat.lesson, seat.cls)
-        if send.op is Op.ASK:
-            answer = self.desk.ask(self.now, key, front.name, seat.session, seat.person, place, seat.asked_at)
-        elif send.op is Op.RENEW:
-            answer = self.desk.renew(self.now, seat.lease, seat.fence, seat.session)
+        place = (seat.tenant, seat.title, seat.class_name)
+        if send.operation is Operation.ACQUIRE:
+            answer = self.desk.ask(
+                self.now, key, front.name, seat.session_id, seat.subject, place, seat.requested_at_s
+            )
+        elif send.operation is Operation.RENEW:
+            answer = self.desk.renew(self.now, seat.lease_id, seat.fence, seat.session_id)
         else:
             answer = self.desk.release(self.now, key)
         if self.dice.random() < plan.lost_answer:
             return
         back = self.now + self.dice.uniform(1.0, 10.0) * plan.slow
         if back < over:
-            self.at(back, self._answer, front, life, send.number, _reply(answer))
+            self.at(back, self._answer, front, life, send.request_id, _reply(answer))
 
-    def _answer(self, front: _Front, life: int, number: int, reply: Reply) -> None:
+    def _answer(self, front: _Front, life: int, number: int, reply: LeaseResponse) -> None:
         if front.up and front.lives == life:
-            front.book.replied(self.now, number, reply)
+            front.book.on_response(self.now, number, reply)
             front.run()
 
     def _judge(self) -> None:
@@ -307,9 +334,11 @@
         result.left_held = len(self.desk.leases) + sum(len(front.book.seats) for front in self.fronts)
         result.most_over = self.desk.report.most_over
         result.most_by_session = self.desk.report.most_by_session
-        result.repeats = sum(front.book.counts.repeats for front in self.fronts)
+        result.repeats = sum(front.book.metrics.retries for front in self.fronts)
         result.unanswered_wants = sum(len(front.owed) for front in self.fronts)
 
 
-def _reply(answer: DeskAnswer) -> Reply:
-    return Reply(_SAID[answer.status], answer.lease, answer.fence, answer.ttl_ms, answer.retry_after_ms)
+def _reply(answer: DeskAnswer) -> LeaseResponse:
+    return LeaseResponse(
+        _SAID[answer.status], answer.lease, answer.fence, answer.ttl_ms, answer.retry_after_ms
+    )
--- a/fernweir/rehearsal/virtual.py
+++ b/fernweir/rehearsal/virtual.py
@@ -21,7 +21,7 @@
 from fernweir.rehearsal.faults import Fault, Kind, draw
 from fernweir.rehearsal.loop import NODE, LinkFault, VirtualLoop
 from fernweir.rehearsal.site import RehearsalSite, SitePlan
-from fernweir.seats.memory import MemoryFiles
+from fernweir.seats.memory_file_store import MemoryFileStore
 from fernweir.standin.box import Behaviour
 from fernweir.standin.entitlement import EntitlementServer
 from fernweir.standin.leases import LeaseDesk
@@ -82,7 +82,7 @@
         self.faults = drawn if plan.faults is None else list(plan.faults)
         self.result = VirtualResult(plan.seed, self.faults)
         self.fronts: dict[int, Front] = {}
-        self.disks = {number: MemoryFiles() for number in range(1, plan.fronts + 1)}
+        self.disks = {number: MemoryFileStore() for number in range(1, plan.fronts + 1)}
         self.lives = dict.fromkeys(self.disks, 0)
         self.ports: dict[int, int] = {}
         self._tasks: list[asyncio.Task[Any]] = []
--- a/fernweir/seats/files.py
+++ b/fernweir/seats/file_store.py
@@ -11,10 +11,10 @@
 from typing import Protocol
 
 
-class Files(Protocol):
+class FileStore(Protocol):
     """A folder of files by name. Any method may raise OSError."""
 
-    def names(self) -> list[str]: ...
+    def list_names(self) -> list[str]: ...
     def read(self, name: str) -> bytes: ...
     def append(self, name: str, data: bytes) -> None:
         """Adds to a file, made if need be; not durable before `sync`."""
@@ -28,24 +28,24 @@
         """Cuts a file's end off, durably."""
 
 
-class DiskFiles:
+class DiskFileStore:
     """Files in a folder of the file system."""
 
-    def __init__(self, folder: Path) -> None:
-        self.folder = folder
-        folder.mkdir(parents=True, exist_ok=True)
+    def __init__(self, directory: Path) -> None:
+        self.directory = directory
+        directory.mkdir(parents=True, exist_ok=True)
         self._open: dict[str, int] = {}
 
-    def names(self) -> list[str]:
-        return sorted(path.name for path in self.folder.iterdir() if path.is_file())
+    def list_names(self) -> list[str]:
+        return sorted(path.name for path in self.directory.iterdir() if path.is_file())
 
     def read(self, name: str) -> bytes:
-        return (self.folder / name).read_bytes()
+        return (self.directory / name).read_bytes()
 
     def append(self, name: str, data: bytes) -> None:
         handle = self._open.get(name)
         if handle is None:
-            path = self.folder / name
+            path = self.directory / name
             made = not path.exists()
             handle = self._open[name] = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
             if made:
@@ -61,7 +61,7 @@
 
     def replace(self, name: str, data: bytes) -> None:
         self._close(name)
-        beside = self.folder / f"{name}.new"
+        beside = self.directory / f"{name}.new"
         handle = os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
         try:
             view = memoryview(data)
@@ -70,17 +70,17 @@
             os.fsync(handle)
         finally:
             os.close(handle)
-        os.replace(beside, self.folder / name)
+        os.replace(beside, self.directory / name)
         self._sync_folder()
 
     def remove(self, name: str) -> None:
         self._close(name)
-        (self.folder / name).unlink(missing_ok=True)
+        (self.directory / name).unlink(missing_ok=True)
         self._sync_folder()
 
     def truncate(self, name: str, size: int) -> None:
         self._close(name)
-        handle = os.open(self.folder / name, os.O_WRONLY)
+        handle = os.open(self.directory / name, os.O_WRONLY)
         try:
             os.ftruncate(handle, size)
             os.fsync(handle)
@@ -97,7 +97,7 @@
             os.close(handle)
 
     def _sync_folder(self) -> None:
-        handle = os.open(self.folder, os.O_RDONLY)
+        handle = os.open(self.directory, os.O_RDONLY)
         try:
             os.fsync(handle)
         finally:
--- a/fernweir/seats/log.py
+++ b/fernweir/seats/log.py
@@ -20,7 +20,7 @@
 
 import google_crc32c
 
-from fernweir.seats.files import Files
+from fernweir.seats.file_store import FileStore
 
 FORMAT = 1
 _MAGIC = b"FWSEAT"
@@ -37,7 +37,7 @@
     """The log can't be read or written."""
 
 
-class DamageError(LogError):
+class LogCorruptedError(LogError):
     """Something other than a torn tail is wrong: recovery would lose what was promised."""
 
 
@@ -50,43 +50,43 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Recovered:
+class RecoveredLog:
     """What was there: a snapshot's bytes or None, the records after it, and what was cut off."""
 
     snapshot: bytes | None
     records: list[tuple[int, bytes]]
-    last: int
+    last_sequence: int
     torn_bytes: int
-    torn_in: str = ""
+    torn_segment: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class LogRules:
+class LogConfig:
     segment_bytes: int = 4_194_304
-    snapshot_records: int = 100_000
+    records_per_snapshot: int = 100_000
 
 
 class SeatLog:
     """Appends records and recovers them. One writer a folder."""
 
-    def __init__(self, files: Files, rules: LogRules | None = None) -> None:
+    def __init__(self, files: FileStore, rules: LogConfig | None = None) -> None:
         self._files = files
-        self._rules = rules or LogRules()
+        self._rules = rules or LogConfig()
         self._pending: list[bytes] = []
         self._segment = ""
         self._segment_size = 0
-        self.last = 0  # number of the newest record, durable or not
-        self.durable = 0
-        self.since_snapshot = 0
-        self.broken: LogError | None = None
+        self.last_sequence = 0  # number of the newest record, durable or not
+        self.durable_sequence = 0
+        self.records_since_snapshot = 0
+        self.failure: LogError | None = None
 
-    def open(self) -> Recovered:
+    def open(self) -> RecoveredLog:
         """Recovers what is there, cuts a torn tail off, and readies for appending."""
-        found = recover(self._files)
-        if found.torn_in:
-            self._files.truncate(found.torn_in, _whole_size(self._files.read(found.torn_in)))
-        self.last = self.durable = found.last
-        self.since_snapshot = len(found.records)
+        found = recover_log(self._files)
+        if found.torn_segment:
+            self._files.truncate(found.torn_segment, _whole_size(self._files.read(found.torn_segment)))
+        self.last_sequence = self.durable_sequence = found.last_sequence
+        self.records_since_snapshot = len(found.records)
         segments = _segments(self._files)
         if segments and _whole_size(self._files.read(segments[-1][1])) == 0:
             self._files.remove(segments.pop()[1])  # a crash between making a segment and its header
@@ -99,12 +99,12 @@
         """Gathers a record; its number. Durable once `durable` has reached it."""
         if len(body) > _MOST:
             raise LogError(f"record of {len(body)} bytes")
-        self.last += 1
-        self._pending.append(encode_frame(self.last, self.durable, body))
-        return self.last
+        self.last_sequence += 1
+        self._pending.append(encode_frame(self.last_sequence, self.durable_sequence, body))
+        return self.last_sequence
 
     @property
-    def pending(self) -> int:
+    def pending_count(self) -> int:
         return len(self._pending)
 
     def commit(self) -> int:
@@ -113,42 +113,44 @@
         LogError when the disk refuses. The log is `broken` then: what a failed write left is unknown, so
         nothing more is appended until it is opened anew.
         """
-        if self.broken is not None:
-            raise self.broken
+        if self.failure is not None:
+            raise self.failure
         if not self._pending:
-            return self.durable
+            return self.durable_sequence
         try:
             if not self._segment or self._segment_size >= self._rules.segment_bytes:
-                self._begin_segment(self.last - len(self._pending) + 1)
+                self._begin_segment(self.last_sequence - len(self._pending) + 1)
             data = b"".join(self._pending)
             self._files.append(self._segment, data)
             self._files.sync(self._segment)
         except OSError as error:
-            self.broken = LogError(f"{self._segment}: {error.strerror or error}")
-            raise self.broken from error
+            self.failure = LogError(f"{self._segment}: {error.strerror or error}")
+            raise self.failure from error
         self._segment_size += len(data)
-        self.since_snapshot += len(self._pending)
+        self.records_since_snapshot += len(self._pending)
         self._pending = []
-        self.durable = self.last
-        return self.durable
+        self.durable_sequence = self.last_sequence
+        return self.durable_sequence
 
     @property
-    def wants_snapshot(self) -> bool:
-        return self.since_snapshot >= self._rules.snapshot_records
+    def is_snapshot_due(self) -> bool:
+        return self.records_since_snapshot >= self._rules.records_per_snapshot
 
-    def snapshot(self, state: bytes) -> None:
+    def write_snapshot(self, state: bytes) -> None:
         """Keeps the state as of the newest record, which must be durable, and drops what it covers."""
         if self._pending:
             raise LogError("records wait to be committed")
-        head = _SNAPSHOT.pack(_MAGIC, FORMAT, self.last, len(state), _crc(self.last, 0, state))
+        head = _SNAPSHOT.pack(
+            _MAGIC, FORMAT, self.last_sequence, len(state), _crc(self.last_sequence, 0, state)
+        )
         try:
-            self._files.replace(f"seats-{self.last:020d}.snap", head + state)
+            self._files.replace(f"seats-{self.last_sequence:020d}.snap", head + state)
             self._segment = ""  # the next record begins a segment of its own
-            self.since_snapshot = 0
-            _drop_covered(self._files, self.last)
+            self.records_since_snapshot = 0
+            _drop_covered(self._files, self.last_sequence)
         except OSError as error:
-            self.broken = LogError(f"snapshot: {error.strerror or error}")
-            raise self.broken from error
+            self.failure = LogError(f"snapshot: {error.strerror or error}")
+            raise self.failure from error
 
     def _begin_segment(self, first: int) -> None:
         name = f"seats-{first:020d}.log"
@@ -158,7 +160,7 @@
         self._segment, self._segment_size = name, _HEADER.size
 
 
-def recover(files: Files) -> Recovered:
+def recover_log(files: FileStore) -> RecoveredLog:
     """Reads everything without changing anything. DamageError names what is wrong and where."""
     snapshot, covered = _newest_snapshot(files)
     records: list[tuple[int, bytes]] = []
@@ -167,36 +169,36 @@
     for index, (first, name) in enumerate(segments):
         data = files.read(name)
         if first > last + 1:
-            raise DamageError(f"{name}: records {last + 1} to {first - 1} are missing before it")
+            raise LogCorruptedError(f"{name}: records {last + 1} to {first - 1} are missing before it")
         final = index == len(segments) - 1
         if len(data) < _HEADER.size or (len(data) == _HEADER.size and not data.startswith(_MAGIC)):
             if not final:
-                raise DamageError(f"{name}: no header, though segments follow")
+                raise LogCorruptedError(f"{name}: no header, though segments follow")
             torn, torn_in = len(data), name
             break
         magic, version, begins = _HEADER.unpack_from(data)
         if magic != _MAGIC or begins != first:
-            raise DamageError(f"{name}: not a seat log")
+            raise LogCorruptedError(f"{name}: not a seat log")
         if version != FORMAT:
-            raise DamageError(f"{name}: format {version}, this program reads {FORMAT}")
+            raise LogCorruptedError(f"{name}: format {version}, this program reads {FORMAT}")
         expected, whole = first, _HEADER.size
         for number, body, end in _frames(data):
             if number != expected:
-                raise DamageError(f"{name}: record {expected} expected at byte {whole}, found {number}")
+                raise LogCorruptedError(f"{name}: record {expected} expected at byte {whole}, found {number}")
             if number > last:
                 records.append((number, body))
                 last = number
             expected, whole = number + 1, end
         if whole < len(data):
             if not final or _was_durable(data, whole + 1, expected):
-                raise DamageError(
+                raise LogCorruptedError(
                     f"{name}: record {expected} damaged at byte {whole}, with good ones behind it"
                 )
             torn, torn_in = len(data) - whole, name
-    return Recovered(snapshot, records, last, torn, torn_in)
+    return RecoveredLog(snapshot, records, last, torn, torn_in)
 
 
-def compact(files: Files, state: bytes, last: int) -> None:
+def compact_log(files: FileStore, state: bytes, last: int) -> None:
     """Replaces everything up to record `last` by one snapshot of the state; offline."""
     head = _SNAPSHOT.pack(_MAGIC, FORMAT, last, len(state), _crc(last, 0, state))
     files.replace(f"seats-{last:020d}.snap", head + state)
@@ -249,36 +251,38 @@
     return size
 
 
-def _segments(files: Files) -> list[tuple[int, str]]:
-    return sorted((int(match[1]), name) for name in files.names() if (match := _SEGMENT_NAME.fullmatch(name)))
+def _segments(files: FileStore) -> list[tuple[int, str]]:
+    return sorted(
+        (int(match[1]), name) for name in files.list_names() if (match := _SEGMENT_NAME.fullmatch(name))
+    )
 
 
-def _snapshots(files: Files) -> list[tuple[int, str]]:
+def _snapshots(files: FileStore) -> list[tuple[int, str]]:
     return sorted(
-        (int(match[1]), name) for name in files.names() if (match := _SNAPSHOT_NAME.fullmatch(name))
+        (int(match[1]), name) for name in files.list_names() if (match := _SNAPSHOT_NAME.fullmatch(name))
     )
 
 
-def _newest_snapshot(files: Files) -> tuple[bytes | None, int]:
+def _newest_snapshot(files: FileStore) -> tuple[bytes | None, int]:
     found = _snapshots(files)
     if not found:
         return None, 0
     last, name = found[-1]
     data = files.read(name)
     if len(data) < _SNAPSHOT.size:
-        raise DamageError(f"{name}: cut off, though snapshots are written whole")
+        raise LogCorruptedError(f"{name}: cut off, though snapshots are written whole")
     magic, version, number, length, crc = _SNAPSHOT.unpack_from(data)
     state = data[_SNAPSHOT.size :]
     if magic != _MAGIC or number != last:
-        raise DamageError(f"{name}: not a snapshot of record {last}")
+        raise LogCorruptedError(f"{name}: not a snapshot of record {last}")
     if version != FORMAT:
-        raise DamageError(f"{name}: format {version}, this program reads {FORMAT}")
+        raise LogCorruptedError(f"{name}: format {version}, this program reads {FORMAT}")
     if length != len(state) or _crc(number, 0, state) != crc:
-        raise DamageError(f"{name}: checksum does not match")
+        raise LogCorruptedError(f"{name}: checksum does not match")
     return state, last
 
 
-def _drop_covered(files: Files, last: int) -> None:
+def _drop_covered(files: FileStore, last: int) -> None:
     """Removes older snapshots and every segment whose records a snapshot of `last` holds."""
     for number, name in _snapshots(files):
         if number < last:
--- a/fernweir/seats/records.py
+++ b/fernweir/seats/records.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class Kept:
+class SeatRecord:
     """One seat as the log knows it: asked for under a key, perhaps held under a lease.
 
     Treated as a value, never changed; not frozen, as making frozen ones slows recovery. `until` is wall
@@ -26,51 +26,60 @@
     has it.
     """
 
-    session: str
+    session_id: str
     generation: int
     tenant: str
-    lesson: str
-    cls: str
-    person: str
-    worth: float
-    lease: str = ""
+    title: str
+    class_name: str
+    subject: str
+    priority_weight: float
+    lease_id: str = ""
     fence: int = 0
-    until: float = 0.0
-    asked_at: float = 0.0
+    expires_at_s: float = 0.0
+    requested_at_s: float = 0.0
 
 
-Table = dict[str, Kept]
+SeatTable = dict[str, SeatRecord]
 _BATCH = 4_096
 _LEASE = 7  # where a row's lease, fence and time begin
 
 
-def asked(seat: Kept) -> bytes:
+def encode_requested(seat: SeatRecord) -> bytes:
     return _encode(["ask", *_row(seat)])
 
 
-def held(session: str, lease: str, fence: int, until: float) -> bytes:
+def encode_granted(session: str, lease: str, fence: int, until: float) -> bytes:
     return _encode(["held", session, lease, fence, until])
 
 
-def gone(session: str) -> bytes:
+def encode_removed(session: str) -> bytes:
     return _encode(["gone", session])
 
 
-def fold(table: Table, body: bytes) -> None:
+def apply_record(table: SeatTable, body: bytes) -> None:
     """Applies one record to the table."""
     try:
         record = json.loads(body)
         kind = record[0]
         if kind == "ask":
-            table[record[1]] = Kept(*record[1:])
+            table[record[1]] = SeatRecord(*record[1:])
         elif kind == "held":
             _, session, lease, fence, until = record
             old = table.get(session)
             if old is not None:
-                table[session] = Kept(
-                    session, old.generation, old.tenant, old.lesson, old.cls, old.person, old.worth,
-                    lease, fence, until, old.asked_at,
-                )  # fmt: skip
+                table[session] = SeatRecord(
+                    session,
+                    old.generation,
+                    old.tenant,
+                    old.title,
+                    old.class_name,
+                    old.subject,
+                    old.priority_weight,
+                    lease,
+                    fence,
+                    until,
+                    old.requested_at_s,
+                )
         elif kind == "gone":
             table.pop(record[1], None)
         else:
@@ -79,27 +88,27 @@
         raise RecordError(f"record {body[:40]!r}: {error}") from None
 
 
-def encode_table(table: Table) -> bytes:
+def encode_table(table: SeatTable) -> bytes:
     return _encode([_row(seat) for seat in table.values()])
 
 
-def decode_table(body: bytes | None) -> Table:
+def decode_table(body: bytes | None) -> SeatTable:
     if body is None:
         return {}
     try:
-        return {row[0]: Kept(*row) for row in json.loads(body)}
+        return {row[0]: SeatRecord(*row) for row in json.loads(body)}
     except (ValueError, TypeError, LookupError) as error:
         raise RecordError(f"snapshot: {error}") from None
 
 
-def fold_all(snapshot: bytes | None, records: Sequence[tuple[int, bytes]]) -> Table:
+def rebuild_table(snapshot: bytes | None, records: Sequence[tuple[int, bytes]]) -> SeatTable:
     """The table that a recovered log stands for; as `fold` over all, a third of its time.
 
     Records are decoded many at once and folded as rows; a batch that doesn't decode into as many arrays as
     it had records is folded one by one, so that the error names the record.
     """
     with _collector_paused():
-        rows: dict[str, list[Any]] = {seat.session: _row(seat) for seat in decode_table(snapshot).values()}
+        rows: dict[str, list[Any]] = {seat.session_id: _row(seat) for seat in decode_table(snapshot).values()}
         for first in range(0, len(records), _BATCH):
             bodies = [body for _, body in records[first : first + _BATCH]]
             try:
@@ -107,15 +116,15 @@
             except (ValueError, TypeError, LookupError):
                 return _fold_slowly(snapshot, records)
         try:
-            return {session: Kept(*row) for session, row in rows.items()}
+            return {session: SeatRecord(*row) for session, row in rows.items()}
         except TypeError:
             return _fold_slowly(snapshot, records)
 
 
-def _fold_slowly(snapshot: bytes | None, records: Iterable[tuple[int, bytes]]) -> Table:
+def _fold_slowly(snapshot: bytes | None, records: Iterable[tuple[int, bytes]]) -> SeatTable:
     table = decode_table(snapshot)
     for _, body in records:
-        fold(table, body)
+        apply_record(table, body)
     return table
 
 
@@ -151,11 +160,20 @@
             gc.enable()
 
 
-def _row(seat: Kept) -> list[Any]:
+def _row(seat: SeatRecord) -> list[Any]:
     return [
-        seat.session, seat.generation, seat.tenant, seat.lesson, seat.cls, seat.person, seat.worth,
-        seat.lease, seat.fence, seat.until, seat.asked_at,
-    ]  # fmt: skip
+        seat.session_id,
+        seat.generation,
+        seat.tenant,
+        seat.title,
+        seat.class_name,
+        seat.subject,
+        seat.priority_weight,
+        seat.lease_id,
+        seat.fence,
+        seat.expires_at_s,
+        seat.requested_at_s,
+    ]
 
 
 def _encode(document: list[Any]) -> bytes:
--- a/fernweir/seats/wheel.py
+++ b/fernweir/seats/timing_wheel.py
@@ -24,12 +24,12 @@
 class Timer(Generic[T]):
     """A handle. `item` is None once it fired or was cancelled."""
 
-    due: float
-    number: int
+    deadline: float
+    sequence: int
     item: T | None
 
 
-class Wheel(Generic[T]):
+class TimingWheel(Generic[T]):
     """`tick` is the resolution, in the unit of all times. Timers never fire early."""
 
     def __init__(self, now: float, tick: float = 1.0) -> None:
@@ -44,7 +44,7 @@
     def __len__(self) -> int:
         return self._live
 
-    def set(self, due: float, item: T) -> Timer[T]:
+    def schedule(self, due: float, item: T) -> Timer[T]:
         """A timer for `due`; one in the past fires at the next advance."""
         self._numbers += 1
         timer = Timer(due, self._numbers, item)
@@ -60,7 +60,7 @@
         self._live -= 1
         return True
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         """No timer falls due before this time, though one cancelled may stand there; None if none is set."""
         if not self._live:
             return None
@@ -94,7 +94,7 @@
             if self._at >= until:
                 break
             self._step(until)
-        due.sort(key=lambda timer: (timer.due, timer.number))
+        due.sort(key=lambda timer: (timer.deadline, timer.sequence))
         items = []
         for timer in due:
             if timer.item is not None:
@@ -104,7 +104,7 @@
         return items
 
     def _put(self, timer: Timer[T]) -> None:
-        ticks = max(int(timer.due / self._tick), self._at)
+        ticks = max(int(timer.deadline / self._tick), self._at)
         ahead = ticks - self._at
         for level in range(_LEVELS):
             if ahead < 1 << (_BITS * (level + 1)):
@@ -119,8 +119,8 @@
         slot = self._levels[0][self._at & _MASK]
         if not slot:
             return
-        later = [timer for timer in slot if timer.item is not None and timer.due > now]
-        due += [timer for timer in slot if timer.item is not None and timer.due <= now]
+        later = [timer for timer in slot if timer.item is not None and timer.deadline > now]
+        due += [timer for timer in slot if timer.item is not None and timer.deadline <= now]
         slot[:] = later
         if not later:
             self._bits[0] &= ~(1 << (self._at & _MASK))
--- a/tests/fuzzing/seats.py
+++ b/tests/fuzzing/seats.py
@@ -13,8 +13,20 @@
 from dataclasses import dataclass
 from random import Random
 
-from fernweir.seats.book import Book, BookRules, Op, Renewed, Reply, Revoke, Said, Send, State, Verdict, Want
-from fernweir.seats.records import Table, fold, fold_all
+from fernweir.seats.records import SeatTable, apply_record, rebuild_table
+from fernweir.seats.seat_manager import (
+    AdmissionDecision,
+    LeaseRenewed,
+    LeaseResponse,
+    Operation,
+    ResponseStatus,
+    RevokeSession,
+    SeatManager,
+    SeatManagerConfig,
+    SeatRequest,
+    SeatState,
+    SendLeaseRequest,
+)
 from tests.fuzzing import Finding, Tape, Target, same
 
 TTL_MS = 10_000.0
@@ -23,8 +35,8 @@
 STRAY = 1_000_000  # generations of leases that the book knows nothing of
 
 
-def _slot(send: Send) -> tuple[str, int]:
-    return send.seat.session, send.seat.generation if send.seat.generation >= STRAY else 0
+def _slot(send: SendLeaseRequest) -> tuple[str, int]:
+    return send.record.session_id, send.record.generation if send.record.generation >= STRAY else 0
 
 
 @dataclass(slots=True)
@@ -46,26 +58,26 @@
         self.leases = {one: lease for one, lease in self.leases.items() if lease.until > now}
         return self.leases
 
-    def answer(self, now: float, send: Send) -> Reply:
-        session, held = send.seat.session, self.held(now)
+    def answer(self, now: float, send: SendLeaseRequest) -> LeaseResponse:
+        session, held = send.record.session_id, self.held(now)
         lease = held.get(session)
-        if send.op is Op.RELEASE:
-            if lease is not None and lease.key == send.key:
+        if send.operation is Operation.RELEASE:
+            if lease is not None and lease.key == send.idempotency_key:
                 del held[session]
-            return Reply(Said.DONE)
-        if send.op is Op.RENEW:
-            if lease is None or lease.name != send.seat.lease:
-                return Reply(Said.GONE)
+            return LeaseResponse(ResponseStatus.SUCCEEDED)
+        if send.operation is Operation.RENEW:
+            if lease is None or lease.name != send.record.lease_id:
+                return LeaseResponse(ResponseStatus.LEASE_UNKNOWN)
             self.fence += 1
             lease.fence = self.fence
-        elif lease is None or lease.key != send.key:
+        elif lease is None or lease.key != send.idempotency_key:
             if lease is None and len(held) >= self.seats:
-                return Reply(Said.FULL, retry_after_ms=500.0)
+                return LeaseResponse(ResponseStatus.NO_SEAT_FREE, retry_after_ms=500.0)
             self.fence += 1
-            lease = held[session] = Lease(send.key, f"L{self.fence}", self.fence, now)
+            lease = held[session] = Lease(send.idempotency_key, f"L{self.fence}", self.fence, now)
         assert lease is not None
         lease.until = now + TTL_MS
-        return Reply(Said.DONE, lease.name, lease.fence, TTL_MS)
+        return LeaseResponse(ResponseStatus.SUCCEEDED, lease.name, lease.fence, TTL_MS)
 
 
 class Story:
@@ -79,9 +91,9 @@
         self.begin()
 
     def begin(self) -> None:
-        rules = BookRules(ttl_most_ms=TTL_MS, call_ms=1_000.0, tick_ms=TICK_MS)
-        self.book = Book(self.now, 1, self.append, lambda cls: self.plays, rules=rules)
-        self.out: dict[int, tuple[Send, float]] = {}
+        rules = SeatManagerConfig(max_ttl_ms=TTL_MS, call_timeout_ms=1_000.0, tick_ms=TICK_MS)
+        self.book = SeatManager(self.now, 1, self.append, lambda cls: self.plays, config=rules)
+        self.out: dict[int, tuple[SendLeaseRequest, float]] = {}
         self.owed: dict[str, float] = {}
         self.playing: set[str] = set()
 
@@ -89,39 +101,39 @@
         self.log.append(body)
         return len(self.log)
 
-    def table(self, upto: int) -> Table:
-        table: Table = {}
+    def table(self, upto: int) -> SeatTable:
+        table: SeatTable = {}
         for body in self.log[:upto]:
-            fold(table, body)
+            apply_record(table, body)
         return table
 
     def sync(self) -> None:
         self.durable = len(self.log)
 
     def run(self) -> None:
-        self.book.durable(self.now, self.durable)
-        for one in self.book.take(self.now):
-            if isinstance(one, Send):
-                session = one.seat.session
+        self.book.on_log_synced(self.now, self.durable)
+        for one in self.book.advance(self.now):
+            if isinstance(one, SendLeaseRequest):
+                session = one.record.session_id
                 if any(_slot(other) == _slot(one) for other, _ in self.out.values()):
                     raise Finding(f"two requests of {session}")
-                if one.op is Op.ASK:
+                if one.operation is Operation.ACQUIRE:
                     kept = self.table(self.durable).get(session)
-                    same(kept and kept.generation, one.seat.generation, "an ask that is not written down")
-                self.out[one.number] = (one, self.now + one.timeout_ms)
-            elif isinstance(one, Verdict):
-                if one.session not in self.owed:
+                    same(kept and kept.generation, one.record.generation, "an ask that is not written down")
+                self.out[one.request_id] = (one, self.now + one.timeout_ms)
+            elif isinstance(one, AdmissionDecision):
+                if one.session_id not in self.owed:
                     raise Finding(f"a verdict nobody waits for: {one}")
-                if self.now > self.owed.pop(one.session) + 2 * TICK_MS:
+                if self.now > self.owed.pop(one.session_id) + 2 * TICK_MS:
                     raise Finding(f"late: {one}")
-                if one.granted is not False and (one.granted or self.plays):
-                    self.playing.add(one.session)
-            elif isinstance(one, Revoke):
-                if one.session not in self.playing:
+                if one.is_granted is not False and (one.is_granted or self.plays):
+                    self.playing.add(one.session_id)
+            elif isinstance(one, RevokeSession):
+                if one.session_id not in self.playing:
                     raise Finding(f"revoked, and did not play: {one}")
-                self.playing.discard(one.session)
-            elif isinstance(one, Renewed):
-                same(one.use_until > self.now, True, one)
+                self.playing.discard(one.session_id)
+            elif isinstance(one, LeaseRenewed):
+                same(one.usable_until_ms > self.now, True, one)
 
     def pass_(self, ms: float) -> None:
         """Time goes on by what is due; requests end in their time."""
@@ -130,10 +142,10 @@
             self.run()
             for number in [number for number, (_, by) in self.out.items() if by <= self.now]:
                 del self.out[number]
-                self.book.replied(self.now, number, Reply(Said.DOUBTFUL))
+                self.book.on_response(self.now, number, LeaseResponse(ResponseStatus.INDETERMINATE))
             self.run()
             dues = [by for _, by in self.out.values()]
-            if (due := self.book.next_due(self.now)) is not None:
+            if (due := self.book.next_deadline(self.now)) is not None:
                 dues.append(due)
             if self.now >= end:
                 break
@@ -148,20 +160,20 @@
             if session not in self.owed and session not in self.playing:
                 by = self.now + tape.one((2_000.0, 50.0, 700.0))
                 self.owed[session] = by
-                self.book.want(self.now, Want(session, "t", "l", "c", "p", 1.0), by)
+                self.book.request_seat(self.now, SeatRequest(session, "t", "l", "c", "p", 1.0), by)
         elif what <= 5:
             self.run()
             self.owed.pop(session, None)
             self.playing.discard(session)
-            self.book.unwant(self.now, session)
+            self.book.cancel_request(self.now, session)
         elif what <= 9 and self.out:
             self.answer(sorted(self.out)[tape.below(len(self.out))])
         elif what == 10:
-            self.book.renew_now(self.now, session)
+            self.book.renew_early(self.now, session)
         elif what == 11 and tape.below(3) == 0:
             self.kill()
         elif what == 12 and tape.below(2):
-            self.book.give_back(self.now, session, STRAY + tape.below(3))
+            self.book.release_unknown_lease(self.now, session, STRAY + tape.below(3))
         if tape.below(4):
             self.sync()
         self.pass_(tape.one((0.0, 1.0, 200.0, 1_000.0, 4_000.0, 6_000.0, 11_000.0)))
@@ -171,18 +183,18 @@
         send, _ = self.out.pop(number)
         how = self.tape.below(8)
         if how == 0:
-            reply = Reply(Said.NEVER)
+            reply = LeaseResponse(ResponseStatus.NOT_EXECUTED)
         elif how == 1:
-            reply = Reply(Said.DOUBTFUL)
+            reply = LeaseResponse(ResponseStatus.INDETERMINATE)
         else:
             reply = self.server.answer(self.now, send)
             if how == 2:
-                reply = Reply(Said.DOUBTFUL)
+                reply = LeaseResponse(ResponseStatus.INDETERMINATE)
         if how == 3:  # the answer was a while on its way
             self.out[-number] = (send, self.now + 1e9)  # nothing else of this seat leaves meanwhile
             self.pass_(self.tape.one((50.0, 400.0)))
             del self.out[-number]
-        self.book.replied(self.now, number, reply)
+        self.book.on_response(self.now, number, reply)
 
     def kill(self) -> None:
         """The log keeps what was durable, and perhaps more; what was out may have been carried out."""
@@ -192,14 +204,18 @@
         del self.log[self.durable + self.tape.below(len(self.log) - self.durable + 1) :]
         self.durable = len(self.log)
         records = list(enumerate(self.log, 1))
-        table = fold_all(None, records)
+        table = rebuild_table(None, records)
         same(table, self.table(len(self.log)), "folded at once, and one by one")
         for session, lease in self.server.held(self.now).items():
-            if session in table and table[session].lease and lease.until > table[session].until * 1_000.0:
+            if (
+                session in table
+                and table[session].lease_id
+                and lease.until > table[session].expires_at_s * 1_000.0
+            ):
                 self.unsure.add(lease.key)
         self.now += 1.0 + self.tape.below(2) * 3_000.0
         self.begin()
-        self.book.recover(self.now, self.now / 1_000.0, table)
+        self.book.recover_seats(self.now, self.now / 1_000.0, table)
 
     def agree(self) -> None:
         now = self.now
@@ -211,17 +227,19 @@
             if now > by + 2 * TICK_MS:
                 raise Finding(f"{session} had its verdict due at {by}: {self.book.seats.get(session)}")
         table = self.table(len(self.log))
-        mine = {one: (kept.generation, kept.lease) for one, kept in self.book.table().items()}
-        same(mine, {one: (kept.generation, kept.lease) for one, kept in table.items()}, "the log")
+        mine = {one: (kept.generation, kept.lease_id) for one, kept in self.book.records().items()}
+        same(mine, {one: (kept.generation, kept.lease_id) for one, kept in table.items()}, "the log")
         for session, lease in held.items():
             seat = self.book.seats.get(session)
-            if seat is None or seat.state is not State.HELD or seat.kept.lease != lease.name:
+            if seat is None or seat.state is not SeatState.ACTIVE or seat.record.lease_id != lease.name:
                 continue
-            if not seat.use_until <= lease.until <= seat.held_until:
-                raise Finding(f"{lease} is used until {seat.use_until}, counted until {seat.held_until}")
+            if not seat.usable_until_ms <= lease.until <= seat.latest_expiry_ms:
+                raise Finding(
+                    f"{lease} is used until {seat.usable_until_ms}, counted until {seat.latest_expiry_ms}"
+                )
         for session in sorted(self.playing):
             seat = self.book.seats.get(session)
-            if self.book.covers(now, session) and session not in held:
+            if self.book.has_valid_lease(now, session) and session not in held:
                 raise Finding(f"{session} is used, and not held: {seat}")
 
     def finish(self) -> None:
@@ -229,16 +247,16 @@
             self.run()
             self.owed.pop(session, None)
             self.playing.discard(session)
-            self.book.unwant(self.now, session)
+            self.book.cancel_request(self.now, session)
         for _ in range(120):
             self.sync()
             for number in sorted(self.out):
                 if number in self.out:
                     send, _ = self.out.pop(number)
-                    self.book.replied(self.now, number, self.server.answer(self.now, send))
+                    self.book.on_response(self.now, number, self.server.answer(self.now, send))
             self.pass_(900.0)
         same((self.book.seats, self.table(len(self.log)), self.server.held(self.now)), ({}, {}, {}), "left")
-        same((len(self.book.queue), self.book._wheel.next_due(), self.owed), (0, None, {}), "left")
+        same((len(self.book.send_queue), self.book._wheel.next_deadline(), self.owed), (0, None, {}), "left")
 
 
 def check(data: bytes) -> None:
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -54,10 +54,10 @@
 from fernweir.node import peering as node_peering
 from fernweir.node.feed import Feed
 from fernweir.node.requests import Requests
-from fernweir.seats import book
 from fernweir.seats import records as seat_records
-from fernweir.seats.log import Recovered, SeatLog, recover
-from fernweir.seats.memory import MemoryFiles
+from fernweir.seats import seat_manager
+from fernweir.seats.log import RecoveredLog, SeatLog, recover_log
+from fernweir.seats.memory_file_store import MemoryFileStore
 from fernweir.tokens import claims
 from fernweir.tokens.keyring import Keyring
 
@@ -108,8 +108,8 @@
     "picture-session": picture.SessionRow,
     "picture-server": picture.BoxRow,
     # The seat log.
-    "seat": seat_records.Kept,
-    "recovered-log": Recovered,
+    "seat": seat_records.SeatRecord,
+    "recovered-log": RecoveredLog,
     # Operators' orders.
     "order": operators.Order,
     # The control socket.
@@ -142,7 +142,7 @@
     "dash-title": Title,
     # The entitlement server.
     "lease-answer": leases.LeaseAnswer,
-    "lease-reply": book.Reply,
+    "lease-reply": seat_manager.LeaseResponse,
     "introspection": introspection.Introspection,
     "introspection-told": introspect.Told,
     "use-page": seat_reconciliation.UsePage,
@@ -336,59 +336,59 @@
 
 # --- seat log ---
 
-OTHER_SEAT = seat_records.Kept("s1", 3, "t", "l", "c", "p", 1.5)
+OTHER_SEAT = seat_records.SeatRecord("s1", 3, "t", "l", "c", "p", 1.5)
 
 
 def read_seat_record(data: bytes) -> list[seat_records.Kept]:
     """The table that a record makes of one with a single seat in it."""
-    table = {OTHER_SEAT.session: OTHER_SEAT}
-    seat_records.fold(table, data)
+    table = {OTHER_SEAT.session_id: OTHER_SEAT}
+    seat_records.apply_record(table, data)
     return list(table.values())
 
 
 def read_seat_log(data: bytes) -> Any:
     """What recovery finds, and the folded table."""
-    files = MemoryFiles()
+    files = MemoryFileStore()
     for name, content in unpack_files(data).items():
         files.replace(name, content)
-    found = recover(files)
-    return [found, list(seat_records.fold_all(found.snapshot, found.records).values())]
+    found = recover_log(files)
+    return [found, list(seat_records.rebuild_table(found.snapshot, found.records).values())]
 
 
 def opened_seat_log(data: bytes) -> bytes:
     """The files of a seat log after it was opened: a torn tail is cut off."""
-    files = MemoryFiles()
+    files = MemoryFileStore()
     for name, content in unpack_files(data).items():
         files.replace(name, content)
     SeatLog(files).open()
-    return pack_files({name: files.read(name) for name in files.names()})
+    return pack_files({name: files.read(name) for name in files.list_names()})
 
 
 def write_seat_log(snapshot: bytes | None, last: int, batches: list[list[bytes]]) -> bytes:
     """The files of a seat log that took a snapshot and then these batches, each committed at once."""
-    files = MemoryFiles()
+    files = MemoryFileStore()
     log = SeatLog(files)
     log.open()
     if snapshot is not None:
         for _ in range(last):
             log.append(b'["gone","nobody"]')
         log.commit()
-        log.snapshot(snapshot)
+        log.write_snapshot(snapshot)
     for batch in batches:
         for body in batch:
             log.append(body)
         log.commit()
-    return pack_files({name: files.read(name) for name in files.names()})
+    return pack_files({name: files.read(name) for name in files.list_names()})
 
 
 def rewrite_seat_log(data: bytes) -> bytes:
     """The seat log again, through recovery and the writer."""
-    files = MemoryFiles()
+    files = MemoryFileStore()
     for name, content in unpack_files(data).items():
         files.replace(name, content)
-    found = recover(files)
+    found = recover_log(files)
     bodies = [body for _, body in found.records]
-    return write_seat_log(found.snapshot, found.last - len(bodies), [bodies])
+    return write_seat_log(found.snapshot, found.last_sequence - len(bodies), [bodies])
 
 
 # --- operators ---
@@ -689,7 +689,7 @@
         reply = http_client.Reply(
             http_client.Outcome(outcome), status, Headers([(a, b) for a, b in headers]), body.encode()
         )
-        found.append(leases.read_reply(book.Op(op), reply))
+        found.append(leases.read_reply(seat_manager.Operation(op), reply))
     return found
 
 
@@ -715,7 +715,12 @@
 
     client = leases.EntitlementClient(cast(Any, Recorder()), "http://seats:81/v1", "front-1", lambda: "TOKEN")
     for number, (op, seat) in enumerate(value, 1):
-        client.send(book.Send(number, book.Op(op), build(seat), f"s1.{number}", 250.0), lambda told: None)
+        client.send(
+            seat_manager.SendLeaseRequest(
+                number, seat_manager.Operation(op), build(seat), f"s1.{number}", 250.0
+            ),
+            lambda told: None,
+        )
     return json.dumps(sent).encode()
 
 
@@ -742,15 +747,15 @@
     "journal-folded": Format(fold_entries),
     "picture": Format(read_picture, write_picture),
     "picture-snapshot": Format(read_snapshot, write_snapshot),
-    "seat-asked": Format(lambda data: read_seat_record(data)[-1], seat_records.asked),
+    "seat-asked": Format(lambda data: read_seat_record(data)[-1], seat_records.encode_requested),
     "seat-held": Format(
         lambda data: read_seat_record(data)[0],
-        lambda one: seat_records.held(one.session, one.lease, one.fence, one.until),
+        lambda one: seat_records.encode_granted(one.session_id, one.lease_id, one.fence, one.expires_at_s),
     ),
-    "seat-gone": Format(read_seat_record, lambda left: seat_records.gone(OTHER_SEAT.session)),
+    "seat-gone": Format(read_seat_record, lambda left: seat_records.encode_removed(OTHER_SEAT.session_id)),
     "seat-table": Format(
         lambda data: list(seat_records.decode_table(data).values()),
-        lambda seats: seat_records.encode_table({one.session: one for one in seats}),
+        lambda seats: seat_records.encode_table({one.session_id: one for one in seats}),
     ),
     "seat-log": Format(read_seat_log),
     "seat-log-torn": Format(lambda data: [read_seat_log(data), opened_seat_log(data).decode()]),
--- a/tests/peers_mutants/fuzz.py
+++ b/tests/peers_mutants/fuzz.py
@@ -13,7 +13,7 @@
     "fernweir/journal/disk.py",
 )
 _STORE = "fernweir/journal/store.py"
-_MANAGER, _BOOK = "fernweir/front/session_manager.py", "fernweir/seats/book.py"
+_MANAGER, _SEATS = "fernweir/front/session_manager.py", "fernweir/seats/seat_manager.py"
 _HANDOVER, _ENDINGS = "fernweir/front/session_handover.py", "fernweir/front/session_endings.py"
 _ATTEMPTS, _REQUESTS = "fernweir/front/session_attempts.py", "fernweir/front/session_requests.py"
 _DESK, _TABLE = "fernweir/peers/forward/desk.py", "fernweir/peers/members/table.py"
@@ -207,30 +207,30 @@
     "seats": [
         Mutant(
             "asked before it is written down",
-            _BOOK,
-            "if op is Op.ASK and seat.after > self._durable:",
-            "if op is Op.ASK and seat.after < 0:",
+            _SEATS,
+            "if op is Operation.ACQUIRE and seat.log_sequence > self._durable:",
+            "if op is Operation.ACQUIRE and seat.log_sequence < 0:",
             60,
         ),
         Mutant(
             "used from the answer on",
-            _BOOK,
-            "seat.use_until = seat.sent_at + seat.ttl_ms",
-            "seat.use_until = now + seat.ttl_ms",
+            _SEATS,
+            "seat.usable_until_ms = seat.sent_at_ms + seat.ttl_ms",
+            "seat.usable_until_ms = now + seat.ttl_ms",
             100,
         ),
         Mutant(
             "doubtful asks are not counted",
-            _BOOK,
-            "            seat.held_until = now + self.rules.ttl_most_ms\n        if not seat.wanted:",
-            "            seat.held_until = now\n        if not seat.wanted:",
+            _SEATS,
+            "seat.latest_expiry_ms = now + self.config.max_ttl_ms\n        if not seat.is_wanted:",
+            "seat.latest_expiry_ms = now\n        if not seat.is_wanted:",
             300,
         ),
         Mutant(
             "a released seat not asked for anew",
-            _BOOK,
-            "        if seat.wanted:\n            self._ask_anew(now, seat)\n            self._set",
-            "        if seat.overdue:\n            self._ask_anew(now, seat)\n            self._set",
+            _SEATS,
+            "        if seat.is_wanted:\n            self._ask_anew(now, seat)\n            self._set",
+            "        if seat.is_overdue:\n            self._ask_anew(now, seat)\n            self._set",
             200,
         ),
     ],
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -14,7 +14,7 @@
 from fernweir.http.client import Outcome, Reply
 from fernweir.http.headers import Headers
 from fernweir.rehearsal.site import SitePlan
-from fernweir.seats.book import Op, Said
+from fernweir.seats.seat_manager import Operation, ResponseStatus
 from fernweir.standin.leases import LeaseDesk
 from fernweir.standin.site import SiteClass, SiteTimes
 from fernweir.standin.viewer import Wish
@@ -218,27 +218,43 @@
 @pytest.mark.parametrize(
     ("op", "reply", "said"),
     [
-        (Op.ASK, Reply(Outcome.ANSWERED, 200, body=LEASE), Said.DONE),
-        (Op.ASK, Reply(Outcome.ANSWERED, 201, body=LEASE), Said.DONE),
-        (Op.RELEASE, Reply(Outcome.ANSWERED, 204), Said.DONE),
-        (Op.ASK, Reply(Outcome.ANSWERED, 200, body=b"[]"), Said.DOUBTFUL),
-        (Op.ASK, Reply(Outcome.ANSWERED, 200, body=LEASE.replace(b"3", b"-3")), Said.DOUBTFUL),
-        (Op.ASK, Reply(Outcome.ANSWERED, 200, body=LEASE.replace(b"10.0", b"0")), Said.DOUBTFUL),
-        (Op.ASK, Reply(Outcome.ANSWERED, 409, Headers([("retry-after", "2")])), Said.FULL),
-        (Op.ASK, Reply(Outcome.ANSWERED, 409, Headers([("retry-after", "soon")])), Said.FULL),
-        (Op.RENEW, Reply(Outcome.ANSWERED, 412), Said.FENCED),
-        (Op.RENEW, Reply(Outcome.ANSWERED, 404), Said.GONE),
-        (Op.RENEW, Reply(Outcome.ANSWERED, 403), Said.DENIED),
-        (Op.RENEW, Reply(Outcome.ANSWERED, 500), Said.DOUBTFUL),
-        (Op.ASK, Reply(Outcome.REFUSED), Said.NEVER),
-        (Op.ASK, Reply(Outcome.UNSENT), Said.NEVER),
-        (Op.ASK, Reply(Outcome.RESET), Said.DOUBTFUL),
-        (Op.ASK, Reply(Outcome.SILENT), Said.DOUBTFUL),
-        (Op.ASK, Reply(Outcome.CUT, 200), Said.DOUBTFUL),
+        (Operation.ACQUIRE, Reply(Outcome.ANSWERED, 200, body=LEASE), ResponseStatus.SUCCEEDED),
+        (Operation.ACQUIRE, Reply(Outcome.ANSWERED, 201, body=LEASE), ResponseStatus.SUCCEEDED),
+        (Operation.RELEASE, Reply(Outcome.ANSWERED, 204), ResponseStatus.SUCCEEDED),
+        (Operation.ACQUIRE, Reply(Outcome.ANSWERED, 200, body=b"[]"), ResponseStatus.INDETERMINATE),
+        (
+            Operation.ACQUIRE,
+            Reply(Outcome.ANSWERED, 200, body=LEASE.replace(b"3", b"-3")),
+            ResponseStatus.INDETERMINATE,
+        ),
+        (
+            Operation.ACQUIRE,
+            Reply(Outcome.ANSWERED, 200, body=LEASE.replace(b"10.0", b"0")),
+            ResponseStatus.INDETERMINATE,
+        ),
+        (
+            Operation.ACQUIRE,
+            Reply(Outcome.ANSWERED, 409, Headers([("retry-after", "2")])),
+            ResponseStatus.NO_SEAT_FREE,
+        ),
+        (
+            Operation.ACQUIRE,
+            Reply(Outcome.ANSWERED, 409, Headers([("retry-after", "soon")])),
+            ResponseStatus.NO_SEAT_FREE,
+        ),
+        (Operation.RENEW, Reply(Outcome.ANSWERED, 412), ResponseStatus.FENCED),
+        (Operation.RENEW, Reply(Outcome.ANSWERED, 404), ResponseStatus.LEASE_UNKNOWN),
+        (Operation.RENEW, Reply(Outcome.ANSWERED, 403), ResponseStatus.DENIED),
+        (Operation.RENEW, Reply(Outcome.ANSWERED, 500), ResponseStatus.INDETERMINATE),
+        (Operation.ACQUIRE, Reply(Outcome.REFUSED), ResponseStatus.NOT_EXECUTED),
+        (Operation.ACQUIRE, Reply(Outcome.UNSENT), ResponseStatus.NOT_EXECUTED),
+        (Operation.ACQUIRE, Reply(Outcome.RESET), ResponseStatus.INDETERMINATE),
+        (Operation.ACQUIRE, Reply(Outcome.SILENT), ResponseStatus.INDETERMINATE),
+        (Operation.ACQUIRE, Reply(Outcome.CUT, 200), ResponseStatus.INDETERMINATE),
     ],
 )
-def test_what_a_reply_of_the_server_says(op: Op, reply: Reply, said: Said) -> None:
-    assert read_reply(op, reply).said is said
+def test_what_a_reply_of_the_server_says(op: Operation, reply: Reply, said: ResponseStatus) -> None:
+    assert read_reply(op, reply).status is said
 
 
 def test_no_gate_without_its_section() -> None:
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -118,7 +118,7 @@
     "fernweir.control.orders._Undo": "stored as a list within orders-file",
     "fernweir.front.boxlist.Lesson": "made of a list-title",
     "fernweir.http.parse.Limits": "limits of a parser",
-    "fernweir.seats.log.LogRules": "settings of the log",
+    "fernweir.seats.log.LogConfig": "settings of the log",
     "fernweir.journal.segment.Question": "made of a control-events message",
 }
 FORMAT_MODULES = (
@@ -140,8 +140,8 @@
     "fernweir.node.visit.Side": "which end of a client connection ended",
     "fernweir.node.watch.Verdict": "what the liveness monitor asks for",
     "fernweir.node.asking.At": "where a reconnect stands",
-    "fernweir.seats.book.State": "where a seat stands; the log stores records instead",
-    "fernweir.seats.book.Said": "what a reply of the entitlement server means",
+    "fernweir.seats.seat_manager.SeatState": "where a seat stands; the log stores records instead",
+    "fernweir.seats.seat_manager.ResponseStatus": "what a reply of the entitlement server means",
     "fernweir.rehearsal.fleet.process.Life": "whether a process of the rig lives; its value is only printed",
     "fernweir.front.session_record.SessionPhase": "where a session stands",
     "fernweir.entitlement.queue.Turn": "the order within the queue of requests",
--- a/tests/test_reconcile.py
+++ b/tests/test_reconcile.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from fernweir.seats.book import Op, Said, Send, State
-from fernweir.seats.reconcile import Listed, Reconciler, ReconcileRules, Report
+from fernweir.seats.reconciliation import ListedLease, Reconciler, ReconciliationConfig, UsageReport
+from fernweir.seats.seat_manager import Operation, ResponseStatus, SeatState, SendLeaseRequest
 from fernweir.standin.leases import LeaseDesk
 from tests.scene import Scene, play
 from tests.sockets import until
@@ -25,26 +25,26 @@
     return mine, Reconciler(mine.book)
 
 
-def honest(mine: Desk) -> Report:
-    seats = [seat.kept for seat in mine.book.seats.values() if seat.kept.lease]
-    listed = tuple(Listed(one.lease, one.session, one.generation, one.fence) for one in seats)
-    return Report(mine.fence, len(listed), listed, {("t", "l", "c"): len(listed)})
+def honest(mine: Desk) -> UsageReport:
+    seats = [seat.record for seat in mine.book.seats.values() if seat.record.lease_id]
+    listed = tuple(ListedLease(one.lease_id, one.session_id, one.generation, one.fence) for one in seats)
+    return UsageReport(mine.fence, len(listed), listed, {("t", "l", "c"): len(listed)})
 
 
-def told(mine: Desk, reconciler: Reconciler, report: Report, times: int = 1) -> list[Send]:
+def told(mine: Desk, reconciler: Reconciler, report: UsageReport, times: int = 1) -> list[SendLeaseRequest]:
     """The requests that reports lead to."""
-    sends: list[Send] = []
+    sends: list[SendLeaseRequest] = []
     for _ in range(times):
         mine.step(100.0)
-        reconciler.asked(mine.now)
-        reconciler.judge(mine.now, report)
-        sends += [one for one in mine.step() if isinstance(one, Send)]
+        reconciler.on_report_requested(mine.now)
+        reconciler.on_report(mine.now, report)
+        sends += [one for one in mine.step() if isinstance(one, SendLeaseRequest)]
     return sends
 
 
 def test_a_true_report_changes_nothing() -> None:
     mine, reconciler = desk()
-    assert told(mine, reconciler, honest(mine), 5) == [] and reconciler.contradictions == 0
+    assert told(mine, reconciler, honest(mine), 5) == [] and reconciler.contradiction_count == 0
 
 
 def test_a_seat_the_server_does_not_list_twice_is_renewed_early_and_its_answer_decides() -> None:
@@ -53,41 +53,41 @@
     report = replace(report, total=2, leases=report.leases[1:], used={})
     assert told(mine, reconciler, report) == []
     sends = told(mine, reconciler, report)
-    assert [(send.op, send.seat.session) for send in sends] == [(Op.RENEW, "s0")]
+    assert [(send.operation, send.record.session_id) for send in sends] == [(Operation.RENEW, "s0")]
     assert told(mine, reconciler, report) == []  # its answer is awaited
-    mine.reply(sends[0], Said.GONE)
-    assert mine.sent().op is Op.ASK and mine.book.seats["s0"].wanted
+    mine.reply(sends[0], ResponseStatus.LEASE_UNKNOWN)
+    assert mine.sent().operation is Operation.ACQUIRE and mine.book.seats["s0"].is_wanted
 
 
 def test_a_lease_nobody_knows_is_given_back_by_its_key_and_only_once() -> None:
     mine, reconciler = desk()
     report = honest(mine)
-    stray = (*report.leases, Listed("Lx", "lost", 77, 1), Listed("Ly", "s1", 1_000, 2))
+    stray = (*report.leases, ListedLease("Lx", "lost", 77, 1), ListedLease("Ly", "s1", 1_000, 2))
     report = replace(report, total=5, leases=stray, used={})
     sends = told(mine, reconciler, report, 2)
-    assert sorted((send.op, send.key) for send in sends) == [
-        (Op.RELEASE, "lost.77"), (Op.RELEASE, "s1.1000")
+    assert sorted((send.operation, send.idempotency_key) for send in sends) == [
+        (Operation.RELEASE, "lost.77"), (Operation.RELEASE, "s1.1000")
     ]  # fmt: skip
     assert told(mine, reconciler, report, 3) == []
     log = len(mine.log)
     for send in sends:
-        mine.reply(send, Said.DONE)
+        mine.reply(send, ResponseStatus.SUCCEEDED)
     mine.step()
-    assert set(mine.book.seats) == {"s0", "s1", "s2"} and mine.book.seats["s1"].state is State.HELD
-    assert len(mine.log) == log and set(mine.book.table()) == {"s0", "s1", "s2"}
+    assert set(mine.book.seats) == {"s0", "s1", "s2"} and mine.book.seats["s1"].state is SeatState.ACTIVE
+    assert len(mine.log) == log and set(mine.book.records()) == {"s0", "s1", "s2"}
 
 
 def test_a_stray_that_nobody_takes_back_is_forgotten_when_it_must_have_lapsed() -> None:
     mine, reconciler = desk(0)
-    report = Report(9, 1, (Listed("Lx", "lost", 77, 1),))
+    report = UsageReport(9, 1, (ListedLease("Lx", "lost", 77, 1),))
     sends = told(mine, reconciler, report, 2)
     begun = mine.now
     while mine.book.seats:
         for send in sends:
-            mine.reply(send, Said.DOUBTFUL)
-        due = mine.book.next_due(mine.now)
+            mine.reply(send, ResponseStatus.INDETERMINATE)
+        due = mine.book.next_deadline(mine.now)
         assert due is not None
-        sends = [one for one in mine.step(max(due - mine.now, 1.0)) if isinstance(one, Send)]
+        sends = [one for one in mine.step(max(due - mine.now, 1.0)) if isinstance(one, SendLeaseRequest)]
     assert mine.now <= begun + 61_500.0
 
 
@@ -103,13 +103,13 @@
 def test_a_report_that_contradicts_itself_or_is_old_moves_nothing(change: dict[str, Any]) -> None:
     mine, reconciler = desk()
     report = honest(mine)
-    stray = Listed("Lx", "lost", 77, 1)
+    stray = ListedLease("Lx", "lost", 77, 1)
     if change.get("leases") == "twice":
         change = {"leases": (*report.leases[1:], stray, stray), "total": 4}
     else:
         change = {"leases": (*report.leases[1:], stray), **change}
     found = replace(report, **change)
-    assert told(mine, reconciler, found, 4) == [] and reconciler.contradictions == 4
+    assert told(mine, reconciler, found, 4) == [] and reconciler.contradiction_count == 4
     # And what it said before is forgotten: the next good report counts as the first.
     good = replace(report, total=4, leases=(*report.leases, stray))
     assert told(mine, reconciler, good) == [] and len(told(mine, reconciler, good)) == 1
@@ -117,23 +117,25 @@
 
 def test_what_moves_while_the_report_is_written_is_not_compared() -> None:
     mine, reconciler = desk(1)
-    empty = Report(100, 0, ())
+    empty = UsageReport(100, 0, ())
     for _ in range(4):  # its renewal comes between question and report, each time
-        reconciler.asked(mine.now)
-        mine.book.renew_now(mine.now, "s0")
-        mine.reply(mine.sent(), Said.DONE)
-        assert reconciler.judge(mine.now, empty).watched == 0
+        reconciler.on_report_requested(mine.now)
+        mine.book.renew_early(mine.now, "s0")
+        mine.reply(mine.sent(), ResponseStatus.SUCCEEDED)
+        assert reconciler.on_report(mine.now, empty).unconfirmed_count == 0
     late = replace(honest(mine), fence=mine.fence)
-    reconciler.asked(mine.now)
-    mine.book.renew_now(mine.now, "s0")
-    mine.reply(mine.sent(), Said.DONE)
-    assert reconciler.judge(mine.now, late).contradiction == ""  # older than us, but not than its question
+    reconciler.on_report_requested(mine.now)
+    mine.book.renew_early(mine.now, "s0")
+    mine.reply(mine.sent(), ResponseStatus.SUCCEEDED)
+    assert (
+        reconciler.on_report(mine.now, late).contradiction == ""
+    )  # older than us, but not than its question
 
 
 def test_a_large_difference_is_worked_off_in_portions() -> None:
     mine, _ = desk(10)
-    reconciler = Reconciler(mine.book, ReconcileRules(most=3))
-    empty = Report(1_000, 0, ())
+    reconciler = Reconciler(mine.book, ReconciliationConfig(max_actions=3))
+    empty = UsageReport(1_000, 0, ())
     counts = [len(told(mine, reconciler, empty)) for _ in range(6)]
     assert counts == [0, 3, 3, 3, 1, 0]
 
--- a/tests/test_seat_log.py
+++ b/tests/test_seat_log.py
@@ -15,85 +15,92 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 
 from fernweir.seats import records
-from fernweir.seats.files import DiskFiles
-from fernweir.seats.log import DamageError, LogError, LogRules, SeatLog, compact, recover
-from fernweir.seats.memory import Killed, MemoryFiles
-from fernweir.seats.records import Kept, RecordError, Table, encode_table, fold, fold_all
+from fernweir.seats.file_store import DiskFileStore
+from fernweir.seats.log import LogConfig, LogCorruptedError, LogError, SeatLog, compact_log, recover_log
+from fernweir.seats.memory_file_store import MemoryFileStore, SimulatedCrash
+from fernweir.seats.records import (
+    RecordError,
+    SeatRecord,
+    SeatTable,
+    apply_record,
+    encode_table,
+    rebuild_table,
+)
 
-SMALL = LogRules(segment_bytes=400, snapshot_records=7)
+SMALL = LogConfig(segment_bytes=400, records_per_snapshot=7)
 
 
-def seat(name: str, generation: int = 1) -> Kept:
-    return Kept(name, generation, "t", "l", "c", "p", 1.0)
+def seat(name: str, generation: int = 1) -> SeatRecord:
+    return SeatRecord(name, generation, "t", "l", "c", "p", 1.0)
 
 
 def history() -> list[bytes]:
     """Asks, grants and ends of a dozen sessions, in a settled order."""
     out = []
     for number in range(12):
-        out.append(records.asked(seat(f"s{number}", number + 1)))
+        out.append(records.encode_requested(seat(f"s{number}", number + 1)))
         if number % 3:
-            out.append(records.held(f"s{number}", f"L{number}", number, 100.0 + number))
+            out.append(records.encode_granted(f"s{number}", f"L{number}", number, 100.0 + number))
         if number % 2:
-            out.append(records.gone(f"s{number - 1}"))
+            out.append(records.encode_removed(f"s{number - 1}"))
     return out
 
 
-def write_all(files: MemoryFiles, durable: list[int], group: int) -> None:
+def write_all(files: MemoryFileStore, durable: list[int], group: int) -> None:
     """Plays the history in groups, with snapshots when they are due; notes what was promised."""
     log = SeatLog(files, SMALL)
     found = log.open()
-    table = fold_all(found.snapshot, found.records)
+    table = rebuild_table(found.snapshot, found.records)
     for index, body in enumerate(history()):
         log.append(body)
-        fold(table, body)
+        apply_record(table, body)
         if index % group == group - 1:
             durable.append(log.commit())
-            if log.wants_snapshot:
-                log.snapshot(encode_table(table))
+            if log.is_snapshot_due:
+                log.write_snapshot(encode_table(table))
     durable.append(log.commit())
 
 
-def model(count: int) -> Table:
-    table: Table = {}
+def model(count: int) -> SeatTable:
+    table: SeatTable = {}
     for body in history()[:count]:
-        fold(table, body)
+        apply_record(table, body)
     return table
 
 
 @pytest.mark.parametrize("group", [1, 3, 5])
 def test_killed_after_every_operation_it_recovers_what_was_promised(group: int) -> None:
-    probe = MemoryFiles()
+    probe = MemoryFileStore()
     write_all(probe, [], group)
-    assert probe.operations > 20
-    for stop in range(1, probe.operations + 1):
+    assert probe.operation_count > 20
+    for stop in range(1, probe.operation_count + 1):
         for seed in range(6):
             left, durable = [stop], [0]
 
             def before(what: str, left: list[int] = left) -> None:
                 left[0] -= 1
                 if left[0] < 0:
-                    raise Killed
+                    raise SimulatedCrash
 
-            files = MemoryFiles(before)
-            with suppress(Killed):
+            files = MemoryFileStore(before)
+            with suppress(SimulatedCrash):
                 write_all(files, durable, group)
             disk = files.crash(Random(seed * 1000 + stop))
             log = SeatLog(disk, SMALL)
             found = log.open()
-            assert found.last >= durable[-1], "a promised record is lost"
-            assert fold_all(found.snapshot, found.records) == model(found.last)
+            assert found.last_sequence >= durable[-1], "a promised record is lost"
+            assert rebuild_table(found.snapshot, found.records) == model(found.last_sequence)
             # It goes on from there, and a second crash finds the same.
-            for body in history()[found.last :]:
+            for body in history()[found.last_sequence :]:
                 log.append(body)
             log.commit()
-            again = recover(disk.crash(Random(seed)))
-            assert fold_all(again.snapshot, again.records) == model(len(history()))
+            again = recover_log(disk.crash(Random(seed)))
+            assert rebuild_table(again.snapshot, again.records) == model(len(history()))
 
 
-def full_log() -> MemoryFiles:
-    files = MemoryFiles()
-    log = SeatLog(files, LogRules(segment_bytes=400))
+def full_log() -> MemoryFileStore:
+    files = MemoryFileStore()
+    log = SeatLog(files, LogConfig(segment_bytes=400))
     log.open()
     for body in history():
         log.append(body)
@@ -103,44 +110,44 @@
 
 def test_a_damaged_middle_is_refused_and_named_and_nothing_is_changed() -> None:
     files = full_log()
-    names = [name for name in files.names() if name.endswith(".log")]
+    names = [name for name in files.list_names() if name.endswith(".log")]
     assert len(names) > 3
     for name in names:
         data = files.read(name)
         for at in range(0, len(data), 7):
             hurt = full_log()
-            hurt._now[name][at] ^= 0x40
-            before = dict(hurt._now)
+            hurt._written[name][at] ^= 0x40
+            before = dict(hurt._written)
             try:
                 found = SeatLog(hurt).open()
-            except DamageError as error:
+            except LogCorruptedError as error:
                 assert name in str(error) or "missing" in str(error)
-                assert hurt._now == before
+                assert hurt._written == before
             else:  # only the very last record can be taken for a torn tail
-                assert name == names[-1] and found.last >= len(history()) - 1
+                assert name == names[-1] and found.last_sequence >= len(history()) - 1
 
 
 @pytest.mark.parametrize("change", ["segment", "snapshot", "format", "gap"])
 def test_what_no_crash_can_leave_is_refused(change: str) -> None:
-    files = MemoryFiles()
+    files = MemoryFileStore()
     write_all(files, [], 3)
-    snapshot = next(name for name in files.names() if name.endswith(".snap"))
-    segment = next(name for name in files.names() if name.endswith(".log"))
+    snapshot = next(name for name in files.list_names() if name.endswith(".snap"))
+    segment = next(name for name in files.list_names() if name.endswith(".log"))
     if change == "segment":
-        files._now[segment][0:6] = b"NOTLOG"
+        files._written[segment][0:6] = b"NOTLOG"
     elif change == "snapshot":
-        files._now[snapshot][-1] ^= 1
+        files._written[snapshot][-1] ^= 1
     elif change == "format":
-        files._now[segment][6] = 9
+        files._written[segment][6] = 9
     else:
         files.remove(snapshot)
-    with pytest.raises(DamageError, match=r"format 9|not a seat log|checksum|missing"):
-        recover(files)
+    with pytest.raises(LogCorruptedError, match=r"format 9|not a seat log|checksum|missing"):
+        recover_log(files)
 
 
 def test_a_disk_that_refuses_breaks_the_log_and_loses_nothing_promised() -> None:
-    files = MemoryFiles(room=700)
-    log = SeatLog(files, LogRules(segment_bytes=10_000))
+    files = MemoryFileStore(capacity_bytes=700)
+    log = SeatLog(files, LogConfig(segment_bytes=10_000))
     log.open()
     promised = 0
     with pytest.raises(LogError, match="No space left"):
@@ -150,9 +157,9 @@
     assert promised > 3
     with pytest.raises(LogError):
         log.commit()
-    files.room = None
+    files.capacity_bytes = None
     found = SeatLog(files).open()
-    assert found.last >= promised and found.torn_bytes > 0
+    assert found.last_sequence >= promised and found.torn_bytes > 0
 
 
 @pytest.mark.parametrize("operation", ["append", "sync", "replace"])
@@ -166,38 +173,38 @@
             if left[0] < 0:
                 raise OSError(errno.EROFS, "Read-only file system")
 
-        files, durable = MemoryFiles(before), [0]
+        files, durable = MemoryFileStore(before), [0]
         try:
             write_all(files, durable, 2)
         except LogError as error:
             assert "Read-only file system" in str(error)
-        files.before = None
+        files.before_operation = None
         found = SeatLog(files.crash(Random(refused_from)), SMALL).open()
-        assert found.last >= durable[-1]
-        assert fold_all(found.snapshot, found.records) == model(found.last)
+        assert found.last_sequence >= durable[-1]
+        assert rebuild_table(found.snapshot, found.records) == model(found.last_sequence)
 
 
 def test_on_a_disk(tmp_path: Path) -> None:
-    files = DiskFiles(tmp_path / "seats")
+    files = DiskFileStore(tmp_path / "seats")
     log = SeatLog(files, SMALL)
     log.open()
     for body in history():
         log.append(body)
     log.commit()
-    log.snapshot(encode_table(model(len(history()))))
-    log.append(records.gone("s11"))
+    log.write_snapshot(encode_table(model(len(history()))))
+    log.append(records.encode_removed("s11"))
     log.commit()
     files.close()
     segment = next(path for path in (tmp_path / "seats").iterdir() if path.suffix == ".log")
     with open(segment, "ab") as file:
         file.write(b"torn")
-    again = DiskFiles(tmp_path / "seats")
+    again = DiskFileStore(tmp_path / "seats")
     found = SeatLog(again).open()
-    table = fold_all(found.snapshot, found.records)
+    table = rebuild_table(found.snapshot, found.records)
     assert found.torn_bytes == 4 and "s11" not in table and "s11" in model(len(history()))
-    compact(again, encode_table(table), found.last)
+    compact_log(again, encode_table(table), found.last_sequence)
     assert [path.suffix for path in (tmp_path / "seats").iterdir()] == [".snap"]
-    assert fold_all(recover(again).snapshot, recover(again).records) == table
+    assert rebuild_table(recover_log(again).snapshot, recover_log(again).records) == table
     again.close()
 
 
@@ -206,32 +213,32 @@
 )
 def test_records_that_say_nothing_known(body: bytes) -> None:
     with pytest.raises(RecordError):
-        fold({}, body)
-    good = [records.asked(seat("a")), records.held("a", "L", 3, 9.0)]
+        apply_record({}, body)
+    good = [records.encode_requested(seat("a")), records.encode_granted("a", "L", 3, 9.0)]
     for at in range(3):  # and among good ones, where many are decoded at once
         with pytest.raises(RecordError, match="record"):
-            fold_all(None, list(enumerate([*good[:at], body, *good[at:]])))
+            rebuild_table(None, list(enumerate([*good[:at], body, *good[at:]])))
 
 
 _WRITER = """
 import sys
 from pathlib import Path
 from fernweir.seats import records
-from fernweir.seats.files import DiskFiles
-from fernweir.seats.log import LogRules, SeatLog
-from fernweir.seats.records import Kept, encode_table, fold, fold_all
-log = SeatLog(DiskFiles(Path(sys.argv[1])), LogRules(segment_bytes=3000, snapshot_records=150))
+from fernweir.seats.file_store import DiskFileStore
+from fernweir.seats.log import LogConfig, SeatLog
+from fernweir.seats.records import SeatRecord, apply_record, encode_table, rebuild_table
+log = SeatLog(DiskFileStore(Path(sys.argv[1])), LogConfig(segment_bytes=3000, records_per_snapshot=150))
 found = log.open()
-table = fold_all(found.snapshot, found.records)
+table = rebuild_table(found.snapshot, found.records)
 while True:
-    for _ in range(1 + log.last % 5):
-        number = log.last + 1
-        body = records.asked(Kept(f"s{number % 40}", number, "t", "l", "c", "p", 1.0))
+    for _ in range(1 + log.last_sequence % 5):
+        number = log.last_sequence + 1
+        body = records.encode_requested(SeatRecord(f"s{number % 40}", number, "t", "l", "c", "p", 1.0))
         log.append(body)
-        fold(table, body)
+        apply_record(table, body)
     print(log.commit(), flush=True)
-    if log.wants_snapshot:
-        log.snapshot(encode_table(table))
+    if log.is_snapshot_due:
+        log.write_snapshot(encode_table(table))
 """
 
 
@@ -249,10 +256,10 @@
         rest = writer.stdout.read().split()
         promised = int(rest[-1]) if rest else promised
         writer.wait()
-        found = recover(DiskFiles(tmp_path))
-        table = fold_all(found.snapshot, found.records)
-        assert found.last >= promised
-        expected = {f"s{number % 40}": number for number in range(1, found.last + 1)}
+        found = recover_log(DiskFileStore(tmp_path))
+        table = rebuild_table(found.snapshot, found.records)
+        assert found.last_sequence >= promised
+        expected = {f"s{number % 40}": number for number in range(1, found.last_sequence + 1)}
         assert {name: kept.generation for name, kept in table.items()} == expected
 
 
@@ -261,7 +268,7 @@
 
     @initialize(seed=st.integers(0, 1000))
     def begin(self, seed: int) -> None:
-        self.dice, self.files = Random(seed), MemoryFiles()
+        self.dice, self.files = Random(seed), MemoryFileStore()
         self.said: list[bytes] = []
         self.promised = 0
         self.count = 0
@@ -270,24 +277,24 @@
     def open(self) -> None:
         self.log = SeatLog(self.files, SMALL)
         found = self.log.open()
-        assert found.last >= self.promised
-        self.said = self.said[: found.last]
-        assert fold_all(found.snapshot, found.records) == self.table()
-        self.promised = found.last
+        assert found.last_sequence >= self.promised
+        self.said = self.said[: found.last_sequence]
+        assert rebuild_table(found.snapshot, found.records) == self.table()
+        self.promised = found.last_sequence
 
-    def table(self) -> Table:
-        table: Table = {}
+    def table(self) -> SeatTable:
+        table: SeatTable = {}
         for body in self.said:
-            fold(table, body)
+            apply_record(table, body)
         return table
 
     @rule(name=st.sampled_from("abc"), kind=st.integers(0, 2))
     def append(self, name: str, kind: int) -> None:
         self.count += 1
         body = [
-            records.asked(seat(name, self.count)),
-            records.held(name, "L", self.count, 1.0),
-            records.gone(name),
+            records.encode_requested(seat(name, self.count)),
+            records.encode_granted(name, "L", self.count, 1.0),
+            records.encode_removed(name),
         ]
         self.said.append(body[kind])
         assert self.log.append(body[kind]) == len(self.said)
@@ -296,10 +303,10 @@
     def commit(self) -> None:
         self.promised = self.log.commit()
 
-    @precondition(lambda self: not self.log.pending)
+    @precondition(lambda self: not self.log.pending_count)
     @rule()
     def snapshot(self) -> None:
-        self.log.snapshot(encode_table(self.table()))
+        self.log.write_snapshot(encode_table(self.table()))
 
     @rule()
     def crash(self) -> None:
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -22,22 +22,22 @@
 )
 from fernweir.entitlement.queue import QueueRules, SendQueue, Turn
 from fernweir.rehearsal.storm import Storm, StormPlan
-from fernweir.seats.book import (
-    Book,
-    BookRules,
-    Command,
-    Op,
-    Renewed,
-    Reply,
-    Revoke,
-    Said,
-    Send,
-    State,
-    Verdict,
-    Want,
+from fernweir.seats.records import SeatRecord, SeatTable, apply_record
+from fernweir.seats.seat_manager import (
+    AdmissionDecision,
+    LeaseRenewed,
+    LeaseResponse,
+    Operation,
+    ResponseStatus,
+    RevokeSession,
+    SeatCommand,
+    SeatManager,
+    SeatManagerConfig,
+    SeatRequest,
+    SeatState,
+    SendLeaseRequest,
 )
-from fernweir.seats.records import Kept, Table, fold
-from fernweir.seats.wheel import Wheel
+from fernweir.seats.timing_wheel import TimingWheel
 from fernweir.standin.leases import LeaseDesk
 
 # --- the wheel ---
@@ -58,11 +58,11 @@
 )
 @hypothesis_settings(max_examples=300)
 def test_the_wheel_does_what_a_heap_does(start: int, steps: list[tuple[str, int]]) -> None:
-    now, wheel, heap, handles = float(start), Wheel[int](float(start)), [], []
+    now, wheel, heap, handles = float(start), TimingWheel[int](float(start)), [], []
     alive: dict[int, float] = {}
     for step, value in steps:
         if step == "set":
-            handles.append(wheel.set(now + value + 0.5, len(handles)))
+            handles.append(wheel.schedule(now + value + 0.5, len(handles)))
             heapq.heappush(heap, (now + value + 0.5, len(handles) - 1))
             alive[len(handles) - 1] = now + value + 0.5
         elif step == "cancel" and handles:
@@ -70,7 +70,7 @@
             assert wheel.cancel(handles[number]) == (number in alive)
             alive.pop(number, None)
         elif step == "go":
-            due = wheel.next_due()
+            due = wheel.next_deadline()
             assert (due is None) == (not alive)
             assert due is None or due <= min(alive.values())
             # Far ahead only by way of what is due, as a loop would.
@@ -85,12 +85,12 @@
 
 
 def test_the_wheel_over_all_its_levels() -> None:
-    wheel = Wheel[int](0.0)
+    wheel = TimingWheel[int](0.0)
     dues = sorted({(1 << bits) + offset for bits in range(0, 44, 2) for offset in (-1, 0, 1)})
     for due in reversed(dues):
-        wheel.set(float(due), due)
+        wheel.schedule(float(due), due)
     fired: list[int] = []
-    while (at := wheel.next_due()) is not None:
+    while (at := wheel.next_deadline()) is not None:
         fired += wheel.advance(at)
     assert fired == dues
 
@@ -193,25 +193,25 @@
 def test_twenty_thousand_renewals_in_one_second_go_out_before_a_crew() -> None:
     book = Desk(ttl=30_000.0)
     for number in range(20_000):
-        book.book.queue.rules = QueueRules(at_once=30_000)
+        book.book.send_queue.rules = QueueRules(at_once=30_000)
         book.want(f"s{number}")
     book.grant_all()
-    book.book.queue.rules = QueueRules(at_once=64)
-    sends: list[Send] = []
+    book.book.send_queue.rules = QueueRules(at_once=64)
+    sends: list[SendLeaseRequest] = []
     for step in range(200):
         if step == 100:
             for number in range(500):
                 book.want(f"crew{number}", worth=9.0)
-        out = [one for one in book.step(100.0) if isinstance(one, Send)]
+        out = [one for one in book.step(100.0) if isinstance(one, SendLeaseRequest)]
         sends += out
         for send in out:
-            book.reply(send, Said.DONE)
-        while more := [one for one in book.step(0.0) if isinstance(one, Send)]:
+            book.reply(send, ResponseStatus.SUCCEEDED)
+        while more := [one for one in book.step(0.0) if isinstance(one, SendLeaseRequest)]:
             sends += more
             for send in more:
-                book.reply(send, Said.DONE)
-    assert book.book.counts.lapsed == 0 and book.book.counts.revoked == 0
-    assert book.book.counts.renewed >= 20_000 and book.book.counts.shortest_lead_ms > 5_000.0
+                book.reply(send, ResponseStatus.SUCCEEDED)
+    assert book.book.metrics.expired == 0 and book.book.metrics.revoked == 0
+    assert book.book.metrics.renewed >= 20_000 and book.book.metrics.shortest_remaining_ms > 5_000.0
 
 
 # --- the book ---
@@ -223,71 +223,71 @@
     def __init__(self, ttl: float = 10_000.0, plays: bool = False, **rules: float) -> None:
         self.now, self.ttl, self.fence = 1000.0, ttl, 0
         self.log: list[bytes] = []
-        self.said: list[Command] = []
-        self.open: dict[int, Send] = {}
-        more = {"ttl_most_ms": 10_000.0 if ttl < 10_001 else ttl, **rules}
-        self.book = Book(self.now, 1, self.append, lambda cls: plays, rules=BookRules(**more))
+        self.said: list[SeatCommand] = []
+        self.open: dict[int, SendLeaseRequest] = {}
+        more = {"max_ttl_ms": 10_000.0 if ttl < 10_001 else ttl, **rules}
+        self.book = SeatManager(self.now, 1, self.append, lambda cls: plays, config=SeatManagerConfig(**more))
 
     def append(self, body: bytes) -> int:
         self.log.append(body)
         return len(self.log)
 
-    def table(self) -> Table:
-        table: Table = {}
+    def table(self) -> SeatTable:
+        table: SeatTable = {}
         for body in self.log:
-            fold(table, body)
+            apply_record(table, body)
         return table
 
-    def step(self, after: float = 1.0) -> list[Command]:
+    def step(self, after: float = 1.0) -> list[SeatCommand]:
         self.now += after
-        self.book.durable(self.now, len(self.log))
-        said = self.book.take(self.now)
+        self.book.on_log_synced(self.now, len(self.log))
+        said = self.book.advance(self.now)
         self.said += said
-        self.open |= {one.number: one for one in said if isinstance(one, Send)}
+        self.open |= {one.request_id: one for one in said if isinstance(one, SendLeaseRequest)}
         return said
 
     def want(self, session: str = "a", wait: float = 2000.0, worth: float = 1.0) -> None:
-        self.book.want(self.now, Want(session, "t", "l", "c", "p", worth), self.now + wait)
+        self.book.request_seat(self.now, SeatRequest(session, "t", "l", "c", "p", worth), self.now + wait)
 
-    def reply(self, send: Send, said: Said, **more: object) -> None:
+    def reply(self, send: SendLeaseRequest, said: ResponseStatus, **more: object) -> None:
         self.fence += 1
-        self.open.pop(send.number, None)
-        base = Reply(said, f"L{send.seat.session}", self.fence, self.ttl)
-        self.book.replied(self.now, send.number, replace(base, **more))  # type: ignore[arg-type]
+        self.open.pop(send.request_id, None)
+        base = LeaseResponse(said, f"L{send.record.session_id}", self.fence, self.ttl)
+        self.book.on_response(self.now, send.request_id, replace(base, **more))  # type: ignore[arg-type]
 
-    def sent(self, after: float = 1.0) -> Send:
+    def sent(self, after: float = 1.0) -> SendLeaseRequest:
         """The one request that goes out now."""
-        sends = [one for one in self.step(after) if isinstance(one, Send)]
+        sends = [one for one in self.step(after) if isinstance(one, SendLeaseRequest)]
         assert len(sends) == 1, sends
         return sends[0]
 
-    def next_sent(self) -> Send:
+    def next_sent(self) -> SendLeaseRequest:
         """The next request, whenever it comes."""
         for _ in range(20_000):
-            due = self.book.next_due(self.now)
+            due = self.book.next_deadline(self.now)
             assert due is not None, "nothing more will be sent"
-            sends = [one for one in self.step(max(due - self.now, 0.5)) if isinstance(one, Send)]
+            sends = [one for one in self.step(max(due - self.now, 0.5)) if isinstance(one, SendLeaseRequest)]
             if sends:
                 return sends[0]
         raise AssertionError("never sent")
 
     def grant_all(self) -> None:
         for one in self.step():
-            if isinstance(one, Send):
-                self.reply(one, Said.DONE)
+            if isinstance(one, SendLeaseRequest):
+                self.reply(one, ResponseStatus.SUCCEEDED)
         self.step()
 
     def of(self, kind: type) -> list:  # type: ignore[type-arg]
         return [one for one in self.said if isinstance(one, kind)]
 
     def verdicts(self) -> list[bool | None]:
-        return [verdict.granted for verdict in self.of(Verdict)]
+        return [verdict.is_granted for verdict in self.of(AdmissionDecision)]
 
 
 def granted(**more: float) -> Desk:
     desk = Desk(**more)  # type: ignore[arg-type]
     desk.want()
-    desk.reply(desk.sent(), Said.DONE)
+    desk.reply(desk.sent(), ResponseStatus.SUCCEEDED)
     desk.step()
     assert desk.verdicts() == [True]
     return desk
@@ -296,8 +296,8 @@
 def test_an_ask_leaves_only_when_it_is_written_down() -> None:
     desk = Desk()
     desk.want()
-    assert [one for one in desk.book.take(desk.now) if isinstance(one, Send)] == []
-    assert desk.sent().op is Op.ASK and "a" in desk.table()
+    assert [one for one in desk.book.advance(desk.now) if isinstance(one, SendLeaseRequest)] == []
+    assert desk.sent().operation is Operation.ACQUIRE and "a" in desk.table()
 
 
 def test_a_repeated_set_up_asks_once_and_has_one_verdict_each_time() -> None:
@@ -306,12 +306,12 @@
     desk.want()
     send = desk.sent()
     desk.want()
-    assert [one for one in desk.step() if isinstance(one, Send)] == []
-    desk.reply(send, Said.DONE)
+    assert [one for one in desk.step() if isinstance(one, SendLeaseRequest)] == []
+    desk.reply(send, ResponseStatus.SUCCEEDED)
     desk.step()
     desk.want()  # plays already
     desk.step()
-    assert desk.verdicts() == [True, True] and desk.book.held("l", "c") == 1
+    assert desk.verdicts() == [True, True] and desk.book.count_seats("l", "c") == 1
 
 
 @pytest.mark.parametrize("done", [True, False])
@@ -319,10 +319,13 @@
     desk = Desk()
     desk.want()
     first = desk.sent()
-    desk.reply(first, Said.DOUBTFUL)
+    desk.reply(first, ResponseStatus.INDETERMINATE)
     again = desk.next_sent()
-    assert (again.op, again.key) == (Op.ASK, first.key)  # whether or not the first was done, it is one seat
-    desk.reply(again, Said.DONE)
+    assert (again.operation, again.idempotency_key) == (
+        Operation.ACQUIRE,
+        first.idempotency_key,
+    )  # whether or not the first was done, it is one seat
+    desk.reply(again, ResponseStatus.SUCCEEDED)
     desk.step()
     assert desk.verdicts() == [True]
 
@@ -351,20 +354,24 @@
     assert [one.front for one in desk.leases.values()] == ["f3"] and desk.report.most_by_session == 1
 
 
-@pytest.mark.parametrize("said", [Said.DONE, Said.FULL, Said.DENIED])
+@pytest.mark.parametrize(
+    "said", [ResponseStatus.SUCCEEDED, ResponseStatus.NO_SEAT_FREE, ResponseStatus.DENIED]
+)
 @pytest.mark.parametrize("late_first", [True, False])
-def test_both_answers_of_a_repeated_ask_in_one_batch(said: Said, late_first: bool) -> None:
+def test_both_answers_of_a_repeated_ask_in_one_batch(said: ResponseStatus, late_first: bool) -> None:
     desk = Desk()
     desk.want()
     first = desk.sent()
-    desk.reply(first, Said.DOUBTFUL)
+    desk.reply(first, ResponseStatus.INDETERMINATE)
     again = desk.next_sent()
     replies = [(again, said), (first, said)]
     for send, word in reversed(replies) if late_first else replies:
-        desk.reply(send, word, lease="La", fence=5)
+        desk.reply(send, word, lease_id="La", fence=5)
     desk.step()
-    assert desk.verdicts() == [said is Said.DONE] and desk.book.held("l", "c") == (said is Said.DONE)
-    assert desk.book.queue.out == 0
+    assert desk.verdicts() == [said is ResponseStatus.SUCCEEDED] and desk.book.count_seats("l", "c") == (
+        said is ResponseStatus.SUCCEEDED
+    )
+    assert desk.book.send_queue.out == 0
 
 
 def test_with_no_answer_the_class_decides_and_the_seat_is_not_leaked() -> None:
@@ -373,161 +380,176 @@
         desk.want(wait=50.0)
         first = desk.sent()
         desk.step(60.0)
-        desk.reply(first, Said.DOUBTFUL)
-        now = [one for one in desk.step() if isinstance(one, Send)]
+        desk.reply(first, ResponseStatus.INDETERMINATE)
+        now = [one for one in desk.step() if isinstance(one, SendLeaseRequest)]
         assert desk.verdicts() == [None]
         send = now[0] if now else desk.next_sent()
-        assert (send.op, send.key) == (Op.ASK if plays else Op.RELEASE, first.key)
-        desk.reply(send, Said.DONE)
+        assert (send.operation, send.idempotency_key) == (
+            Operation.ACQUIRE if plays else Operation.RELEASE,
+            first.idempotency_key,
+        )
+        desk.reply(send, ResponseStatus.SUCCEEDED)
         desk.step()
-        assert desk.book.held("l", "c") == (1 if plays else 0) and ("a" in desk.table()) == plays
+        assert desk.book.count_seats("l", "c") == (1 if plays else 0) and ("a" in desk.table()) == plays
 
 
 def test_a_release_follows_an_ask_that_ends_after_its_viewer_left() -> None:
     desk = Desk()
     desk.want()
     ask = desk.sent()
-    desk.book.unwant(desk.now, "a")
-    assert [one for one in desk.step() if isinstance(one, Send)] == []  # one request of a seat at a time
-    desk.reply(ask, Said.DONE)
+    desk.book.cancel_request(desk.now, "a")
+    assert [
+        one for one in desk.step() if isinstance(one, SendLeaseRequest)
+    ] == []  # one request of a seat at a time
+    desk.reply(ask, ResponseStatus.SUCCEEDED)
     release = desk.sent()
-    assert release.op is Op.RELEASE
+    assert release.operation is Operation.RELEASE
     desk.want()  # and comes back while that is out
-    desk.reply(release, Said.DONE)
+    desk.reply(release, ResponseStatus.SUCCEEDED)
     again = desk.sent()
-    assert again.op is Op.ASK and again.key != ask.key
-    desk.reply(again, Said.DONE)
+    assert again.operation is Operation.ACQUIRE and again.idempotency_key != ask.idempotency_key
+    desk.reply(again, ResponseStatus.SUCCEEDED)
     desk.step()
-    assert desk.verdicts() == [True] and desk.book.held("l", "c") == 1
+    assert desk.verdicts() == [True] and desk.book.count_seats("l", "c") == 1
 
 
-@pytest.mark.parametrize("answer", [Said.DONE, Said.GONE, Said.DOUBTFUL, Said.DENIED])
-def test_an_end_that_races_a_renewal_leaves_nothing(answer: Said) -> None:
+@pytest.mark.parametrize(
+    "answer",
+    [
+        ResponseStatus.SUCCEEDED,
+        ResponseStatus.LEASE_UNKNOWN,
+        ResponseStatus.INDETERMINATE,
+        ResponseStatus.DENIED,
+    ],
+)
+def test_an_end_that_races_a_renewal_leaves_nothing(answer: ResponseStatus) -> None:
     desk = granted()
     renewal = desk.next_sent()
-    assert renewal.op is Op.RENEW
-    desk.book.unwant(desk.now, "a")
+    assert renewal.operation is Operation.RENEW
+    desk.book.cancel_request(desk.now, "a")
     desk.reply(renewal, answer)
-    sends = [one for one in desk.step() if isinstance(one, Send)]
-    if answer in (Said.DONE, Said.DOUBTFUL):
-        assert [send.op for send in sends] == [Op.RELEASE]
-        desk.reply(sends[0], Said.DONE)
+    sends = [one for one in desk.step() if isinstance(one, SendLeaseRequest)]
+    if answer in (ResponseStatus.SUCCEEDED, ResponseStatus.INDETERMINATE):
+        assert [send.operation for send in sends] == [Operation.RELEASE]
+        desk.reply(sends[0], ResponseStatus.SUCCEEDED)
         desk.step()
-    assert desk.book.seats == {} and desk.table() == {} and desk.of(Revoke) == []
+    assert desk.book.seats == {} and desk.table() == {} and desk.of(RevokeSession) == []
 
 
 def test_a_renewal_without_answer_is_tried_until_it_lapses_and_counted_no_longer() -> None:
     desk = granted()
-    lapse = desk.book.seats["a"].use_until
-    while desk.of(Revoke) == []:
+    lapse = desk.book.seats["a"].usable_until_ms
+    while desk.of(RevokeSession) == []:
         send = desk.next_sent()
-        if send.op is not Op.RENEW:
+        if send.operation is not Operation.RENEW:
             break
         desk.now += 200.0
-        desk.reply(send, Said.DOUBTFUL)
+        desk.reply(send, ResponseStatus.INDETERMINATE)
         desk.step()
-    assert [one.why for one in desk.of(Revoke)] == ["entitlement could not be renewed"]
-    assert lapse <= desk.now < lapse + 5_000.0 and desk.book.counts.repeats >= 2
-    held_until = desk.book.seats["a"].held_until
+    assert [one.reason for one in desk.of(RevokeSession)] == ["entitlement could not be renewed"]
+    assert lapse <= desk.now < lapse + 5_000.0 and desk.book.metrics.retries >= 2
+    held_until = desk.book.seats["a"].latest_expiry_ms
     assert held_until <= desk.now + 10_000.0
     while desk.book.seats:  # no release is answered either
         for send in list(desk.open.values()):
-            desk.reply(send, Said.DOUBTFUL)
-        due = desk.book.next_due(desk.now)
+            desk.reply(send, ResponseStatus.INDETERMINATE)
+        due = desk.book.next_deadline(desk.now)
         assert due is not None
         desk.step(max(due - desk.now, 0.5))
     assert desk.now <= held_until + 1_500.0 and desk.table() == {}
 
 
 def test_a_server_that_forgot_is_asked_anew_and_an_older_fence_is_not_believed() -> None:
-    for said, fence in ((Said.GONE, 0), (Said.DONE, -100)):
+    for said, fence in ((ResponseStatus.LEASE_UNKNOWN, 0), (ResponseStatus.SUCCEEDED, -100)):
         desk = granted()
         renewal = desk.next_sent()
         desk.reply(renewal, said, fence=fence)
         ask = desk.sent()
-        assert ask.op is Op.ASK and ask.seat.generation > renewal.seat.generation
+        assert ask.operation is Operation.ACQUIRE and ask.record.generation > renewal.record.generation
         desk.fence = -50 if fence else desk.fence
-        desk.reply(ask, Said.DONE)
+        desk.reply(ask, ResponseStatus.SUCCEEDED)
         desk.step()
-        assert desk.of(Revoke) == [] and desk.book.held("l", "c") == 1
-        assert desk.next_sent().op is Op.RENEW
+        assert desk.of(RevokeSession) == [] and desk.book.count_seats("l", "c") == 1
+        assert desk.next_sent().operation is Operation.RENEW
 
 
-@pytest.mark.parametrize(("said", "why"), [(Said.DENIED, "has ended"), (Said.FENCED, "elsewhere")])
-def test_a_renewal_refused_for_good_ends_the_session(said: Said, why: str) -> None:
+@pytest.mark.parametrize(
+    ("said", "why"), [(ResponseStatus.DENIED, "has ended"), (ResponseStatus.FENCED, "elsewhere")]
+)
+def test_a_renewal_refused_for_good_ends_the_session(said: ResponseStatus, why: str) -> None:
     desk = granted()
     desk.reply(desk.next_sent(), said)
     desk.step()
-    assert why in desk.of(Revoke)[0].why and desk.book.seats == {} and desk.table() == {}
+    assert why in desk.of(RevokeSession)[0].reason and desk.book.seats == {} and desk.table() == {}
 
 
 def test_a_front_that_stood_still_past_a_lease_asks_before_it_ends_the_session() -> None:
     desk = granted()
-    sends = [one for one in desk.step(20_000.0) if isinstance(one, Send)]
-    assert [send.op for send in sends] == [Op.RENEW] and desk.of(Revoke) == []
-    assert not desk.book.covers(desk.now, "a")
-    desk.reply(sends[0], Said.GONE)
+    sends = [one for one in desk.step(20_000.0) if isinstance(one, SendLeaseRequest)]
+    assert [send.operation for send in sends] == [Operation.RENEW] and desk.of(RevokeSession) == []
+    assert not desk.book.has_valid_lease(desk.now, "a")
+    desk.reply(sends[0], ResponseStatus.LEASE_UNKNOWN)
     ask = desk.sent()
-    desk.reply(ask, Said.DONE)
+    desk.reply(ask, ResponseStatus.SUCCEEDED)
     desk.step()
-    assert desk.of(Revoke) == [] and desk.book.covers(desk.now, "a")
+    assert desk.of(RevokeSession) == [] and desk.book.has_valid_lease(desk.now, "a")
 
 
 @pytest.mark.parametrize("step_s", [-3600.0, 0.0, 3600.0])
 def test_after_a_restart_the_wall_clock_is_believed_within_a_lease_only(step_s: float) -> None:
     before = granted()
     wall = 500.0 + step_s
-    table = {name: replace(kept, until=505.0) for name, kept in before.table().items()}
-    desk = Desk(reclaim_ms=4_000.0)
-    desk.book.recover(desk.now, wall, table)
+    table = {name: replace(kept, expires_at_s=505.0) for name, kept in before.table().items()}
+    desk = Desk(reclaim_after_ms=4_000.0)
+    desk.book.recover_seats(desk.now, wall, table)
     seat = desk.book.seats["a"]
-    assert seat.state is State.RECOVERED and desk.now < seat.held_until <= desk.now + 10_000.0
+    assert seat.state is SeatState.RECOVERED and desk.now < seat.latest_expiry_ms <= desk.now + 10_000.0
     send = desk.next_sent()  # nobody came back: it is given back under its old key
-    assert send.op is Op.RELEASE and send.key == "a.1"
-    desk.reply(send, Said.DONE)
+    assert send.operation is Operation.RELEASE and send.idempotency_key == "a.1"
+    desk.reply(send, ResponseStatus.SUCCEEDED)
     desk.step()
     assert desk.book.seats == {}
 
 
 def test_a_want_for_a_recovered_seat_whose_ask_is_out_sends_no_second_one() -> None:
     desk = Desk()
-    desk.book.recover(desk.now, desk.now / 1000.0, {"a": Kept("a", 1, "t", "l", "c", "p", 1.0)})
+    desk.book.recover_seats(desk.now, desk.now / 1000.0, {"a": SeatRecord("a", 1, "t", "l", "c", "p", 1.0)})
     desk.want()
     ask = desk.sent()
-    desk.book.unwant(desk.now, "a")
+    desk.book.cancel_request(desk.now, "a")
     desk.want()
-    assert [one for one in desk.step() if isinstance(one, Send)] == []
-    desk.reply(ask, Said.DONE)
+    assert [one for one in desk.step() if isinstance(one, SendLeaseRequest)] == []
+    desk.reply(ask, ResponseStatus.SUCCEEDED)
     desk.step()
-    assert desk.verdicts() == [True] and desk.book.covers(desk.now, "a")
+    assert desk.verdicts() == [True] and desk.book.has_valid_lease(desk.now, "a")
 
 
 def test_a_viewer_that_comes_back_after_a_restart_keeps_its_seat() -> None:
     table = granted().table()
     desk = Desk()
-    desk.book.recover(desk.now, 0.0, table)
+    desk.book.recover_seats(desk.now, 0.0, table)
     desk.want()
     send = desk.sent()
-    assert send.op is Op.RENEW and send.seat.lease == "La"
+    assert send.operation is Operation.RENEW and send.record.lease_id == "La"
     desk.fence = 50
-    desk.reply(send, Said.DONE)
+    desk.reply(send, ResponseStatus.SUCCEEDED)
     desk.step()
-    assert desk.verdicts() == [True] and desk.book.held("l", "c") == 1
+    assert desk.verdicts() == [True] and desk.book.count_seats("l", "c") == 1
     doubtful = Desk()
-    doubtful.book.recover(doubtful.now, 0.0, {"a": Kept("a", 3, "t", "l", "c", "p", 1.0)})
+    doubtful.book.recover_seats(doubtful.now, 0.0, {"a": SeatRecord("a", 3, "t", "l", "c", "p", 1.0)})
     doubtful.want()
-    assert (doubtful.sent().key, doubtful.book.seats["a"].state) == ("a.3", State.RECOVERED)
+    assert (doubtful.sent().idempotency_key, doubtful.book.seats["a"].state) == ("a.3", SeatState.RECOVERED)
 
 
 def test_a_log_that_cannot_be_written_stops_asks_and_not_renewals() -> None:
     desk = granted()
     desk.want("b")
-    desk.book.unwritable(desk.now)
+    desk.book.on_log_failed(desk.now)
     desk.want("c")
     desk.step()
     assert desk.verdicts() == [True, False, False]
     renewal = desk.next_sent()
-    assert renewal.op is Op.RENEW and renewal.seat.session == "a"
+    assert renewal.operation is Operation.RENEW and renewal.record.session_id == "a"
 
 
 def test_a_server_away_is_found_out_by_few_and_asked_by_few() -> None:
@@ -536,9 +558,9 @@
     for number in range(200):
         desk.want(f"s{number}", wait=500.0)
         for one in desk.step(10.0):
-            if isinstance(one, Send):
+            if isinstance(one, SendLeaseRequest):
                 out += 1
-                desk.reply(one, Said.DOUBTFUL)
+                desk.reply(one, ResponseStatus.INDETERMINATE)
     desk.step(5000.0)
     assert None in desk.verdicts() or False in desk.verdicts()
     assert len(desk.verdicts()) == 200 and out < 60  # the breaker holds back what could only fail
@@ -550,26 +572,26 @@
     @initialize(plays=st.booleans())
     def begin(self, plays: bool) -> None:
         self.desk = Desk(plays=plays)
-        self.out: dict[str, Send] = {}
+        self.out: dict[str, SendLeaseRequest] = {}
         self.owed: dict[str, int] = {}
         self.playing: set[str] = set()
 
     def run(self, after: float) -> None:
         for one in self.desk.step(after):
-            if isinstance(one, Send):
-                session = one.seat.session
+            if isinstance(one, SendLeaseRequest):
+                session = one.record.session_id
                 assert session not in self.out, "two requests of one seat"
-                assert session in self.desk.table() or one.op is Op.RELEASE
+                assert session in self.desk.table() or one.operation is Operation.RELEASE
                 self.out[session] = one
-            elif isinstance(one, Verdict):
-                assert self.owed.pop(one.session, 0) > 0, "a verdict nobody waits for"
-                if one.granted is not False:
-                    self.playing.add(one.session)
-            elif isinstance(one, Revoke):
-                assert one.session in self.playing, "revoked what does not play"
-                self.playing.discard(one.session)
-            elif isinstance(one, Renewed):
-                assert one.use_until > self.desk.now
+            elif isinstance(one, AdmissionDecision):
+                assert self.owed.pop(one.session_id, 0) > 0, "a verdict nobody waits for"
+                if one.is_granted is not False:
+                    self.playing.add(one.session_id)
+            elif isinstance(one, RevokeSession):
+                assert one.session_id in self.playing, "revoked what does not play"
+                self.playing.discard(one.session_id)
+            elif isinstance(one, LeaseRenewed):
+                assert one.usable_until_ms > self.desk.now
 
     @rule(name=st.sampled_from("abc"), wait=st.sampled_from([50.0, 2000.0]))
     def want(self, name: str, wait: float) -> None:
@@ -583,10 +605,13 @@
         if name in self.playing or name in self.owed:
             self.playing.discard(name)
             self.owed.pop(name, None)
-            self.desk.book.unwant(self.desk.now, name)
+            self.desk.book.cancel_request(self.desk.now, name)
 
-    @rule(name=st.sampled_from("abc"), said=st.sampled_from([Said.DONE, Said.DONE, *Said]))
-    def answer(self, name: str, said: Said) -> None:
+    @rule(
+        name=st.sampled_from("abc"),
+        said=st.sampled_from([ResponseStatus.SUCCEEDED, ResponseStatus.SUCCEEDED, *ResponseStatus]),
+    )
+    def answer(self, name: str, said: ResponseStatus) -> None:
         if name in self.out:
             self.desk.reply(self.out.pop(name), said)
 
@@ -601,14 +626,14 @@
             self.run(0.0)
             self.owed.pop(name, None)
             self.playing.discard(name)
-            self.desk.book.unwant(self.desk.now, name)
+            self.desk.book.cancel_request(self.desk.now, name)
         for _ in range(90):
             for name in list(self.out):
-                self.desk.reply(self.out.pop(name), Said.DOUBTFUL)
+                self.desk.reply(self.out.pop(name), ResponseStatus.INDETERMINATE)
             self.run(900.0)
             self.playing.clear()
         assert self.desk.book.seats == {} and self.desk.table() == {}, "a seat is left"
-        assert len(self.desk.book.queue) == 0 and self.desk.book._wheel.next_due() is None
+        assert len(self.desk.book.send_queue) == 0 and self.desk.book._wheel.next_deadline() is None
 
 
 BookStory.TestCase.settings = hypothesis_settings(max_examples=60, stateful_step_count=30)
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -23,7 +23,7 @@
 from fernweir.rehearsal.faults import Fault, Kind, ScheduleError, draw, read_schedule
 from fernweir.rehearsal.loop import NODE, DeadlockError, LivelockError, NotVirtualError, VirtualLoop, run
 from fernweir.rehearsal.virtual import VirtualPlan, play, shrink
-from fernweir.seats.book import Book, Seat
+from fernweir.seats.seat_manager import Seat, SeatManager
 
 # --- the loop ---
 
@@ -295,12 +295,12 @@
 
 
 def leases_are_kept_after_their_end(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Book, "unwant", lambda self, now, session: None)
+    patch.setattr(SeatManager, "cancel_request", lambda self, now, session: None)
 
 
 def every_repeat_has_a_key_of_its_own(patch: pytest.MonkeyPatch) -> None:
     numbers = iter(range(10**9))
-    patch.setattr(Seat, "key", property(lambda self: f"{self.kept.session}.{next(numbers)}"))
+    patch.setattr(Seat, "idempotency_key", property(lambda self: f"{self.record.session_id}.{next(numbers)}"))
 
 
 def on(kind: Kind, boxes: range, strength: float = 1.0) -> tuple[Fault, ...]:
