--- a/bench/front.py
+++ b/bench/front.py
@@ -69,7 +69,7 @@
     async def run() -> None:
         loop = asyncio.get_running_loop()
         site = Site(
-            plan.ladder_kb, {one.name: one for one in plan.classes}, Keyring.read(keys),
+            plan.ladder_kb, {one.name: one for one in plan.classes}, Keyring.from_json(keys),
             [Rack(1e9) for _ in range(plan.racks)], times=plan.times, wall_offset_s=offset,
         )  # fmt: skip
         ports = {}
--- a/bench/golden_state_samples.py
+++ b/bench/golden_state_samples.py
@@ -26,15 +26,15 @@
 from fernweir.dash.build import Title, build_mpd
 from fernweir.http.client import Outcome
 from fernweir.http.sse import encode_event
-from fernweir.journal.events import Entry, What, to_row
-from fernweir.journal.picture import BoxRow, Picture, SessionRow
-from fernweir.journal.segment import pack
+from fernweir.journal.events import Entry, EventKind, to_row
+from fernweir.journal.segment import encode_segment
+from fernweir.journal.state_projection import ServerRow, SessionRow, StateProjection
 from fernweir.node.frames import Code, Frame, Type, encode
 from fernweir.node.jsonl import TYPES as LINE_TYPES
 from fernweir.node.jsonl import Message, write
 from fernweir.seats import records as seats
 from fernweir.seats.seat_manager import Operation
-from fernweir.tokens.claims import BoxClaims, ControlClaims, SessionClaims
+from fernweir.tokens.claims import ControlClaims, ServerClaims, SessionClaims
 from fernweir.wire import HEADER
 from tests.golden_formats import (
     KEYS,
@@ -90,54 +90,54 @@
             number, 1_800_000_000_000 + number, what, "front-1", f"s{number}", "lesson-1", "film", "t1", 3, 1,
             2, "why é", {"start": "12", "took_ms": 1.5, "link": [1, None]},
         )
-        for number, what in enumerate(What, 1)
+        for number, what in enumerate(EventKind, 1)
     ]  # fmt: skip
-    return [*full, Entry(len(full) + 1, 5, What.ASKED)]
+    return [*full, Entry(len(full) + 1, 5, EventKind.ASKED)]
 
 
 def day_entries() -> list[Entry]:
     """A short life of two servers, two sessions and an operator's order, for the state projection."""
     day: list[Entry] = []
 
-    def add(what: What, **fields: Any) -> None:
+    def add(what: EventKind, **fields: Any) -> None:
         day.append(Entry(len(day) + 1, 1_000 + len(day), what, "front-1", **fields))
 
     one = {"lesson": "l1", "cls": "film", "tenant": "t1"}
-    add(What.FRONT, why="up")
-    add(What.BOX, box=1, why="ready", more={"start": "7"})
-    add(What.BOX, box=2, why="draining")
-    add(What.ASKED, session="s1", **one)
-    add(What.SETUP, session="s1", box=1, attempt=0, rung=2, why="least loaded", **one)
-    add(What.FAILED_TRY, session="s1", box=1, attempt=0, why="timeout", **one)
-    add(What.SETUP, session="s1", box=2, attempt=1, rung=1, why="next", **one)
-    add(What.STARTED, session="s1", box=2, attempt=1, rung=1, **one)
-    add(What.PLAYS, session="s1", **one)
-    add(What.RUNG, session="s1", box=2, attempt=1, rung=2, why="room", **one)
-    add(What.ASKED, session="s2", **one)
-    add(What.REFUSED, session="s2", why="no room", **one)
-    add(What.FAILED, session="s3", why="time is over", **one)
-    add(What.CONFLICT, session="s4", why="other title", **one)
-    add(What.ENDED, session="s2", why="refused", **one)
-    add(What.SILENT, box=2)
-    add(What.HEARD, box=2)
-    add(What.LOST, box=1)
-    add(What.MOVED, session="s1", box=2, **one)
+    add(EventKind.FRONT, why="up")
+    add(EventKind.BOX, box=1, why="ready", more={"start": "7"})
+    add(EventKind.BOX, box=2, why="draining")
+    add(EventKind.ASKED, session="s1", **one)
+    add(EventKind.SETUP, session="s1", box=1, attempt=0, rung=2, why="least loaded", **one)
+    add(EventKind.FAILED_TRY, session="s1", box=1, attempt=0, why="timeout", **one)
+    add(EventKind.SETUP, session="s1", box=2, attempt=1, rung=1, why="next", **one)
+    add(EventKind.STARTED, session="s1", box=2, attempt=1, rung=1, **one)
+    add(EventKind.PLAYS, session="s1", **one)
+    add(EventKind.RUNG, session="s1", box=2, attempt=1, rung=2, why="room", **one)
+    add(EventKind.ASKED, session="s2", **one)
+    add(EventKind.REFUSED, session="s2", why="no room", **one)
+    add(EventKind.FAILED, session="s3", why="time is over", **one)
+    add(EventKind.CONFLICT, session="s4", why="other title", **one)
+    add(EventKind.ENDED, session="s2", why="refused", **one)
+    add(EventKind.SILENT, box=2)
+    add(EventKind.HEARD, box=2)
+    add(EventKind.LOST, box=1)
+    add(EventKind.MOVED, session="s1", box=2, **one)
     more = {"by": "ann", "drains": {"1": "ann"}, "holds": {"l2": "bob"}, "caps": {"tenant:t1": 4}}
-    add(What.ORDER, why="drain 1: done", more=more)
-    add(What.BOX, box=3, why="gone")
-    add(What.BOX, box=3, why="unlisted")
+    add(EventKind.ORDER, why="drain 1: done", more=more)
+    add(EventKind.BOX, box=3, why="gone")
+    add(EventKind.BOX, box=3, why="unlisted")
     return day
 
 
-def full_picture() -> Picture:
+def full_picture() -> StateProjection:
     """A state projection with every field set."""
-    value = Picture(9, 10)
+    value = StateProjection(9, 10)
     value.sessions["front-1/s1"] = SessionRow(
         "s1", "front-1", "l1", "film", "t1", "playing", 5, 1, 2, 3, "why"
     )
     value.sessions["front-1/s2"] = SessionRow("s2", "front-1", "l1", "film", "t1", "asked", 6)
-    value.boxes[1] = BoxRow(1, "ready", "ann", "77", True, 2, 1)
-    value.boxes[2] = BoxRow(2)
+    value.servers[1] = ServerRow(1, "ready", "ann", "77", True, 2, 1)
+    value.servers[2] = ServerRow(2)
     value.answers.update({"plays": 3, "refused": 1})
     value.by_class.update({"film plays": 3})
     value.refusals.update({"no room": 1})
@@ -155,17 +155,17 @@
     ]
     first, second = entries()[:6], entries()[6:12]
     folder = write_journal_folder(
-        [(1, 6, pack(first)), (7, 12, pack(second))], entries()[12:], "0123456789abcdef"
+        [(1, 6, encode_segment(first)), (7, 12, encode_segment(second))], entries()[12:], "0123456789abcdef"
     )
     lines = b"\n".join(orjson.dumps(to_row(one)) for one in day_entries())
     return [
         *rows,
-        Sample("segment", "journal-segment", pack(entries())),
+        Sample("segment", "journal-segment", encode_segment(entries())),
         Sample("folder", "journal-folder", folder),
         Sample("empty folder", "journal-folder", write_journal_folder([], [], "0123456789abcdef")),
         Sample("day", "journal-folded", lines),
         Sample("full", "picture", write_picture(full_picture())),
-        Sample("empty", "picture", write_picture(Picture())),
+        Sample("empty", "picture", write_picture(StateProjection())),
         Sample("snapshot lines", "picture-snapshot", write_snapshot(full_picture())),
     ]
 
@@ -350,13 +350,13 @@
     timed = {"iat": int(NOW_S) - 1, "nbf": NOW_S - 0.5}
     both = {**session, **timed, "aud": ["fernweir-front", "other"], "tenant": "t1"}
     server = {**session, "aud": "fernweir-box", "front": "front-1", "attempt": 2, "rung": 1}
+    server_with_all = {**server, **timed, "tenant": "t1", "channel": "c/1", "fence": 9}
     return [
         Sample("keys", "key-file", KEYS.encode()),
         Sample("session", "token-session", write_token(SessionClaims(**session))),
         Sample("session with all", "token-session", write_token(SessionClaims(**both))),
-        Sample("server", "token-server", write_token(BoxClaims(**server))),
-        Sample("server with all", "token-server",
-               write_token(BoxClaims(**{**server, **timed, "tenant": "t1", "channel": "c/1", "fence": 9}))),
+        Sample("server", "token-server", write_token(ServerClaims(**server))),
+        Sample("server with all", "token-server", write_token(ServerClaims(**server_with_all))),
         Sample("control", "token-control",
                write_token(ControlClaims(**common, aud="fernweir-box", front="front-1", use="control"))),
     ]  # fmt: skip
--- a/bench/journal.py
+++ b/bench/journal.py
@@ -19,18 +19,18 @@
 from fernweir.front.program import start_front
 from fernweir.http.client import Pool
 from fernweir.journal.disk import JournalFolder
-from fernweir.journal.events import Entry, What
-from fernweir.journal.segment import Question
-from fernweir.journal.store import Journal, JournalRules
+from fernweir.journal.events import Entry, EventKind
+from fernweir.journal.segment import Query
+from fernweir.journal.store import Journal, JournalConfig
 from fernweir.rehearsal.site import RehearsalSite, SitePlan
 from fernweir.standin.trace import Trace
 from fernweir.standin.viewer import Viewers, fetch
 
 _QUESTIONS = {
-    "one session's life": Question(session="s4711"),
-    "refusals of a lesson": Question(equal={"what": What.REFUSED, "lesson": "lesson-17"}),
-    "a box, rare reason": Question(equal={"box": 7, "why": "reset: broken"}),
-    "a reason nobody gave": Question(equal={"why": "never"}),
+    "one session's life": Query(session="s4711"),
+    "refusals of a lesson": Query(equal={"what": EventKind.REFUSED, "lesson": "lesson-17"}),
+    "a box, rare reason": Query(equal={"box": 7, "why": "reset: broken"}),
+    "a reason nobody gave": Query(equal={"why": "never"}),
 }
 
 
@@ -42,19 +42,19 @@
         number += 1
         named = {"session": f"s{number}", "lesson": f"lesson-{number % 40}", "cls": "c", "tenant": "t"}
         at = number * 30.0
-        plain.append(journal.add(at, What.ASKED, **named))
+        plain.append(journal.add(at, EventKind.ASKED, **named))
         if dice.random() < 0.1:
-            plain.append(journal.add(at, What.REFUSED, why="no box has room", **named))
+            plain.append(journal.add(at, EventKind.REFUSED, why="no box has room", **named))
         else:
             place = {"box": dice.randrange(130), "attempt": 0, "rung": 3}
             more = {"passed": [[1, "over the mark"]], "link": 0.5, "uplink": 0.4}
-            plain.append(journal.add(at, What.SETUP, why="2th in order, first under the mark", more=more,
+            plain.append(journal.add(at, EventKind.SETUP, why="2th in order, first under the mark", more=more,
                                      **place, **named))  # fmt: skip
             if dice.random() < 0.0005:
-                plain.append(journal.add(at, What.FAILED_TRY, why="reset: broken", **place, **named))
-            plain.append(journal.add(at, What.STARTED, more={"took_ms": 20.1}, **place, **named))
-            plain.append(journal.add(at, What.PLAYS, box=place["box"], **named))
-        plain.append(journal.add(at, What.ENDED, why="over", **named))
+                plain.append(journal.add(at, EventKind.FAILED_TRY, why="reset: broken", **place, **named))
+            plain.append(journal.add(at, EventKind.STARTED, more={"took_ms": 20.1}, **place, **named))
+            plain.append(journal.add(at, EventKind.PLAYS, box=place["box"], **named))
+        plain.append(journal.add(at, EventKind.ENDED, why="over", **named))
     return plain
 
 
@@ -69,17 +69,17 @@
 
 
 def questions(count: int) -> None:
-    journal = Journal("f", JournalRules(memory_bytes=1 << 40))
+    journal = Journal("f", JournalConfig(max_memory_bytes=1 << 40))
     plain = fill(journal, count)
-    print(f"\n{count} entries, {journal.bytes / len(plain):.0f} bytes each in memory")
+    print(f"\n{count} entries, {journal.memory_bytes / len(plain):.0f} bytes each in memory")
     print(f"{'question':<24} {'journal ms':>11} {'plain scan ms':>14} {'ratio':>7} {'found':>6}")
     for name, question in _QUESTIONS.items():
         found = journal.find(question, 100)
 
-        def scan(question: Question = question) -> list[Entry]:
+        def scan(question: Query = question) -> list[Entry]:
             hits: list[Entry] = []
             for entry in reversed(plain):
-                if question.holds(entry):
+                if question.matches(entry):
                     hits.append(entry)
                     if len(hits) == 100:
                         break
@@ -96,7 +96,7 @@
     """Microseconds of CPU for an entry."""
     with tempfile.TemporaryDirectory() as folder:
         blocks = JournalFolder(Path(folder)) if disk else None
-        journal = Journal("f", JournalRules(), blocks)
+        journal = Journal("f", JournalConfig(), blocks)
         if blocks is not None:
             journal.restore(*blocks.open())
         begun = time.process_time()
--- a/bench/peers_estimate.py
+++ b/bench/peers_estimate.py
@@ -175,7 +175,7 @@
     entries: dict[str, list[Entry]] = {}
     for number, path in enumerate(folders):
         journal, kept = Journal(), JournalFolder(path)
-        journal.blocks = kept
+        journal.segment_store = kept
         journal.restore(*kept.open())
         entries[f"front-{number}"] = list(journal.entries(1))
         kept.close()
--- a/bench/renewals.py
+++ b/bench/renewals.py
@@ -9,7 +9,7 @@
 
 import click
 
-from fernweir.entitlement.queue import QueueRules
+from fernweir.entitlement.queue import QueueConfig
 from fernweir.seats.seat_manager import (
     LeaseResponse,
     Operation,
@@ -38,7 +38,7 @@
         append,
         lambda cls: False,
         config=SeatManagerConfig(max_ttl_ms=ttl),
-        queue_config=QueueRules(at_once=1_000_000),
+        queue_config=QueueConfig(max_in_flight=1_000_000),
     )
     for number in range(seats):
         book.request_seat(now, SeatRequest(f"s{number}", "t", "l", "c", "p", 1.0), now + 2_000.0)
@@ -56,7 +56,7 @@
             )
         return sum(send.operation is Operation.RENEW for send in sends)
 
-    while turn() or book.send_queue.out:
+    while turn() or book.send_queue.in_flight:
         pass
     begun, renewed = time.process_time(), 0
     while now < 10 * ttl:
--- a/fernweir/appliance/make.py
+++ b/fernweir/appliance/make.py
@@ -14,7 +14,7 @@
 from fernweir.appliance.layout import SOCKET_PATH_BYTES, Layout, UnitError, write_format
 from fernweir.config.front import load_front
 from fernweir.config.ini import ConfigError
-from fernweir.tokens.newkeys import make_keys
+from fernweir.tokens.key_generation import generate_key_set
 
 _KEEPERS_MOST = 5
 _SEEDS_MOST = 8
@@ -82,7 +82,7 @@
     box_ports = [ports.take() for _ in range(wish.boxes)]
     peer_ports = [ports.take() for _ in range(wish.fronts)] if wish.fronts > 1 else []
     ports.close()
-    _write(layout.keys, make_keys("k1") + "\n")
+    _write(layout.keys, generate_key_set("k1") + "\n")
     if peer_ports:
         _write(layout.fleet_key, secrets.token_hex(32) + "\n")
     _write(layout.unit_ini, _unit_ini(wish, list_port, box_ports))
--- a/fernweir/appliance/merge.py
+++ b/fernweir/appliance/merge.py
@@ -10,11 +10,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from fernweir.journal.events import Entry, What
-from fernweir.journal.picture import Picture
+from fernweir.journal.events import Entry, EventKind
+from fernweir.journal.state_projection import StateProjection
 from fernweir.journal.store import Journal
 
-_OWN = (What.ORDER,)  # the unit's own orders are the ones that count
+_OWN = (EventKind.ORDER,)  # the unit's own orders are the ones that count
 
 
 @dataclass(slots=True)
@@ -53,32 +53,32 @@
         }
         self._add(front, entry.at, entry.what, {**entry.more, "n": entry.number, "j": journal}, **fields)
 
-    def snapshot(self, front: str, journal: str, picture: Picture) -> None:
+    def snapshot(self, front: str, journal: str, picture: StateProjection) -> None:
         """Begins the front anew with what it holds now."""
         self.taken[front] = Taken(journal, picture.number)
         mark = {"n": picture.number, "j": journal}
         at = picture.at
-        self._add(front, at, What.FRONT, {"seen": True, **mark}, why="up")
-        for box in picture.boxes.values():
+        self._add(front, at, EventKind.FRONT, {"seen": True, **mark}, why="up")
+        for box in picture.servers.values():
             if box.listed != "unlisted":
-                self._add(front, at, What.BOX, {"start": box.start, **mark}, box=box.box, why=box.listed)
+                self._add(front, at, EventKind.BOX, {"start": box.start, **mark}, box=box.box, why=box.listed)
             if box.silent:
-                self._add(front, at, What.SILENT, mark, box=box.box)
+                self._add(front, at, EventKind.SILENT, mark, box=box.box)
         for row in picture.sessions.values():
             fields: dict[str, Any] = {
                 "session": row.session, "lesson": row.lesson, "cls": row.cls, "tenant": row.tenant
             }  # fmt: skip
-            self._add(front, at, What.ASKED, mark, **fields)
+            self._add(front, at, EventKind.ASKED, mark, **fields)
             if row.phase != "asked":
                 fields |= {"box": row.box, "attempt": row.attempt, "rung": row.rung}
-                self._add(front, at, What.SETUP, mark, why=row.why, **fields)
+                self._add(front, at, EventKind.SETUP, mark, why=row.why, **fields)
                 if row.phase == "playing":
-                    self._add(front, at, What.STARTED, mark, **fields)
+                    self._add(front, at, EventKind.STARTED, mark, **fields)
 
     def gone(self, front: str, at: int) -> None:
         """The front's process has ended, and its sessions with it."""
         taken = self.since(front)
-        self._add(front, at, What.FRONT, {"n": taken.number, "j": taken.journal}, why="down")
+        self._add(front, at, EventKind.FRONT, {"n": taken.number, "j": taken.journal}, why="down")
 
-    def _add(self, front: str, at: int, what: What, more: dict[str, Any], **fields: Any) -> None:
+    def _add(self, front: str, at: int, what: EventKind, more: dict[str, Any], **fields: Any) -> None:
         self.journal.add(at - self.journal.wall_offset_ms, what, front=front, more=more, **fields)
--- a/fernweir/appliance/unit.py
+++ b/fernweir/appliance/unit.py
@@ -23,7 +23,7 @@
 from fernweir.control.orders import Orders, SiteNow
 from fernweir.control.statefile import StateFileError
 from fernweir.journal.disk import JournalFolder
-from fernweir.journal.store import Journal, JournalRules
+from fernweir.journal.store import Journal, JournalConfig
 
 _ASK_S = 2.0
 _POLL_S = 0.05
@@ -95,21 +95,21 @@
             for done in migrate(self.layout):
                 self.log.info(done)
             orders = load_orders(self.layout.orders)
-            self.folder = JournalFolder(self.layout.journal, most_bytes=int(self.config.unit.journal_disk))
-            self.journal = Journal("", JournalRules(), self.folder, wall_offset_ms=self.offset_ms)
-            self.journal.on_trouble = self._trouble
+            self.folder = JournalFolder(self.layout.journal, max_bytes=int(self.config.unit.journal_disk))
+            self.journal = Journal("", JournalConfig(), self.folder, wall_offset_ms=self.offset_ms)
+            self.journal.on_fault = self._trouble
             self.journal.restore(*self.folder.open())
         except (StateFileError, OSError) as error:
             self._lock.give_back()
             raise UnitError(str(error)) from None
-        for note in self.folder.notes:
+        for note in self.folder.problems:
             self.log.warning("journal is not whole", why=note)
         self.merger = Merger(self.journal)
         self.merger.recover()
         rules = DeskRules(tuple(self.config.unit.operators))
         self.desk = OrderDesk(self.config.unit.name, self.journal, orders, self, rules, self.layout.orders)
         for entry in self.journal.entries(self.journal.first):
-            self.desk.picture.fold(entry)
+            self.desk.picture.apply(entry)
         for front in list(self.desk.picture.fronts):
             self.merger.gone(front, self.wall())  # none of them runs yet
         self.channel = Channel(self.desk, self.layout.socket, mode=self.config.unit.mode)
@@ -275,7 +275,7 @@
         async def gather() -> None:
             answers = await asyncio.gather(*(self._ask(name, "site") for name in self._alive()))
             plains = [answer["site"] for answer in answers if answer is not None]
-            then(SiteNow.together(plains, frozenset(self.desk.picture.boxes)))
+            then(SiteNow.together(plains, frozenset(self.desk.picture.servers)))
 
         self._spawn(gather())
 
--- a/fernweir/cli/front.py
+++ b/fernweir/cli/front.py
@@ -14,7 +14,7 @@
 from fernweir.front.logs import set_up_logs
 from fernweir.front.program import read_keyring, serve
 from fernweir.front.record import RecordError, replay
-from fernweir.tokens.newkeys import make_keys
+from fernweir.tokens.key_generation import generate_key_set
 
 _FILE = click.Path(path_type=Path, dir_okay=False)
 
@@ -52,7 +52,7 @@
         sys.exit(2)
     classes = ", ".join(config.class_names)
     click.echo(
-        f"{settings}: good; front {config.front.name}, classes {classes}, keys {', '.join(keyring.ids)}"
+        f"{settings}: good; front {config.front.name}, classes {classes}, keys {', '.join(keyring.key_ids)}"
     )
 
 
@@ -95,4 +95,4 @@
         click.echo(f"{file}: is there already", err=True)
         sys.exit(2)
     with open(handle, "w", encoding="utf-8") as out:
-        out.write(make_keys(*kids) + "\n")
+        out.write(generate_key_set(*kids) + "\n")
--- a/fernweir/cli/standin.py
+++ b/fernweir/cli/standin.py
@@ -38,7 +38,7 @@
 
 def _keyring(path: Path) -> Keyring:
     try:
-        return Keyring.read(path.read_text())
+        return Keyring.from_json(path.read_text())
     except (OSError, KeyringError) as error:
         raise click.ClickException(f"{path}: {error}") from None
 
--- a/fernweir/console/live.py
+++ b/fernweir/console/live.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from fernweir.journal.events import ANSWERS, Entry, What
-from fernweir.journal.picture import Picture
+from fernweir.journal.events import ANSWERS, Entry, EventKind
+from fernweir.journal.state_projection import StateProjection
 
 _BUCKETS = 60
 _LOG = 2_000
@@ -40,7 +40,7 @@
         for entry in [*(one for one in entries if one.number < first), *newer]:
             self.add(entry)
 
-    def series(self, what: What, until: int, count: int) -> list[float]:
+    def series(self, what: EventKind, until: int, count: int) -> list[float]:
         """Counts of the last `count` spans up to the wall time `until`."""
         last = until // self.span_ms
         known = {number: counts[what] for number, counts in self.buckets}
@@ -51,7 +51,7 @@
 class Shown:
     """All that views are made of. `age_s` is how long ago the other side was last heard."""
 
-    picture: Picture = field(default_factory=Picture)
+    picture: StateProjection = field(default_factory=StateProjection)
     gauges: dict[str, Any] = field(default_factory=dict)
     history: History = field(default_factory=History)
     name: str = ""
--- a/fernweir/console/script.py
+++ b/fernweir/console/script.py
@@ -127,8 +127,8 @@
 _MEASURES: dict[str, Callable[[Shown], int]] = {
     "sessions": lambda shown: len(shown.picture.sessions),
     "playing": lambda shown: sum(one.phase == "playing" for one in shown.picture.sessions.values()),
-    "boxes": lambda shown: len(shown.picture.boxes),
-    "ready": lambda shown: sum(one.state == "ready" for one in shown.picture.boxes.values()),
+    "boxes": lambda shown: len(shown.picture.servers),
+    "ready": lambda shown: sum(one.state == "ready" for one in shown.picture.servers.values()),
     "fronts": lambda shown: len(shown.picture.fronts),
     "plays": lambda shown: shown.picture.answers["plays"],
     "refused": lambda shown: shown.picture.answers["refused"],
--- a/fernweir/console/views.py
+++ b/fernweir/console/views.py
@@ -8,8 +8,8 @@
 
 from fernweir.console.live import Shown
 from fernweir.console.text import bar, clean, clock, fit, row, sparkline
-from fernweir.journal.events import ANSWERS, Entry, What
-from fernweir.journal.picture import BoxRow, SessionRow
+from fernweir.journal.events import ANSWERS, Entry, EventKind
+from fernweir.journal.state_projection import ServerRow, SessionRow
 
 _SESSION_COLUMNS = (20, 8, 16, 10, 4, 4, 8)
 _BOX_COLUMNS = (-4, 15, -5, -4, 12, 12, 8, 8)
@@ -49,13 +49,13 @@
         "answers   " + "  ".join(f"{kind} {picture.answers[kind]}" for kind in ANSWERS),
     ]
     spans = max(min(columns - 34, 40), 8)
-    for kind in (What.PLAYS, What.REFUSED, What.FAILED):
+    for kind in (EventKind.PLAYS, EventKind.REFUSED, EventKind.FAILED):
         series = shown.history.series(kind, picture.at, spans)
         lines.append(f"  {kind:<8} {sparkline(series, spans)}  {series[-1] if series else 0:.0f} in 5 s")
     reasons = sorted(picture.refusals.items(), key=lambda one: (-one[1], one[0]))
     lines.append("turned    " + (" | ".join(f"{why} {count}" for why, count in reasons[:3]) or "nobody away"))
-    states = Counter(one.state for one in picture.boxes.values())
-    silent = sum(one.silent for one in picture.boxes.values())
+    states = Counter(one.state for one in picture.servers.values())
+    silent = sum(one.silent for one in picture.servers.values())
     lines.append("boxes     " + (", ".join(f"{states[s]} {s}" for s in sorted(states)) or "none")
                  + (f", {silent} silent" if silent else ""))  # fmt: skip
     lines.append("fronts    " + (", ".join(f"{name} since {clock(at)}" for name, at
@@ -127,7 +127,7 @@
     choice = choice or Choice()
     loads = shown.gauges.get("boxes", {})
 
-    def load(one: BoxRow) -> list[float]:
+    def load(one: ServerRow) -> list[float]:
         return list(loads.get(str(one.box), [0.0, 0.0, 0, 0, 0]))
 
     found = [
@@ -200,7 +200,7 @@
         rows.append(fit(describe(entry), columns).rstrip())
         for box, kept_out in entry.more.get("passed", []):
             rows.append(fit(f"           passed box {box}: {kept_out}", columns).rstrip())
-        if entry.what is What.SETUP and "link" in entry.more:
+        if entry.what is EventKind.SETUP and "link" in entry.more:
             link, uplink = entry.more["link"], entry.more["uplink"]
             rows.append(f"           link at {link:.0%}, uplink at {uplink:.0%}")
     return View(["the life of one session"], rows or ["the journal has nothing on it"], [""] * len(rows))
@@ -215,8 +215,8 @@
     return fit(left, max(columns - len(right) - 1, 1)) + " " + right
 
 
-def sorted_boxes(shown: Shown) -> list[BoxRow]:
-    return [shown.picture.boxes[number] for number in sorted(shown.picture.boxes)]
+def sorted_boxes(shown: Shown) -> list[ServerRow]:
+    return [shown.picture.servers[number] for number in sorted(shown.picture.servers)]
 
 
 def _spread(sizes: tuple[int, ...], columns: int, grows: int) -> list[int]:
--- a/fernweir/control/answers.py
+++ b/fernweir/control/answers.py
@@ -9,14 +9,14 @@
 
 from fernweir.control.messages import Boxes, Events, Sessions, Why
 from fernweir.journal.events import to_row
-from fernweir.journal.picture import Picture, SessionRow
-from fernweir.journal.segment import Question
+from fernweir.journal.segment import Query
+from fernweir.journal.state_projection import SessionRow, StateProjection
 from fernweir.journal.store import Journal
 
 _FIELDS = ("what", "box", "lesson", "tenant", "cls", "why", "front")
 
 
-def sessions(picture: Picture, ask: Sessions) -> dict[str, Any]:
+def sessions(picture: StateProjection, ask: Sessions) -> dict[str, Any]:
     """One page; `next` is there if more follow."""
     keys = sorted(picture.sessions)
     rows: list[dict[str, Any]] = []
@@ -39,11 +39,11 @@
     )
 
 
-def boxes(picture: Picture, ask: Boxes, gauges: dict[str, Any]) -> dict[str, Any]:
-    numbers = sorted(number for number in picture.boxes if number > ask.after)
+def boxes(picture: StateProjection, ask: Boxes, gauges: dict[str, Any]) -> dict[str, Any]:
+    numbers = sorted(number for number in picture.servers if number > ask.after)
     rows = []
     for number in numbers[: ask.limit]:
-        row = picture.boxes[number]
+        row = picture.servers[number]
         load = gauges.get("boxes", {}).get(str(number), [])
         rows.append({**asdict(row), "state": row.state, "load": load})
     more = {"next": numbers[ask.limit - 1]} if len(numbers) > ask.limit else {}
@@ -52,18 +52,18 @@
 
 def why(journal: Journal, ask: Why) -> dict[str, Any]:
     """A session's entries, oldest first; of a very long life the newest."""
-    found, _ = journal.search(Question(session=ask.session), ask.limit)
+    found, _ = journal.search(Query(session=ask.session), ask.limit)
     return {"rows": [to_row(one) for one in reversed(found)]}
 
 
 def events(journal: Journal, ask: Events) -> dict[str, Any]:
     equal = {name: getattr(ask, name) for name in _FIELDS if getattr(ask, name) is not None}
-    question = Question(ask.session, equal, ask.since, ask.until)
+    question = Query(ask.session, equal, ask.since, ask.until)
     found, following = journal.search(question, ask.limit, ask.before)
     return {"rows": [to_row(one) for one in found], **({"next": following} if following else {})}
 
 
-def overview(picture: Picture, journal: Journal) -> dict[str, Any]:
+def overview(picture: StateProjection, journal: Journal) -> dict[str, Any]:
     phases = {"asked": 0, "out": 0, "playing": 0}
     for row in picture.sessions.values():
         phases[row.phase] += 1
@@ -82,14 +82,14 @@
         "journal": {
             "first": journal.first,
             "last": journal.last,
-            "bytes": journal.bytes,
-            "trouble": journal.trouble,
+            "bytes": journal.memory_bytes,
+            "trouble": journal.fault,
         },
     }
 
 
-def _states(picture: Picture) -> dict[str, int]:
+def _states(picture: StateProjection) -> dict[str, int]:
     states: dict[str, int] = {}
-    for row in picture.boxes.values():
+    for row in picture.servers.values():
         states[row.state] = states.get(row.state, 0) + 1
     return states
--- a/fernweir/control/channel.py
+++ b/fernweir/control/channel.py
@@ -19,7 +19,7 @@
 
 from fernweir.control.messages import LINE_BYTES, VERSION, AnyAsk, Ask, Hello, Plain, Watch
 from fernweir.journal.events import Entry, to_row
-from fernweir.journal.picture import Picture
+from fernweir.journal.state_projection import StateProjection
 from fernweir.journal.store import Journal
 
 Reply = Callable[[dict[str, Any]], None]
@@ -34,7 +34,7 @@
     """Who answers. `handle` calls `reply` exactly once, now or later."""
 
     name: str
-    picture: Picture
+    picture: StateProjection
     journal: Journal
 
     def may_act(self, operator: str, uid: int) -> bool: ...
@@ -130,18 +130,18 @@
         self._gauge_timer = self.loop.call_later(self._gauges_s, self._gauge)
 
 
-def snapshot_lines(picture: Picture) -> list[bytes]:
+def snapshot_lines(picture: StateProjection) -> list[bytes]:
     """A snapshot in parts: all but the sessions first. All are encoded at once, so that they fit together."""
     rows = [picture.sessions[key] for key in sorted(picture.sessions)]
     parts = [rows[at : at + _PART] for at in range(0, len(rows), _PART)]
-    rest = Picture(**{**_fields(picture), "sessions": {}}).to_plain()
+    rest = StateProjection(**{**_fields(picture), "sessions": {}}).to_plain()
     lines = [_line({"watch": "snapshot", "part": 0, "of": len(parts), "picture": rest})]
     for number, part in enumerate(parts, 1):
         lines.append(_line({"watch": "snapshot", "part": number, "of": len(parts), "sessions": part}))
     return lines
 
 
-def _fields(picture: Picture) -> dict[str, Any]:
+def _fields(picture: StateProjection) -> dict[str, Any]:
     return {name: getattr(picture, name) for name in picture.__dataclass_fields__}
 
 
--- a/fernweir/control/client.py
+++ b/fernweir/control/client.py
@@ -13,7 +13,7 @@
 
 from fernweir.control.follow import Follower
 from fernweir.control.messages import VERSION
-from fernweir.journal.picture import Picture
+from fernweir.journal.state_projection import StateProjection
 
 _FIRST_PAUSE_S, _LONGEST_PAUSE_S = 0.1, 2.0
 _LINE = 64 << 20
@@ -64,7 +64,7 @@
     def follow_from(self, journal: str, number: int) -> None:
         """Goes on from an entry that an earlier life has seen; its picture is then not a whole one."""
         if journal:
-            self.journal, self.follower.picture = journal, Picture(number=number)
+            self.journal, self.follower.picture = journal, StateProjection(number=number)
 
     async def ready(self, within_s: float = 5.0) -> None:
         """Waits for the first greeting. ControlError with why if there is none."""
--- a/fernweir/control/desk.py
+++ b/fernweir/control/desk.py
@@ -12,8 +12,8 @@
 from fernweir.control.messages import Ask, AskFleet, Boxes, Change, Events, Led, Plain, Retry, Sessions, Why
 from fernweir.control.orders import Command, Do, Orders, OrdersError, Outcome, Result, SiteNow
 from fernweir.control.statefile import StateFileError, read_state, write_state
-from fernweir.journal.events import What
-from fernweir.journal.picture import Picture
+from fernweir.journal.events import EventKind
+from fernweir.journal.state_projection import StateProjection
 from fernweir.journal.store import Journal
 
 KIND = "fernweir orders"
@@ -80,8 +80,8 @@
         self, name: str, journal: Journal, orders: Orders, hands: Hands, rules: DeskRules, file: Path | None
     ) -> None:
         self.name, self.journal, self.orders, self.rules = name, journal, orders, rules
-        self.picture = Picture()
-        journal.watchers.append(self.picture.fold)
+        self.picture = StateProjection()
+        journal.watchers.append(self.picture.apply)
         self.fleet: FleetDesk | None = None  # a front without peers has none
         self._hands, self._file = hands, file
 
@@ -178,7 +178,7 @@
     def _carry_out(self, command: Command, result: Result, then: Callable[[list[str]], None]) -> None:
         more = {"by": command.by, "id": command.id, "outcome": str(result.outcome), **self.orders.tables()}
         text = f"{command.do} {command.target}: {result.says}"
-        self.journal.add(self._hands.now(), What.ORDER, why=text, session=_session(command), more=more)
+        self.journal.add(self._hands.now(), EventKind.ORDER, why=text, session=_session(command), more=more)
         self._apply(then)
 
     def _apply(self, then: Callable[[list[str]], None]) -> None:
@@ -197,20 +197,22 @@
         begun = self.orders.due(now)
         if begun and self._keep(before, lambda said: None):
             boxes = ", ".join(str(box) for box in begun)
-            self.journal.add(now, What.ORDER, why=f"drain begins: box {boxes}", more=self.orders.tables())
+            self.journal.add(
+                now, EventKind.ORDER, why=f"drain begins: box {boxes}", more=self.orders.tables()
+            )
             self._apply(lambda missing: None)
         elif self.orders.waiting:
             self._hands.call_at(now + self.orders.rules.pace_ms, self._begin_waiting)
 
     def start(self) -> None:
         """A front begins. Orders of an earlier life stand: the journal says so, what waits is planned."""
-        self.journal.add(self._hands.now(), What.FRONT, why="up")
+        self.journal.add(self._hands.now(), EventKind.FRONT, why="up")
         self.start_orders()
 
     def start_orders(self) -> None:
         if self.orders.version:
             more = self.orders.tables()
-            self.journal.add(self._hands.now(), What.ORDER, why="orders stand from before", more=more)
+            self.journal.add(self._hands.now(), EventKind.ORDER, why="orders stand from before", more=more)
         self._plan()
 
     # --- led by a unit ---
@@ -230,7 +232,7 @@
             self.orders.restore(ask.orders)
             if changed:
                 more = {"by": "unit", **self.orders.tables()}
-                self.journal.add(self._hands.now(), What.ORDER, why=f"orders {version}", more=more)
+                self.journal.add(self._hands.now(), EventKind.ORDER, why=f"orders {version}", more=more)
         version = self.orders.version
         self._hands.orders_changed(self.orders, lambda missing: reply({"version": version}))
 
--- a/fernweir/control/follow.py
+++ b/fernweir/control/follow.py
@@ -10,19 +10,19 @@
 from typing import Any
 
 from fernweir.journal.events import Entry, EntryError, from_row
-from fernweir.journal.picture import Picture, SessionRow
+from fernweir.journal.state_projection import SessionRow, StateProjection
 
 
 class Follower:
     """Feed it each line that has `watch`. `picture` is None until a snapshot is whole."""
 
     def __init__(self) -> None:
-        self.picture: Picture | None = None
+        self.picture: StateProjection | None = None
         self.gauges: dict[str, Any] = {}
         self.missed = 0  # times that entries were lost and a snapshot stood in
         self.broken = ""
         self.on_entry: Callable[[Entry], None] = lambda entry: None
-        self.on_snapshot: Callable[[Picture], None] = lambda picture: None
+        self.on_snapshot: Callable[[StateProjection], None] = lambda picture: None
         self._parts: list[Mapping[str, Any]] = []
         self._of = 0
 
@@ -55,7 +55,7 @@
         self._parts.append(message)
         if len(self._parts) <= self._of:
             return False
-        picture = Picture.from_plain(self._parts[0]["picture"])
+        picture = StateProjection.from_plain(self._parts[0]["picture"])
         for later in self._parts[1:]:
             for plain in later["sessions"]:
                 row = SessionRow(**plain)
@@ -79,6 +79,6 @@
             if entry.number != self.picture.number + 1:
                 self.broken = f"entry {entry.number} after {self.picture.number}"
                 return False
-            self.picture.fold(entry)
+            self.picture.apply(entry)
             self.on_entry(entry)
         return True
--- a/fernweir/entitlement/client.py
+++ b/fernweir/entitlement/client.py
@@ -25,7 +25,7 @@
 }
 
 
-class LeaseAnswer(BaseModel):
+class LeaseDocument(BaseModel):
     """A lease as the server words it."""
 
     model_config = ConfigDict(strict=True, frozen=True, extra="ignore")
@@ -35,7 +35,7 @@
     expires_in_ms: Annotated[float, Field(gt=0)]
 
 
-def read_reply(op: Operation, reply: Reply) -> LeaseResponse:
+def parse_reply(op: Operation, reply: Reply) -> LeaseResponse:
     """What an HTTP reply says. Whatever does not prove an end is doubtful."""
     if reply.outcome.never_ran:
         return LeaseResponse(ResponseStatus.NOT_EXECUTED)
@@ -51,7 +51,7 @@
     if op is Operation.RELEASE:
         return LeaseResponse(ResponseStatus.SUCCEEDED)
     try:
-        lease = LeaseAnswer.model_validate_json(reply.body)
+        lease = LeaseDocument.model_validate_json(reply.body)
     except ValidationError:
         return LeaseResponse(ResponseStatus.INDETERMINATE)
     return LeaseResponse(ResponseStatus.SUCCEEDED, lease.lease, lease.fence, lease.expires_in_ms)
@@ -94,7 +94,7 @@
             self._origin,
             method,
             target,
-            lambda reply: done(read_reply(command.operation, reply)),
+            lambda reply: done(parse_reply(command.operation, reply)),
             headers=headers,
             body=json.dumps(body).encode() if body else b"",
             timeout_s=command.timeout_ms / 1000.0,
--- a/fernweir/entitlement/introspect.py
+++ b/fernweir/entitlement/introspect.py
@@ -14,26 +14,26 @@
 from hashlib import sha256
 from random import Random
 
-from fernweir.entitlement.policy import DecorrelatedJitter, RetryPolicy, RetryRules
+from fernweir.entitlement.policy import DecorrelatedJitter, RetryConfig, RetryPolicy
 
 
-class Word(Enum):
+class IntrospectionStatus(Enum):
     ACTIVE = "active"
     INACTIVE = "inactive"
     UNKNOWN = "unknown"  # the server said nothing in time
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class IntrospectionResult:
     """What became of a question; `claims` come with an active token. Word.UNKNOWN: it was not answered."""
 
-    word: Word
+    status: IntrospectionStatus
     claims: Mapping[str, object] = field(default_factory=dict)
-    good_for_ms: float = float("inf")  # until the token itself lapses
+    expires_in_ms: float = float("inf")  # until the token itself lapses
 
 
 @dataclass(frozen=True, slots=True)
-class Question:
+class IntrospectionRequest:
     """Ask the server about a token now; its one end goes to `replied` with the same number."""
 
     number: int
@@ -42,47 +42,47 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judged:
+class IntrospectionDecision:
     """What a waiter is told, once. `stale`: on the word of an older answer."""
 
     waiter: int
-    word: Word
+    status: IntrospectionStatus
     claims: Mapping[str, object]
-    stale: bool = False
+    is_stale: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class IntrospectRules:
+class IntrospectionConfig:
     """`believe_ms` and `disbelieve_ms` are how long answers hold, `stale_ms` how much longer an active one
     stands in for a silent server; `kept` answers are remembered, `at_once` questions are out together."""
 
-    believe_ms: float = 10_000.0
-    disbelieve_ms: float = 2_000.0
-    stale_ms: float = 60_000.0
-    call_ms: float = 500.0
-    kept: int = 50_000
-    at_once: int = 64
+    positive_cache_ttl_ms: float = 10_000.0
+    negative_cache_ttl_ms: float = 2_000.0
+    stale_if_error_ms: float = 60_000.0
+    request_timeout_ms: float = 500.0
+    max_cached: int = 50_000
+    max_in_flight: int = 64
 
 
 @dataclass(slots=True)
-class IntrospectCounts:
-    asked: int = 0
-    questions: int = 0
-    remembered: int = 0
-    stale: int = 0
+class IntrospectionMetrics:
+    lookups: int = 0
+    requests: int = 0
+    cache_hits: int = 0
+    stale_hits: int = 0
     unknown: int = 0
 
 
 @dataclass(slots=True)
-class _Known:
-    word: Word
+class _CachedResult:
+    status: IntrospectionStatus
     claims: Mapping[str, object]
     fresh_until: float
     stale_until: float
 
 
 @dataclass(slots=True)
-class _Open:
+class _Lookup:
     """A token somebody waits to hear of."""
 
     token: str
@@ -96,149 +96,157 @@
     """Call the methods, then carry out what `take` returns; ask `next_due` when to call it again."""
 
     def __init__(
-        self, seed: int, rules: IntrospectRules | None = None, retry: RetryRules | None = None
+        self, seed: int, config: IntrospectionConfig | None = None, retry: RetryConfig | None = None
     ) -> None:
-        self.rules = rules or IntrospectRules()
-        self.policy = RetryPolicy(retry or RetryRules(), Random(f"introspect {seed}"))
-        self.counts = IntrospectCounts()
-        self._known: OrderedDict[bytes, _Known] = OrderedDict()
-        self._open: dict[bytes, _Open] = {}
-        self._line: deque[bytes] = deque()
-        self._out: dict[int, tuple[bytes, int]] = {}  # question: token, the breaker's call
-        self._of_waiter: dict[int, bytes] = {}
-        self._numbers = 0
-        self._judged: list[Judged] = []
+        self.config = config or IntrospectionConfig()
+        self.retry_policy = RetryPolicy(retry or RetryConfig(), Random(f"introspect {seed}"))
+        self.metrics = IntrospectionMetrics()
+        self._cache: OrderedDict[bytes, _CachedResult] = OrderedDict()
+        self._lookups: dict[bytes, _Lookup] = {}
+        self._send_queue: deque[bytes] = deque()
+        self._in_flight: dict[int, tuple[bytes, int]] = {}  # question: token, the breaker's call
+        self._digest_of_waiter: dict[int, bytes] = {}
+        self._last_number = 0
+        self._decisions: list[IntrospectionDecision] = []
 
     def __len__(self) -> int:
-        return len(self._of_waiter)
+        return len(self._digest_of_waiter)
 
-    def ask(self, now: float, waiter: int, token: str, answer_by: float) -> None:
+    def look_up(self, now: float, waiter: int, token: str, answer_by: float) -> None:
         """A waiter, by a number of its own, is told of the token by `answer_by`."""
-        self.counts.asked += 1
+        self.metrics.lookups += 1
         digest = sha256(token.encode("utf-8", "surrogateescape")).digest()
-        known = self._known.get(digest)
+        known = self._cache.get(digest)
         if known is not None and now < known.fresh_until:
-            self.counts.remembered += 1
-            self._known.move_to_end(digest)
-            self._judged.append(Judged(waiter, known.word, known.claims))
+            self.metrics.cache_hits += 1
+            self._cache.move_to_end(digest)
+            self._decisions.append(IntrospectionDecision(waiter, known.status, known.claims))
             return
-        if digest not in self._open:
-            self._open[digest] = _Open(token, {})
-            self._line.append(digest)
-            self.policy.first(now, "")
-        self._open[digest].waiters[waiter] = answer_by
-        self._of_waiter[waiter] = digest
+        if digest not in self._lookups:
+            self._lookups[digest] = _Lookup(token, {})
+            self._send_queue.append(digest)
+            self.retry_policy.on_first_attempt(now, "")
+        self._lookups[digest].waiters[waiter] = answer_by
+        self._digest_of_waiter[waiter] = digest
 
     def withdraw(self, waiter: int) -> None:
         """A waiter left; it is told nothing more."""
-        digest = self._of_waiter.pop(waiter, None)
+        digest = self._digest_of_waiter.pop(waiter, None)
         if digest is None:
             return
-        one = self._open[digest]
+        one = self._lookups[digest]
         del one.waiters[waiter]
         if not one.waiters and one.number is None:
             self._close(digest)
 
-    def give_up(self) -> None:
+    def shutdown(self) -> None:
         """Everybody who waits is told now that nobody knows."""
-        for digest in list(self._open):
-            self._tell_all(digest, Judged(0, Word.UNKNOWN, {}))
+        for digest in list(self._lookups):
+            self._tell_all(digest, IntrospectionDecision(0, IntrospectionStatus.UNKNOWN, {}))
 
-    def replied(self, now: float, number: int, told: Told) -> None:
-        digest, call = self._out.pop(number)
-        self.policy.breaker.end(now, call, told.word is not Word.UNKNOWN)
-        one = self._open.get(digest)
+    def on_reply(self, now: float, number: int, told: IntrospectionResult) -> None:
+        digest, call = self._in_flight.pop(number)
+        self.retry_policy.breaker.end_call(now, call, told.status is not IntrospectionStatus.UNKNOWN)
+        one = self._lookups.get(digest)
         if one is None or one.number != number:
             return
         one.number = None
-        if told.word is not Word.UNKNOWN:
+        if told.status is not IntrospectionStatus.UNKNOWN:
             self._learn(now, digest, told)
-            self._tell_all(digest, Judged(0, told.word, told.claims))
+            self._tell_all(digest, IntrospectionDecision(0, told.status, told.claims))
             return
         if not one.waiters:
             self._close(digest)
             return
         if one.jitter is None:
-            one.jitter = self.policy.jitter()
+            one.jitter = self.retry_policy.new_jitter()
         # Asking again harms nothing: a question changes nothing at the server.
-        at = self.policy.again(now, "", one.jitter, max(one.waiters.values()))
+        at = self.retry_policy.schedule_retry(now, "", one.jitter, max(one.waiters.values()))
         if at is None:
             self._tell_unknown(now, digest)
         else:
             one.again_at = at
-            self._line.append(digest)
+            self._send_queue.append(digest)
 
-    def take(self, now: float) -> list[Question | Judged]:
-        for waiter, digest in list(self._of_waiter.items()):
-            if self._open[digest].waiters[waiter] <= now:
+    def take_effects(self, now: float) -> list[IntrospectionRequest | IntrospectionDecision]:
+        for waiter, digest in list(self._digest_of_waiter.items()):
+            if self._lookups[digest].waiters[waiter] <= now:
                 self._tell(now, digest, waiter)
-        out: list[Question | Judged] = []
-        for _ in range(len(self._line)):
-            if len(self._out) >= self.rules.at_once or not self.policy.breaker.may_call(now):
+        out: list[IntrospectionRequest | IntrospectionDecision] = []
+        for _ in range(len(self._send_queue)):
+            if len(self._in_flight) >= self.config.max_in_flight or not self.retry_policy.breaker.may_call(
+                now
+            ):
                 break
-            digest = self._line.popleft()
-            one = self._open.get(digest)
+            digest = self._send_queue.popleft()
+            one = self._lookups.get(digest)
             if one is None or one.number is not None:
                 continue
             if one.again_at > now:
-                self._line.append(digest)
+                self._send_queue.append(digest)
                 continue
             out.append(self._question(now, digest, one))
-        judged, self._judged = self._judged, []
+        judged, self._decisions = self._decisions, []
         return [*judged, *out]
 
-    def next_due(self, now: float) -> float | None:
-        dues = [by for one in self._open.values() for by in one.waiters.values()]
-        waiting = [self._open[digest].again_at for digest in self._line if digest in self._open]
-        if waiting and len(self._out) < self.rules.at_once:
-            dues.append(max(min(waiting), now + self.policy.breaker.wait_ms(now)))
+    def next_deadline(self, now: float) -> float | None:
+        dues = [by for one in self._lookups.values() for by in one.waiters.values()]
+        waiting = [self._lookups[digest].again_at for digest in self._send_queue if digest in self._lookups]
+        if waiting and len(self._in_flight) < self.config.max_in_flight:
+            dues.append(max(min(waiting), now + self.retry_policy.breaker.remaining_open_ms(now)))
         return min(dues, default=None)
 
     # --- pieces ---
 
-    def _question(self, now: float, digest: bytes, one: _Open) -> Question:
-        self._numbers += 1
-        self.counts.questions += 1
-        one.number = self._numbers
-        self._out[self._numbers] = (digest, self.policy.breaker.begin(now))
+    def _question(self, now: float, digest: bytes, one: _Lookup) -> IntrospectionRequest:
+        self._last_number += 1
+        self.metrics.requests += 1
+        one.number = self._last_number
+        self._in_flight[self._last_number] = (digest, self.retry_policy.breaker.begin_call(now))
         left = max(one.waiters.values()) - now  # the longest deadline is handed on
-        return Question(self._numbers, one.token, min(self.rules.call_ms, max(left, 1.0)))
-
-    def _learn(self, now: float, digest: bytes, told: Told) -> None:
-        rules = self.rules
-        good = told.word is Word.ACTIVE
-        fresh = now + min(rules.believe_ms if good else rules.disbelieve_ms, told.good_for_ms)
-        stale = min(fresh + rules.stale_ms, now + told.good_for_ms) if good else fresh
-        self._known[digest] = _Known(told.word, told.claims, fresh, stale)
-        self._known.move_to_end(digest)
-        if len(self._known) > rules.kept:
-            self._known.popitem(last=False)
+        return IntrospectionRequest(
+            self._last_number, one.token, min(self.config.request_timeout_ms, max(left, 1.0))
+        )
+
+    def _learn(self, now: float, digest: bytes, told: IntrospectionResult) -> None:
+        rules = self.config
+        good = told.status is IntrospectionStatus.ACTIVE
+        fresh = now + min(
+            rules.positive_cache_ttl_ms if good else rules.negative_cache_ttl_ms, told.expires_in_ms
+        )
+        stale = min(fresh + rules.stale_if_error_ms, now + told.expires_in_ms) if good else fresh
+        self._cache[digest] = _CachedResult(told.status, told.claims, fresh, stale)
+        self._cache.move_to_end(digest)
+        if len(self._cache) > rules.max_cached:
+            self._cache.popitem(last=False)
 
     def _tell(self, now: float, digest: bytes, waiter: int) -> None:
         """Its time is up with no answer: an older one stands in, or nobody knows."""
-        self._open[digest].waiters.pop(waiter)
-        del self._of_waiter[waiter]
-        known = self._known.get(digest)
-        if known is not None and known.word is Word.ACTIVE and now < known.stale_until:
-            self.counts.stale += 1
-            self._judged.append(Judged(waiter, Word.ACTIVE, known.claims, stale=True))
+        self._lookups[digest].waiters.pop(waiter)
+        del self._digest_of_waiter[waiter]
+        known = self._cache.get(digest)
+        if known is not None and known.status is IntrospectionStatus.ACTIVE and now < known.stale_until:
+            self.metrics.stale_hits += 1
+            self._decisions.append(
+                IntrospectionDecision(waiter, IntrospectionStatus.ACTIVE, known.claims, is_stale=True)
+            )
         else:
-            self.counts.unknown += 1
-            self._judged.append(Judged(waiter, Word.UNKNOWN, {}))
-        if not self._open[digest].waiters and self._open[digest].number is None:
+            self.metrics.unknown += 1
+            self._decisions.append(IntrospectionDecision(waiter, IntrospectionStatus.UNKNOWN, {}))
+        if not self._lookups[digest].waiters and self._lookups[digest].number is None:
             self._close(digest)
 
     def _tell_unknown(self, now: float, digest: bytes) -> None:
-        for waiter in list(self._open[digest].waiters):
+        for waiter in list(self._lookups[digest].waiters):
             self._tell(now, digest, waiter)
 
-    def _tell_all(self, digest: bytes, said: Judged) -> None:
-        for waiter in self._open[digest].waiters:
-            del self._of_waiter[waiter]
-            self._judged.append(Judged(waiter, said.word, said.claims))
+    def _tell_all(self, digest: bytes, said: IntrospectionDecision) -> None:
+        for waiter in self._lookups[digest].waiters:
+            del self._digest_of_waiter[waiter]
+            self._decisions.append(IntrospectionDecision(waiter, said.status, said.claims))
         self._close(digest)
 
     def _close(self, digest: bytes) -> None:
-        del self._open[digest]
-        if digest in self._line:
-            self._line.remove(digest)
+        del self._lookups[digest]
+        if digest in self._send_queue:
+            self._send_queue.remove(digest)
--- a/fernweir/entitlement/policy.py
+++ b/fernweir/entitlement/policy.py
@@ -17,11 +17,11 @@
 class DecorrelatedJitter:
     """Pauses between `base` and three times the last one, `most` at most (Brooker, AWS, 2015)."""
 
-    def __init__(self, dice: Random, base_ms: float, most_ms: float) -> None:
-        self._dice, self._base, self._most = dice, base_ms, most_ms
+    def __init__(self, rng: Random, base_ms: float, max_ms: float) -> None:
+        self._dice, self._base, self._most = rng, base_ms, max_ms
         self._last = base_ms
 
-    def next_ms(self) -> float:
+    def next_backoff_ms(self) -> float:
         self._last = min(self._most, self._dice.uniform(self._base, self._last * 3.0))
         return self._last
 
@@ -32,7 +32,7 @@
     HALF_OPEN = "half-open"
 
 
-class Breaker:
+class CircuitBreaker:
     """Opens when most of the last calls failed; then lets one trial through at a time.
 
     `window` calls are looked at, at least half of them; `share` of them failed opens it for `open_ms`,
@@ -43,12 +43,12 @@
         self,
         *,
         window: int = 20,
-        share: float = 0.6,
+        failure_ratio: float = 0.6,
         open_ms: float = 1_000.0,
-        open_most_ms: float = 15_000.0,
+        max_open_ms: float = 15_000.0,
     ) -> None:
         self.state = BreakerState.CLOSED
-        self._share, self._first_ms, self._most_ms = share, open_ms, open_most_ms
+        self._share, self._first_ms, self._most_ms = failure_ratio, open_ms, max_open_ms
         self._ends: deque[bool] = deque(maxlen=window)
         self._open_ms, self._until = open_ms, 0.0
         self._trial: int | None = None
@@ -61,14 +61,14 @@
             self.state is BreakerState.HALF_OPEN and self._trial is None
         )
 
-    def begin(self, now: float) -> int:
+    def begin_call(self, now: float) -> int:
         """A call goes out; the number is for `end`. Only after `may_call` said yes."""
         self._trials += 1
         if self.state is BreakerState.HALF_OPEN:
             self._trial = self._trials
         return self._trials
 
-    def end(self, now: float, call: int, good: bool) -> None:
+    def end_call(self, now: float, call: int, good: bool) -> None:
         if self.state is BreakerState.HALF_OPEN:
             if call != self._trial:
                 return  # an answer to a call from before it opened says nothing of now
@@ -84,7 +84,7 @@
             if size * 2 >= (self._ends.maxlen or 1) and bad >= self._share * size:
                 self._open(now, self._first_ms)
 
-    def wait_ms(self, now: float) -> float:
+    def remaining_open_ms(self, now: float) -> float:
         return max(self._until - now, 0.0) if self.state is BreakerState.OPEN else 0.0
 
     def _open(self, now: float, pause: float) -> None:
@@ -93,7 +93,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RetryRules:
+class RetryConfig:
     """Repeats take tokens, one each, of their tenant's bucket and of the server's.
 
     A bucket begins with `free` tokens and holds four times as many; each first try adds `share` of one,
@@ -101,13 +101,13 @@
     server is back. Pauses are ms; `tenants` are kept at the most, the longest unused is dropped first.
     """
 
-    share: float = 0.2
-    free: float = 10.0
-    per_s: float = 2.0
-    tenant_per_s: float = 0.5
-    base_ms: float = 50.0
-    most_ms: float = 2_000.0
-    tenants: int = 10_000
+    retry_ratio: float = 0.2
+    initial_tokens: float = 10.0
+    tokens_per_s: float = 2.0
+    tenant_tokens_per_s: float = 0.5
+    base_backoff_ms: float = 50.0
+    max_backoff_ms: float = 2_000.0
+    max_tenants: int = 10_000
 
 
 class TokenBucket:
@@ -121,18 +121,18 @@
     def __init__(self, now: float, per_s: float, level: float, most: float) -> None:
         self._per_ms, self._level, self._most, self._at = per_s / 1000.0, level, most, now
 
-    def level(self, now: float) -> float:
+    def available(self, now: float) -> float:
         if now > self._at:
             self._level = min(self._level + (now - self._at) * self._per_ms, self._most)
             self._at = now
         return self._level
 
-    def earn(self, now: float, tokens: float) -> None:
-        self._level = min(self.level(now) + tokens, self._most)
+    def deposit(self, now: float, tokens: float) -> None:
+        self._level = min(self.available(now) + tokens, self._most)
 
-    def take(self, now: float) -> bool:
+    def try_take(self, now: float) -> bool:
         """Takes one token, if there is a whole one."""
-        if self.level(now) < 1.0:
+        if self.available(now) < 1.0:
             return False
         self._level -= 1.0
         return True
@@ -142,42 +142,48 @@
 class RetryPolicy:
     """Decides on each failure whether, and when, the same request is made again."""
 
-    rules: RetryRules
-    dice: Random
-    breaker: Breaker = field(default_factory=Breaker)
-    denied: int = 0
+    config: RetryConfig
+    rng: Random
+    breaker: CircuitBreaker = field(default_factory=CircuitBreaker)
+    denied_retries: int = 0
     _server: TokenBucket | None = None
     _tenants: OrderedDict[str, TokenBucket] = field(default_factory=OrderedDict)
 
-    def first(self, now: float, tenant: str) -> None:
+    def on_first_attempt(self, now: float, tenant: str) -> None:
         """A request is made for the first time."""
         for bucket in self._buckets(now, tenant):
-            bucket.earn(now, self.rules.share)
+            bucket.deposit(now, self.config.retry_ratio)
 
-    def again(self, now: float, tenant: str, jitter: DecorrelatedJitter, until: float) -> float | None:
+    def schedule_retry(
+        self, now: float, tenant: str, jitter: DecorrelatedJitter, until: float
+    ) -> float | None:
         """When to repeat, or None: out of budget, or nothing could come of it before `until`."""
-        at = now + max(jitter.next_ms(), self.breaker.wait_ms(now))
+        at = now + max(jitter.next_backoff_ms(), self.breaker.remaining_open_ms(now))
         buckets = self._buckets(now, tenant)
         # Both are looked at first: a tenant out of tokens must not use up the server's.
-        if at >= until or any(bucket.level(now) < 1.0 for bucket in buckets):
-            self.denied += 1
+        if at >= until or any(bucket.available(now) < 1.0 for bucket in buckets):
+            self.denied_retries += 1
             return None
         for bucket in buckets:
-            bucket.take(now)
+            bucket.try_take(now)
         return at
 
-    def jitter(self) -> DecorrelatedJitter:
-        return DecorrelatedJitter(self.dice, self.rules.base_ms, self.rules.most_ms)
+    def new_jitter(self) -> DecorrelatedJitter:
+        return DecorrelatedJitter(self.rng, self.config.base_backoff_ms, self.config.max_backoff_ms)
 
     def _buckets(self, now: float, tenant: str) -> tuple[TokenBucket, TokenBucket]:
-        rules = self.rules
+        rules = self.config
         if self._server is None:
-            self._server = TokenBucket(now, rules.per_s, rules.free, rules.free * 4.0)
+            self._server = TokenBucket(
+                now, rules.tokens_per_s, rules.initial_tokens, rules.initial_tokens * 4.0
+            )
         bucket = self._tenants.get(tenant)
         if bucket is None:
-            bucket = TokenBucket(now, rules.tenant_per_s, rules.free, rules.free * 4.0)
+            bucket = TokenBucket(
+                now, rules.tenant_tokens_per_s, rules.initial_tokens, rules.initial_tokens * 4.0
+            )
             self._tenants[tenant] = bucket
-            if len(self._tenants) > rules.tenants:
+            if len(self._tenants) > rules.max_tenants:
                 self._tenants.popitem(last=False)
         else:
             self._tenants.move_to_end(tenant)
--- a/fernweir/entitlement/queue.py
+++ b/fernweir/entitlement/queue.py
@@ -13,20 +13,20 @@
 from enum import IntEnum
 
 
-class Turn(IntEnum):
+class RequestKind(IntEnum):
     RENEW = 0
-    ASK = 1
+    ACQUIRE = 1
     RELEASE = 2
 
 
 @dataclass(frozen=True, slots=True)
-class QueueRules:
+class QueueConfig:
     """`at_once` requests are out together; waiting `age_ms` is worth as much as one of worth."""
 
-    at_once: int = 64
-    age_ms: float = 500.0
+    max_in_flight: int = 64
+    aging_ms: float = 500.0
     release_every: int = 8
-    waiting: int = 20_000
+    max_waiting: int = 20_000
 
 
 @dataclass(order=True, slots=True)
@@ -39,12 +39,12 @@
 class SendQueue:
     """Holds ids of requests; `next` names those that may go out now."""
 
-    def __init__(self, rules: QueueRules | None = None) -> None:
-        self.rules = rules or QueueRules()
-        self.out = 0
-        self._heaps: dict[Turn, list[_Entry]] = {turn: [] for turn in Turn}
-        self._waiting: dict[int, Turn] = {}
-        self._count = dict.fromkeys(Turn, 0)
+    def __init__(self, config: QueueConfig | None = None) -> None:
+        self.config = config or QueueConfig()
+        self.in_flight = 0
+        self._heaps: dict[RequestKind, list[_Entry]] = {turn: [] for turn in RequestKind}
+        self._waiting: dict[int, RequestKind] = {}
+        self._count = dict.fromkeys(RequestKind, 0)
         self._numbers = 0
         self._since_release = 0
         self._pace_ms = 20.0
@@ -52,36 +52,36 @@
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def waiting(self, turn: Turn) -> int:
+    def waiting_count(self, turn: RequestKind) -> int:
         return self._count[turn]
 
-    def add(self, now: float, id: int, turn: Turn, worth: float, due: float) -> bool:
+    def add(self, now: float, request_id: int, kind: RequestKind, weight: float, deadline: float) -> bool:
         """Puts a request in line; False if the line is full. Renewals and releases always find room.
 
         `due` orders renewals: the one that lapses first goes first. For the others rank is the time of
         coming, less what its worth is worth in waiting: a fixed key that still ages, as all age alike.
         """
-        if turn is Turn.ASK and self._count[Turn.ASK] >= self.rules.waiting:
+        if kind is RequestKind.ACQUIRE and self._count[RequestKind.ACQUIRE] >= self.config.max_waiting:
             return False
-        rank = due if turn is Turn.RENEW else now - worth * self.rules.age_ms
+        rank = deadline if kind is RequestKind.RENEW else now - weight * self.config.aging_ms
         self._numbers += 1
-        heapq.heappush(self._heaps[turn], _Entry(rank, self._numbers, id))
-        self._waiting[id] = turn
-        self._count[turn] += 1
+        heapq.heappush(self._heaps[kind], _Entry(rank, self._numbers, request_id))
+        self._waiting[request_id] = kind
+        self._count[kind] += 1
         return True
 
-    def drop(self, id: int) -> None:
-        turn = self._waiting.pop(id, None)
+    def remove(self, request_id: int) -> None:
+        turn = self._waiting.pop(request_id, None)
         if turn is not None:
             self._count[turn] -= 1
 
-    def next(self) -> int | None:
+    def start_next(self) -> int | None:
         """The request whose turn it is, or None; `done` gives its place back."""
-        if self.out >= self.rules.at_once:
+        if self.in_flight >= self.config.max_in_flight:
             return None
-        order = [Turn.RENEW, Turn.ASK, Turn.RELEASE]
-        if self._since_release + 1 >= self.rules.release_every:
-            order = [Turn.RELEASE, Turn.RENEW, Turn.ASK]
+        order = [RequestKind.RENEW, RequestKind.ACQUIRE, RequestKind.RELEASE]
+        if self._since_release + 1 >= self.config.release_every:
+            order = [RequestKind.RELEASE, RequestKind.RENEW, RequestKind.ACQUIRE]
         for turn in order:
             heap = self._heaps[turn]
             while heap and self._waiting.get(heap[0].id) is not turn:
@@ -90,16 +90,16 @@
                 entry = heapq.heappop(heap)
                 del self._waiting[entry.id]
                 self._count[turn] -= 1
-                self._since_release = 0 if turn is Turn.RELEASE else self._since_release + 1
-                self.out += 1
+                self._since_release = 0 if turn is RequestKind.RELEASE else self._since_release + 1
+                self.in_flight += 1
                 return entry.id
         return None
 
-    def done(self, took_ms: float) -> None:
-        self.out = max(self.out - 1, 0)
+    def on_request_done(self, took_ms: float) -> None:
+        self.in_flight = max(self.in_flight - 1, 0)
         self._pace_ms += (min(took_ms, 10_000.0) - self._pace_ms) * 0.1
 
-    def wait_ms(self) -> float:
+    def estimated_wait_ms(self) -> float:
         """About how long a new session asked for now would wait for its turn."""
-        ahead = self._count[Turn.RENEW] + self._count[Turn.ASK]
-        return ahead / max(self.rules.at_once, 1) * self._pace_ms
+        ahead = self._count[RequestKind.RENEW] + self._count[RequestKind.ACQUIRE]
+        return ahead / max(self.config.max_in_flight, 1) * self._pace_ms
--- a/fernweir/front/dash.py
+++ b/fernweir/front/dash.py
@@ -15,7 +15,7 @@
 
 from pydantic import ValidationError
 
-from fernweir.entitlement.introspect import Judged, Word
+from fernweir.entitlement.introspect import IntrospectionDecision, IntrospectionStatus
 from fernweir.front.boxlist import BoxList
 from fernweir.front.commands import ReplyKind, SessionReply, SessionRequest, SetUp
 from fernweir.front.dispatcher import Dispatcher, InvalidServerReplyError, ServerRequest
@@ -26,7 +26,7 @@
 from fernweir.http.server import Exchange
 from fernweir.http.target import TargetError, split_target
 from fernweir.interface import SessionClass, Settings
-from fernweir.tokens import BoxClaims, Keyring, SessionClaims, TokenError, TokenFault
+from fernweir.tokens import Keyring, ServerClaims, SessionClaims, TokenError, TokenFault
 
 MPD_TYPE = "application/dash+xml"
 _PROBLEM = "urn:fernweir:problem:"
@@ -154,16 +154,18 @@
         kind = kinds[self.classes[claims.cls]] if claims else min(kinds, key=lambda one: one.deadline_ms)
         begun = self.core.now()
 
-        def judged(said: Judged) -> None:
+        def judged(said: IntrospectionDecision) -> None:
             if not exchange.gone:
                 exchange.on_gone = None
                 self._guard(exchange, lambda: go_on(said))
 
-        def go_on(said: Judged) -> None:
-            if said.word is Word.INACTIVE:
+        def go_on(said: IntrospectionDecision) -> None:
+            if said.status is IntrospectionStatus.INACTIVE:
                 raise _challenge(TokenError(TokenFault.INACTIVE))
             known = claims
-            if said.word is Word.UNKNOWN and (claims is None or claims.cls not in self._plays_unanswered):
+            if said.status is IntrospectionStatus.UNKNOWN and (
+                claims is None or claims.cls not in self._plays_unanswered
+            ):
                 raise _RefusedError(
                     503, "refused", "the token's issuer did not answer", (("retry-after", "1"),)
                 )
@@ -174,7 +176,7 @@
         number = desk.ask(token, wait_ms(exchange, kind) / 2.0, judged)
         exchange.on_gone = lambda: desk.withdraw(number)
 
-    def _claims_told(self, said: Judged) -> SessionClaims:
+    def _claims_told(self, said: IntrospectionDecision) -> SessionClaims:
         """The claims of an opaque token, held to the same rules as a signed one's."""
         try:
             claims = SessionClaims.model_validate(dict(said.claims))
@@ -231,7 +233,7 @@
                 audience=self.rules.audience,
                 now_s=self._wall_s(),
                 issuer=self.rules.issuer,
-                covered=self._covered,
+                may_accept_expired=self._covered,
             )
         except TokenError as error:
             raise _challenge(error) from None
@@ -408,7 +410,7 @@
     ) -> str:
         channel, fence = under or (None, 0)
         return self.keyring.sign(
-            BoxClaims(
+            ServerClaims(
                 iss=self.front,
                 aud=f"{self.rules.box_audience}:{server}",
                 iat=int(now),
--- a/fernweir/front/introspection.py
+++ b/fernweir/front/introspection.py
@@ -9,7 +9,13 @@
 
 from pydantic import BaseModel, ConfigDict, ValidationError
 
-from fernweir.entitlement.introspect import Introspector, Judged, Question, Told, Word
+from fernweir.entitlement.introspect import (
+    IntrospectionDecision,
+    IntrospectionRequest,
+    IntrospectionResult,
+    IntrospectionStatus,
+    Introspector,
+)
 from fernweir.front.dispatcher import Dispatcher
 from fernweir.http.client import Outcome, Pool, Reply
 
@@ -23,20 +29,24 @@
     exp: int | float | None = None
 
 
-def read_introspection(reply: Reply, now_s: float) -> Told:
+def read_introspection(reply: Reply, now_s: float) -> IntrospectionResult:
     """What a reply says of a token. One that can't be read says nothing: never that it is active."""
     if reply.outcome is not Outcome.ANSWERED or reply.status != 200:
-        return Told(Word.UNKNOWN)
+        return IntrospectionResult(IntrospectionStatus.UNKNOWN)
     try:
         said = Introspection.model_validate_json(reply.body)
     except ValidationError:
-        return Told(Word.UNKNOWN)
+        return IntrospectionResult(IntrospectionStatus.UNKNOWN)
     if not said.active:
-        return Told(Word.INACTIVE)
+        return IntrospectionResult(IntrospectionStatus.INACTIVE)
     left = float("inf") if said.exp is None else (said.exp - now_s) * 1000.0
     if left <= 0.0:
-        return Told(Word.INACTIVE)  # active and lapsed: the token's own word is the stricter
-    return Told(Word.ACTIVE, said.model_dump(exclude={"active"}, exclude_none=True), left)
+        return IntrospectionResult(
+            IntrospectionStatus.INACTIVE
+        )  # active and lapsed: the token's own word is the stricter
+    return IntrospectionResult(
+        IntrospectionStatus.ACTIVE, said.model_dump(exclude={"active"}, exclude_none=True), left
+    )
 
 
 class TokenDesk:
@@ -57,7 +67,7 @@
         self._origin, self._target = (parts.hostname or "", parts.port or 80), parts.path or "/"
         self.core, self.judge, self.all_tokens = core, judge, all_tokens
         self._pool, self._token, self._wall_s = pool, token, wall_s
-        self._waiters: dict[int, Callable[[Judged], None]] = {}
+        self._waiters: dict[int, Callable[[IntrospectionDecision], None]] = {}
         self._numbers = itertools.count(1)
         self._wake: asyncio.TimerHandle | None = None
         self._kicked = self._stopped = False
@@ -65,11 +75,11 @@
     def __len__(self) -> int:
         return len(self._waiters)
 
-    def ask(self, token: str, within_ms: float, done: Callable[[Judged], None]) -> int:
+    def ask(self, token: str, within_ms: float, done: Callable[[IntrospectionDecision], None]) -> int:
         """`done` is called exactly once unless `withdraw` comes first; the number is for that."""
         number, now = next(self._numbers), self.core.now()
         self._waiters[number] = done
-        self.judge.ask(now, number, token, now + within_ms)
+        self.judge.look_up(now, number, token, now + within_ms)
         self._kick()
         return number
 
@@ -79,7 +89,7 @@
 
     def give_up(self) -> None:
         """The front stops: whoever waits is answered now."""
-        self.judge.give_up()
+        self.judge.shutdown()
         self._run()
 
     def stop(self) -> None:
@@ -97,20 +107,20 @@
         if self._stopped:
             return
         now = self.core.now()
-        for command in self.judge.take(now):
-            if isinstance(command, Question):
+        for command in self.judge.take_effects(now):
+            if isinstance(command, IntrospectionRequest):
                 self._send(command)
             elif (done := self._waiters.pop(command.waiter, None)) is not None:
                 done(command)
         if self._wake is not None:
             self._wake.cancel()
-        due = self.judge.next_due(now)
+        due = self.judge.next_deadline(now)
         if due is not None:
             self._wake = self.core.loop.call_at(max(due, now + 1.0) / 1000.0, self._kick)
 
-    def _send(self, question: Question) -> None:
+    def _send(self, question: IntrospectionRequest) -> None:
         def done(reply: Reply) -> None:
-            self.judge.replied(self.core.now(), question.number, read_introspection(reply, self._wall_s()))
+            self.judge.on_reply(self.core.now(), question.number, read_introspection(reply, self._wall_s()))
             self._kick()
 
         self._pool.request(
--- a/fernweir/front/keyset.py
+++ b/fernweir/front/keyset.py
@@ -46,7 +46,7 @@
             return
         if reply.outcome is Outcome.ANSWERED and reply.status == 200:
             try:
-                self._last = Keyring.read(reply.body.decode("utf-8", "replace"))
+                self._last = Keyring.from_json(reply.body.decode("utf-8", "replace"))
                 self._tag = reply.headers.get("etag")
             except KeyringError as error:
                 self._core.log.warning("key set not taken", why=str(error))
@@ -55,7 +55,7 @@
                 "key set not had", why=reply.detail or f"{reply.outcome.value} {reply.status}"
             )
         if self._last is not None:  # also when nothing changed: retired keys run out
-            retired = self._keyring.adopt(self._last, self._wall_s(), self._retired_for_s)
+            retired = self._keyring.replace_issued_keys(self._last, self._wall_s(), self._retired_for_s)
             if retired:
                 self._core.log.debug("keys retired", keys=retired)
         self._core.loop.call_later(self._every_s, self.start)
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -20,8 +20,8 @@
 from fernweir.control.overlay import Overlay
 from fernweir.control.statefile import StateFileError
 from fernweir.entitlement.client import EntitlementClient
-from fernweir.entitlement.introspect import Introspector, IntrospectRules
-from fernweir.entitlement.queue import QueueRules
+from fernweir.entitlement.introspect import IntrospectionConfig, Introspector
+from fernweir.entitlement.queue import QueueConfig
 from fernweir.front.boxes import BoxClient, BoxTimes
 from fernweir.front.boxlist import BoxList
 from fernweir.front.commands import SessionRequest
@@ -39,7 +39,7 @@
 from fernweir.http.parse import Limits
 from fernweir.http.server import Server, ServerLimits
 from fernweir.journal.disk import JournalFolder
-from fernweir.journal.store import Journal, JournalRules
+from fernweir.journal.store import Journal, JournalConfig
 from fernweir.seats.file_store import DiskFileStore, FileStore
 from fernweir.seats.log import LogError, SeatLog
 from fernweir.seats.records import RecordError, rebuild_table
@@ -122,7 +122,7 @@
     path = config.path(config.tokens.keys)
     try:
         text = path.read_text(encoding="utf-8")
-        return Keyring.read(text, sign_with=config.tokens.sign_with, skew_s=config.tokens.skew / 1000.0)
+        return Keyring.from_json(text, sign_with=config.tokens.sign_with, skew_s=config.tokens.skew / 1000.0)
     except (OSError, UnicodeDecodeError, KeyringError) as error:
         raise ConfigError(str(path), [Problem("tokens", "keys", 0, str(error))]) from None
 
@@ -273,12 +273,12 @@
     assert section is not None
     folder, kept = None, list[tuple[int, int, object]]()
     if section.record is not None:
-        folder = JournalFolder(config.path(section.record), most_bytes=int(section.record_disk))
+        folder = JournalFolder(config.path(section.record), max_bytes=int(section.record_disk))
         try:
             kept = folder.open()[1]
         except OSError as error:  # a full or broken disk stops no front
             core.log.error("record of acts can't be opened", why=error.strerror or str(error))
-        for note in folder.notes:
+        for note in folder.problems:
             core.log.warning("record of acts is not whole", why=note)
     begin = Beginning(
         name=config.front.name,
@@ -316,11 +316,11 @@
         self.orders.rules = OrderRules(pace_ms=section.drain_pace, burst=section.drains_at_once)
         self.overlay = Overlay(self.orders.drained)
         self._folder: JournalFolder | None = None
-        rules = JournalRules(memory_bytes=int(section.journal_memory))
+        rules = JournalConfig(max_memory_bytes=int(section.journal_memory))
         if section.journal is not None:
-            self._folder = JournalFolder(config.path(section.journal), most_bytes=int(section.journal_disk))
+            self._folder = JournalFolder(config.path(section.journal), max_bytes=int(section.journal_disk))
         self.journal = Journal(config.front.name, rules, self._folder, wall_offset_ms=wall_offset_s * 1000.0)
-        self.journal.on_trouble = self._trouble
+        self.journal.on_fault = self._trouble
         self.desk: OrderDesk | None = None
         self._host: SessionManager | None = None
         self._steering: Steering | None = None
@@ -347,10 +347,10 @@
                 self.journal.restore(*self._folder.open())
             except OSError as error:
                 self._trouble(error.strerror or str(error))
-            for note in self._folder.notes:
+            for note in self._folder.problems:
                 self._log.warning("journal is not whole", why=note)
             for entry in self.journal.entries(self.journal.first):
-                desk.picture.fold(entry)
+                desk.picture.apply(entry)
         desk.start()
         await self._channel.listen()
 
@@ -377,12 +377,12 @@
     token: Callable[[], str],
     wall_s: Callable[[], float],
 ) -> TokenDesk:
-    rules = IntrospectRules(
-        believe_ms=section.believe,
-        disbelieve_ms=section.disbelieve,
-        stale_ms=section.stale,
-        call_ms=section.call_time,
-        at_once=section.at_once,
+    rules = IntrospectionConfig(
+        positive_cache_ttl_ms=section.believe,
+        negative_cache_ttl_ms=section.disbelieve,
+        stale_if_error_ms=section.stale,
+        request_timeout_ms=section.call_time,
+        max_in_flight=section.at_once,
     )
     judge = Introspector(seed, rules)
     return TokenDesk(core, pool, judge, section.url, token, wall_s, all_tokens=section.tokens == "all")
@@ -418,7 +418,7 @@
             max_ttl_ms=section.longest_lease,
             reclaim_after_ms=section.reclaim,
         ),
-        queue_config=QueueRules(at_once=section.at_once),
+        queue_config=QueueConfig(max_in_flight=section.at_once),
         generation=found.last_sequence,
     )
     book.wall_clock_offset_s = offset_s
--- a/fernweir/front/server_states.py
+++ b/fernweir/front/server_states.py
@@ -7,7 +7,7 @@
 from fernweir.front.session_context import SessionContext
 from fernweir.front.session_journal import SessionJournal
 from fernweir.interface import EndpointListKind, EndpointListUpdate, ServerState
-from fernweir.journal.events import What
+from fernweir.journal.events import EventKind
 
 if TYPE_CHECKING:  # a front may do without operators' orders, so that they are not loaded
     from fernweir.control.overlay import Overlay
@@ -59,7 +59,7 @@
             self.silent.add(server)
         else:
             self.silent.discard(server)
-        self._journal.record_server(What.SILENT if is_silent else What.HEARD, server)
+        self._journal.record_server(EventKind.SILENT if is_silent else EventKind.HEARD, server)
 
     def _apply(self, update: EndpointListUpdate) -> None:
         self._context.events.append(update)
--- a/fernweir/front/session_actions.py
+++ b/fernweir/front/session_actions.py
@@ -26,7 +26,7 @@
     SetTimer,
     Subscribe,
 )
-from fernweir.journal.events import What
+from fernweir.journal.events import EventKind
 
 _SERVER_IN_LOG = re.compile(r"server (\d+)")
 
@@ -82,7 +82,7 @@
         if record is None:
             return
         context = self._context
-        self._journal.record_session(What.MOVED, record)
+        self._journal.record_session(EventKind.MOVED, record)
         if context.observer is not None:
             context.observer.on_session_moved(context.now, record)
         self._endings.release_at_server(record, "moved")
--- a/fernweir/front/session_attempts.py
+++ b/fernweir/front/session_attempts.py
@@ -20,7 +20,7 @@
     ServerNotice,
     Viewer,
 )
-from fernweir.journal.events import What
+from fernweir.journal.events import EventKind
 
 _LINK_FIELD = "x0"
 _REPORT_NOTICES = {_LINK_FIELD: NoticeKind.LINK, "x1": NoticeKind.UPLINK}
@@ -151,7 +151,7 @@
         """Sends the rung that the controller wants to the session's server."""
         context = self._context
         record.sent_rung = record.rung
-        self._journal.record_session(What.RUNG, record, rung=record.rung, reason="this front")
+        self._journal.record_session(EventKind.RUNG, record, rung=record.rung, reason="this front")
         if context.observer is not None:
             context.observer.on_session_updated(context.now, record)
         context.commands.append(
@@ -164,7 +164,7 @@
         has_changed = record.rung != rung
         if has_changed:
             context.now = now
-            self._journal.record_session(What.RUNG, record, rung=rung, reason="its box")
+            self._journal.record_session(EventKind.RUNG, record, rung=rung, reason="its box")
         record.rung = record.sent_rung = rung
         if has_changed and context.observer is not None:
             context.observer.on_session_updated(now, record)
--- a/fernweir/front/session_endings.py
+++ b/fernweir/front/session_endings.py
@@ -10,7 +10,7 @@
 from fernweir.front.session_record import SessionPhase, SessionRecord
 from fernweir.front.session_table import SessionTable
 from fernweir.interface import AttemptEnded, Result
-from fernweir.journal.events import What
+from fernweir.journal.events import EventKind
 
 
 class SessionEndings:
@@ -76,7 +76,7 @@
     ) -> None:
         """Removes the record of a session that ended, and gives its entitlement back."""
         context = self._context
-        self._journal.record_session(What.ENDED, record, reason=reason)
+        self._journal.record_session(EventKind.ENDED, record, reason=reason)
         if context.observer is not None:
             context.observer.on_session_closed(context.now, record, reason)
         self._table.remove(record)
--- a/fernweir/front/session_journal.py
+++ b/fernweir/front/session_journal.py
@@ -14,7 +14,7 @@
     EndpointListUpdate,
     ServerState,
 )
-from fernweir.journal.events import What
+from fernweir.journal.events import EventKind
 
 if TYPE_CHECKING:  # a front may do without a journal, so that these are not loaded
     from fernweir.front.commands import SetUpResult
@@ -22,10 +22,10 @@
     from fernweir.journal.store import Journal
 
 _REPLY_EVENTS = {
-    ReplyKind.PLAYS: What.PLAYS,
-    ReplyKind.REJECTED: What.REFUSED,
-    ReplyKind.FAILED: What.FAILED,
-    ReplyKind.CONFLICT: What.CONFLICT,
+    ReplyKind.PLAYS: EventKind.PLAYS,
+    ReplyKind.REJECTED: EventKind.REFUSED,
+    ReplyKind.FAILED: EventKind.FAILED,
+    ReplyKind.CONFLICT: EventKind.CONFLICT,
 }
 _PHASES_AT_SERVER = (SessionPhase.IN_FLIGHT, SessionPhase.PLAYING)
 
@@ -43,7 +43,7 @@
 
     def record_session(
         self,
-        kind: What,
+        kind: EventKind,
         record: SessionRecord,
         *,
         rung: int = -1,
@@ -54,7 +54,7 @@
         if self.journal is None:
             return
         request = record.request
-        is_at_server = record.phase in _PHASES_AT_SERVER or kind is What.FAILED_TRY
+        is_at_server = record.phase in _PHASES_AT_SERVER or kind is EventKind.FAILED_TRY
         self.journal.add(
             self._context.now,
             kind,
@@ -70,7 +70,7 @@
         )
 
     def record_server(
-        self, kind: What, server: int, *, reason: str = "", details: dict[str, object] | None = None
+        self, kind: EventKind, server: int, *, reason: str = "", details: dict[str, object] | None = None
     ) -> None:
         """Writes an event of a server."""
         if self.journal is not None:
@@ -104,20 +104,20 @@
             "link": reason.link,
             "uplink": reason.uplink,
         }
-        self.record_session(What.SETUP, record, rung=record.rung, reason=reason.why, details=details)
+        self.record_session(EventKind.SETUP, record, rung=record.rung, reason=reason.why, details=details)
 
     def record_attempt_succeeded(self, record: SessionRecord, outcome: SetUpResult) -> None:
         """Writes that a server has accepted a session."""
         if self.journal is not None:
             details: dict[str, object] = {"took_ms": round(outcome.duration_ms, 1)}
-            self.record_session(What.STARTED, record, rung=record.sent_rung, details=details)
+            self.record_session(EventKind.STARTED, record, rung=record.sent_rung, details=details)
 
     def record_attempt_failed(self, record: SessionRecord, outcome: SetUpResult) -> None:
         """Writes that an attempt ended without success."""
         if self.journal is not None:
             reason = RESULT_LABELS[outcome.result] + (f": {outcome.reason}" if outcome.reason else "")
             details: dict[str, object] = {"took_ms": round(outcome.duration_ms, 1)}
-            self.record_session(What.FAILED_TRY, record, reason=reason, details=details)
+            self.record_session(EventKind.FAILED_TRY, record, reason=reason, details=details)
 
     def take_rejection_details(self, record: SessionRecord) -> dict[str, object]:
         """Returns why the controller rejected a session, as it is journaled; empty without a journal."""
@@ -138,10 +138,10 @@
                 self._last_listed[entry.server] = state
                 start = f"{entry.started_at:.0f}" if entry.started_at else ""
                 reason = SERVER_STATE_LABELS[entry.state]
-                self.record_server(What.BOX, entry.server, reason=reason, details={"start": start})
+                self.record_server(EventKind.BOX, entry.server, reason=reason, details={"start": start})
 
     def _record_unlisted(self, update: EndpointListUpdate) -> None:
         listed = {entry.server for entry in update.entries}
         for server in [server for server in self._last_listed if server not in listed]:
             del self._last_listed[server]
-            self.record_server(What.BOX, server, reason="unlisted")
+            self.record_server(EventKind.BOX, server, reason="unlisted")
--- a/fernweir/front/session_manager.py
+++ b/fernweir/front/session_manager.py
@@ -41,7 +41,7 @@
     Settings,
     TimerFired,
 )
-from fernweir.journal.events import What
+from fernweir.journal.events import EventKind
 
 if TYPE_CHECKING:  # a front may do without a journal and operators' orders, so that they are not loaded
     from fernweir.control.overlay import Overlay
@@ -291,7 +291,7 @@
         """A server and its sessions are lost; returns how many played there."""
         self._context.now = now
         lost = self._table.playing_at(server)
-        self._journal.record_server(What.LOST, server, details={"sessions": len(lost)})
+        self._journal.record_server(EventKind.LOST, server, details={"sessions": len(lost)})
         for record in lost:
             self._endings.end_session(record, Result.RESET, "its box was lost")
         return len(lost)
--- a/fernweir/front/session_requests.py
+++ b/fernweir/front/session_requests.py
@@ -14,7 +14,7 @@
 from fernweir.front.session_replies import SessionReplies
 from fernweir.front.session_table import SessionTable
 from fernweir.interface import Result
-from fernweir.journal.events import What
+from fernweir.journal.events import EventKind
 
 _VIEWER_LEFT = "its viewer left"
 _STOPPING = "front is stopping"
@@ -145,7 +145,7 @@
     def _begin_session(self, now: float, request: SessionRequest) -> None:
         record = self._table.create(now, request)
         self._table.add_ticket(record, request.ticket)
-        self._journal.record_session(What.ASKED, record)
+        self._journal.record_session(EventKind.ASKED, record)
         if self._checks_entitlement:
             record.phase = SessionPhase.AWAITING_ENTITLEMENT
             deadline = now + request.max_wait_ms * self._context.limits.entitlement_wait_ratio
--- a/fernweir/journal/disk.py
+++ b/fernweir/journal/disk.py
@@ -20,7 +20,7 @@
 
 from fernweir.front.atomic_file import write_file
 from fernweir.journal.events import Entry, EntryError, from_row, to_row
-from fernweir.journal.segment import unpack
+from fernweir.journal.segment import decode_segment
 
 _FRAME = struct.Struct("<IIQQ")
 _MAGIC = b"FWJRNL1\n"
@@ -46,16 +46,16 @@
 class JournalFolder:
     """At most `most_bytes` in files of `file_bytes`; the oldest file is deleted first."""
 
-    def __init__(self, folder: Path, *, most_bytes: int = 256 << 20, file_bytes: int = 16 << 20) -> None:
-        self.folder, self._most, self._file_bytes = folder, most_bytes, file_bytes
-        self.notes: list[str] = []  # what was found wrong when it was opened
+    def __init__(self, folder: Path, *, max_bytes: int = 256 << 20, file_bytes: int = 16 << 20) -> None:
+        self.folder, self._most, self._file_bytes = folder, max_bytes, file_bytes
+        self.problems: list[str] = []  # what was found wrong when it was opened
         self._files: deque[_File] = deque()
         self._out: int | None = None
         self._tail: int | None = None
         self._next = 1
 
     @property
-    def kept_bytes(self) -> int:
+    def stored_bytes(self) -> int:
         return sum(file.size for file in self._files)
 
     def open(self) -> tuple[str, list[tuple[int, int, object]], list[Entry]]:
@@ -71,7 +71,7 @@
                 (self.folder / name).unlink()
                 continue
             if sealed and found[0][0] != sealed[-1][1] + 1:
-                self.notes.append(f"{name}: entries {sealed[-1][1] + 1} to {found[0][0] - 1} are missing")
+                self.problems.append(f"{name}: entries {sealed[-1][1] + 1} to {found[0][0] - 1} are missing")
             self._files.append(_File(number, found[0][0], size))
             sealed += found
             self._next = number + 1
@@ -79,7 +79,7 @@
         self._write_tail(tail)
         return id, sealed, tail
 
-    def keep(self, first: int, last: int, data: bytes) -> object:
+    def append_segment(self, first: int, last: int, data: bytes) -> object:
         file = self._files[-1] if self._files else None
         if self._out is None or file is None or file.size >= self._file_bytes:
             file = self._begin(first)
@@ -99,7 +99,7 @@
         self._write_tail([])
         return _Handle(file.number, at + _FRAME.size, len(data), crc)
 
-    def read(self, handle: object) -> bytes:
+    def read_segment(self, handle: object) -> bytes:
         assert isinstance(handle, _Handle)
         with open(self._path(handle.file), "rb") as file:
             file.seek(handle.at)
@@ -108,13 +108,13 @@
             raise OSError(f"{self._path(handle.file).name}: damaged at byte {handle.at}")
         return data
 
-    def tail(self, entry: Entry) -> None:
+    def append_row(self, entry: Entry) -> None:
         if self._tail is None:
             self._write_tail([])
         assert self._tail is not None
         _write(self._tail, orjson.dumps(to_row(entry)) + b"\n")
 
-    def first(self) -> int:
+    def first_number(self) -> int:
         return self._files[0].first if self._files else 0
 
     def close(self) -> None:
@@ -157,14 +157,14 @@
         return self._files[-1]
 
     def _bound(self) -> None:
-        while len(self._files) > 1 and self.kept_bytes > self._most:
+        while len(self._files) > 1 and self.stored_bytes > self._most:
             self._path(self._files.popleft().number).unlink(missing_ok=True)
 
     def _scan(self, number: int, path: Path) -> tuple[list[tuple[int, int, object]], int]:
         data = path.read_bytes()
         if not data.startswith(_MAGIC):
             if data and not _MAGIC.startswith(data):
-                self.notes.append(f"{path.name}: not a journal")
+                self.problems.append(f"{path.name}: not a journal")
             return [], 0
         found: list[tuple[int, int, _Handle]] = []
         at = len(_MAGIC)
@@ -176,7 +176,7 @@
             found.append((first, last, _Handle(number, at + _FRAME.size, size, crc)))
             at += _FRAME.size + size
         if at < len(data):
-            self.notes.append(f"{path.name}: damaged at byte {at}, {len(data) - at} bytes passed over")
+            self.problems.append(f"{path.name}: damaged at byte {at}, {len(data) - at} bytes passed over")
         return self._renumbered(path.name, data, found), len(data)
 
     def _renumbered(
@@ -192,7 +192,7 @@
             if at in doubtful:
                 numbers = _numbers(data[handle.at : handle.at + handle.size]) or (first, last)
                 if numbers != (first, last):
-                    self.notes.append(f"{name}: damaged numbers at byte {handle.at - _FRAME.size}")
+                    self.problems.append(f"{name}: damaged numbers at byte {handle.at - _FRAME.size}")
                     first, last = numbers
             frames.append((first, last, handle))
         return frames
@@ -207,7 +207,7 @@
             try:
                 entry = from_row(orjson.loads(line))
             except (ValueError, EntryError):
-                self.notes.append("newest.rows: a row can't be read, those behind it are passed over")
+                self.problems.append("newest.rows: a row can't be read, those behind it are passed over")
                 break
             if entry.number > sealed_to:
                 entries.append(entry)
@@ -233,7 +233,7 @@
 def _numbers(segment: bytes) -> tuple[int, int] | None:
     """The first and the last number in it; None if it has no rows that can be read."""
     try:
-        rows = unpack(segment)
+        rows = decode_segment(segment)
         return from_row(rows[0]).number, from_row(rows[-1]).number
     except (EntryError, IndexError):
         return None
--- a/fernweir/journal/events.py
+++ b/fernweir/journal/events.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 
-class What(StrEnum):
+class EventKind(StrEnum):
     FRONT = "front"  # a front began (`why` "up") or ended ("down"): its sessions of before are over
     ASKED = "asked"  # a session began: the first request with its token was taken
     SETUP = "setup"  # an attempt left for `box`, `why` it
@@ -32,7 +32,7 @@
     ORDER = "order"  # an operator's command was carried out
 
 
-ANSWERS = (What.PLAYS, What.REFUSED, What.FAILED, What.CONFLICT)
+ANSWERS = (EventKind.PLAYS, EventKind.REFUSED, EventKind.FAILED, EventKind.CONFLICT)
 
 
 @dataclass(slots=True)
@@ -44,7 +44,7 @@
 
     number: int
     at: int
-    what: What
+    what: EventKind
     front: str = ""
     session: str = ""
     lesson: str = ""
@@ -87,7 +87,7 @@
     if not isinstance(more, dict):
         raise EntryError("an entry's rest is no object")
     try:
-        kind = What(what)
+        kind = EventKind(what)
     except ValueError:
         raise EntryError(f"unknown kind {what!r}") from None
     return Entry(number, at, kind, front, session, lesson, cls, tenant, box, attempt, rung, why, more)
--- a/fernweir/journal/segment.py
+++ b/fernweir/journal/segment.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Question:
+class Query:
     """All that is given must hold. Times are wall ms, `since` included and `until` not."""
 
     session: str | None = None
@@ -33,7 +33,7 @@
     since: int = 0
     until: int = 1 << 62
 
-    def holds(self, entry: Entry) -> bool:
+    def matches(self, entry: Entry) -> bool:
         if not self.since <= entry.at < self.until:
             return False
         if self.session is not None and entry.session != self.session:
@@ -70,18 +70,18 @@
         self._hashes = array("I", (hashed for hashed, _ in named))
         self._offsets = array("H", (offset for _, offset in named))
 
-    def bytes(self) -> int:
+    def size_bytes(self) -> int:
         return len(self._bits) * _BITMAP_BYTES + len(self._hashes) * 6 + 200
 
-    def find(self, question: Question) -> int:
+    def find(self, query: Query) -> int:
         """A bitmap of the offsets that may hold."""
         found = (1 << self.size) - 1
-        for key in question.equal.items():
+        for key in query.equal.items():
             found &= self._bits.get(key, 0)
             if not found:
                 return 0
-        if question.session is not None:
-            wanted = session_hash(question.session)
+        if query.session is not None:
+            wanted = session_hash(query.session)
             mine, at = 0, bisect_left(self._hashes, wanted)
             while at < len(self._hashes) and self._hashes[at] == wanted:
                 mine |= 1 << self._offsets[at]
@@ -90,7 +90,7 @@
         return found
 
 
-def offsets(bitmap: int, *, newest_first: bool) -> Iterator[int]:
+def set_bits(bitmap: int, *, newest_first: bool) -> Iterator[int]:
     """The set bits of a bitmap, in order."""
     while bitmap:
         bit = bitmap.bit_length() - 1 if newest_first else (bitmap & -bitmap).bit_length() - 1
@@ -98,11 +98,11 @@
         bitmap &= ~(1 << bit)
 
 
-def pack(entries: Sequence[Entry]) -> bytes:
+def encode_segment(entries: Sequence[Entry]) -> bytes:
     return zlib.compress(orjson.dumps([to_row(entry) for entry in entries]), _LEVEL)
 
 
-def unpack(data: bytes) -> list[Any]:
+def decode_segment(data: bytes) -> list[Any]:
     """The rows of a segment, each still to be read. EntryError if the bytes are none."""
     try:
         rows = orjson.loads(zlib.decompress(data))
--- a/fernweir/journal/picture.py
+++ b/fernweir/journal/state_projection.py
@@ -11,7 +11,7 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-from fernweir.journal.events import ANSWERS, Entry, What
+from fernweir.journal.events import ANSWERS, Entry, EventKind
 
 _REASONS = 200
 _ORDERS = 50
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class BoxRow:
+class ServerRow:
     """One box: as listed, as ordered, and what is there. `start` names one life of it."""
 
     box: int
@@ -52,13 +52,13 @@
 
 
 @dataclass(slots=True)
-class Picture:
+class StateProjection:
     """Everything that is shown. `number` is the entry that was folded last."""
 
     number: int = 0
     at: int = 0
     sessions: dict[str, SessionRow] = field(default_factory=dict)
-    boxes: dict[int, BoxRow] = field(default_factory=dict)
+    servers: dict[int, ServerRow] = field(default_factory=dict)
     answers: Counter[str] = field(default_factory=Counter)
     by_class: Counter[str] = field(default_factory=Counter)  # "class answer"
     refusals: Counter[str] = field(default_factory=Counter)
@@ -67,7 +67,7 @@
     caps: dict[str, int] = field(default_factory=dict)
     orders: list[str] = field(default_factory=list)  # the newest last
 
-    def fold(self, entry: Entry) -> None:
+    def apply(self, entry: Entry) -> None:
         """Applies one entry. One that was folded before is passed over."""
         if entry.number <= self.number:
             return
@@ -83,8 +83,8 @@
         if entry.why == "up":
             if not set(self.fronts) - {entry.front}:
                 # Nobody else has followed the list meanwhile: it is told anew.
-                self.boxes = {row.box: BoxRow(row.box, drained_by=row.drained_by)
-                              for row in self.boxes.values() if row.drained_by}  # fmt: skip
+                self.servers = {row.box: ServerRow(row.box, drained_by=row.drained_by)
+                              for row in self.servers.values() if row.drained_by}  # fmt: skip
             self.fronts[entry.front] = entry.at
         else:
             self.fronts.pop(entry.front, None)
@@ -125,7 +125,7 @@
     def _answer(self, entry: Entry) -> None:
         self.answers[entry.what] += 1
         self.by_class[f"{entry.cls} {entry.what}"] += 1
-        if entry.what is not What.PLAYS:
+        if entry.what is not EventKind.PLAYS:
             reason = entry.why
             if reason not in self.refusals and len(self.refusals) >= _REASONS:
                 reason = "other"
@@ -136,11 +136,11 @@
 
     def _listed(self, entry: Entry) -> None:
         if entry.why == "unlisted":
-            row = self.boxes.get(entry.box)
+            row = self.servers.get(entry.box)
             if row is not None:
                 row.listed = "unlisted"
                 if not (row.playing or row.out or row.drained_by):
-                    del self.boxes[entry.box]
+                    del self.servers[entry.box]
             return
         row = self._box(entry.box)
         row.listed = entry.why
@@ -151,7 +151,7 @@
         self._box(entry.box).silent = False
 
     def _silence(self, entry: Entry) -> None:
-        self._box(entry.box).silent = entry.what is What.SILENT
+        self._box(entry.box).silent = entry.what is EventKind.SILENT
 
     def _order(self, entry: Entry) -> None:
         """`more` has the order as it stands now: drains, holds and caps as a whole."""
@@ -160,12 +160,12 @@
         del self.orders[:-_ORDERS]
         if "drains" in more:
             drains: Mapping[str, Any] = more["drains"]
-            for row in self.boxes.values():
+            for row in self.servers.values():
                 row.drained_by = ""
             for box, by in drains.items():
                 self._box(int(box)).drained_by = str(by)
-            for number in [one.box for one in self.boxes.values() if _empty(one)]:
-                del self.boxes[number]
+            for number in [one.box for one in self.servers.values() if _empty(one)]:
+                del self.servers[number]
         if "holds" in more:
             self.holds = {str(lesson): str(by) for lesson, by in more["holds"].items()}
         if "caps" in more:
@@ -173,10 +173,10 @@
 
     # --- pieces ---
 
-    def _box(self, number: int) -> BoxRow:
-        row = self.boxes.get(number)
+    def _box(self, number: int) -> ServerRow:
+        row = self.servers.get(number)
         if row is None:
-            row = self.boxes[number] = BoxRow(number)
+            row = self.servers[number] = ServerRow(number)
         return row
 
     def _drop(self, entry: Entry) -> None:
@@ -193,7 +193,7 @@
         else:
             box.out -= 1
         if _empty(box):
-            del self.boxes[row.box]
+            del self.servers[row.box]
 
     # --- for the wire ---
 
@@ -202,7 +202,7 @@
             "number": self.number,
             "at": self.at,
             "sessions": [asdict(row) for _, row in sorted(self.sessions.items())],
-            "boxes": [asdict(row) for _, row in sorted(self.boxes.items())],
+            "boxes": [asdict(row) for _, row in sorted(self.servers.items())],
             "answers": dict(sorted(self.answers.items())),
             "by_class": dict(sorted(self.by_class.items())),
             "refusals": dict(sorted(self.refusals.items())),
@@ -213,10 +213,10 @@
         }
 
     @classmethod
-    def from_plain(cls, plain: Mapping[str, Any]) -> Picture:
+    def from_plain(cls, plain: Mapping[str, Any]) -> StateProjection:
         """Of what `to_plain` gave; KeyError or TypeError for anything else."""
         sessions = [SessionRow(**row) for row in plain["sessions"]]
-        boxes = [BoxRow(**row) for row in plain["boxes"]]
+        boxes = [ServerRow(**row) for row in plain["boxes"]]
         return cls(
             plain["number"],
             plain["at"],
@@ -232,23 +232,23 @@
         )
 
 
-def _empty(row: BoxRow) -> bool:
+def _empty(row: ServerRow) -> bool:
     return row.listed == "unlisted" and not (row.playing or row.out or row.drained_by)
 
 
 _FOLDS = {
-    What.FRONT: Picture._front,
-    What.ASKED: Picture._asked,
-    What.SETUP: Picture._setup,
-    What.FAILED_TRY: Picture._failed_try,
-    What.STARTED: Picture._started,
-    What.RUNG: Picture._rung,
-    What.MOVED: lambda picture, entry: None,  # its end follows
-    What.ENDED: Picture._ended,
-    What.BOX: Picture._listed,
-    What.LOST: Picture._lost,
-    What.SILENT: Picture._silence,
-    What.HEARD: Picture._silence,
-    What.ORDER: Picture._order,
-    **dict.fromkeys(ANSWERS, Picture._answer),
+    EventKind.FRONT: StateProjection._front,
+    EventKind.ASKED: StateProjection._asked,
+    EventKind.SETUP: StateProjection._setup,
+    EventKind.FAILED_TRY: StateProjection._failed_try,
+    EventKind.STARTED: StateProjection._started,
+    EventKind.RUNG: StateProjection._rung,
+    EventKind.MOVED: lambda picture, entry: None,  # its end follows
+    EventKind.ENDED: StateProjection._ended,
+    EventKind.BOX: StateProjection._listed,
+    EventKind.LOST: StateProjection._lost,
+    EventKind.SILENT: StateProjection._silence,
+    EventKind.HEARD: StateProjection._silence,
+    EventKind.ORDER: StateProjection._order,
+    **dict.fromkeys(ANSWERS, StateProjection._answer),
 }
--- a/fernweir/peers/acts/answers.py
+++ b/fernweir/peers/acts/answers.py
@@ -13,8 +13,8 @@
 
 from msgspec.structs import replace
 
-from fernweir.journal.segment import Question as Wanted
-from fernweir.journal.segment import offsets
+from fernweir.journal.segment import Query as Wanted
+from fernweir.journal.segment import set_bits
 from fernweir.peers.acts.block import TICK_MS, Record, Sealed, records
 from fernweir.peers.acts.clock import Clocks
 from fernweir.peers.acts.copies import Copies
@@ -207,7 +207,7 @@
         decoded = self.store.decoded(shelf, unit)
         if decoded is None:
             return iter(()), cost
-        return (decoded.record(offset) for offset in offsets(bitmap, newest_first=False)), cost + _BLOCKS
+        return (decoded.record(offset) for offset in set_bits(bitmap, newest_first=False)), cost + _BLOCKS
 
     def _before(self, shelf: Shelf, act: Record, most: int) -> tuple[list[Record], float | None]:
         """What the front had heard before an act, newest first; and since when that is all of it.
--- a/fernweir/peers/acts/segment.py
+++ b/fernweir/peers/acts/segment.py
@@ -59,7 +59,7 @@
     sequence: int = 0
 
     def size(self) -> int:
-        index = self.index.bytes() if self.index else 0
+        index = self.index.size_bytes() if self.index else 0
         return (
             index
             + len(self.data or b"")
--- a/fernweir/peers/acts/store.py
+++ b/fernweir/peers/acts/store.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterator, Sequence
 
 from fernweir.journal.segment import Index
-from fernweir.journal.store import Blocks
+from fernweir.journal.store import SegmentStore
 from fernweir.peers.acts import segment as segments
 from fernweir.peers.acts.block import BlockError, Sealed
 from fernweir.peers.acts.rules import ActRules
@@ -24,7 +24,7 @@
 class Store:
     """`me`: whose own chains have the bound `own_bytes`, apart from what is kept for others."""
 
-    def __init__(self, me: str, rules: ActRules, disk: Blocks | None = None) -> None:
+    def __init__(self, me: str, rules: ActRules, disk: SegmentStore | None = None) -> None:
         self.me, self.rules, self.disk = me, rules, disk
         self.trouble = ""  # why the disk keeps nothing just now
         self.on_trouble: Callable[[str], None] = lambda why: None
@@ -63,7 +63,7 @@
         for sequence, _, handle in kept:
             self._sequence = max(self._sequence, sequence)
             try:
-                blocks = segments.unpack(self.disk.read(handle), self.rules)
+                blocks = segments.unpack(self.disk.read_segment(handle), self.rules)
             except (OSError, BlockError) as error:
                 self.on_trouble(f"segment {sequence} of the record of acts can't be read: {error}")
                 continue
@@ -91,9 +91,9 @@
         if not blocks:
             return None
         made = segments.index(blocks)
-        if shelf.size + made.bytes() <= self._most(shelf):
+        if shelf.size + made.size_bytes() <= self._most(shelf):
             one.index = made
-            shelf.size += made.bytes()
+            shelf.size += made.size_bytes()
         return made
 
     def decoded(self, shelf: Shelf, one: Segment) -> Decoded | None:
@@ -133,7 +133,7 @@
             return one.data
         if self.disk is None:
             raise OSError("the segment is not kept")
-        return self.disk.read(one.handle)
+        return self.disk.read_segment(one.handle)
 
     def _keep(self, shelf: Shelf, one: Segment) -> None:
         """A segment was sealed: the disk gets it too. Disk trouble never stops a front."""
@@ -143,7 +143,7 @@
         one.sequence = self._sequence
         assert one.data is not None
         try:
-            one.handle = self.disk.keep(self._sequence, self._sequence, one.data)
+            one.handle = self.disk.append_segment(self._sequence, self._sequence, one.data)
         except OSError as error:
             if not self.trouble:
                 self.trouble = error.strerror or str(error)
@@ -153,7 +153,7 @@
             self.trouble = ""
             self.on_trouble("")
         self._by_sequence[one.sequence] = shelf, one
-        kept_from = self.disk.first()
+        kept_from = self.disk.first_number()
         while self._by_sequence and next(iter(self._by_sequence)) < kept_from:
             owner, gone = self._by_sequence.popitem(last=False)[1]
             gone.handle = None
@@ -189,7 +189,7 @@
             if shelf.size <= most:
                 return
             if one.handle is not None and one.index is not None:
-                shelf.size -= one.index.bytes()
+                shelf.size -= one.index.size_bytes()
                 one.index = None
         while shelf.size > most and shelf.drop_oldest():
             pass
--- a/fernweir/peers/program.py
+++ b/fernweir/peers/program.py
@@ -15,7 +15,7 @@
 from fernweir.config.ini import ConfigError, Problem
 from fernweir.config.peers import PeersSection
 from fernweir.front.dispatcher import Dispatcher
-from fernweir.journal.store import Blocks
+from fernweir.journal.store import SegmentStore
 from fernweir.peers.acts.desk import FleetQuestions
 from fernweir.peers.acts.plan import Question
 from fernweir.peers.acts.store import Store
@@ -59,7 +59,7 @@
     versions: Versions
     rules: PeerRules
     links: LinkRules
-    record: Blocks | None = None
+    record: SegmentStore | None = None
     kept: Sequence[tuple[int, int, object]] = ()  # of the record, from earlier lives
 
 
--- a/fernweir/rehearsal/consoleday.py
+++ b/fernweir/rehearsal/consoleday.py
@@ -186,7 +186,7 @@
         answer = await self._type(runner, f"drain {box} rehearsal")
         while answer["outcome"] == "queued" or (answer["outcome"] == "already" and "waits" in answer["says"]):
             await asyncio.sleep(0.05)
-            row = runner.link.refresh().picture.boxes.get(box)
+            row = runner.link.refresh().picture.servers.get(box)
             if row is not None and row.drained_by:
                 break
         self._open.setdefault(box, self.loop.time() * 1000.0)
--- a/fernweir/rehearsal/hours.py
+++ b/fernweir/rehearsal/hours.py
@@ -43,9 +43,9 @@
     Settings,
 )
 from fernweir.journal.disk import JournalFolder
-from fernweir.journal.events import Entry, What, to_row
-from fernweir.journal.picture import Picture
-from fernweir.journal.store import Journal, JournalRules
+from fernweir.journal.events import Entry, EventKind, to_row
+from fernweir.journal.state_projection import StateProjection
+from fernweir.journal.store import Journal, JournalConfig
 
 _MINUTE = 60_000.0
 
@@ -83,10 +83,10 @@
         self.dice = Random(f"hours {plan.seed}")
         self.now = 1_000.0
         self.result = HoursResult()
-        self.folder = JournalFolder(folder, most_bytes=plan.disk_bytes, file_bytes=plan.disk_bytes // 8)
-        self.journal = Journal("front-1", JournalRules(memory_bytes=plan.memory_bytes), self.folder)
+        self.folder = JournalFolder(folder, max_bytes=plan.disk_bytes, file_bytes=plan.disk_bytes // 8)
+        self.journal = Journal("front-1", JournalConfig(max_memory_bytes=plan.memory_bytes), self.folder)
         self.journal.restore(*self.folder.open())
-        self.here = Picture()  # the front's own
+        self.here = StateProjection()  # the front's own
         self.orders = Orders()
         self.host = SessionManager(
             settings, plan.seed, journal=self.journal, overlay=Overlay(self.orders.drained)
@@ -96,7 +96,7 @@
         self.console.on_entry = self.history.add
         self._connected = True
         self._pending: list[Entry] = []
-        self.journal.watchers += [self.here.fold, self._watch]
+        self.journal.watchers += [self.here.apply, self._watch]
         self._events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self._number = 0
         self._alive: dict[int, float] = {}
@@ -105,7 +105,7 @@
     def run(self) -> HoursResult:
         plan, dice = self.plan, self.dice
         end = self.now + plan.hours * 60.0 * _MINUTE
-        self.journal.add(self.now, What.FRONT, why="up")
+        self.journal.add(self.now, EventKind.FRONT, why="up")
         self._snapshot()
         for box in range(1, plan.boxes + 1):
             self._alive[box] = 0.0
@@ -193,7 +193,7 @@
             self.orders.drains[box] = Order("ann", int(self.now))
         self.host.on_operator_orders_changed(self.now)
         more = {"by": "ann", **self.orders.tables()}
-        self.journal.add(self.now, What.ORDER, why=f"box {box}", more=more)
+        self.journal.add(self.now, EventKind.ORDER, why=f"box {box}", more=more)
         self._at(self.now + 7.0 * _MINUTE, self._order)
 
     def _step(self) -> None:
@@ -278,12 +278,12 @@
 
     def _look(self) -> None:
         result, plan = self.result, self.plan
-        result.most_journal = max(result.most_journal, self.journal.bytes)
-        result.most_disk = max(result.most_disk, self.folder.kept_bytes)
-        if self.journal.bytes > plan.memory_bytes:
-            result.wrong.append(f"journal takes {self.journal.bytes} bytes of memory")
-        if self.folder.kept_bytes > plan.disk_bytes * 9 // 8:
-            result.wrong.append(f"journal takes {self.folder.kept_bytes} bytes of disk")
+        result.most_journal = max(result.most_journal, self.journal.memory_bytes)
+        result.most_disk = max(result.most_disk, self.folder.stored_bytes)
+        if self.journal.memory_bytes > plan.memory_bytes:
+            result.wrong.append(f"journal takes {self.journal.memory_bytes} bytes of memory")
+        if self.folder.stored_bytes > plan.disk_bytes * 9 // 8:
+            result.wrong.append(f"journal takes {self.folder.stored_bytes} bytes of disk")
         minute = round(self.now / _MINUTE)
         if minute % 60 == 0:
             result.python_mb.append(tracemalloc.get_traced_memory()[0] / 1e6)
@@ -303,7 +303,7 @@
         shown = {row.session: (row.phase, row.box) for row in picture.sessions.values()}
         if held != shown:
             result.wrong.append(f"{len(held.items() ^ shown.items())} sessions are shown otherwise than held")
-        for box, row in picture.boxes.items():
+        for box, row in picture.servers.items():
             if row.playing != len(self.host.sessions_playing_at(box)):
                 result.wrong.append(
                     f"box {box}: {row.playing} shown, {len(self.host.sessions_playing_at(box))} held"
--- a/fernweir/rehearsal/kills.py
+++ b/fernweir/rehearsal/kills.py
@@ -197,7 +197,7 @@
     async def _viewers(self) -> None:
         """Somebody always comes, so that fronts are killed with sessions in their hands."""
         config = load_unit(self.root)
-        keyring = Keyring.read(self.layout.keys.read_text())
+        keyring = Keyring.from_json(self.layout.keys.read_text())
         fronts = {
             f"front-{number}": load_front(self.layout.front_ini(number)).front.listen
             for number in range(1, config.unit.fronts + 1)
--- a/fernweir/rehearsal/site.py
+++ b/fernweir/rehearsal/site.py
@@ -15,7 +15,7 @@
 from fernweir.standin.trace import Trace
 from fernweir.standin.viewer import Wish
 from fernweir.tokens import Keyring, SessionClaims
-from fernweir.tokens.newkeys import make_keys
+from fernweir.tokens.key_generation import generate_key_set
 
 ISSUER = "rehearsal"
 
@@ -61,8 +61,8 @@
         self.loop = asyncio.get_running_loop()
         self.wall_offset_s = time.time() - self.loop.time() if wall_offset_s is None else wall_offset_s
         folder.mkdir(parents=True, exist_ok=True)
-        (folder / "keys.json").write_text(make_keys("k1", "k2"))
-        self.keyring = Keyring.read((folder / "keys.json").read_text(), sign_with="k1")
+        (folder / "keys.json").write_text(generate_key_set("k1", "k2"))
+        self.keyring = Keyring.from_json((folder / "keys.json").read_text(), sign_with="k1")
         uplink = plan.uplink_kb or plan.link_kb * plan.boxes / plan.racks * 0.7
         self.site = Site(
             plan.ladder_kb,
--- a/fernweir/rehearsal/storm.py
+++ b/fernweir/rehearsal/storm.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from fernweir.entitlement.policy import RetryRules
+from fernweir.entitlement.policy import RetryConfig
 from fernweir.seats.log import LogConfig, SeatLog
 from fernweir.seats.memory_file_store import MemoryFileStore
 from fernweir.seats.records import encode_table, rebuild_table
@@ -117,7 +117,7 @@
             config=SeatManagerConfig(
                 call_timeout_ms=800.0, max_ttl_ms=storm.plan.ttl_ms, reclaim_after_ms=3_000.0
             ),
-            retry_config=RetryRules(free=200.0),
+            retry_config=RetryConfig(initial_tokens=200.0),
             # Keys of a life that lost its log must not be those of the life before.
             generation=self.lives * 1_000_000,
         )
--- a/fernweir/seats/seat_manager.py
+++ b/fernweir/seats/seat_manager.py
@@ -17,8 +17,8 @@
 from enum import Enum
 from random import Random
 
-from fernweir.entitlement.policy import DecorrelatedJitter, RetryPolicy, RetryRules
-from fernweir.entitlement.queue import QueueRules, SendQueue, Turn
+from fernweir.entitlement.policy import DecorrelatedJitter, RetryConfig, RetryPolicy
+from fernweir.entitlement.queue import QueueConfig, RequestKind, SendQueue
 from fernweir.seats import records
 from fernweir.seats.records import SeatRecord, SeatTable
 from fernweir.seats.timing_wheel import Timer, TimingWheel
@@ -188,15 +188,15 @@
         plays_unanswered: Callable[[str], bool],
         *,
         config: SeatManagerConfig | None = None,
-        retry_config: RetryRules | None = None,
-        queue_config: QueueRules | None = None,
+        retry_config: RetryConfig | None = None,
+        queue_config: QueueConfig | None = None,
         generation: int = 0,
     ) -> None:
         self.config = config or SeatManagerConfig()
         self.metrics = SeatMetrics()
         self.seats: dict[str, Seat] = {}
         self.send_queue = SendQueue(queue_config)
-        self.retry_policy = RetryPolicy(retry_config or RetryRules(), Random(f"retry {seed}"))
+        self.retry_policy = RetryPolicy(retry_config or RetryConfig(), Random(f"retry {seed}"))
         self.is_log_writable = True
         self.wall_clock_offset_s = 0.0  # wall clock less monotonic clock
         self._dice = Random(f"book {seed}")
@@ -266,8 +266,8 @@
         if seat is None or seat.request_id != number:
             return
         good = reply.status not in (ResponseStatus.INDETERMINATE, ResponseStatus.NOT_EXECUTED)
-        self.retry_policy.breaker.end(now, self._trials.pop(number, 0), good)
-        self.send_queue.done(now - seat.sent_at_ms)
+        self.retry_policy.breaker.end_call(now, self._trials.pop(number, 0), good)
+        self.send_queue.on_request_done(now - seat.sent_at_ms)
         seat.request_id, seat.is_in_flight = None, False
         if seat.operation is Operation.ACQUIRE:
             self._asked(now, seat, reply)
@@ -299,14 +299,16 @@
             if seat is not None:
                 self._fire(now, seat, what)
         self._unpark(now)
-        while self.retry_policy.breaker.may_call(now) and (number := self.send_queue.next()) is not None:
+        while (
+            self.retry_policy.breaker.may_call(now) and (number := self.send_queue.start_next()) is not None
+        ):
             self._send(now, number)
         out, self._out = self._out, []
         return out
 
     def next_deadline(self, now: float) -> float | None:
         due = self._wheel.next_deadline()
-        if len(self.send_queue) and (wait := self.retry_policy.breaker.wait_ms(now)) > 0.0:
+        if len(self.send_queue) and (wait := self.retry_policy.breaker.remaining_open_ms(now)) > 0.0:
             due = min(due or now + wait, now + wait)
         return due
 
@@ -368,7 +370,7 @@
 
     def _ask_first(self, now: float, want: SeatRequest, answer_by: float) -> None:
         self.metrics.requested += 1
-        wait = max(self.send_queue.wait_ms(), self.retry_policy.breaker.wait_ms(now))
+        wait = max(self.send_queue.estimated_wait_ms(), self.retry_policy.breaker.remaining_open_ms(now))
         if not self.is_log_writable:
             self._out.append(
                 AdmissionDecision(want.session_id, False, "seats can't be written down", 1_000.0)
@@ -392,7 +394,7 @@
             kept, SeatState.ACQUIRING, is_wanted=True, decision_deadline_ms=answer_by
         )
         seat.log_sequence = self._append(records.encode_requested(kept))
-        self.retry_policy.first(now, want.tenant)
+        self.retry_policy.on_first_attempt(now, want.tenant)
         self._request(now, seat, Operation.ACQUIRE)
         self._set_verdict_timer(seat)
 
@@ -608,8 +610,8 @@
     def _again(self, now: float, seat: Seat, until: float) -> None:
         """The same request once more, within the budget; what it can't have now is tried at the timers."""
         if seat.backoff is None:
-            seat.backoff = self.retry_policy.jitter()
-        at = self.retry_policy.again(now, seat.record.tenant, seat.backoff, until)
+            seat.backoff = self.retry_policy.new_jitter()
+        at = self.retry_policy.schedule_retry(now, seat.record.tenant, seat.backoff, until)
         if at is not None:
             self.metrics.retries += 1
             if seat.operation is Operation.RELEASE:
@@ -663,7 +665,7 @@
                 self._set_verdict_timer(seat)
 
     def _fire_renewal(self, now: float, seat: Seat) -> None:
-        self.retry_policy.first(now, seat.record.tenant)
+        self.retry_policy.on_first_attempt(now, seat.record.tenant)
         self._request(now, seat, Operation.RENEW)
         self._set(seat, seat.usable_until_ms, "lapse")
 
@@ -711,13 +713,15 @@
             self._enqueue(now, self._numbers, seat)
 
     def _enqueue(self, now: float, number: int, seat: Seat) -> None:
-        turn = {Operation.ACQUIRE: Turn.ASK, Operation.RENEW: Turn.RENEW, Operation.RELEASE: Turn.RELEASE}[
-            seat.operation
-        ]
+        turn = {
+            Operation.ACQUIRE: RequestKind.ACQUIRE,
+            Operation.RENEW: RequestKind.RENEW,
+            Operation.RELEASE: RequestKind.RELEASE,
+        }[seat.operation]
         if not self.send_queue.add(now, number, turn, seat.record.priority_weight, seat.usable_until_ms):
             self._by_request.pop(number, None)
             seat.request_id = None
-            self._verdict(seat, False, "entitlement is busy", self.send_queue.wait_ms())
+            self._verdict(seat, False, "entitlement is busy", self.send_queue.estimated_wait_ms())
             self._forget(seat)
 
     def _unpark(self, now: float) -> None:
@@ -735,7 +739,7 @@
     def _send(self, now: float, number: int) -> None:
         seat = self._by_request[number]
         seat.is_in_flight, seat.sent_at_ms = True, now
-        self._trials[number] = self.retry_policy.breaker.begin(now)
+        self._trials[number] = self.retry_policy.breaker.begin_call(now)
         if seat.operation is Operation.ACQUIRE:
             seat.latest_expiry_ms = max(
                 seat.latest_expiry_ms, now + self.config.call_timeout_ms + self.config.max_ttl_ms
@@ -747,7 +751,7 @@
 
     def _drop_request(self, seat: Seat) -> None:
         if seat.request_id is not None and not seat.is_in_flight:
-            self.send_queue.drop(seat.request_id)
+            self.send_queue.remove(seat.request_id)
             self._by_request.pop(seat.request_id, None)
             seat.request_id = None
 
--- a/fernweir/standin/box.py
+++ b/fernweir/standin/box.py
@@ -16,7 +16,7 @@
 from fernweir.standin.fences import Fences
 from fernweir.standin.site import Site, as_of
 from fernweir.standin.trace import Trace
-from fernweir.tokens import BoxClaims, ControlClaims, TokenError
+from fernweir.tokens import ControlClaims, ServerClaims, TokenError
 
 _RELEASED_KEPT_S = 60.0
 _CORS = ("access-control-allow-origin", "*")
@@ -182,7 +182,7 @@
         try:
             claims = self.site.keyring.verify(
                 exchange.headers.get("authorization").partition(" ")[2],
-                BoxClaims,
+                ServerClaims,
                 audience=f"{self.site.audience}:{self.spec.number}",
                 now_s=self._loop.time() + self.site.wall_offset_s,
             )
@@ -221,7 +221,7 @@
     def _gone(self, number: int) -> None:
         self.trace.write("box.closed", box=self.spec.number, id=number)
 
-    def _set_up_ready(self, exchange: Exchange, number: int, claims: BoxClaims, boot: str) -> None:
+    def _set_up_ready(self, exchange: Exchange, number: int, claims: ServerClaims, boot: str) -> None:
         """The work is done: the session runs from here on, whether or not anybody hears of it."""
         if boot != self.boot or self._server is None:
             return
@@ -296,7 +296,7 @@
         try:
             if exchange.method == "DELETE" and "token" in query:
                 mine = self.site.keyring.verify(
-                    token, BoxClaims, audience=f"{self.site.audience}:{self.spec.number}", now_s=now
+                    token, ServerClaims, audience=f"{self.site.audience}:{self.spec.number}", now_s=now
                 )
                 allowed = (mine.jti, mine.attempt) == (jti, attempt)
             else:
@@ -414,7 +414,7 @@
         try:
             claims = self.site.keyring.verify(
                 query.get("token", ""),
-                BoxClaims,
+                ServerClaims,
                 audience=f"{self.site.audience}:{self.spec.number}",
                 now_s=now + self.site.wall_offset_s,
             )
--- a/fernweir/tokens/claims.py
+++ b/fernweir/tokens/claims.py
@@ -67,7 +67,7 @@
     tenant: Name | None = None
 
 
-class BoxClaims(SessionClaims):
+class ServerClaims(SessionClaims):
     """The narrower token that a front mints for one box: this session there, and nothing else.
 
     `channel` and `fence` stand in the token of a set-up, if the front's sessions may change their owner.
--- a/fernweir/tokens/newkeys.py
+++ b/fernweir/tokens/key_generation.py
@@ -7,7 +7,7 @@
 from base64 import urlsafe_b64encode
 
 
-def make_keys(*kids: str) -> str:
+def generate_key_set(*kids: str) -> str:
     """A JWK Set of fresh HS256 secrets, as text."""
     keys = [
         {
--- a/fernweir/tokens/keyring.py
+++ b/fernweir/tokens/keyring.py
@@ -67,7 +67,7 @@
             raise KeyringError(f"no key {self.sign_with} to sign with")
 
     @classmethod
-    def read(cls, text: str, *, sign_with: str | None = None, skew_s: float = 5.0) -> Keyring:
+    def from_json(cls, text: str, *, sign_with: str | None = None, skew_s: float = 5.0) -> Keyring:
         """From the text of a JWK Set. KeyringError when it is none."""
         try:
             keys = json.loads(text)
@@ -77,7 +77,7 @@
             raise KeyringError("the key set is not a JSON object")
         return cls(keys, sign_with=sign_with, skew_s=skew_s)
 
-    def adopt(self, issued: Keyring, now_s: float, retired_for_s: float) -> list[str]:
+    def replace_issued_keys(self, issued: Keyring, now_s: float, retired_for_s: float) -> list[str]:
         """Takes the keys of a newer set beside the own ones; tells those that it no longer lists.
 
         A key that left the set still verifies for `retired_for_s`: tokens signed with it are out, and their
@@ -95,7 +95,7 @@
         return list(self._retired)
 
     @property
-    def ids(self) -> list[str]:
+    def key_ids(self) -> list[str]:
         return list(self._keys)
 
     def thumbprints(self) -> list[tuple[str, bytes]]:
@@ -130,7 +130,7 @@
         audience: str,
         now_s: float,
         issuer: str | None = None,
-        covered: Callable[[C], bool] | None = None,
+        may_accept_expired: Callable[[C], bool] | None = None,
     ) -> C:
         """The claims of a good token; TokenError with the reason for any other.
 
@@ -152,7 +152,7 @@
         if audience not in audiences:
             raise TokenError(TokenFault.AUDIENCE, ", ".join(audiences))
         lapsed = claims.exp + self.skew_s <= now_s
-        if lapsed and not (covered is not None and covered(claims)):
+        if lapsed and not (may_accept_expired is not None and may_accept_expired(claims)):
             raise TokenError(TokenFault.EXPIRED)
         if max(claims.nbf or 0.0, claims.iat or 0.0) - self.skew_s > now_s:
             raise TokenError(TokenFault.NOT_YET)
--- a/tests/fuzzing/journal.py
+++ b/tests/fuzzing/journal.py
@@ -14,13 +14,13 @@
 
 from fernweir.journal import disk
 from fernweir.journal.disk import JournalFolder
-from fernweir.journal.events import Entry, What
-from fernweir.journal.segment import Question
-from fernweir.journal.store import Journal, JournalRules
+from fernweir.journal.events import Entry, EventKind
+from fernweir.journal.segment import Query
+from fernweir.journal.store import Journal, JournalConfig
 from tests.fuzzing import Finding, Tape, Target, same
 
-RULES = JournalRules(run=8, memory_bytes=12_000, decoded=2)
-_WHATS = (What.ASKED, What.PLAYS, What.REFUSED, What.BOX)
+RULES = JournalConfig(segment_entries=8, max_memory_bytes=12_000, max_decoded_segments=2)
+_WHATS = (EventKind.ASKED, EventKind.PLAYS, EventKind.REFUSED, EventKind.BOX)
 
 
 class Disk:
@@ -56,7 +56,7 @@
         self.folder = JournalFolder(self.where, file_bytes=600)
         self.journal = Journal("f", RULES, self.folder)
         self.said: list[str] = []
-        self.journal.on_trouble = self.said.append
+        self.journal.on_fault = self.said.append
         try:
             self.journal.restore(*self.folder.open())
         except OSError:
@@ -77,7 +77,7 @@
             raise Finding(f"out of order: {numbers}")
         if self.whole:
             same(numbers, [one.number for one in self.expected], "all of it was written")
-            same(self.folder.notes if not self.spoilt else [], [], "nothing is damaged")
+            same(self.folder.problems if not self.spoilt else [], [], "nothing is damaged")
         if not self.kept <= set(numbers):
             raise Finding(f"kept, and lost: {sorted(self.kept - set(numbers))}")
         if numbers and self.journal.last < numbers[-1]:
@@ -99,7 +99,7 @@
         )  # fmt: skip
         self.versions.setdefault(entry.number, []).append(entry)
         self.expected.append(entry)
-        if self.journal.trouble:
+        if self.journal.fault:
             self.whole = False
 
     def look(self) -> None:
@@ -114,10 +114,10 @@
         if self.expected and self.tape.below(2):
             at = self.tape.one(self.expected).at
             times = (at, at + 1 + self.tape.below(9))
-        question = Question(
+        question = Query(
             self.tape.one((None, "s1")), {} if self.tape.below(2) else {"box": 1}, *times
         )  # fmt: skip
-        wanted = [one for one in reversed(self.expected) if question.holds(one)]
+        wanted = [one for one in reversed(self.expected) if question.matches(one)]
         same(self.journal.find(question, 1_000), wanted, question)
 
     def damage(self) -> None:
--- a/tests/fuzzing/parsers.py
+++ b/tests/fuzzing/parsers.py
@@ -10,7 +10,7 @@
 from fernweir.dash.mpd import MpdError, read_mpd
 from fernweir.front.boxlist import ListError, read_document
 from fernweir.tokens import Keyring, SessionClaims, TokenError
-from fernweir.tokens.newkeys import make_keys
+from fernweir.tokens.key_generation import generate_key_set
 from tests.fuzzing import Finding, Target, mutate
 
 _MPD = build_mpd(Title("a & b", 10, 2, [100, 200])).write()
@@ -18,7 +18,7 @@
     {"epoch": "e", "version": 1, "lessons": [{"title": "a", "cell": 0, "copies": 1}],
      "boxes": [{"box": 1, "host": "h", "port": 1, "state": "ready", "cell": 0, "age_s": 1.5}]}
 ).encode()  # fmt: skip
-_RING = Keyring.read(make_keys("k"))
+_RING = Keyring.from_json(generate_key_set("k"))
 _TOKEN = _RING.sign({"iss": "i", "aud": "a", "exp": 2e9}).encode()
 
 
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -44,10 +44,10 @@
 from fernweir.http.headers import Headers
 from fernweir.http.problem import problem
 from fernweir.http.server import encode_head
-from fernweir.journal import picture
+from fernweir.journal import state_projection
 from fernweir.journal.disk import JournalFolder
-from fernweir.journal.events import Entry, What, from_row, to_row
-from fernweir.journal.segment import unpack
+from fernweir.journal.events import Entry, EventKind, from_row, to_row
+from fernweir.journal.segment import decode_segment
 from fernweir.journal.store import Journal
 from fernweir.node import config as node_config
 from fernweir.node import frames, jsonl
@@ -104,9 +104,9 @@
     "node-config": node_config.NodeConfig,
     # The journal and its state projection.
     "journal-entry": Entry,
-    "picture": picture.Picture,
-    "picture-session": picture.SessionRow,
-    "picture-server": picture.BoxRow,
+    "picture": state_projection.StateProjection,
+    "picture-session": state_projection.SessionRow,
+    "picture-server": state_projection.ServerRow,
     # The seat log.
     "seat": seat_records.SeatRecord,
     "recovered-log": RecoveredLog,
@@ -130,7 +130,7 @@
     "list-title": boxlist.LessonLine,
     # Tokens.
     "claims-session": claims.SessionClaims,
-    "claims-server": claims.BoxClaims,
+    "claims-server": claims.ServerClaims,
     "claims-control": claims.ControlClaims,
     # HTTP and DASH.
     "http-request": http.RequestHead,
@@ -141,10 +141,10 @@
     "sse-event": sse.ServerEvent,
     "dash-title": Title,
     # The entitlement server.
-    "lease-answer": leases.LeaseAnswer,
+    "lease-answer": leases.LeaseDocument,
     "lease-reply": seat_manager.LeaseResponse,
     "introspection": introspection.Introspection,
-    "introspection-told": introspect.Told,
+    "introspection-told": introspect.IntrospectionResult,
     "use-page": seat_reconciliation.UsePage,
     "use-lease": seat_reconciliation.UseLease,
     "use-place": seat_reconciliation.UsePlace,
@@ -269,10 +269,10 @@
         folder = JournalFolder(Path(name))
         id, sealed, tail = folder.open()
         segments = [
-            [first, last, [from_row(row) for row in unpack(folder.read(handle))]]
+            [first, last, [from_row(row) for row in decode_segment(folder.read_segment(handle))]]
             for first, last, handle in sealed
         ]
-        notes = list(folder.notes)
+        notes = list(folder.problems)
         folder.close()
     return [id, segments, tail, notes]
 
@@ -285,9 +285,9 @@
         folder = JournalFolder(path)
         folder.open()
         for first, last, data in segments:
-            folder.keep(first, last, data)
+            folder.append_segment(first, last, data)
         for entry in tail:
-            folder.tail(entry)
+            folder.append_row(entry)
         folder.close()
         return pack_files(read_folder(path))
 
@@ -298,30 +298,30 @@
         write_folder(Path(name), unpack_files(data))
         folder = JournalFolder(Path(name))
         id, sealed, tail = folder.open()
-        segments = [(first, last, folder.read(handle)) for first, last, handle in sealed]
+        segments = [(first, last, folder.read_segment(handle)) for first, last, handle in sealed]
         folder.close()
     return write_journal_folder(segments, tail, id)
 
 
-def read_picture(data: bytes) -> picture.Picture:
+def read_picture(data: bytes) -> state_projection.StateProjection:
     """A state projection as it crosses the control socket."""
-    return picture.Picture.from_plain(orjson.loads(data))
+    return state_projection.StateProjection.from_plain(orjson.loads(data))
 
 
-def write_picture(value: picture.Picture) -> bytes:
+def write_picture(value: state_projection.StateProjection) -> bytes:
     """The same bytes as the control socket's."""
     return orjson.dumps(value.to_plain(), option=orjson.OPT_NON_STR_KEYS)
 
 
-def fold_entries(data: bytes) -> picture.Picture:
+def fold_entries(data: bytes) -> state_projection.StateProjection:
     """The state projection after journal rows, one a line."""
-    folded = picture.Picture()
+    folded = state_projection.StateProjection()
     for line in data.splitlines():
-        folded.fold(from_row(orjson.loads(line)))
+        folded.apply(from_row(orjson.loads(line)))
     return folded
 
 
-def read_snapshot(data: bytes) -> picture.Picture | None:
+def read_snapshot(data: bytes) -> state_projection.StateProjection | None:
     """What a watcher shows after these lines of the control socket."""
     follower = Follower()
     for line in data.splitlines():
@@ -329,7 +329,7 @@
     return follower.picture
 
 
-def write_snapshot(value: picture.Picture) -> bytes:
+def write_snapshot(value: state_projection.StateProjection) -> bytes:
     """The lines of a snapshot."""
     return b"".join(snapshot_lines(value))
 
@@ -515,10 +515,10 @@
         desk = OrderDesk("front-1", journal, operators.Orders(), FixedSite(), DeskRules(["ann"]), None)
         desk.start()
         started = {"lesson": "l1", "cls": "film", "tenant": "t1", "box": 1, "attempt": 0, "rung": 2}
-        journal.add(10.0, What.BOX, box=1, why="ready", more={"start": "7"})
-        journal.add(20.0, What.ASKED, session="s1", lesson="l1", cls="film", tenant="t1")
-        journal.add(30.0, What.SETUP, session="s1", why="least loaded", **started)
-        journal.add(40.0, What.STARTED, session="s1", **started)
+        journal.add(10.0, EventKind.BOX, box=1, why="ready", more={"start": "7"})
+        journal.add(20.0, EventKind.ASKED, session="s1", lesson="l1", cls="film", tenant="t1")
+        journal.add(30.0, EventKind.SETUP, session="s1", why="least loaded", **started)
+        journal.add(40.0, EventKind.STARTED, session="s1", **started)
         with tempfile.TemporaryDirectory() as name:
             channel = Channel(desk, Path(name) / "s", gauges_s=3600.0)
             await channel.listen()
@@ -577,18 +577,18 @@
 
 def token_reader(kind: type[claims.Claims], audience: str) -> Callable[[bytes], claims.Claims]:
     """Verifies a token with the fixed keys at the fixed time."""
-    return lambda data: Keyring.read(KEYS).verify(data.decode(), kind, audience=audience, now_s=NOW_S)
+    return lambda data: Keyring.from_json(KEYS).verify(data.decode(), kind, audience=audience, now_s=NOW_S)
 
 
 def write_token(value: claims.Claims) -> bytes:
     """Signs claims with the first of the fixed keys."""
-    return Keyring.read(KEYS).sign(value).encode()
+    return Keyring.from_json(KEYS).sign(value).encode()
 
 
 def read_keys(data: bytes) -> Any:
     """The ids and thumbprints of a key file."""
-    ring = Keyring.read(data.decode())
-    return [ring.ids, ring.sign_with, ring.thumbprints()]
+    ring = Keyring.from_json(data.decode())
+    return [ring.key_ids, ring.sign_with, ring.thumbprints()]
 
 
 # --- node ---
@@ -689,7 +689,7 @@
         reply = http_client.Reply(
             http_client.Outcome(outcome), status, Headers([(a, b) for a, b in headers]), body.encode()
         )
-        found.append(leases.read_reply(seat_manager.Operation(op), reply))
+        found.append(leases.parse_reply(seat_manager.Operation(op), reply))
     return found
 
 
@@ -742,7 +742,7 @@
 
 FORMATS: dict[str, Format] = {
     "journal-row": Format(lambda data: from_row(orjson.loads(data)), lambda one: orjson.dumps(to_row(one))),
-    "journal-segment": Format(lambda data: [from_row(row) for row in unpack(data)]),
+    "journal-segment": Format(lambda data: [from_row(row) for row in decode_segment(data)]),
     "journal-folder": Format(read_journal_folder),
     "journal-folded": Format(fold_entries),
     "picture": Format(read_picture, write_picture),
@@ -771,7 +771,7 @@
     "list-cache": Format(read_list_cache, lambda held: held.to_cache()),
     "key-file": Format(read_keys),
     "token-session": Format(token_reader(claims.SessionClaims, "fernweir-front"), write_token),
-    "token-server": Format(token_reader(claims.BoxClaims, "fernweir-box"), write_token),
+    "token-server": Format(token_reader(claims.ServerClaims, "fernweir-box"), write_token),
     "token-control": Format(token_reader(claims.ControlClaims, "fernweir-box"), write_token),
     "node-line": Format(jsonl.read, jsonl.write),
     "node-setup-line": Format(read_setup_line),
@@ -809,7 +809,7 @@
     "dash-built": Format(None, lambda one: build_mpd(build(one)).write()),
     "lease-requests": Format(None, write_lease_requests),
     "lease-replies": Format(read_lease_reply),
-    "lease-answer": Format(leases.LeaseAnswer.model_validate_json),
+    "lease-answer": Format(leases.LeaseDocument.model_validate_json),
     "introspection": Format(read_introspection),
     "use-page": Format(seat_reconciliation.UsePage.model_validate_json),
 }
--- a/tests/peers_mutants/fuzz.py
+++ b/tests/peers_mutants/fuzz.py
@@ -169,7 +169,7 @@
         Mutant(
             "doubtful ends not released",
             _ATTEMPTS,
-            "if outcome.result not in NEVER_RAN:",
+            "if outcome.result not in NEVER_RAN_RESULTS:",
             'if outcome.result.name == "TIMEOUT":',
             60,
         ),
--- a/tests/test_appliance.py
+++ b/tests/test_appliance.py
@@ -28,9 +28,9 @@
 from fernweir.control.client import ControlClient
 from fernweir.control.desk import KIND, load_orders
 from fernweir.control.statefile import write_state
-from fernweir.journal.events import What
-from fernweir.journal.picture import Picture
-from fernweir.journal.store import Journal, JournalRules
+from fernweir.journal.events import EventKind
+from fernweir.journal.state_projection import StateProjection
+from fernweir.journal.store import Journal, JournalConfig
 from tests.sockets import until
 
 # --- supervision ---
@@ -199,11 +199,11 @@
 
     @initialize()
     def begin(self) -> None:
-        self.fronts = {name: Journal(name, JournalRules(run=8)) for name in ("f1", "f2")}
-        self.pictures = {name: Picture() for name in self.fronts}
+        self.fronts = {name: Journal(name, JournalConfig(segment_entries=8)) for name in ("f1", "f2")}
+        self.pictures = {name: StateProjection() for name in self.fronts}
         for name, journal in self.fronts.items():
-            journal.watchers.append(self.pictures[name].fold)
-            journal.add(0.0, What.FRONT, why="up")
+            journal.watchers.append(self.pictures[name].apply)
+            journal.add(0.0, EventKind.FRONT, why="up")
         self.sent = dict.fromkeys(self.fronts, ("", 0))
         self.rows: list[Any] = []
         self.unit()
@@ -211,12 +211,12 @@
 
     def unit(self) -> None:
         """A life of the unit: its own journal is what it was."""
-        self.journal = Journal("", JournalRules(run=8))
+        self.journal = Journal("", JournalConfig(segment_entries=8))
         self.journal.restore("unit", [], list(self.rows))
-        self.picture = Picture()
+        self.picture = StateProjection()
         for entry in self.rows:
-            self.picture.fold(entry)
-        self.journal.watchers += [self.picture.fold, self.rows.append]
+            self.picture.apply(entry)
+        self.journal.watchers += [self.picture.apply, self.rows.append]
         self.merger = Merger(self.journal)
         self.merger.recover()
         self.connected: set[str] = set()
@@ -229,14 +229,14 @@
         picture, journal, id = self.pictures[name], self.fronts[name], f"s{session}"
         row = picture.sessions.get(f"{name}/{id}")
         if row is None:
-            journal.add(self.count, What.ASKED, session=id, lesson="l", cls="c")
+            journal.add(self.count, EventKind.ASKED, session=id, lesson="l", cls="c")
         elif row.phase == "asked":
-            journal.add(self.count, What.SETUP, session=id, box=box, attempt=0, rung=1)
+            journal.add(self.count, EventKind.SETUP, session=id, box=box, attempt=0, rung=1)
         elif row.phase == "out":
-            journal.add(self.count, What.STARTED, session=id, box=row.box, attempt=0, rung=1)
-            journal.add(self.count, What.PLAYS, session=id, cls="c")
+            journal.add(self.count, EventKind.STARTED, session=id, box=row.box, attempt=0, rung=1)
+            journal.add(self.count, EventKind.PLAYS, session=id, cls="c")
         else:
-            journal.add(self.count, What.ENDED, session=id)
+            journal.add(self.count, EventKind.ENDED, session=id)
         if name in self.connected:
             self.catch_up(name)
 
@@ -252,28 +252,28 @@
             for entry in journal.entries(max(taken.number - 1, 0)):  # some twice, as after a dropped line
                 self.merger.entry(name, journal.id, entry)
         else:
-            picture = Picture.from_plain(self.pictures[name].to_plain())
+            picture = StateProjection.from_plain(self.pictures[name].to_plain())
             self.merger.snapshot(name, journal.id, picture)
 
     @rule(name=st.sampled_from(["f1", "f2"]))
     def front_dies(self, name: str) -> None:
         self.connected.discard(name)
         self.merger.gone(name, 0)
-        self.fronts[name].add(0.0, What.FRONT, why="up")
+        self.fronts[name].add(0.0, EventKind.FRONT, why="up")
 
     @rule(name=st.sampled_from(["f1", "f2"]))
     def loses_its_journal(self, name: str) -> None:
         self.front_dies(name)
-        self.fronts[name] = Journal(name, JournalRules(run=8))
-        self.pictures[name] = Picture()
-        self.fronts[name].watchers.append(self.pictures[name].fold)
-        self.fronts[name].add(0.0, What.FRONT, why="up")
+        self.fronts[name] = Journal(name, JournalConfig(segment_entries=8))
+        self.pictures[name] = StateProjection()
+        self.fronts[name].watchers.append(self.pictures[name].apply)
+        self.fronts[name].add(0.0, EventKind.FRONT, why="up")
 
     @rule()
     def unit_dies(self) -> None:
         """And its fronts with it: a front that outlives its unit is not listened to."""
         for journal in self.fronts.values():
-            journal.add(0.0, What.FRONT, why="up")
+            journal.add(0.0, EventKind.FRONT, why="up")
         self.unit()
 
     @invariant()
@@ -290,7 +290,7 @@
         numbers = [entry.number for entry in self.rows]
         assert numbers == list(range(1, len(numbers) + 1))
         marks = [(e.front, e.more["j"], e.more["n"]) for e in self.rows
-                 if "n" in e.more and e.what is What.PLAYS]  # fmt: skip
+                 if "n" in e.more and e.what is EventKind.PLAYS]  # fmt: skip
         assert len(marks) == len(set(marks)), "an answer counted twice"
 
 
@@ -458,7 +458,7 @@
 
             rows = await all_ready()
             assert list(rows) == ["box-1", "box-2", "list", "front-1"]
-            await until(lambda: len(ann.follower.picture.boxes) == 2)  # type: ignore[union-attr]
+            await until(lambda: len(ann.follower.picture.servers) == 2)  # type: ignore[union-attr]
             asked = await ann.ask("drain", id="d1", target="1")
             if asked["outcome"] == "confirm":
                 asked = await ann.ask("drain", id="d1", target="1", mark=asked["mark"])
@@ -481,7 +481,7 @@
             await front.ready()
             await until(lambda: front.follower.picture is not None)
             picture = front.follower.picture
-            assert picture is not None and picture.boxes[1].state == "draining"
+            assert picture is not None and picture.servers[1].state == "draining"
             orders = (await ann.ask("events", what="order", limit=500))["rows"]
             assert sum("drain 1" in row[11] for row in orders) == 1
             front.close()
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -21,7 +21,7 @@
 from fernweir.console.script import Runner, ScriptError
 from fernweir.console.text import bar, clean, fit, sparkline, width
 from fernweir.console.views import VIEWS, Choice
-from fernweir.journal.events import What
+from fernweir.journal.events import EventKind
 from fernweir.journal.store import Journal
 from tests.scene import Scene
 from tests.sockets import until
@@ -47,23 +47,23 @@
 def crowd(count: int = 40, boxes: int = 130) -> Shown:
     """A picture with hostile names in every place, made by a journal."""
     shown, journal = Shown(name="yard" + HOSTILE, connected=True, may_act=True), Journal("front-1")
-    journal.watchers += [shown.picture.fold, shown.history.add]
-    journal.add(0.0, What.FRONT, why="up")
+    journal.watchers += [shown.picture.apply, shown.history.add]
+    journal.add(0.0, EventKind.FRONT, why="up")
     for box in range(1, boxes + 1):
-        journal.add(1.0, What.BOX, box=box, why="ready", more={"start": str(box)})
+        journal.add(1.0, EventKind.BOX, box=box, why="ready", more={"start": str(box)})
     for number in range(count):
         named = {"session": f"s{number:05d}{HOSTILE}", "lesson": f"lesson-{number % 5}{HOSTILE}", "cls": "c"}
-        journal.add(2.0, What.ASKED, **named)
+        journal.add(2.0, EventKind.ASKED, **named)
         if number % 4 == 3:
-            journal.add(3.0, What.REFUSED, why=f"no box has room {HOSTILE}", **named)
-            journal.add(3.0, What.ENDED, why="refused", **named)
+            journal.add(3.0, EventKind.REFUSED, why=f"no box has room {HOSTILE}", **named)
+            journal.add(3.0, EventKind.ENDED, why="refused", **named)
             continue
         place = {"box": number % boxes + 1, "attempt": 0, "rung": number % 5}
-        journal.add(3.0, What.SETUP, why="first under the mark", **place, **named)
-        journal.add(4.0, What.STARTED, **place, **named)
-        journal.add(4.0, What.PLAYS, **named)
-    journal.add(5.0, What.ORDER, why="drain 3", more={"by": HOSTILE, "drains": {"3": HOSTILE}, "holds": {},
-                                                      "caps": {}})  # fmt: skip
+        journal.add(3.0, EventKind.SETUP, why="first under the mark", **place, **named)
+        journal.add(4.0, EventKind.STARTED, **place, **named)
+        journal.add(4.0, EventKind.PLAYS, **named)
+    orders = {"by": HOSTILE, "drains": {"3": HOSTILE}, "holds": {}, "caps": {}}
+    journal.add(5.0, EventKind.ORDER, why="drain 3", more=orders)
     shown.gauges = {"boxes": {str(box): [0.5, 1.2, box % 2, 1, 0] for box in range(1, boxes + 1)},
                     "worth": 3.0, "worth_most": 4.0, "waiting": 1}  # fmt: skip
     return shown
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -23,8 +23,8 @@
 from fernweir.control.statefile import StateFileError, read_state, write_state
 from fernweir.front.program import start_front
 from fernweir.interface import EndpointListKind, EndpointListUpdate, ServerState
-from fernweir.journal.events import What
-from fernweir.journal.picture import Picture
+from fernweir.journal.events import EventKind
+from fernweir.journal.state_projection import StateProjection
 from fernweir.journal.store import Journal
 from fernweir.rehearsal.site import SitePlan
 from fernweir.standin.site import SiteTimes
@@ -285,7 +285,7 @@
         for jti, one in host.records().items()
     }
     return shown == held and all(
-        box.playing == len(host.sessions_playing_at(number)) for number, box in picture.boxes.items()
+        box.playing == len(host.sessions_playing_at(number)) for number, box in picture.servers.items()
     )
 
 
@@ -352,9 +352,9 @@
         scene.site.tell(first, "gone")
         picture = ann.follower.picture
         assert picture is not None
-        await until(lambda: picture.boxes[first].state == "gone")
+        await until(lambda: picture.servers[first].state == "gone")
         await ann.ask("undrain", target=str(first))
-        await until(lambda: picture.boxes[first].drained_by == "")
+        await until(lambda: picture.servers[first].drained_by == "")
         assert first not in scene.fronts[0].core.sessions._servers.states
         ann.close()
 
@@ -407,7 +407,7 @@
         assert scene.of("box.setup", session=wish.session)[0]["box"] != first
         await until(lambda: the_same(scene, ann))
         picture = ann.follower.picture
-        assert picture is not None and picture.boxes[first].drained_by == "ann"
+        assert picture is not None and picture.servers[first].drained_by == "ann"
         ann.close()
 
     control_scene(story)
@@ -424,7 +424,7 @@
         channel = control._channel
         assert channel is not None
         for number in range(20_000):  # far more than the socket and its bound hold
-            journal.add(number, What.ASKED, session=f"x{number % 50}", why="w" * 400)
+            journal.add(number, EventKind.ASKED, session=f"x{number % 50}", why="w" * 400)
             if number % 2_000 == 0:
                 await until(lambda: channel._timer is None)
         assert (await scene.ask(scene.wish())).status == 200
@@ -438,9 +438,9 @@
                 and ann.follower.picture.number == journal.last
             )
         )
-        picture = Picture()
+        picture = StateProjection()
         for one in journal.entries(1):
-            picture.fold(one)
+            picture.apply(one)
         assert ann.follower.picture == picture
         ann.close()
 
@@ -449,7 +449,7 @@
 
 def test_a_watcher_that_reads_again_hears_of_it_though_nothing_new_happens(tmp_path: Path) -> None:
     class Desk:
-        name, picture, journal = "quiet", Picture(), Journal()
+        name, picture, journal = "quiet", StateProjection(), Journal()
 
         def may_act(self, operator: str, uid: int) -> bool:
             return True
@@ -462,7 +462,7 @@
     async def story() -> None:
         desk = Desk()
         channel = Channel(desk, tmp_path / "quiet.sock", gauges_s=1e6)
-        desk.journal.watchers += [desk.picture.fold, channel.entry]
+        desk.journal.watchers += [desk.picture.apply, channel.entry]
         await channel.listen()
         ann = ControlClient(tmp_path / "quiet.sock", "ann", watch=True)
         ann.start()
@@ -472,10 +472,10 @@
         (there,) = channel.clients
         while there.has_room:  # a little more than it takes at once, and no more
             for _ in range(100):
-                desk.journal.add(0, What.ASKED, session="x", why="w" * 200)
+                desk.journal.add(0, EventKind.ASKED, session="x", why="w" * 200)
             await until(lambda: channel._timer is None)
         for _ in range(6_000):  # past the bound of what waits for it
-            desk.journal.add(0, What.ASKED, session="x")
+            desk.journal.add(0, EventKind.ASKED, session="x")
         await until(lambda: channel._timer is None)
         assert there.missed
         ann._transport.resume_reading()
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -9,7 +9,7 @@
 import pytest
 
 from fernweir.config.ini import ConfigError
-from fernweir.entitlement.client import read_reply
+from fernweir.entitlement.client import parse_reply
 from fernweir.front.program import start_front
 from fernweir.http.client import Outcome, Reply
 from fernweir.http.headers import Headers
@@ -19,7 +19,7 @@
 from fernweir.standin.site import SiteClass, SiteTimes
 from fernweir.standin.viewer import Wish
 from fernweir.tokens import Keyring
-from fernweir.tokens.newkeys import make_keys
+from fernweir.tokens.key_generation import generate_key_set
 from tests.scene import Scene, play
 from tests.sockets import until
 
@@ -179,7 +179,7 @@
     async def story(scene: Scene) -> None:
         server = scene.entitlement
         assert server is not None
-        old, new = make_keys("issuer-1"), make_keys("issuer-2")
+        old, new = generate_key_set("issuer-1"), generate_key_set("issuer-2")
         server.key_set = old
         lines = f"key-set = {server.url}/jwks\nkey-set-every = 50 ms\nretired-for = 1 s"
         scene.site.plan = replace(scene.site.plan, token_lines=lines)
@@ -189,24 +189,24 @@
         def wish_by(keys: str) -> Wish:
             wish = scene.wish()
             claims = scene.site.claims(wish.session, wish.title, wish.cls)
-            return replace(wish, token=Keyring.read(keys).sign(claims))
+            return replace(wish, token=Keyring.from_json(keys).sign(claims))
 
         async def status(wish: Wish) -> int:
             return (await scene.ask(wish)).status
 
         early = wish_by(old)
         keyring = front.keyring
-        await until(lambda: "issuer-1" in keyring.ids)
+        await until(lambda: "issuer-1" in keyring.key_ids)
         assert (await status(early), await status(wish_by(new))) == (200, 401)
         server.key_set = new
-        await until(lambda: "issuer-2" in keyring.ids)
+        await until(lambda: "issuer-2" in keyring.key_ids)
         # The old key is retired, but its tokens are out: they hold for a while, and then no more.
         assert (await status(early), await status(wish_by(new))) == (200, 200)
         server.key_set = "no key set"  # a server that breaks takes nothing away
         await until(lambda: server.key_set_asked > 4)
         assert await status(wish_by(new)) == 200
         server.key_set = new.replace("issuer-2", "issuer-2")
-        await until(lambda: "issuer-1" not in keyring.ids)
+        await until(lambda: "issuer-1" not in keyring.key_ids)
         assert (await status(early), await status(wish_by(new))) == (401, 200)
 
     play(story, PLAN, desk=desk(seats=50))
@@ -254,7 +254,7 @@
     ],
 )
 def test_what_a_reply_of_the_server_says(op: Operation, reply: Reply, said: ResponseStatus) -> None:
-    assert read_reply(op, reply).status is said
+    assert parse_reply(op, reply).status is said
 
 
 def test_no_gate_without_its_section() -> None:
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -29,8 +29,8 @@
 from fernweir.controller import Controller
 from fernweir.front import stored_types
 from fernweir.front.record import Recorder, read_record, replay
-from fernweir.journal import picture
-from fernweir.journal.events import What
+from fernweir.journal import state_projection
+from fernweir.journal.events import EventKind
 from fernweir.node import frames, jsonl
 from fernweir.seats import records as seats
 from tests.golden_decisions import (
@@ -119,10 +119,11 @@
     "fernweir.front.boxlist.Lesson": "made of a list-title",
     "fernweir.http.parse.Limits": "limits of a parser",
     "fernweir.seats.log.LogConfig": "settings of the log",
-    "fernweir.journal.segment.Question": "made of a control-events message",
+    "fernweir.journal.segment.Query": "made of a control-events message",
 }
 FORMAT_MODULES = (
-    "interface", "wire", "journal.events", "journal.segment", "journal.picture", "seats.records", "seats.log",
+    "interface", "wire", "journal.events", "journal.segment", "journal.state_projection", "seats.records",
+    "seats.log",
     "control.orders", "control.messages", "node.jsonl", "node.frames", "node.config", "http.parse",
     "http.sse",
     "front.boxlist", "dash.build", "entitlement.client", "front.seat_reconciliation", "front.introspection",
@@ -144,7 +145,7 @@
     "fernweir.seats.seat_manager.ResponseStatus": "what a reply of the entitlement server means",
     "fernweir.rehearsal.fleet.process.Life": "whether a process of the rig lives; its value is only printed",
     "fernweir.front.session_record.SessionPhase": "where a session stands",
-    "fernweir.entitlement.queue.Turn": "the order within the queue of requests",
+    "fernweir.entitlement.queue.RequestKind": "the order within the queue of requests",
     "fernweir.entitlement.policy.BreakerState": "where the circuit breaker stands",
 }
 
@@ -224,7 +225,7 @@
     assert traced == kinds
     assert {one["fields"][0] for one in values["node-line"]} == jsonl.TYPES
     assert {one["fields"][0] for one in values["node-frame"]} == {kind.value for kind in frames.Type}
-    assert {one["fields"][2] for one in values["journal-row"]} == {what.value for what in What}
+    assert {one["fields"][2] for one in values["journal-row"]} == {what.value for what in EventKind}
     actions = {one["type"] for one in values["wire-action"]}
     assert {TYPES[name] for name in actions} == set(get_args(interface.Action))
     recorded = {TYPES[one["type"]] for one in values["record-value"]}
@@ -280,7 +281,7 @@
     def renamed(row: Any) -> dict[str, Any]:
         return {name.replace("box", "server"): getattr(row, name) for name in row.__slots__}
 
-    monkeypatch.setattr(picture, "asdict", renamed)
+    monkeypatch.setattr(state_projection, "asdict", renamed)
     assert {"picture", "picture-snapshot"} <= broken()
 
 
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -41,9 +41,9 @@
     Result,
     ServerState,
 )
-from fernweir.journal.events import What
-from fernweir.journal.picture import Picture
-from fernweir.journal.store import Journal, JournalRules
+from fernweir.journal.events import EventKind
+from fernweir.journal.state_projection import StateProjection
+from fernweir.journal.store import Journal, JournalConfig
 from tests.helpers import BUDGET, COLD, SETTINGS, entry
 from tests.sockets import until
 
@@ -335,9 +335,9 @@
 
     @initialize(seats=st.sampled_from([0, 1, 2]), probes=st.booleans(), strict=st.booleans())
     def begin(self, seats: int, probes: bool, strict: bool) -> None:
-        self.picture, self.answers = Picture(), Counter[str]()
-        self.journal = Journal("f", JournalRules(run=16))
-        self.journal.watchers.append(self.picture.fold)
+        self.picture, self.answers = StateProjection(), Counter[str]()
+        self.journal = Journal("f", JournalConfig(segment_entries=16))
+        self.journal.watchers.append(self.picture.apply)
         kinds = tuple(replace(kind, seats=seats) for kind in SETTINGS.classes)
         base = replace(SETTINGS, classes=kinds, may_check_health=probes, front_count=2, drain_grace_ms=0.0)
         settings = replace(base, retry_budget=BUDGET, slow_start=COLD) if strict else base
@@ -485,13 +485,13 @@
             assert (rows[jti].phase, rows[jti].attempt) == (held.phase.value, held.attempt)
             if held.phase in (SessionPhase.IN_FLIGHT, SessionPhase.PLAYING):
                 assert (rows[jti].box, rows[jti].rung) == (held.server, held.sent_rung)
-        for number, box in picture.boxes.items():
+        for number, box in picture.servers.items():
             assert box.playing == len(host.sessions_playing_at(number))
             assert ServerState[box.state.upper()] is host._servers.states[number]
             assert box.silent == (number in host._servers.silent)
         waiting = sum(isinstance(one, SessionReply) for one in host._context.commands)
         assert sum(picture.answers.values()) == sum(self.answers.values()) + waiting
-        assert Picture.from_plain(picture.to_plain()) == picture
+        assert StateProjection.from_plain(picture.to_plain()) == picture
 
     def teardown(self) -> None:
         if not hasattr(self, "desk"):
@@ -502,12 +502,12 @@
             self.run(100.0)
         assert self.due == {}, "a request without an answer"
         assert len(self.desk.host.reply_ledger) == 0
-        again = Picture()
+        again = StateProjection()
         for one in self.journal.entries(1):
-            again.fold(one)
+            again.apply(one)
         assert again == self.picture and +self.picture.answers == self.answers
-        lives = Counter(one.session for one in self.journal.entries(1) if one.what is What.ASKED)
-        ends = Counter(one.session for one in self.journal.entries(1) if one.what is What.ENDED)
+        lives = Counter(one.session for one in self.journal.entries(1) if one.what is EventKind.ASKED)
+        ends = Counter(one.session for one in self.journal.entries(1) if one.what is EventKind.ENDED)
         assert lives - ends == Counter(jti for jti in self.desk.host._table.by_id)
 
 
--- a/tests/test_introspect.py
+++ b/tests/test_introspect.py
@@ -12,7 +12,14 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from fernweir.entitlement.introspect import Introspector, IntrospectRules, Judged, Question, Told, Word
+from fernweir.entitlement.introspect import (
+    IntrospectionConfig,
+    IntrospectionDecision,
+    IntrospectionRequest,
+    IntrospectionResult,
+    IntrospectionStatus,
+    Introspector,
+)
 from fernweir.front.introspection import read_introspection
 from fernweir.http.client import Outcome, Reply
 from fernweir.rehearsal.site import SitePlan
@@ -21,8 +28,13 @@
 from tests.sockets import until
 from tests.test_gate import PLAN
 
-RULES = IntrospectRules(
-    believe_ms=1_000.0, disbelieve_ms=100.0, stale_ms=5_000.0, call_ms=200.0, kept=3, at_once=2
+RULES = IntrospectionConfig(
+    positive_cache_ttl_ms=1_000.0,
+    negative_cache_ttl_ms=100.0,
+    stale_if_error_ms=5_000.0,
+    request_timeout_ms=200.0,
+    max_cached=3,
+    max_in_flight=2,
 )
 
 
@@ -34,31 +46,57 @@
         self.now = 0.0
         self.judge = Introspector(1, RULES)
         self.owed: dict[int, tuple[str, float]] = {}
-        self.out: dict[int, Question] = {}
-        self.said: dict[str, list[tuple[float, Word]]] = {}
+        self.out: dict[int, IntrospectionRequest] = {}
+        self.said: dict[str, list[tuple[float, IntrospectionStatus]]] = {}
+        self.cached: list[str] = []  # tokens that a cache of this size must still hold, least recent first
         self.waiters = 0
 
     def run(self) -> None:
-        for one in self.judge.take(self.now):
-            if isinstance(one, Question):
+        for one in self.judge.take_effects(self.now):
+            if isinstance(one, IntrospectionRequest):
                 assert one.token not in {other.token for other in self.out.values()}, "asked twice at once"
                 self.out[one.number] = one
                 continue
             token, by = self.owed.pop(one.waiter)
-            heard = [(at, word) for at, word in self.said.get(token, []) if word is not Word.UNKNOWN]
-            if one.word is Word.UNKNOWN:
-                assert not heard or heard[-1][1] is Word.INACTIVE or self.now - heard[-1][0] >= 1_000.0
+            heard = [
+                (at, word) for at, word in self.said.get(token, []) if word is not IntrospectionStatus.UNKNOWN
+            ]
+            if one.status is IntrospectionStatus.UNKNOWN:
+                assert (
+                    token not in self.cached
+                    or heard[-1][1] is IntrospectionStatus.INACTIVE
+                    or self.now - heard[-1][0] >= 1_000.0
+                )
             else:
-                assert heard and heard[-1][1] is one.word, "nobody said so"
-                hold = 100.0 if one.word is Word.INACTIVE else 6_000.0 if one.stale else 1_000.0
+                assert heard and heard[-1][1] is one.status, "nobody said so"
+                hold = (
+                    100.0
+                    if one.status is IntrospectionStatus.INACTIVE
+                    else 6_000.0
+                    if one.is_stale
+                    else 1_000.0
+                )
                 assert self.now - heard[-1][0] < hold, "too old to be believed"
             assert self.now <= by + 1.0
 
+    def last_conclusive(self, token: str) -> tuple[float, IntrospectionStatus]:
+        """When the server last decided on a token, and how."""
+        return [one for one in self.said[token] if one[1] is not IntrospectionStatus.UNKNOWN][-1]
+
+    def use(self, token: str) -> None:
+        """A token becomes the most recently used of the cache, whose least recent one may go."""
+        self.cached = [*(one for one in self.cached if one != token), token][-RULES.max_cached :]
+
     @rule(token=st.sampled_from("abcde"), wait=st.sampled_from([50.0, 400.0, 2_000.0]))
     def ask(self, token: str, wait: float) -> None:
         self.waiters += 1
         self.owed[self.waiters] = (token, self.now + wait)
-        self.judge.ask(self.now, self.waiters, token, self.now + wait)
+        if token in self.cached:
+            at, word = self.last_conclusive(token)
+            ttl = 1_000.0 if word is IntrospectionStatus.ACTIVE else 100.0
+            if self.now < at + ttl:
+                self.use(token)
+        self.judge.look_up(self.now, self.waiters, token, self.now + wait)
         self.run()
 
     @rule(number=st.integers(0, 5))
@@ -68,18 +106,20 @@
             del self.owed[waiter]
             self.judge.withdraw(waiter)
 
-    @rule(number=st.integers(0, 1), word=st.sampled_from([*Word, Word.ACTIVE]))
-    def answer(self, number: int, word: Word) -> None:
+    @rule(number=st.integers(0, 1), word=st.sampled_from([*IntrospectionStatus, IntrospectionStatus.ACTIVE]))
+    def answer(self, number: int, word: IntrospectionStatus) -> None:
         if number < len(self.out):
             question = self.out.pop(list(self.out)[number])
             self.said.setdefault(question.token, []).append((self.now, word))
-            self.judge.replied(self.now, question.number, Told(word))
+            if word is not IntrospectionStatus.UNKNOWN:
+                self.use(question.token)
+            self.judge.on_reply(self.now, question.number, IntrospectionResult(word))
             self.run()
 
     @rule(after=st.sampled_from([1.0, 60.0, 900.0, 5_500.0]))
     def time(self, after: float) -> None:
         end = self.now + after
-        while (due := self.judge.next_due(self.now)) is not None and due <= end:
+        while (due := self.judge.next_deadline(self.now)) is not None and due <= end:
             self.now = max(due, self.now + 0.5)
             if self.now > end:
                 break
@@ -90,16 +130,18 @@
     @invariant()
     def bounded(self) -> None:
         if hasattr(self, "judge"):
-            assert len(self.out) <= 2 and len(self.judge._known) <= 3
-            assert set(self.judge._of_waiter) == set(self.owed), "somebody is forgotten"
+            assert len(self.out) <= 2 and len(self.judge._cache) <= 3
+            assert set(self.judge._digest_of_waiter) == set(self.owed), "somebody is forgotten"
 
     def teardown(self) -> None:
         if hasattr(self, "judge"):
-            self.judge.give_up()
+            self.judge.shutdown()
             self.run_out()
 
     def run_out(self) -> None:
-        told = [one.waiter for one in self.judge.take(self.now) if isinstance(one, Judged)]
+        told = [
+            one.waiter for one in self.judge.take_effects(self.now) if isinstance(one, IntrospectionDecision)
+        ]
         assert sorted(told) == sorted(self.owed) and len(self.judge) == 0
 
 
@@ -111,31 +153,34 @@
     judge, dice, now, questions = Introspector(1, RULES), Random(1), 0.0, 0
     for waiter in range(2_000):
         now += 5.0
-        judge.ask(now, waiter, f"token {waiter}", now + dice.uniform(100.0, 500.0))
-        for one in judge.take(now):
-            if isinstance(one, Question):
+        judge.look_up(now, waiter, f"token {waiter}", now + dice.uniform(100.0, 500.0))
+        for one in judge.take_effects(now):
+            if isinstance(one, IntrospectionRequest):
                 questions += 1
-                judge.replied(now, one.number, Told(Word.UNKNOWN))
-    assert questions < 60 and judge.counts.unknown + len(judge) == 2_000
+                judge.on_reply(now, one.number, IntrospectionResult(IntrospectionStatus.UNKNOWN))
+    assert questions < 60 and judge.metrics.unknown + len(judge) == 2_000
 
 
 @pytest.mark.parametrize(
     ("body", "word"),
     [
-        (b'{"active": true, "sub": "a"}', Word.ACTIVE),
-        (b'{"active": true, "exp": 50}', Word.INACTIVE),
-        (b'{"active": false}', Word.INACTIVE),
-        (b'{"active": "true"}', Word.UNKNOWN),
-        (b'{"active": 1}', Word.UNKNOWN),
-        (b'{"sub": "a"}', Word.UNKNOWN),
-        (b"[true]", Word.UNKNOWN),
-        (b"\xff", Word.UNKNOWN),
+        (b'{"active": true, "sub": "a"}', IntrospectionStatus.ACTIVE),
+        (b'{"active": true, "exp": 50}', IntrospectionStatus.INACTIVE),
+        (b'{"active": false}', IntrospectionStatus.INACTIVE),
+        (b'{"active": "true"}', IntrospectionStatus.UNKNOWN),
+        (b'{"active": 1}', IntrospectionStatus.UNKNOWN),
+        (b'{"sub": "a"}', IntrospectionStatus.UNKNOWN),
+        (b"[true]", IntrospectionStatus.UNKNOWN),
+        (b"\xff", IntrospectionStatus.UNKNOWN),
     ],
 )
-def test_what_an_answer_says(body: bytes, word: Word) -> None:
-    assert read_introspection(Reply(Outcome.ANSWERED, 200, body=body), 100.0).word is word
-    assert read_introspection(Reply(Outcome.ANSWERED, 503, body=body), 100.0).word is Word.UNKNOWN
-    assert read_introspection(Reply(Outcome.CUT, 200, body=body), 100.0).word is Word.UNKNOWN
+def test_what_an_answer_says(body: bytes, word: IntrospectionStatus) -> None:
+    assert read_introspection(Reply(Outcome.ANSWERED, 200, body=body), 100.0).status is word
+    assert (
+        read_introspection(Reply(Outcome.ANSWERED, 503, body=body), 100.0).status
+        is IntrospectionStatus.UNKNOWN
+    )
+    assert read_introspection(Reply(Outcome.CUT, 200, body=body), 100.0).status is IntrospectionStatus.UNKNOWN
 
 
 def scene_with(story: Any, **settings: str) -> None:
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -13,25 +13,27 @@
 from hypothesis import strategies as st
 
 from fernweir.journal.disk import JournalFolder
-from fernweir.journal.events import Entry, EntryError, What, from_row, to_row
-from fernweir.journal.picture import Picture
-from fernweir.journal.segment import Question
-from fernweir.journal.store import Journal, JournalRules
+from fernweir.journal.events import Entry, EntryError, EventKind, from_row, to_row
+from fernweir.journal.segment import Query
+from fernweir.journal.state_projection import StateProjection
+from fernweir.journal.store import Journal, JournalConfig
 
 ENTRIES = st.tuples(
-    st.sampled_from([What.ASKED, What.PLAYS, What.REFUSED]),
+    st.sampled_from([EventKind.ASKED, EventKind.PLAYS, EventKind.REFUSED]),
     st.sampled_from(["", "a", "b", "c"]),
     st.sampled_from(["l0", "l1"]),
     st.integers(-1, 2),
     st.sampled_from(["", "full"]),
     st.integers(0, 5),
 )
-SMALL = JournalRules(run=8, decoded=2)
+SMALL = JournalConfig(segment_entries=8, max_decoded_segments=2)
 
 
 def fill(journal: Journal, count: int, start: int = 0) -> None:
     for number in range(start, start + count):
-        journal.add(float(number), What.PLAYS, session=f"s{number}", lesson=f"l{number % 7}", box=number % 5)
+        journal.add(
+            float(number), EventKind.PLAYS, session=f"s{number}", lesson=f"l{number % 7}", box=number % 5
+        )
 
 
 @given(
@@ -54,36 +56,36 @@
     for what, name, lesson, box, why, step in rows:
         now += step
         plain.append(journal.add(now, what, session=name, lesson=lesson, box=box, why=why))
-    question = Question(session, equal, since, since + span)
-    expected = [one for one in reversed(plain) if question.holds(one) and one.number < before]
+    question = Query(session, equal, since, since + span)
+    expected = [one for one in reversed(plain) if question.matches(one) and one.number < before]
     assert journal.find(question, limit, before) == expected[:limit]
     assert list(journal.entries(3, 20)) == plain[2:19]
     paged, following = [], before
     while following is not None:  # the same, a few segments at a time
-        page, following = journal.search(question, limit, following, runs=1)
+        page, following = journal.search(question, limit, following, max_segments=1)
         paged += page
     assert paged == expected
 
 
 def test_memory_stays_under_its_bound_and_the_oldest_leave_first() -> None:
-    rules = JournalRules(run=64, memory_bytes=60_000)
+    rules = JournalConfig(segment_entries=64, max_memory_bytes=60_000)
     journal = Journal("f", rules)
     fill(journal, 20_000)
-    assert journal.bytes <= rules.memory_bytes and 1 < journal.first < 20_000
+    assert journal.memory_bytes <= rules.max_memory_bytes and 1 < journal.first < 20_000
     assert [one.number for one in journal.entries(0)] == list(range(journal.first, 20_001))
-    assert journal.find(Question("s1")) == [] and journal.find(Question("s19999"))[0].number == 20_000
+    assert journal.find(Query("s1")) == [] and journal.find(Query("s19999"))[0].number == 20_000
 
 
 def test_what_leaves_memory_is_read_from_disk_until_the_disk_is_bounded_too(tmp_path: Path) -> None:
-    folder = JournalFolder(tmp_path, most_bytes=60_000, file_bytes=10_000)
-    journal = Journal("f", JournalRules(run=64, memory_bytes=30_000), folder)
+    folder = JournalFolder(tmp_path, max_bytes=60_000, file_bytes=10_000)
+    journal = Journal("f", JournalConfig(segment_entries=64, max_memory_bytes=30_000), folder)
     journal.restore(*folder.open())
     fill(journal, 20_000)
-    assert journal.bytes <= 30_000 and folder.kept_bytes <= 70_000
+    assert journal.memory_bytes <= 30_000 and folder.stored_bytes <= 70_000
     assert sum(path.stat().st_size for path in tmp_path.iterdir()) <= 80_000
     oldest = next(iter(journal.entries(0)))
     assert oldest.number == journal.first and 1 < oldest.number < 18_000
-    assert journal.find(Question(oldest.session)) == [oldest]
+    assert journal.find(Query(oldest.session)) == [oldest]
     folder.close()
 
 
@@ -102,9 +104,9 @@
         again = JournalFolder(tmp_path)
         life = Journal("f", SMALL, again)
         life.restore(*again.open())
-        assert list(life.entries(0)) == expected and again.notes == []
-        expected.append(life.add(500.0, What.FRONT, why="up"))
-        assert life.find(Question("s40"))[0].number == 41
+        assert list(life.entries(0)) == expected and again.problems == []
+        expected.append(life.add(500.0, EventKind.FRONT, why="up"))
+        assert life.find(Query("s40"))[0].number == 41
         again.close()
 
 
@@ -122,7 +124,7 @@
     again = JournalFolder(tmp_path, file_bytes=500)
     life = Journal("f", SMALL, again)
     life.restore(*again.open())
-    assert len(again.notes) >= 2 and "damaged at byte" in again.notes[0]
+    assert len(again.problems) >= 2 and "damaged at byte" in again.problems[0]
     numbers = [one.number for one in life.entries(0)]
     assert numbers[0] == 1 and numbers[-1] == 200 and 100 < len(numbers) < 200
     again.close()
@@ -140,7 +142,7 @@
     life = Journal("f", SMALL, again)
     life.restore(*again.open())
     assert [one.number for one in life.entries(0)] == list(range(1, 21)) and life.last == 20
-    assert "100 bytes passed over" in again.notes[0]
+    assert "100 bytes passed over" in again.problems[0]
     again.close()
 
 
@@ -148,28 +150,28 @@
     class Full(JournalFolder):
         full = False
 
-        def tail(self, entry: Entry) -> None:
+        def append_row(self, entry: Entry) -> None:
             if self.full:
                 raise OSError(errno.ENOSPC, "No space left on device")
-            super().tail(entry)
+            super().append_row(entry)
 
-        def keep(self, first: int, last: int, data: bytes) -> object:
+        def append_segment(self, first: int, last: int, data: bytes) -> object:
             if self.full:
                 raise OSError(errno.ENOSPC, "No space left on device")
-            return super().keep(first, last, data)
+            return super().append_segment(first, last, data)
 
     folder, said = Full(tmp_path), []
     journal = Journal("f", SMALL, folder)
-    journal.on_trouble = said.append
+    journal.on_fault = said.append
     journal.restore(*folder.open())
     fill(journal, 20)
     folder.full = True
     fill(journal, 40, 20)
     assert said == ["No space left on device"]
-    assert len(list(journal.entries(0))) == 60 and journal.find(Question("s30"))
+    assert len(list(journal.entries(0))) == 60 and journal.find(Query("s30"))
     folder.full = False
     fill(journal, 16, 60)
-    assert said == ["No space left on device", ""] and journal.trouble == ""
+    assert said == ["No space left on device", ""] and journal.fault == ""
     folder.close()
 
 
@@ -196,27 +198,27 @@
     journal = Journal("f", SMALL, folder)
     journal.restore(*folder.open())
     for _ in range(20):
-        journal.add(0.0, What.REFUSED, session="s", tenant="t\ud800", why="w\udfff\x00")
+        journal.add(0.0, EventKind.REFUSED, session="s", tenant="t\ud800", why="w\udfff\x00")
     assert {one.tenant for one in journal.entries(1)} == {"t\\ud800"}
     folder.close()
 
 
 def test_an_entry_survives_its_row() -> None:
     journal = Journal("f")
-    entry = journal.add(1.5, What.SETUP, session="s", lesson="l", box=3, more={"passed": [[1, "full"]]})
+    entry = journal.add(1.5, EventKind.SETUP, session="s", lesson="l", box=3, more={"passed": [[1, "full"]]})
     assert from_row(to_row(entry)) == entry
 
 
 def test_a_front_that_came_back_ends_its_sessions_of_before_and_nobody_elses() -> None:
-    journal, picture = Journal("", SMALL), Picture()
-    journal.watchers.append(picture.fold)
+    journal, picture = Journal("", SMALL), StateProjection()
+    journal.watchers.append(picture.apply)
     for front in ("f1", "f2"):
-        journal.add(0.0, What.FRONT, front=front, why="up")
-        journal.add(0.0, What.ASKED, front=front, session="same-id", lesson="l", cls="c")
-        journal.add(0.0, What.SETUP, front=front, session="same-id", box=1, attempt=0, rung=2)
-        journal.add(0.0, What.STARTED, front=front, session="same-id", box=1, attempt=0, rung=2)
-    assert picture.boxes[1].playing == 2 and len(picture.sessions) == 2
-    journal.add(0.0, What.FRONT, front="f1", why="up")
-    assert list(picture.sessions) == ["f2/same-id"] and picture.boxes[1].playing == 1
-    journal.add(0.0, What.FRONT, front="f2", why="down")
-    assert picture.sessions == {} and picture.boxes == {} and list(picture.fronts) == ["f1"]
+        journal.add(0.0, EventKind.FRONT, front=front, why="up")
+        journal.add(0.0, EventKind.ASKED, front=front, session="same-id", lesson="l", cls="c")
+        journal.add(0.0, EventKind.SETUP, front=front, session="same-id", box=1, attempt=0, rung=2)
+        journal.add(0.0, EventKind.STARTED, front=front, session="same-id", box=1, attempt=0, rung=2)
+    assert picture.servers[1].playing == 2 and len(picture.sessions) == 2
+    journal.add(0.0, EventKind.FRONT, front="f1", why="up")
+    assert list(picture.sessions) == ["f2/same-id"] and picture.servers[1].playing == 1
+    journal.add(0.0, EventKind.FRONT, front="f2", why="down")
+    assert picture.sessions == {} and picture.servers == {} and list(picture.fronts) == ["f1"]
--- a/tests/test_peers_acts.py
+++ b/tests/test_peers_acts.py
@@ -66,7 +66,7 @@
         self.full = False
         self.most = 1_000
 
-    def keep(self, first: int, last: int, data: bytes) -> object:
+    def append_segment(self, first: int, last: int, data: bytes) -> object:
         if self.full:
             raise OSError(errno.ENOSPC, "no space left on device")
         self.kept[first] = data
@@ -74,15 +74,15 @@
             del self.kept[min(self.kept)]
         return first
 
-    def read(self, handle: Any) -> bytes:
+    def read_segment(self, handle: Any) -> bytes:
         if handle not in self.kept:
             raise OSError("gone")
         return self.kept[handle]
 
-    def tail(self, entry: Any) -> None:
+    def append_row(self, entry: Any) -> None:
         raise AssertionError("the record of acts has no rows")
 
-    def first(self) -> int:
+    def first_number(self) -> int:
         return min(self.kept, default=0)
 
 
--- a/tests/test_rehearsals.py
+++ b/tests/test_rehearsals.py
@@ -12,9 +12,9 @@
 from fernweir.audit.printed import Drained, Printed, TraceBook
 from fernweir.console import views
 from fernweir.console.live import Shown
-from fernweir.journal import picture
-from fernweir.journal.events import What
-from fernweir.journal.picture import Picture
+from fernweir.journal import state_projection
+from fernweir.journal.events import EventKind
+from fernweir.journal.state_projection import StateProjection
 from fernweir.journal.store import Journal
 from fernweir.rehearsal.hours import Hours, HoursPlan
 from tests.helpers import SETTINGS
@@ -87,15 +87,15 @@
 
 def test_the_judge_reads_what_the_views_print() -> None:
     shown, journal = Shown(), Journal("f")
-    journal.watchers.append(shown.picture.fold)
+    journal.watchers.append(shown.picture.apply)
     for number in (1, 2, 3):
         named = {"session": f"s{number}", "lesson": "l", "cls": "c"}
         place = {"box": number, "attempt": 0, "rung": 1}
-        journal.add(0.0, What.BOX, box=number, why="ready")
-        journal.add(0.0, What.ASKED, **named)
-        journal.add(0.0, What.SETUP, **place, **named)
-        journal.add(0.0, What.STARTED, **place, **named)
-    journal.add(0.0, What.SILENT, box=2)
+        journal.add(0.0, EventKind.BOX, box=number, why="ready")
+        journal.add(0.0, EventKind.ASKED, **named)
+        journal.add(0.0, EventKind.SETUP, **place, **named)
+        journal.add(0.0, EventKind.STARTED, **place, **named)
+    journal.add(0.0, EventKind.SILENT, box=2)
     printed = Printed(
         5_000.0, 5_001.0,
         [*views.sessions(shown).head, *views.sessions(shown).rows],
@@ -119,12 +119,12 @@
 
 
 def test_hours_see_a_picture_that_is_wrong(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    kept = Picture._ended
+    kept = StateProjection._ended
 
-    def forgets(self: Picture, entry: Any) -> None:
+    def forgets(self: StateProjection, entry: Any) -> None:
         if entry.number % 50:
             kept(self, entry)
 
-    monkeypatch.setitem(picture._FOLDS, What.ENDED, forgets)
+    monkeypatch.setitem(state_projection._FOLDS, EventKind.ENDED, forgets)
     plan = HoursPlan(hours=0.25, rate=0.6, play_ms=(10_000.0, 60_000.0))
     assert Hours(plan, WIDE, tmp_path, lambda text: None).run().wrong
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -14,13 +14,13 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
 from fernweir.entitlement.policy import (
-    Breaker,
     BreakerState,
+    CircuitBreaker,
     DecorrelatedJitter,
+    RetryConfig,
     RetryPolicy,
-    RetryRules,
 )
-from fernweir.entitlement.queue import QueueRules, SendQueue, Turn
+from fernweir.entitlement.queue import QueueConfig, RequestKind, SendQueue
 from fernweir.rehearsal.storm import Storm, StormPlan
 from fernweir.seats.records import SeatRecord, SeatTable, apply_record
 from fernweir.seats.seat_manager import (
@@ -100,19 +100,23 @@
 
 def test_jitter_stays_between_its_bounds_and_apart() -> None:
     jitters = [DecorrelatedJitter(Random(seed), 50.0, 2000.0) for seed in range(50)]
-    pauses = [[jitter.next_ms() for _ in range(10)] for jitter in jitters]
+    pauses = [[jitter.next_backoff_ms() for _ in range(10)] for jitter in jitters]
     assert all(50.0 <= pause <= 2000.0 for row in pauses for pause in row)
     assert len({round(row[3]) for row in pauses}) > 30
 
 
 def test_repeats_take_tokens_of_their_tenant_and_of_the_server() -> None:
-    policy = RetryPolicy(RetryRules(share=0.1, free=5.0, per_s=4.0, tenant_per_s=2.0), Random(1))
+    policy = RetryPolicy(
+        RetryConfig(retry_ratio=0.1, initial_tokens=5.0, tokens_per_s=4.0, tenant_tokens_per_s=2.0), Random(1)
+    )
 
     def burst(now: float, tenant: str) -> int:
-        return sum(policy.again(now, tenant, policy.jitter(), 1e9) is not None for _ in range(100))
+        return sum(
+            policy.schedule_retry(now, tenant, policy.new_jitter(), 1e9) is not None for _ in range(100)
+        )
 
     for _ in range(1000):
-        policy.first(0.0, "a")
+        policy.on_first_attempt(0.0, "a")
     assert burst(0.0, "a") == 20  # four times what is free, however many first tries there were
     assert burst(0.0, "b") == 0  # the server's own bucket is empty
     assert burst(1_000.0, "b") == 4  # as many as a second adds to the server's
@@ -121,7 +125,7 @@
     # Both are full again by now, and a's burst leaves the server's bucket empty.
     assert (burst(11_000.0, "a"), burst(11_000.0, "b")) == (20, 0)
     assert (
-        RetryPolicy(RetryRules(), Random(1)).again(0.0, "a", policy.jitter(), 10.0) is None
+        RetryPolicy(RetryConfig(), Random(1)).schedule_retry(0.0, "a", policy.new_jitter(), 10.0) is None
     )  # too late anyway
 
 
@@ -130,13 +134,13 @@
 
     @initialize()
     def begin(self) -> None:
-        self.breaker, self.now, self.out = Breaker(window=6, open_ms=100.0, open_most_ms=400.0), 0.0, []
+        self.breaker, self.now, self.out = CircuitBreaker(window=6, open_ms=100.0, max_open_ms=400.0), 0.0, []
 
     @rule()
     def call(self) -> None:
         was = self.breaker.state
         if self.breaker.may_call(self.now):
-            self.out.append(self.breaker.begin(self.now))
+            self.out.append(self.breaker.begin_call(self.now))
             if self.breaker.state is BreakerState.HALF_OPEN:
                 assert not self.breaker.may_call(self.now), "two trials at once"
         else:
@@ -145,18 +149,18 @@
     @rule(good=st.booleans(), which=st.integers(0, 9))
     def end(self, good: bool, which: int) -> None:
         if self.out:
-            self.breaker.end(self.now, self.out.pop(which % len(self.out)), good)
+            self.breaker.end_call(self.now, self.out.pop(which % len(self.out)), good)
 
     @rule(after=st.sampled_from([1.0, 100.0, 500.0]))
     def wait(self, after: float) -> None:
         self.now += after
-        if self.breaker.wait_ms(self.now) > 0.0:
+        if self.breaker.remaining_open_ms(self.now) > 0.0:
             assert not self.breaker.may_call(self.now)
-            assert self.breaker.wait_ms(self.now) <= 400.0
+            assert self.breaker.remaining_open_ms(self.now) <= 400.0
 
     def teardown(self) -> None:
         for call in self.out:
-            self.breaker.end(self.now, call, True)
+            self.breaker.end_call(self.now, call, True)
         self.now += 1000.0
         assert self.breaker.may_call(self.now), "it never closes again"
 
@@ -168,35 +172,35 @@
 
 
 def test_renewals_before_asks_worth_before_age_and_nobody_starves() -> None:
-    queue = SendQueue(QueueRules(at_once=1, age_ms=100.0, release_every=4))
-    queue.add(0.0, 1, Turn.ASK, 1.0, 0.0)
-    queue.add(50.0, 2, Turn.ASK, 3.0, 0.0)
-    queue.add(60.0, 3, Turn.RENEW, 1.0, 900.0)
-    queue.add(61.0, 4, Turn.RENEW, 1.0, 500.0)
-    queue.add(62.0, 5, Turn.RELEASE, 1.0, 0.0)
+    queue = SendQueue(QueueConfig(max_in_flight=1, aging_ms=100.0, release_every=4))
+    queue.add(0.0, 1, RequestKind.ACQUIRE, 1.0, 0.0)
+    queue.add(50.0, 2, RequestKind.ACQUIRE, 3.0, 0.0)
+    queue.add(60.0, 3, RequestKind.RENEW, 1.0, 900.0)
+    queue.add(61.0, 4, RequestKind.RENEW, 1.0, 500.0)
+    queue.add(62.0, 5, RequestKind.RELEASE, 1.0, 0.0)
     order = []
-    while (id := queue.next()) is not None:
-        assert queue.next() is None
+    while (id := queue.start_next()) is not None:
+        assert queue.start_next() is None
         order.append(id)
-        queue.done(5.0)
+        queue.on_request_done(5.0)
     assert order == [4, 3, 2, 5, 1]  # a release has every fourth turn
-    starving = SendQueue(QueueRules(at_once=1, age_ms=100.0))
-    starving.add(0.0, 0, Turn.ASK, 1.0, 0.0)
+    starving = SendQueue(QueueConfig(max_in_flight=1, aging_ms=100.0))
+    starving.add(0.0, 0, RequestKind.ACQUIRE, 1.0, 0.0)
     for step in range(1, 100):  # one of worth 3 comes every 20 ms, for ever
-        starving.add(step * 20.0, step, Turn.ASK, 3.0, 0.0)
-        if starving.next() == 0:
+        starving.add(step * 20.0, step, RequestKind.ACQUIRE, 3.0, 0.0)
+        if starving.start_next() == 0:
             break
-        starving.done(1.0)
+        starving.on_request_done(1.0)
     assert step < 15
 
 
 def test_twenty_thousand_renewals_in_one_second_go_out_before_a_crew() -> None:
     book = Desk(ttl=30_000.0)
     for number in range(20_000):
-        book.book.send_queue.rules = QueueRules(at_once=30_000)
+        book.book.send_queue.config = QueueConfig(max_in_flight=30_000)
         book.want(f"s{number}")
     book.grant_all()
-    book.book.send_queue.rules = QueueRules(at_once=64)
+    book.book.send_queue.config = QueueConfig(max_in_flight=64)
     sends: list[SendLeaseRequest] = []
     for step in range(200):
         if step == 100:
@@ -371,7 +375,7 @@
     assert desk.verdicts() == [said is ResponseStatus.SUCCEEDED] and desk.book.count_seats("l", "c") == (
         said is ResponseStatus.SUCCEEDED
     )
-    assert desk.book.send_queue.out == 0
+    assert desk.book.send_queue.in_flight == 0
 
 
 def test_with_no_answer_the_class_decides_and_the_seat_is_not_leaked() -> None:
--- a/tests/test_tokens.py
+++ b/tests/test_tokens.py
@@ -10,10 +10,10 @@
 from joserfc import jwt
 from joserfc.jwk import ECKey, OctKey
 
-from fernweir.tokens import BoxClaims, Keyring, KeyringError, SessionClaims, TokenError, TokenFault
-from fernweir.tokens.newkeys import make_keys
+from fernweir.tokens import Keyring, KeyringError, ServerClaims, SessionClaims, TokenError, TokenFault
+from fernweir.tokens.key_generation import generate_key_set
 
-KEYS = json.loads(make_keys("old", "new"))
+KEYS = json.loads(generate_key_set("old", "new"))
 EC = ECKey.generate_key("P-256", {"kid": "ec", "alg": "ES256"})
 KEYS["keys"].append(EC.as_dict(private=True))
 RING = Keyring(KEYS, sign_with="new")
@@ -94,7 +94,7 @@
 def test_a_viewers_token_is_no_boxes_token() -> None:
     token = RING.sign(SessionClaims(**GOOD))
     with pytest.raises(TokenError):
-        RING.verify(token, BoxClaims, audience="front", now_s=1000.0)
+        RING.verify(token, ServerClaims, audience="front", now_s=1000.0)
 
 
 @pytest.mark.parametrize(
@@ -110,4 +110,4 @@
 )
 def test_key_sets_that_are_refused(text: str, word: str) -> None:
     with pytest.raises(KeyringError, match=word):
-        Keyring.read(text)
+        Keyring.from_json(text)
