--- a/fernweir/adapter.py
+++ b/fernweir/adapter.py
@@ -1,4 +1,4 @@
-"""Hosts one controller for each front and speaks the wire on standard input and output."""
+"""Runs one controller for each front over the simulator's wire on standard input and output."""
 
 from __future__ import annotations
 
@@ -19,39 +19,51 @@
     encode_reply,
 )
 
-_HEADER_AFTER_LENGTH = HEADER.size - 8
+# A header's length field counts what follows it: the rest of the header and the body.
+_LENGTH_FIELD_END_BYTES = 8
+_HEADER_REST_BYTES = HEADER.size - _LENGTH_FIELD_END_BYTES
+_EXIT_OK = 0
+_EXIT_WIRE_ERROR = 2
 
 
 class ControllerPool:
-    """The controllers of one process; they share nothing."""
+    """The controllers of one process, by front; they share nothing."""
 
     def __init__(self) -> None:
-        self._fronts: dict[int, Controller] = {}
+        self._controllers: dict[int, Controller] = {}
 
     def handle_batch(self, batch: Batch) -> bytes:
-        todo: dict[int, list[Event]] = {}
-        for front, item in batch.items:
-            if isinstance(item, Configure):
-                self._fronts[front] = Controller(item.settings, item.seed)
-                todo[front] = []
-            elif isinstance(item, FrontTerminated):
-                self._fronts.pop(front, None)
-                todo.pop(front, None)
-            elif front in self._fronts:
-                todo.setdefault(front, []).append(item)
+        """Hands each front its events and returns the reply frame with their actions.
+
+        A failure of a controller goes into the reply as a fault of its front.
+
+        Raises:
+            WireError: An event is for a front that has not started.
+        """
+        pending_events: dict[int, list[Event]] = {}
+        for front, event in batch.items:
+            if isinstance(event, Configure):
+                self._controllers[front] = Controller(event.settings, event.seed)
+                pending_events[front] = []
+            elif isinstance(event, FrontTerminated):
+                self._controllers.pop(front, None)
+                pending_events.pop(front, None)
+            elif front in self._controllers:
+                pending_events.setdefault(front, []).append(event)
             else:
                 raise WireError(f"batch {batch.number}: an event for instance {front}, which has not started")
-        parts = []
-        for front, events in todo.items():
-            try:
-                actions = self._fronts[front].handle(batch.now_ms, events)
-                parts.append((front, b"".join(encode_action(action) for action in actions)))
-            except Exception as error:  # the wire wants every failure of the decision code named
-                parts.append((front, encode_fault(f"{type(error).__name__}: {error}")))
+        parts = [(front, self._run(front, batch.now_ms, events)) for front, events in pending_events.items()]
         return encode_reply(batch.number, iter(parts))
 
+    def _run(self, front: int, now_ms: float, events: list[Event]) -> bytes:
+        try:
+            actions = self._controllers[front].handle(now_ms, events)
+            return b"".join(encode_action(action) for action in actions)
+        except Exception as error:  # noqa: BLE001 - the wire wants every failure of the decision code reported
+            return encode_fault(f"{type(error).__name__}: {error}")
 
-def _read(source: BinaryIO, size: int, what: str) -> bytes:
+
+def _read_exactly(source: BinaryIO, size: int, what: str) -> bytes:
     data = source.read(size)
     if len(data) < size:
         raise WireError(f"{what}: input ended after {len(data)} of {size} bytes")
@@ -59,25 +71,30 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answers batches until the input ends between two frames."""
-    host, decoder = ControllerPool(), Decoder()
-    while first := source.read(1):
-        header = first + _read(source, HEADER.size - 1, "frame header")
-        records, length, now_ms, number = HEADER.unpack(header)
-        if length < _HEADER_AFTER_LENGTH:
+    """Replies to frames until the input ends between two of them.
+
+    Raises:
+        WireError: The input does not follow the wire format or ends within a frame.
+    """
+    pool, decoder = ControllerPool(), Decoder()
+    while first_byte := source.read(1):
+        header = first_byte + _read_exactly(source, HEADER.size - 1, "frame header")
+        record_count, length, now_ms, number = HEADER.unpack(header)
+        if length < _HEADER_REST_BYTES:
             raise WireError(f"batch {number}: a length of {length} is too short for a header")
-        body = _read(source, length - _HEADER_AFTER_LENGTH, f"batch {number}")
-        sink.write(host.handle_batch(decoder.decode(records, now_ms, number, body)))
+        body = _read_exactly(source, length - _HEADER_REST_BYTES, f"batch {number}")
+        sink.write(pool.handle_batch(decoder.decode(record_count, now_ms, number, body)))
         sink.flush()
 
 
 def main() -> int:
+    """Serves standard input and output; returns the exit status."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
         print(f"fernweir: {error}", file=sys.stderr)
-        return 2
-    return 0
+        return _EXIT_WIRE_ERROR
+    return _EXIT_OK
 
 
 if __name__ == "__main__":
--- a/fernweir/controller.py
+++ b/fernweir/controller.py
@@ -10,6 +10,7 @@
 from collections import Counter, deque
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from functools import partial
 from hashlib import blake2b
 from math import inf, log
 from random import Random
@@ -47,9 +48,9 @@
     return -log((int.from_bytes(digest, "big") + 0.5) / 2.0**64)
 
 
-def rendezvous_score(title: int, server: Server) -> float:
-    """Returns the server's score for a title in weighted rendezvous hashing; the lowest ranks first."""
-    return exponential_draw(title, server.server_id) / server.weight
+def rendezvous_score(title: int, server: Server) -> tuple[float, int]:
+    """Returns a sort key of weighted rendezvous hashing: the lowest score ranks first, equal ones by id."""
+    return exponential_draw(title, server.server_id) / server.weight, server.server_id
 
 
 # --- Load estimation ------------------------------------------------------------------------------
@@ -458,11 +459,10 @@
         self.safety_rules.arrivals.append(self.now)
         self._place_session(self._open_session(event.viewer, self.now + event.viewer.remaining_ms))
 
-    def _open_session(self, viewer: Viewer, reply_deadline: float) -> Session:
+    def _open_session(self, viewer: Viewer, deadline: float) -> Session:
         session_class = self.settings.classes[viewer.class_index]
         top_rung = max(min(viewer.top_rung, session_class.top_rung), 0)
-        lowest_rung = session_class.lowest_rung
-        session = Session(viewer, session_class, self.now, reply_deadline, lowest_rung, top_rung)
+        session = Session(viewer, session_class, self.now, deadline, session_class.lowest_rung, top_rung)
         self.sessions[viewer.session] = session
         return session
 
@@ -503,20 +503,20 @@
 
     def _needs_health_check(self, session: Session, server: Server) -> bool:
         """Whether to check first: neither the server nor most other holders are known, as at small fronts."""
+        may_check = self.settings.may_check_health and self.settings.front_count > 1
+        has_time = session.reply_deadline - self.now >= session.session_class.latency_objective_ms
+        if not (may_check and has_time) or session.attempts > 0 or session.has_awaited_health_check:
+            return False
         holders, oldest = self._ranked_holders(session), self.now - self.decay_ms
         unknown = [one for one in holders if not one.sessions and one.link.reported_at < oldest]
-        objective_ms = session.session_class.latency_objective_ms
-        has_time = session.reply_deadline - self.now >= objective_ms and session.attempts == 0
-        may_check = self.settings.may_check_health and self.settings.front_count > 1
-        may_check = may_check and has_time and not session.has_awaited_health_check
-        return may_check and server in unknown and 2 * len(unknown) > len(holders)
+        return server in unknown and 2 * len(unknown) > len(holders)
 
     def _ranked_holders(self, session: Session) -> list[Server]:
         """Returns the listed servers with the title by rendezvous hashing, which is alike at all fronts."""
         viewer, zones, removed = session.viewer, self.settings.zone_count, ServerState.REMOVED
         listed = [server for server in self.servers.values() if server.state is not removed]
         holders = [server for server in listed if (server.zone - viewer.first_zone) % zones < viewer.replicas]
-        return sorted(holders, key=lambda server: (rendezvous_score(viewer.title, server), server.server_id))
+        return sorted(holders, key=partial(rendezvous_score, viewer.title))
 
     def _fair_rung(self, server: Server, session: Session) -> int:
         """Returns the top rung, or a lower one while most own sessions are held below theirs.
@@ -569,9 +569,10 @@
 
     def _is_full(self, server: Server) -> bool:
         """Whether a server refused as full lately, and no later report shows it under the target."""
+        if server.full_until <= self.now:
+            return False
         has_later_report = server.link.reported_at > server.full_until - FULL_BACKOFF_MS
-        has_capacity = has_later_report and server.load(self.now) < TARGET_UTILIZATION
-        return server.full_until > self.now and not has_capacity
+        return not (has_later_report and server.load(self.now) < TARGET_UTILIZATION)
 
     def _fits(self, server: Server, session: Session, rung: int, target: float = TARGET_UTILIZATION) -> bool:
         rate_kbyte_s = self._rate_kbyte_s(session, rung)
@@ -718,8 +719,7 @@
             return
         doublings = min(server.consecutive_failures, MAX_EJECTION_DOUBLINGS)
         server.consecutive_failures += 1
-        ejection_ms = self.shortest_objective_ms * EJECTION_IN_OBJECTIVES * 2.0**doublings
-        server.ejected_until = self.now + ejection_ms
+        server.ejected_until = self.now + self.shortest_objective_ms * EJECTION_IN_OBJECTIVES * 2.0**doublings
         if result in CONNECTION_LOST_RESULTS:
             server.link.forget_report()
         if server.consecutive_failures == 1:
@@ -735,8 +735,7 @@
 
     def _refute_death(self, server: Server, session: Session) -> None:
         """Ends the presumption if a session from before it still plays: only a connection was lost."""
-        observed_at = self._report_time()
-        is_older = session.arrived_at < server.suspected_at < observed_at
+        is_older = session.arrived_at < server.suspected_at < self._report_time()
         if session.is_playing and session.server is server and is_older:
             server.is_presumed_dead, server.suspected_at = False, -inf
             server.warming_since = server.started_at or -inf
@@ -798,7 +797,7 @@
             self._on_delivery_notice(server, notice.level, observed_at)
             return
         if session is not None and not session.has_start_report:
-            # The notices of a session's start are sent at once; the last of them is the uplink's.
+            # A session's first notices are sent at its set-up, without delay; the uplink's is the last.
             is_last = notice.kind is NoticeKind.UPLINK or "x1" not in self.settings.report_fields
             session.has_start_report = is_last
             observed_at = self.now - self.stall_ms
@@ -898,7 +897,11 @@
 
         `floors` are lowest rungs by session. A draw decides where a step frees more than `max_kbyte_s`.
         """
-        able = [one for one in sessions.values() if one.is_playing and one.rung > self._floor(one, floors)]
+        able = [
+            one
+            for session_id, one in sessions.items()
+            if one.is_playing and one.rung > max(one.session_class.lowest_rung, floors.get(session_id, 0))
+        ]
         if not able:
             return 0.0
         session = min(able, key=lambda one: (self._priority_per_rate(one, one.rung), one.viewer.session))
@@ -908,10 +911,6 @@
         self._set_rung(session, session.rung - 1)
         return freed_kbyte_s
 
-    @staticmethod
-    def _floor(session: Session, floors: dict[int, int]) -> int:
-        return max(session.session_class.lowest_rung, floors.get(session.viewer.session, 0))
-
     def _step_kbyte_s(self, session: Session, rung: int) -> float:
         """Returns the difference in rate between a rung and the next lower one."""
         return self._rate_kbyte_s(session, rung) - self._rate_kbyte_s(session, rung - 1)
--- a/fernweir/interface.py
+++ b/fernweir/interface.py
@@ -1,7 +1,8 @@
-"""What goes into the controller and what comes out of it: types only, no decisions.
+"""The types that go into the controller and come out of it: settings, events and actions.
 
-Settings describe the deployment, events say what a front has seen, actions say what it should do.
-Times are milliseconds, rates are kB a second, a rung counts from 0 (the lowest).
+Settings describe the deployment, events say what a front has seen, actions say what it should do. Times are
+milliseconds of the front's clock, rates are kB a second, loads are ratios of demand to capacity, and rungs
+count from 0, the lowest. Sessions, servers, titles and timers are identified by numbers.
 """
 
 from __future__ import annotations
@@ -11,7 +12,13 @@
 
 
 class Idempotency(Enum):
-    """What setting a session up a second time does."""
+    """Whether a set-up that may have run already may be attempted again.
+
+    Attributes:
+        IDEMPOTENT: It may be repeated.
+        WITH_KEY: It may be repeated only at servers that share its idempotency keys.
+        NOT_IDEMPOTENT: It must not be repeated.
+    """
 
     IDEMPOTENT = "repeatable"
     WITH_KEY = "by_key"
@@ -19,12 +26,23 @@
 
 
 class ServerState(IntEnum):
+    """The state of a server on the endpoint list; only a ready one gets new sessions."""
+
     REMOVED = 0
     READY = 1
     DRAINING = 2
 
 
 class EndpointListKind(IntEnum):
+    """What an update of the endpoint list is.
+
+    Attributes:
+        FAILED: The list could not be read; there are no entries.
+        CACHED: The complete list, from a cache.
+        FULL: The complete list.
+        DELTA: The entries that changed.
+    """
+
     FAILED = 0
     CACHED = 1
     FULL = 2
@@ -32,7 +50,18 @@
 
 
 class Result(IntEnum):
-    """How an attempt or a probe ended."""
+    """How an attempt or a health check ended.
+
+    Attributes:
+        ERROR: The server replied with an error.
+        OK: It succeeded.
+        FULL: The server refused for lack of capacity.
+        TIMEOUT: There was no reply in time.
+        CONNECT_FAILED: No connection came up, so that nothing was sent.
+        RESET: The connection broke while the attempt was in flight or the session played.
+        CANCELLED: The front gave it up.
+        NOT_SENT: It had become pointless before it was sent.
+    """
 
     ERROR = 0
     OK = 1
@@ -64,6 +93,15 @@
 
 
 class NoticeKind(IntEnum):
+    """What a server's notice tells, and the meaning of its level.
+
+    Attributes:
+        DELIVERED: The part of their rates that the server's sessions get, smoothed, from 0 to 1.
+        RUNG: The rung that a session has now.
+        LINK: The load of the server's link.
+        UPLINK: The load of the rack's uplink.
+    """
+
     DELIVERED = 1
     RUNG = 2
     LINK = 3
@@ -72,7 +110,19 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionClass:
-    """One class of session; `seats` of 0 is no cap."""
+    """One class of session.
+
+    Attributes:
+        name: Its name in logs and settings.
+        latency_objective_ms: The time in which a request should be answered.
+        deadline_ms: The time after which an answer is of no use.
+        priority_weight: How much a session counts when load is shed.
+        idempotency: Whether a set-up that may have run may be attempted again.
+        rate_multiplier: Its rate at a rung over the rung's rate.
+        lowest_rung: The lowest rung that its sessions may have.
+        top_rung: The highest.
+        seats: The most sessions of one title at a front; 0 means no limit.
+    """
 
     name: str
     latency_objective_ms: float
@@ -87,7 +137,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryBudget:
-    """Attempts beyond a session's first that a front may make in any span."""
+    """Limit on retries: in any window at most `min_retries` plus `retry_ratio` times the arrivals.
+
+    Attributes:
+        window_ms: The length of the window.
+        min_retries: Retries that are allowed without arrivals.
+        retry_ratio: Further retries for each arrival.
+    """
 
     window_ms: float
     min_retries: float
@@ -96,7 +152,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStart:
-    """How fast a server that has just started may be sent set-ups, by all fronts together."""
+    """How fast all fronts together may send attempts to a server that has just started.
+
+    A server takes its stream slots over `window_ms`, times a factor that rises from `initial_factor` to 1.
+
+    Attributes:
+        window_ms: The time from its start until a server has its full capacity.
+        initial_factor: The part of its capacity that it has at its start, at least.
+        overload_multiple: The multiple of the rate above at which a warming server collapses.
+        overload_window_ms: The time over which attempts are counted for that.
+    """
 
     window_ms: float
     initial_factor: float
@@ -106,7 +171,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The deployment as told at start. A value of None: that rule or source is not in force."""
+    """The deployment as a front is configured with it; None means that a rule or source is not in force.
+
+    Attributes:
+        classes: Classes of session, by `Viewer.class_index`.
+        front_count: Fronts in the deployment.
+        front_index: This front's number among them.
+        batch_period_ms: The shortest time between two calls of the controller.
+        zone_count: Zones that servers and titles are spread over.
+        rack_count: Racks, each with one uplink; a server's is its zone modulo this number.
+        rung_rates_kbyte_s: The rate of each rung.
+        rung_utilities: What a second at each rung is worth to a viewer, at most 1.
+        streams_by_server_type: How many sessions a server of each type carries at once.
+        link_rate_per_weight_kbyte_s: The rate of a server's link for a weight of 1.
+        uplink_rate_kbyte_s: The mean rate of an uplink.
+        switch_cost_s: What a change of rung costs a viewer, in seconds at utility 1.
+        report_delay_ms: How late a server's notices arrive.
+        report_interval_ms: The time between two notices of a link's load; 0 if there are none.
+        report_fields: The names of the values in a report: `x0` or `cpu` the link's load, `x1` the uplink's.
+        must_subscribe: Whether the endpoint list is sent only after a subscription.
+        may_check_health: Whether health checks are allowed.
+        max_attempts: The most attempts for one request.
+        max_retry_after_ms: The longest delay that clients respect when a rejection asks for it.
+        reply_slack_ms: The time after a deadline in which a reply is still valid.
+        drain_grace_ms: How long attempts may go to a server after the list shows it draining or removed.
+        slow_start: The limits on servers that have just started.
+        retry_budget: The limit on retries.
+    """
 
     classes: tuple[SessionClass, ...]
     front_count: int
@@ -135,7 +226,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One line of the server list; `started_at` of 0 is long ago."""
+    """One server on the endpoint list.
+
+    Attributes:
+        server: Its number.
+        state: Its state.
+        started_at: When its process started, in milliseconds; 0 if it is unknown or long ago.
+        zone: Its zone; titles are found on servers by zone.
+        server_type: The index of its type in `Settings.streams_by_server_type`.
+        weight: The size of its link.
+    """
 
     server: int
     state: ServerState
@@ -147,6 +247,8 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
+    """The endpoint list was read, or could not be."""
+
     kind: EndpointListKind
     version: int
     entries: tuple[Endpoint, ...]
@@ -154,7 +256,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Viewer:
-    """Who wants which title, and what can be played; `length_ms` is a rough hint or None."""
+    """Who wants to watch which title, and what can be played.
+
+    Attributes:
+        session: The session that is requested.
+        class_index: Its class.
+        key: The viewer's key, the same when it comes again.
+        title: The title.
+        first_zone: The first zone with servers that have the title.
+        replicas: How many zones in a row, from there on, have it.
+        top_rung: The highest rung that the viewer's device can play.
+        length_ms: A rough hint of how long it will watch, or None.
+        remaining_ms: The time left to reply.
+        was_moved: Whether this front has ended its session by a move.
+        is_returning: Whether the viewer comes again.
+    """
 
     session: int
     class_index: int
@@ -171,7 +287,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A viewer wants a session; one final answer is owed within `left_ms`."""
+    """A viewer requests a session; it gets one final reply within `Viewer.remaining_ms`."""
 
     viewer: Viewer
 
@@ -186,6 +302,8 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptSucceeded:
+    """A server accepted the session, which plays from now on."""
+
     session: int
     server: int
     attempt: int
@@ -194,7 +312,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """One attempt is over; `closed` means that no answer is owed any more."""
+    """An attempt, or the session that it set up, has ended.
+
+    Attributes:
+        session: The session.
+        server: The server.
+        attempt: The number of the attempt within the session, from 0.
+        result: How it ended.
+        is_final: Whether no reply is due any more.
+        duration_ms: How long it took.
+        report: The server's load report, by `Settings.report_fields`; empty if it sent none.
+    """
 
     session: int
     server: int
@@ -207,12 +335,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientGone:
+    """The client disconnected before its reply."""
+
     session: int
 
 
 @dataclass(frozen=True, slots=True)
 class ServerNotice:
-    """News from a server on one of its sessions; what `level` is depends on `kind`."""
+    """A server's notice about one of its sessions; the kind tells what the level means."""
 
     session: int
     server: int
@@ -223,11 +353,15 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
+    """A timer that the controller set has expired."""
+
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckEnded:
+    """A health check has ended; the report is as in `AttemptEnded`."""
+
     server: int
     result: Result
     duration_ms: float
@@ -236,7 +370,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FrontMessage:
-    """A message from another front; the controller has no use for any so far."""
+    """A message from another front; the controller ignores it."""
 
     sender: int
     body: bytes
@@ -258,6 +392,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
+    """Send an attempt to a server."""
+
     session: int
     server: int
     timeout_ms: float
@@ -265,44 +401,60 @@
 
 @dataclass(frozen=True, slots=True)
 class SetRung:
+    """Set the rung of a session, also of one that is about to be attempted."""
+
     session: int
     rung: int
 
 
 @dataclass(frozen=True, slots=True)
 class Move:
+    """End a playing session by a move: its viewer comes back and is placed again."""
+
     session: int
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
+    """Reject a request of which no attempt can have run; 0 asks for no Retry-After."""
+
     session: int
     retry_after_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
+    """Reply that a request failed: an attempt may have run."""
+
     session: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
+    """Report `TimerFired` with this token after a time."""
+
     token: int
     after_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
+    """Send a health check to a server."""
+
     server: int
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
+    """Start or end the subscription to the endpoint list."""
+
     active: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
+    """Write a line to the log."""
+
     text: str
 
 
--- a/fernweir/wire.py
+++ b/fernweir/wire.py
@@ -1,11 +1,18 @@
-"""The simulator's binary wire: frames, records and the settings text. It decides nothing."""
+"""Codec of the simulator's binary wire: frames, records and the text of settings.
+
+A frame is a header (`HEADER`) and a body of records. A record is a code of 16 bits and the layout that
+belongs to it; all numbers are little-endian. The codec makes no decisions and has no I/O.
+"""
 
 from __future__ import annotations
 
 import math
 import struct
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
 from dataclasses import dataclass
+from enum import Enum
+from functools import cache
+from typing import Any, NamedTuple, TypeVar
 
 from fernweir.interface import (
     Action,
@@ -44,7 +51,7 @@
 
 
 class WireError(ValueError):
-    """Input that doesn't follow the wire; the text says what and where."""
+    """Input does not follow the wire format; the message says what is wrong and where."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,221 +67,463 @@
     """A front has been terminated."""
 
 
+WireEvent = Event | Configure | FrontTerminated
+
+
 @dataclass(frozen=True, slots=True)
 class Batch:
+    """The content of one frame.
+
+    Attributes:
+        number: The frame's number; its reply bears the same one.
+        now_ms: The clock of all fronts in the frame, in milliseconds.
+        items: Pairs of a front and an event, in the order in which they were sent.
+    """
+
     number: int
     now_ms: float
-    items: tuple[tuple[int, Event | Configure | FrontTerminated], ...]
+    items: tuple[tuple[int, WireEvent], ...]
 
 
+# Frames. A request's header: records, length of what follows this field in bytes, clock in ms, number.
+# A reply's header: length of what follows this field in bytes, number.
 HEADER = struct.Struct("<IIdI")
-_REPLY = struct.Struct("<II")
+_REPLY_HEADER = struct.Struct("<II")
+_REPLY_NUMBER_BYTES = 4  # the part of a reply's header that counts in its length
+_MAX_TEXT_BYTES = 65_535  # the length of a text is sent in 16 bits
+
+# Codes of the records in a request.
+_CONFIGURE_CODE = 256
+_LIST_UPDATE_CODE = 257
+_ARRIVAL_CODE = 258
+_ATTEMPT_SUCCEEDED_CODE = 259
+_ATTEMPT_ENDED_CODE = 260
+_CLIENT_GONE_CODE = 261
+_TIMER_FIRED_CODE = 262
+_HEALTH_CHECK_ENDED_CODE = 263
+_FRONT_MESSAGE_CODE = 264
+_FRONT_TERMINATED_CODE = 265
+_SESSION_RECOVERED_CODE = 266
+_SERVER_NOTICE_CODE = 267
+_LIST_CODE = 268
+_SELECT_FRONT_CODE = 269
+
+# Codes of the records in a reply.
+_PLACE_CODE = 320
+_REJECT_CODE = 321
+_FAIL_CODE = 322
+_SET_TIMER_CODE = 324
+_CHECK_HEALTH_CODE = 325
+_LOG_CODE = 328
+_FAULT_CODE = 329
+_SUBSCRIBE_CODE = 330
+_SET_RUNG_CODE = 332
+_MOVE_CODE = 333
+_FRONT_ACTIONS_CODE = 334
+
+# Layouts of the records in a request, after their code.
 _CODE = struct.Struct("<H")
-_ENTRY = struct.Struct("<BdBHBfI")
-_KNOCK = struct.Struct("<IHfdQdQBIff")
-_TAKEN = struct.Struct("<IBIQQddfffHI")
-_SELECT, _CONFIGURE, _LIST, _ARRIVAL, _STARTED, _ENDED, _ABANDONED = 269, 256, 257, 258, 259, 260, 261
-_FIRED, _PROBED, _MESSAGE, _KILLED, _TAKEN_OVER, _NOTE, _PAGE = 262, 263, 264, 265, 266, 267, 268
-_HINT_VALID, _MOVED, _RETURNING = 1, 8, 16
-_LOG_BYTES = 65535
-
-
-class _Reader:
-    """A cursor over one frame's body."""
+_ID = struct.Struct("<I")  # of a front, a session or a timer
+_CONFIGURE = struct.Struct("<QI")  # seed, bytes of settings
+_LIST_UPDATE = struct.Struct("<BIB")  # kind, version, number of the list
+_LIST = struct.Struct("<BI")  # number, count of endpoints
+_ENDPOINT = struct.Struct("<BdBHBfI")  # state, start in ms, reserved, zone, server type, weight, server
+_ARRIVAL = struct.Struct("<IHfdQdQBIff")  # see _ArrivalRecord
+_SESSION_RECOVERED = struct.Struct("<IBIQQddfffHI")  # see _RecoveredRecord
+_ATTEMPT_SUCCEEDED = struct.Struct("<IIdB")  # session, server, duration in ms, attempt
+_ATTEMPT_ENDED = struct.Struct("<IIBBBd")  # session, server, result, is final, attempt, duration in ms
+_HEALTH_CHECK_ENDED = struct.Struct("<dBI")  # duration in ms, result, server
+_FRONT_MESSAGE = struct.Struct("<HH")  # sender, bytes of content
+_SERVER_NOTICE = struct.Struct("<IIBBf")  # session, server, kind, attempt, level
+_REPORT_COUNT = struct.Struct("<B")  # count of the values that follow
+
+# Layouts of the records in a reply, their code included.
+_CODE_AND_ID = struct.Struct("<HI")  # code, session or server or front
+_CODE_ID_AND_DELAY = struct.Struct("<HId")  # code, session or timer, delay in ms
+_CODE_AND_FLAG = struct.Struct("<HB")
+_PLACE = struct.Struct("<HIId")  # code, session, server, timeout in ms
+_SET_RUNG = struct.Struct("<HIB")  # code, session, rung
+_TEXT = struct.Struct("<HH")  # code, bytes of text
+
+# Flags of a viewer.
+_HAS_LENGTH_FLAG = 1
+_WAS_MOVED_FLAG = 8
+_IS_RETURNING_FLAG = 16
+
+_AnyEnum = TypeVar("_AnyEnum", bound=Enum)
+
+
+class _ArrivalRecord(NamedTuple):
+    """The layout `_ARRIVAL`; whole numbers that are sent as floats are floats here."""
+
+    session: int
+    flags: int
+    top_rung: float
+    length_ms: float
+    key: int
+    remaining_ms: float
+    title: int
+    class_index: int
+    reserved: int
+    first_zone: float
+    replicas: float
+
+
+class _RecoveredRecord(NamedTuple):
+    """The layout `_SESSION_RECOVERED`; whole numbers that are sent as floats are floats here."""
+
+    session: int
+    class_index: int
+    reserved: int
+    key: int
+    title: int
+    remaining_ms: float
+    length_ms: float
+    first_zone: float
+    replicas: float
+    top_rung: float
+    flags: int
+    server: int
+
+
+@cache
+def _report_layout(count: int) -> struct.Struct:
+    return struct.Struct(f"<{count}f")
+
+
+class _RecordReader:
+    """A cursor over the records of one frame's body."""
 
     def __init__(self, data: bytes, batch: int) -> None:
-        self.data, self.at, self.where = data, 0, f"batch {batch}"
-
-    def take(self, form: struct.Struct) -> tuple[int | float, ...]:
-        if self.at + form.size > len(self.data):
-            raise WireError(f"{self.where}: record at byte {self.at} runs past the end of the frame")
-        values = form.unpack_from(self.data, self.at)
-        self.at += form.size
+        self.data = data
+        self.position = 0
+        self.record_start = 0
+        self.context = f"batch {batch}"
+
+    def read_code(self) -> int:
+        """Starts the next record and returns its code.
+
+        Raises:
+            WireError: The body ends before it, as for all reads.
+        """
+        self.record_start = self.position
+        code: int = self.read(_CODE)[0]
+        return code
+
+    def read(self, layout: struct.Struct) -> tuple[Any, ...]:
+        """Returns the values of a layout and moves behind them."""
+        end = self.position + layout.size
+        if end > len(self.data):
+            raise WireError(f"{self.context}: record at byte {self.position} runs past the end of the frame")
+        values = layout.unpack_from(self.data, self.position)
+        self.position = end
         return values
 
-    def raw(self, count: int) -> bytes:
-        if self.at + count > len(self.data):
-            raise WireError(f"{self.where}: content of {count} bytes at byte {self.at} runs past the frame")
-        self.at += count
-        return self.data[self.at - count : self.at]
-
-    def enum(self, kind: type, value: int | float) -> int:
+    def read_bytes(self, count: int) -> bytes:
+        """Returns so many bytes and moves behind them."""
+        start, end = self.position, self.position + count
+        if end > len(self.data):
+            raise WireError(f"{self.context}: content of {count} bytes at byte {start} runs past the frame")
+        self.position = end
+        return self.data[start:end]
+
+    def read_report(self) -> tuple[float, ...]:
+        """Returns the values of a load report."""
+        (count,) = self.read(_REPORT_COUNT)
+        return self.read(_report_layout(count))
+
+    def member(self, kind: type[_AnyEnum], value: int) -> _AnyEnum:
+        """Returns the member of an enum that a value just read stands for.
+
+        Raises:
+            WireError: There is no such member.
+        """
         try:
-            return int(kind(value))
+            return kind(value)
         except ValueError:
-            raise WireError(f"{self.where}: {value} is no {kind.__name__} (byte {self.at})") from None
-
-    def report(self) -> tuple[float, ...]:
-        (count,) = self.take(struct.Struct("<B"))
-        return tuple(float(v) for v in self.take(struct.Struct(f"<{int(count)}f")))
+            message = f"{self.context}: {value} is no {kind.__name__} (byte {self.position})"
+            raise WireError(message) from None
 
 
 class Decoder:
-    """Turns frame bodies into batches; keeps the numbered lists, which outlive a frame."""
+    """Turns the bodies of frames into batches; keeps the numbered lists, which outlive a frame."""
 
     def __init__(self) -> None:
-        self._pages: dict[int, tuple[Endpoint, ...]] = {}
-
-    def decode(self, records: int, now_ms: float, number: int, body: bytes) -> Batch:
-        reader = _Reader(body, number)
+        self._lists: dict[int, tuple[Endpoint, ...]] = {}
+        self._event_decoders: dict[int, Callable[[_RecordReader], WireEvent]] = {
+            _CONFIGURE_CODE: _decode_configure,
+            _LIST_UPDATE_CODE: self._decode_list_update,
+            _ARRIVAL_CODE: _decode_arrival,
+            _ATTEMPT_SUCCEEDED_CODE: _decode_attempt_succeeded,
+            _ATTEMPT_ENDED_CODE: _decode_attempt_ended,
+            _CLIENT_GONE_CODE: _decode_client_gone,
+            _TIMER_FIRED_CODE: _decode_timer_fired,
+            _HEALTH_CHECK_ENDED_CODE: _decode_health_check_ended,
+            _FRONT_MESSAGE_CODE: _decode_front_message,
+            _FRONT_TERMINATED_CODE: _decode_front_terminated,
+            _SESSION_RECOVERED_CODE: _decode_session_recovered,
+            _SERVER_NOTICE_CODE: _decode_server_notice,
+        }
+
+    def decode(self, record_count: int, now_ms: float, number: int, body: bytes) -> Batch:
+        """Decodes the body of one frame.
+
+        Args:
+            record_count: How many records the body has, by the frame's header.
+            now_ms: The clock of the frame in milliseconds.
+            number: The number of the frame.
+            body: What follows the header.
+
+        Raises:
+            WireError: A record is unknown, cut off, out of place or has an invalid value.
+        """
+        reader = _RecordReader(body, number)
         if not math.isfinite(now_ms):
             raise WireError(f"batch {number}: the clock is not a number")
-        items: list[tuple[int, Event | Configure | FrontTerminated]] = []
+        items: list[tuple[int, WireEvent]] = []
         front: int | None = None
-        for _ in range(records):
-            start = reader.at
-            (code,) = reader.take(_CODE)
-            if code == _SELECT:
-                front = int(reader.take(struct.Struct("<I"))[0])
-            elif code == _PAGE:
-                self._page(reader)
+        for _ in range(record_count):
+            code = reader.read_code()
+            if code == _SELECT_FRONT_CODE:
+                (front,) = reader.read(_ID)
+            elif code == _LIST_CODE:
+                self._decode_list(reader)
             elif front is None:
+                start = reader.record_start
                 raise WireError(f"batch {number}: record {code} at byte {start} comes before any instance")
             else:
-                items.append((front, self._record(int(code), reader, start)))
-        if reader.at != len(body):
-            left = len(body) - reader.at
-            raise WireError(f"batch {number}: {left} bytes left over after {records} records")
+                items.append((front, self._decode_event(code, reader)))
+        if reader.position != len(body):
+            left = len(body) - reader.position
+            raise WireError(f"batch {number}: {left} bytes left over after {record_count} records")
         return Batch(number, now_ms, tuple(items))
 
-    def _page(self, reader: _Reader) -> None:
-        page, count = reader.take(struct.Struct("<BI"))
-        entries = []
-        for _ in range(int(count)):
-            state, started, _, cell, kind, weight, server = reader.take(_ENTRY)
-            state = ServerState(reader.enum(ServerState, state))
-            entries.append(Endpoint(int(server), state, started, int(cell), int(kind), weight))
-        self._pages[int(page)] = tuple(entries)
-
-    def _record(self, code: int, reader: _Reader, start: int) -> Event | Configure | FrontTerminated:
-        if code == _ARRIVAL:
-            rid, marks, top, work, key, left, title, cls, _, cell, copies = reader.take(_KNOCK)
-            return Arrival(_viewer(rid, marks, top, work, key, left, title, cls, cell, copies))
-        if code == _TAKEN_OVER:
-            rid, cls, _, key, title, left, work, cell, copies, top, marks, server = reader.take(_TAKEN)
-            viewer = _viewer(rid, marks, top, work, key, left, title, cls, cell, copies)
-            return SessionRecovered(viewer, int(server))
-        if code == _NOTE:
-            rid, server, topic, shot, level = reader.take(struct.Struct("<IIBBf"))
-            kind = NoticeKind(reader.enum(NoticeKind, topic))
-            return ServerNotice(int(rid), int(server), int(shot), kind, level)
-        if code == _STARTED:
-            rid, server, took, shot = reader.take(struct.Struct("<IIdB"))
-            return AttemptSucceeded(int(rid), int(server), int(shot), took)
-        if code == _ENDED:
-            rid, server, result, closed, shot, took = reader.take(struct.Struct("<IIBBBd"))
-            outcome = Result(reader.enum(Result, result))
-            return AttemptEnded(
-                int(rid), int(server), int(shot), outcome, bool(closed), took, reader.report()
-            )
-        if code == _ABANDONED:
-            return ClientGone(int(reader.take(struct.Struct("<I"))[0]))
-        if code == _FIRED:
-            return TimerFired(int(reader.take(struct.Struct("<I"))[0]))
-        if code == _PROBED:
-            took, result, server = reader.take(struct.Struct("<dBI"))
-            return HealthCheckEnded(int(server), Result(reader.enum(Result, result)), took, reader.report())
-        if code == _MESSAGE:
-            sender, count = reader.take(struct.Struct("<HH"))
-            return FrontMessage(int(sender), reader.raw(int(count)))
-        if code == _LIST:
-            how, version, page = reader.take(struct.Struct("<BIB"))
-            list_kind = EndpointListKind(reader.enum(EndpointListKind, how))
-            if list_kind is EndpointListKind.FAILED:
-                return EndpointListUpdate(list_kind, int(version), ())
-            if int(page) not in self._pages:
-                raise WireError(f"{reader.where}: list {page} at byte {start} was never sent")
-            return EndpointListUpdate(list_kind, int(version), self._pages[int(page)])
-        if code == _CONFIGURE:
-            seed, count = reader.take(struct.Struct("<QI"))
-            return Configure(int(seed), parse_settings(reader.raw(int(count))))
-        if code == _KILLED:
-            return FrontTerminated()
-        raise WireError(f"{reader.where}: unknown event code {code} at byte {start}")
-
-
-def _viewer(
-    rid: float, marks: float, top: float, work: float, key: float, left: float, title: float, cls: float,
-    cell: float, copies: float,
-) -> Viewer:  # fmt: skip
-    flags = int(marks)
-    values = (top, left, cell, copies)
-    if not all(math.isfinite(value) for value in values):
-        raise WireError(f"session {rid}: a needed value is not a number")
-    hint = float(work) if flags & _HINT_VALID and math.isfinite(work) and work >= 0 else None
+    def _decode_event(self, code: int, reader: _RecordReader) -> WireEvent:
+        decode_event = self._event_decoders.get(code)
+        if decode_event is None:
+            start = reader.record_start
+            raise WireError(f"{reader.context}: unknown event code {code} at byte {start}")
+        return decode_event(reader)
+
+    def _decode_list(self, reader: _RecordReader) -> None:
+        """Stores a numbered list; list updates refer to it."""
+        number, count = reader.read(_LIST)
+        endpoints = []
+        for _ in range(count):
+            state, started_at, _, zone, server_type, weight, server = reader.read(_ENDPOINT)
+            server_state = reader.member(ServerState, state)
+            endpoints.append(Endpoint(server, server_state, started_at, zone, server_type, weight))
+        self._lists[number] = tuple(endpoints)
+
+    def _decode_list_update(self, reader: _RecordReader) -> EndpointListUpdate:
+        kind_value, version, number = reader.read(_LIST_UPDATE)
+        kind = reader.member(EndpointListKind, kind_value)
+        if kind is EndpointListKind.FAILED:
+            return EndpointListUpdate(kind, version, ())
+        if number not in self._lists:
+            start = reader.record_start
+            raise WireError(f"{reader.context}: list {number} at byte {start} was never sent")
+        return EndpointListUpdate(kind, version, self._lists[number])
+
+
+def _decode_configure(reader: _RecordReader) -> Configure:
+    seed, byte_count = reader.read(_CONFIGURE)
+    return Configure(seed, parse_settings(reader.read_bytes(byte_count)))
+
+
+def _decode_arrival(reader: _RecordReader) -> Arrival:
+    return Arrival(_viewer(_ArrivalRecord(*reader.read(_ARRIVAL))))
+
+
+def _decode_session_recovered(reader: _RecordReader) -> SessionRecovered:
+    record = _RecoveredRecord(*reader.read(_SESSION_RECOVERED))
+    return SessionRecovered(_viewer(record), record.server)
+
+
+def _viewer(record: _ArrivalRecord | _RecoveredRecord) -> Viewer:
+    needed = (record.top_rung, record.remaining_ms, record.first_zone, record.replicas)
+    if not all(map(math.isfinite, needed)):
+        raise WireError(f"session {record.session}: a needed value is not a number")
+    flags, length_ms = record.flags, record.length_ms
+    has_length = flags & _HAS_LENGTH_FLAG and math.isfinite(length_ms) and length_ms >= 0
     return Viewer(
-        session=int(rid), class_index=int(cls), key=int(key), title=int(title), first_zone=int(cell),
-        replicas=int(copies), top_rung=int(top), length_ms=hint, remaining_ms=float(left),
-        was_moved=bool(flags & _MOVED), is_returning=bool(flags & _RETURNING),
-    )  # fmt: skip
+        session=record.session,
+        class_index=record.class_index,
+        key=record.key,
+        title=record.title,
+        first_zone=int(record.first_zone),
+        replicas=int(record.replicas),
+        top_rung=int(record.top_rung),
+        length_ms=length_ms if has_length else None,
+        remaining_ms=record.remaining_ms,
+        was_moved=bool(flags & _WAS_MOVED_FLAG),
+        is_returning=bool(flags & _IS_RETURNING_FLAG),
+    )
+
+
+def _decode_attempt_succeeded(reader: _RecordReader) -> AttemptSucceeded:
+    session, server, duration_ms, attempt = reader.read(_ATTEMPT_SUCCEEDED)
+    return AttemptSucceeded(session, server, attempt, duration_ms)
+
+
+def _decode_attempt_ended(reader: _RecordReader) -> AttemptEnded:
+    session, server, result_value, is_final, attempt, duration_ms = reader.read(_ATTEMPT_ENDED)
+    result = reader.member(Result, result_value)
+    report = reader.read_report()
+    return AttemptEnded(session, server, attempt, result, bool(is_final), duration_ms, report)
+
+
+def _decode_client_gone(reader: _RecordReader) -> ClientGone:
+    return ClientGone(*reader.read(_ID))
+
+
+def _decode_timer_fired(reader: _RecordReader) -> TimerFired:
+    return TimerFired(*reader.read(_ID))
+
+
+def _decode_health_check_ended(reader: _RecordReader) -> HealthCheckEnded:
+    duration_ms, result_value, server = reader.read(_HEALTH_CHECK_ENDED)
+    result = reader.member(Result, result_value)
+    return HealthCheckEnded(server, result, duration_ms, reader.read_report())
+
+
+def _decode_front_message(reader: _RecordReader) -> FrontMessage:
+    sender, byte_count = reader.read(_FRONT_MESSAGE)
+    return FrontMessage(sender, reader.read_bytes(byte_count))
+
+
+def _decode_front_terminated(_reader: _RecordReader) -> FrontTerminated:
+    return FrontTerminated()
+
+
+def _decode_server_notice(reader: _RecordReader) -> ServerNotice:
+    session, server, kind_value, attempt, level = reader.read(_SERVER_NOTICE)
+    return ServerNotice(session, server, attempt, reader.member(NoticeKind, kind_value), level)
+
+
+def _encode_place(action: Place) -> bytes:
+    return _PLACE.pack(_PLACE_CODE, action.session, action.server, action.timeout_ms)
+
+
+def _encode_reject(action: Reject) -> bytes:
+    return _CODE_ID_AND_DELAY.pack(_REJECT_CODE, action.session, action.retry_after_ms)
+
+
+def _encode_fail(action: Fail) -> bytes:
+    return _CODE_AND_ID.pack(_FAIL_CODE, action.session)
+
+
+def _encode_set_timer(action: SetTimer) -> bytes:
+    return _CODE_ID_AND_DELAY.pack(_SET_TIMER_CODE, action.token, action.after_ms)
+
+
+def _encode_check_health(action: CheckHealth) -> bytes:
+    return _CODE_AND_ID.pack(_CHECK_HEALTH_CODE, action.server)
+
+
+def _encode_log(action: Log) -> bytes:
+    return encode_text(_LOG_CODE, action.text)
+
+
+def _encode_subscribe(action: Subscribe) -> bytes:
+    return _CODE_AND_FLAG.pack(_SUBSCRIBE_CODE, action.active)
+
+
+def _encode_set_rung(action: SetRung) -> bytes:
+    return _SET_RUNG.pack(_SET_RUNG_CODE, action.session, action.rung)
+
+
+def _encode_move(action: Move) -> bytes:
+    return _CODE_AND_ID.pack(_MOVE_CODE, action.session)
+
+
+_ACTION_ENCODERS: dict[type, Callable[..., bytes]] = {
+    Place: _encode_place,
+    Reject: _encode_reject,
+    Fail: _encode_fail,
+    SetTimer: _encode_set_timer,
+    CheckHealth: _encode_check_health,
+    Log: _encode_log,
+    Subscribe: _encode_subscribe,
+    SetRung: _encode_set_rung,
+    Move: _encode_move,
+}
 
 
 def encode_action(action: Action) -> bytes:
-    match action:
-        case Place(session, server, timeout):
-            return struct.pack("<HIId", 320, session, server, timeout)
-        case Reject(session, after):
-            return struct.pack("<HId", 321, session, after)
-        case Fail(session):
-            return struct.pack("<HI", 322, session)
-        case SetTimer(token, after):
-            return struct.pack("<HId", 324, token, after)
-        case CheckHealth(server):
-            return struct.pack("<HI", 325, server)
-        case Log(text):
-            return encode_text(328, text)
-        case Subscribe(active):
-            return struct.pack("<HB", 330, active)
-        case SetRung(session, rung):
-            return struct.pack("<HIB", 332, session, rung)
-        case Move(session):
-            return struct.pack("<HI", 333, session)
+    """Returns the record of an action.
+
+    Raises:
+        struct.error: A number does not fit its field.
+    """
+    return _ACTION_ENCODERS[type(action)](action)
 
 
 def encode_text(code: int, text: str) -> bytes:
-    words = text.encode()[:_LOG_BYTES]
-    return struct.pack("<HH", code, len(words)) + words
+    """Returns a record of text in UTF-8, cut after 65,535 bytes."""
+    encoded = text.encode()[:_MAX_TEXT_BYTES]
+    return _TEXT.pack(code, len(encoded)) + encoded
 
 
 def encode_fault(text: str) -> bytes:
-    return encode_text(329, text)
+    """Returns the record that reports a failure of the decision code."""
+    return encode_text(_FAULT_CODE, text)
 
 
 def encode_reply(number: int, parts: Iterator[tuple[int, bytes]]) -> bytes:
-    """One reply frame from (front, encoded actions) pairs."""
-    body = b"".join(struct.pack("<HI", 334, front) + data for front, data in parts if data)
-    return _REPLY.pack(4 + len(body), number) + body
+    """Returns one reply frame.
+
+    Args:
+        number: The number of the frame that it replies to.
+        parts: Pairs of a front and its encoded actions; a front without actions is left out.
+    """
+    encoded = (_CODE_AND_ID.pack(_FRONT_ACTIONS_CODE, front) + actions for front, actions in parts if actions)
+    body = b"".join(encoded)
+    return _REPLY_HEADER.pack(_REPLY_NUMBER_BYTES + len(body), number) + body
 
 
 class SettingsTable:
-    """The settings as a table of paths; says which key is missing or unreadable."""
+    """The settings as a table of paths and texts."""
 
     def __init__(self, table: dict[str, str]) -> None:
         self.table = table
 
     def text(self, key: str) -> str:
+        """Returns the text of a key.
+
+        Raises:
+            WireError: The key is missing.
+        """
         if key not in self.table:
             raise WireError(f"settings: needed key {key} is missing")
         return self.table[key]
 
     def number(self, key: str, default: float | None = None) -> float:
+        """Returns the number of a key, or the default if there is one and the key is missing.
+
+        Raises:
+            WireError: The key is missing, or its text is no finite number; so for all numbers.
+        """
         if default is not None and key not in self.table:
             return default
-        return self._float(key, self.text(key))
+        return self._parse_number(key, self.text(key))
 
-    def optional(self, key: str) -> float | None:
+    def optional_number(self, key: str) -> float | None:
+        """Returns the number of a key, or None if the key is missing."""
         return self.number(key) if key in self.table else None
 
     def numbers(self, key: str, default: tuple[float, ...] | None = None) -> tuple[float, ...]:
+        """Returns the comma-separated numbers of a key, or the default as `number` does."""
         if default is not None and key not in self.table:
             return default
-        return tuple(self._float(key, part) for part in self.text(key).split(",") if part)
+        return tuple(self._parse_number(key, part) for part in self.text(key).split(",") if part)
 
     def flag(self, key: str) -> bool:
+        """Whether a key has the text `true`."""
         return self.table.get(key, "false") == "true"
 
     @staticmethod
-    def _float(key: str, text: str) -> float:
+    def _parse_number(key: str, text: str) -> float:
         try:
             value = float(text)
         except ValueError:
@@ -285,6 +534,11 @@
 
 
 def parse_settings(raw: bytes) -> Settings:
+    """Reads settings from lines of `key=value`.
+
+    Raises:
+        WireError: The text is not UTF-8, or a key is missing or unreadable.
+    """
     try:
         text = raw.decode()
     except UnicodeDecodeError:
@@ -294,70 +548,87 @@
 
 
 def read_settings(fields: SettingsTable) -> Settings:
-    rates = fields.numbers("Extra.RatesKb")
-    count = int(fields.number("Categories.count"))
-    names = tuple(name for name in fields.table.get("Feedback.Names", "").split(",") if name)
-    via = fields.table.get("Feedback.Via", "off")
-    cold = budget = None
-    if "Obligations.WarmUp" in fields.table and "Obligations.FallMultiple" in fields.table:
-        cold = SlowStart(
-            fields.number("Obligations.WarmUp"),
-            fields.number("Obligations.ColdFrom"),
-            fields.number("Obligations.FallMultiple"),
-            fields.number("Obligations.Fall"),
-        )
-    if "Obligations.BudgetSpan" in fields.table:
-        free, share = (fields.number(f"Obligations.{key}", 0.0) for key in ("FreeResends", "ExtraShare"))
-        budget = RetryBudget(fields.number("Obligations.BudgetSpan"), free, share)
-    cap = fields.optional("Limits.AttemptsCap")
-    heeds = fields.flag("Limits.RetryAfter")
+    """Reads settings from a table; unknown keys are ignored.
+
+    Raises:
+        WireError: A key is missing or unreadable.
+    """
+    rung_rates = fields.numbers("Extra.RatesKb")
+    class_count = int(fields.number("Categories.count"))
+    report_fields = tuple(name for name in fields.table.get("Feedback.Names", "").split(",") if name)
+    has_reports = fields.table.get("Feedback.Via", "off") != "off"
+    slow_start, retry_budget = _slow_start(fields), _retry_budget(fields)
+    max_attempts = fields.optional_number("Limits.AttemptsCap")
+    sends_retry_after = fields.flag("Limits.RetryAfter")
     return Settings(
-        classes=tuple(_session_class(fields, place, count, len(rates)) for place in range(count)),
+        classes=tuple(
+            _session_class(fields, index, class_count, len(rung_rates)) for index in range(class_count)
+        ),
         front_count=max(1, int(fields.number("Instances"))),
         front_index=int(fields.number("Ordinal")),
         batch_period_ms=fields.number("Period"),
         zone_count=max(1, int(fields.number("Extra.Cells"))),
         rack_count=max(1, int(fields.number("Extra.Groups"))),
-        rung_rates_kbyte_s=rates,
+        rung_rates_kbyte_s=rung_rates,
         rung_utilities=fields.numbers("Extra.LevelWorth"),
         streams_by_server_type=tuple(int(value) for value in fields.numbers("Extra.KindSlots")),
         link_rate_per_weight_kbyte_s=fields.number("Extra.WeightKb"),
-        uplink_rate_kbyte_s=fields.optional("Extra.UplinkKb"),
+        uplink_rate_kbyte_s=fields.optional_number("Extra.UplinkKb"),
         switch_cost_s=fields.number("Extra.SwitchCostS", 0.0),
         report_delay_ms=fields.number("Extra.SeenAfter", 0.0),
         report_interval_ms=fields.number("Extra.Tell", 0.0),
-        report_fields=names if via != "off" else (),
+        report_fields=report_fields if has_reports else (),
         must_subscribe=fields.table.get("Discovery") == "subscribe",
         may_check_health=fields.flag("Limits.MayProbe"),
-        max_attempts=None if cap is None else int(cap),
-        max_retry_after_ms=fields.optional("Limits.MaxRetryAfter") if heeds else None,
+        max_attempts=None if max_attempts is None else int(max_attempts),
+        max_retry_after_ms=fields.optional_number("Limits.MaxRetryAfter") if sends_retry_after else None,
         reply_slack_ms=fields.number("Obligations.AnswerSlack", 0.0),
-        drain_grace_ms=fields.optional("Obligations.DrainGrace"),
-        slow_start=cold,
-        retry_budget=budget,
+        drain_grace_ms=fields.optional_number("Obligations.DrainGrace"),
+        slow_start=slow_start,
+        retry_budget=retry_budget,
+    )
+
+
+def _slow_start(fields: SettingsTable) -> SlowStart | None:
+    if "Obligations.WarmUp" not in fields.table or "Obligations.FallMultiple" not in fields.table:
+        return None
+    return SlowStart(
+        window_ms=fields.number("Obligations.WarmUp"),
+        initial_factor=fields.number("Obligations.ColdFrom"),
+        overload_multiple=fields.number("Obligations.FallMultiple"),
+        overload_window_ms=fields.number("Obligations.Fall"),
     )
 
 
-def _session_class(fields: SettingsTable, place: int, count: int, rungs: int) -> SessionClass:
-    def extra(key: str, absent: float) -> float:
-        values = fields.numbers(f"Extra.{key}", (absent,) * count)
-        if place >= len(values):
-            raise WireError(f"settings: Extra.{key} has no value for class {place}")
-        return values[place]
+def _retry_budget(fields: SettingsTable) -> RetryBudget | None:
+    if "Obligations.BudgetSpan" not in fields.table:
+        return None
+    min_retries = fields.number("Obligations.FreeResends", 0.0)
+    retry_ratio = fields.number("Obligations.ExtraShare", 0.0)
+    return RetryBudget(fields.number("Obligations.BudgetSpan"), min_retries, retry_ratio)
 
-    path = f"Categories.{place}"
+
+def _session_class(fields: SettingsTable, index: int, class_count: int, rung_count: int) -> SessionClass:
+    path = f"Categories.{index}"
     try:
-        effect = Idempotency(fields.text(f"{path}.Idempotency"))
+        idempotency = Idempotency(fields.text(f"{path}.Idempotency"))
     except ValueError:
         raise WireError(f"settings: {path}.Idempotency has an unreadable value") from None
+
+    def class_number(key: str, default: float) -> float:
+        values = fields.numbers(f"Extra.{key}", (default,) * class_count)
+        if index >= len(values):
+            raise WireError(f"settings: Extra.{key} has no value for class {index}")
+        return values[index]
+
     return SessionClass(
         name=fields.text(f"{path}.Name"),
         latency_objective_ms=fields.number(f"{path}.Aim"),
         deadline_ms=fields.number(f"{path}.Deadline"),
         priority_weight=fields.number(f"{path}.Gain"),
-        idempotency=effect,
-        rate_multiplier=extra("ClassScale", 1.0),
-        lowest_rung=int(extra("LowestRung", 0)),
-        top_rung=min(int(extra("ClassTop", rungs - 1)), rungs - 1),
-        seats=int(extra("Seats", 0)),
+        idempotency=idempotency,
+        rate_multiplier=class_number("ClassScale", 1.0),
+        lowest_rung=int(class_number("LowestRung", 0)),
+        top_rung=min(int(class_number("ClassTop", rung_count - 1)), rung_count - 1),
+        seats=int(class_number("Seats", 0)),
     )
