--- a/fernweir/front/commands.py
+++ b/fernweir/front/commands.py
@@ -1,4 +1,7 @@
-"""What passes between the host and the shells around it: types only."""
+"""What passes between the session manager and the shells around it: types only.
+
+Times are in milliseconds; a `deadline` is a time of the session manager's clock.
+"""
 
 from __future__ import annotations
 
@@ -10,11 +13,24 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionRequest:
-    """A request that was taken. `wait_ms` is how long its viewer waits from now on.
-
-    `via` names the protocol, whose carrier knows what a set-up looks like on the way to a box. `body` is
-    what that protocol hands on to the box unread. A protocol that tells viewers apart by a key of theirs
-    gives it as `key`, and whether they come again; otherwise the host knows them by `jti`.
+    """A request for a session that a front has accepted.
+
+    Attributes:
+        ticket: Number of the request; its reply has the same.
+        protocol: Name of the protocol, whose codec knows what a set-up looks like on the way to a server.
+        session_id: The session's id, of its token or connection. Requests with the same id share a session.
+        subject: Who the token was issued to.
+        title_name: The title as users know it.
+        title: The title's number.
+        first_zone: The zone of the title's first replica.
+        replicas: How many replicas the title has.
+        class_index: The session's class, as an index of the settings' classes.
+        top_rung: The highest rung that the viewer can play.
+        max_wait_ms: How long the viewer waits from now on.
+        tenant: Whose viewer it is; empty where there are no tenants.
+        viewer_key: The viewer's key where the protocol has one, else 0: the session id stands for the viewer.
+        is_returning: Whether the viewer comes again, where the protocol knows it by `viewer_key`.
+        body: What the protocol passes to the server unread.
     """
 
     ticket: int
@@ -36,7 +52,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SetUpResult:
-    """How an attempt ended. `payload` is what the protocol made of the box's answer; None unless OK."""
+    """How an attempt ended.
+
+    Attributes:
+        result: How it ended.
+        duration_ms: How long it took.
+        report: The server's load report by the names of its values; empty if it sent none.
+        payload: What the protocol made of the server's response; None unless the result is OK.
+        reason: What went wrong, for logs and journals.
+    """
 
     result: Result
     duration_ms: float
@@ -50,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetUp:
-    """Send the attempt; its end goes to `Host.set_up_done`, exactly once."""
+    """Send an attempt to a server; its end goes to `SessionManager.on_attempt_finished`, exactly once."""
 
     request: SessionRequest
     attempt: int
@@ -61,6 +85,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeRung:
+    """Tell a server which rung a session has to play."""
+
     session_id: str
     attempt: int
     server: int
@@ -69,9 +95,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseSession:
-    """Tell a box that one attempt's session, playing or doubtful, is wanted no more.
+    """Tell a server that the session of one attempt is no longer wanted, whether it plays or may have begun.
 
-    `after_segment`: what plays may end its segment first, and its player is told why.
+    With `may_finish_segment` a session that plays may end its segment first, and its player gets the reason.
     """
 
     session_id: str
@@ -83,12 +109,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SendHealthCheck:
+    """Check a server's health; the end goes to `SessionManager.on_health_check_finished`."""
+
     server: int
 
 
 @dataclass(frozen=True, slots=True)
 class StartTimer:
-    """Call `Host.timer_fired` with the token after that time."""
+    """Call `SessionManager.on_timer` with the token after that time."""
 
     token: int
     delay_ms: float
@@ -96,12 +124,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpointList:
+    """Watch the endpoint list, or stop watching it."""
+
     is_active: bool
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """A line of the module's or the host's for the log."""
+    """Write a line of the log."""
 
     text: str
     session_id: str | None = None
@@ -109,7 +139,7 @@
 
 
 class ReplyKind(Enum):
-    """What an answer says."""
+    """What a reply says. The values are stored and keep their words."""
 
     PLAYS = "plays"
     REJECTED = "refused"
@@ -119,7 +149,20 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionReply:
-    """The one answer of a ticket. `server`, `rung`, `attempt` and `payload` hold for PLAYS only."""
+    """Send the one reply to a request.
+
+    Attributes:
+        ticket: The request.
+        kind: What the reply says.
+        reason: Why it does not play.
+        retry_after_ms: When the viewer may ask again; 0 if that was not decided.
+        is_timeout: Whether a request failed because time ran out.
+        request: The first request of the session, where there is a session.
+        server: Where the session plays; this and what follows are set for PLAYS only.
+        attempt: The attempt that set the session up.
+        rung: What the session plays.
+        payload: What the viewer is answered from.
+    """
 
     ticket: int
     kind: ReplyKind
@@ -135,7 +178,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckEntitlement:
-    """Ask whether the session may play at all; the verdict goes to `Host.admitted` by `answer_by`."""
+    """Check whether a session may play; the decision goes to `SessionManager.on_entitlement_decided`."""
 
     request: SessionRequest
     deadline: float
@@ -143,7 +186,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntitlementReleased:
-    """A session that was asked to be admitted is over, however it ended; or `moved`, and another front's."""
+    """A session that was checked has ended, whether it played or not, or was handed over to another front."""
 
     session_id: str
     is_handed_over: bool = False
@@ -151,7 +194,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionOver:
-    """A session that played is over. `by_viewer`: its viewer ended it and need not be told."""
+    """A session that played has ended. If its viewer ended it, the viewer need not be notified."""
 
     request: SessionRequest
     result: Result
--- a/fernweir/front/dash.py
+++ b/fernweir/front/dash.py
@@ -199,7 +199,7 @@
             held, finder = self.core.sessions.session(claims.jti), self.core.session_locator
             if held is None and finder is not None:
                 what = "end" if exchange.method == "DELETE" else "look"
-                finder.tell(
+                finder.query_session(
                     claims.jti, what, lambda found: self._guard(exchange, lambda: self._say(exchange, found))
                 )
             elif exchange.method == "DELETE":
@@ -302,7 +302,7 @@
             here(ask)
         else:
             self._seeking[ask.ticket] = found
-            finder.ask(ask, found)
+            finder.request_reply(ask, found)
 
     def give_up(self) -> None:
         """The front stops: who waits for what other fronts say is answered now."""
--- a/fernweir/front/dispatcher.py
+++ b/fernweir/front/dispatcher.py
@@ -1,4 +1,8 @@
-"""The shell around the host that all protocols share: batches, timers, tickets, commands to their doers."""
+"""The shell around the session manager that all protocols share: batches, timers, tickets and commands.
+
+The dispatcher owns the session manager's clock: `loop.time()` in milliseconds. Events of one turn of the
+event loop go to the controller in one batch.
+"""
 
 from __future__ import annotations
 
@@ -33,14 +37,18 @@
 
 Log = Any  # structlog's bound logger, whose methods depend on its configuration
 
+# The way to seconds and back may round a deadline to just before it. To wake up for nothing, again and again,
+# would last until the clock has moved.
+_WAKE_UP_DELAY_S = 1e-6
+
 
 class InvalidServerReplyError(ValueError):
-    """A box's answer to a set-up has the right status, but is none."""
+    """A server's response to a set-up has the right status, but its content cannot be used."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServerRequest:
-    """What a set-up looks like to a box."""
+    """A set-up as a request to a server."""
 
     method: str
     target: str
@@ -49,64 +57,115 @@
 
 
 class SetUpCodec(Protocol):
-    """What a protocol adds to the way to a box."""
+    """What a protocol adds to the way to a server and back."""
 
     def request(self, command: SetUp) -> ServerRequest:
-        """The set-up request for a box, its token included."""
+        """Returns the request for a set-up, with its token."""
 
     def accept(self, command: SetUp, reply: Reply) -> object:
-        """What viewers will be answered from. BadAnswerError if the reply is no good."""
+        """Returns the payload that viewers are answered from.
+
+        Raises:
+            InvalidServerReplyError: The response cannot be used.
+        """
 
     def pack(self, payload: object) -> tuple[bytes, bytes]:
-        """What viewers are answered from, as bytes, with their digest; empty if there is nothing."""
+        """Returns a payload as bytes, and their digest; both are empty if there is nothing to pack."""
 
-    def unpack(self, cls: int, top_rung: int, data: bytes) -> object:
-        """What another front packed, for a viewer of that class. BadAnswerError if it is no good."""
+    def unpack(self, class_index: int, top_rung: int, data: bytes) -> object:
+        """Returns the payload that another front packed, for a viewer of that class.
+
+        Raises:
+            InvalidServerReplyError: The bytes cannot be used.
+        """
 
 
 class ServerTransport(Protocol):
-    """Who carries out commands towards boxes."""
+    """Carries out commands towards servers."""
+
+    def set_up(self, command: SetUp) -> None:
+        """Begins an attempt, and reports its end to the session manager exactly once."""
 
-    def set_up(self, command: SetUp) -> None: ...
-    def change_rung(self, command: ChangeRung) -> None: ...
-    def release(self, command: ReleaseSession) -> None: ...
-    def check_health(self, command: SendHealthCheck) -> None: ...
+    def change_rung(self, command: ChangeRung) -> None:
+        """Tells a server which rung a session has to play."""
+
+    def release(self, command: ReleaseSession) -> None:
+        """Tells a server that a session is no longer wanted."""
+
+    def check_health(self, command: SendHealthCheck) -> None:
+        """Begins a health check, and reports its end to the session manager exactly once."""
 
 
 class EntitlementCheck(Protocol):
-    """Who decides whether a session may play at all."""
+    """Decides whether a session may play."""
+
+    def check(self, command: CheckEntitlement) -> None:
+        """Begins a check, and reports the decision to the session manager by the deadline."""
+
+    def on_session_released(self, command: EntitlementReleased) -> None:
+        """A session that was checked has ended here."""
 
-    def check(self, command: CheckEntitlement) -> None: ...
-    def on_session_released(self, command: EntitlementReleased) -> None: ...
-    def is_entitled(self, jti: str) -> bool:
-        """Whether a session's entitlement is good now, whatever its first token says."""
+    def is_entitled(self, session_id: str) -> bool:
+        """Whether a session is entitled now, whatever its first token says."""
 
 
 class ChannelOwnership(Protocol):
-    """Under which channel and fence this front steers a session, where sessions can change their owner."""
+    """Knows under which channel and fence this front steers a session, where sessions can change fronts."""
 
-    def fence(self, jti: str) -> tuple[str, int] | None:
-        """None where a session ends with its front, or is another's by now."""
+    def fence(self, session_id: str) -> tuple[str, int] | None:
+        """Returns channel and fence; None where a session ends with its front, or belongs to another."""
 
 
 class SessionLocator(Protocol):
-    """Who knows whether a session that this front does not hold is held at another."""
+    """Finds sessions that this front does not have at the other fronts."""
 
-    def ask(self, ask: SessionRequest, then: Callable[[SessionReply | None], None]) -> None:
-        """`then` is called exactly once, within the request's time: with the answer of the front that holds
-        the session, or a refusal where nobody can tell, or None if it may begin here."""
+    def request_reply(self, request: SessionRequest, on_reply: Callable[[SessionReply | None], None]) -> None:
+        """Asks the other fronts for the reply to a request.
 
-    def tell(self, jti: str, what: str, then: Callable[[bool | None], None]) -> None:
-        """`what` is `look` or `end`; `then` is told exactly once whether such a session plays elsewhere, or
-        None where nobody can say just now."""
+        Args:
+            request: The request.
+            on_reply: Called exactly once within the request's time: with the reply of the front that has the
+                session, a rejection if no front can tell, or None if the session may begin here.
+        """
 
+    def query_session(
+        self, session_id: str, operation: str, on_result: Callable[[bool | None], None]
+    ) -> None:
+        """Looks for a session at the other fronts, or ends it there.
+
+        Args:
+            session_id: The session.
+            operation: `look` or `end`.
+            on_result: Called exactly once with whether such a session plays elsewhere; None if no front can
+                tell now.
+        """
 
-class Dispatcher:
-    """Owns the host's clock: `loop.time()` in milliseconds. Events of one loop turn go in one batch."""
 
-    def __init__(self, host: SessionManager, *, batch_ms: float = 0.0, log: Log) -> None:
+class Dispatcher:
+    """Passes events to the session manager in batches, and its commands to those who carry them out.
+
+    Attributes:
+        loop: The event loop.
+        sessions: The session manager.
+        log: Where faults and the controller's lines are logged.
+        set_up_codecs: The codecs by the names of their protocols.
+        server_transport: Carries out commands towards servers.
+        entitlement_check: Decides whether sessions may play, where that is checked.
+        channel_ownership: Knows channels and fences, where sessions can change fronts.
+        session_locator: Finds sessions at other fronts, where there are any.
+        on_session_over: Is called when a session that played has ended.
+    """
+
+    def __init__(self, sessions: SessionManager, *, batch_ms: float = 0.0, log: Log) -> None:
+        """Makes a dispatcher in a running event loop.
+
+        Args:
+            sessions: The session manager.
+            batch_ms: How long events are collected for a batch; with 0 for one turn of the event loop.
+            log: Where faults and the controller's lines are logged.
+        """
         self.loop = asyncio.get_running_loop()
-        self.sessions = host
+        self.sessions = sessions
         self.log = log
         self.set_up_codecs: dict[str, SetUpCodec] = {}
         self.server_transport: ServerTransport | None = None
@@ -117,26 +176,46 @@
         self._batch_s = batch_ms / 1000.0
         self._next_ticket_number = itertools.count(1)
         self._reply_callbacks: dict[int, Callable[[SessionReply], None]] = {}
-        self._is_step_scheduled = self._is_stopped = False
+        self._is_step_scheduled = False
+        self._is_stopped = False
         self._wake_up: asyncio.TimerHandle | None = None
         self._wake_up_at = 0.0
         self._timers: set[asyncio.TimerHandle] = set()
         self._idle: asyncio.Event = asyncio.Event()
         self._after_step: list[Callable[[], None]] = []
+        # A table by type: commands are on the hot path, where a chain of isinstance costs more.
+        self._handlers: dict[type[Command], Callable[[Any], None]] = {
+            SessionReply: self._deliver_reply,
+            SetUp: self._set_up,
+            ChangeRung: self._change_rung,
+            ReleaseSession: self._release,
+            SendHealthCheck: self._check_health,
+            SessionOver: self._report_session_over,
+            CheckEntitlement: self._check_entitlement,
+            EntitlementReleased: self._release_entitlement,
+            StartTimer: self._start_timer,
+            LogLine: self._log_line,
+            WatchEndpointList: self._watch_endpoint_list,
+        }
 
     def now(self) -> float:
+        """Returns the time of the session manager's clock in milliseconds."""
         return self.loop.time() * 1000.0
 
+    # --- requests ---
+
     def next_ticket(self) -> int:
+        """Returns a number for a new request."""
         return next(self._next_ticket_number)
 
-    def submit(self, ask: SessionRequest, on_answer: Callable[[SessionReply], None]) -> None:
-        """Takes a request; `on_answer` is called exactly once unless `withdraw` comes first."""
-        self._reply_callbacks[ask.ticket] = on_answer
-        self.sessions.request_session(self.now(), ask)
+    def submit(self, request: SessionRequest, on_reply: Callable[[SessionReply], None]) -> None:
+        """Accepts a request; `on_reply` is called exactly once unless the request is withdrawn before."""
+        self._reply_callbacks[request.ticket] = on_reply
+        self.sessions.request_session(self.now(), request)
         self.schedule_step()
 
     def withdraw_request(self, ticket: int) -> None:
+        """The client of a request has disconnected: its callback is not called any more."""
         if self._reply_callbacks.pop(ticket, None) is not None:
             self.sessions.withdraw_request(self.now(), ticket)
             self.schedule_step()
@@ -144,33 +223,25 @@
                 self._idle.set()
 
     def on_client_half_closed(self, ticket: int) -> None:
-        """The viewer of a request ended its side, though it may still read: it gets its answer, in time."""
+        """The client of a request has closed its sending side; it may still read, and gets its reply."""
         if ticket in self._reply_callbacks:
             self.sessions.on_client_half_closed(self.now(), ticket)
             self.schedule_step()
 
-    def on_reply_undelivered(self, answer: SessionReply) -> None:
-        """What was answered could not be written: its viewer left."""
-        if answer.kind is ReplyKind.PLAYS:
-            self.sessions.on_reply_undelivered(self.now(), answer)
+    def on_reply_undelivered(self, reply: SessionReply) -> None:
+        """A reply could not be written because its client has disconnected."""
+        if reply.kind is ReplyKind.PLAYS:
+            self.sessions.on_reply_undelivered(self.now(), reply)
             self.schedule_step()
 
-    def schedule_step(self) -> None:
-        """Something happened: a batch is due, once."""
-        if self._is_step_scheduled or self._is_stopped:
-            return
-        self._is_step_scheduled = True
-        if self._batch_s > 0.0:
-            self.loop.call_later(self._batch_s, self._step)
-        else:
-            self.loop.call_soon(self._step)
+    # --- end ---
 
-    async def drain(self, within_s: float) -> bool:
-        """Takes nothing new, and waits until all that was taken is answered; False if time ran out."""
+    async def drain(self, timeout_s: float) -> bool:
+        """Rejects new sessions and waits until all requests are answered; False if time ran out."""
         self.sessions.stop_accepting()
         self.schedule_step()
         try:
-            async with asyncio.timeout(within_s):
+            async with asyncio.timeout(timeout_s):
                 while self._reply_callbacks:
                     self._idle.clear()
                     await self._idle.wait()
@@ -179,123 +250,151 @@
         return True
 
     def run_last_step(self) -> None:
-        """Before an orderly `stop`: what was asked since the last batch is answered."""
+        """Answers what was requested since the last batch; called before an orderly `stop`."""
         self.sessions.stop_accepting()
         self._step()
 
     def stop(self) -> None:
-        """At once; what waits for a batch gets no answer."""
+        """Stops at once; requests that wait for a batch get no reply."""
         self._is_stopped = True
         for timer in [*self._timers, *([self._wake_up] if self._wake_up else [])]:
             timer.cancel()
         self._timers.clear()
 
+    # --- batches ---
+
+    def schedule_step(self) -> None:
+        """Schedules a batch, once, because something happened."""
+        if self._is_step_scheduled or self._is_stopped:
+            return
+        self._is_step_scheduled = True
+        if self._batch_s > 0.0:
+            self.loop.call_later(self._batch_s, self._step)
+        else:
+            self.loop.call_soon(self._step)
+
+    def after_step(self, callback: Callable[[], None]) -> None:
+        """Calls back once the controller has handled everything that has happened so far."""
+        self._after_step.append(callback)
+        self.schedule_step()
+
     def _step(self) -> None:
         self._is_step_scheduled = False
         if self._is_stopped:
             return
-        commands: list[Command] = []
-        try:
-            commands = self.sessions.step(self.now())
-        except Exception as error:  # what was in the batch is answered when its time is over
-            self.log.error("batch failed", why=repr(error))
-        for command in commands:
+        for command in self._run_batch():
             try:
                 self._execute(command)
-            except Exception as error:  # a fault in carrying one out must not cost others their answers
-                self.log.error("command failed", command=type(command).__name__, why=repr(error))
+            except Exception as error:  # noqa: BLE001 - one fault must not cost others their replies
+                self._log_fault("command failed", error, command=type(command).__name__)
                 self._on_command_failed(command, repr(error))
-        after, self._after_step = self._after_step, []
-        for do in after:
+        callbacks, self._after_step = self._after_step, []
+        for callback in callbacks:
             try:
-                do()
-            except Exception as error:
-                self.log.error("what follows a batch failed", why=repr(error))
+                callback()
+            except Exception as error:  # noqa: BLE001 - a fault in one callback must not stop the others
+                self._log_fault("what follows a batch failed", error)
         self._schedule_wake_up()
 
-    def after_step(self, do: Callable[[], None]) -> None:
-        """Calls `do` once the module has been told of all that has happened so far."""
-        self._after_step.append(do)
-        self.schedule_step()
+    def _run_batch(self) -> list[Command]:
+        try:
+            return self.sessions.step(self.now())
+        except Exception as error:  # noqa: BLE001 - requests of the batch are answered at their deadlines
+            self._log_fault("batch failed", error)
+            return []
+
+    def _log_fault(self, event: str, error: Exception, **fields: str) -> None:
+        self.log.error(event, **fields, why=repr(error))
 
     def _schedule_wake_up(self) -> None:
-        due = self.sessions.next_deadline()
-        if self._wake_up is not None and (due is None or due != self._wake_up_at):
+        deadline = self.sessions.next_deadline()
+        if self._wake_up is not None and (deadline is None or deadline != self._wake_up_at):
             self._wake_up.cancel()
             self._wake_up = None
-        if due is not None and self._wake_up is None:
-            self._wake_up_at = due
-            # A microsecond late: the way to seconds and back may round to just before what is due, and
-            # waking for nothing, again and again, would last until the clock has moved.
-            self._wake_up = self.loop.call_at(due / 1000.0 + 1e-6, self._on_wake_up)
+        if deadline is not None and self._wake_up is None:
+            self._wake_up_at = deadline
+            self._wake_up = self.loop.call_at(deadline / 1000.0 + _WAKE_UP_DELAY_S, self._on_wake_up)
 
     def _on_wake_up(self) -> None:
         self._wake_up = None
         self.schedule_step()
 
+    # --- commands ---
+
     def _execute(self, command: Command) -> None:
-        doer = self.server_transport
-        if isinstance(command, SessionReply):
-            on_answer = self._reply_callbacks.pop(command.ticket, None)
-            if not self._reply_callbacks:
-                self._idle.set()
-            if on_answer is not None:
-                on_answer(command)
-            else:  # withdrawn in the same turn, after the host had answered
-                self.on_reply_undelivered(command)
-        elif isinstance(command, StartTimer):
-            self._start_timer(command)
-        elif isinstance(command, SessionOver):
-            if self.on_session_over is not None:
-                self.on_session_over(command)
-        elif isinstance(command, CheckEntitlement | EntitlementReleased):
-            if self.entitlement_check is None:
-                raise RuntimeError("nobody admits")
-            elif isinstance(command, CheckEntitlement):
-                self.entitlement_check.check(command)
-            else:
-                self.entitlement_check.on_session_released(command)
-        elif isinstance(command, LogLine):
-            self.log.info(command.text, **_named(session=command.session_id, box=command.server))
-        elif doer is None:
-            if not isinstance(command, WatchEndpointList):
-                raise RuntimeError("no way to boxes")
-        elif isinstance(command, SetUp):
-            doer.set_up(command)
-        elif isinstance(command, ChangeRung):
-            doer.change_rung(command)
-        elif isinstance(command, ReleaseSession):
-            doer.release(command)
-        elif isinstance(command, SendHealthCheck):
-            doer.check_health(command)
+        self._handlers[type(command)](command)
+
+    def _deliver_reply(self, reply: SessionReply) -> None:
+        on_reply = self._reply_callbacks.pop(reply.ticket, None)
+        if not self._reply_callbacks:
+            self._idle.set()
+        if on_reply is not None:
+            on_reply(reply)
+        else:  # withdrawn in the same turn, after the session manager had replied
+            self.on_reply_undelivered(reply)
+
+    def _transport(self) -> ServerTransport:
+        if self.server_transport is None:
+            raise RuntimeError("no way to boxes")
+        return self.server_transport
 
-    def _on_command_failed(self, command: Command, why: str) -> None:
-        """The end of what could not be carried out: the host waits for one. It may have run."""
+    def _set_up(self, command: SetUp) -> None:
+        self._transport().set_up(command)
+
+    def _change_rung(self, command: ChangeRung) -> None:
+        self._transport().change_rung(command)
+
+    def _release(self, command: ReleaseSession) -> None:
+        self._transport().release(command)
+
+    def _check_health(self, command: SendHealthCheck) -> None:
+        self._transport().check_health(command)
+
+    def _report_session_over(self, command: SessionOver) -> None:
+        if self.on_session_over is not None:
+            self.on_session_over(command)
+
+    def _entitlements(self) -> EntitlementCheck:
+        if self.entitlement_check is None:
+            raise RuntimeError("nobody admits")
+        return self.entitlement_check
+
+    def _check_entitlement(self, command: CheckEntitlement) -> None:
+        self._entitlements().check(command)
+
+    def _release_entitlement(self, command: EntitlementReleased) -> None:
+        self._entitlements().on_session_released(command)
+
+    def _start_timer(self, command: StartTimer) -> None:
+        def on_fired() -> None:
+            self._timers.discard(handle)
+            self.sessions.on_timer(self.now(), command.token)
+            self.schedule_step()
+
+        handle = self.loop.call_later(command.delay_ms / 1000.0, on_fired)
+        self._timers.add(handle)
+
+    def _log_line(self, command: LogLine) -> None:
+        fields = {"session": command.session_id, "box": command.server}
+        self.log.info(command.text, **{name: value for name, value in fields.items() if value is not None})
+
+    def _watch_endpoint_list(self, command: WatchEndpointList) -> None:
+        """Nothing is to be done: the endpoint list is watched from the start of a front to its end."""
+
+    def _on_command_failed(self, command: Command, reason: str) -> None:
+        """Reports the end of a command that the session manager waits for; an attempt may have run."""
         now = self.now()
         if isinstance(command, SetUp):
-            end = SetUpResult(Result.ERROR, 0.0, {}, reason=why)
-            self.sessions.on_attempt_finished(now, command.request.session_id, command.attempt, end)
+            outcome = SetUpResult(Result.ERROR, 0.0, {}, reason=reason)
+            session_id = command.request.session_id
+            self.sessions.on_attempt_finished(now, session_id, command.attempt, outcome)
         elif isinstance(command, SendHealthCheck):
             self.sessions.on_health_check_finished(now, command.server, Result.ERROR, 0.0, {})
         elif isinstance(command, CheckEntitlement):
-            self.sessions.on_entitlement_decided(
-                now, command.request.session_id, plays=False, reason="nobody could be asked"
-            )
+            session_id = command.request.session_id
+            self.sessions.on_entitlement_decided(now, session_id, plays=False, reason="nobody could be asked")
         elif isinstance(command, SessionReply):
             self.on_reply_undelivered(command)
         else:
             return
         self.schedule_step()
-
-    def _start_timer(self, command: StartTimer) -> None:
-        def fire() -> None:
-            self._timers.discard(handle)
-            self.sessions.on_timer(self.now(), command.token)
-            self.schedule_step()
-
-        handle = self.loop.call_later(command.delay_ms / 1000.0, fire)
-        self._timers.add(handle)
-
-
-def _named(**fields: object) -> dict[str, object]:
-    return {name: value for name, value in fields.items() if value is not None}
--- a/fernweir/front/reply_ledger.py
+++ b/fernweir/front/reply_ledger.py
@@ -1,8 +1,8 @@
-"""The ledger of answers: every request that was taken gets exactly one, and none after its time.
+"""The ledger of replies: each request that was accepted gets exactly one, and none after its deadline.
 
-It has no clock and no I/O. A ticket is opened when a request is taken and closed by its answer, by its
-viewer leaving, or not at all, which `overdue` finds. Closing a ticket twice is a bug in the caller and
-raises, so that a second answer can't leave.
+The ledger has no clock and no I/O. A ticket is opened when a request is accepted. It is closed by its reply,
+or withdrawn when its client disconnects; otherwise `overdue` finds it. To close a ticket twice is a fault of
+the caller and raises an error, so that a second reply cannot be sent.
 """
 
 from __future__ import annotations
@@ -10,22 +10,35 @@
 import heapq
 from dataclasses import dataclass
 
+_MIN_ITEMS_TO_COMPACT = 64
+
 
 class ReplyLedgerError(RuntimeError):
-    """A ticket was opened twice, or answered when it was not open."""
+    """A ticket was opened twice, or closed when it was not open."""
 
 
 @dataclass(slots=True)
 class ReplyLedgerMetrics:
+    """Counters of a ledger since its start.
+
+    Attributes:
+        opened: Tickets that were opened.
+        answered: Tickets that were closed by a reply.
+        withdrawn: Tickets whose clients disconnected before a reply.
+    """
+
     opened: int = 0
     answered: int = 0
     withdrawn: int = 0
 
 
 class ReplyLedger:
-    """Open tickets with the time, in milliseconds, by which each must be answered.
+    """Open tickets with their deadlines, in milliseconds of the caller's clock.
 
-    A ticket's number is never used again once it is closed.
+    The number of a ticket must not be used again once the ticket is closed.
+
+    Attributes:
+        metrics: Counters since the start.
     """
 
     def __init__(self) -> None:
@@ -39,21 +52,31 @@
     def __contains__(self, ticket: object) -> bool:
         return ticket in self._open
 
-    def open(self, ticket: int, answer_by: float) -> None:
+    def open(self, ticket: int, deadline: float) -> None:
+        """Opens a ticket that must be answered by its deadline.
+
+        Raises:
+            ReplyLedgerError: The ticket is open already.
+        """
         if ticket in self._open:
             raise ReplyLedgerError(f"ticket {ticket} is open already")
         self.metrics.opened += 1
-        self._open[ticket] = answer_by
-        heapq.heappush(self._deadlines, (answer_by, ticket))
+        self._open[ticket] = deadline
+        heapq.heappush(self._deadlines, (deadline, ticket))
 
     def close(self, ticket: int) -> None:
+        """Closes a ticket that is answered.
+
+        Raises:
+            ReplyLedgerError: The ticket is not open.
+        """
         if self._open.pop(ticket, None) is None:
             raise ReplyLedgerError(f"ticket {ticket} is not open: answered before, or never taken")
         self.metrics.answered += 1
         self._compact_deadlines()
 
     def withdraw(self, ticket: int) -> bool:
-        """The viewer is gone; False if the ticket was closed already."""
+        """Closes a ticket whose client disconnected; False if it was closed already."""
         if self._open.pop(ticket, None) is None:
             return False
         self.metrics.withdrawn += 1
@@ -61,7 +84,10 @@
         return True
 
     def overdue(self, now: float) -> list[int]:
-        """Open tickets whose time has come, earliest first. They stay open until answered."""
+        """Returns open tickets whose deadlines have come, earliest first, each once.
+
+        They stay open until they are answered.
+        """
         found = []
         while self._deadlines and self._deadlines[0][0] <= now:
             _, ticket = heapq.heappop(self._deadlines)
@@ -70,13 +96,14 @@
         return found
 
     def next_deadline(self) -> float | None:
-        """When the next open ticket falls due."""
+        """Returns the earliest deadline of an open ticket, None if there is none."""
         while self._deadlines and self._deadlines[0][1] not in self._open:
             heapq.heappop(self._deadlines)
         return self._deadlines[0][0] if self._deadlines else None
 
     def _compact_deadlines(self) -> None:
-        # Answered tickets stay in the heap until they fall due; under load that would be seconds' worth.
-        if len(self._deadlines) > 64 and len(self._deadlines) > 2 * len(self._open):
+        # Answered tickets stay in the heap until their deadlines; under load that would be seconds' worth.
+        is_large = len(self._deadlines) > _MIN_ITEMS_TO_COMPACT
+        if is_large and len(self._deadlines) > 2 * len(self._open):
             self._deadlines = [item for item in self._deadlines if item[1] in self._open]
             heapq.heapify(self._deadlines)
--- a/fernweir/peers/reach.py
+++ b/fernweir/peers/reach.py
@@ -21,7 +21,7 @@
     def fence(self, jti: str) -> tuple[str, int] | None:
         return self._peers.peer.fence(self._core.now(), jti)
 
-    def ask(self, ask: SessionRequest, then: Callable[[SessionReply | None], None]) -> None:
+    def request_reply(self, ask: SessionRequest, then: Callable[[SessionReply | None], None]) -> None:
         def end(now: float, carried: Carried | None) -> None:
             then(None if carried is None else self._port.answer(ask, carried))
 
@@ -40,7 +40,7 @@
         self._peers.peer.find(self._core.now(), request, end)
         self._peers.kick()
 
-    def tell(self, jti: str, what: str, then: Callable[[bool | None], None]) -> None:
+    def query_session(self, jti: str, what: str, then: Callable[[bool | None], None]) -> None:
         def end(now: float, carried: Carried | None) -> None:
             then(None if carried is not None and carried.kind == "refused" else carried is not None)
 
--- a/tests/test_front_sockets.py
+++ b/tests/test_front_sockets.py
@@ -463,11 +463,11 @@
         front.core.session_locator = Mock()  # says nothing
         viewer = Leaver(scene, scene.wish())
         viewer.ask()
-        await until(lambda: front.core.session_locator.ask.called)
+        await until(lambda: front.core.session_locator.request_reply.called)
         read = asyncio.ensure_future(viewer.read())
         await front.stop(10.0)
         assert (await read).startswith(b"HTTP/1.1 503 ")
-        front.core.session_locator.ask.call_args.args[1](None)  # their word comes late
+        front.core.session_locator.request_reply.call_args.args[1](None)  # their word comes late
 
     play(story, PLAN)
 
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -728,7 +728,7 @@
 
 def test_a_set_up_or_probe_that_could_not_be_begun_ends_as_one_that_failed() -> None:
     async def story(core: Dispatcher, doer: Mock) -> None:
-        doer.set_up.side_effect = doer.probe.side_effect = ValueError("a fault of this program")
+        doer.set_up.side_effect = doer.check_health.side_effect = ValueError("a fault of this program")
         got: list[SessionReply] = []
         put(core, "a", got)
         await until(lambda: got)  # long before its time is over
