--- a/bench/golden_state_samples.py
+++ b/bench/golden_state_samples.py
@@ -33,7 +33,7 @@
 from fernweir.node.jsonl import TYPES as LINE_TYPES
 from fernweir.node.jsonl import Message, write
 from fernweir.seats import records as seats
-from fernweir.seats.seat_manager import Operation
+from fernweir.seats.messages import Operation
 from fernweir.tokens.claims import ControlClaims, ServerClaims, SessionClaims
 from fernweir.wire import HEADER
 from tests.golden_formats import (
--- a/bench/renewals.py
+++ b/bench/renewals.py
@@ -10,15 +10,9 @@
 import click
 
 from fernweir.entitlement.queue import QueueConfig
-from fernweir.seats.seat_manager import (
-    LeaseResponse,
-    Operation,
-    ResponseStatus,
-    SeatManager,
-    SeatManagerConfig,
-    SeatRequest,
-    SendLeaseRequest,
-)
+from fernweir.seats.messages import LeaseResponse, Operation, ResponseStatus, SeatRequest, SendLeaseRequest
+from fernweir.seats.seat import SeatManagerConfig
+from fernweir.seats.seat_manager import SeatManager
 
 
 @click.command()
@@ -34,18 +28,16 @@
     ttl, now, fence = 30_000.0, 0.0, 0
     book = SeatManager(
         now,
-        1,
         append,
         lambda cls: False,
-        config=SeatManagerConfig(max_ttl_ms=ttl),
-        queue_config=QueueConfig(max_in_flight=1_000_000),
+        SeatManagerConfig(seed=1, max_ttl_ms=ttl, queue=QueueConfig(max_in_flight=1_000_000)),
     )
     for number in range(seats):
         book.request_seat(now, SeatRequest(f"s{number}", "t", "l", "c", "p", 1.0), now + 2_000.0)
 
     def turn() -> int:
         nonlocal fence
-        book.on_log_synced(now, len(log))
+        book.on_log_synced(len(log))
         sends = [one for one in book.advance(now) if isinstance(one, SendLeaseRequest)]
         for send in sends:
             fence += 1
--- a/fernweir/entitlement/client.py
+++ b/fernweir/entitlement/client.py
@@ -14,7 +14,7 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
 from fernweir.http.client import Outcome, Pool, Reply
-from fernweir.seats.seat_manager import LeaseResponse, Operation, ResponseStatus, SendLeaseRequest
+from fernweir.seats.messages import LeaseResponse, Operation, ResponseStatus, SendLeaseRequest
 
 _SAID = {
     403: ResponseStatus.DENIED,
--- a/fernweir/front/entitlement_gate.py
+++ b/fernweir/front/entitlement_gate.py
@@ -9,15 +9,15 @@
 from fernweir.front.commands import CheckEntitlement, EntitlementReleased
 from fernweir.front.dispatcher import Dispatcher
 from fernweir.seats.log import LogError, SeatLog
-from fernweir.seats.records import encode_table
-from fernweir.seats.seat_manager import (
+from fernweir.seats.messages import (
     AdmissionDecision,
     LeaseResponse,
     RevokeSession,
-    SeatManager,
     SeatRequest,
     SendLeaseRequest,
 )
+from fernweir.seats.records import encode_table
+from fernweir.seats.seat_manager import SeatManager
 
 _MOVED_S = 2.0
 
@@ -141,7 +141,7 @@
         except LogError as error:
             if self.book.is_log_writable:
                 self.core.log.error("seats can't be written down", why=str(error))
-            self.book.on_log_failed(self.core.now())
+            self.book.on_log_failed()
         else:
-            self.book.on_log_synced(self.core.now(), number)
+            self.book.on_log_synced(number)
         self.kick()
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -43,7 +43,8 @@
 from fernweir.seats.file_store import DiskFileStore, FileStore
 from fernweir.seats.log import LogError, SeatLog
 from fernweir.seats.records import RecordError, rebuild_table
-from fernweir.seats.seat_manager import SeatManager, SeatManagerConfig
+from fernweir.seats.seat import SeatManagerConfig
+from fernweir.seats.seat_manager import SeatManager
 from fernweir.tokens import Keyring, KeyringError
 
 if TYPE_CHECKING:  # loaded only where the settings ask for it
@@ -410,18 +411,18 @@
     gates: list[Gate] = []
     book = SeatManager(
         now,
-        config.front.seed,
         lambda body: gates[0].append(body),
         lambda cls: cls in config.plays_unanswered,
         config=SeatManagerConfig(
             call_timeout_ms=section.call_time,
             max_ttl_ms=section.longest_lease,
             reclaim_after_ms=section.reclaim,
+            seed=config.front.seed,
+            wall_clock_offset_s=offset_s,
+            queue=QueueConfig(max_in_flight=section.at_once),
         ),
-        queue_config=QueueConfig(max_in_flight=section.at_once),
         generation=found.last_sequence,
     )
-    book.wall_clock_offset_s = offset_s
     client = EntitlementClient(pool, section.url, config.front.name, token)
     gate = Gate(core, book, log, client, section.sync / 1000.0)
     gates.append(gate)
--- a/fernweir/rehearsal/storm.py
+++ b/fernweir/rehearsal/storm.py
@@ -16,19 +16,19 @@
 from fernweir.entitlement.policy import RetryConfig
 from fernweir.seats.log import LogConfig, SeatLog
 from fernweir.seats.memory_file_store import MemoryFileStore
-from fernweir.seats.records import encode_table, rebuild_table
-from fernweir.seats.seat_manager import (
+from fernweir.seats.messages import (
     AdmissionDecision,
     LeaseRenewed,
     LeaseResponse,
     Operation,
     ResponseStatus,
     RevokeSession,
-    SeatManager,
-    SeatManagerConfig,
     SeatRequest,
     SendLeaseRequest,
 )
+from fernweir.seats.records import encode_table, rebuild_table
+from fernweir.seats.seat import SeatManagerConfig
+from fernweir.seats.seat_manager import SeatManager
 from fernweir.standin.leases import DeskAnswer, LeaseDesk
 
 _SAID = {
@@ -111,13 +111,15 @@
         self.table = table
         self.book = SeatManager(
             storm.now,
-            storm.plan.seed * 100 + self.number * 10 + self.lives,
             self.append,
             lambda cls: False,
             config=SeatManagerConfig(
-                call_timeout_ms=800.0, max_ttl_ms=storm.plan.ttl_ms, reclaim_after_ms=3_000.0
+                call_timeout_ms=800.0,
+                max_ttl_ms=storm.plan.ttl_ms,
+                reclaim_after_ms=3_000.0,
+                seed=storm.plan.seed * 100 + self.number * 10 + self.lives,
+                retry=RetryConfig(initial_tokens=200.0),
             ),
-            retry_config=RetryConfig(initial_tokens=200.0),
             # Keys of a life that lost its log must not be those of the life before.
             generation=self.lives * 1_000_000,
         )
@@ -137,7 +139,7 @@
             return
         self.committing = False
         number = self.log.commit()
-        self.book.on_log_synced(self.storm.now, number)
+        self.book.on_log_synced(number)
         if self.log.is_snapshot_due:
             self.log.write_snapshot(encode_table(self.book.records()))
         self.run()
--- a/fernweir/seats/__init__.py
+++ b/fernweir/seats/__init__.py
@@ -1,4 +1,4 @@
-"""Seats held at an entitlement server: who holds what, until when, and how that survives anything.
+"""Leases on seats at the entitlement server: state machine, durable log and reconciliation.
 
-Decisions and state, free of I/O and clock, but for `files`, the only place that touches a disk.
+All modules are free of I/O and clock except `file_store`, which alone accesses a disk.
 """
--- a/fernweir/seats/file_store.py
+++ b/fernweir/seats/file_store.py
@@ -1,7 +1,7 @@
-"""The files below the seat log: the only place that touches a disk.
+"""The files of the seat log: the only module of the package that accesses a disk.
 
-`Files` says what the log needs; `DiskFiles` is the real thing. Tests put a layer in its place that loses or
-tears whatever was not synced, fills up, or kills the process at any call.
+`FileStore` is what the log needs and `DiskFileStore` the real implementation. Tests use one that loses or
+tears unsynced data, fills up, or crashes at any call (`memory_file_store`).
 """
 
 from __future__ import annotations
@@ -10,95 +10,116 @@
 from pathlib import Path
 from typing import Protocol
 
+_FILE_MODE = 0o600
+
 
 class FileStore(Protocol):
-    """A folder of files by name. Any method may raise OSError."""
+    """Files by name. Any method may raise OSError."""
+
+    def list_names(self) -> list[str]:
+        """Returns the sorted names of all files."""
+
+    def read(self, name: str) -> bytes:
+        """Returns the content of a file."""
 
-    def list_names(self) -> list[str]: ...
-    def read(self, name: str) -> bytes: ...
     def append(self, name: str, data: bytes) -> None:
-        """Adds to a file, made if need be; not durable before `sync`."""
+        """Appends to a file, which is created if need be; durable after the next `sync`."""
+
+    def sync(self, name: str) -> None:
+        """Makes what was appended to a file durable."""
 
-    def sync(self, name: str) -> None: ...
     def replace(self, name: str, data: bytes) -> None:
-        """A whole new content, durable when it returns, or the old one."""
+        """Replaces the content of a file atomically; it is durable on return."""
+
+    def remove(self, name: str) -> None:
+        """Removes a file durably; a missing one is no error."""
 
-    def remove(self, name: str) -> None: ...
     def truncate(self, name: str, size: int) -> None:
-        """Cuts a file's end off, durably."""
+        """Cuts a file to `size` bytes, durably."""
 
 
 class DiskFileStore:
-    """Files in a folder of the file system."""
+    """The files of one directory, which is created if need be."""
 
     def __init__(self, directory: Path) -> None:
         self.directory = directory
         directory.mkdir(parents=True, exist_ok=True)
-        self._open: dict[str, int] = {}
+        self._descriptors: dict[str, int] = {}
 
     def list_names(self) -> list[str]:
+        """Returns the sorted names of all files."""
         return sorted(path.name for path in self.directory.iterdir() if path.is_file())
 
     def read(self, name: str) -> bytes:
+        """Returns the content of a file."""
         return (self.directory / name).read_bytes()
 
     def append(self, name: str, data: bytes) -> None:
-        handle = self._open.get(name)
-        if handle is None:
+        """Appends to a file, which is created if need be and kept open."""
+        descriptor = self._descriptors.get(name)
+        if descriptor is None:
             path = self.directory / name
-            made = not path.exists()
-            handle = self._open[name] = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
-            if made:
-                self._sync_folder()
-        view = memoryview(data)
-        while view:
-            view = view[os.write(handle, view) :]
+            is_new = not path.exists()
+            descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, _FILE_MODE)
+            self._descriptors[name] = descriptor
+            if is_new:
+                self._sync_directory()
+        _write_all(descriptor, data)
 
     def sync(self, name: str) -> None:
-        handle = self._open.get(name)
-        if handle is not None:
-            os.fdatasync(handle)
+        """Makes what was appended to a file durable."""
+        descriptor = self._descriptors.get(name)
+        if descriptor is not None:
+            os.fdatasync(descriptor)
 
     def replace(self, name: str, data: bytes) -> None:
+        """Replaces the content of a file by way of a temporary file beside it."""
         self._close(name)
-        beside = self.directory / f"{name}.new"
-        handle = os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+        temporary = self.directory / f"{name}.new"
+        descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, _FILE_MODE)
         try:
-            view = memoryview(data)
-            while view:
-                view = view[os.write(handle, view) :]
-            os.fsync(handle)
+            _write_all(descriptor, data)
+            os.fsync(descriptor)
         finally:
-            os.close(handle)
-        os.replace(beside, self.directory / name)
-        self._sync_folder()
+            os.close(descriptor)
+        os.replace(temporary, self.directory / name)
+        self._sync_directory()
 
     def remove(self, name: str) -> None:
+        """Removes a file durably; a missing one is no error."""
         self._close(name)
         (self.directory / name).unlink(missing_ok=True)
-        self._sync_folder()
+        self._sync_directory()
 
     def truncate(self, name: str, size: int) -> None:
+        """Cuts a file to `size` bytes, durably."""
         self._close(name)
-        handle = os.open(self.directory / name, os.O_WRONLY)
+        descriptor = os.open(self.directory / name, os.O_WRONLY)
         try:
-            os.ftruncate(handle, size)
-            os.fsync(handle)
+            os.ftruncate(descriptor, size)
+            os.fsync(descriptor)
         finally:
-            os.close(handle)
+            os.close(descriptor)
 
     def close(self) -> None:
-        for name in list(self._open):
+        """Closes all files that appending has opened."""
+        for name in list(self._descriptors):
             self._close(name)
 
     def _close(self, name: str) -> None:
-        handle = self._open.pop(name, None)
-        if handle is not None:
-            os.close(handle)
+        descriptor = self._descriptors.pop(name, None)
+        if descriptor is not None:
+            os.close(descriptor)
 
-    def _sync_folder(self) -> None:
-        handle = os.open(self.directory, os.O_RDONLY)
+    def _sync_directory(self) -> None:
+        descriptor = os.open(self.directory, os.O_RDONLY)
         try:
-            os.fsync(handle)
+            os.fsync(descriptor)
         finally:
-            os.close(handle)
+            os.close(descriptor)
+
+
+def _write_all(descriptor: int, data: bytes) -> None:
+    rest = memoryview(data)
+    while rest:
+        rest = rest[os.write(descriptor, rest) :]
--- a/fernweir/seats/log.py
+++ b/fernweir/seats/log.py
@@ -1,57 +1,44 @@
 """An append-only log of records that survives crashes: segments, snapshots, compaction, recovery.
 
-A segment is a header and frames. A frame is its length and CRC32C (u32, little-endian each), the record's
-number and its base (u64 each), and its bytes; the checksum covers all but itself and the length. Numbers
-grow by one without a gap; the base is the newest number that was durable when the frame was written.
-Writes gather until `commit`, which writes them at once and syncs: what it returns for is durable.
-
-A crash can leave any part of what was not synced, in any order of pages. So a broken frame in the last
-segment is a torn tail, and cut off with all behind it, unless a whole frame behind it has a base that says
-it had been durable. Then, or with a gap in the numbers or a snapshot that doesn't match its checksum, it
-is damage, not a crash: it is refused with the place named, and nothing is changed.
+Records gather until `commit`, which writes them at once and syncs them: what it returns for is durable. See
+`log_format` for the bytes.
+
+A crash can leave any part of what was not synced, in any order of pages. So an invalid frame in the last
+segment is a torn tail and is cut off with everything behind it, unless a valid frame behind it has a base
+that shows that it had been durable. That is damage and no crash, and so is a gap in the sequence numbers or a
+snapshot that does not match its checksum: recovery fails, names the place, and changes nothing.
 """
 
 from __future__ import annotations
 
-import re
-import struct
-from collections.abc import Iterator
 from dataclasses import dataclass
 
-import google_crc32c
-
+from fernweir.seats import log_format
 from fernweir.seats.file_store import FileStore
+from fernweir.seats.log_format import LogCorruptedError, LogError, NumberedFile
 
-FORMAT = 1
-_MAGIC = b"FWSEAT"
-_HEADER = struct.Struct("<6sHQ")  # magic, format, number of the first record
-_FRAME = struct.Struct("<IIQQ")  # length, checksum, number, base
-_NUMBERS = struct.Struct("<QQ")
-_SNAPSHOT = struct.Struct("<6sHQII")  # magic, format, number of the last record in it, length, checksum
-_SEGMENT_NAME = re.compile(r"seats-(\d{20})\.log")
-_SNAPSHOT_NAME = re.compile(r"seats-(\d{20})\.snap")
-_MOST = 1 << 20
-
-
-class LogError(Exception):
-    """The log can't be read or written."""
-
-
-class LogCorruptedError(LogError):
-    """Something other than a torn tail is wrong: recovery would lose what was promised."""
-
-
-def _crc(number: int, base: int, body: bytes) -> int:
-    return int(google_crc32c.extend(google_crc32c.value(_NUMBERS.pack(number, base)), body))
-
-
-def encode_frame(number: int, base: int, body: bytes) -> bytes:
-    return _FRAME.pack(len(body), _crc(number, base, body), number, base) + body
+__all__ = [
+    "LogConfig",
+    "LogCorruptedError",
+    "LogError",
+    "RecoveredLog",
+    "SeatLog",
+    "compact_log",
+    "recover_log",
+]
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveredLog:
-    """What was there: a snapshot's bytes or None, the records after it, and what was cut off."""
+    """What a log contained.
+
+    Attributes:
+        snapshot: The state in the newest snapshot, or None.
+        records: The records after it, with their sequence numbers.
+        last_sequence: The sequence number of the newest record.
+        torn_bytes: The size of the torn tail.
+        torn_segment: The name of the segment that has it, or an empty string.
+    """
 
     snapshot: bytes | None
     records: list[tuple[int, bytes]]
@@ -62,63 +49,90 @@
 
 @dataclass(frozen=True, slots=True)
 class LogConfig:
+    """Sizes of a log.
+
+    Attributes:
+        segment_bytes: A segment of this size or more is followed by a new one.
+        records_per_snapshot: A snapshot is due after so many records.
+    """
+
     segment_bytes: int = 4_194_304
     records_per_snapshot: int = 100_000
 
 
 class SeatLog:
-    """Appends records and recovers them. One writer a folder."""
+    """Appends records and recovers them; a directory has one writer.
+
+    Attributes:
+        last_sequence: The sequence number of the newest record, durable or not.
+        durable_sequence: The sequence number of the newest durable record.
+        records_since_snapshot: The number of durable records after the newest snapshot.
+        failure: Why nothing more can be written, or None.
+    """
 
-    def __init__(self, files: FileStore, rules: LogConfig | None = None) -> None:
+    def __init__(self, files: FileStore, config: LogConfig | None = None) -> None:
         self._files = files
-        self._rules = rules or LogConfig()
+        self._config = config or LogConfig()
         self._pending: list[bytes] = []
         self._segment = ""
-        self._segment_size = 0
-        self.last_sequence = 0  # number of the newest record, durable or not
+        self._segment_bytes = 0
+        self.last_sequence = 0
         self.durable_sequence = 0
         self.records_since_snapshot = 0
         self.failure: LogError | None = None
 
     def open(self) -> RecoveredLog:
-        """Recovers what is there, cuts a torn tail off, and readies for appending."""
-        found = recover_log(self._files)
-        if found.torn_segment:
-            self._files.truncate(found.torn_segment, _whole_size(self._files.read(found.torn_segment)))
-        self.last_sequence = self.durable_sequence = found.last_sequence
-        self.records_since_snapshot = len(found.records)
-        segments = _segments(self._files)
-        if segments and _whole_size(self._files.read(segments[-1][1])) == 0:
-            self._files.remove(segments.pop()[1])  # a crash between making a segment and its header
+        """Recovers the records, cuts a torn tail off, and prepares for appending.
+
+        Raises:
+            LogCorruptedError: The log is damaged.
+            OSError: A file cannot be read or cut.
+        """
+        recovered = recover_log(self._files)
+        torn_segment = recovered.torn_segment
+        if torn_segment:
+            self._files.truncate(torn_segment, log_format.valid_size(self._files.read(torn_segment)))
+        self.last_sequence = self.durable_sequence = recovered.last_sequence
+        self.records_since_snapshot = len(recovered.records)
+        segments = log_format.list_segments(self._files)
+        if segments and log_format.valid_size(self._files.read(segments[-1].name)) == 0:
+            # A crash came between creating a segment and writing its header.
+            self._files.remove(segments.pop().name)
         if segments:
-            self._segment = segments[-1][1]
-            self._segment_size = len(self._files.read(self._segment))
-        return found
-
-    def append(self, body: bytes) -> int:
-        """Gathers a record; its number. Durable once `durable` has reached it."""
-        if len(body) > _MOST:
-            raise LogError(f"record of {len(body)} bytes")
+            self._segment = segments[-1].name
+            self._segment_bytes = len(self._files.read(self._segment))
+        return recovered
+
+    def append(self, record: bytes) -> int:
+        """Gathers a record and returns its sequence number; `commit` makes it durable.
+
+        Raises:
+            LogError: The record is too long.
+        """
+        if len(record) > log_format.MAX_RECORD_BYTES:
+            raise LogError(f"record of {len(record)} bytes")
         self.last_sequence += 1
-        self._pending.append(encode_frame(self.last_sequence, self.durable_sequence, body))
+        self._pending.append(log_format.encode_frame(self.last_sequence, self.durable_sequence, record))
         return self.last_sequence
 
     @property
     def pending_count(self) -> int:
+        """The number of records that wait for `commit`."""
         return len(self._pending)
 
     def commit(self) -> int:
-        """Writes and syncs all that was gathered, and gives the newest durable number.
+        """Writes and syncs the gathered records; returns the newest durable sequence number.
 
-        LogError when the disk refuses. The log is `broken` then: what a failed write left is unknown, so
-        nothing more is appended until it is opened anew.
+        Raises:
+            LogError: The disk refused, now or earlier. What a failed write has left is unknown, so nothing
+                more is written until the log is opened anew.
         """
         if self.failure is not None:
             raise self.failure
         if not self._pending:
             return self.durable_sequence
         try:
-            if not self._segment or self._segment_size >= self._rules.segment_bytes:
+            if not self._segment or self._segment_bytes >= self._config.segment_bytes:
                 self._begin_segment(self.last_sequence - len(self._pending) + 1)
             data = b"".join(self._pending)
             self._files.append(self._segment, data)
@@ -126,7 +140,7 @@
         except OSError as error:
             self.failure = LogError(f"{self._segment}: {error.strerror or error}")
             raise self.failure from error
-        self._segment_size += len(data)
+        self._segment_bytes += len(data)
         self.records_since_snapshot += len(self._pending)
         self._pending = []
         self.durable_sequence = self.last_sequence
@@ -134,161 +148,124 @@
 
     @property
     def is_snapshot_due(self) -> bool:
-        return self.records_since_snapshot >= self._rules.records_per_snapshot
+        """Whether enough records have been written since the newest snapshot."""
+        return self.records_since_snapshot >= self._config.records_per_snapshot
 
     def write_snapshot(self, state: bytes) -> None:
-        """Keeps the state as of the newest record, which must be durable, and drops what it covers."""
+        """Stores the state as of the newest record, and removes the files that it replaces.
+
+        Raises:
+            LogError: The disk refused, or records wait for `commit`.
+        """
         if self._pending:
             raise LogError("records wait to be committed")
-        head = _SNAPSHOT.pack(
-            _MAGIC, FORMAT, self.last_sequence, len(state), _crc(self.last_sequence, 0, state)
-        )
+        data = log_format.encode_snapshot(self.last_sequence, state)
         try:
-            self._files.replace(f"seats-{self.last_sequence:020d}.snap", head + state)
+            self._files.replace(log_format.snapshot_name(self.last_sequence), data)
             self._segment = ""  # the next record begins a segment of its own
             self.records_since_snapshot = 0
-            _drop_covered(self._files, self.last_sequence)
+            _remove_covered(self._files, self.last_sequence)
         except OSError as error:
             self.failure = LogError(f"snapshot: {error.strerror or error}")
             raise self.failure from error
 
-    def _begin_segment(self, first: int) -> None:
-        name = f"seats-{first:020d}.log"
-        self._files.append(name, _HEADER.pack(_MAGIC, FORMAT, first))
-        # On its own: a header that is bad with records behind it is then damage, never a crash.
+    def _begin_segment(self, first_sequence: int) -> None:
+        name = log_format.segment_name(first_sequence)
+        header = log_format.encode_segment_header(first_sequence)
+        self._files.append(name, header)
+        # Synced before any record: an invalid header with records behind it is then damage, never a crash.
         self._files.sync(name)
-        self._segment, self._segment_size = name, _HEADER.size
+        self._segment = name
+        self._segment_bytes = len(header)
 
 
 def recover_log(files: FileStore) -> RecoveredLog:
-    """Reads everything without changing anything. DamageError names what is wrong and where."""
-    snapshot, covered = _newest_snapshot(files)
-    records: list[tuple[int, bytes]] = []
-    last, torn, torn_in = covered, 0, ""
-    segments = _segments(files)
-    for index, (first, name) in enumerate(segments):
-        data = files.read(name)
-        if first > last + 1:
-            raise LogCorruptedError(f"{name}: records {last + 1} to {first - 1} are missing before it")
-        final = index == len(segments) - 1
-        if len(data) < _HEADER.size or (len(data) == _HEADER.size and not data.startswith(_MAGIC)):
-            if not final:
-                raise LogCorruptedError(f"{name}: no header, though segments follow")
-            torn, torn_in = len(data), name
-            break
-        magic, version, begins = _HEADER.unpack_from(data)
-        if magic != _MAGIC or begins != first:
-            raise LogCorruptedError(f"{name}: not a seat log")
-        if version != FORMAT:
-            raise LogCorruptedError(f"{name}: format {version}, this program reads {FORMAT}")
-        expected, whole = first, _HEADER.size
-        for number, body, end in _frames(data):
-            if number != expected:
-                raise LogCorruptedError(f"{name}: record {expected} expected at byte {whole}, found {number}")
-            if number > last:
-                records.append((number, body))
-                last = number
-            expected, whole = number + 1, end
-        if whole < len(data):
-            if not final or _was_durable(data, whole + 1, expected):
-                raise LogCorruptedError(
-                    f"{name}: record {expected} damaged at byte {whole}, with good ones behind it"
-                )
-            torn, torn_in = len(data) - whole, name
-    return RecoveredLog(snapshot, records, last, torn, torn_in)
-
-
-def compact_log(files: FileStore, state: bytes, last: int) -> None:
-    """Replaces everything up to record `last` by one snapshot of the state; offline."""
-    head = _SNAPSHOT.pack(_MAGIC, FORMAT, last, len(state), _crc(last, 0, state))
-    files.replace(f"seats-{last:020d}.snap", head + state)
-    _drop_covered(files, last)
-
-
-def _frames(data: bytes) -> Iterator[tuple[int, bytes, int]]:
-    """Whole frames from the start of a segment: number, body, end.
+    """Reads the whole log without changing anything.
 
-    `_frame_at` in a loop, written out: recovery spends half its time here.
+    Raises:
+        LogCorruptedError: The log is damaged; the message names what and where.
+        OSError: A file cannot be read.
     """
-    at, size, head = _HEADER.size, len(data), _FRAME.size
-    unpack, checksum = _FRAME.unpack_from, google_crc32c.value
-    while at + head <= size:
-        length, crc, number, _ = unpack(data, at)
-        end = at + head + length
-        if length > _MOST or end > size or checksum(data[at + 8 : end]) != crc:
-            return
-        yield number, data[at + head : end], end
-        at = end
-
-
-def _frame_at(data: bytes, at: int) -> tuple[int, bytes, int] | None:
-    if at + _FRAME.size > len(data):
-        return None
-    length, crc, number, _ = _FRAME.unpack_from(data, at)
-    end = at + _FRAME.size + length
-    if length > _MOST or end > len(data):
-        return None
-    # The checksum covers what follows it but the length: number, base and body, as they lie there.
-    good = google_crc32c.value(data[at + 8 : end]) == crc
-    return (number, data[at + _FRAME.size : end], end) if good else None
-
-
-def _was_durable(data: bytes, at: int, number: int) -> bool:
-    """Whether a whole frame further on says that record `number` had been synced before it was written."""
-    for start in range(at, len(data) - _FRAME.size + 1):
-        # The base is looked at first: checksums at every byte of a long tail would take minutes.
-        if _FRAME.unpack_from(data, start)[3] >= number and _frame_at(data, start) is not None:
-            return True
-    return False
-
-
-def _whole_size(data: bytes) -> int:
-    if len(data) < _HEADER.size or not data.startswith(_MAGIC):
-        return 0
-    size = _HEADER.size
-    for _, _, end in _frames(data):
-        size = end
-    return size
-
-
-def _segments(files: FileStore) -> list[tuple[int, str]]:
-    return sorted(
-        (int(match[1]), name) for name in files.list_names() if (match := _SEGMENT_NAME.fullmatch(name))
+    snapshots = log_format.list_snapshots(files)
+    snapshot = None
+    recovery = _Recovery(0)
+    if snapshots:
+        newest = snapshots[-1]
+        snapshot = log_format.decode_snapshot(newest, files.read(newest.name))
+        recovery = _Recovery(newest.sequence)
+    segments = log_format.list_segments(files)
+    for segment in segments:
+        recovery.read_segment(segment, files.read(segment.name), is_last=segment is segments[-1])
+    return RecoveredLog(
+        snapshot, recovery.records, recovery.last_sequence, recovery.torn_bytes, recovery.torn_segment
     )
 
 
-def _snapshots(files: FileStore) -> list[tuple[int, str]]:
-    return sorted(
-        (int(match[1]), name) for name in files.list_names() if (match := _SNAPSHOT_NAME.fullmatch(name))
-    )
-
+def compact_log(files: FileStore, state: bytes, last_sequence: int) -> None:
+    """Replaces everything up to record `last_sequence` by one snapshot of the state; offline.
 
-def _newest_snapshot(files: FileStore) -> tuple[bytes | None, int]:
-    found = _snapshots(files)
-    if not found:
-        return None, 0
-    last, name = found[-1]
-    data = files.read(name)
-    if len(data) < _SNAPSHOT.size:
-        raise LogCorruptedError(f"{name}: cut off, though snapshots are written whole")
-    magic, version, number, length, crc = _SNAPSHOT.unpack_from(data)
-    state = data[_SNAPSHOT.size :]
-    if magic != _MAGIC or number != last:
-        raise LogCorruptedError(f"{name}: not a snapshot of record {last}")
-    if version != FORMAT:
-        raise LogCorruptedError(f"{name}: format {version}, this program reads {FORMAT}")
-    if length != len(state) or _crc(number, 0, state) != crc:
-        raise LogCorruptedError(f"{name}: checksum does not match")
-    return state, last
-
-
-def _drop_covered(files: FileStore, last: int) -> None:
-    """Removes older snapshots and every segment whose records a snapshot of `last` holds."""
-    for number, name in _snapshots(files):
-        if number < last:
-            files.remove(name)
-    segments = _segments(files)
-    for index, (_, name) in enumerate(segments):
-        ends = segments[index + 1][0] - 1 if index + 1 < len(segments) else last
-        if ends <= last:
-            files.remove(name)
+    Raises:
+        OSError: A file cannot be written or removed.
+    """
+    data = log_format.encode_snapshot(last_sequence, state)
+    files.replace(log_format.snapshot_name(last_sequence), data)
+    _remove_covered(files, last_sequence)
+
+
+class _Recovery:
+    """The records that were read so far, and the torn tail."""
+
+    def __init__(self, covered_sequence: int) -> None:
+        self.records: list[tuple[int, bytes]] = []
+        self.last_sequence = covered_sequence
+        self.torn_bytes = 0
+        self.torn_segment = ""
+
+    def read_segment(self, segment: NumberedFile, data: bytes, *, is_last: bool) -> None:
+        """Reads the records of the next segment."""
+        missing_from, name = self.last_sequence + 1, segment.name
+        if segment.sequence > missing_from:
+            raise LogCorruptedError(
+                f"{name}: records {missing_from} to {segment.sequence - 1} are missing before it"
+            )
+        if not log_format.has_segment_header(data):
+            if not is_last:
+                raise LogCorruptedError(f"{name}: no header, though segments follow")
+            self.torn_bytes, self.torn_segment = len(data), name
+            return
+        log_format.check_segment_header(segment, data)
+        expected, valid_bytes = self._read_frames(segment, data)
+        if valid_bytes == len(data):
+            return
+        if not is_last or log_format.has_frame_based_on(data, valid_bytes + 1, expected):
+            raise LogCorruptedError(
+                f"{name}: record {expected} damaged at byte {valid_bytes}, with good ones behind it"
+            )
+        self.torn_bytes, self.torn_segment = len(data) - valid_bytes, name
+
+    def _read_frames(self, segment: NumberedFile, data: bytes) -> tuple[int, int]:
+        """Reads the valid frames; returns the sequence number and the position of what follows them."""
+        expected, position = segment.sequence, log_format.SEGMENT_HEADER_BYTES
+        for sequence, record, end in log_format.iterate_frames(data):
+            if sequence != expected:
+                raise LogCorruptedError(
+                    f"{segment.name}: record {expected} expected at byte {position}, found {sequence}"
+                )
+            if sequence > self.last_sequence:
+                self.records.append((sequence, record))
+                self.last_sequence = sequence
+            expected, position = sequence + 1, end
+        return expected, position
+
+
+def _remove_covered(files: FileStore, last_sequence: int) -> None:
+    """Removes older snapshots, and every segment whose records a snapshot of `last_sequence` contains."""
+    for snapshot in log_format.list_snapshots(files):
+        if snapshot.sequence < last_sequence:
+            files.remove(snapshot.name)
+    segments = log_format.list_segments(files)
+    for index, segment in enumerate(segments):
+        has_successor = index + 1 < len(segments)
+        last_in_segment = segments[index + 1].sequence - 1 if has_successor else last_sequence
+        if last_in_segment <= last_sequence:
+            files.remove(segment.name)
--- a/fernweir/seats/memory_file_store.py
+++ b/fernweir/seats/memory_file_store.py
@@ -1,6 +1,7 @@
-"""Files in memory with a disk's bad ways: what was not synced can be lost, torn, or refused.
+"""Files in memory that behave like those of a failing disk, for simulations and tests.
 
-For rehearsals and tests. `crash` gives the files as a restart would find them.
+Unsynced data can be lost or torn, and any operation can fail; `crash` returns the files as a restart finds
+them.
 """
 
 from __future__ import annotations
@@ -9,17 +10,27 @@
 from collections.abc import Callable
 from random import Random
 
+_PAGE_BYTES = 64
+_PAGE_SURVIVES = 0.5  # probability
+
 
 class SimulatedCrash(BaseException):
-    """The process dies here: nothing after this call happens."""
+    """The process ends at this call: nothing after it happens."""
 
 
 class MemoryFileStore:
-    """`before` is called with the name of each operation, and may raise OSError or Killed."""
+    """A `FileStore` in memory."""
 
     def __init__(
         self, before_operation: Callable[[str], None] | None = None, capacity_bytes: int | None = None
     ) -> None:
+        """Creates a store without files.
+
+        Args:
+            before_operation: Called with the name of each operation that changes a file; it may raise
+                OSError or SimulatedCrash.
+            capacity_bytes: The size of all files at which the disk is full, or None.
+        """
         self.before_operation = before_operation
         self.capacity_bytes = capacity_bytes
         self.operation_count = 0
@@ -27,60 +38,86 @@
         self._synced: dict[str, bytes] = {}
 
     def list_names(self) -> list[str]:
+        """Returns the sorted names of all files."""
         return sorted(self._written)
 
     def read(self, name: str) -> bytes:
+        """Returns the content of a file."""
         return bytes(self._written[name])
 
     def append(self, name: str, data: bytes) -> None:
-        self._step(f"append {name}")
+        """Appends to a file.
+
+        Raises:
+            OSError: The disk is full; what still fitted has been written.
+        """
+        self._begin_operation(f"append {name}")
         if self.capacity_bytes is not None:
-            fits = max(self.capacity_bytes - sum(map(len, self._written.values())), 0)
-            if fits < len(data):
-                self._written.setdefault(name, bytearray()).extend(data[:fits])
+            used_bytes = sum(map(len, self._written.values()))
+            free_bytes = max(self.capacity_bytes - used_bytes, 0)
+            if free_bytes < len(data):
+                self._written.setdefault(name, bytearray()).extend(data[:free_bytes])
                 raise OSError(errno.ENOSPC, "No space left on device")
         self._written.setdefault(name, bytearray()).extend(data)
 
     def sync(self, name: str) -> None:
-        self._step(f"sync {name}")
+        """Makes what was appended to a file durable."""
+        self._begin_operation(f"sync {name}")
         self._synced[name] = bytes(self._written[name])
 
     def replace(self, name: str, data: bytes) -> None:
-        self._step(f"replace {name}")
+        """Replaces the content of a file durably."""
+        self._begin_operation(f"replace {name}")
         self._written[name] = bytearray(data)
         self._synced[name] = bytes(data)
 
     def remove(self, name: str) -> None:
-        self._step(f"remove {name}")
+        """Removes a file durably; a missing one is no error."""
+        self._begin_operation(f"remove {name}")
         self._written.pop(name, None)
         self._synced.pop(name, None)
 
     def truncate(self, name: str, size: int) -> None:
-        self._step(f"truncate {name}")
+        """Cuts a file to `size` bytes, durably."""
+        self._begin_operation(f"truncate {name}")
         del self._written[name][size:]
         self._synced[name] = bytes(self._written[name])
 
-    def crash(self, rng: Random, page_bytes: int = 64) -> MemoryFileStore:
-        """The disk after a crash: of what was not synced, any pages, in part, in any order, or none."""
-        left = MemoryFileStore()
+    def crash(self, rng: Random, page_bytes: int = _PAGE_BYTES) -> MemoryFileStore:
+        """Returns the disk after a crash.
+
+        Of each file's unsynced data all, nothing, the beginning, or any pages survive; a lost page before one
+        that survived reads as zeros.
+
+        Args:
+            rng: Decides what survives.
+            page_bytes: The size of a page.
+        """
+        survivors = MemoryFileStore()
         for name, data in self._written.items():
             synced = self._synced.get(name, b"")
-            kept = bytearray(synced)
-            rest = bytes(data[len(synced) :])
-            how = rng.choice(("none", "all", "cut", "pages"))
-            if how == "all":
-                kept += rest
-            elif how == "cut":
-                kept += rest[: rng.randrange(len(rest) + 1)]
-            elif how == "pages":
-                for start in range(0, len(rest), page_bytes):
-                    part = rest[start : start + page_bytes]
-                    kept += part if rng.random() < 0.5 else bytes(len(part))
-            if kept or name in self._synced:
-                left._written[name], left._synced[name] = kept, bytes(kept)
-        return left
-
-    def _step(self, what: str) -> None:
+            content = synced + _surviving_part(bytes(data[len(synced) :]), rng, page_bytes)
+            if content or name in self._synced:
+                survivors._written[name] = bytearray(content)
+                survivors._synced[name] = content
+        return survivors
+
+    def _begin_operation(self, operation: str) -> None:
         self.operation_count += 1
         if self.before_operation is not None:
-            self.before_operation(what)
+            self.before_operation(operation)
+
+
+def _surviving_part(unsynced: bytes, rng: Random, page_bytes: int) -> bytes:
+    survival = rng.choice(("none", "all", "cut", "pages"))
+    if survival == "all":
+        return unsynced
+    if survival == "cut":
+        return unsynced[: rng.randrange(len(unsynced) + 1)]
+    if survival == "none":
+        return b""
+    pages = bytearray()
+    for start in range(0, len(unsynced), page_bytes):
+        page = unsynced[start : start + page_bytes]
+        pages += page if rng.random() < _PAGE_SURVIVES else bytes(len(page))
+    return bytes(pages)
--- a/fernweir/seats/reconciliation.py
+++ b/fernweir/seats/reconciliation.py
@@ -1,23 +1,32 @@
-"""Compares what the entitlement server says a front holds with the book; free of I/O and clock.
+"""Compares the leases that the entitlement server lists for a front with its seats; free of I/O and clock.
 
-The two go different ways while requests are out, so only what stood still is compared, and only what two
-reports in a row say is acted upon. Acting is never final: a seat the server doesn't list is asked about by
-an early renewal, whose answer decides; a lease the book doesn't know is given back by its key. A report
-that contradicts itself, or is older than what the server has told us already, gives nothing back.
+The two differ while requests are in flight, so only leases that did not change are compared, and only what
+two reports in a row say is acted upon. No action is final: a seat that the server does not list is renewed
+early, and that response decides; a lease that the front does not know is released by its key. A report that
+contradicts itself, or is older than what the server has told before, has no effect.
 """
 
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Callable, Mapping
+from collections.abc import Hashable, Mapping
 from dataclasses import dataclass, field
+from typing import NamedTuple, TypeVar
 
-from fernweir.seats.seat_manager import Seat, SeatManager, SeatState
+from fernweir.seats.seat import Seat, SeatState
+from fernweir.seats.seat_manager import SeatManager
 
 
 @dataclass(frozen=True, slots=True)
 class ListedLease:
-    """One lease of this front, as the server lists it; `key` is the idempotency key it was asked under."""
+    """One lease of this front, as the server lists it.
+
+    Attributes:
+        lease_id: The server's name of the lease.
+        session_id: The session.
+        generation: The number of the acquisition, from its idempotency key.
+        fence: The fencing number of the lease.
+    """
 
     lease_id: str
     session_id: str
@@ -27,7 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageReport:
-    """`fence` is the newest the server had given out; `used` is by (tenant, lesson, class), of all fronts."""
+    """What the server says of the leases of this front.
+
+    Attributes:
+        fence: The newest fencing number that the server has given out.
+        total: The number of leases of this front.
+        leases: These leases.
+        used: The used seats of all fronts, by tenant, title and class.
+    """
 
     fence: int
     total: int
@@ -37,131 +53,174 @@
 
 @dataclass(frozen=True, slots=True)
 class ReconciliationResult:
-    """What a report led to. `contradiction` says why it was not believed, or nothing."""
+    """What a report led to.
+
+    Attributes:
+        contradiction: Why the report was rejected, or an empty string.
+        renewed_sessions: Sessions whose leases the server did not list, and which are renewed early.
+        released_leases: IDs of leases that the front did not know, and which are released.
+        unconfirmed_count: Differences that are acted upon if the next report shows them too.
+    """
 
     contradiction: str = ""
-    renewed_sessions: tuple[str, ...] = ()  # sessions whose renewal was brought forward
-    released_leases: tuple[str, ...] = ()  # leases given back
-    unconfirmed_count: int = 0  # seen once, and acted on if the next report says so too
+    renewed_sessions: tuple[str, ...] = ()
+    released_leases: tuple[str, ...] = ()
+    unconfirmed_count: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class ReconciliationConfig:
-    """`most` are acted on a report, so that a large difference is worked off and does not come as a flood."""
+    """When differences are acted upon.
+
+    Attributes:
+        max_actions: Actions of each kind for one report, so that a large difference does not cause a burst.
+        required_reports: Reports in a row that must show a difference.
+    """
 
     max_actions: int = 64
     required_reports: int = 2
 
 
+class _MissingLease(NamedTuple):
+    """An active seat whose lease the server does not list."""
+
+    session_id: str
+    lease_id: str
+
+
+class _UnknownLease(NamedTuple):
+    """A listed lease that the front does not know."""
+
+    session_id: str
+    generation: int
+    lease_id: str
+
+
+_Difference = TypeVar("_Difference", bound=Hashable)
+
+
 class Reconciler:
-    """`asked` when the server is asked for its use, `judge` when its report is here."""
+    """Applies the server's reports to a seat manager."""
 
-    def __init__(self, book: SeatManager, rules: ReconciliationConfig | None = None) -> None:
-        self.seat_manager, self.config = book, rules or ReconciliationConfig()
+    def __init__(self, seat_manager: SeatManager, config: ReconciliationConfig | None = None) -> None:
+        self.seat_manager = seat_manager
+        self.config = config or ReconciliationConfig()
         self.contradiction_count = 0
-        self._asked_at: float | None = None
-        self._missing: Counter[tuple[str, str]] = Counter()
-        self._strays: Counter[tuple[str, str]] = Counter()
+        self._requested_at_ms: float | None = None
+        self._missing: Counter[_MissingLease] = Counter()
+        self._unknown: Counter[_UnknownLease] = Counter()
 
     def on_report_requested(self, now: float) -> None:
-        self._asked_at = now
+        """Records when the server is asked for its report; `now` is in milliseconds."""
+        self._requested_at_ms = now
 
     def on_report(self, now: float, report: UsageReport) -> ReconciliationResult:
-        """Compares and acts. Only after `asked`; a report nobody asked for is a ValueError."""
-        if self._asked_at is None:
+        """Compares a report and acts on confirmed differences.
+
+        Args:
+            now: Monotonic time in milliseconds.
+            report: The server's report.
+
+        Raises:
+            ValueError: No report was requested.
+        """
+        if self._requested_at_ms is None:
             raise ValueError("a report that was not asked for")
-        asked_at, self._asked_at = self._asked_at, None
-        contradiction = self._contradiction(asked_at, report)
+        requested_at_ms = self._requested_at_ms
+        self._requested_at_ms = None
+        contradiction = _contradiction_in(report) or self._contradiction_to_seats(requested_at_ms, report)
         if contradiction:
             self.contradiction_count += 1
-            self._strays.clear()  # what it said before is in doubt too
+            # What earlier reports said is in doubt too.
+            self._unknown.clear()
             self._missing.clear()
             return ReconciliationResult(contradiction)
-        missing = self._act(self._missing, self._not_listed(asked_at, report), self._recheck(now))
-        strays = self._act(self._strays, self._not_known(asked_at, report), self._give_back(now))
-        watched = len(self._missing) + len(self._strays)
+        missing = self._confirm(self._missing, self._find_missing(requested_at_ms, report))
+        for seat in missing:
+            self.seat_manager.renew_early(now, seat.session_id)
+        unknown = self._confirm(self._unknown, self._find_unknown(requested_at_ms, report))
+        for lease in unknown:
+            self.seat_manager.release_unknown_lease(now, lease.session_id, lease.generation)
         return ReconciliationResult(
-            "", tuple(one for one, _ in missing), tuple(one for _, one in strays), watched
+            renewed_sessions=tuple(seat.session_id for seat in missing),
+            released_leases=tuple(lease.lease_id for lease in unknown),
+            unconfirmed_count=len(self._missing) + len(self._unknown),
         )
 
-    def _contradiction(self, asked_at: float, report: UsageReport) -> str:
-        if report.total != len(report.leases):
-            return f"it says {report.total} leases and lists {len(report.leases)}"
-        if len({one.lease_id for one in report.leases}) != len(report.leases):
-            return "it lists a lease twice"
-        newest = max((one.fence for one in report.leases), default=0)
-        if newest > report.fence:
-            return f"a lease's fence is {newest}, its newest is {report.fence}"
-        known = {one.session_id: one.lease_id for one in report.leases}
-        seats = self.seat_manager.seats.values()
-        ours = [
-            seat
-            for seat in seats
-            if seat.record.lease_id and known.get(seat.record.session_id) == seat.record.lease_id
-        ]
-        told = max((seat.record.fence for seat in ours if _stood_still(seat, asked_at)), default=0)
-        if told > report.fence:
-            return f"it told us fence {told} before, and now {report.fence}"
-        held = Counter((seat.record.tenant, seat.record.title, seat.record.class_name) for seat in ours)
-        for place, count in held.items():
+    def _contradiction_to_seats(self, requested_at_ms: float, report: UsageReport) -> str:
+        """Says how the report contradicts what the server told before, or returns an empty string."""
+        lease_ids = {lease.session_id: lease.lease_id for lease in report.leases}
+        own_seats = [seat for seat in self.seat_manager.seats.values() if _is_listed(seat, lease_ids)]
+        unchanged_fences = (seat.record.fence for seat in own_seats if _is_unchanged(seat, requested_at_ms))
+        known_fence = max(unchanged_fences, default=0)
+        if known_fence > report.fence:
+            return f"it told us fence {known_fence} before, and now {report.fence}"
+        own_counts = Counter(
+            (seat.record.tenant, seat.record.title, seat.record.class_name) for seat in own_seats
+        )
+        for place, count in own_counts.items():
             if place in report.used and report.used[place] < count:
                 where = "/".join(place)
                 return f"it says {report.used[place]} used in {where} and lists {count} of ours"
         return ""
 
-    def _not_listed(self, asked_at: float, report: UsageReport) -> list[tuple[str, str]]:
-        listed = {one.lease_id for one in report.leases}
+    def _find_missing(self, requested_at_ms: float, report: UsageReport) -> list[_MissingLease]:
+        listed_ids = {lease.lease_id for lease in report.leases}
         return [
-            (seat.record.session_id, seat.record.lease_id)
+            _MissingLease(seat.record.session_id, seat.record.lease_id)
             for seat in self.seat_manager.seats.values()
-            if _stood_still(seat, asked_at) and seat.record.lease_id not in listed
+            if _is_unchanged(seat, requested_at_ms) and seat.record.lease_id not in listed_ids
         ]
 
-    def _not_known(self, asked_at: float, report: UsageReport) -> list[tuple[str, str]]:
-        strays = []
-        for one in report.leases:
-            seat = self.seat_manager.seats.get(one.session_id)
-            if seat is not None and (
-                seat.record.generation == one.generation
-                or seat.request_id is not None
-                or seat.sent_at_ms >= asked_at
-            ):
-                continue  # ours, or on its way to be
-            if self.seat_manager.is_releasing_unknown_lease(one.session_id, one.generation):
+    def _find_unknown(self, requested_at_ms: float, report: UsageReport) -> list[_UnknownLease]:
+        unknown: list[_UnknownLease] = []
+        for lease in report.leases:
+            seat = self.seat_manager.seats.get(lease.session_id)
+            if seat is not None and _may_own(seat, lease, requested_at_ms):
+                continue
+            if self.seat_manager.is_releasing_unknown_lease(lease.session_id, lease.generation):
                 continue
-            strays.append((f"{one.session_id}.{one.generation}", one.lease_id))
-        return strays
-
-    def _act(
-        self,
-        seen: Counter[tuple[str, str]],
-        found: list[tuple[str, str]],
-        act: Callable[[tuple[str, str]], None],
-    ) -> list[tuple[str, str]]:
-        """Counts what was found in reports in a row; acts on what was found often enough."""
-        for gone in set(seen) - set(found):
-            del seen[gone]
-        done: list[tuple[str, str]] = []
-        for one in found:
-            seen[one] += 1
-            if seen[one] >= self.config.required_reports and len(done) < self.config.max_actions:
-                act(one)
-                del seen[one]
-                done.append(one)
-        return done
-
-    def _recheck(self, now: float) -> Callable[[tuple[str, str]], None]:
-        return lambda one: self.seat_manager.renew_early(now, one[0])
-
-    def _give_back(self, now: float) -> Callable[[tuple[str, str]], None]:
-        def act(one: tuple[str, str]) -> None:
-            session, _, generation = one[0].rpartition(".")
-            self.seat_manager.release_unknown_lease(now, session, int(generation))
-
-        return act
-
-
-def _stood_still(seat: Seat, since: float) -> bool:
-    """Whether a held seat's last answer came before `since`, and nothing has been sent after it."""
-    answered_at = seat.latest_expiry_ms - seat.ttl_ms
-    return seat.state is SeatState.ACTIVE and seat.request_id is None and answered_at < since
+            unknown.append(_UnknownLease(lease.session_id, lease.generation, lease.lease_id))
+        return unknown
+
+    def _confirm(self, sightings: Counter[_Difference], found: list[_Difference]) -> list[_Difference]:
+        """Counts the reports in a row that show a difference; returns those to act upon now."""
+        for resolved in set(sightings) - set(found):
+            del sightings[resolved]
+        confirmed: list[_Difference] = []
+        for difference in found:
+            sightings[difference] += 1
+            is_confirmed = sightings[difference] >= self.config.required_reports
+            if is_confirmed and len(confirmed) < self.config.max_actions:
+                del sightings[difference]
+                confirmed.append(difference)
+        return confirmed
+
+
+def _contradiction_in(report: UsageReport) -> str:
+    """Says how a report contradicts itself, or returns an empty string."""
+    if report.total != len(report.leases):
+        return f"it says {report.total} leases and lists {len(report.leases)}"
+    if len({lease.lease_id for lease in report.leases}) != len(report.leases):
+        return "it lists a lease twice"
+    newest_fence = max((lease.fence for lease in report.leases), default=0)
+    if newest_fence > report.fence:
+        return f"a lease's fence is {newest_fence}, its newest is {report.fence}"
+    return ""
+
+
+def _is_listed(seat: Seat, lease_ids: Mapping[str, str]) -> bool:
+    """Whether a report lists a seat's lease; `lease_ids` are by session ID."""
+    return bool(seat.record.lease_id) and lease_ids.get(seat.record.session_id) == seat.record.lease_id
+
+
+def _is_unchanged(seat: Seat, since_ms: float) -> bool:
+    """Whether an active seat's last response came before `since_ms`, and nothing was requested after it."""
+    responded_at_ms = seat.latest_expiry_ms - seat.ttl_ms
+    return seat.state is SeatState.ACTIVE and seat.request_id is None and responded_at_ms < since_ms
+
+
+def _may_own(seat: Seat, lease: ListedLease, requested_at_ms: float) -> bool:
+    """Whether a listed lease is the seat's, or became it while the report was made."""
+    is_same_acquisition = seat.record.generation == lease.generation
+    return is_same_acquisition or seat.request_id is not None or seat.sent_at_ms >= requested_at_ms
--- a/fernweir/seats/records.py
+++ b/fernweir/seats/records.py
@@ -1,4 +1,4 @@
-"""What the seat log holds: one JSON array a record, and the state that they fold into."""
+"""Records of the seat log, each one JSON array, and the table of seats that they add up to."""
 
 from __future__ import annotations
 
@@ -13,17 +13,29 @@
 
 
 class RecordError(ValueError):
-    """A record or snapshot has a good checksum and says nothing that is known."""
+    """A record or snapshot has a valid checksum and cannot be decoded."""
 
 
 @dataclass(slots=True)
 class SeatRecord:
-    """One seat as the log knows it: asked for under a key, perhaps held under a lease.
-
-    Treated as a value, never changed; not frozen, as making frozen ones slows recovery. `until` is wall
-    time in seconds, for after a restart; while the front runs, monotonic time decides. `asked_at` is wall
-    time too, of the first ask under this generation: of two fronts that ask for one session, the later one
-    has it.
+    """One seat as the log stores it: requested under a key, and perhaps granted under a lease.
+
+    A value that is never changed; not frozen, because creating frozen instances slows recovery.
+
+    Attributes:
+        session_id: The session.
+        generation: The number of the acquisition; with the session ID it is the idempotency key.
+        tenant: The tenant whose seats are counted.
+        title: The title that is watched.
+        class_name: The session's class.
+        subject: The viewer, as the token names it.
+        priority_weight: The weight of the session in the send queue.
+        lease_id: The server's name of the lease, or an empty string.
+        fence: The fencing number of the lease.
+        expires_at_s: Wall time in seconds when the lease expires, for use after a restart; a running front
+            goes by monotonic time.
+        requested_at_s: Wall time in seconds of the acquisition's first request; of two fronts that request
+            one session's seat, the later one gets it.
     """
 
     session_id: str
@@ -38,61 +50,101 @@
     expires_at_s: float = 0.0
     requested_at_s: float = 0.0
 
+    def with_lease(self, lease_id: str, fence: int) -> SeatRecord:
+        """The record after a grant or renewal; an empty `lease_id` stands for the present lease."""
+        return SeatRecord(
+            self.session_id,
+            self.generation,
+            self.tenant,
+            self.title,
+            self.class_name,
+            self.subject,
+            self.priority_weight,
+            lease_id or self.lease_id,
+            fence,
+            self.expires_at_s,
+            self.requested_at_s,
+        )
+
+    def with_generation(self, generation: int, requested_at_s: float) -> SeatRecord:
+        """The record of a new acquisition of the same seat, which has no lease yet."""
+        return SeatRecord(
+            self.session_id,
+            generation,
+            self.tenant,
+            self.title,
+            self.class_name,
+            self.subject,
+            self.priority_weight,
+            requested_at_s=requested_at_s,
+        )
+
 
 SeatTable = dict[str, SeatRecord]
-_BATCH = 4_096
-_LEASE = 7  # where a row's lease, fence and time begin
+"""Seats by session ID."""
+
+_DECODED_TOGETHER = 4_096
+_LEASE_COLUMN, _FENCE_COLUMN, _EXPIRY_COLUMN = 7, 8, 9
+_MAX_QUOTED_BYTES = 40
 
 
-def encode_requested(seat: SeatRecord) -> bytes:
-    return _encode(["ask", *_row(seat)])
+def encode_requested(record: SeatRecord) -> bytes:
+    """Encodes that a seat is requested, before the request is sent."""
+    return _encode(["ask", *_row(record)])
 
 
-def encode_granted(session: str, lease: str, fence: int, until: float) -> bytes:
-    return _encode(["held", session, lease, fence, until])
+def encode_granted(session_id: str, lease_id: str, fence: int, expires_at_s: float) -> bytes:
+    """Encodes that a lease was granted; `expires_at_s` is wall time in seconds."""
+    return _encode(["held", session_id, lease_id, fence, expires_at_s])
 
 
-def encode_removed(session: str) -> bytes:
-    return _encode(["gone", session])
+def encode_removed(session_id: str) -> bytes:
+    """Encodes that a seat is no longer held."""
+    return _encode(["gone", session_id])
 
 
 def apply_record(table: SeatTable, body: bytes) -> None:
-    """Applies one record to the table."""
+    """Applies one record to the table.
+
+    Raises:
+        RecordError: The record cannot be decoded.
+    """
     try:
-        record = json.loads(body)
-        kind = record[0]
-        if kind == "ask":
-            table[record[1]] = SeatRecord(*record[1:])
-        elif kind == "held":
-            _, session, lease, fence, until = record
-            old = table.get(session)
-            if old is not None:
-                table[session] = SeatRecord(
-                    session,
-                    old.generation,
-                    old.tenant,
-                    old.title,
-                    old.class_name,
-                    old.subject,
-                    old.priority_weight,
-                    lease,
-                    fence,
-                    until,
-                    old.requested_at_s,
-                )
-        elif kind == "gone":
-            table.pop(record[1], None)
-        else:
-            raise RecordError(f"unknown record {kind!r}")
+        _apply_decoded(table, json.loads(body))
     except (ValueError, TypeError, LookupError) as error:
-        raise RecordError(f"record {body[:40]!r}: {error}") from None
+        raise RecordError(f"record {body[:_MAX_QUOTED_BYTES]!r}: {error}") from None
+
+
+def _apply_decoded(table: SeatTable, fields: list[Any]) -> None:
+    kind = fields[0]
+    if kind == "ask":
+        table[fields[1]] = SeatRecord(*fields[1:])
+    elif kind == "held":
+        _, session_id, lease_id, fence, expires_at_s = fields
+        requested = table.get(session_id)
+        if requested is not None:
+            row = _row(requested)
+            row[_LEASE_COLUMN] = lease_id
+            row[_FENCE_COLUMN] = fence
+            row[_EXPIRY_COLUMN] = expires_at_s
+            table[session_id] = SeatRecord(*row)
+    elif kind == "gone":
+        table.pop(fields[1], None)
+    else:
+        raise RecordError(f"unknown record {kind!r}")
 
 
 def encode_table(table: SeatTable) -> bytes:
-    return _encode([_row(seat) for seat in table.values()])
+    """Encodes the table for a snapshot."""
+    return _encode([_row(record) for record in table.values()])
 
 
 def decode_table(body: bytes | None) -> SeatTable:
+    """Decodes a snapshot; without one the table is empty.
+
+    Raises:
+        RecordError: The snapshot cannot be decoded.
+    """
     if body is None:
         return {}
     try:
@@ -101,78 +153,90 @@
         raise RecordError(f"snapshot: {error}") from None
 
 
-def rebuild_table(snapshot: bytes | None, records: Sequence[tuple[int, bytes]]) -> SeatTable:
-    """The table that a recovered log stands for; as `fold` over all, a third of its time.
+def rebuild_table(snapshot: bytes | None, log_records: Sequence[tuple[int, bytes]]) -> SeatTable:
+    """Returns the table that a recovered log adds up to, as `apply_record` for each, in a third of its time.
+
+    Records are decoded many at once and applied to rows. A batch that does not decode into as many arrays as
+    it has records is applied one by one, so that the error names the record.
+
+    Args:
+        snapshot: The snapshot, or None.
+        log_records: The records after it, with their sequence numbers.
 
-    Records are decoded many at once and folded as rows; a batch that doesn't decode into as many arrays as
-    it had records is folded one by one, so that the error names the record.
+    Raises:
+        RecordError: The snapshot or a record cannot be decoded.
     """
-    with _collector_paused():
-        rows: dict[str, list[Any]] = {seat.session_id: _row(seat) for seat in decode_table(snapshot).values()}
-        for first in range(0, len(records), _BATCH):
-            bodies = [body for _, body in records[first : first + _BATCH]]
+    with _paused_garbage_collector():
+        rows: dict[str, list[Any]] = {
+            record.session_id: _row(record) for record in decode_table(snapshot).values()
+        }
+        for first in range(0, len(log_records), _DECODED_TOGETHER):
+            bodies = [body for _, body in log_records[first : first + _DECODED_TOGETHER]]
             try:
-                _fold_rows(rows, bodies)
+                _apply_to_rows(rows, bodies)
             except (ValueError, TypeError, LookupError):
-                return _fold_slowly(snapshot, records)
+                return _rebuild_one_by_one(snapshot, log_records)
         try:
-            return {session: SeatRecord(*row) for session, row in rows.items()}
+            return {session_id: SeatRecord(*row) for session_id, row in rows.items()}
         except TypeError:
-            return _fold_slowly(snapshot, records)
+            return _rebuild_one_by_one(snapshot, log_records)
 
 
-def _fold_slowly(snapshot: bytes | None, records: Iterable[tuple[int, bytes]]) -> SeatTable:
+def _rebuild_one_by_one(snapshot: bytes | None, log_records: Iterable[tuple[int, bytes]]) -> SeatTable:
     table = decode_table(snapshot)
-    for _, body in records:
+    for _, body in log_records:
         apply_record(table, body)
     return table
 
 
-def _fold_rows(rows: dict[str, list[Any]], bodies: list[bytes]) -> None:
+def _apply_to_rows(rows: dict[str, list[Any]], bodies: list[bytes]) -> None:
     batch = orjson.loads(b"[" + b",".join(bodies) + b"]")
     if len(batch) != len(bodies):
         raise ValueError("not one array a record")
-    for record in batch:
-        kind, session = record[0], record[1]
+    for fields in batch:
+        kind, session_id = fields[0], fields[1]
         if kind == "held":
-            _, _, lease, fence, until = record
-            row = rows.get(session)
+            _, _, lease_id, fence, expires_at_s = fields
+            row = rows.get(session_id)
             if row is not None:
-                row[_LEASE], row[_LEASE + 1], row[_LEASE + 2] = lease, fence, until
+                # By index, so that a row that is too short fails instead of growing.
+                row[_LEASE_COLUMN] = lease_id
+                row[_FENCE_COLUMN] = fence
+                row[_EXPIRY_COLUMN] = expires_at_s
         elif kind == "ask":
-            del record[0]
-            rows[session] = record
+            del fields[0]
+            rows[session_id] = fields
         elif kind == "gone":
-            rows.pop(session, None)
+            rows.pop(session_id, None)
         else:
             raise ValueError("unknown record")
 
 
 @contextmanager
-def _collector_paused() -> Iterator[None]:
-    """A million rows made at once hold no cycles; looking for some again and again costs half the time."""
-    was = gc.isenabled()
+def _paused_garbage_collector() -> Iterator[None]:
+    """Pauses the garbage collector: a million new rows without cycles would cost it half of the time."""
+    was_enabled = gc.isenabled()
     gc.disable()
     try:
         yield
     finally:
-        if was:
+        if was_enabled:
             gc.enable()
 
 
-def _row(seat: SeatRecord) -> list[Any]:
+def _row(record: SeatRecord) -> list[Any]:
     return [
-        seat.session_id,
-        seat.generation,
-        seat.tenant,
-        seat.title,
-        seat.class_name,
-        seat.subject,
-        seat.priority_weight,
-        seat.lease_id,
-        seat.fence,
-        seat.expires_at_s,
-        seat.requested_at_s,
+        record.session_id,
+        record.generation,
+        record.tenant,
+        record.title,
+        record.class_name,
+        record.subject,
+        record.priority_weight,
+        record.lease_id,
+        record.fence,
+        record.expires_at_s,
+        record.requested_at_s,
     ]
 
 
--- a/fernweir/seats/timing_wheel.py
+++ b/fernweir/seats/timing_wheel.py
@@ -1,9 +1,9 @@
-"""A hierarchical timing wheel (Varghese and Lauck, 1987): timers that are mostly moved or cancelled.
+"""A hierarchical timing wheel (Varghese and Lauck, 1987), for timers that are mostly moved or cancelled.
 
-Renewals are set for each session and nearly always set again before they fire, many thousands in the same
-second. Setting and cancelling cost the same however many there are; a timer is touched at most once a
-level on its way down. Times are integer ticks; what falls due in one tick comes in the order of its exact
-time, then of its setting.
+Renewal timers are set for each session and nearly always set again before they fire, many thousands of them
+for the same second. Setting and cancelling take the same time however many there are; a timer is touched at
+most once a level on its way down. Positions are integer ticks; timers that are due in one tick fire in the
+order of their exact deadlines, then in the order in which they were set.
 """
 
 from __future__ import annotations
@@ -12,142 +12,160 @@
 from typing import Generic, TypeVar
 
 T = TypeVar("T")
-_BITS = 8
-_SLOTS = 1 << _BITS
-_MASK = _SLOTS - 1
-_FULL = (1 << _SLOTS) - 1
-_SPAN = _BITS * 5
+
+_BITS_PER_LEVEL = 8
+_SLOTS = 1 << _BITS_PER_LEVEL
+_SLOT_MASK = _SLOTS - 1
+_ALL_SLOTS_USED = (1 << _SLOTS) - 1
 _LEVELS = 5
+_TOTAL_BITS = _BITS_PER_LEVEL * _LEVELS
 
 
 @dataclass(slots=True, eq=False)
 class Timer(Generic[T]):
-    """A handle. `item` is None once it fired or was cancelled."""
+    """A timer that was set.
+
+    Attributes:
+        deadline: When it is due.
+        sequence: Its number in the order of setting.
+        value: What `advance` returns for it; None once it has fired or was cancelled.
+    """
 
     deadline: float
     sequence: int
-    item: T | None
+    value: T | None
 
 
 class TimingWheel(Generic[T]):
-    """`tick` is the resolution, in the unit of all times. Timers never fire early."""
+    """Timers in slots of time; they never fire early."""
 
     def __init__(self, now: float, tick: float = 1.0) -> None:
+        """Creates a wheel without timers.
+
+        Args:
+            now: The time at the start.
+            tick: The resolution, in the unit of all times.
+        """
         self._tick = tick
-        self._at = int(now / tick)
+        self._current_tick = int(now / tick)
         self._levels: list[list[list[Timer[T]]]] = [[[] for _ in range(_SLOTS)] for _ in range(_LEVELS)]
-        self._bits = [0] * _LEVELS  # slots in use a level
-        self._far: list[Timer[T]] = []
-        self._numbers = 0
-        self._live = 0
+        self._used_slots = [0] * _LEVELS  # a bit for each slot of the level
+        self._overflow: list[Timer[T]] = []  # timers beyond one turn of the whole wheel
+        self._last_sequence = 0
+        self._size = 0
 
     def __len__(self) -> int:
-        return self._live
-
-    def schedule(self, due: float, item: T) -> Timer[T]:
-        """A timer for `due`; one in the past fires at the next advance."""
-        self._numbers += 1
-        timer = Timer(due, self._numbers, item)
-        self._live += 1
-        self._put(timer)
+        return self._size
+
+    def schedule(self, deadline: float, value: T) -> Timer[T]:
+        """Sets a timer; one whose deadline has passed fires at the next `advance`."""
+        self._last_sequence += 1
+        timer = Timer(deadline, self._last_sequence, value)
+        self._size += 1
+        self._insert(timer)
         return timer
 
     def cancel(self, timer: Timer[T]) -> bool:
-        """False if it fired or was cancelled before."""
-        if timer.item is None:
+        """Cancels a timer; returns False if it had fired or was cancelled before."""
+        if timer.value is None:
             return False
-        timer.item = None
-        self._live -= 1
+        timer.value = None
+        self._size -= 1
         return True
 
     def next_deadline(self) -> float | None:
-        """No timer falls due before this time, though one cancelled may stand there; None if none is set."""
-        if not self._live:
+        """A time before which no timer is due; None if none is set. A cancelled timer can make it early."""
+        if not self._size:
             return None
         return self._next_tick() * self._tick
 
-    def _next_tick(self) -> int:
-        """The next tick at which a slot must be looked at."""
-        # Timers beyond the wheel are put anew each time it has turned whole.
-        best = ((self._at >> _SPAN) + 1) << _SPAN
-        for level, bits in enumerate(self._bits):
-            if bits:
-                shift = _BITS * level
-                start = self._at >> shift
-                index = start & _MASK
-                # Turned so that the present slot is bit 0, the lowest bit set is the next slot in use.
-                turned = (bits >> index) | (bits << (_SLOTS - index)) & _FULL
-                if level:
-                    turned &= (
-                        ~1
-                    )  # a coarse slot under the hand was emptied when reached: it is the next turn's
-                step = (turned & -turned).bit_length() - 1 if turned else _SLOTS
-                best = min(best, max((start + step) << shift, self._at))
-        return best
-
     def advance(self, now: float) -> list[T]:
-        """Everything due by `now`, in order."""
-        until = int(now / self._tick)
+        """Removes all timers that are due by `now` and returns their values in order."""
+        last_tick = int(now / self._tick)
         due: list[Timer[T]] = []
         while True:
-            self._drain(due, now)
-            if self._at >= until:
+            self._take_due(due, now)
+            if self._current_tick >= last_tick:
                 break
-            self._step(until)
+            self._step(last_tick)
         due.sort(key=lambda timer: (timer.deadline, timer.sequence))
-        items = []
+        values: list[T] = []
         for timer in due:
-            if timer.item is not None:
-                items.append(timer.item)
-                timer.item = None
-                self._live -= 1
-        return items
-
-    def _put(self, timer: Timer[T]) -> None:
-        ticks = max(int(timer.deadline / self._tick), self._at)
-        ahead = ticks - self._at
+            if timer.value is not None:
+                values.append(timer.value)
+                timer.value = None
+                self._size -= 1
+        return values
+
+    def _next_tick(self) -> int:
+        """The next tick at which a slot must be looked at."""
+        # Timers beyond the wheel are inserted again each time that it has turned once.
+        nearest = ((self._current_tick >> _TOTAL_BITS) + 1) << _TOTAL_BITS
+        for level, used in enumerate(self._used_slots):
+            if used:
+                nearest = min(nearest, self._next_tick_of_level(level, used))
+        return nearest
+
+    def _next_tick_of_level(self, level: int, used: int) -> int:
+        shift = _BITS_PER_LEVEL * level
+        start = self._current_tick >> shift
+        index = start & _SLOT_MASK
+        # Rotated so that the current slot is bit 0: the lowest set bit is then the next used slot.
+        rotated = (used >> index) | (used << (_SLOTS - index)) & _ALL_SLOTS_USED
+        if level:
+            # The current slot of a coarse level was emptied when it was reached: it holds the next turn.
+            rotated &= ~1
+        distance = (rotated & -rotated).bit_length() - 1 if rotated else _SLOTS
+        return max((start + distance) << shift, self._current_tick)
+
+    def _insert(self, timer: Timer[T]) -> None:
+        ticks = max(int(timer.deadline / self._tick), self._current_tick)
+        distance = ticks - self._current_tick
         for level in range(_LEVELS):
-            if ahead < 1 << (_BITS * (level + 1)):
-                # A coarse slot can hold the next turn of the wheel too: it is put anew when reached.
-                index = (ticks >> (_BITS * level)) & _MASK
+            if distance < 1 << (_BITS_PER_LEVEL * (level + 1)):
+                # A coarse slot can also hold timers of the next turn: they are inserted again when reached.
+                index = (ticks >> (_BITS_PER_LEVEL * level)) & _SLOT_MASK
                 self._levels[level][index].append(timer)
-                self._bits[level] |= 1 << index
+                self._used_slots[level] |= 1 << index
                 return
-        self._far.append(timer)
+        self._overflow.append(timer)
 
-    def _drain(self, due: list[Timer[T]], now: float) -> None:
-        slot = self._levels[0][self._at & _MASK]
+    def _take_due(self, due: list[Timer[T]], now: float) -> None:
+        index = self._current_tick & _SLOT_MASK
+        slot = self._levels[0][index]
         if not slot:
             return
-        later = [timer for timer in slot if timer.item is not None and timer.deadline > now]
-        due += [timer for timer in slot if timer.item is not None and timer.deadline <= now]
+        later = [timer for timer in slot if timer.value is not None and timer.deadline > now]
+        due += [timer for timer in slot if timer.value is not None and timer.deadline <= now]
         slot[:] = later
         if not later:
-            self._bits[0] &= ~(1 << (self._at & _MASK))
+            self._used_slots[0] &= ~(1 << index)
 
-    def _step(self, until: int) -> None:
-        """To the next tick, or over ticks in which nothing can be."""
-        if not self._bits[0]:
-            self._at = min(self._next_tick(), until)
+    def _step(self, last_tick: int) -> None:
+        """Goes to the next tick, or past ticks that cannot have a timer."""
+        if not self._used_slots[0]:
+            self._current_tick = min(self._next_tick(), last_tick)
         else:
-            self._at += 1
-        if self._at & _MASK:
+            self._current_tick += 1
+        if self._current_tick & _SLOT_MASK:
             return
         for level in range(1, _LEVELS):
-            index = (self._at >> (_BITS * level)) & _MASK
-            self._refill(level, index)
+            index = (self._current_tick >> (_BITS_PER_LEVEL * level)) & _SLOT_MASK
+            self._cascade(level, index)
             if index:
                 return
-        far, self._far = self._far, []
-        for timer in far:
-            if timer.item is not None:
-                self._put(timer)
+        overflow, self._overflow = self._overflow, []
+        self._insert_active(overflow)
 
-    def _refill(self, level: int, index: int) -> None:
+    def _cascade(self, level: int, index: int) -> None:
+        """Moves the timers of a coarse slot to finer levels."""
         slot = self._levels[level][index]
         if slot:
             self._levels[level][index] = []
-            self._bits[level] &= ~(1 << index)
-            for timer in slot:
-                if timer.item is not None:
-                    self._put(timer)
+            self._used_slots[level] &= ~(1 << index)
+            self._insert_active(slot)
+
+    def _insert_active(self, timers: list[Timer[T]]) -> None:
+        for timer in timers:
+            if timer.value is not None:
+                self._insert(timer)
--- a/tests/fuzzing/seats.py
+++ b/tests/fuzzing/seats.py
@@ -13,20 +13,19 @@
 from dataclasses import dataclass
 from random import Random
 
-from fernweir.seats.records import SeatTable, apply_record, rebuild_table
-from fernweir.seats.seat_manager import (
+from fernweir.seats.messages import (
     AdmissionDecision,
     LeaseRenewed,
     LeaseResponse,
     Operation,
     ResponseStatus,
     RevokeSession,
-    SeatManager,
-    SeatManagerConfig,
     SeatRequest,
-    SeatState,
     SendLeaseRequest,
 )
+from fernweir.seats.records import SeatTable, apply_record, rebuild_table
+from fernweir.seats.seat import SeatManagerConfig, SeatState
+from fernweir.seats.seat_manager import SeatManager
 from tests.fuzzing import Finding, Tape, Target, same
 
 TTL_MS = 10_000.0
@@ -91,8 +90,8 @@
         self.begin()
 
     def begin(self) -> None:
-        rules = SeatManagerConfig(max_ttl_ms=TTL_MS, call_timeout_ms=1_000.0, tick_ms=TICK_MS)
-        self.book = SeatManager(self.now, 1, self.append, lambda cls: self.plays, config=rules)
+        rules = SeatManagerConfig(seed=1, max_ttl_ms=TTL_MS, call_timeout_ms=1_000.0, tick_ms=TICK_MS)
+        self.book = SeatManager(self.now, self.append, lambda cls: self.plays, rules)
         self.out: dict[int, tuple[SendLeaseRequest, float]] = {}
         self.owed: dict[str, float] = {}
         self.playing: set[str] = set()
@@ -111,7 +110,7 @@
         self.durable = len(self.log)
 
     def run(self) -> None:
-        self.book.on_log_synced(self.now, self.durable)
+        self.book.on_log_synced(self.durable)
         for one in self.book.advance(self.now):
             if isinstance(one, SendLeaseRequest):
                 session = one.record.session_id
@@ -256,7 +255,7 @@
                     self.book.on_response(self.now, number, self.server.answer(self.now, send))
             self.pass_(900.0)
         same((self.book.seats, self.table(len(self.log)), self.server.held(self.now)), ({}, {}, {}), "left")
-        same((len(self.book.send_queue), self.book._wheel.next_deadline(), self.owed), (0, None, {}), "left")
+        same((len(self.book.send_queue), self.book.timers.next_deadline(), self.owed), (0, None, {}), "left")
 
 
 def check(data: bytes) -> None:
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -54,8 +54,8 @@
 from fernweir.node import peering as node_peering
 from fernweir.node.feed import Feed
 from fernweir.node.requests import Requests
+from fernweir.seats import messages
 from fernweir.seats import records as seat_records
-from fernweir.seats import seat_manager
 from fernweir.seats.log import RecoveredLog, SeatLog, recover_log
 from fernweir.seats.memory_file_store import MemoryFileStore
 from fernweir.tokens import claims
@@ -142,7 +142,7 @@
     "dash-title": Title,
     # The entitlement server.
     "lease-answer": leases.LeaseDocument,
-    "lease-reply": seat_manager.LeaseResponse,
+    "lease-reply": messages.LeaseResponse,
     "introspection": introspection.Introspection,
     "introspection-told": introspect.IntrospectionResult,
     "use-page": seat_reconciliation.UsePage,
@@ -689,7 +689,7 @@
         reply = http_client.Reply(
             http_client.Outcome(outcome), status, Headers([(a, b) for a, b in headers]), body.encode()
         )
-        found.append(leases.parse_reply(seat_manager.Operation(op), reply))
+        found.append(leases.parse_reply(messages.Operation(op), reply))
     return found
 
 
@@ -716,9 +716,7 @@
     client = leases.EntitlementClient(cast(Any, Recorder()), "http://seats:81/v1", "front-1", lambda: "TOKEN")
     for number, (op, seat) in enumerate(value, 1):
         client.send(
-            seat_manager.SendLeaseRequest(
-                number, seat_manager.Operation(op), build(seat), f"s1.{number}", 250.0
-            ),
+            messages.SendLeaseRequest(number, messages.Operation(op), build(seat), f"s1.{number}", 250.0),
             lambda told: None,
         )
     return json.dumps(sent).encode()
--- a/tests/golden_names.py
+++ b/tests/golden_names.py
@@ -24,7 +24,7 @@
 from fernweir.node import frames
 from fernweir.rehearsal import faults
 from fernweir.rehearsal.fleet import schedule
-from fernweir.seats import seat_manager
+from fernweir.seats import messages
 from fernweir.tokens import claims
 
 ROOT = Path(__file__).parent.parent
@@ -63,7 +63,7 @@
     "reply-kind": commands.ReplyKind,
     "http-outcome": client.Outcome,
     "introspection-word": introspect.IntrospectionStatus,
-    "seat-operation": seat_manager.Operation,
+    "seat-operation": messages.Operation,
     "process-state": supervise.State,
     "doctor-grade": doctor.Grade,
     "audit-gap": gaps.Loss,
--- a/tests/peers_mutants/fuzz.py
+++ b/tests/peers_mutants/fuzz.py
@@ -13,9 +13,11 @@
     "fernweir/journal/disk.py",
 )
 _STORE = "fernweir/journal/store.py"
-_MANAGER, _SEATS = "fernweir/front/session_manager.py", "fernweir/seats/seat_manager.py"
-_HANDOVER, _ENDINGS = "fernweir/front/session_handover.py", "fernweir/front/session_endings.py"
-_ATTEMPTS, _REQUESTS = "fernweir/front/session_attempts.py", "fernweir/front/session_requests.py"
+_MANAGER, _HANDOVER = "fernweir/front/session_manager.py", "fernweir/front/session_handover.py"
+_ENDINGS, _ATTEMPTS = "fernweir/front/session_endings.py", "fernweir/front/session_attempts.py"
+_REQUESTS = "fernweir/front/session_requests.py"
+_SEAT_REQUESTS, _SEAT_OPERATIONS = "fernweir/seats/lease_requests.py", "fernweir/seats/lease_operations.py"
+_SEAT_ACQUISITION = "fernweir/seats/acquisition.py"
 _DESK, _TABLE = "fernweir/peers/forward/desk.py", "fernweir/peers/members/table.py"
 
 BY_TARGET: dict[str, list[Mutant]] = {
@@ -207,30 +209,30 @@
     "seats": [
         Mutant(
             "asked before it is written down",
-            _SEATS,
-            "if op is Operation.ACQUIRE and seat.log_sequence > self._durable:",
-            "if op is Operation.ACQUIRE and seat.log_sequence < 0:",
+            _SEAT_REQUESTS,
+            "if operation is Operation.ACQUIRE and seat.log_sequence > self._durable_sequence:",
+            "if operation is Operation.ACQUIRE and seat.log_sequence < 0:",
             60,
         ),
         Mutant(
             "used from the answer on",
-            _SEATS,
+            _SEAT_OPERATIONS,
             "seat.usable_until_ms = seat.sent_at_ms + seat.ttl_ms",
             "seat.usable_until_ms = now + seat.ttl_ms",
             100,
         ),
         Mutant(
             "doubtful asks are not counted",
-            _SEATS,
-            "seat.latest_expiry_ms = now + self.config.max_ttl_ms\n        if not seat.is_wanted:",
-            "seat.latest_expiry_ms = now\n        if not seat.is_wanted:",
+            _SEAT_ACQUISITION,
+            "seat.latest_expiry_ms = now + self._config.max_ttl_ms",
+            "seat.latest_expiry_ms = now",
             300,
         ),
         Mutant(
             "a released seat not asked for anew",
-            _SEATS,
-            "        if seat.is_wanted:\n            self._ask_anew(now, seat)\n            self._set",
-            "        if seat.is_overdue:\n            self._ask_anew(now, seat)\n            self._set",
+            _SEAT_OPERATIONS,
+            "        if seat.is_wanted:\n            self.reacquire(now, seat)",
+            "        if seat.is_overdue:\n            self.reacquire(now, seat)",
             200,
         ),
     ],
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -14,7 +14,7 @@
 from fernweir.http.client import Outcome, Reply
 from fernweir.http.headers import Headers
 from fernweir.rehearsal.site import SitePlan
-from fernweir.seats.seat_manager import Operation, ResponseStatus
+from fernweir.seats.messages import Operation, ResponseStatus
 from fernweir.standin.leases import LeaseDesk
 from fernweir.standin.site import SiteClass, SiteTimes
 from fernweir.standin.viewer import Wish
--- a/tests/test_reconcile.py
+++ b/tests/test_reconcile.py
@@ -8,8 +8,9 @@
 
 import pytest
 
+from fernweir.seats.messages import Operation, ResponseStatus, SendLeaseRequest
 from fernweir.seats.reconciliation import ListedLease, Reconciler, ReconciliationConfig, UsageReport
-from fernweir.seats.seat_manager import Operation, ResponseStatus, SeatState, SendLeaseRequest
+from fernweir.seats.seat import SeatState
 from fernweir.standin.leases import LeaseDesk
 from tests.scene import Scene, play
 from tests.sockets import until
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -22,8 +22,7 @@
 )
 from fernweir.entitlement.queue import QueueConfig, RequestKind, SendQueue
 from fernweir.rehearsal.storm import Storm, StormPlan
-from fernweir.seats.records import SeatRecord, SeatTable, apply_record
-from fernweir.seats.seat_manager import (
+from fernweir.seats.messages import (
     AdmissionDecision,
     LeaseRenewed,
     LeaseResponse,
@@ -31,12 +30,12 @@
     ResponseStatus,
     RevokeSession,
     SeatCommand,
-    SeatManager,
-    SeatManagerConfig,
     SeatRequest,
-    SeatState,
     SendLeaseRequest,
 )
+from fernweir.seats.records import SeatRecord, SeatTable, apply_record
+from fernweir.seats.seat import SeatManagerConfig, SeatState
+from fernweir.seats.seat_manager import SeatManager
 from fernweir.seats.timing_wheel import TimingWheel
 from fernweir.standin.leases import LeaseDesk
 
@@ -230,7 +229,7 @@
         self.said: list[SeatCommand] = []
         self.open: dict[int, SendLeaseRequest] = {}
         more = {"max_ttl_ms": 10_000.0 if ttl < 10_001 else ttl, **rules}
-        self.book = SeatManager(self.now, 1, self.append, lambda cls: plays, config=SeatManagerConfig(**more))
+        self.book = SeatManager(self.now, self.append, lambda cls: plays, SeatManagerConfig(**more, seed=1))
 
     def append(self, body: bytes) -> int:
         self.log.append(body)
@@ -244,7 +243,7 @@
 
     def step(self, after: float = 1.0) -> list[SeatCommand]:
         self.now += after
-        self.book.on_log_synced(self.now, len(self.log))
+        self.book.on_log_synced(len(self.log))
         said = self.book.advance(self.now)
         self.said += said
         self.open |= {one.request_id: one for one in said if isinstance(one, SendLeaseRequest)}
@@ -548,7 +547,7 @@
 def test_a_log_that_cannot_be_written_stops_asks_and_not_renewals() -> None:
     desk = granted()
     desk.want("b")
-    desk.book.on_log_failed(desk.now)
+    desk.book.on_log_failed()
     desk.want("c")
     desk.step()
     assert desk.verdicts() == [True, False, False]
@@ -637,7 +636,7 @@
             self.run(900.0)
             self.playing.clear()
         assert self.desk.book.seats == {} and self.desk.table() == {}, "a seat is left"
-        assert len(self.desk.book.send_queue) == 0 and self.desk.book._wheel.next_deadline() is None
+        assert len(self.desk.book.send_queue) == 0 and self.desk.book.timers.next_deadline() is None
 
 
 BookStory.TestCase.settings = hypothesis_settings(max_examples=60, stateful_step_count=30)
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -23,7 +23,8 @@
 from fernweir.rehearsal.faults import Fault, Kind, ScheduleError, draw, read_schedule
 from fernweir.rehearsal.loop import NODE, DeadlockError, LivelockError, NotVirtualError, VirtualLoop, run
 from fernweir.rehearsal.virtual import VirtualPlan, play, shrink
-from fernweir.seats.seat_manager import Seat, SeatManager
+from fernweir.seats.seat import Seat
+from fernweir.seats.seat_manager import SeatManager
 
 # --- the loop ---
 
