--- a/fernweir/entitlement/__init__.py
+++ b/fernweir/entitlement/__init__.py
@@ -1,1 +1,1 @@
-"""The way to an entitlement server: what is said, in which order it goes out, and when it is said again."""
+"""Access to an entitlement server: requests, their order, retries, and token introspection."""
--- a/fernweir/entitlement/client.py
+++ b/fernweir/entitlement/client.py
@@ -1,7 +1,7 @@
-"""Says the book's requests to an entitlement server over HTTP; a thin shell.
+"""Sends the seat manager's requests to an entitlement server over HTTP; a thin shell.
 
 `POST /leases`, `POST /leases/ID/renew`, `DELETE /keys/KEY`, each with an `Idempotency-Key` (IETF
-draft-ietf-httpapi-idempotency-key-header) that is the same in every repeat. See docs/protocols.md.
+draft-ietf-httpapi-idempotency-key-header) that is the same in every retry. See docs/protocols.md.
 """
 
 from __future__ import annotations
@@ -16,17 +16,19 @@
 from fernweir.http.client import Outcome, Pool, Reply
 from fernweir.seats.messages import LeaseResponse, Operation, ResponseStatus, SendLeaseRequest
 
-_SAID = {
+_STATUS_OF_HTTP_CODE = {
     403: ResponseStatus.DENIED,
     404: ResponseStatus.LEASE_UNKNOWN,
     409: ResponseStatus.NO_SEAT_FREE,
     410: ResponseStatus.LEASE_UNKNOWN,
     412: ResponseStatus.FENCED,
 }
+_DEFAULT_PORT = 80
+_MS_PER_S = 1000.0
 
 
 class LeaseDocument(BaseModel):
-    """A lease as the server words it."""
+    """A lease in the body of a response."""
 
     model_config = ConfigDict(strict=True, frozen=True, extra="ignore")
 
@@ -35,67 +37,96 @@
     expires_in_ms: Annotated[float, Field(gt=0)]
 
 
-def parse_reply(op: Operation, reply: Reply) -> LeaseResponse:
-    """What an HTTP reply says. Whatever does not prove an end is doubtful."""
+def parse_reply(operation: Operation, reply: Reply) -> LeaseResponse:
+    """Returns what an HTTP reply means for a seat.
+
+    The outcome is doubtful unless the reply proves that the request succeeded, failed or never ran.
+
+    Args:
+        operation: What was requested.
+        reply: The reply, or the way in which the request failed.
+    """
     if reply.outcome.never_ran:
         return LeaseResponse(ResponseStatus.NOT_EXECUTED)
     if reply.outcome is not Outcome.ANSWERED:
         return LeaseResponse(ResponseStatus.INDETERMINATE)
-    if reply.status in _SAID:
-        wait = reply.headers.get("retry-after")
-        return LeaseResponse(
-            _SAID[reply.status], retry_after_ms=float(wait) * 1000.0 if wait.isdigit() else 0.0
-        )
+    if reply.status in _STATUS_OF_HTTP_CODE:
+        return LeaseResponse(_STATUS_OF_HTTP_CODE[reply.status], retry_after_ms=_retry_after_ms(reply))
     if not 200 <= reply.status < 300:
         return LeaseResponse(ResponseStatus.INDETERMINATE)
-    if op is Operation.RELEASE:
+    if operation is Operation.RELEASE:
         return LeaseResponse(ResponseStatus.SUCCEEDED)
     try:
-        lease = LeaseDocument.model_validate_json(reply.body)
+        response = LeaseDocument.model_validate_json(reply.body)
     except ValidationError:
         return LeaseResponse(ResponseStatus.INDETERMINATE)
-    return LeaseResponse(ResponseStatus.SUCCEEDED, lease.lease, lease.fence, lease.expires_in_ms)
+    return LeaseResponse(ResponseStatus.SUCCEEDED, response.lease, response.fence, response.expires_in_ms)
+
+
+def _retry_after_ms(reply: Reply) -> float:
+    """Returns the delay that a reply asks for in seconds, as milliseconds; dates are ignored."""
+    value = reply.headers.get("retry-after")
+    return float(value) * _MS_PER_S if value.isdigit() else 0.0
 
 
 class EntitlementClient:
-    """`name` sets this front's keys apart from those of others."""
+    """Sends requests for seats.
+
+    Args:
+        pool: Connections to the server.
+        url: URL of the server; requests go below its path.
+        name: Prefix of this front's idempotency keys, different from those of other fronts.
+        token: Returns a valid control token.
+    """
 
     def __init__(self, pool: Pool, url: str, name: str, token: Callable[[], str]) -> None:
         parts = urlsplit(url)
-        self._origin = (parts.hostname or "", parts.port or 80)
-        self._base = parts.path.rstrip("/")
-        self._pool, self._name, self._token = pool, name, token
-
-    def send(self, command: SendLeaseRequest, done: Callable[[LeaseResponse], None]) -> None:
-        seat = command.record
+        self._origin = (parts.hostname or "", parts.port or _DEFAULT_PORT)
+        self._base_path = parts.path.rstrip("/")
+        self._pool = pool
+        self._name = name
+        self._token = token
+
+    def send(self, command: SendLeaseRequest, on_reply: Callable[[LeaseResponse], None]) -> None:
+        """Sends a request; `on_reply` is called once with its outcome."""
         key = f"{self._name}.{command.idempotency_key}"
         headers = [
             ("authorization", f"Bearer {self._token()}"),
             ("idempotency-key", f'"{key}"'),
             ("content-type", "application/json"),
         ]
-        body: dict[str, object] = {}
-        method, target = "POST", f"{self._base}/leases"
-        if command.operation is Operation.ACQUIRE:
-            body = {
-                "session": seat.session_id,
-                "tenant": seat.tenant,
-                "lesson": seat.title,
-                "class": seat.class_name,
-                "person": seat.subject,
-                "asked_at_ms": round(seat.requested_at_s * 1000.0),
-            }
-        elif command.operation is Operation.RENEW:
-            target += f"/{quote(seat.lease_id, safe='')}/renew"
-            body = {"fence": seat.fence, "session": seat.session_id}
-        else:
-            method, target = "DELETE", f"{self._base}/keys/{quote(key, safe='')}"
+        method, target = self._method_and_target(command, key)
+        body = _request_body(command)
         self._pool.request(
             self._origin,
             method,
             target,
-            lambda reply: done(parse_reply(command.operation, reply)),
+            lambda reply: on_reply(parse_reply(command.operation, reply)),
             headers=headers,
             body=json.dumps(body).encode() if body else b"",
-            timeout_s=command.timeout_ms / 1000.0,
+            timeout_s=command.timeout_ms / _MS_PER_S,
         )
+
+    def _method_and_target(self, command: SendLeaseRequest, key: str) -> tuple[str, str]:
+        if command.operation is Operation.ACQUIRE:
+            return "POST", f"{self._base_path}/leases"
+        if command.operation is Operation.RENEW:
+            return "POST", f"{self._base_path}/leases/{quote(command.record.lease_id, safe='')}/renew"
+        return "DELETE", f"{self._base_path}/keys/{quote(key, safe='')}"
+
+
+def _request_body(command: SendLeaseRequest) -> dict[str, object]:
+    """Returns the members of the JSON body; none for a release."""
+    seat = command.record
+    if command.operation is Operation.ACQUIRE:
+        return {
+            "session": seat.session_id,
+            "tenant": seat.tenant,
+            "lesson": seat.title,
+            "class": seat.class_name,
+            "person": seat.subject,
+            "asked_at_ms": round(seat.requested_at_s * _MS_PER_S),
+        }
+    if command.operation is Operation.RENEW:
+        return {"fence": seat.fence, "session": seat.session_id}
+    return {}
--- a/fernweir/entitlement/introspect.py
+++ b/fernweir/entitlement/introspect.py
@@ -1,8 +1,9 @@
-"""Which tokens their issuer still calls active (RFC 7662); free of I/O and clock.
+"""Token introspection (RFC 7662) with a cache, as a state machine without I/O or clock.
 
-One question is out for a token, however many requests wait for its answer. An answer is believed for a
-while; when the server says nothing, an older "active" stands in for it for a while more, and after that
-nobody knows, which is for the caller to decide on. Tokens are kept as digests only. Times are milliseconds.
+At most one request per token is in flight, however many waiters there are for its answer. A response is
+cached for a time to live. If the server does not answer, a cached "active" response may be used for a limited
+time after that, as with stale-if-error (RFC 5861); otherwise the status is unknown and the caller decides.
+Tokens are stored as digests only. Times are milliseconds of any monotonic clock.
 """
 
 from __future__ import annotations
@@ -16,25 +17,36 @@
 
 from fernweir.entitlement.policy import DecorrelatedJitter, RetryConfig, RetryPolicy
 
+_NO_TENANT = ""  # the retry budget is shared by all tokens
+_MIN_TIMEOUT_MS = 1.0
+
 
 class IntrospectionStatus(Enum):
+    """What is known of a token."""
+
     ACTIVE = "active"
     INACTIVE = "inactive"
-    UNKNOWN = "unknown"  # the server said nothing in time
+    UNKNOWN = "unknown"  # the server did not answer in time
 
 
 @dataclass(frozen=True, slots=True)
 class IntrospectionResult:
-    """What became of a question; `claims` come with an active token. Word.UNKNOWN: it was not answered."""
+    """The outcome of one request.
+
+    Attributes:
+        status: UNKNOWN if the request was not answered.
+        claims: The claims of an active token.
+        expires_in_ms: Time until the token itself expires.
+    """
 
     status: IntrospectionStatus
     claims: Mapping[str, object] = field(default_factory=dict)
-    expires_in_ms: float = float("inf")  # until the token itself lapses
+    expires_in_ms: float = float("inf")
 
 
 @dataclass(frozen=True, slots=True)
 class IntrospectionRequest:
-    """Ask the server about a token now; its one end goes to `replied` with the same number."""
+    """Effect: ask the server about a token now, and pass the outcome to `on_reply` with the same number."""
 
     number: int
     token: str
@@ -43,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IntrospectionDecision:
-    """What a waiter is told, once. `stale`: on the word of an older answer."""
+    """Effect: the only answer to one waiter; `is_stale` if an expired cache entry was used."""
 
     waiter: int
     status: IntrospectionStatus
@@ -53,8 +65,16 @@
 
 @dataclass(frozen=True, slots=True)
 class IntrospectionConfig:
-    """`believe_ms` and `disbelieve_ms` are how long answers hold, `stale_ms` how much longer an active one
-    stands in for a silent server; `kept` answers are remembered, `at_once` questions are out together."""
+    """Settings of an introspector.
+
+    Attributes:
+        positive_cache_ttl_ms: How long an active response is cached.
+        negative_cache_ttl_ms: How long an inactive response is cached.
+        stale_if_error_ms: How much longer an active response may be used while the server does not answer.
+        request_timeout_ms: Timeout of one request.
+        max_cached: Upper limit of cached responses; the least recently used is evicted.
+        max_in_flight: Upper limit of requests in flight.
+    """
 
     positive_cache_ttl_ms: float = 10_000.0
     negative_cache_ttl_ms: float = 2_000.0
@@ -66,6 +86,8 @@
 
 @dataclass(slots=True)
 class IntrospectionMetrics:
+    """Counters: lookups of waiters, requests sent, answers from the cache, stale answers, unknown answers."""
+
     lookups: int = 0
     requests: int = 0
     cache_hits: int = 0
@@ -83,17 +105,26 @@
 
 @dataclass(slots=True)
 class _Lookup:
-    """A token somebody waits to hear of."""
+    """A token that somebody waits for."""
 
     token: str
-    waiters: dict[int, float]  # waiter: when it must be told
-    number: int | None = None  # of the question that is out
-    again_at: float = 0.0
+    deadlines: dict[int, float]  # by waiter
+    request_number: int | None = None  # of the request in flight
+    retry_at: float = 0.0
     jitter: DecorrelatedJitter | None = None
 
 
 class Introspector:
-    """Call the methods, then carry out what `take` returns; ask `next_due` when to call it again."""
+    """Decides for waiters whether their tokens are active.
+
+    After each call of another method the shell carries out what `take_effects` returns, and calls that again
+    at `next_deadline`.
+
+    Args:
+        seed: Seed of the backoff's jitter.
+        config: Settings of cache and requests.
+        retry: Settings of the retry budget.
+    """
 
     def __init__(
         self, seed: int, config: IntrospectionConfig | None = None, retry: RetryConfig | None = None
@@ -104,7 +135,7 @@
         self._cache: OrderedDict[bytes, _CachedResult] = OrderedDict()
         self._lookups: dict[bytes, _Lookup] = {}
         self._send_queue: deque[bytes] = deque()
-        self._in_flight: dict[int, tuple[bytes, int]] = {}  # question: token, the breaker's call
+        self._in_flight: dict[int, tuple[bytes, int]] = {}  # by request number: digest, the breaker's call
         self._digest_of_waiter: dict[int, bytes] = {}
         self._last_number = 0
         self._decisions: list[IntrospectionDecision] = []
@@ -112,141 +143,165 @@
     def __len__(self) -> int:
         return len(self._digest_of_waiter)
 
-    def look_up(self, now: float, waiter: int, token: str, answer_by: float) -> None:
-        """A waiter, by a number of its own, is told of the token by `answer_by`."""
+    def look_up(self, now: float, waiter: int, token: str, deadline: float) -> None:
+        """Starts a lookup of a token.
+
+        Args:
+            now: Time in milliseconds.
+            waiter: A number chosen by the caller, different from those of other waiters.
+            token: The token.
+            deadline: Time at which the waiter is answered at the latest, in milliseconds.
+        """
         self.metrics.lookups += 1
         digest = sha256(token.encode("utf-8", "surrogateescape")).digest()
-        known = self._cache.get(digest)
-        if known is not None and now < known.fresh_until:
+        cached = self._cache.get(digest)
+        if cached is not None and now < cached.fresh_until:
             self.metrics.cache_hits += 1
             self._cache.move_to_end(digest)
-            self._decisions.append(IntrospectionDecision(waiter, known.status, known.claims))
+            self._decisions.append(IntrospectionDecision(waiter, cached.status, cached.claims))
             return
         if digest not in self._lookups:
             self._lookups[digest] = _Lookup(token, {})
             self._send_queue.append(digest)
-            self.retry_policy.on_first_attempt(now, "")
-        self._lookups[digest].waiters[waiter] = answer_by
+            self.retry_policy.on_first_attempt(now, _NO_TENANT)
+        self._lookups[digest].deadlines[waiter] = deadline
         self._digest_of_waiter[waiter] = digest
 
     def withdraw(self, waiter: int) -> None:
-        """A waiter left; it is told nothing more."""
+        """Removes a waiter, which gets no answer any more."""
         digest = self._digest_of_waiter.pop(waiter, None)
         if digest is None:
             return
-        one = self._lookups[digest]
-        del one.waiters[waiter]
-        if not one.waiters and one.number is None:
-            self._close(digest)
+        lookup = self._lookups[digest]
+        del lookup.deadlines[waiter]
+        if not lookup.deadlines and lookup.request_number is None:
+            self._remove_lookup(digest)
 
     def shutdown(self) -> None:
-        """Everybody who waits is told now that nobody knows."""
+        """Answers all waiters with an unknown status."""
         for digest in list(self._lookups):
-            self._tell_all(digest, IntrospectionDecision(0, IntrospectionStatus.UNKNOWN, {}))
+            self._answer_all(digest, IntrospectionResult(IntrospectionStatus.UNKNOWN))
+
+    def on_reply(self, now: float, number: int, result: IntrospectionResult) -> None:
+        """Records the outcome of a request.
 
-    def on_reply(self, now: float, number: int, told: IntrospectionResult) -> None:
+        Args:
+            now: Time in milliseconds.
+            number: The number of the request.
+            result: Its outcome.
+        """
+        is_answered = result.status is not IntrospectionStatus.UNKNOWN
         digest, call = self._in_flight.pop(number)
-        self.retry_policy.breaker.end_call(now, call, told.status is not IntrospectionStatus.UNKNOWN)
-        one = self._lookups.get(digest)
-        if one is None or one.number != number:
-            return
-        one.number = None
-        if told.status is not IntrospectionStatus.UNKNOWN:
-            self._learn(now, digest, told)
-            self._tell_all(digest, IntrospectionDecision(0, told.status, told.claims))
-            return
-        if not one.waiters:
-            self._close(digest)
+        self.retry_policy.breaker.end_call(now, call, is_answered)
+        lookup = self._lookups.get(digest)
+        if lookup is None or lookup.request_number != number:
             return
-        if one.jitter is None:
-            one.jitter = self.retry_policy.new_jitter()
-        # Asking again harms nothing: a question changes nothing at the server.
-        at = self.retry_policy.schedule_retry(now, "", one.jitter, max(one.waiters.values()))
-        if at is None:
-            self._tell_unknown(now, digest)
+        lookup.request_number = None
+        if is_answered:
+            self._store_result(now, digest, result)
+            self._answer_all(digest, result)
+        elif lookup.deadlines:
+            self._retry(now, digest, lookup)
         else:
-            one.again_at = at
-            self._send_queue.append(digest)
+            self._remove_lookup(digest)
 
     def take_effects(self, now: float) -> list[IntrospectionRequest | IntrospectionDecision]:
+        """Returns the decisions and then the requests that are due, once each."""
         for waiter, digest in list(self._digest_of_waiter.items()):
-            if self._lookups[digest].waiters[waiter] <= now:
-                self._tell(now, digest, waiter)
-        out: list[IntrospectionRequest | IntrospectionDecision] = []
+            if self._lookups[digest].deadlines[waiter] <= now:
+                self._on_waiter_timeout(now, digest, waiter)
+        requests = self._start_requests(now)
+        decisions, self._decisions = self._decisions, []
+        return [*decisions, *requests]
+
+    def next_deadline(self, now: float) -> float | None:
+        """Returns when `take_effects` is to be called next, in milliseconds; None if nobody waits."""
+        deadlines = [deadline for lookup in self._lookups.values() for deadline in lookup.deadlines.values()]
+        send_times = [
+            self._lookups[digest].retry_at for digest in self._send_queue if digest in self._lookups
+        ]
+        if send_times and len(self._in_flight) < self.config.max_in_flight:
+            closes_at = now + self.retry_policy.breaker.remaining_open_ms(now)
+            deadlines.append(max(min(send_times), closes_at))
+        return min(deadlines, default=None)
+
+    def _may_start_request(self, now: float) -> bool:
+        if len(self._in_flight) >= self.config.max_in_flight:
+            return False
+        return self.retry_policy.breaker.may_call(now)
+
+    def _start_requests(self, now: float) -> list[IntrospectionRequest]:
+        requests: list[IntrospectionRequest] = []
         for _ in range(len(self._send_queue)):
-            if len(self._in_flight) >= self.config.max_in_flight or not self.retry_policy.breaker.may_call(
-                now
-            ):
+            if not self._may_start_request(now):
                 break
             digest = self._send_queue.popleft()
-            one = self._lookups.get(digest)
-            if one is None or one.number is not None:
+            lookup = self._lookups.get(digest)
+            if lookup is None or lookup.request_number is not None:
                 continue
-            if one.again_at > now:
+            if lookup.retry_at > now:
                 self._send_queue.append(digest)
                 continue
-            out.append(self._question(now, digest, one))
-        judged, self._decisions = self._decisions, []
-        return [*judged, *out]
-
-    def next_deadline(self, now: float) -> float | None:
-        dues = [by for one in self._lookups.values() for by in one.waiters.values()]
-        waiting = [self._lookups[digest].again_at for digest in self._send_queue if digest in self._lookups]
-        if waiting and len(self._in_flight) < self.config.max_in_flight:
-            dues.append(max(min(waiting), now + self.retry_policy.breaker.remaining_open_ms(now)))
-        return min(dues, default=None)
+            requests.append(self._start_request(now, digest, lookup))
+        return requests
 
-    # --- pieces ---
-
-    def _question(self, now: float, digest: bytes, one: _Lookup) -> IntrospectionRequest:
+    def _start_request(self, now: float, digest: bytes, lookup: _Lookup) -> IntrospectionRequest:
         self._last_number += 1
         self.metrics.requests += 1
-        one.number = self._last_number
+        lookup.request_number = self._last_number
         self._in_flight[self._last_number] = (digest, self.retry_policy.breaker.begin_call(now))
-        left = max(one.waiters.values()) - now  # the longest deadline is handed on
-        return IntrospectionRequest(
-            self._last_number, one.token, min(self.config.request_timeout_ms, max(left, 1.0))
-        )
-
-    def _learn(self, now: float, digest: bytes, told: IntrospectionResult) -> None:
-        rules = self.config
-        good = told.status is IntrospectionStatus.ACTIVE
-        fresh = now + min(
-            rules.positive_cache_ttl_ms if good else rules.negative_cache_ttl_ms, told.expires_in_ms
-        )
-        stale = min(fresh + rules.stale_if_error_ms, now + told.expires_in_ms) if good else fresh
-        self._cache[digest] = _CachedResult(told.status, told.claims, fresh, stale)
+        remaining_ms = max(lookup.deadlines.values()) - now  # the latest deadline among the waiters
+        timeout_ms = min(self.config.request_timeout_ms, max(remaining_ms, _MIN_TIMEOUT_MS))
+        return IntrospectionRequest(self._last_number, lookup.token, timeout_ms)
+
+    def _retry(self, now: float, digest: bytes, lookup: _Lookup) -> None:
+        """Queues a request again after a failure. Introspection is idempotent, so a repeat does no harm."""
+        if lookup.jitter is None:
+            lookup.jitter = self.retry_policy.new_jitter()
+        latest_deadline = max(lookup.deadlines.values())
+        retry_at = self.retry_policy.schedule_retry(now, _NO_TENANT, lookup.jitter, latest_deadline)
+        if retry_at is None:
+            for waiter in list(lookup.deadlines):
+                self._on_waiter_timeout(now, digest, waiter)
+        else:
+            lookup.retry_at = retry_at
+            self._send_queue.append(digest)
+
+    def _store_result(self, now: float, digest: bytes, result: IntrospectionResult) -> None:
+        is_active = result.status is IntrospectionStatus.ACTIVE
+        ttl_ms = self.config.positive_cache_ttl_ms if is_active else self.config.negative_cache_ttl_ms
+        fresh_until = now + min(ttl_ms, result.expires_in_ms)
+        stale_until = fresh_until
+        if is_active:
+            stale_until = min(fresh_until + self.config.stale_if_error_ms, now + result.expires_in_ms)
+        self._cache[digest] = _CachedResult(result.status, result.claims, fresh_until, stale_until)
         self._cache.move_to_end(digest)
-        if len(self._cache) > rules.max_cached:
+        if len(self._cache) > self.config.max_cached:
             self._cache.popitem(last=False)
 
-    def _tell(self, now: float, digest: bytes, waiter: int) -> None:
-        """Its time is up with no answer: an older one stands in, or nobody knows."""
-        self._lookups[digest].waiters.pop(waiter)
+    def _on_waiter_timeout(self, now: float, digest: bytes, waiter: int) -> None:
+        """Answers one waiter without a response: with a stale cached one if there is any, else unknown."""
+        lookup = self._lookups[digest]
+        lookup.deadlines.pop(waiter)
         del self._digest_of_waiter[waiter]
-        known = self._cache.get(digest)
-        if known is not None and known.status is IntrospectionStatus.ACTIVE and now < known.stale_until:
+        cached = self._cache.get(digest)
+        if cached is not None and cached.status is IntrospectionStatus.ACTIVE and now < cached.stale_until:
             self.metrics.stale_hits += 1
-            self._decisions.append(
-                IntrospectionDecision(waiter, IntrospectionStatus.ACTIVE, known.claims, is_stale=True)
-            )
+            decision = IntrospectionDecision(waiter, cached.status, cached.claims, is_stale=True)
         else:
             self.metrics.unknown += 1
-            self._decisions.append(IntrospectionDecision(waiter, IntrospectionStatus.UNKNOWN, {}))
-        if not self._lookups[digest].waiters and self._lookups[digest].number is None:
-            self._close(digest)
-
-    def _tell_unknown(self, now: float, digest: bytes) -> None:
-        for waiter in list(self._lookups[digest].waiters):
-            self._tell(now, digest, waiter)
+            decision = IntrospectionDecision(waiter, IntrospectionStatus.UNKNOWN, {})
+        self._decisions.append(decision)
+        if not lookup.deadlines and lookup.request_number is None:
+            self._remove_lookup(digest)
 
-    def _tell_all(self, digest: bytes, said: IntrospectionDecision) -> None:
-        for waiter in self._lookups[digest].waiters:
+    def _answer_all(self, digest: bytes, result: IntrospectionResult) -> None:
+        for waiter in self._lookups[digest].deadlines:
             del self._digest_of_waiter[waiter]
-            self._decisions.append(IntrospectionDecision(waiter, said.status, said.claims))
-        self._close(digest)
+            self._decisions.append(IntrospectionDecision(waiter, result.status, result.claims))
+        self._remove_lookup(digest)
 
-    def _close(self, digest: bytes) -> None:
+    def _remove_lookup(self, digest: bytes) -> None:
         del self._lookups[digest]
         if digest in self._send_queue:
             self._send_queue.remove(digest)
--- a/fernweir/entitlement/policy.py
+++ b/fernweir/entitlement/policy.py
@@ -1,9 +1,9 @@
-"""When a request is made again, and when none is made at all; free of I/O and clock, drawn from a seed.
+"""Retry budgets, backoff with jitter and a circuit breaker; free of I/O and clock, random by a seed.
 
-Token buckets by tenant and by server bound repeats to a share of first tries and a slow trickle besides,
-so that a server in trouble is not buried by its clients; jitter keeps them apart; a breaker stops asking a
-server that fails, and lets single trials find out when it is back. Nothing that takes a seat is ever
-hedged: there is no second copy of a request that is out. Times are milliseconds.
+Token buckets for each tenant and for the server limit retries to a ratio of first attempts plus a slow
+constant rate, so that clients do not overload a server that is failing. Jitter spreads the retries of many
+clients. The circuit breaker stops calls to a failing server and finds out by single trial calls when it has
+recovered. A request that takes a seat is never hedged. Times are milliseconds of any monotonic clock.
 """
 
 from __future__ import annotations
@@ -13,30 +13,47 @@
 from enum import Enum
 from random import Random
 
+_JITTER_GROWTH = 3.0  # upper end of the next backoff, as a multiple of the last one
+_OPEN_GROWTH = 2.0  # each failed trial call keeps the breaker open so many times longer
+_BUCKET_CAPACITY = 4.0  # in initial fillings
+_MS_PER_S = 1000.0
+
 
 class DecorrelatedJitter:
-    """Pauses between `base` and three times the last one, `most` at most (Brooker, AWS, 2015)."""
+    """Backoff with decorrelated jitter (Brooker, AWS Architecture Blog, 2015).
+
+    Each backoff is drawn between `base_ms` and three times the last one, and is `max_ms` at most.
+    """
 
     def __init__(self, rng: Random, base_ms: float, max_ms: float) -> None:
-        self._dice, self._base, self._most = rng, base_ms, max_ms
-        self._last = base_ms
+        self._rng = rng
+        self._base_ms = base_ms
+        self._max_ms = max_ms
+        self._last_ms = base_ms
 
     def next_backoff_ms(self) -> float:
-        self._last = min(self._most, self._dice.uniform(self._base, self._last * 3.0))
-        return self._last
+        """Draws the next backoff in milliseconds."""
+        drawn_ms = self._rng.uniform(self._base_ms, self._last_ms * _JITTER_GROWTH)
+        self._last_ms = min(self._max_ms, drawn_ms)
+        return self._last_ms
 
 
 class BreakerState(Enum):
+    """The states of a circuit breaker."""
+
     CLOSED = "closed"
     OPEN = "open"
     HALF_OPEN = "half-open"
 
 
 class CircuitBreaker:
-    """Opens when most of the last calls failed; then lets one trial through at a time.
+    """Opens when most of the recent calls failed, and then admits one trial call at a time.
 
-    `window` calls are looked at, at least half of them; `share` of them failed opens it for `open_ms`,
-    twice as long after each trial that fails, up to `open_most_ms`.
+    Args:
+        window: How many recent calls are considered. It opens after half as many at the earliest.
+        failure_ratio: The ratio of failed calls at which it opens.
+        open_ms: How long it stays open the first time. The time doubles with each trial call that fails.
+        max_open_ms: Upper limit of that time.
     """
 
     def __init__(
@@ -48,57 +65,83 @@
         max_open_ms: float = 15_000.0,
     ) -> None:
         self.state = BreakerState.CLOSED
-        self._share, self._first_ms, self._most_ms = failure_ratio, open_ms, max_open_ms
-        self._ends: deque[bool] = deque(maxlen=window)
-        self._open_ms, self._until = open_ms, 0.0
-        self._trial: int | None = None
-        self._trials = 0
+        self._failure_ratio = failure_ratio
+        self._window = max(window, 1)
+        self._first_open_ms = open_ms
+        self._max_open_ms = max_open_ms
+        self._outcomes: deque[bool] = deque(maxlen=window)
+        self._open_ms = open_ms
+        self._open_until = 0.0
+        self._trial_call: int | None = None
+        self._last_call = 0
 
     def may_call(self, now: float) -> bool:
-        if self.state is BreakerState.OPEN and now >= self._until:
-            self.state, self._trial = BreakerState.HALF_OPEN, None
-        return self.state is BreakerState.CLOSED or (
-            self.state is BreakerState.HALF_OPEN and self._trial is None
-        )
+        """Whether a call may start; an open breaker whose time is over becomes half open."""
+        if self.state is BreakerState.OPEN and now >= self._open_until:
+            self.state = BreakerState.HALF_OPEN
+            self._trial_call = None
+        if self.state is BreakerState.HALF_OPEN:
+            return self._trial_call is None
+        return self.state is BreakerState.CLOSED
 
     def begin_call(self, now: float) -> int:
-        """A call goes out; the number is for `end`. Only after `may_call` said yes."""
-        self._trials += 1
+        """Records that a call starts, after `may_call` allowed it, and returns its number for `end_call`."""
+        self._last_call += 1
         if self.state is BreakerState.HALF_OPEN:
-            self._trial = self._trials
-        return self._trials
+            self._trial_call = self._last_call
+        return self._last_call
+
+    def end_call(self, now: float, call: int, is_success: bool) -> None:
+        """Records the outcome of a call.
 
-    def end_call(self, now: float, call: int, good: bool) -> None:
+        Args:
+            now: Time in milliseconds.
+            call: The number that `begin_call` returned.
+            is_success: Whether the server answered it.
+        """
         if self.state is BreakerState.HALF_OPEN:
-            if call != self._trial:
-                return  # an answer to a call from before it opened says nothing of now
-            self._trial = None
-            if good:
-                self.state, self._open_ms = BreakerState.CLOSED, self._first_ms
-                self._ends.clear()
-            else:
-                self._open(now, min(self._open_ms * 2.0, self._most_ms))
+            # A call from before the breaker opened says nothing about the server's present state.
+            if call == self._trial_call:
+                self._on_trial_ended(now, is_success)
         elif self.state is BreakerState.CLOSED:
-            self._ends.append(good)
-            size, bad = len(self._ends), sum(not one for one in self._ends)
-            if size * 2 >= (self._ends.maxlen or 1) and bad >= self._share * size:
-                self._open(now, self._first_ms)
+            self._outcomes.append(is_success)
+            total, failed = len(self._outcomes), self._outcomes.count(False)
+            if total * 2 >= self._window and failed >= self._failure_ratio * total:
+                self._open(now, self._first_open_ms)
 
     def remaining_open_ms(self, now: float) -> float:
-        return max(self._until - now, 0.0) if self.state is BreakerState.OPEN else 0.0
+        """Returns how long the breaker stays open, in milliseconds; 0 if it is not open."""
+        return max(self._open_until - now, 0.0) if self.state is BreakerState.OPEN else 0.0
+
+    def _on_trial_ended(self, now: float, is_success: bool) -> None:
+        self._trial_call = None
+        if is_success:
+            self.state = BreakerState.CLOSED
+            self._open_ms = self._first_open_ms
+            self._outcomes.clear()
+        else:
+            self._open(now, min(self._open_ms * _OPEN_GROWTH, self._max_open_ms))
 
-    def _open(self, now: float, pause: float) -> None:
-        self.state, self._open_ms, self._until = BreakerState.OPEN, pause, now + pause
-        self._ends.clear()
+    def _open(self, now: float, duration_ms: float) -> None:
+        self.state = BreakerState.OPEN
+        self._open_ms = duration_ms
+        self._open_until = now + duration_ms
+        self._outcomes.clear()
 
 
 @dataclass(frozen=True, slots=True)
 class RetryConfig:
-    """Repeats take tokens, one each, of their tenant's bucket and of the server's.
-
-    A bucket begins with `free` tokens and holds four times as many; each first try adds `share` of one,
-    each second `per_s` (the server's) or `tenant_per_s`, so that a quiet front can still find out that its
-    server is back. Pauses are ms; `tenants` are kept at the most, the longest unused is dropped first.
+    """Settings of retries. Each retry takes one token of its tenant's bucket and one of the server's.
+
+    Attributes:
+        retry_ratio: Tokens that each first attempt adds to both buckets.
+        initial_tokens: Tokens in a new bucket; its capacity is four times as many.
+        tokens_per_s: Tokens that time adds to the server's bucket, so that a front with little traffic also
+            finds out that its server has recovered.
+        tenant_tokens_per_s: Tokens that time adds to a tenant's bucket.
+        base_backoff_ms: Shortest backoff.
+        max_backoff_ms: Longest backoff.
+        max_tenants: Upper limit of tenants with a bucket; the least recently used is dropped.
     """
 
     retry_ratio: float = 0.2
@@ -111,80 +154,109 @@
 
 
 class TokenBucket:
-    """Tokens that time adds at `per_s` and that may be earned besides; never more than `most`.
+    """A token bucket that time fills, and deposits.
+
+    A clock that goes backwards adds nothing, and the time that it passes again is not counted twice.
 
-    Time that goes backwards adds nothing, and what it passes again is not counted twice.
+    Args:
+        now: Time in milliseconds.
+        tokens_per_s: Tokens that time adds.
+        initial_tokens: Tokens at first.
+        capacity: Upper limit of tokens.
     """
 
-    __slots__ = ("_at", "_level", "_most", "_per_ms")
+    __slots__ = ("_capacity", "_tokens", "_tokens_per_ms", "_updated_at")
 
-    def __init__(self, now: float, per_s: float, level: float, most: float) -> None:
-        self._per_ms, self._level, self._most, self._at = per_s / 1000.0, level, most, now
+    def __init__(self, now: float, tokens_per_s: float, initial_tokens: float, capacity: float) -> None:
+        self._tokens_per_ms = tokens_per_s / _MS_PER_S
+        self._tokens = initial_tokens
+        self._capacity = capacity
+        self._updated_at = now
 
     def available(self, now: float) -> float:
-        if now > self._at:
-            self._level = min(self._level + (now - self._at) * self._per_ms, self._most)
-            self._at = now
-        return self._level
+        """Returns the tokens in the bucket, fractions included."""
+        if now > self._updated_at:
+            earned = (now - self._updated_at) * self._tokens_per_ms
+            self._tokens = min(self._tokens + earned, self._capacity)
+            self._updated_at = now
+        return self._tokens
 
     def deposit(self, now: float, tokens: float) -> None:
-        self._level = min(self.available(now) + tokens, self._most)
+        """Adds tokens up to the capacity."""
+        self._tokens = min(self.available(now) + tokens, self._capacity)
 
     def try_take(self, now: float) -> bool:
-        """Takes one token, if there is a whole one."""
+        """Takes one token and returns True, or returns False if there is less than a whole one."""
         if self.available(now) < 1.0:
             return False
-        self._level -= 1.0
+        self._tokens -= 1.0
         return True
 
 
 @dataclass(slots=True)
 class RetryPolicy:
-    """Decides on each failure whether, and when, the same request is made again."""
+    """Decides after each failure whether and when the same request is sent again.
+
+    Attributes:
+        config: Settings of budgets and backoff.
+        rng: Source of the jitter.
+        breaker: The circuit breaker of the server.
+        denied_retries: How many retries were denied.
+    """
 
     config: RetryConfig
     rng: Random
     breaker: CircuitBreaker = field(default_factory=CircuitBreaker)
     denied_retries: int = 0
-    _server: TokenBucket | None = None
-    _tenants: OrderedDict[str, TokenBucket] = field(default_factory=OrderedDict)
+    _server_bucket: TokenBucket | None = None
+    _tenant_buckets: OrderedDict[str, TokenBucket] = field(default_factory=OrderedDict)
 
     def on_first_attempt(self, now: float, tenant: str) -> None:
-        """A request is made for the first time."""
+        """Adds to the retry budgets for a request that is sent for the first time."""
         for bucket in self._buckets(now, tenant):
             bucket.deposit(now, self.config.retry_ratio)
 
     def schedule_retry(
-        self, now: float, tenant: str, jitter: DecorrelatedJitter, until: float
+        self, now: float, tenant: str, jitter: DecorrelatedJitter, deadline: float
     ) -> float | None:
-        """When to repeat, or None: out of budget, or nothing could come of it before `until`."""
-        at = now + max(jitter.next_backoff_ms(), self.breaker.remaining_open_ms(now))
+        """Returns when to send a failed request again, and takes the tokens for it.
+
+        Args:
+            now: Time in milliseconds.
+            tenant: The tenant whose budget pays for it.
+            jitter: The request's own backoff.
+            deadline: Time from which an answer is of no use.
+
+        Returns:
+            The time in milliseconds; None if a budget is exhausted or the deadline would pass before it.
+        """
+        retry_at = now + max(jitter.next_backoff_ms(), self.breaker.remaining_open_ms(now))
         buckets = self._buckets(now, tenant)
-        # Both are looked at first: a tenant out of tokens must not use up the server's.
-        if at >= until or any(bucket.available(now) < 1.0 for bucket in buckets):
+        # Both are checked before either is charged: a tenant without tokens must not use up the server's.
+        if retry_at >= deadline or any(bucket.available(now) < 1.0 for bucket in buckets):
             self.denied_retries += 1
             return None
         for bucket in buckets:
             bucket.try_take(now)
-        return at
+        return retry_at
 
     def new_jitter(self) -> DecorrelatedJitter:
+        """Returns the backoff of a new request."""
         return DecorrelatedJitter(self.rng, self.config.base_backoff_ms, self.config.max_backoff_ms)
 
     def _buckets(self, now: float, tenant: str) -> tuple[TokenBucket, TokenBucket]:
-        rules = self.config
-        if self._server is None:
-            self._server = TokenBucket(
-                now, rules.tokens_per_s, rules.initial_tokens, rules.initial_tokens * 4.0
-            )
-        bucket = self._tenants.get(tenant)
+        if self._server_bucket is None:
+            self._server_bucket = self._new_bucket(now, self.config.tokens_per_s)
+        bucket = self._tenant_buckets.get(tenant)
         if bucket is None:
-            bucket = TokenBucket(
-                now, rules.tenant_tokens_per_s, rules.initial_tokens, rules.initial_tokens * 4.0
-            )
-            self._tenants[tenant] = bucket
-            if len(self._tenants) > rules.max_tenants:
-                self._tenants.popitem(last=False)
+            bucket = self._new_bucket(now, self.config.tenant_tokens_per_s)
+            self._tenant_buckets[tenant] = bucket
+            if len(self._tenant_buckets) > self.config.max_tenants:
+                self._tenant_buckets.popitem(last=False)
         else:
-            self._tenants.move_to_end(tenant)
-        return self._server, bucket
+            self._tenant_buckets.move_to_end(tenant)
+        return self._server_bucket, bucket
+
+    def _new_bucket(self, now: float, tokens_per_s: float) -> TokenBucket:
+        initial = self.config.initial_tokens
+        return TokenBucket(now, tokens_per_s, initial, initial * _BUCKET_CAPACITY)
--- a/fernweir/entitlement/queue.py
+++ b/fernweir/entitlement/queue.py
@@ -1,9 +1,9 @@
-"""The order in which requests go out to an entitlement server that takes only so many at once.
+"""The order of requests to an entitlement server that serves a limited number at once.
 
-Renewals go before new sessions: a viewer who watches must not lose the seat because a crew asks at one
-instant. New ones go by worth, then by age; what waits gains rank with time, so that nothing starves.
-Releases have every eighth turn at the least, as they free seats for others. Free of I/O and clock; times
-are milliseconds.
+Renewals go before new sessions, so that viewers who are watching keep their seats when many new ones arrive
+at once. New sessions are ordered by priority weight and age; a request's rank grows while it waits, so none
+starves. Releases get at least every eighth place, because they free seats for others. Free of I/O and clock;
+times are milliseconds of any monotonic clock.
 """
 
 from __future__ import annotations
@@ -12,16 +12,33 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
+_MAX_SAMPLE_MS = 10_000.0
+_INITIAL_DURATION_MS = 20.0
+_DURATION_SMOOTHING = 0.1  # weight of the newest sample in the moving average
+
 
 class RequestKind(IntEnum):
+    """The kinds of requests, most urgent first."""
+
     RENEW = 0
     ACQUIRE = 1
     RELEASE = 2
 
 
+_USUAL_ORDER = (RequestKind.RENEW, RequestKind.ACQUIRE, RequestKind.RELEASE)
+_RELEASE_FIRST_ORDER = (RequestKind.RELEASE, RequestKind.RENEW, RequestKind.ACQUIRE)
+
+
 @dataclass(frozen=True, slots=True)
 class QueueConfig:
-    """`at_once` requests are out together; waiting `age_ms` is worth as much as one of worth."""
+    """Settings of a queue.
+
+    Attributes:
+        max_in_flight: Upper limit of requests in flight.
+        aging_ms: Waiting time that is equivalent to one unit of priority weight.
+        release_every: Of so many requests at least one is a release, if any waits.
+        max_waiting: Upper limit of new sessions that wait.
+    """
 
     max_in_flight: int = 64
     aging_ms: float = 500.0
@@ -30,76 +47,97 @@
 
 
 @dataclass(order=True, slots=True)
-class _Entry:
+class _QueuedRequest:
     rank: float
-    number: int
-    id: int
+    sequence: int
+    request_id: int
 
 
 class SendQueue:
-    """Holds ids of requests; `next` names those that may go out now."""
+    """Orders ids of requests; `start_next` names the one that may be sent now."""
 
     def __init__(self, config: QueueConfig | None = None) -> None:
         self.config = config or QueueConfig()
         self.in_flight = 0
-        self._heaps: dict[RequestKind, list[_Entry]] = {turn: [] for turn in RequestKind}
-        self._waiting: dict[int, RequestKind] = {}
-        self._count = dict.fromkeys(RequestKind, 0)
-        self._numbers = 0
+        self._heaps: dict[RequestKind, list[_QueuedRequest]] = {kind: [] for kind in RequestKind}
+        self._kind_of_waiting: dict[int, RequestKind] = {}
+        self._waiting_counts = dict.fromkeys(RequestKind, 0)
+        self._last_sequence = 0
         self._since_release = 0
-        self._pace_ms = 20.0
+        self._mean_duration_ms = _INITIAL_DURATION_MS
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._kind_of_waiting)
 
-    def waiting_count(self, turn: RequestKind) -> int:
-        return self._count[turn]
+    def waiting_count(self, kind: RequestKind) -> int:
+        """Returns how many requests of that kind wait."""
+        return self._waiting_counts[kind]
 
     def add(self, now: float, request_id: int, kind: RequestKind, weight: float, deadline: float) -> bool:
-        """Puts a request in line; False if the line is full. Renewals and releases always find room.
-
-        `due` orders renewals: the one that lapses first goes first. For the others rank is the time of
-        coming, less what its worth is worth in waiting: a fixed key that still ages, as all age alike.
+        """Queues a request.
+
+        Args:
+            now: Time in milliseconds.
+            request_id: Its id.
+            kind: Its kind.
+            weight: The priority weight of its session. The rank of a new session is its arrival time less the
+                waiting time that the weight stands for: a constant that orders by age too, as all age alike.
+            deadline: When its lease expires, in milliseconds. Renewals are ordered by it.
+
+        Returns:
+            False if too many new sessions wait. Renewals and releases are always admitted.
         """
-        if kind is RequestKind.ACQUIRE and self._count[RequestKind.ACQUIRE] >= self.config.max_waiting:
+        if kind is RequestKind.ACQUIRE and self._waiting_counts[kind] >= self.config.max_waiting:
             return False
         rank = deadline if kind is RequestKind.RENEW else now - weight * self.config.aging_ms
-        self._numbers += 1
-        heapq.heappush(self._heaps[kind], _Entry(rank, self._numbers, request_id))
-        self._waiting[request_id] = kind
-        self._count[kind] += 1
+        self._last_sequence += 1
+        heapq.heappush(self._heaps[kind], _QueuedRequest(rank, self._last_sequence, request_id))
+        self._kind_of_waiting[request_id] = kind
+        self._waiting_counts[kind] += 1
         return True
 
     def remove(self, request_id: int) -> None:
-        turn = self._waiting.pop(request_id, None)
-        if turn is not None:
-            self._count[turn] -= 1
+        """Removes a request if it still waits."""
+        kind = self._kind_of_waiting.pop(request_id, None)
+        if kind is not None:
+            self._waiting_counts[kind] -= 1
 
     def start_next(self) -> int | None:
-        """The request whose turn it is, or None; `done` gives its place back."""
+        """Returns the id of the request to send now and counts it as in flight until `on_request_done`.
+
+        Returns:
+            None if nothing waits or the limit of requests in flight is reached.
+        """
         if self.in_flight >= self.config.max_in_flight:
             return None
-        order = [RequestKind.RENEW, RequestKind.ACQUIRE, RequestKind.RELEASE]
-        if self._since_release + 1 >= self.config.release_every:
-            order = [RequestKind.RELEASE, RequestKind.RENEW, RequestKind.ACQUIRE]
-        for turn in order:
-            heap = self._heaps[turn]
-            while heap and self._waiting.get(heap[0].id) is not turn:
-                heapq.heappop(heap)
-            if heap:
-                entry = heapq.heappop(heap)
-                del self._waiting[entry.id]
-                self._count[turn] -= 1
-                self._since_release = 0 if turn is RequestKind.RELEASE else self._since_release + 1
+        is_release_due = self._since_release + 1 >= self.config.release_every
+        for kind in _RELEASE_FIRST_ORDER if is_release_due else _USUAL_ORDER:
+            request_id = self._pop(kind)
+            if request_id is not None:
+                self._since_release = 0 if kind is RequestKind.RELEASE else self._since_release + 1
                 self.in_flight += 1
-                return entry.id
+                return request_id
         return None
 
-    def on_request_done(self, took_ms: float) -> None:
+    def on_request_done(self, duration_ms: float) -> None:
+        """Records that a request in flight ended after that time in milliseconds."""
         self.in_flight = max(self.in_flight - 1, 0)
-        self._pace_ms += (min(took_ms, 10_000.0) - self._pace_ms) * 0.1
+        sample_ms = min(duration_ms, _MAX_SAMPLE_MS)
+        self._mean_duration_ms += (sample_ms - self._mean_duration_ms) * _DURATION_SMOOTHING
 
     def estimated_wait_ms(self) -> float:
-        """About how long a new session asked for now would wait for its turn."""
-        ahead = self._count[RequestKind.RENEW] + self._count[RequestKind.ACQUIRE]
-        return ahead / max(self.config.max_in_flight, 1) * self._pace_ms
+        """Returns about how long a new session that arrives now would wait, in milliseconds."""
+        ahead = self._waiting_counts[RequestKind.RENEW] + self._waiting_counts[RequestKind.ACQUIRE]
+        return ahead / max(self.config.max_in_flight, 1) * self._mean_duration_ms
+
+    def _pop(self, kind: RequestKind) -> int | None:
+        """Removes the first waiting request of a kind; entries of requests removed before are skipped."""
+        heap = self._heaps[kind]
+        while heap and self._kind_of_waiting.get(heap[0].request_id) is not kind:
+            heapq.heappop(heap)
+        if not heap:
+            return None
+        request_id = heapq.heappop(heap).request_id
+        del self._kind_of_waiting[request_id]
+        self._waiting_counts[kind] -= 1
+        return request_id
--- a/fernweir/front/dash.py
+++ b/fernweir/front/dash.py
@@ -26,7 +26,7 @@
 from fernweir.http.server import Exchange
 from fernweir.http.target import TargetError, split_target
 from fernweir.interface import SessionClass, Settings
-from fernweir.tokens import Keyring, ServerClaims, SessionClaims, TokenError, TokenFault
+from fernweir.tokens import ExpectedClaims, Keyring, ServerClaims, SessionClaims, TokenError, TokenFault
 
 MPD_TYPE = "application/dash+xml"
 _PROBLEM = "urn:fernweir:problem:"
@@ -227,13 +227,12 @@
 
     def _claims(self, token: str) -> SessionClaims:
         try:
-            claims = self.keyring.verify(
+            claims = self.keyring.verify_renewable(
                 token,
                 SessionClaims,
-                audience=self.rules.audience,
+                ExpectedClaims(self.rules.audience, self.rules.issuer),
                 now_s=self._wall_s(),
-                issuer=self.rules.issuer,
-                may_accept_expired=self._covered,
+                is_renewed=self._covered,
             )
         except TokenError as error:
             raise _challenge(error) from None
--- a/fernweir/tokens/__init__.py
+++ b/fernweir/tokens/__init__.py
@@ -1,10 +1,11 @@
-"""Session tokens: JWTs (RFC 7519) whose keys, claims and reasons for refusal are all explicit."""
+"""Session tokens: JWTs (RFC 7519) with explicit keys, claims and reasons for rejection."""
 
 from fernweir.tokens.claims import ControlClaims, ServerClaims, SessionClaims, TokenError, TokenFault
-from fernweir.tokens.keyring import Keyring, KeyringError
+from fernweir.tokens.keyring import ExpectedClaims, Keyring, KeyringError
 
 __all__ = [
     "ControlClaims",
+    "ExpectedClaims",
     "Keyring",
     "KeyringError",
     "ServerClaims",
--- a/fernweir/tokens/claims.py
+++ b/fernweir/tokens/claims.py
@@ -1,4 +1,4 @@
-"""What tokens say, as schemas, and why one is refused."""
+"""Schemas of token claims, and the reasons for rejecting a token."""
 
 from __future__ import annotations
 
@@ -10,14 +10,13 @@
 Name = Annotated[str, Field(min_length=1, max_length=200, pattern=r"^[^\x00-\x1f\x7f]+$")]
 Slug = Annotated[str, Field(min_length=1, max_length=128, pattern=r"^[A-Za-z0-9][A-Za-z0-9._~-]*$")]
 
-
-# A channel is a part of a front's sessions that can change its owner; its fence grows with each.
+# A channel is a part of a front's sessions that can change its owner. Its fence grows with each owner.
 Channel = Annotated[str, Field(min_length=1, max_length=200, pattern=r"^[A-Za-z0-9._:/-]+$")]
 Fence = Annotated[int, Field(ge=0, le=0x7FFFFFFFFFFFFFFF)]
 
 
 class TokenFault(Enum):
-    """Each reason for refusing a token; the value goes into logs and problem details."""
+    """The reasons for rejecting a token; the values appear in logs and problem details."""
 
     MISSING = "no-token"
     TOO_LONG = "token-too-long"
@@ -32,11 +31,16 @@
     EXPIRED = "expired"
     NOT_YET = "not-yet-valid"
     TITLE = "other-title"
-    INACTIVE = "not-active"  # its issuer took it back
+    INACTIVE = "not-active"  # revoked by its issuer (RFC 7662)
 
 
 class TokenError(Exception):
-    """A token is refused."""
+    """A token is rejected.
+
+    Attributes:
+        fault: The reason.
+        detail: The claims, names or algorithms that it concerns; empty if the reason says it all.
+    """
 
     def __init__(self, fault: TokenFault, detail: str = "") -> None:
         super().__init__(f"{fault.value}: {detail}" if detail else fault.value)
@@ -45,7 +49,7 @@
 
 
 class Claims(BaseModel):
-    """Registered claims that all our tokens carry (RFC 7519, 4.1); times are seconds since the epoch."""
+    """Registered claims of every token (RFC 7519, section 4.1); times are seconds since the epoch."""
 
     model_config = ConfigDict(strict=True, frozen=True, extra="ignore")
 
@@ -57,7 +61,11 @@
 
 
 class SessionClaims(Claims):
-    """A viewer's right to one session of one title: who, which, up to which rung (0 is the lowest)."""
+    """A viewer's entitlement to one session of one title.
+
+    `sub` is the viewer, `jti` the session, `cls` its class, and `top` the highest rung that it may use; 0 is
+    the lowest rung.
+    """
 
     sub: Name
     jti: Slug
@@ -68,9 +76,9 @@
 
 
 class ServerClaims(SessionClaims):
-    """The narrower token that a front mints for one box: this session there, and nothing else.
+    """A token that a front issues for one session at one server.
 
-    `channel` and `fence` stand in the token of a set-up, if the front's sessions may change their owner.
+    `channel` and `fence` are present in the token of a set-up if the front's sessions may change their owner.
     """
 
     front: Name
@@ -82,7 +90,7 @@
 
 
 class ControlClaims(Claims):
-    """What a front shows a box or the list to steer its own sessions."""
+    """A token by which a front controls its own sessions at a server or at the endpoint list."""
 
     front: Name
     use: Literal["control"]
--- a/fernweir/tokens/key_generation.py
+++ b/fernweir/tokens/key_generation.py
@@ -1,4 +1,4 @@
-"""Fresh secrets as a JWK Set (RFC 7517)."""
+"""Generates secret keys as a JWK Set (RFC 7517)."""
 
 from __future__ import annotations
 
@@ -6,16 +6,18 @@
 import secrets
 from base64 import urlsafe_b64encode
 
+_SECRET_BYTES = 32
 
-def generate_key_set(*kids: str) -> str:
-    """A JWK Set of fresh HS256 secrets, as text."""
+
+def generate_key_set(*key_ids: str) -> str:
+    """Returns the JSON text of a JWK Set with one new HS256 secret for each key id."""
     keys = [
         {
             "kty": "oct",
-            "kid": kid,
+            "kid": key_id,
             "alg": "HS256",
-            "k": urlsafe_b64encode(secrets.token_bytes(32)).rstrip(b"=").decode(),
+            "k": urlsafe_b64encode(secrets.token_bytes(_SECRET_BYTES)).rstrip(b"=").decode(),
         }
-        for kid in kids
+        for key_id in key_ids
     ]
     return json.dumps({"keys": keys}, indent=1)
--- a/fernweir/tokens/keyring.py
+++ b/fernweir/tokens/keyring.py
@@ -1,7 +1,7 @@
-"""Keys by id, each bound to one algorithm (RFC 7517, RFC 8725 sections 3.1 and 3.2).
+"""Signing and verification keys by key id, each bound to one algorithm (RFC 7517; RFC 8725, 3.1 and 3.2).
 
-A token names its key; the key, never the token, says which algorithm holds. Several keys are in force at
-once, so a new one is added everywhere before anybody signs with it.
+A token names its key. The key decides which algorithm is valid, never the token's header. Several keys are
+valid at the same time, so a new key can be distributed to all verifiers before a token is signed with it.
 """
 
 from __future__ import annotations
@@ -11,6 +11,7 @@
 from binascii import Error as Base64Error
 from collections import OrderedDict
 from collections.abc import Callable, Mapping
+from dataclasses import dataclass
 from typing import Any, TypeVar
 
 from joserfc import jwt
@@ -21,21 +22,39 @@
 from fernweir.tokens.claims import Claims, TokenError, TokenFault
 
 Key = OctKey | ECKey | OKPKey | RSAKey
-_KINDS: dict[str, type[Key]] = {"oct": OctKey, "EC": ECKey, "OKP": OKPKey, "RSA": RSAKey}
-_ALGORITHMS = {"HS256": "oct", "ES256": "EC", "Ed25519": "OKP", "RS256": "RSA", "PS256": "RSA"}
-_LEAST_SECRET_BYTES = 32  # RFC 7518, 3.2
-C = TypeVar("C", bound=Claims)
+_KEY_CLASSES: dict[str, type[Key]] = {"oct": OctKey, "EC": ECKey, "OKP": OKPKey, "RSA": RSAKey}
+_KEY_TYPE_OF_ALGORITHM = {"HS256": "oct", "ES256": "EC", "Ed25519": "OKP", "RS256": "RSA", "PS256": "RSA"}
+_MIN_SECRET_BYTES = 32  # RFC 7518, section 3.2
+_JWT_PARTS = 3  # header, payload, signature
+ClaimsT = TypeVar("ClaimsT", bound=Claims)
 
 
 class KeyringError(ValueError):
-    """The key set can't be used; the text says which key and why."""
+    """A key set cannot be used; the text names the key and the reason."""
+
+
+@dataclass(frozen=True, slots=True)
+class ExpectedClaims:
+    """The audience and issuer that a token must have; an issuer of None accepts any."""
+
+    audience: str
+    issuer: str | None = None
 
 
 class Keyring:
-    """Verifies tokens by any of its keys and signs with one.
+    """Verifies tokens with any of its keys and signs with one of them.
+
+    Valid signatures and schemas are cached by token; the times of a token are checked at each use.
+
+    Args:
+        keys: A JWK Set as parsed from JSON.
+        sign_with: The key id to sign with; by default that of the first key.
+        skew_s: Tolerated difference between the clocks of issuer and verifier, in seconds.
+        max_length: Longest accepted token, in characters.
+        cache: How many verified tokens are cached.
 
-    `skew_s` is how far the clocks of issuer and verifier may lie apart. Signatures and schemas found good
-    are remembered for `cache` tokens; times are judged anew at each use.
+    Raises:
+        KeyringError: The key set has no usable keys, or one of them is invalid.
     """
 
     def __init__(
@@ -47,28 +66,30 @@
         max_length: int = 4_096,
         cache: int = 4_096,
     ) -> None:
-        self.skew_s, self.max_length = skew_s, max_length
-        self._keys: dict[str, tuple[Key, str]] = {}
+        self.skew_s = skew_s
+        self.max_length = max_length
+        self._keys = _import_key_set(keys)
         self._cache_size = cache
         self._cache: OrderedDict[tuple[str, type[Claims]], Claims] = OrderedDict()
-        members = keys.get("keys")
-        if not isinstance(members, list) or not members:
-            raise KeyringError("a key set needs a non-empty list 'keys'")
-        for index, member in enumerate(members):
-            kid, key, algorithm = self._import(member, index)
-            if kid in self._keys:
-                raise KeyringError(f"key {kid}: listed twice")
-            self._keys[kid] = (key, algorithm)
-        self._own = set(self._keys)
-        self._issued: set[str] = set()
-        self._retired: dict[str, float] = {}
+        self._own_key_ids = set(self._keys)
+        self._issued_key_ids: set[str] = set()
+        self._retired_until_s: dict[str, float] = {}
         self.sign_with = sign_with or next(iter(self._keys))
         if self.sign_with not in self._keys:
             raise KeyringError(f"no key {self.sign_with} to sign with")
 
     @classmethod
     def from_json(cls, text: str, *, sign_with: str | None = None, skew_s: float = 5.0) -> Keyring:
-        """From the text of a JWK Set. KeyringError when it is none."""
+        """Returns a keyring with the keys of a JWK Set.
+
+        Args:
+            text: The JSON text of the JWK Set.
+            sign_with: The key id to sign with; by default that of the first key.
+            skew_s: Tolerated clock difference in seconds.
+
+        Raises:
+            KeyringError: The text is not a JWK Set, or a key in it cannot be used.
+        """
         try:
             keys = json.loads(text)
         except ValueError:
@@ -78,117 +99,191 @@
         return cls(keys, sign_with=sign_with, skew_s=skew_s)
 
     def replace_issued_keys(self, issued: Keyring, now_s: float, retired_for_s: float) -> list[str]:
-        """Takes the keys of a newer set beside the own ones; tells those that it no longer lists.
+        """Replaces the keys of the issuer by those of its current set; this keyring's own keys stay.
+
+        A key that the set no longer lists still verifies tokens for `retired_for_s`, because sessions with
+        tokens signed by it are still running. It is removed after that time, or when the set lists a key with
+        the same id again.
+
+        Args:
+            issued: The issuer's current key set.
+            now_s: Wall clock time in seconds.
+            retired_for_s: How long a key remains valid after it left the set, in seconds.
 
-        A key that left the set still verifies for `retired_for_s`: tokens signed with it are out, and their
-        viewers watch. After that, or if the set lists another key of the same id, it is gone.
+        Returns:
+            The ids of the keys that are retired and still valid.
         """
-        for kid in self._issued - set(issued._keys):
-            self._retired.setdefault(kid, now_s + retired_for_s)
-        for kid in [kid for kid, until in self._retired.items() if until <= now_s or kid in issued._keys]:
-            del self._retired[kid]
-        own = {kid: key for kid, key in self._keys.items() if kid in self._own}
-        kept = {kid: self._keys[kid] for kid in self._retired if kid in self._keys}
-        self._keys = {**kept, **issued._keys, **own}
-        self._issued = set(issued._keys)
-        self._cache.clear()  # what a key vouched for is judged anew by the keys of now
-        return list(self._retired)
+        for key_id in self._issued_key_ids - set(issued._keys):
+            self._retired_until_s.setdefault(key_id, now_s + retired_for_s)
+        self._retired_until_s = {
+            key_id: until_s
+            for key_id, until_s in self._retired_until_s.items()
+            if until_s > now_s and key_id not in issued._keys
+        }
+        own = {key_id: key for key_id, key in self._keys.items() if key_id in self._own_key_ids}
+        retired = {key_id: self._keys[key_id] for key_id in self._retired_until_s if key_id in self._keys}
+        self._keys = {**retired, **issued._keys, **own}
+        self._issued_key_ids = set(issued._keys)
+        # A cached token may have been verified with a key that has been removed or replaced.
+        self._cache.clear()
+        return list(self._retired_until_s)
 
     @property
     def key_ids(self) -> list[str]:
+        """The ids of all valid keys."""
         return list(self._keys)
 
     def thumbprints(self) -> list[tuple[str, bytes]]:
-        """Each key's id and thumbprint (RFC 7638)."""
-        return [(kid, key.thumbprint().encode()) for kid, (key, _) in self._keys.items()]
-
-    @staticmethod
-    def _import(member: Any, index: int) -> tuple[str, Key, str]:
-        if not isinstance(member, dict) or not isinstance(member.get("kid"), str):
-            raise KeyringError(f"key {index}: no kid")
-        kid, algorithm = member["kid"], str(member.get("alg"))
-        if _ALGORITHMS.get(algorithm) != member.get("kty"):
-            raise KeyringError(f"key {kid}: alg {algorithm} is unknown or not of its kty")
-        try:
-            key = _KINDS[member["kty"]].import_key(member)
-        except (JoseError, ValueError, TypeError, KeyError) as error:
-            raise KeyringError(f"key {kid}: {error}") from None
-        if isinstance(key, OctKey) and len(key.raw_value) < _LEAST_SECRET_BYTES:
-            raise KeyringError(f"key {kid}: secret of under {_LEAST_SECRET_BYTES} bytes")
-        return kid, key, algorithm
+        """Returns the id and the thumbprint (RFC 7638) of each key."""
+        return [(key_id, key.thumbprint().encode()) for key_id, (key, _) in self._keys.items()]
 
     def sign(self, claims: Claims | Mapping[str, Any]) -> str:
+        """Returns a token with the claims, signed with the key `sign_with`."""
         key, algorithm = self._keys[self.sign_with]
-        body = claims.model_dump(exclude_none=True) if isinstance(claims, Claims) else dict(claims)
-        return jwt.encode({"alg": algorithm, "kid": self.sign_with}, body, key, algorithms=[algorithm])
+        payload = claims.model_dump(exclude_none=True) if isinstance(claims, Claims) else dict(claims)
+        header = {"alg": algorithm, "kid": self.sign_with}
+        return jwt.encode(header, payload, key, algorithms=[algorithm])
 
     def verify(
         self,
         token: str,
-        schema: type[C],
+        schema: type[ClaimsT],
         *,
         audience: str,
         now_s: float,
         issuer: str | None = None,
-        may_accept_expired: Callable[[C], bool] | None = None,
-    ) -> C:
-        """The claims of a good token; TokenError with the reason for any other.
+    ) -> ClaimsT:
+        """Returns the claims of a valid token.
+
+        Args:
+            token: The token in compact serialization.
+            schema: The claims that it must have.
+            audience: The audience that must be among the token's.
+            now_s: Wall clock time in seconds.
+            issuer: The issuer that it must have; None accepts any.
 
-        `covered` is asked about a token that is good but for its expiry: whether something renewed since,
-        a lease that is held, stands in for it.
+        Raises:
+            TokenError: The token is not valid; the error says why.
         """
-        cached = self._cache.get((token, schema))
-        if cached is None:
-            claims = self._decode(token, schema)
-            self._cache[token, schema] = claims
-            if len(self._cache) > self._cache_size:
-                self._cache.popitem(last=False)
-        else:
-            assert isinstance(cached, schema)
-            claims = cached
+        expected = ExpectedClaims(audience, issuer)
+        return self.verify_renewable(token, schema, expected, now_s=now_s, is_renewed=_is_never_renewed)
+
+    def verify_renewable(
+        self,
+        token: str,
+        schema: type[ClaimsT],
+        expected: ExpectedClaims,
+        *,
+        now_s: float,
+        is_renewed: Callable[[ClaimsT], bool],
+    ) -> ClaimsT:
+        """Returns the claims of a token that is valid, or valid but for an expiry that was extended since.
+
+        Args:
+            token: The token in compact serialization.
+            schema: The claims that it must have.
+            expected: The audience and issuer that it must have.
+            now_s: Wall clock time in seconds.
+            is_renewed: Whether something renewed since, such as a lease, extends the validity of an expired
+                token with these claims.
+
+        Raises:
+            TokenError: The token is not valid; the error says why.
+        """
+        claims = self._authenticate(token, schema)
         audiences = [claims.aud] if isinstance(claims.aud, str) else claims.aud
-        if issuer is not None and claims.iss != issuer:
+        if expected.issuer is not None and claims.iss != expected.issuer:
             raise TokenError(TokenFault.ISSUER, claims.iss)
-        if audience not in audiences:
+        if expected.audience not in audiences:
             raise TokenError(TokenFault.AUDIENCE, ", ".join(audiences))
-        lapsed = claims.exp + self.skew_s <= now_s
-        if lapsed and not (may_accept_expired is not None and may_accept_expired(claims)):
+        is_expired = claims.exp + self.skew_s <= now_s
+        if is_expired and not is_renewed(claims):
             raise TokenError(TokenFault.EXPIRED)
         if max(claims.nbf or 0.0, claims.iat or 0.0) - self.skew_s > now_s:
             raise TokenError(TokenFault.NOT_YET)
         return claims
 
-    def _decode(self, token: str, schema: type[C]) -> C:
+    def _authenticate(self, token: str, schema: type[ClaimsT]) -> ClaimsT:
+        """Returns the claims of a token with a valid signature and schema, from the cache if it has them."""
+        cached = self._cache.get((token, schema))
+        if cached is not None:
+            assert isinstance(cached, schema)
+            return cached
+        claims = self._decode(token, schema)
+        self._cache[token, schema] = claims
+        if len(self._cache) > self._cache_size:
+            self._cache.popitem(last=False)
+        return claims
+
+    def _decode(self, token: str, schema: type[ClaimsT]) -> ClaimsT:
         if not token:
             raise TokenError(TokenFault.MISSING)
         if len(token) > self.max_length:
             raise TokenError(TokenFault.TOO_LONG)
-        header = _header(token)
-        algorithm, kid = header.get("alg"), header.get("kid")
-        if not isinstance(algorithm, str) or algorithm.lower() == "none":
-            raise TokenError(TokenFault.UNSIGNED)
-        if not isinstance(kid, str) or kid not in self._keys:
-            raise TokenError(TokenFault.UNKNOWN_KEY)
-        key, expected = self._keys[kid]
-        if algorithm != expected:
-            raise TokenError(TokenFault.ALGORITHM, f"{algorithm} with a key of {expected}")
+        key, algorithm = self._select_key(_decode_header(token))
         try:
-            body = jwt.decode(token, key, algorithms=[expected]).claims
+            payload = jwt.decode(token, key, algorithms=[algorithm]).claims
         except (JoseError, ValueError, TypeError, UnicodeError) as error:
             raise TokenError(TokenFault.SIGNATURE, type(error).__name__) from None
         try:
-            return schema.model_validate(body)
+            return schema.model_validate(payload)
         except ValidationError as error:
-            fields = ", ".join(sorted({".".join(map(str, one["loc"])) for one in error.errors()}))
-            raise TokenError(TokenFault.CLAIMS, fields) from None
+            locations = {".".join(map(str, detail["loc"])) for detail in error.errors()}
+            raise TokenError(TokenFault.CLAIMS, ", ".join(sorted(locations))) from None
+
+    def _select_key(self, header: Mapping[str, Any]) -> tuple[Key, str]:
+        """Returns the key that a token's header names, and its algorithm."""
+        algorithm, key_id = header.get("alg"), header.get("kid")
+        if not isinstance(algorithm, str) or algorithm.lower() == "none":
+            raise TokenError(TokenFault.UNSIGNED)
+        if not isinstance(key_id, str) or key_id not in self._keys:
+            raise TokenError(TokenFault.UNKNOWN_KEY)
+        key, expected_algorithm = self._keys[key_id]
+        if algorithm != expected_algorithm:
+            raise TokenError(TokenFault.ALGORITHM, f"{algorithm} with a key of {expected_algorithm}")
+        return key, expected_algorithm
+
+
+def _is_never_renewed(_claims: Claims) -> bool:
+    return False
+
+
+def _import_key_set(key_set: Mapping[str, Any]) -> dict[str, tuple[Key, str]]:
+    """Returns key and algorithm by key id."""
+    members = key_set.get("keys")
+    if not isinstance(members, list) or not members:
+        raise KeyringError("a key set needs a non-empty list 'keys'")
+    keys: dict[str, tuple[Key, str]] = {}
+    for index, member in enumerate(members):
+        key_id, key, algorithm = _import_key(member, index)
+        if key_id in keys:
+            raise KeyringError(f"key {key_id}: listed twice")
+        keys[key_id] = (key, algorithm)
+    return keys
+
+
+def _import_key(member: object, index: int) -> tuple[str, Key, str]:
+    if not isinstance(member, dict) or not isinstance(member.get("kid"), str):
+        raise KeyringError(f"key {index}: no kid")
+    key_id, algorithm = member["kid"], str(member.get("alg"))
+    if _KEY_TYPE_OF_ALGORITHM.get(algorithm) != member.get("kty"):
+        raise KeyringError(f"key {key_id}: alg {algorithm} is unknown or not of its kty")
+    try:
+        key = _KEY_CLASSES[member["kty"]].import_key(member)
+    except (JoseError, ValueError, TypeError, KeyError) as error:
+        raise KeyringError(f"key {key_id}: {error}") from None
+    if isinstance(key, OctKey) and len(key.raw_value) < _MIN_SECRET_BYTES:
+        raise KeyringError(f"key {key_id}: secret of under {_MIN_SECRET_BYTES} bytes")
+    return key_id, key, algorithm
 
 
-def _header(token: str) -> dict[str, Any]:
+def _decode_header(token: str) -> dict[str, Any]:
     parts = token.split(".")
-    if len(parts) != 3 or not token.isascii():
+    if len(parts) != _JWT_PARTS or not token.isascii():
         raise TokenError(TokenFault.MALFORMED)
+    padding = "=" * (-len(parts[0]) % 4)
     try:
-        header = json.loads(urlsafe_b64decode(parts[0] + "=" * (-len(parts[0]) % 4)))
+        header = json.loads(urlsafe_b64decode(parts[0] + padding))
     except (ValueError, Base64Error, RecursionError):
         raise TokenError(TokenFault.MALFORMED) from None
     if not isinstance(header, dict) or "crit" in header:
