--- a/bench/left.py
+++ b/bench/left.py
@@ -63,7 +63,7 @@
     def asked(self, count: int = 1) -> list[str]:
         """As above, and the node has read it."""
         ids = self.ask(count)
-        self.loop.until(lambda: all(id in self.stage.node.viewers.open for id in ids))
+        self.loop.until(lambda: all(id in self.stage.node.client_listener.open_requests for id in ids))
         return ids
 
     def warm(self) -> None:
@@ -79,7 +79,7 @@
         self.before = {id: len(self.stage.sent_to(id)) for id in self.ids}
         asked = self.ids
         # What it was told before may have been read, and is no case.
-        self.ids = [id for id in self.ids if id not in self.stage.node.viewers.home]
+        self.ids = [id for id in self.ids if id not in self.stage.node.client_listener.connection_by_session]
         if way == "release":
             viewer.send(*(Message("release", id, cause=16) for id in asked))
         elif way == "reset":
@@ -239,8 +239,10 @@
     """Its answer comes in the turn in which its end is seen, or some before or behind; read or not."""
     (id,) = case.asked()
     if case.draw.random() < 0.3:  # more than the kernel takes, so that the answer stays in the node
-        (near,) = (one for one in case.stage.node.viewers._made if one._sock.fileno() == case.fd)
-        while not near.unsent:
+        (near,) = (
+            one for one in case.stage.node.client_listener.connections if one._socket.fileno() == case.fd
+        )
+        while not near.unsent_bytes:
             near.write(write(Message("pong", NO_ID, cause=1)) * 100)
     case.loop.until(lambda: case.stage.sent_to(id))
     line = case.stage.far[case.stage.sent_to(id)[0]].line_of(id)
@@ -280,7 +282,7 @@
     """All places for viewers are taken, and a newcomer comes in the turn of its end."""
     stage = case.stage
     case.warm()  # the second of two places
-    listening = stage.node.viewers._listening
+    listening = stage.node.client_listener._listening_socket
     assert listening is not None
     known = case.way == "time" or case.draw.random() < 0.5
     if known:
@@ -312,7 +314,7 @@
     if case.way == "time" or case.draw.random() < 0.6:
         case.loop.arrived(case.fd)
         case.loop.selected.held.clear()
-        while not set(case.ids) <= set(case.stage.node.viewers.open):
+        while not set(case.ids) <= set(case.stage.node.client_listener.open_requests):
             case.loop.turn()
     case.leave()
     case.loop.jump(LATE_MS)
--- a/bench/restarts_around.py
+++ b/bench/restarts_around.py
@@ -17,10 +17,10 @@
 from random import Random
 from typing import Any
 
+from fernweir.node.client_listener import CAUSE_MALFORMED
 from fernweir.node.config import Address
 from fernweir.node.frames import Code, Frame, Frames, Type, encode
 from fernweir.node.jsonl import NO_ID, Lines, Message, read, write
-from fernweir.node.viewers import UNREADABLE
 
 SENT_ON_S = 0.35  # STANDING: no set-up is sent on later than 0.3 s after its viewer left, and 50 ms
 CROSSED_S = 0.05  # so close together that either may have come first
@@ -74,7 +74,7 @@
         self.note(f"told {viewer.name}: {message.type} {message.id} {message.cause}")
         if message.type == "pong":
             self.pongs += 1
-        elif message.id == NO_ID and message.cause == UNREADABLE and viewer.halves:
+        elif message.id == NO_ID and message.cause == CAUSE_MALFORMED and viewer.halves:
             viewer.overdue = True  # it took too long over a line: what it completes now, it may not be owed
         elif wish is None:
             self.fault(f"word of an unknown session: {message}")
--- a/fernweir/node/follow.py
+++ b/fernweir/node/follow.py
@@ -7,11 +7,11 @@
 from fernweir.front.dispatcher import Dispatcher
 from fernweir.interface import EndpointListUpdate
 from fernweir.node.asking import Asking
-from fernweir.node.buffer import Shell
 from fernweir.node.config import Address
 from fernweir.node.feed import MOST_BYTES, Feed, FeedError
 from fernweir.node.jsonl import LineError, Lines
 from fernweir.node.servers import Servers
+from fernweir.node.shared_buffer import SharedBufferProtocol
 
 
 class Follower:
@@ -100,7 +100,7 @@
             self.over(self._asking.opening, why)
 
 
-class _Connection(Shell):
+class _Connection(SharedBufferProtocol):
     """Of one opening. It says what happens to it as it happens; whether that counts is not decided here."""
 
     def __init__(self, follower: Follower, opening: int) -> None:
@@ -124,7 +124,7 @@
         else:
             self.transport.abort()
 
-    def bytes_came(self, data: memoryview) -> None:
+    def data_received(self, data: memoryview) -> None:
         try:
             self._follower.lines(self._opening, self._lines.feed(data))
         except (FeedError, LineError) as error:
--- a/fernweir/node/ending.py
+++ b/fernweir/node/graceful_shutdown.py
@@ -11,29 +11,32 @@
 
 from fernweir.interface import Settings
 
-_DEADLINE_MOST_MS, _COMING_MS = 3_000.0, 650.0
+_MAX_DEADLINE_MS, _LATE_ARRIVAL_MS = 3_000.0, 650.0
 # An answer is only late up to half a second after its time: who hasn't read it by then has no use of it.
-_LATE_MS = 500.0
+_FINAL_CHECK_TIMEOUT_MS = 500.0
 
 
-class Ending:
+class GracefulShutdown:
     """One end: asked for once, then the time in which sessions play on, then a last look."""
 
     def __init__(self, settings: Settings) -> None:
         longest = max(one.deadline_ms for one in settings.classes)
-        self.plays_ms = min(longest, _DEADLINE_MOST_MS) + _COMING_MS
-        self._begun = False
-        self._last_at = 0.0
+        self.drain_timeout_ms = min(longest, _MAX_DEADLINE_MS) + _LATE_ARRIVAL_MS
+        self._is_draining = False
+        self._final_check_at_ms = 0.0
 
-    def begin(self) -> bool:
+    def start_draining(self) -> bool:
         """Whether this is the first word of it."""
-        first, self._begun = not self._begun, True
+        first, self._is_draining = not self._is_draining, True
         return first
 
-    def last(self, now: float) -> None:
+    def start_final_check(self, now: float) -> None:
         """The last look begins: all that is open was given up."""
-        self._last_at = now
+        self._final_check_at_ms = now
 
-    def over(self, now: float, came: bool, owed: bool) -> bool:
+    def may_exit(self, now: float, has_new_input: bool, has_unsent_output: bool) -> bool:
         """Whether the process may end: `came` in this look is something new, `owed` an answer not out yet."""
-        return not (came or owed) or now - self._last_at >= _LATE_MS
+        return (
+            not (has_new_input or has_unsent_output)
+            or now - self._final_check_at_ms >= _FINAL_CHECK_TIMEOUT_MS
+        )
--- a/fernweir/node/servers.py
+++ b/fernweir/node/servers.py
@@ -25,12 +25,12 @@
 from fernweir.front.names import number_of
 from fernweir.front.session_manager import SessionPhase
 from fernweir.interface import RESULT_LABELS, EndpointListUpdate, NoticeKind, Result, ServerState
-from fernweir.node.buffer import Shell
 from fernweir.node.config import Address, NodeConfig
 from fernweir.node.course import At, Course
 from fernweir.node.feed import Feed
 from fernweir.node.frames import Code, Frame, FrameError, Frames, Type, encode
-from fernweir.node.limits import Remembered, Shares
+from fernweir.node.limits import DescriptorQuota, RecentIds
+from fernweir.node.shared_buffer import SharedBufferProtocol
 from fernweir.node.watch import EVERY_MS, Verdict, Watch, broke
 
 _UPKEEP_S = EVERY_MS / 1000.0
@@ -85,7 +85,7 @@
     @property
     def heard(self) -> bool:
         """Whether its server still has that connection to speak on."""
-        return self.conn is not None and self.conn.usable
+        return self.conn is not None and self.conn.is_usable
 
 
 @dataclass(eq=False)
@@ -99,13 +99,13 @@
     attempts: dict[str, Attempt] = field(default_factory=dict)
     stays: dict[str, Stay] = field(default_factory=dict)
     tests: dict[str, Test] = field(default_factory=dict)
-    before: Remembered = field(default_factory=lambda: Remembered(_BEFORE_MOST))  # as on each connection
+    before: RecentIds = field(default_factory=lambda: RecentIds(_BEFORE_MOST))  # as on each connection
     letters: list[Frame] = field(default_factory=list)  # that found no connection: one is made for them
     kept: list[Frame] = field(default_factory=list)  # of a lost server: for the next that comes up
 
     def heard_by(self, conn: Connection) -> bool:
         """Whether its sessions are heard on this one alone."""
-        return not any(one.usable for one in self.conns if one is not conn)
+        return not any(one.is_usable for one in self.conns if one is not conn)
 
     @property
     def broken(self) -> list[Attempt]:
@@ -116,7 +116,7 @@
 class Servers:
     """Carries out commands towards media servers and tells the host what they say."""
 
-    def __init__(self, core: Dispatcher, feed: Feed, config: NodeConfig, shares: Shares) -> None:
+    def __init__(self, core: Dispatcher, feed: Feed, config: NodeConfig, shares: DescriptorQuota) -> None:
         self.core, self.feed, self.shares = core, feed, shares
         self.settings = config.settings
         self.connect_s, self.idle_ms = config.connect_ms / 1000.0, config.idle_ms
@@ -247,7 +247,9 @@
     @property
     def owed(self) -> bool:
         """Whether a word to a server, as a release, has not left yet."""
-        return any(link.letters or any(one.unsent for one in link.conns) for link in self.links.values())
+        return any(
+            link.letters or any(one.unsent_bytes for one in link.conns) for link in self.links.values()
+        )
 
     def close(self) -> None:
         self.stopped = True
@@ -285,7 +287,7 @@
         attempt.connects += 1
         conn = attempt.conn = self._free(link, attempt.command.request.session_id) or self._connect(link)
         conn.attempts[attempt.command.request.session_id] = attempt
-        if conn.usable:
+        if conn.is_usable:
             self._write(link, attempt)
 
     def _write(self, link: Link, attempt: Attempt) -> None:
@@ -301,7 +303,7 @@
             Code.RUNG: b"%d" % command.rung,
             Code.DESCRIPTION: ask.body,
         }
-        broke = [one for other in link.conns if not other.usable for one in other.unheard(now)]
+        broke = [one for other in link.conns if not other.is_usable for one in other.unheard(now)]
         for letter in [one for one in (*link.letters, *broke) if one.session == jti]:
             conn.say(letter)
         link.letters = [one for one in link.letters if one.session != jti]
@@ -356,7 +358,7 @@
     def _carry_test(self, link: Link, test: Test) -> None:
         test.connects += 1
         conn = test.conn = self._free(link) or self._connect(link)
-        if conn.usable:
+        if conn.is_usable:
             conn.write(test.data)
 
     def _test_over(self, link: Link, id: str, result: Result, report: dict[str, float] | None = None) -> None:
@@ -451,7 +453,7 @@
 
         Never one that carried an earlier attempt of the same session; the one that its release went on.
         """
-        now, most = self.core.now(), self.shares.per_server(len(self.links))
+        now, most = self.core.now(), self.shares.connections_per_server(len(self.links))
         good = [one for one in link.conns if one.good(now) and id not in one.before]
         for conn in good:
             if any(frame.session == id for frame in conn.unheard(now)):
@@ -603,7 +605,7 @@
 
     def _any(self, link: Link, id: str = "") -> Connection | None:
         """One to say something on, if there is any."""
-        there = (one for one in link.conns if one.usable and one.course.takes)
+        there = (one for one in link.conns if one.is_usable and one.course.takes)
         return self._free(link, id) or next(there, None)
 
     # --- upkeep ---
@@ -630,7 +632,7 @@
     def _make_room(self) -> None:
         """Of more connections than servers may have in all, those longest unused go before they idle out."""
         conns = [one for link in self.links.values() for one in link.conns if one.course.at is not At.CLOSING]
-        over = len(conns) - self.shares.servers_most
+        over = len(conns) - self.shares.max_server_connections
         for conn in sorted(conns, key=lambda one: one.used_at):
             if over <= 0:
                 return
@@ -678,7 +680,7 @@
     return Frame(Type.RELEASE, id, {Code.CAUSE: bytes((_GIVEN_UP,))})
 
 
-class Connection(Shell):
+class Connection(SharedBufferProtocol):
     """One connection to a media server. Its `course` alone tells where it stands."""
 
     task: asyncio.Task[None]
@@ -687,7 +689,7 @@
         self.servers, self.link = servers, link
         self.course = Course()
         self.attempts: dict[str, Attempt] = {}
-        self.before = Remembered(_BEFORE_MOST)  # sessions whose attempts failed here
+        self.before = RecentIds(_BEFORE_MOST)  # sessions whose attempts failed here
         self.whole = False  # whether it ended in order, with all read that its server wrote
         self.begun = self.up_at = self.used_at = servers.core.now()
         self._timer = servers.core.loop.call_later(within_s, self._late)
@@ -725,7 +727,7 @@
         self.link.conns.remove(self)
         return True
 
-    def bytes_came(self, data: memoryview) -> None:
+    def data_received(self, data: memoryview) -> None:
         servers, why = self.servers, ""
         self.link.watch.heard(servers.core.now())
         try:
@@ -744,7 +746,7 @@
 
     def good(self, now: float) -> bool:
         """Whether something new may go out here: one long idle may be closed at its other end by now."""
-        return self.course.takes and self.usable and now - self.used_at < 0.8 * self.servers.idle_ms
+        return self.course.takes and self.is_usable and now - self.used_at < 0.8 * self.servers.idle_ms
 
     def spare(self, last: bool) -> bool:
         """Whether nothing is on it: with sessions there, the last one stays to hear by."""
@@ -758,14 +760,14 @@
 
     def write(self, data: bytes) -> bool:
         """Whether it left, or will unless the connection breaks. False: its last byte never does."""
-        if not self.usable:
+        if not self.is_usable:
             return False
         assert self.transport is not None
         self.used_at = self.servers.core.now()
         self.transport.write(data)
         if self.transport.get_write_buffer_size() > _WRITE_MOST:
             self.abort()
-        return self.usable
+        return self.is_usable
 
     def say(self, frame: Frame) -> None:
         if frame.type is Type.RELEASE:
@@ -784,12 +786,12 @@
             self.close()
 
     @property
-    def usable(self) -> bool:
-        return self.course.carries and super().usable
+    def is_usable(self) -> bool:
+        return self.course.carries and super().is_usable
 
     def close(self) -> None:
         """Ends this side. What the server has under way, as the end of a session, is still read."""
-        if not self.usable:
+        if not self.is_usable:
             return
         assert self.transport is not None
         self.course.close()
--- a/fernweir/node/buffer.py
+++ b/fernweir/node/shared_buffer.py
@@ -4,22 +4,22 @@
 
 import asyncio
 
-_SIZE = 64 * 1024
-_SHARED = memoryview(bytearray(_SIZE))
+_BUFFER_SIZE_BYTES = 64 * 1024
+_SHARED_BUFFER = memoryview(bytearray(_BUFFER_SIZE_BYTES))
 
 
-class Shell(asyncio.BufferedProtocol):
+class SharedBufferProtocol(asyncio.BufferedProtocol):
     """A connection that reads into the shared buffer. `bytes_came` must take its data before it returns."""
 
     transport: asyncio.Transport | None = None
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return _SHARED
+        return _SHARED_BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
-        self.bytes_came(_SHARED[:nbytes])
+        self.data_received(_SHARED_BUFFER[:nbytes])
 
-    def bytes_came(self, data: memoryview) -> None:
+    def data_received(self, data: memoryview) -> None:
         raise NotImplementedError
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -27,10 +27,10 @@
         self.transport = transport
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         return self.transport is not None and not self.transport.is_closing()
 
     @property
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         """Bytes written that the kernel has not taken yet."""
         return self.transport.get_write_buffer_size() if self.transport is not None else 0
--- a/tests/node_scene.py
+++ b/tests/node_scene.py
@@ -192,7 +192,7 @@
         self.wrong: list[str] = []
 
     async def open(self) -> ViewerConnection:
-        self._reader, self._writer = await asyncio.open_connection(*self.scene.node.viewers.address)
+        self._reader, self._writer = await asyncio.open_connection(*self.scene.node.client_listener.address)
         self._task = asyncio.create_task(self._read())
         return self
 
@@ -239,7 +239,7 @@
             self.servers[server.name] = server
         self.node = Node(self.config(seed), NodeLog("n", self.log), {})
         self.node.start()
-        await until(lambda: self.node.viewers.ready)
+        await until(lambda: self.node.client_listener.is_ready)
 
     def config(self, seed: int = 7) -> NodeConfig:
         lines = [self.line(name) for name in self.servers]
@@ -295,7 +295,7 @@
         return self.node.core.sessions.controller.servers[number_of(name)]
 
     def stop(self) -> None:
-        self.node.stop()
+        self.node.shutdown()
         for server in self.servers.values():
             server.die()
 
@@ -461,7 +461,7 @@
     """A viewer's connection. What it may not be told is an error of its scene, as for any viewer."""
 
     def __init__(self, stage: Stage) -> None:
-        sock = socket.create_connection(stage.node.viewers.address)
+        sock = socket.create_connection(stage.node.client_listener.address)
         super().__init__(sock)
         self.stage, self.raw = stage, list[Message]()
         self._rest = b""
@@ -500,14 +500,14 @@
             self.node.start()
 
         self.loop.run_until_complete(begin())
-        self.loop.until(lambda: self.node.viewers.ready and self.feed.look())
+        self.loop.until(lambda: self.node.client_listener.is_ready and self.feed.look())
 
     def far_viewer(self) -> FarViewer:
         """A viewer whose connection the node has accepted."""
         viewer = FarViewer(self)
         self.viewers.append(viewer)
-        before = len(self.node.viewers.door)
-        self.loop.until(lambda: len(self.node.viewers.door) > before)
+        before = len(self.node.client_listener.admission)
+        self.loop.until(lambda: len(self.node.client_listener.admission) > before)
         self.loop.settle()
         return viewer
 
@@ -562,24 +562,39 @@
         core, servers = self.node.core, self.node.servers
         assert self.faults == [] and self.loop.faults == [], (self.faults, self.loop.faults)
         assert (
-            len(core.sessions.reply_ledger) == 0 and not core._reply_callbacks and not self.node.viewers.open
+            len(core.sessions.reply_ledger) == 0
+            and not core._reply_callbacks
+            and not self.node.client_listener.open_requests
         )
         for name, server in self.far.items():
             held = set(core.sessions.sessions_playing_at(number_of(name)))
             assert server.standing() <= held, f"{name} holds {server.standing() - held}, which nobody holds"
         for link in servers.links.values():
             assert not link.attempts and not link.tests and not link.broken, link
-        viewers, door = self.node.viewers, self.node.viewers.door
-        tables = (door._fresh, door._idle, door._busy, door._parting, door._halves, viewers.spoken)
-        assert all(viewers._made.issuperset(table) for table in tables), tables
-        assert not door._busy and not any(one.visit.requests for one in viewers._made)
-        assert set(viewers.home) <= set(core.sessions.records()) and not core.sessions._by_ticket
-        taking, there = (one.visit.takes for one in viewers._made), (not one.over for one in self.viewers)
+        viewers, door = self.node.client_listener, self.node.client_listener.admission
+        tables = (
+            door._silent,
+            door._idle,
+            door._open_requests,
+            door._closing,
+            door._partial_lines,
+            viewers.serving_connections,
+        )
+        assert all(viewers.connections.issuperset(table) for table in tables), tables
+        assert not door._open_requests and not any(one.state.open_requests for one in viewers.connections)
+        assert (
+            set(viewers.connection_by_session) <= set(core.sessions.records())
+            and not core.sessions._by_ticket
+        )
+        taking, there = (
+            (one.state.may_accept_requests for one in viewers.connections),
+            (not one.over for one in self.viewers),
+        )
         assert sum(taking) <= sum(there), "connections of viewers that are gone"
 
     def finish(self) -> None:
         """The node stops: what is left of it is nothing, descriptor, timer or task."""
-        self.node.stop()
+        self.node.shutdown()
         for end in (*self.viewers, self.feed, *self.far.values()):
             end.close()
         self.loop.advance(2_000)
--- a/tests/test_node_crossing.py
+++ b/tests/test_node_crossing.py
@@ -73,5 +73,5 @@
         assert stage.answers[id].type == "answer"
         stage.node.reload()  # of a configuration that can't be read
         stage.node.terminate()
-        stage.loop.advance(stage.node.ending.plays_ms)
-        assert stage.node.ended.is_set()
+        stage.loop.advance(stage.node.graceful_shutdown.drain_timeout_ms)
+        assert stage.node.drained.is_set()
--- a/tests/test_node_crossing_feed.py
+++ b/tests/test_node_crossing_feed.py
@@ -177,7 +177,7 @@
         stage.loop.settle()
         follows(stage, other)
         stage.loop.advance(4_000)
-        assert stage.node.ended.is_set()
+        assert stage.node.drained.is_set()
         other.close()
 
 
--- a/tests/test_node_crossing_lost.py
+++ b/tests/test_node_crossing_lost.py
@@ -86,7 +86,7 @@
         stage.loop.until(lambda: tired in line.server.released)
         (link,) = stage.node.servers.links.values()
         let_go(stage, fd)
-        while not link.conns[-1].usable:
+        while not link.conns[-1].is_usable:
             stage.loop.turn()
         new = line.server.lines[-1]
         stage.loop.selected.held.add(fd)  # the break is in the kernel, and seen by who writes
--- a/tests/test_node_crossing_servers.py
+++ b/tests/test_node_crossing_servers.py
@@ -130,7 +130,7 @@
     viewer.send(stage.setup())
     let_go(stage, stage.connecting())
     stage.loop.turn({"stop": 2, "up": 3}[first])
-    stage.node.stop()
+    stage.node.shutdown()
     stage.loop.settle()
     line = stage.far["s-0"].accept()
     assert line is not None
@@ -211,7 +211,7 @@
             late = Frame(Type.ANSWER, id, {Code.DESCRIPTION: b"late\r\n"})
         if second == "out":
             heard(stage, line, late)
-            assert id in stage.node.viewers.open and len(stage.sent_to(id)) == 2
+            assert id in stage.node.client_listener.open_requests and len(stage.sent_to(id)) == 2
         new.answer(id)
         assert answered(stage, viewer, id) == f"s-0 {id}\r\n"
         if second == "stands":
@@ -250,7 +250,7 @@
         stage.loop.jump(stage.node.servers.idle_ms * 0.6)
         stage.loop.settle()
         (link,) = stage.node.servers.links.values()
-        assert [conn.usable for conn in link.conns].count(True) == 1
+        assert [conn.is_usable for conn in link.conns].count(True) == 1
         stage.loop.until(lambda: [line.look() for line in (one, other)] and one.over != other.over)
         (one if one.over else other).close() if how == "order" else (one if one.over else other).reset()
         stage.loop.until(lambda: len(link.conns) == 1)
@@ -275,7 +275,7 @@
                     line.release(id, 16)
             most = max(most, sum(len(one.conns) for one in servers.links.values()))
             stage.loop.until(lambda: stage.node.core.sessions.session_count == 3)
-        assert most > servers.shares.servers_most == 8
+        assert most > servers.shares.max_server_connections == 8
         stage.loop.advance(2.5 * EVERY_MS)
         for far in stage.far.values():
             for line in far.lines:
@@ -283,8 +283,11 @@
                     line.close()
         stage.loop.settle()
         links = servers.links.values()
-        assert sum(one.usable for link in links for one in link.conns) <= servers.shares.servers_most
-        assert all(any(one.usable for one in link.conns) for link in links if link.stays)
+        assert (
+            sum(one.is_usable for link in links for one in link.conns)
+            <= servers.shares.max_server_connections
+        )
+        assert all(any(one.is_usable for one in link.conns) for link in links if link.stays)
 
 
 @pytest.mark.parametrize("asked", [False, True])
@@ -312,7 +315,7 @@
             if asked and loop.clock > last + 3.5:
                 asked = False
                 viewer.send(stage.setup(), stage.setup())  # the second finds no connection free
-                loop.until(lambda: len(stage.node.viewers.open) == 2)
+                loop.until(lambda: len(stage.node.client_listener.open_requests) == 2)
         loop.until(lambda: viewer.look() is not None and id in stage.ends)
         assert stage.ends[id].cause == 41
         loop.advance(4_000.0)  # what was asked has its answer
--- a/tests/test_node_crossing_stop.py
+++ b/tests/test_node_crossing_stop.py
@@ -10,8 +10,8 @@
 import pytest
 
 from fernweir.interface import Idempotency
-from fernweir.node.ending import Ending
 from fernweir.node.frames import Code, Frame, Type
+from fernweir.node.graceful_shutdown import GracefulShutdown
 from fernweir.node.jsonl import Message, write
 from tests.node_scene import PLAIN, FarLine, FarViewer, Stage, staged
 
@@ -33,15 +33,15 @@
 
 def over(stage: Stage) -> asyncio.Task[None]:
     """The node's last look, from the moment in which its time is over: seen through as far as it goes."""
-    assert stage.node.ended.is_set()
-    task = stage.loop.create_task(stage.node.finish())
+    assert stage.node.drained.is_set()
+    task = stage.loop.create_task(stage.node.finish_draining())
     stage.loop.settle()
     return task
 
 
 def see_out(stage: Stage) -> None:
     """From the moment of SIGTERM to the end of the process, all its sockets closed in order."""
-    stage.loop.advance(stage.node.ending.plays_ms)
+    stage.loop.advance(stage.node.graceful_shutdown.drain_timeout_ms)
     task = over(stage)
     stage.loop.advance(5.0)
     assert task.done()
@@ -76,7 +76,7 @@
         line.answer(id, slice(5))  # half of one: it may stand there
         stage.loop.settle()
         stage.node.terminate()
-        stage.loop.advance(stage.node.ending.plays_ms - 1.0)
+        stage.loop.advance(stage.node.graceful_shutdown.drain_timeout_ms - 1.0)
         assert viewer.look() == [] and not viewer.over
         stage.loop.advance(1.0)
         over(stage)
@@ -93,7 +93,7 @@
         making = not_up(stage)
         stage.node.terminate()
         # Its connect time is longer than what is left: the attempt began just before the end.
-        stage.node._give_up()
+        stage.node._on_drain_timeout()
         over(stage)
         assert told(stage, viewer, wish.id) == REFUSED
         stage.loop.selected.held.discard(making)
@@ -129,7 +129,7 @@
     """The process stood still: what came, and the end of its time, are seen in one turn, or the end first."""
     with staged() as stage:
         stage.node.terminate()
-        stage.loop.advance(stage.node.ending.plays_ms - 500.0)
+        stage.loop.advance(stage.node.graceful_shutdown.drain_timeout_ms - 500.0)
         open_one, half = stage.far_viewer(), stage.far_viewer()
         on_open, in_half, on_new = stage.setup(), stage.setup(), stage.setup()
         half.write(write(in_half)[:40])
@@ -139,7 +139,7 @@
         newcomer = FarViewer(stage)  # in the backlog
         stage.viewers.append(newcomer)
         newcomer.send(on_new)
-        listening = stage.node.viewers._listening
+        listening = stage.node.client_listener._listening_socket
         assert listening is not None
         fds = [stage.loop.near(open_one.sock), stage.loop.near(half.sock), listening.fileno()]
         stage.loop.arrived(*fds)
@@ -147,7 +147,7 @@
         stage.loop.jump(500.0)
         stage.loop.turn()
         stage.loop.selected.held.clear()
-        task = stage.loop.create_task(stage.node.finish())
+        task = stage.loop.create_task(stage.node.finish_draining())
         stage.loop.settle()
         stage.loop.advance(5.0)
         assert task.done()
@@ -171,8 +171,8 @@
         line.answered.add(id)
         line.say(Frame(Type.ANSWER, id, {Code.DESCRIPTION: b"v" * 12_000}))
         ids.append(id)
-    stage.loop.until(lambda: not stage.node.viewers.open)
-    assert any(one.unsent for one in stage.node.viewers._made)
+    stage.loop.until(lambda: not stage.node.client_listener.open_requests)
+    assert any(one.unsent_bytes for one in stage.node.client_listener.connections)
     return viewer, ids
 
 
@@ -180,7 +180,7 @@
     with staged() as stage:
         viewer, ids = slow(stage)
         stage.node.terminate()
-        stage.loop.advance(stage.node.ending.plays_ms)
+        stage.loop.advance(stage.node.graceful_shutdown.drain_timeout_ms)
         task = over(stage)
         stage.loop.advance(5.0)
         assert not task.done()  # it is SIGKILL that may end it now
@@ -194,14 +194,14 @@
     with staged() as stage:
         viewer, _ = slow(stage)
         stage.node.terminate()
-        stage.loop.advance(stage.node.ending.plays_ms)
+        stage.loop.advance(stage.node.graceful_shutdown.drain_timeout_ms)
         task = over(stage)
         stage.loop.advance(490.0)
         assert not task.done()
         stage.loop.advance(20.0)
         assert task.done()
         viewer.reset()
-        stage.loop.until(lambda: not stage.node.viewers._made)
+        stage.loop.until(lambda: not stage.node.client_listener.connections)
 
 
 def test_set_ups_on_open_and_new_connections_after_the_word_are_refused_at_once() -> None:
@@ -244,7 +244,7 @@
         stage.node.terminate()
         viewer.send(Message("release", plays.id, cause=16))
         making = not_up(stage)
-        stage.node._give_up()
+        stage.node._on_drain_timeout()
         task = over(stage)
         stage.loop.advance(5.0)
         assert not task.done()
@@ -260,7 +260,7 @@
         viewer.send(plays)
         stage.loop.until(lambda: stage.node.core.sessions.session_count)
         stage.node.terminate()
-        stage.loop.advance(stage.node.ending.plays_ms - 20.0)
+        stage.loop.advance(stage.node.graceful_shutdown.drain_timeout_ms - 20.0)
         server.kill()
         viewer.send(Message("release", plays.id, cause=16))
         stage.loop.until(lambda: not stage.node.core.sessions.session_count)
@@ -275,7 +275,7 @@
 def test_a_second_word_of_the_end_changes_nothing() -> None:
     with staged() as stage:
         stage.node.terminate()
-        stage.loop.advance(stage.node.ending.plays_ms - 1.0)
+        stage.loop.advance(stage.node.graceful_shutdown.drain_timeout_ms - 1.0)
         stage.node.terminate()
         assert stage.log.getvalue().count('"stopping"') == 1
         stage.loop.advance(1.0)
@@ -311,13 +311,19 @@
 
 
 def test_the_time_until_the_end_follows_the_settings() -> None:
-    assert [Ending(one).plays_ms for one in (SHORT, PLAIN, LONG)] == [900.0, 3_650.0, 3_650.0]
+    assert [GracefulShutdown(one).drain_timeout_ms for one in (SHORT, PLAIN, LONG)] == [
+        900.0,
+        3_650.0,
+        3_650.0,
+    ]
 
 
 def test_the_end_waits_for_what_is_owed_and_for_nothing_else() -> None:
-    ending = Ending(SHORT)
-    assert ending.begin() and not ending.begin()
-    ending.last(1_000.0)
-    assert ending.over(1_000.0, came=False, owed=False)
-    assert not ending.over(1_499.0, came=True, owed=False) and not ending.over(1_499.0, came=False, owed=True)
-    assert ending.over(1_500.0, came=True, owed=True)
+    ending = GracefulShutdown(SHORT)
+    assert ending.start_draining() and not ending.start_draining()
+    ending.start_final_check(1_000.0)
+    assert ending.may_exit(1_000.0, has_new_input=False, has_unsent_output=False)
+    assert not ending.may_exit(1_499.0, has_new_input=True, has_unsent_output=False) and not ending.may_exit(
+        1_499.0, has_new_input=False, has_unsent_output=True
+    )
+    assert ending.may_exit(1_500.0, has_new_input=True, has_unsent_output=True)
--- a/tests/test_node_crossing_viewers.py
+++ b/tests/test_node_crossing_viewers.py
@@ -11,15 +11,19 @@
 import pytest
 
 from fernweir.interface import Idempotency
+from fernweir.node.client_connection_state import (
+    DELIVERY_CONFIRMATION_MS,
+    ClientConnectionState,
+    ConnectionPhase,
+)
+from fernweir.node.client_listener import IDLE_SWEEP_INTERVAL_S, ClientConnection
 from fernweir.node.frames import Code, Frame, Type
 from fernweir.node.jsonl import Message, write
-from fernweir.node.limits import HUSH_MS, Door
-from fernweir.node.viewers import _SWEEP_S, Connection
-from fernweir.node.visit import DOUBT_MS, Side, Visit
+from fernweir.node.limits import IDLE_TIMEOUT_MS, ConnectionAdmission
 from tests.helpers import SETTINGS
 from tests.node_scene import PLAIN, FarViewer, Stage, staged
 
-SWEEP_MS = _SWEEP_S * 1000.0
+SWEEP_MS = IDLE_SWEEP_INTERVAL_S * 1000.0
 WAYS = ["orderly", "full", "reset", "release"]
 
 
@@ -39,9 +43,9 @@
     return stage.loop.near(viewer.sock)
 
 
-def ours(stage: Stage) -> list[Connection]:
+def ours(stage: Stage) -> list[ClientConnection]:
     """The node's ends of viewers' connections."""
-    return list(stage.node.viewers._made)
+    return list(stage.node.client_listener.connections)
 
 
 def hears(stage: Stage, viewer: FarViewer, id: str) -> Message:
@@ -139,7 +143,7 @@
         if where == "before its batch":
             viewer.send(wish)
             stage.loop.arrived(fd)
-            while wish.id not in stage.node.viewers.open:
+            while wish.id not in stage.node.client_listener.open_requests:
                 stage.loop.turn()
         else:
             there = ask_and_hold(stage, viewer, wish)
@@ -173,7 +177,7 @@
         ask_and_hold(stage, viewer, wish)
         viewer.write(write(Message("release", wish.id, cause=16)) + b"nothing\n")
         stage.loop.until(lambda: viewer.look() is not None and viewer.over)
-        assert [one.cause for one in viewer.raw] == [111] and len(stage.node.viewers.door) == 0
+        assert [one.cause for one in viewer.raw] == [111] and len(stage.node.client_listener.admission) == 0
 
 
 @pytest.mark.parametrize("how", WAYS)
@@ -268,7 +272,10 @@
         stage.loop.settle()
         line.answer(id)
         stage.loop.until(
-            lambda: id in stage.node.viewers.home or stage.node.core.sessions.session(id) is None
+            lambda: (
+                id in stage.node.client_listener.connection_by_session
+                or stage.node.core.sessions.session(id) is None
+            )
         )
         stage.loop.settle()
         if seen == "a sweep after the answer":
@@ -284,13 +291,13 @@
         (ours_,) = ours(stage)
         id, line = stage.set_up(viewer)
         # Fill what the kernel takes, so that the answer stays in the node.
-        while not ours_.unsent:
+        while not ours_.unsent_bytes:
             ours_.write(write(Message("pong", "0" * 16, cause=1)) * 100)
         line.answer(id)
         stage.loop.until(
             lambda: stage.node.core.sessions.sessions_playing_at(stage.node.core.sessions.session(id).server)
         )  # type: ignore[union-attr]
-        assert ours_.unsent
+        assert ours_.unsent_bytes
         viewer.reset()
         stage.loop.until(lambda: released(stage, id))
         assert stage.node.core.sessions.session_count == 0
@@ -306,7 +313,7 @@
         line.answer(id)
         assert hears(stage, viewer, id).type == "answer"
         stage.loop.until(lambda: viewer.look() is not None and viewer.over)  # told at once that this is all
-        stage.loop.advance(DOUBT_MS + 2 * SWEEP_MS)
+        stage.loop.advance(DELIVERY_CONFIRMATION_MS + 2 * SWEEP_MS)
         viewer.close()
         assert len(ours(stage)) == 1 and stage.node.core.sessions.session_count == 2
         line.release(id, 16)  # its end comes on another connection
@@ -319,7 +326,7 @@
         stage.stands(other)
         id, line = stage.stands(viewer)
         viewer.reset()
-        stage.loop.advance(DOUBT_MS)
+        stage.loop.advance(DELIVERY_CONFIRMATION_MS)
         assert stage.node.core.sessions.session_count == 2 and not released(stage, id)
         line.release(id, 16)
         stage.loop.until(lambda: other.look() is not None and id in stage.ends)
@@ -360,12 +367,18 @@
         line.answer(id)
         assert hears(stage, one, id).type == "answer"
         stage.loop.settle()
-        sides = {side.visit.side for side in ours(stage)}
-        assert sides == {Side.OPEN, Side.PARTED} and len(stage.node.viewers.door) == 2
+        sides = {side.state.phase for side in ours(stage)}
+        assert (
+            sides == {ConnectionPhase.OPEN, ConnectionPhase.LINGERING}
+            and len(stage.node.client_listener.admission) == 2
+        )
         third = FarViewer(stage)
         stage.viewers.append(third)
         stage.loop.until(
-            lambda: len(ours(stage)) == 2 and Side.PARTED not in {o.visit.side for o in ours(stage)}
+            lambda: (
+                len(ours(stage)) == 2
+                and ConnectionPhase.LINGERING not in {o.state.phase for o in ours(stage)}
+            )
         )
         line_two.answer(wait)
         assert hears(stage, two, wait).type == "answer" and stage.node.core.sessions.session_count == 2
@@ -423,14 +436,15 @@
 
 def test_a_newcomer_let_go_before_its_transport_is_there_is_not_served() -> None:
     with staged(sockets=2) as stage:  # one viewer
-        door = stage.node.viewers.door
+        door = stage.node.client_listener.admission
         first, second = FarViewer(stage), FarViewer(stage)
         stage.viewers += [first, second]
-        listening = stage.node.viewers._listening
+        listening = stage.node.client_listener._listening_socket
         assert listening is not None
         stage.loop.arrived(listening.fileno())
         first.send(wish := stage.setup())
-        stage.node.viewers._accept()  # both are in the backlog: the second is let in for the first
+        # Both are in the backlog: the second is let in for the first.
+        stage.node.client_listener.accept_connections()
         assert len(door) == 1 and not ours(stage)
         stage.loop.until(lambda: first.look() is not None and first.over)
         assert stage.sent_to(wish.id) == [] and len(door) == 1 and len(ours(stage)) == 1
@@ -448,7 +462,7 @@
             for one in (viewer, silent):
                 one.send(Message("ping", "0" * 15 + "1", cause=0))
                 stage.loop.settle()
-        fd, wish, listening = near(stage, viewer), stage.setup(), stage.node.viewers._listening
+        fd, wish, listening = near(stage, viewer), stage.setup(), stage.node.client_listener._listening_socket
         assert listening is not None
         stage.loop.selected.held |= {fd, listening.fileno()}
         viewer.send(wish)
@@ -474,7 +488,7 @@
         stage.loop.selected.held.add(fd)  # the loop doesn't look before its sweep is due
         viewer.write(data[40:])
         stage.loop.arrived(fd)
-        stage.loop.jump(2 * HUSH_MS)
+        stage.loop.jump(2 * IDLE_TIMEOUT_MS)
         stage.loop.until(lambda: stage.sent_to(wish.id))
         stage.loop.selected.held.clear()
         stage.far["s-0"].line_of(wish.id).answer(wish.id)
@@ -492,7 +506,7 @@
             viewer = FarViewer(stage)
             stage.viewers.append(viewer)
             stage.loop.until(lambda: viewer.look() is not None and viewer.over)
-        assert len(stage.node.viewers.door) == 0 and not ours(stage)
+        assert len(stage.node.client_listener.admission) == 0 and not ours(stage)
         stage.stands(stage.far_viewer())
 
 
@@ -505,7 +519,7 @@
         late = stage.setup()
         if how == "half":
             viewer.write(b'{"type":"setup"')
-            stage.loop.advance(HUSH_MS + 2 * SWEEP_MS)
+            stage.loop.advance(IDLE_TIMEOUT_MS + 2 * SWEEP_MS)
             viewer.write(b"\n")
         elif how == "endless":
             viewer.write(b"x" * 20_000 + b"\n")
@@ -513,7 +527,7 @@
             viewer.write(b"nothing\n" * 64 + write(late))
         stage.loop.settle()
         viewer.look()
-        assert not viewer.over and id in stage.node.viewers.open
+        assert not viewer.over and id in stage.node.client_listener.open_requests
         viewer.send(late) if how != "mistakes" else None
         assert hears(stage, viewer, late.id).cause == 34  # nothing new is taken here
         if stage.sent_to(id) == [line.server.name]:
@@ -521,7 +535,7 @@
         assert hears(stage, viewer, id).type == "answer"
         stage.loop.until(lambda: viewer.look() is not None and viewer.over)
         assert stage.sent_to(late.id) == [] and stage.node.core.sessions.session_count == 1
-        assert len(stage.node.viewers.door) == 0
+        assert len(stage.node.client_listener.admission) == 0
 
 
 @pytest.mark.parametrize("how", WAYS)
@@ -547,11 +561,11 @@
         viewer, data = stage.far_viewer(), write(Message("ping", f"{1:016x}", cause=0))
         viewer.write(data[:10])
         for _ in range(4):
-            stage.loop.advance(0.4 * HUSH_MS)
+            stage.loop.advance(0.4 * IDLE_TIMEOUT_MS)
             viewer.write(data[10:] + data[:10])
         stage.loop.settle()
         assert [one.type for one in viewer.look()] == ["pong"] * 4 and not viewer.over
-        stage.loop.advance(HUSH_MS + 2 * SWEEP_MS)  # but the last one never ends
+        stage.loop.advance(IDLE_TIMEOUT_MS + 2 * SWEEP_MS)  # but the last one never ends
         stage.loop.until(lambda: viewer.look() is not None and viewer.over)
 
 
@@ -559,13 +573,13 @@
     with staged(sockets=4) as stage:
         viewer = stage.far_viewer()
         (one,) = ours(stage)
-        while not one.unsent:
+        while not one.unsent_bytes:
             one.write(write(Message("pong", "0" * 16, cause=1)) * 100)
-        one.end()
+        one.drain()
         stage.loop.settle()
-        assert len(stage.node.viewers.door) == 1 and one.visit.side is Side.CLOSING
-        stage.loop.advance(HUSH_MS + 2 * SWEEP_MS)
-        assert len(stage.node.viewers.door) == 0 and not ours(stage)
+        assert len(stage.node.client_listener.admission) == 1 and one.state.phase is ConnectionPhase.CLOSING
+        stage.loop.advance(IDLE_TIMEOUT_MS + 2 * SWEEP_MS)
+        assert len(stage.node.client_listener.admission) == 0 and not ours(stage)
         viewer.close()
 
 
@@ -669,7 +683,10 @@
         stage.loop.selected.held.clear()
         stage.loop.settle()
         assert "no such session" not in stage.log.getvalue()
-        assert id not in stage.node.viewers.home and stage.node.core.sessions.session_count == 1
+        assert (
+            id not in stage.node.client_listener.connection_by_session
+            and stage.node.core.sessions.session_count == 1
+        )
 
 
 def test_an_end_that_nobody_can_hear_waits_for_the_next_connection_with_a_session() -> None:
@@ -680,11 +697,11 @@
         stage.loop.settle()
         line.release(id, 16)
         stage.loop.settle()
-        assert len(stage.node.viewers._untold) == 1
+        assert len(stage.node.client_listener._undelivered_ends) == 1
         later = stage.far_viewer()
         stage.stands(later)
         stage.loop.until(lambda: later.look() is not None and id in stage.ends)
-        assert not stage.node.viewers._untold
+        assert not stage.node.client_listener._undelivered_ends
 
 
 def test_an_end_half_written_to_a_reader_that_breaks_is_said_elsewhere() -> None:
@@ -692,8 +709,8 @@
         home, other = stage.far_viewer(), stage.far_viewer()
         id, line = stage.stands(home)
         stage.stands(other)
-        (one,) = (one for one in ours(stage) if id in one.visit.sessions)
-        while not one.unsent:
+        (one,) = (one for one in ours(stage) if id in one.state.sessions)
+        while not one.unsent_bytes:
             one.write(write(Message("pong", "0" * 16, cause=1)) * 100)
         line.release(id, 16)
         stage.loop.until(lambda: stage.node.core.sessions.session(id) is None)
@@ -706,7 +723,7 @@
 def test_at_an_unknown_server_and_a_test_before_the_start_are_answered_in_kind() -> None:
     with staged() as stage:
         viewer = stage.far_viewer()
-        stage.node.viewers.ready = False
+        stage.node.client_listener.is_ready = False
         lost = stage.setup(extras="home:0;copies:4;top:0;viewer:00000000b4d65521;at:s-none", left="0")
         viewer.send(lost, Message("ping", "0" * 15 + "1", cause=0))
         stage.loop.until(lambda: viewer.look() is not None and len(viewer.raw) == 2)
@@ -726,9 +743,9 @@
         viewer, wish = FarViewer(stage), stage.setup()
         stage.viewers.append(viewer)
         viewer.send(wish)
-        stage.loop.until(lambda: len(stage.node.viewers.door))
+        stage.loop.until(lambda: len(stage.node.client_listener.admission))
         stage.loop.turn(turns)
-        stage.loop.jump(HUSH_MS + 1.0)
+        stage.loop.jump(IDLE_TIMEOUT_MS + 1.0)
         stage.loop.until(lambda: viewer.look() or viewer.over or stage.sent_to(wish.id))
         assert not viewer.over
         if wish.id not in stage.answers:
@@ -740,34 +757,41 @@
 
 
 def test_a_visit_denies_only_what_was_said_last_to_one_that_had_closed() -> None:
-    def said(*, left: bool) -> Visit:
-        visit = Visit()
-        assert visit.made()
-        visit.said("old", 0.0, None, True)
-        visit.said("new", DOUBT_MS, None, True)
-        visit.said("end", DOUBT_MS, b"over", False)
+    def said(*, left: bool) -> ClientConnectionState:
+        visit = ClientConnectionState()
+        assert visit.on_connection_made()
+        visit.on_message_written("old", 0.0, None, True)
+        visit.on_message_written("new", DELIVERY_CONFIRMATION_MS, None, True)
+        visit.on_message_written("end", DELIVERY_CONFIRMATION_MS, b"over", False)
         if left:
-            assert visit.leave() and not visit.leave()
+            assert visit.on_client_half_closed() and not visit.on_client_half_closed()
         return visit
 
-    assert set(said(left=True).over(DOUBT_MS, True) or ()) == {"new", "end"}
-    assert set(said(left=False).over(DOUBT_MS, True) or ()) == {"end"}  # may have been heard: it stands
+    assert set(said(left=True).on_connection_ended(DELIVERY_CONFIRMATION_MS, True) or ()) == {"new", "end"}
+    assert set(said(left=False).on_connection_ended(DELIVERY_CONFIRMATION_MS, True) or ()) == {
+        "end"
+    }  # may have been heard: it stands
     visit = said(left=True)
-    visit.flushed(DOUBT_MS)
-    assert visit.doubtful(DOUBT_MS) and not visit.doubtful(2 * DOUBT_MS)
-    assert visit.over(DOUBT_MS, False) == {} and visit.over(DOUBT_MS, True) is None
-    gone = Visit()
-    assert gone.over(0.0, False) == {} and not gone.made()
+    visit.on_write_buffer_flushed(DELIVERY_CONFIRMATION_MS)
+    assert visit.has_unconfirmed_messages(DELIVERY_CONFIRMATION_MS) and not visit.has_unconfirmed_messages(
+        2 * DELIVERY_CONFIRMATION_MS
+    )
+    assert (
+        visit.on_connection_ended(DELIVERY_CONFIRMATION_MS, False) == {}
+        and visit.on_connection_ended(DELIVERY_CONFIRMATION_MS, True) is None
+    )
+    gone = ClientConnectionState()
+    assert gone.on_connection_ended(0.0, False) == {} and not gone.on_connection_made()
 
 
 def test_a_door_counts_what_was_closed_until_it_is_over_and_lets_it_go_first() -> None:
-    door: Door[str] = Door(2)
-    door.arrive("a", 0.0)
-    door.spoke("a", 0.0)
-    door.part("a", 1.0)
-    door.arrive("b", 1.0)
-    assert len(door) == 2 and door.parting() == ["a"]
-    assert door.overdue(HUSH_MS + 1.0) == ["b", "a"]
-    assert door.arrive("c", 2.0) == "a" and len(door) == 2
-    door.part("a", 2.0)  # let go before: not known any more
-    assert len(door) == 2 and not door.parting()
+    door: ConnectionAdmission[str] = ConnectionAdmission(2)
+    door.admit("a", 0.0)
+    door.on_message_received("a", 0.0)
+    door.on_connection_closing("a", 1.0)
+    door.admit("b", 1.0)
+    assert len(door) == 2 and door.closing_connections() == ["a"]
+    assert door.timed_out_connections(IDLE_TIMEOUT_MS + 1.0) == ["b", "a"]
+    assert door.admit("c", 2.0) == "a" and len(door) == 2
+    door.on_connection_closing("a", 2.0)  # let go before: not known any more
+    assert len(door) == 2 and not door.closing_connections()
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -26,7 +26,7 @@
 from fernweir.node.feed import Feed, FeedError
 from fernweir.node.frames import Code, Frame, FrameError, Frames, Type, encode
 from fernweir.node.jsonl import LineError, Lines, Message, read, write
-from fernweir.node.limits import HUSH_MS, Door, Remembered
+from fernweir.node.limits import IDLE_TIMEOUT_MS, ConnectionAdmission, RecentIds
 from fernweir.node.logs import NodeLog
 from fernweir.node.watch import EVERY_MS, Verdict, Watch
 from fernweir.wire import Fields, parse_settings, read_settings
@@ -175,25 +175,27 @@
 
 
 def test_the_door_prefers_those_who_speak_and_forgets_who_left() -> None:
-    door: Door[str] = Door(3)
-    assert [door.arrive(key, 0.0) for key in "abc"] == [None] * 3
+    door: ConnectionAdmission[str] = ConnectionAdmission(3)
+    assert [door.admit(key, 0.0) for key in "abc"] == [None] * 3
     for key in "ab":
-        door.spoke(key, 1.0)
-    door.opened("a")
-    door.opened("a")
-    assert door.arrive("d", 2.0) == "c"  # has said nothing
-    door.spoke("d", 2.0)
-    assert door.arrive("e", 3.0) == "b"  # has nothing open, and spoke longest ago
-    assert door.overdue(HUSH_MS + 2.0) == [] and door.overdue(HUSH_MS + 3.0) == ["e"]
-    door.half("a", 10.0, True)
-    door.half("a", 20.0, True)  # the same line goes on
-    assert door.overdue(HUSH_MS + 10.0) == ["e", "a"]
-    door.closed("a", 30.0)
-    door.closed("a", 31.0)
+        door.on_message_received(key, 1.0)
+    door.on_request_opened("a")
+    door.on_request_opened("a")
+    assert door.admit("d", 2.0) == "c"  # has said nothing
+    door.on_message_received("d", 2.0)
+    assert door.admit("e", 3.0) == "b"  # has nothing open, and spoke longest ago
+    assert door.timed_out_connections(IDLE_TIMEOUT_MS + 2.0) == [] and door.timed_out_connections(
+        IDLE_TIMEOUT_MS + 3.0
+    ) == ["e"]
+    door.set_partial_line("a", 10.0, True)
+    door.set_partial_line("a", 20.0, True)  # the same line goes on
+    assert door.timed_out_connections(IDLE_TIMEOUT_MS + 10.0) == ["e", "a"]
+    door.on_request_finished("a", 30.0)
+    door.on_request_finished("a", 31.0)
     for key in "ade":
-        door.leave(key)
-    assert len(door) == 0 and not door.overdue(1e9)
-    remembered = Remembered(2)
+        door.remove(key)
+    assert len(door) == 0 and not door.timed_out_connections(1e9)
+    remembered = RecentIds(2)
     for id in "xyz":
         remembered.add(id)
     assert [id in remembered for id in "xyz"] == [False, True, True]
@@ -331,13 +333,13 @@
 
 
 def test_a_connection_with_a_request_open_is_never_let_go_for_another() -> None:
-    door: Door[str] = Door(2)
-    door.arrive("a", 0.0)
-    door.opened("a")  # its first message is a set-up
-    door.spoke("a", 0.0)
-    door.arrive("b", 0.0)
-    door.opened("b")
-    assert len(door) == 2 and door.arrive("c", 1.0) == "c"
+    door: ConnectionAdmission[str] = ConnectionAdmission(2)
+    door.admit("a", 0.0)
+    door.on_request_opened("a")  # its first message is a set-up
+    door.on_message_received("a", 0.0)
+    door.admit("b", 0.0)
+    door.on_request_opened("b")
+    assert len(door) == 2 and door.admit("c", 1.0) == "c"
 
 
 def test_the_node_loads_the_standard_library_and_itself_alone() -> None:
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -40,7 +40,7 @@
         settings |= {"MachineTypes": ["box"], "Limits": {"ConnectTimeout": 250, "ConnIdle": 15000}}
         self.plain, self.file = settings, folder / "config.json"
         self.address = free_address()
-        self.node = SimpleNamespace(viewers=SimpleNamespace(address=self.address))  # type: ignore[assignment]
+        self.node = SimpleNamespace(client_listener=SimpleNamespace(address=self.address))  # type: ignore[assignment]
         super().__init__(SimpleNamespace(zone_count=4), 128)  # type: ignore[arg-type]
 
     def configure(self, feed: Address) -> None:
