--- a/fernweir/node/follow.py
+++ b/fernweir/node/follow.py
@@ -11,7 +11,7 @@
 from fernweir.node.config import Address
 from fernweir.node.feed import MOST_BYTES, Feed, FeedError
 from fernweir.node.jsonl import LineError, Lines
-from fernweir.node.servers import Servers
+from fernweir.node.server_pool import ServerPool
 
 
 class Follower:
@@ -20,7 +20,7 @@
     `Asking` alone knows what is under way; here is its one timer, and the connection of its newest opening.
     """
 
-    def __init__(self, core: Dispatcher, feed: Feed, servers: Servers, there: Address, seed: int) -> None:
+    def __init__(self, core: Dispatcher, feed: Feed, servers: ServerPool, there: Address, seed: int) -> None:
         self.core, self.feed, self.servers, self.there = core, feed, servers, there
         self._asking = Asking(seed)
         self._conn: _Connection | None = None
@@ -41,7 +41,7 @@
 
     def tell(self, update: EndpointListUpdate) -> None:
         self.core.sessions.on_endpoint_list(self.core.now(), update)
-        self.servers.listed(update)
+        self.servers.on_endpoint_list(update)
         self.core.schedule_step()
 
     # --- what a connection says of itself ---
--- a/fernweir/node/program.py
+++ b/fernweir/node/program.py
@@ -21,7 +21,7 @@
 from fernweir.node.limits import Door, Shares
 from fernweir.node.logs import NodeLog
 from fernweir.node.requests import Requests
-from fernweir.node.servers import Servers
+from fernweir.node.server_pool import ServerPool
 from fernweir.node.viewers import Viewers
 
 if TYPE_CHECKING:  # needs packages, which a node alone does not have
@@ -45,9 +45,9 @@
         offset_ms = (time.time() - loop.time()) * 1000.0
         self.feed = Feed(config.settings, config.kinds, offset_ms)
         shares = Shares(config.sockets)
-        self.servers = Servers(self.core, self.feed, config, shares)
-        self.viewers = Viewers(self.core, Requests(config.settings), self.servers, Door(shares.viewers))
-        self.follower = Follower(self.core, self.feed, self.servers, config.feed, config.seed)
+        self.server_pool = ServerPool(self.core, self.feed, config, shares)
+        self.viewers = Viewers(self.core, Requests(config.settings), self.server_pool, Door(shares.viewers))
+        self.follower = Follower(self.core, self.feed, self.server_pool, config.feed, config.seed)
         self.ending = Ending(config.settings)
         self.ended = asyncio.Event()
         self._end: asyncio.TimerHandle | None = None
@@ -102,7 +102,9 @@
             await asyncio.sleep(0)
             await asyncio.sleep(0)
             came = self.viewers.arriving or self.viewers.came != before
-            if self.ending.over(self.core.now(), came, self.viewers.owed or self.servers.owed):
+            if self.ending.over(
+                self.core.now(), came, self.viewers.owed or self.server_pool.has_unsent_messages
+            ):
                 break
             if not came:
                 await asyncio.sleep(_LOOK_S)
@@ -115,7 +117,7 @@
         self.viewers.stop()
         self.core.run_last_step()  # what that gave rise to, as the release of what nobody heard of
         self.core.stop()
-        self.servers.close()
+        self.server_pool.shutdown()
 
 
 def peers_file(config: NodeConfig, environment: Mapping[str, str]) -> PeersFile | None:
--- a/tests/node_scene.py
+++ b/tests/node_scene.py
@@ -559,7 +559,7 @@
         """Nothing is owed or left: ledger, servers against the host, attempts, tests, tasks, faults."""
         self.loop.settle()
         self.look()
-        core, servers = self.node.core, self.node.servers
+        core, servers = self.node.core, self.node.server_pool
         assert self.faults == [] and self.loop.faults == [], (self.faults, self.loop.faults)
         assert (
             len(core.sessions.reply_ledger) == 0 and not core._reply_callbacks and not self.node.viewers.open
@@ -567,8 +567,8 @@
         for name, server in self.far.items():
             held = set(core.sessions.sessions_playing_at(number_of(name)))
             assert server.standing() <= held, f"{name} holds {server.standing() - held}, which nobody holds"
-        for link in servers.links.values():
-            assert not link.attempts and not link.tests and not link.broken, link
+        for link in servers.endpoints.values():
+            assert not link.attempts and not link.health_checks and not link.broken_attempts, link
         viewers, door = self.node.viewers, self.node.viewers.door
         tables = (door._fresh, door._idle, door._busy, door._parting, door._halves, viewers.spoken)
         assert all(viewers._made.issuperset(table) for table in tables), tables
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -136,9 +136,9 @@
     "fernweir.tokens.claims.Claims": "what all tokens share",
 }
 IN_MEMORY_ENUMS = {
-    "fernweir.node.course.At": "where a client connection stands",
+    "fernweir.node.connection_state.ConnectionPhase": "where a client connection stands",
     "fernweir.node.visit.Side": "which end of a client connection ended",
-    "fernweir.node.watch.Verdict": "what the liveness monitor asks for",
+    "fernweir.node.liveness.LivenessStatus": "what the liveness monitor asks for",
     "fernweir.node.asking.At": "where a reconnect stands",
     "fernweir.seats.book.State": "where a seat stands; the log stores records instead",
     "fernweir.seats.book.Said": "what a reply of the entitlement server means",
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -143,7 +143,7 @@
         server, known = scene.servers["s-1"], scene.brain_server("s-1")
         server.pings_to_break = broken
         known.probing = True
-        scene.node.servers.check_health(SendHealthCheck(number_of("s-1")))
+        scene.node.server_pool.check_health(SendHealthCheck(number_of("s-1")))
         await until(lambda: not known.probing)
         assert server.pings == 3 and bool(known.strikes) is not lives
 
@@ -259,7 +259,7 @@
         await until(lambda: not server.writers)  # the late words were written before its connection ended
         second.finish(wish.id)
         assert (await viewer.answer(wish.id)).sdp == f"{second.name} {wish.id}\r\n"
-        await until(lambda: not scene.node.servers.links[number_of(server.name)].conns)
+        await until(lambda: not scene.node.server_pool.endpoints[number_of(server.name)].connections)
         assert scene.node.core.sessions.session_count == 1 and wish.id not in scene.ends
 
     play(story)
@@ -515,8 +515,8 @@
         for writer in old.writers:
             writer.transport.abort()
         await until(lambda: wish.id in scene.ends)
-        await until(lambda: number_of(name) not in scene.node.servers.links)
-        unused = next(one for one in scene.servers if number_of(one) not in scene.node.servers.links)
+        await until(lambda: number_of(name) not in scene.node.server_pool.endpoints)
+        unused = next(one for one in scene.servers if number_of(one) not in scene.node.server_pool.endpoints)
         scene.feed.add({"index": 3, "snapshot": False, "endpoints": [scene.line(unused, "removed")]})
         await until(lambda: scene.node.feed.last == 3)
         for one in (name, unused):
--- a/tests/test_node_crossing_lost.py
+++ b/tests/test_node_crossing_lost.py
@@ -13,7 +13,7 @@
 from fernweir.front.names import number_of
 from fernweir.node.frames import Code, Frame, Type, encode
 from fernweir.node.jsonl import Message
-from fernweir.node.watch import EVERY_MS
+from fernweir.node.liveness import CHECK_INTERVAL_MS
 from tests.node_scene import FarLine, FarServer, FarViewer, Stage, staged
 from tests.test_node_crossing_servers import answered, let_go, tell
 
@@ -38,7 +38,7 @@
         if who == "viewer":
             viewer.send(Message("release", id, cause=16))
             stage.loop.until(lambda: not stage.node.core.sessions.session_count)
-        stage.loop.advance(stage.node.servers.connect_s * 1000.0)  # it is late
+        stage.loop.advance(stage.node.server_pool.connect_timeout_s * 1000.0)  # it is late
         if who == "node":
             stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
             new = next(one for one in stage.far.values() if one is not line.server).line_of(id)
@@ -65,10 +65,10 @@
         viewer = stage.far_viewer()
         id, line = half_answered(stage, viewer)
         reset_while_new(stage, line)
-        (link,) = stage.node.servers.links.values()
-        stage.loop.until(lambda: link.letters)
+        (link,) = stage.node.server_pool.endpoints.values()
+        stage.loop.until(lambda: link.pending_releases)
         first, _ = stage.connecting(), stage.connecting()  # for the release, and the set-up that follows it
-        assert not link.attempts[id].written and link.attempts[id].conn is link.conns[1]
+        assert not link.attempts[id].is_written and link.attempts[id].connection is link.connections[1]
         let_go(stage, first)
         stage.loop.settle()
         viewer.send(Message("release", id, cause=16))
@@ -84,9 +84,9 @@
         fd = stage.connecting()
         viewer.send(Message("release", tired, cause=16))
         stage.loop.until(lambda: tired in line.server.released)
-        (link,) = stage.node.servers.links.values()
+        (link,) = stage.node.server_pool.endpoints.values()
         let_go(stage, fd)
-        while not link.conns[-1].usable:
+        while not link.connections[-1].usable:
             stage.loop.turn()
         new = line.server.lines[-1]
         stage.loop.selected.held.add(fd)  # the break is in the kernel, and seen by who writes
@@ -182,7 +182,7 @@
     with staged(servers=2) as stage:
         viewer = stage.far_viewer()
         id, line = stage.set_up(viewer)
-        (link,) = stage.node.servers.links.values()
+        (link,) = stage.node.server_pool.endpoints.values()
         stage.loop.advance(link.attempts[id].command.timeout_ms)
         stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
         new = next(one for one in stage.far.values() if one is not line.server).line_of(id)
@@ -244,9 +244,9 @@
             return len(line.server.lines) - before
 
         assert breaks(200) == 1
-        stage.loop.jump(EVERY_MS)
+        stage.loop.jump(CHECK_INTERVAL_MS)
         assert breaks(200) == 2
-        stage.loop.jump(EVERY_MS)
+        stage.loop.jump(CHECK_INTERVAL_MS)
         stage.loop.until(lambda: line.server.accept() is not None)  # that one stays
         assert {id} <= set(stage.node.core.sessions.records())
 
@@ -402,7 +402,7 @@
         for server in mess.servers.values():
             server.cut = False
         links, names = (
-            stage.node.servers.links,
+            stage.node.server_pool.endpoints,
             {number_of(far.name): far.address for far in stage.far.values()},
         )
 
@@ -413,7 +413,7 @@
                 return False
             for number, there in names.items():
                 server, held = mess.servers[there], set(host.sessions_playing_at(number))
-                kept = {one.session for one in links[number].kept} if number in links else set()
+                kept = {one.session for one in links[number].deferred_releases} if number in links else set()
                 if server.out or not held <= server.stands <= held | kept:
                     return False
             return True
--- a/tests/test_node_crossing_servers.py
+++ b/tests/test_node_crossing_servers.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from fernweir.node.course import At, Course
+from fernweir.node.connection_state import ConnectionPhase, ConnectionState
 from fernweir.node.frames import Code, Frame, Type, encode
 from fernweir.node.jsonl import Message
-from fernweir.node.watch import EVERY_MS
+from fernweir.node.liveness import CHECK_INTERVAL_MS
 from tests.node_scene import PLAIN, FarLine, FarServer, FarViewer, Stage, staged
 
 
@@ -53,18 +53,23 @@
 
 
 def test_a_connection_goes_onward_only() -> None:
-    course = Course()
-    course.retire()  # one that is being made is not blamed
-    assert course.connecting and not course.carries and not course.close()
-    assert course.came_up() and not course.came_up()
-    assert course.takes and course.carries
-    course.retire()
-    assert course.carries and not course.takes and course.close() and not course.close()
-    assert course.end() and not course.end()
-    course.retire()
-    assert course.at is At.OVER
-    given_up = Course()
-    assert given_up.end() and not given_up.came_up() and not given_up.end()
+    course = ConnectionState()
+    course.drain()  # one that is being made is not blamed
+    assert course.is_connecting and not course.may_write and not course.begin_close()
+    assert course.open() and not course.open()
+    assert course.may_start_request and course.may_write
+    course.drain()
+    assert (
+        course.may_write
+        and not course.may_start_request
+        and course.begin_close()
+        and not course.begin_close()
+    )
+    assert course.finish() and not course.finish()
+    course.drain()
+    assert course.phase is ConnectionPhase.CLOSED
+    given_up = ConnectionState()
+    assert given_up.finish() and not given_up.open() and not given_up.finish()
 
 
 @pytest.mark.parametrize("turns", range(5))
@@ -75,7 +80,7 @@
         viewer.send(wish := stage.setup())
         let_go(stage, stage.connecting())
         stage.loop.turn(turns)
-        stage.loop.jump(stage.node.servers.connect_s * 1000.0)
+        stage.loop.jump(stage.node.server_pool.connect_timeout_s * 1000.0)
         stage.loop.turn(2)
         line = line_of(stage, wish.id)
         stage.loop.settle()
@@ -108,7 +113,7 @@
         viewer = stage.far_viewer()
         viewer.send(wish := stage.setup())
         fd = stage.connecting()
-        ((server, link),) = stage.node.servers.links.items()
+        ((server, link),) = stage.node.server_pool.endpoints.items()
         name = stage.node.feed.names[server]
         tell(stage, stage.line(name, status))
         if status == "removed":
@@ -136,8 +141,8 @@
     assert line is not None
     stage.loop.until(lambda: line.look() is not None and line.over)
     assert len(line.heard) == (0 if first == "stop" else 1)
-    for link in stage.node.servers.links.values():
-        assert not link.attempts and not link.conns and not link.broken
+    for link in stage.node.server_pool.endpoints.values():
+        assert not link.attempts and not link.connections and not link.broken_attempts
     stage.finish()
 
 
@@ -177,7 +182,7 @@
         breaks = 0
         while "set-up failed" not in stage.log.getvalue():
             fd = stage.connecting()
-            (server,) = stage.node.servers.links
+            (server,) = stage.node.server_pool.endpoints
             line = stage.far[stage.node.feed.names[server]].accept()
             assert line is not None and breaks < 9
             line.reset()
@@ -240,20 +245,20 @@
 def test_of_connections_idle_at_once_the_last_one_stays_to_hear_a_session_by(how: str) -> None:
     """However its server answers the end of the other: it hears on the last, and another isn't made."""
     with staged(settings=replace(PLAIN, report_interval_ms=60_000.0)) as stage:
-        stage.node.servers.idle_ms = 8_000.0  # idle before silence is looked into
+        stage.node.server_pool.idle_timeout_ms = 8_000.0  # idle before silence is looked into
         viewer = stage.far_viewer()
         (first, one), (second, other) = stage.set_up(viewer), stage.set_up(viewer)
         one.answer(first)
         other.answer(second)
         for id in (first, second):
             answered(stage, viewer, id)
-        stage.loop.jump(stage.node.servers.idle_ms * 0.6)
+        stage.loop.jump(stage.node.server_pool.idle_timeout_ms * 0.6)
         stage.loop.settle()
-        (link,) = stage.node.servers.links.values()
-        assert [conn.usable for conn in link.conns].count(True) == 1
+        (link,) = stage.node.server_pool.endpoints.values()
+        assert [conn.usable for conn in link.connections].count(True) == 1
         stage.loop.until(lambda: [line.look() for line in (one, other)] and one.over != other.over)
         (one if one.over else other).close() if how == "order" else (one if one.over else other).reset()
-        stage.loop.until(lambda: len(link.conns) == 1)
+        stage.loop.until(lambda: len(link.connections) == 1)
         stage.loop.settle()
         assert stage.far["s-0"].accept() is None
 
@@ -261,8 +266,8 @@
 def test_many_servers_of_a_node_with_few_descriptors_keep_to_their_part_of_them() -> None:
     """What is unused longest goes; viewers and the feed keep their own part, and sessions are heard on."""
     with staged(servers=6, sockets=18) as stage:
-        viewer, servers = stage.far_viewer(), stage.node.servers
-        servers.idle_ms = inf
+        viewer, servers = stage.far_viewer(), stage.node.server_pool
+        servers.idle_timeout_ms = inf
         most = 0
         for title in range(8):
             wishes = [stage.setup(key=f"{title:016x}") for _ in range(3)]
@@ -273,18 +278,21 @@
                 answered(stage, viewer, id)
                 if title:  # the first ones go on
                     line.release(id, 16)
-            most = max(most, sum(len(one.conns) for one in servers.links.values()))
+            most = max(most, sum(len(one.connections) for one in servers.endpoints.values()))
             stage.loop.until(lambda: stage.node.core.sessions.session_count == 3)
-        assert most > servers.shares.servers_most == 8
-        stage.loop.advance(2.5 * EVERY_MS)
+        assert most > servers.descriptor_quota.servers_most == 8
+        stage.loop.advance(2.5 * CHECK_INTERVAL_MS)
         for far in stage.far.values():
             for line in far.lines:
                 if line.look() is not None and line.over:
                     line.close()
         stage.loop.settle()
-        links = servers.links.values()
-        assert sum(one.usable for link in links for one in link.conns) <= servers.shares.servers_most
-        assert all(any(one.usable for one in link.conns) for link in links if link.stays)
+        links = servers.endpoints.values()
+        assert (
+            sum(one.usable for link in links for one in link.connections)
+            <= servers.descriptor_quota.servers_most
+        )
+        assert all(any(one.usable for one in link.connections) for link in links if link.placed_sessions)
 
 
 @pytest.mark.parametrize("asked", [False, True])
@@ -298,7 +306,7 @@
     Nor may the connection of a set-up, waited for as long as its settings say, hold that up.
     """
     with staged(settings=replace(PLAIN, report_interval_ms=tell_ms)) as stage:
-        stage.node.servers.connect_s = connect_ms / 1000.0
+        stage.node.server_pool.connect_timeout_s = connect_ms / 1000.0
         loop, viewer = stage.loop, stage.far_viewer()
         id, line = stage.stands(viewer)
         line.ended.add(id)
@@ -384,7 +392,7 @@
         line.answer(id)
         line.answer(id)
         stage.loop.arrived(fd)
-        (link,) = stage.node.servers.links.values()
+        (link,) = stage.node.server_pool.endpoints.values()
         timer = link.attempts[id].timer
         assert timer is not None
         stage.loop.clock = timer.when()
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -27,8 +27,8 @@
 from fernweir.node.frames import Code, Frame, FrameError, Frames, Type, encode
 from fernweir.node.jsonl import LineError, Lines, Message, read, write
 from fernweir.node.limits import HUSH_MS, Door, Remembered
+from fernweir.node.liveness import CHECK_INTERVAL_MS, LivenessMonitor, LivenessStatus
 from fernweir.node.logs import NodeLog
-from fernweir.node.watch import EVERY_MS, Verdict, Watch
 from fernweir.wire import Fields, parse_settings, read_settings
 from tests.helpers import SETTINGS, entry
 from tests.test_wire import TEXT
@@ -200,32 +200,43 @@
 
 
 def test_a_server_is_lost_by_proof_only() -> None:
-    watch = Watch(SETTINGS, 250.0, 0.0)
+    watch = LivenessMonitor(SETTINGS, 250.0, 0.0)
     quiet = SETTINGS.report_interval_ms + SETTINGS.report_delay_ms + SETTINGS.batch_period_ms
-    assert watch.look(1e6, holds=False, connected=False, connecting=False) is Verdict.WELL
-    watch.heard(0.0)
-    assert watch.look(quiet - 1, True, True, False) is Verdict.WELL
-    assert watch.look(quiet, True, True, False) is Verdict.LOOK  # silence is looked into
-    assert watch.look(quiet, True, True, True) is Verdict.WELL
-    watch.unreachable(quiet, quiet + 9)
-    assert watch.look(quiet, True, True, False) is Verdict.LOOK  # one packet can be lost
-    watch.unreachable(quiet + 5, quiet + 14)  # and another of the same moment
-    assert watch.look(quiet, True, True, False) is Verdict.LOOK
-    watch.unreachable(quiet + 9, quiet + 18)
-    assert watch.look(quiet - 1, True, True, False) is Verdict.WELL  # an open connection speaks
-    assert watch.look(quiet, True, True, False) is Verdict.LOST and "comes up" in watch.why
-    assert watch.look(quiet, True, False, False) is Verdict.LOOK  # told once
-    watch.came_up(quiet)
-    assert watch.look(quiet, True, False, False) is Verdict.WELL  # it has broken again, a look was just made
-    assert watch.look(quiet + EVERY_MS, True, False, False) is Verdict.LOOK  # a break proves nothing
-    watch.heard(quiet + EVERY_MS)
-    watch.missed()
-    assert watch.look(quiet + 2 * EVERY_MS, True, True, True) is Verdict.WELL  # what was missed comes there
-    assert watch.look(quiet + 2 * EVERY_MS, True, True, False) is Verdict.LOOK
-    watch.came_up(quiet + 2 * EVERY_MS)
-    assert watch.look(quiet + 3 * EVERY_MS, True, True, False) is Verdict.WELL  # it has come
-    watch.refused()
-    assert watch.look(quiet, True, False, False) is Verdict.ENDED and "refused" in watch.why
+    assert (
+        watch.check(1e6, has_sessions=False, is_connected=False, is_connecting=False)
+        is LivenessStatus.HEALTHY
+    )
+    watch.on_data_received(0.0)
+    assert watch.check(quiet - 1, True, True, False) is LivenessStatus.HEALTHY
+    assert watch.check(quiet, True, True, False) is LivenessStatus.CHECK  # silence is looked into
+    assert watch.check(quiet, True, True, True) is LivenessStatus.HEALTHY
+    watch.on_connect_timeout(quiet, quiet + 9)
+    assert watch.check(quiet, True, True, False) is LivenessStatus.CHECK  # one packet can be lost
+    watch.on_connect_timeout(quiet + 5, quiet + 14)  # and another of the same moment
+    assert watch.check(quiet, True, True, False) is LivenessStatus.CHECK
+    watch.on_connect_timeout(quiet + 9, quiet + 18)
+    assert watch.check(quiet - 1, True, True, False) is LivenessStatus.HEALTHY  # an open connection speaks
+    assert watch.check(quiet, True, True, False) is LivenessStatus.UNREACHABLE and "comes up" in watch.reason
+    assert watch.check(quiet, True, False, False) is LivenessStatus.CHECK  # told once
+    watch.on_connected(quiet)
+    assert (
+        watch.check(quiet, True, False, False) is LivenessStatus.HEALTHY
+    )  # it has broken again, a look was just made
+    assert (
+        watch.check(quiet + CHECK_INTERVAL_MS, True, False, False) is LivenessStatus.CHECK
+    )  # a break proves nothing
+    watch.on_data_received(quiet + CHECK_INTERVAL_MS)
+    watch.on_connection_broken()
+    assert (
+        watch.check(quiet + 2 * CHECK_INTERVAL_MS, True, True, True) is LivenessStatus.HEALTHY
+    )  # what was missed comes there
+    assert watch.check(quiet + 2 * CHECK_INTERVAL_MS, True, True, False) is LivenessStatus.CHECK
+    watch.on_connected(quiet + 2 * CHECK_INTERVAL_MS)
+    assert (
+        watch.check(quiet + 3 * CHECK_INTERVAL_MS, True, True, False) is LivenessStatus.HEALTHY
+    )  # it has come
+    watch.on_connection_refused()
+    assert watch.check(quiet, True, False, False) is LivenessStatus.TERMINATED and "refused" in watch.reason
 
 
 def nested(text: str) -> dict[str, Any]:
