--- a/fernweir/node/client_requests.py
+++ b/fernweir/node/client_requests.py
@@ -15,7 +15,7 @@
 from fernweir.node.jsonl import LineError, Message, Value
 from fernweir.node.limits import ConnectionAdmission, RecentIds
 from fernweir.node.requests import Requests
-from fernweir.node.servers import Servers
+from fernweir.node.server_pool import ServerPool
 from fernweir.node.session_end_delivery import SessionEndDelivery
 
 _PONG_READY = 1
@@ -49,20 +49,20 @@
         self,
         dispatcher: Dispatcher,
         parser: Requests,
-        servers: Servers,
+        server_pool: ServerPool,
         admission: ConnectionAdmission[ClientConnection],
         session_ends: SessionEndDelivery,
     ) -> None:
         self._dispatcher = dispatcher
         self._parser = parser
-        self._servers = servers
+        self._server_pool = server_pool
         self._admission = admission
         self._session_ends = session_ends
         self.is_ready = False
         self.recent_ids = RecentIds()
         self.open_requests: dict[str, OpenRequest] = {}
         dispatcher.on_session_over = self.on_session_ended
-        servers.hear_viewer = self.read_client_input
+        server_pool.read_client_input = self.read_client_input
 
     def handle_message(self, connection: ClientConnection, message: Message) -> None:
         """Handles one message of a connection.
@@ -118,7 +118,7 @@
     ) -> None:
         """Adopts a session that plays at a server already, else tells the client that it has ended."""
         session_id = request.session_id
-        if self._servers.take_over(request, server_name):
+        if self._server_pool.adopt_session(request, server_name):
             self._session_ends.on_session_established(session_id, connection)
         elif self._dispatcher.sessions.session(session_id) is None:
             self.recent_ids.add(session_id)  # its viewer may end it meanwhile: one end is enough
@@ -196,7 +196,7 @@
         for session_id in connection.state.open_requests:
             self._dispatcher.on_client_half_closed(self.open_requests[session_id].ticket)
         # A set-up that waits for a connection to its server must not go out when that is made.
-        self._servers.drop_unwanted()
+        self._server_pool.drop_unwanted_attempts()
 
     def withdraw_requests(self, connection: ClientConnection, reason: str) -> None:
         """Withdraws all open set-ups of a connection that ended.
--- a/fernweir/node/program.py
+++ b/fernweir/node/program.py
@@ -27,7 +27,7 @@
 from fernweir.node.limits import ConnectionAdmission, DescriptorQuota
 from fernweir.node.logs import NodeLog
 from fernweir.node.requests import Requests
-from fernweir.node.servers import Servers
+from fernweir.node.server_pool import ServerPool
 from fernweir.node.session_end_delivery import SessionEndDelivery
 
 if TYPE_CHECKING:  # needs packages, which a node alone does not have
@@ -57,9 +57,9 @@
         wall_clock_offset_ms = (time.time() - loop.time()) * 1000.0
         self.feed = Feed(config.settings, config.kinds, wall_clock_offset_ms)
         quota = DescriptorQuota(config.sockets)
-        self.servers = Servers(self.core, self.feed, config, quota)
+        self.server_pool = ServerPool(self.core, self.feed, config, quota)
         self._create_client_side(quota)
-        self.follower = Follower(self.core, self.feed, self.servers, config.feed, config.seed)
+        self.follower = Follower(self.core, self.feed, self.server_pool, config.feed, config.seed)
         self.graceful_shutdown = GracefulShutdown(config.settings)
         self.drained = asyncio.Event()
         self._drain_timer: asyncio.TimerHandle | None = None
@@ -68,7 +68,9 @@
         admission: ConnectionAdmission[ClientConnection] = ConnectionAdmission(quota.client_connections)
         parser = Requests(self.config.settings)
         self.session_ends = SessionEndDelivery(self.core)
-        self.client_requests = ClientRequests(self.core, parser, self.servers, admission, self.session_ends)
+        self.client_requests = ClientRequests(
+            self.core, parser, self.server_pool, admission, self.session_ends
+        )
         self.client_listener = ClientListener(self.core, self.client_requests, self.session_ends, admission)
 
     def start(self) -> None:
@@ -148,7 +150,7 @@
         return (
             bool(self.client_requests.open_requests)
             or self.client_listener.has_unsent_data
-            or self.servers.owed
+            or self.server_pool.has_unsent_messages
         )
 
     def shutdown(self) -> None:
@@ -159,7 +161,7 @@
         self.client_listener.shutdown()
         self.core.run_last_step()  # for what that caused, as the release of a session whose reply was lost
         self.core.stop()
-        self.servers.close()
+        self.server_pool.shutdown()
 
 
 def read_peers_file(config: NodeConfig, environment: Mapping[str, str]) -> PeersFile | None:
