--- /dev/null
+++ b/fernweir/node/attempts.py
@@ -0,0 +1,293 @@
+"""The set-ups in flight to media servers: their connections, timeouts and results.
+
+An attempt that was not written yet can change its connection, since it surely never ran. One that was written
+on a connection that broke waits until a new connection shows whether its server lives.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass
+from math import ceil
+
+from fernweir.front.commands import SetUp, SetUpResult
+from fernweir.front.dispatcher import Dispatcher
+from fernweir.interface import RESULT_LABELS, Result, Settings
+from fernweir.node.feed import Feed
+from fernweir.node.frames import Code, Frame, Type, encode
+from fernweir.node.liveness import result_of_broken_attempt
+from fernweir.node.server_connection import ServerConnection
+from fernweir.node.server_endpoint import PlacedSession, ServerEndpoint
+from fernweir.node.server_pool import ServerPool
+
+MAX_CONNECTS = 3
+"""How many connections may break before the one thing that waits for them is written."""
+
+
+@dataclass(slots=True, eq=False)
+class Attempt:
+    """A set-up in flight, or one that waits for its connection.
+
+    Attributes:
+        command: What to set up where.
+        sent_at: When the command came: monotonic, in milliseconds.
+        timer: Fires when its time is over.
+        connection: Carries it, or will once established. None after that ended.
+        is_written: Whether its server may have received it.
+        break_reason: Why its connection ended after it was written, until the server is known to live or not.
+        connect_count: How many connections it was assigned to.
+    """
+
+    command: SetUp
+    sent_at: float
+    timer: asyncio.TimerHandle | None = None
+    connection: ServerConnection | None = None
+    is_written: bool = False
+    break_reason: str = ""
+    connect_count: int = 0
+
+    @property
+    def session_id(self) -> str:
+        """The identifier of its session."""
+        return self.command.request.session_id
+
+
+class AttemptManager:
+    """Carries out set-ups and reports the one result of each to the session manager."""
+
+    def __init__(
+        self,
+        dispatcher: Dispatcher,
+        feed: Feed,
+        settings: Settings,
+        pool: ServerPool,
+        read_client_input: Callable[[str], None],
+    ) -> None:
+        """Creates a manager without attempts.
+
+        Args:
+            dispatcher: Receives the results.
+            feed: Knows the names of servers, for the log.
+            settings: Names the classes of sessions.
+            pool: Provides the connections.
+            read_client_input: Reads what the client of a session has sent by now.
+        """
+        self._dispatcher = dispatcher
+        self._feed = feed
+        self._pool = pool
+        self._read_client_input = read_client_input
+        self._class_names = [session_class.name.encode() for session_class in settings.classes]
+
+    # --- commands ---
+
+    def start(self, endpoint: ServerEndpoint, command: SetUp) -> None:
+        """Starts an attempt."""
+        attempt = Attempt(command, self._dispatcher.now())
+        endpoint.attempts[attempt.session_id] = attempt
+        timeout_s = max(command.timeout_ms, 0.0) / 1000.0
+        attempt.timer = self._dispatcher.loop.call_later(timeout_s, self._on_timeout, endpoint, attempt)
+        self._assign(endpoint, attempt)
+
+    def reject_unlisted(self, command: SetUp) -> None:
+        """Reports, after this turn of the event loop, that a server is not on the endpoint list."""
+        result = SetUpResult(Result.NOT_SENT, 0.0, {}, reason="not listed")
+        self._dispatcher.loop.call_soon(self._report, command, result)
+
+    def cancel(self, endpoint: ServerEndpoint, session_id: str) -> None:
+        """Ends a session's attempt, if there is one, without a result."""
+        attempt = endpoint.attempts.pop(session_id, None)
+        if attempt is not None:
+            self._detach(attempt, has_failed=True)
+
+    def cancel_all(self, endpoint: ServerEndpoint) -> None:
+        """Ends all attempts at a server without a result."""
+        for attempt in endpoint.attempts.values():
+            self._detach(attempt, has_failed=True)
+        endpoint.attempts.clear()
+
+    def finish_unwanted(self) -> None:
+        """Ends the attempts that wait for a connection and are not wanted any more."""
+        for endpoint in self._pool.endpoints.values():
+            for attempt in list(endpoint.attempts.values()):
+                if not attempt.is_written:
+                    self._check_wanted(endpoint, attempt)
+
+    # --- sending ---
+
+    def _assign(self, endpoint: ServerEndpoint, attempt: Attempt) -> None:
+        if not self._check_before_write(endpoint, attempt):
+            return
+        attempt.connect_count += 1
+        connection = self._pool.select_or_connect(endpoint, attempt.session_id)
+        attempt.connection = connection
+        connection.attempts[attempt.session_id] = attempt
+        if connection.usable:
+            self._write(endpoint, attempt, connection)
+
+    def _check_before_write(self, endpoint: ServerEndpoint, attempt: Attempt) -> bool:
+        """Ends an attempt whose client has left, or whose time is over, since the event loop last looked.
+
+        Returns:
+            Whether it may be written.
+        """
+        self._read_client_input(attempt.session_id)
+        if self._dispatcher.now() - attempt.sent_at > attempt.command.timeout_ms:
+            self._on_timeout(endpoint, attempt)  # its timer is due, but the event loop is late
+            return False
+        return self._check_wanted(endpoint, attempt)
+
+    def _check_wanted(self, endpoint: ServerEndpoint, attempt: Attempt) -> bool:
+        """Ends an attempt that is not wanted any more, and returns whether it still is."""
+        if self._dispatcher.sessions.is_attempt_wanted(attempt.session_id, attempt.command.attempt):
+            return True
+        self.fail(endpoint, attempt, Result.NOT_SENT, "not wanted any more")
+        return False
+
+    def _write(self, endpoint: ServerEndpoint, attempt: Attempt, connection: ServerConnection) -> None:
+        session_id = attempt.session_id
+        now = self._dispatcher.now()
+        set_up = self._set_up_frame(attempt, now)
+        lost_releases = endpoint.releases_on_broken_connections(now)
+        releases = endpoint.release_queue.take_for_session(session_id)
+        releases += [release for release in lost_releases if release.session == session_id]
+        for release in releases:
+            connection.send(release)
+        # One that did not leave never ran: it gets a new connection when the end of this one is reported.
+        attempt.is_written = connection.write(encode(set_up))
+        if attempt.is_written:
+            endpoint.placed_sessions[session_id] = PlacedSession(connection, now)
+
+    def _set_up_frame(self, attempt: Attempt, now: float) -> Frame:
+        command = attempt.command
+        request = command.request
+        assert isinstance(request.body, bytes)
+        remaining_ms = command.timeout_ms - (now - attempt.sent_at)
+        parameters: dict[int, bytes] = {
+            Code.CLASS: self._class_names[request.class_index],
+            Code.WAIT: b"%d" % max(ceil(remaining_ms), 1),
+            Code.TITLE: request.title_name.encode(),
+            Code.RUNG: b"%d" % command.rung,
+            Code.DESCRIPTION: request.body,
+        }
+        return Frame(Type.SETUP, request.session_id, parameters)
+
+    # --- events ---
+
+    def on_connected(self, connection: ServerConnection) -> None:
+        """Writes the attempts that waited for a connection."""
+        for attempt in list(connection.attempts.values()):
+            if self._check_before_write(connection.endpoint, attempt):
+                self._write(connection.endpoint, attempt, connection)
+
+    def on_connect_failed(self, connection: ServerConnection, reason: str) -> None:
+        """Ends the attempts that waited for a connection."""
+        for attempt in list(connection.attempts.values()):
+            self.fail(connection.endpoint, attempt, Result.CONNECT_FAILED, reason)
+
+    def on_connection_lost(self, connection: ServerConnection, reason: str) -> None:
+        """Assigns the attempts of an ended connection to others, unless they were written."""
+        attempts = list(connection.attempts.values())
+        connection.attempts = {}
+        for attempt in attempts:
+            attempt.connection = None
+            if attempt.is_written:
+                attempt.break_reason = reason
+            elif attempt.connect_count >= MAX_CONNECTS:
+                self.fail(connection.endpoint, attempt, Result.CONNECT_FAILED, reason)
+            else:
+                self._assign(connection.endpoint, attempt)
+
+    def on_liveness_known(self, endpoint: ServerEndpoint, is_alive: bool) -> None:
+        """Ends the attempts whose connection broke after they were written.
+
+        A server that lives may have written a reply that was lost: the session manager has the session
+        released there.
+        """
+        for attempt in endpoint.broken_attempts:
+            self.fail(endpoint, attempt, result_of_broken_attempt(is_alive), attempt.break_reason)
+
+    def on_server_lost(self, endpoint: ServerEndpoint) -> None:
+        """Ends all attempts at a server that was lost."""
+        for attempt in list(endpoint.attempts.values()):
+            result = Result.RESET if attempt.is_written else Result.CONNECT_FAILED
+            self.fail(endpoint, attempt, result, "server lost")
+
+    def _on_timeout(self, endpoint: ServerEndpoint, attempt: Attempt) -> None:
+        if attempt.connection is not None and attempt.is_written:
+            attempt.connection.state.drain()  # its server is late or stuck: nothing new goes there
+        self.fail(endpoint, attempt, Result.TIMEOUT if attempt.is_written else Result.CONNECT_FAILED)
+
+    # --- results ---
+
+    def fail(
+        self,
+        endpoint: ServerEndpoint,
+        attempt: Attempt,
+        result: Result,
+        reason: str = "",
+        report: dict[str, float] | None = None,
+    ) -> None:
+        """Ends an attempt without success, unless it has ended.
+
+        Args:
+            endpoint: Its server.
+            attempt: The attempt.
+            result: Anything but OK.
+            reason: Why, for the log.
+            report: The load report that came with the result.
+        """
+        if self._remove(endpoint, attempt, has_failed=True):
+            if attempt.is_written:
+                endpoint.failed_attempts.add(attempt.session_id)
+            duration_ms = self._dispatcher.now() - attempt.sent_at
+            self._report(attempt.command, SetUpResult(result, duration_ms, report or {}, reason=reason))
+
+    def succeed(
+        self, endpoint: ServerEndpoint, attempt: Attempt, description: str, report: dict[str, float]
+    ) -> None:
+        """Ends an attempt with its server's answer, unless it has ended.
+
+        Args:
+            endpoint: Its server.
+            attempt: The attempt.
+            description: The description of the session.
+            report: The load report that came with it.
+        """
+        if self._remove(endpoint, attempt, has_failed=False):
+            duration_ms = self._dispatcher.now() - attempt.sent_at
+            self._report(attempt.command, SetUpResult(Result.OK, duration_ms, report, description))
+
+    def _remove(self, endpoint: ServerEndpoint, attempt: Attempt, *, has_failed: bool) -> bool:
+        if endpoint.attempts.get(attempt.session_id) is not attempt:
+            return False
+        del endpoint.attempts[attempt.session_id]
+        self._detach(attempt, has_failed=has_failed)
+        return True
+
+    def _detach(self, attempt: Attempt, *, has_failed: bool) -> None:
+        """Stops the timer of an attempt and takes it off its connection."""
+        if attempt.timer is not None:
+            attempt.timer.cancel()
+        connection = attempt.connection
+        if connection is None:
+            return
+        connection.attempts.pop(attempt.session_id, None)
+        connection.last_used_at = self._dispatcher.now()
+        if attempt.is_written and has_failed:
+            connection.failed_attempts.add(attempt.session_id)
+
+    def _report(self, command: SetUp, result: SetUpResult) -> None:
+        session_id = command.request.session_id
+        if result.result is not Result.OK:
+            self._dispatcher.log.info(
+                "set-up failed",
+                session=session_id,
+                server=self._feed.names.get(command.server),
+                attempt=command.attempt,
+                result=RESULT_LABELS[result.result],
+                why=result.reason,
+            )
+        now = self._dispatcher.now()
+        self._dispatcher.sessions.on_attempt_finished(now, session_id, command.attempt, result)
+        self._dispatcher.schedule_step()
--- a/fernweir/node/follow.py
+++ b/fernweir/node/follow.py
@@ -11,7 +11,7 @@
 from fernweir.node.config import Address
 from fernweir.node.feed import MOST_BYTES, Feed, FeedError
 from fernweir.node.jsonl import LineError, Lines
-from fernweir.node.server_pool import ServerPool
+from fernweir.node.server_transport import MediaServerTransport
 
 
 class Follower:
@@ -20,7 +20,9 @@
     `Asking` alone knows what is under way; here is its one timer, and the connection of its newest opening.
     """
 
-    def __init__(self, core: Dispatcher, feed: Feed, servers: ServerPool, there: Address, seed: int) -> None:
+    def __init__(
+        self, core: Dispatcher, feed: Feed, servers: MediaServerTransport, there: Address, seed: int
+    ) -> None:
         self.core, self.feed, self.servers, self.there = core, feed, servers, there
         self._asking = Asking(seed)
         self._conn: _Connection | None = None
--- /dev/null
+++ b/fernweir/node/health_checks.py
@@ -0,0 +1,133 @@
+"""The health checks in flight to media servers."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+
+from fernweir.front.commands import SendHealthCheck
+from fernweir.front.dispatcher import Dispatcher
+from fernweir.interface import Result
+from fernweir.node.attempts import MAX_CONNECTS
+from fernweir.node.frames import Code, Frame, Type, encode
+from fernweir.node.server_connection import ServerConnection
+from fernweir.node.server_endpoint import ServerEndpoint
+from fernweir.node.server_pool import ServerPool
+
+
+@dataclass(slots=True, eq=False)
+class HealthCheck:
+    """A health check in flight.
+
+    Attributes:
+        sent_at: When it was asked for: monotonic, in milliseconds.
+        timer: Fires when its time is over.
+        request: The bytes to write.
+        connection: Carries it, or will once established.
+        connect_count: How many connections it was assigned to.
+    """
+
+    sent_at: float
+    timer: asyncio.TimerHandle
+    request: bytes
+    connection: ServerConnection | None = None
+    connect_count: int = 0
+
+
+class HealthChecker:
+    """Sends health checks and reports the one result of each to the session manager."""
+
+    def __init__(self, dispatcher: Dispatcher, pool: ServerPool) -> None:
+        self._dispatcher = dispatcher
+        self._pool = pool
+        self._check_count = 0
+
+    # --- commands ---
+
+    def start(self, command: SendHealthCheck) -> None:
+        """Starts a health check. It fails after this turn of the event loop if its server is not listed."""
+        endpoint = self._pool.get_or_create_endpoint(command.server)
+        loop = self._dispatcher.loop
+        if endpoint is None:
+            loop.call_soon(self._report, command.server, Result.CONNECT_FAILED, 0.0, {})
+            return
+        self._check_count += 1
+        check_id = f"{self._check_count:016x}"
+        timer = loop.call_later(self._pool.connect_timeout_s, self.finish, endpoint, check_id, Result.TIMEOUT)
+        request = encode(Frame(Type.PING, check_id, {Code.CAUSE: b"\0"}))
+        check = HealthCheck(self._dispatcher.now(), timer, request)
+        endpoint.health_checks[check_id] = check
+        self._assign(endpoint, check)
+
+    def cancel_all(self, endpoint: ServerEndpoint) -> None:
+        """Ends all health checks of a server without a result."""
+        for check in endpoint.health_checks.values():
+            check.timer.cancel()
+        endpoint.health_checks.clear()
+
+    def finish(
+        self,
+        endpoint: ServerEndpoint,
+        check_id: str,
+        result: Result,
+        report: dict[str, float] | None = None,
+    ) -> None:
+        """Ends a health check, unless it has ended.
+
+        Args:
+            endpoint: Its server.
+            check_id: The identifier of the check.
+            result: How it ended.
+            report: The load report that came with the reply.
+        """
+        check = endpoint.health_checks.pop(check_id, None)
+        if check is None:
+            return
+        check.timer.cancel()
+        if check.connection is not None and result is Result.TIMEOUT:
+            check.connection.state.drain()
+            check.connection.close_if_drained()
+        self._report(endpoint.server, result, self._dispatcher.now() - check.sent_at, report or {})
+
+    # --- events ---
+
+    def on_connected(self, connection: ServerConnection) -> None:
+        """Writes the health checks that waited for a connection."""
+        for check in connection.endpoint.health_checks.values():
+            if check.connection is connection:
+                connection.write(check.request)
+
+    def on_connect_failed(self, connection: ServerConnection) -> None:
+        """Ends the health checks that waited for a connection."""
+        endpoint = connection.endpoint
+        for check_id, check in list(endpoint.health_checks.items()):
+            if check.connection is connection:
+                self.finish(endpoint, check_id, Result.CONNECT_FAILED)
+
+    def on_connection_lost(self, connection: ServerConnection) -> None:
+        """Assigns the health checks of an ended connection to others: a break alone proves no fault."""
+        endpoint = connection.endpoint
+        for check_id, check in list(endpoint.health_checks.items()):
+            if check.connection is not connection:
+                continue
+            if self._may_retry(endpoint, check):
+                self._assign(endpoint, check)
+            else:
+                self.finish(endpoint, check_id, Result.ERROR)
+
+    def _may_retry(self, endpoint: ServerEndpoint, check: HealthCheck) -> bool:
+        if self._pool.is_stopped or self._pool.is_removed(endpoint):
+            return False
+        return check.connect_count < MAX_CONNECTS
+
+    def _assign(self, endpoint: ServerEndpoint, check: HealthCheck) -> None:
+        check.connect_count += 1
+        connection = self._pool.select_or_connect(endpoint)
+        check.connection = connection
+        if connection.usable:
+            connection.write(check.request)
+
+    def _report(self, server: int, result: Result, duration_ms: float, report: dict[str, float]) -> None:
+        now = self._dispatcher.now()
+        self._dispatcher.sessions.on_health_check_finished(now, server, result, duration_ms, report)
+        self._dispatcher.schedule_step()
--- /dev/null
+++ b/fernweir/node/placed_sessions.py
@@ -0,0 +1,117 @@
+"""The sessions that media servers carry: what is sent to servers about them, and their end."""
+
+from __future__ import annotations
+
+from fernweir.front.commands import ChangeRung
+from fernweir.front.dispatcher import Dispatcher
+from fernweir.front.session_manager import SessionPhase
+from fernweir.interface import Result
+from fernweir.node.frames import Code, Frame, Type
+from fernweir.node.release_queue import release_frame
+from fernweir.node.server_connection import ServerConnection
+from fernweir.node.server_endpoint import PlacedSession, ServerEndpoint
+from fernweir.node.server_pool import ServerPool
+
+
+class PlacedSessionManager:
+    """Sends messages about placed sessions and reports their ends to the session manager."""
+
+    def __init__(self, dispatcher: Dispatcher, pool: ServerPool) -> None:
+        self._dispatcher = dispatcher
+        self._pool = pool
+
+    def adopt(self, endpoint: ServerEndpoint, session_id: str) -> None:
+        """Adds a session that its server carries already."""
+        if not endpoint.placed_sessions:
+            # What was seen of a server without sessions says nothing of one that carries some by now.
+            endpoint.liveness = self._pool.new_liveness_monitor()
+        endpoint.placed_sessions[session_id] = PlacedSession(None, self._dispatcher.now())
+
+    def change_rung(self, command: ChangeRung) -> None:
+        """Sends the new rung of a session."""
+        endpoint = self._pool.endpoints.get(command.server)
+        if endpoint is not None:
+            frame = Frame(Type.RATE, command.session_id, {Code.RUNG: b"%d" % command.rung})
+            self._send_or_queue(endpoint, frame)
+
+    def release(self, endpoint: ServerEndpoint, session_id: str) -> None:
+        """Releases a session that its server may carry."""
+        if session_id not in endpoint.placed_sessions:
+            return  # never written there, or ended by its server
+        self.send_release(endpoint, session_id)
+        session = endpoint.placed_sessions.pop(session_id, None)
+        if session is not None and session.connection is not None:
+            session.connection.close_if_drained()
+
+    def send_release(self, endpoint: ServerEndpoint, session_id: str) -> None:
+        """Sends a release."""
+        self._send_or_queue(endpoint, release_frame(session_id))
+
+    def send_pending(self, connection: ServerConnection) -> None:
+        """Sends what found no connection.
+
+        What concerns a session with an attempt in flight stays until just before its set-up is written.
+        """
+        endpoint = connection.endpoint
+        for frame in endpoint.release_queue.take_except(endpoint.attempts):
+            connection.send(frame)
+
+    def end(self, endpoint: ServerEndpoint, session_id: str, result: Result) -> None:
+        """Ends a session that its server does not carry any more, by its own message or by proof."""
+        record = self._dispatcher.sessions.session(session_id)
+        endpoint.placed_sessions.pop(session_id, None)
+        if record is None or record.server != endpoint.server or record.phase is not SessionPhase.PLAYING:
+            return
+        now = self._dispatcher.now()
+        self._dispatcher.sessions.on_session_ended(now, session_id, record.attempt, result)
+        self._dispatcher.schedule_step()
+
+    def on_connection_lost(self, connection: ServerConnection) -> None:
+        """Queues the releases that the end of a connection may have lost.
+
+        They go out again before any set-up that is assigned to another connection, but not where their
+        session has been set up anew.
+        """
+        endpoint = connection.endpoint
+        for session in endpoint.placed_sessions.values():
+            if session.connection is connection:
+                session.connection = None
+        releases = connection.unconfirmed_releases(self._dispatcher.now())
+        endpoint.release_queue.add(
+            release for release in releases if release.session not in endpoint.placed_sessions
+        )
+
+    def on_process_ended(self, endpoint: ServerEndpoint) -> None:
+        """Forgets what a server carried whose process ended: nothing needs to be released there."""
+        endpoint.release_queue.clear()
+        endpoint.drain_connections()
+        for attempt in endpoint.broken_attempts:
+            endpoint.placed_sessions.pop(attempt.session_id, None)
+
+    def on_server_lost(self, endpoint: ServerEndpoint, is_process_ended: bool) -> None:
+        """Forgets the sessions of a lost server.
+
+        If it is only unreachable they are released when it returns; no connection is made for that. Sessions
+        with an attempt in flight stay: their server may still read it, so the session manager releases them.
+        """
+        attempts, placed = endpoint.attempts, endpoint.placed_sessions
+        endpoint.placed_sessions = {
+            session_id: session for session_id, session in placed.items() if session_id in attempts
+        }
+        if not is_process_ended:
+            endpoint.release_queue.defer(session_id for session_id in placed if session_id not in attempts)
+        endpoint.release_queue.clear_pending()
+        endpoint.drain_connections()
+
+    def _send_or_queue(self, endpoint: ServerEndpoint, frame: Frame) -> None:
+        """Sends on the connection of the session's set-up, else on any, else on the next one."""
+        session = endpoint.placed_sessions.get(frame.session)
+        if session is not None and session.is_connected:
+            connection = session.connection
+        else:
+            connection = self._pool.select_any(endpoint, frame.session)
+        if connection is not None:
+            connection.send(frame)
+        elif not self._pool.is_removed(endpoint):
+            endpoint.release_queue.add([frame])
+            self._pool.connect_unless_connecting(endpoint)
--- a/fernweir/node/program.py
+++ b/fernweir/node/program.py
@@ -22,6 +22,7 @@
 from fernweir.node.logs import NodeLog
 from fernweir.node.requests import Requests
 from fernweir.node.server_pool import ServerPool
+from fernweir.node.server_transport import MediaServerTransport
 from fernweir.node.viewers import Viewers
 
 if TYPE_CHECKING:  # needs packages, which a node alone does not have
@@ -46,8 +47,11 @@
         self.feed = Feed(config.settings, config.kinds, offset_ms)
         shares = Shares(config.sockets)
         self.server_pool = ServerPool(self.core, self.feed, config, shares)
-        self.viewers = Viewers(self.core, Requests(config.settings), self.server_pool, Door(shares.viewers))
-        self.follower = Follower(self.core, self.feed, self.server_pool, config.feed, config.seed)
+        self.server_transport = MediaServerTransport(self.core, self.feed, config.settings, self.server_pool)
+        self.viewers = Viewers(
+            self.core, Requests(config.settings), self.server_transport, Door(shares.viewers)
+        )
+        self.follower = Follower(self.core, self.feed, self.server_transport, config.feed, config.seed)
         self.ending = Ending(config.settings)
         self.ended = asyncio.Event()
         self._end: asyncio.TimerHandle | None = None
@@ -103,7 +107,7 @@
             await asyncio.sleep(0)
             came = self.viewers.arriving or self.viewers.came != before
             if self.ending.over(
-                self.core.now(), came, self.viewers.owed or self.server_pool.has_unsent_messages
+                self.core.now(), came, self.viewers.owed or self.server_transport.has_unsent_messages
             ):
                 break
             if not came:
@@ -117,7 +121,7 @@
         self.viewers.stop()
         self.core.run_last_step()  # what that gave rise to, as the release of what nobody heard of
         self.core.stop()
-        self.server_pool.shutdown()
+        self.server_transport.shutdown()
 
 
 def peers_file(config: NodeConfig, environment: Mapping[str, str]) -> PeersFile | None:
--- /dev/null
+++ b/fernweir/node/release_queue.py
@@ -0,0 +1,64 @@
+"""The messages that wait for a connection to their media server. Pure: no I/O and no clock."""
+
+from __future__ import annotations
+
+from collections.abc import Container, Iterable
+
+from fernweir.node.frames import Code, Frame, Type
+
+_CAUSE_CANCELLED = 16
+
+
+def release_frame(session_id: str) -> Frame:
+    """Returns the message that releases a session at its server."""
+    return Frame(Type.RELEASE, session_id, {Code.CAUSE: bytes((_CAUSE_CANCELLED,))})
+
+
+class ReleaseQueue:
+    """The releases, and changes of rungs, that one server has not got yet, oldest first.
+
+    Attributes:
+        pending_releases: Go out on the next connection, and one is made for them.
+        deferred_releases: Those of a server that was lost. They wait for it to return: no connection is made
+            for them.
+    """
+
+    def __init__(self) -> None:
+        self.pending_releases: list[Frame] = []
+        self.deferred_releases: list[Frame] = []
+
+    def add(self, frames: Iterable[Frame]) -> None:
+        """Appends to the pending messages."""
+        self.pending_releases += frames
+
+    def take_for_session(self, session_id: str) -> list[Frame]:
+        """Removes the pending messages of one session and returns them."""
+        taken = [frame for frame in self.pending_releases if frame.session == session_id]
+        self.pending_releases = [frame for frame in self.pending_releases if frame.session != session_id]
+        return taken
+
+    def take_except(self, session_ids: Container[str]) -> list[Frame]:
+        """Removes the pending messages of all sessions but these and returns them."""
+        taken = [frame for frame in self.pending_releases if frame.session not in session_ids]
+        self.pending_releases = [frame for frame in self.pending_releases if frame.session in session_ids]
+        return taken
+
+    def defer(self, session_ids: Iterable[str]) -> None:
+        """Defers all pending messages, then the releases of these sessions: their server was lost."""
+        self.deferred_releases += self.pending_releases
+        self.deferred_releases += [release_frame(session_id) for session_id in session_ids]
+        self.clear_pending()
+
+    def resume_deferred(self) -> None:
+        """Puts the deferred messages before the pending ones: their server has returned."""
+        self.pending_releases = self.deferred_releases + self.pending_releases
+        self.deferred_releases = []
+
+    def clear_pending(self) -> None:
+        """Drops the pending messages."""
+        self.pending_releases.clear()
+
+    def clear(self) -> None:
+        """Drops all messages: the process that they were for has ended."""
+        self.clear_pending()
+        self.deferred_releases.clear()
--- /dev/null
+++ b/fernweir/node/server_endpoint.py
@@ -0,0 +1,98 @@
+"""What a node has with one media server: its address, connections, attempts and sessions."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
+
+from fernweir.node.config import Address
+from fernweir.node.frames import Frame
+from fernweir.node.limits import Remembered
+from fernweir.node.liveness import LivenessMonitor
+from fernweir.node.release_queue import ReleaseQueue
+
+if TYPE_CHECKING:
+    from fernweir.node.attempts import Attempt
+    from fernweir.node.health_checks import HealthCheck
+    from fernweir.node.server_connection import ServerConnection
+
+MAX_FAILED_ATTEMPTS = 32
+"""How many failed attempts of a connection, or of a server, are remembered to recognise late messages."""
+
+
+@dataclass(slots=True)
+class PlacedSession:
+    """A session that a server may carry.
+
+    Attributes:
+        connection: The connection of its set-up, until that ends. None for an adopted session.
+        placed_at: When its set-up was written, or it was adopted: monotonic, in milliseconds.
+    """
+
+    connection: ServerConnection | None
+    placed_at: float
+
+    @property
+    def is_connected(self) -> bool:
+        """Whether the connection of its set-up is still there for its server to send on."""
+        return self.connection is not None and self.connection.usable
+
+
+@dataclass(eq=False)
+class ServerEndpoint:
+    """All that this node has with one media server.
+
+    Attributes:
+        server: The number of the server.
+        address: Where the endpoint list says that it listens.
+        liveness: Whether the server still lives.
+        connections: Those that have not ended, oldest first.
+        attempts: The set-ups in flight, by session.
+        placed_sessions: The sessions that the server may carry, by session.
+        health_checks: The health checks in flight, by their identifier.
+        failed_attempts: Sessions whose attempts failed here lately.
+        release_queue: The messages that found no connection.
+    """
+
+    server: int
+    address: Address
+    liveness: LivenessMonitor
+    connections: list[ServerConnection] = field(default_factory=list)
+    attempts: dict[str, Attempt] = field(default_factory=dict)
+    placed_sessions: dict[str, PlacedSession] = field(default_factory=dict)
+    health_checks: dict[str, HealthCheck] = field(default_factory=dict)
+    failed_attempts: Remembered = field(default_factory=lambda: Remembered(MAX_FAILED_ATTEMPTS))
+    release_queue: ReleaseQueue = field(default_factory=ReleaseQueue)
+
+    @property
+    def is_connecting(self) -> bool:
+        """Whether a connection is being made."""
+        return any(connection.state.is_connecting for connection in self.connections)
+
+    @property
+    def is_idle(self) -> bool:
+        """Whether nothing is in flight to the server and it carries no session."""
+        return not (self.placed_sessions or self.attempts or self.health_checks)
+
+    @property
+    def broken_attempts(self) -> list[Attempt]:
+        """Attempts whose connection broke, which wait to learn whether the server lives."""
+        return [attempt for attempt in self.attempts.values() if attempt.break_reason]
+
+    def is_only_usable(self, connection: ServerConnection) -> bool:
+        """Whether no other connection is there for the server to send on."""
+        return not any(other.usable for other in self.connections if other is not connection)
+
+    def drain_connections(self) -> None:
+        """Sends nothing new on the connections: the server has dropped them, though it may never say so."""
+        for connection in self.connections:
+            connection.state.drain()
+
+    def releases_on_broken_connections(self, now: float) -> list[Frame]:
+        """Returns releases that were written on connections that have broken since, so may be lost."""
+        return [
+            frame
+            for connection in self.connections
+            if not connection.usable
+            for frame in connection.unconfirmed_releases(now)
+        ]
--- /dev/null
+++ b/fernweir/node/server_transport.py
@@ -0,0 +1,225 @@
+"""The node's transport to media servers: carries out the dispatcher's commands, and reacts to connections.
+
+A thin layer over the parts that own the state: the pool, the attempts, the health checks and the placed
+sessions.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from fernweir.front.commands import ChangeRung, ReleaseSession, SendHealthCheck, SessionRequest, SetUp
+from fernweir.front.dispatcher import Dispatcher
+from fernweir.front.names import number_of
+from fernweir.interface import Endpoint, EndpointListUpdate, Result, ServerState, Settings
+from fernweir.node.attempts import AttemptManager
+from fernweir.node.feed import Feed
+from fernweir.node.frames import Frame
+from fernweir.node.health_checks import HealthChecker
+from fernweir.node.placed_sessions import PlacedSessionManager
+from fernweir.node.server_connection import ServerConnection
+from fernweir.node.server_endpoint import ServerEndpoint
+from fernweir.node.server_messages import ServerMessageHandler
+from fernweir.node.server_pool import ServerPool
+from fernweir.node.server_upkeep import ServerUpkeep
+
+
+class MediaServerTransport:
+    """Implements the dispatcher's `ServerTransport` and the pool's `ConnectionEvents`.
+
+    Attributes:
+        read_client_input: Reads what the client of a session has sent by now; set by the client side.
+    """
+
+    def __init__(self, dispatcher: Dispatcher, feed: Feed, settings: Settings, pool: ServerPool) -> None:
+        self.read_client_input: Callable[[str], None] = lambda session_id: None
+        self._dispatcher = dispatcher
+        self._feed = feed
+        self._pool = pool
+        self._attempts = AttemptManager(
+            dispatcher, feed, settings, pool, lambda session_id: self.read_client_input(session_id)
+        )
+        self._health_checks = HealthChecker(dispatcher, pool)
+        self._sessions = PlacedSessionManager(dispatcher, pool)
+        self._messages = ServerMessageHandler(dispatcher, self._attempts, self._health_checks, self._sessions)
+        self._upkeep = ServerUpkeep(dispatcher, feed, pool, self._attempts, self._sessions)
+        self._started_at: dict[int, float] = {}  # when the process of each server started
+        pool.events = self
+        dispatcher.server_transport = self
+        self._upkeep.start()
+
+    # --- commands of the dispatcher ---
+
+    def set_up(self, command: SetUp) -> None:
+        """Starts an attempt."""
+        endpoint = self._pool.get_or_create_endpoint(command.server)
+        if endpoint is None:
+            self._attempts.reject_unlisted(command)
+        else:
+            self._attempts.start(endpoint, command)
+
+    def change_rung(self, command: ChangeRung) -> None:
+        """Sends the new rung of a session."""
+        self._sessions.change_rung(command)
+
+    def release(self, command: ReleaseSession) -> None:
+        """Ends a session's attempt, and releases the session where its server may carry it."""
+        endpoint = self._pool.endpoints.get(command.server)
+        if endpoint is not None:
+            self._attempts.cancel(endpoint, command.session_id)
+            self._sessions.release(endpoint, command.session_id)
+
+    def check_health(self, command: SendHealthCheck) -> None:
+        """Starts a health check."""
+        self._health_checks.start(command)
+
+    # --- requests of the node's other parts ---
+
+    def adopt_session(self, request: SessionRequest, server_name: str) -> bool:
+        """Adds a session that a server carries already; returns False if it was not accepted."""
+        server = number_of(server_name)
+        sessions = self._dispatcher.sessions
+        is_listed = server in self._feed.addresses
+        if not is_listed or not sessions.adopt_session(self._dispatcher.now(), request, server):
+            return False
+        endpoint = self._pool.get_or_create_endpoint(server)
+        assert endpoint is not None
+        self._sessions.adopt(endpoint, request.session_id)
+        self._dispatcher.schedule_step()
+        return True
+
+    def drop_unwanted_attempts(self) -> None:
+        """Ends attempts that wait for a connection and are not wanted any more, before it is established."""
+        self._attempts.finish_unwanted()
+
+    @property
+    def has_unsent_messages(self) -> bool:
+        """Whether a message to a server, as a release, has not left yet."""
+        return self._pool.has_unsent_messages
+
+    def shutdown(self) -> None:
+        """Ends everything at once and reports nothing more."""
+        self._pool.is_stopped = True
+        for endpoint in self._pool.endpoints.values():
+            self._attempts.cancel_all(endpoint)
+            self._health_checks.cancel_all(endpoint)
+            for connection in list(endpoint.connections):
+                connection.abort()
+
+    # --- the endpoint list ---
+
+    def on_endpoint_list(self, update: EndpointListUpdate) -> None:
+        """Applies a change of the endpoint list."""
+        for entry in update.entries:
+            self._apply_entry(entry)
+        for endpoint in list(self._pool.endpoints.values()):
+            self._apply_address(endpoint)
+        self.drop_unwanted_attempts()
+        self._dispatcher.schedule_step()
+
+    def _apply_entry(self, entry: Endpoint) -> None:
+        """Records when a server's process started: a new one carries nothing of what the one before did."""
+        endpoint = self._pool.endpoints.get(entry.server)
+        last_started_at = self._started_at.get(entry.server, 0.0)
+        if entry.state is ServerState.REMOVED:
+            self._started_at.pop(entry.server, None)
+            if endpoint is None:
+                self._feed.forget(entry.server)
+        elif entry.started_at:
+            self._started_at[entry.server] = entry.started_at
+        if endpoint is not None and entry.started_at > last_started_at:
+            self._on_process_started(endpoint, entry.started_at)
+
+    def _on_process_started(self, endpoint: ServerEndpoint, started_at: float) -> None:
+        for connection in endpoint.connections:
+            if connection.connected_at < started_at:
+                connection.state.drain()
+        for session_id, session in list(endpoint.placed_sessions.items()):
+            if session.placed_at < started_at:
+                self._sessions.end(endpoint, session_id, Result.RESET)
+
+    def _apply_address(self, endpoint: ServerEndpoint) -> None:
+        """Sends nothing new to an address that is not the server's any more: another may listen there."""
+        address = self._feed.addresses.get(endpoint.server, endpoint.address)
+        is_removed = self._pool.is_removed(endpoint)
+        if address == endpoint.address and not is_removed:
+            return
+        endpoint.address = address
+        for connection in list(endpoint.connections):
+            if connection.cancel_connect():
+                self._reassign(connection, "listed elsewhere")
+            elif not is_removed:
+                connection.state.drain()
+        if is_removed:
+            self._attempts.on_liveness_known(endpoint, is_alive=False)
+            endpoint.release_queue.clear()
+        elif endpoint.broken_attempts or endpoint.release_queue.pending_releases:
+            self._pool.connect_unless_connecting(endpoint)
+        self._upkeep.check(endpoint)
+
+    # --- events of connections ---
+
+    def on_connected(self, connection: ServerConnection) -> None:
+        """Sends what waited for a connection."""
+        endpoint = connection.endpoint
+        endpoint.liveness.on_connected(self._dispatcher.now())
+        self._attempts.on_liveness_known(endpoint, is_alive=True)
+        endpoint.release_queue.resume_deferred()
+        self._sessions.send_pending(connection)
+        self._health_checks.on_connected(connection)
+        self._attempts.on_connected(connection)
+
+    def on_connect_failed(self, connection: ServerConnection, error: OSError) -> None:
+        """Ends what waited for a connection that was not established: nothing was written on it."""
+        endpoint = connection.endpoint
+        reason = str(error.strerror or error)
+        if isinstance(error, TimeoutError):
+            endpoint.liveness.on_connect_timeout(connection.connect_started_at, self._dispatcher.now())
+        elif isinstance(error, ConnectionRefusedError):
+            endpoint.liveness.on_connection_refused()
+            self._sessions.on_process_ended(endpoint)
+            reason = "connection refused"
+        self._attempts.on_liveness_known(endpoint, is_alive=False)
+        self._attempts.on_connect_failed(connection, reason)
+        self._health_checks.on_connect_failed(connection)
+
+    def on_reset_while_connecting(self, connection: ServerConnection) -> None:
+        """Records that the server lives, and assigns what waited for a connection to others."""
+        endpoint = connection.endpoint
+        endpoint.liveness.on_data_received(self._dispatcher.now())
+        self._attempts.on_liveness_known(endpoint, is_alive=True)
+        self.on_connection_lost(connection, "connection reset while new", may_have_lost_messages=True)
+
+    def on_message(self, connection: ServerConnection, frame: Frame) -> None:
+        """Handles one message of a server.
+
+        Raises:
+            FrameError: The message lacks what it needs.
+        """
+        self._messages.handle(connection, frame)
+
+    def on_connection_lost(
+        self, connection: ServerConnection, reason: str, *, may_have_lost_messages: bool
+    ) -> None:
+        """Assigns what was on an ended connection to others, unless it was written.
+
+        The result of an attempt that was written depends on whether its server lives, which a new connection
+        shows at once.
+        """
+        endpoint = connection.endpoint
+        self._sessions.on_connection_lost(connection)
+        self._reassign(connection, reason)
+        if self._pool.is_stopped:
+            return
+        if endpoint.placed_sessions and may_have_lost_messages:
+            endpoint.liveness.on_connection_broken()
+        if self._pool.is_removed(endpoint):
+            # A new connection would show nothing: another server may listen at the address by now.
+            self._attempts.on_liveness_known(endpoint, is_alive=False)
+        elif endpoint.broken_attempts:
+            self._pool.connect_unless_connecting(endpoint)
+        self._upkeep.check(endpoint)
+
+    def _reassign(self, connection: ServerConnection, reason: str) -> None:
+        self._attempts.on_connection_lost(connection, reason)
+        self._health_checks.on_connection_lost(connection)
--- a/fernweir/node/viewers.py
+++ b/fernweir/node/viewers.py
@@ -16,7 +16,7 @@
 from fernweir.node.jsonl import NO_ID, LineError, Lines, Message, read, write
 from fernweir.node.limits import Door, Patience, Remembered
 from fernweir.node.requests import Requests
-from fernweir.node.server_pool import ServerPool
+from fernweir.node.server_transport import MediaServerTransport
 from fernweir.node.visit import Side, Visit
 
 # Causes of Q.850, as far as the platform gives them a meaning of their own.
@@ -32,9 +32,9 @@
     """Takes what viewers send, and tells them answers and ends."""
 
     def __init__(
-        self, core: Dispatcher, requests: Requests, servers: ServerPool, door: Door[Connection]
+        self, core: Dispatcher, requests: Requests, servers: MediaServerTransport, door: Door[Connection]
     ) -> None:
-        self.core, self.requests, self.server_pool, self.door = core, requests, servers, door
+        self.core, self.requests, self.server_transport, self.door = core, requests, servers, door
         self.ready = False
         self.remembered = Remembered()
         self.open: dict[str, tuple[int, Connection]] = {}  # set-ups without an answer, by id
@@ -175,7 +175,7 @@
         ticket = core.next_ticket()
         ask, at = self.requests.read(message, ticket)
         if at:
-            if self.server_pool.adopt_session(ask, at):
+            if self.server_transport.adopt_session(ask, at):
                 self._stands(id, connection)
             elif core.sessions.session(id) is None:
                 self.remembered.add(id)  # its viewer may end it meanwhile: one end is enough
@@ -279,7 +279,7 @@
         for id in connection.visit.requests:
             self.core.on_client_half_closed(self.open[id][0])
         # What waits for its connection is not sent on when that comes up.
-        self.server_pool.drop_unwanted_attempts()
+        self.server_transport.drop_unwanted_attempts()
 
     def lost(self, connection: Connection, why: str, broke: bool) -> None:
         self._made.discard(connection)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -143,7 +143,7 @@
         server, known = scene.servers["s-1"], scene.brain_server("s-1")
         server.pings_to_break = broken
         known.probing = True
-        scene.node.server_pool.check_health(SendHealthCheck(number_of("s-1")))
+        scene.node.server_transport.check_health(SendHealthCheck(number_of("s-1")))
         await until(lambda: not known.probing)
         assert server.pings == 3 and bool(known.strikes) is not lives
 
--- a/tests/test_node_crossing_feed.py
+++ b/tests/test_node_crossing_feed.py
@@ -185,7 +185,7 @@
     with staged() as stage:
         other = FarFeed()
         fresh = type(stage.node.follower)(
-            stage.node.core, stage.node.feed, stage.node.server_pool, other.address, 1
+            stage.node.core, stage.node.feed, stage.node.server_transport, other.address, 1
         )
         fresh.move(other.address)
         stage.loop.advance(1_000)
--- a/tests/test_node_crossing_lost.py
+++ b/tests/test_node_crossing_lost.py
@@ -66,7 +66,7 @@
         id, line = half_answered(stage, viewer)
         reset_while_new(stage, line)
         (link,) = stage.node.server_pool.endpoints.values()
-        stage.loop.until(lambda: link.pending_releases)
+        stage.loop.until(lambda: link.release_queue.pending_releases)
         first, _ = stage.connecting(), stage.connecting()  # for the release, and the set-up that follows it
         assert not link.attempts[id].is_written and link.attempts[id].connection is link.connections[1]
         let_go(stage, first)
@@ -413,7 +413,11 @@
                 return False
             for number, there in names.items():
                 server, held = mess.servers[there], set(host.sessions_playing_at(number))
-                kept = {one.session for one in links[number].deferred_releases} if number in links else set()
+                kept = (
+                    {one.session for one in links[number].release_queue.deferred_releases}
+                    if number in links
+                    else set()
+                )
                 if server.out or not held <= server.stands <= held | kept:
                     return False
             return True
