--- a/fernweir/node/program.py
+++ b/fernweir/node/program.py
@@ -28,6 +28,7 @@
 from fernweir.node.logs import NodeLog
 from fernweir.node.requests import Requests
 from fernweir.node.server_pool import ServerPool
+from fernweir.node.server_transport import MediaServerTransport
 from fernweir.node.session_end_delivery import SessionEndDelivery
 
 if TYPE_CHECKING:  # needs packages, which a node alone does not have
@@ -58,8 +59,9 @@
         self.feed = Feed(config.settings, config.kinds, wall_clock_offset_ms)
         quota = DescriptorQuota(config.sockets)
         self.server_pool = ServerPool(self.core, self.feed, config, quota)
+        self.server_transport = MediaServerTransport(self.core, self.feed, config.settings, self.server_pool)
         self._create_client_side(quota)
-        self.follower = Follower(self.core, self.feed, self.server_pool, config.feed, config.seed)
+        self.follower = Follower(self.core, self.feed, self.server_transport, config.feed, config.seed)
         self.graceful_shutdown = GracefulShutdown(config.settings)
         self.drained = asyncio.Event()
         self._drain_timer: asyncio.TimerHandle | None = None
@@ -69,7 +71,7 @@
         parser = Requests(self.config.settings)
         self.session_ends = SessionEndDelivery(self.core)
         self.client_requests = ClientRequests(
-            self.core, parser, self.server_pool, admission, self.session_ends
+            self.core, parser, self.server_transport, admission, self.session_ends
         )
         self.client_listener = ClientListener(self.core, self.client_requests, self.session_ends, admission)
 
@@ -150,7 +152,7 @@
         return (
             bool(self.client_requests.open_requests)
             or self.client_listener.has_unsent_data
-            or self.server_pool.has_unsent_messages
+            or self.server_transport.has_unsent_messages
         )
 
     def shutdown(self) -> None:
@@ -161,7 +163,7 @@
         self.client_listener.shutdown()
         self.core.run_last_step()  # for what that caused, as the release of a session whose reply was lost
         self.core.stop()
-        self.server_pool.shutdown()
+        self.server_transport.shutdown()
 
 
 def read_peers_file(config: NodeConfig, environment: Mapping[str, str]) -> PeersFile | None:
