--- a/fernweir/node/attempts.py
+++ b/fernweir/node/attempts.py
@@ -122,7 +122,7 @@
         connection = self._pool.select_or_connect(endpoint, attempt.session_id)
         attempt.connection = connection
         connection.attempts[attempt.session_id] = attempt
-        if connection.usable:
+        if connection.is_usable:
             self._write(endpoint, attempt, connection)
 
     def _check_before_write(self, endpoint: ServerEndpoint, attempt: Attempt) -> bool:
--- a/fernweir/node/health_checks.py
+++ b/fernweir/node/health_checks.py
@@ -124,7 +124,7 @@
         check.connect_count += 1
         connection = self._pool.select_or_connect(endpoint)
         check.connection = connection
-        if connection.usable:
+        if connection.is_usable:
             connection.write(check.request)
 
     def _report(self, server: int, result: Result, duration_ms: float, report: dict[str, float]) -> None:
--- a/fernweir/node/program.py
+++ b/fernweir/node/program.py
@@ -1,4 +1,7 @@
-"""A front node as a program: starts by the platform's variables, reloads on SIGHUP, ends after SIGTERM."""
+"""A front node as a program: its start, the reload on SIGHUP, and the shutdown after SIGTERM.
+
+It is configured by the platform's environment variables.
+"""
 
 from __future__ import annotations
 
@@ -14,50 +17,71 @@
 
 from fernweir.front.dispatcher import Dispatcher
 from fernweir.front.session_manager import SessionLimits, SessionManager
+from fernweir.node.client_connection import ClientConnection
+from fernweir.node.client_listener import ClientListener
+from fernweir.node.client_requests import ClientRequests
 from fernweir.node.config import ConfigError, NodeConfig, load
-from fernweir.node.ending import Ending
 from fernweir.node.feed import Feed, FeedError
 from fernweir.node.follow import Follower
-from fernweir.node.limits import Door, Shares
+from fernweir.node.graceful_shutdown import GracefulShutdown
+from fernweir.node.limits import ConnectionAdmission, DescriptorQuota
 from fernweir.node.logs import NodeLog
 from fernweir.node.requests import Requests
 from fernweir.node.server_pool import ServerPool
 from fernweir.node.server_transport import MediaServerTransport
-from fernweir.node.viewers import Viewers
+from fernweir.node.session_end_delivery import SessionEndDelivery
 
 if TYPE_CHECKING:  # needs packages, which a node alone does not have
     from fernweir.node.peering import PeersFile
     from fernweir.peers.program import Peers
 
-_LOOK_S = 0.005
-# A SIGHUP must never end a node, which is what it does while there is no handler.
-HELD_BACK = (signal.SIGHUP,)
+_FINAL_CHECK_INTERVAL_S = 0.005
+# A SIGHUP must never end a node, which it does while there is no handler.
+BLOCKED_SIGNALS = (signal.SIGHUP,)
 
 
 class Node:
-    """A running front node."""
+    """A running front node.
+
+    Attributes:
+        drained: Set when the drain timeout of a shutdown has passed, so that `finish_draining` may begin.
+    """
 
     def __init__(self, config: NodeConfig, log: NodeLog, environment: Mapping[str, str]) -> None:
         loop = asyncio.get_running_loop()
-        self.config, self.log, self._environment = config, log, environment
-        # Nobody returns to a session here, and what passes its viewer's time has failed in time.
+        self.config = config
+        self.log = log
+        self._environment = environment
+        # No client returns to a session here, and a reply after its client's deadline is a failure in time.
         limits = SessionLimits(reply_margin_ms=0.0, unclaimed_session_ttl_ms=0.0)
         self.core = Dispatcher(SessionManager(config.settings, config.seed, limits), log=log)
-        offset_ms = (time.time() - loop.time()) * 1000.0
-        self.feed = Feed(config.settings, config.kinds, offset_ms)
-        shares = Shares(config.sockets)
-        self.server_pool = ServerPool(self.core, self.feed, config, shares)
+        wall_clock_offset_ms = (time.time() - loop.time()) * 1000.0
+        self.feed = Feed(config.settings, config.kinds, wall_clock_offset_ms)
+        quota = DescriptorQuota(config.sockets)
+        self.server_pool = ServerPool(self.core, self.feed, config, quota)
         self.server_transport = MediaServerTransport(self.core, self.feed, config.settings, self.server_pool)
-        self.viewers = Viewers(
-            self.core, Requests(config.settings), self.server_transport, Door(shares.viewers)
-        )
+        self._create_client_side(quota)
         self.follower = Follower(self.core, self.feed, self.server_transport, config.feed, config.seed)
-        self.ending = Ending(config.settings)
-        self.ended = asyncio.Event()
-        self._end: asyncio.TimerHandle | None = None
+        self.graceful_shutdown = GracefulShutdown(config.settings)
+        self.drained = asyncio.Event()
+        self._drain_timer: asyncio.TimerHandle | None = None
+
+    def _create_client_side(self, quota: DescriptorQuota) -> None:
+        admission: ConnectionAdmission[ClientConnection] = ConnectionAdmission(quota.client_connections)
+        parser = Requests(self.config.settings)
+        self.session_ends = SessionEndDelivery(self.core)
+        self.client_requests = ClientRequests(
+            self.core, parser, self.server_transport, admission, self.session_ends
+        )
+        self.client_listener = ClientListener(self.core, self.client_requests, self.session_ends, admission)
 
     def start(self) -> None:
-        """Takes the list and listens. ConfigError or OSError when it can't."""
+        """Applies the configured endpoint list, listens for clients and follows the feed.
+
+        Raises:
+            ConfigError: An event of the configured list is not valid.
+            OSError: The address to listen at is not available.
+        """
         try:
             for update in self.feed.start(self.config.known, self.config.known_n):
                 self.follower.tell(update)
@@ -65,67 +89,92 @@
             raise ConfigError(f"known: {error}") from None
         if self.feed.left_out:
             self.log.warning("known events not all of use", events=self.feed.left_out)
-        self.viewers.listen(self.config.listen)
+        self.client_listener.listen(self.config.listen)
         self.follower.start()
-        self.core.after_step(self._ready)
+        self.core.after_step(self._on_first_step)
 
-    def _ready(self) -> None:
-        self.viewers.ready = True
-        self.log.info("ready", listen=self.viewers.address, servers=len(self.feed.names))
+    def _on_first_step(self) -> None:
+        self.client_requests.is_ready = True
+        self.log.info("ready", listen=self.client_listener.address, servers=len(self.feed.names))
 
     def reload(self) -> None:
-        """SIGHUP: the feed's address is the one thing that a new file may change while a node runs."""
+        """Handles SIGHUP: reads the configuration again, of which only the feed's address may change."""
         try:
             config = load(self._environment)
         except ConfigError as error:
-            self.log.error("new configuration not used", why=str(error))
+            self._log_unusable_configuration(error)
             return
         self.log.info("feed moved", feed=config.feed, last=self.feed.last)
         self.follower.move(config.feed)
 
+    def _log_unusable_configuration(self, error: ConfigError) -> None:
+        self.log.error("new configuration not used", why=str(error))
+
     def terminate(self) -> None:
-        """SIGTERM: what still comes is answered with a refusal; what stands plays on as long as it may."""
-        if not self.ending.begin():
+        """Handles SIGTERM: new requests are rejected, established sessions play on until the timeout."""
+        if not self.graceful_shutdown.start_draining():
             return
         self.core.sessions.stop_accepting()
-        self.log.info("stopping", sessions=self.core.sessions.session_count, within_ms=self.ending.plays_ms)
-        self._end = self.core.loop.call_later(self.ending.plays_ms / 1000.0, self._give_up)
+        self.log.info(
+            "stopping",
+            sessions=self.core.sessions.session_count,
+            within_ms=self.graceful_shutdown.drain_timeout_ms,
+        )
+        self._drain_timer = self.core.loop.call_later(
+            self.graceful_shutdown.drain_timeout_ms / 1000.0, self._on_drain_timeout
+        )
 
-    def _give_up(self) -> None:
-        """The time is over: what is still open is answered, and let go where it is out."""
+    def _on_drain_timeout(self) -> None:
+        """Abandons the requests that are still open, and lets `finish_draining` begin."""
         self.core.sessions.abandon_open_requests(self.core.now())
         self.core.schedule_step()
-        self.ended.set()
+        self.drained.set()
 
-    async def finish(self) -> None:
-        """Looks once more for what has come, and stops when it is answered and all that was said is out."""
-        self.ending.last(self.core.now())
+    async def finish_draining(self) -> None:
+        """Reads what has still arrived, then shuts down once all replies are sent or their time is over."""
+        self.graceful_shutdown.start_final_check(self.core.now())
         while True:
-            before = self.viewers.came
-            # Two turns: what the first one's look at the descriptors found is read before the second is over.
+            activity_before = self.client_listener.activity_count
+            # Two turns of the loop: what the first one selects is read before the second is over.
             await asyncio.sleep(0)
             await asyncio.sleep(0)
-            came = self.viewers.arriving or self.viewers.came != before
-            if self.ending.over(
-                self.core.now(), came, self.viewers.owed or self.server_transport.has_unsent_messages
-            ):
+            has_new_input = (
+                self.client_listener.has_pending_connections
+                or self.client_listener.activity_count != activity_before
+            )
+            if self.graceful_shutdown.may_exit(self.core.now(), has_new_input, self._has_unsent_output()):
                 break
-            if not came:
-                await asyncio.sleep(_LOOK_S)
-        self.stop()
+            if not has_new_input:
+                await asyncio.sleep(_FINAL_CHECK_INTERVAL_S)
+        self.shutdown()
+
+    def _has_unsent_output(self) -> bool:
+        return (
+            bool(self.client_requests.open_requests)
+            or self.client_listener.has_unsent_data
+            or self.server_transport.has_unsent_messages
+        )
 
-    def stop(self) -> None:
-        if self._end is not None:
-            self._end.cancel()
+    def shutdown(self) -> None:
+        """Stops all parts and closes all connections."""
+        if self._drain_timer is not None:
+            self._drain_timer.cancel()
         self.follower.stop()
-        self.viewers.stop()
-        self.core.run_last_step()  # what that gave rise to, as the release of what nobody heard of
+        self.client_listener.shutdown()
+        self.core.run_last_step()  # for what that caused, as the release of a session whose reply was lost
         self.core.stop()
         self.server_transport.shutdown()
 
 
-def peers_file(config: NodeConfig, environment: Mapping[str, str]) -> PeersFile | None:
-    """The settings of the node's peers, where a file of them is named. ConfigError if they can't be used."""
+def read_peers_file(config: NodeConfig, environment: Mapping[str, str]) -> PeersFile | None:
+    """Reads the settings of the node's peers.
+
+    Returns:
+        The settings, or None if the environment names no file of them.
+
+    Raises:
+        ConfigError: The settings cannot be used, or a package that they need is not installed.
+    """
     path = environment.get("FERNWEIR_PEERS")
     if not path:
         return None
@@ -136,7 +185,7 @@
     return read_peers(Path(path), config.name)
 
 
-async def _peers(node: Node, file: PeersFile) -> Peers:
+async def _start_peers(node: Node, file: PeersFile) -> Peers:
     from fernweir.node.peering import start_peers
 
     return await start_peers(node.core, node.feed, node.config, file)
@@ -145,32 +194,46 @@
 async def run(
     config: NodeConfig, log: NodeLog, environment: Mapping[str, str], file: PeersFile | None = None
 ) -> None:
+    """Runs a node until a SIGTERM has ended it.
+
+    Args:
+        config: The configuration.
+        log: Where the node logs.
+        environment: The environment variables, for reloads.
+        file: The settings of its peers, if it has any.
+    """
     node = Node(config, log, environment)
     loop = asyncio.get_running_loop()
-    peers = None if file is None else await _peers(node, file)
+    peers = None if file is None else await _start_peers(node, file)
     node.start()
-    # In the turn in which it begins to listen and to follow, so that none comes to a half of it. A SIGTERM
-    # before ends the process, which has taken nothing; a SIGHUP waits (`HELD_BACK`).
+    # In the turn of the loop that begins to listen and to follow the feed, so that no signal meets a node
+    # that is half started. An earlier SIGTERM ends the process, which has accepted nothing by then; an
+    # earlier SIGHUP waits (`BLOCKED_SIGNALS`).
     loop.add_signal_handler(signal.SIGHUP, node.reload)
     loop.add_signal_handler(signal.SIGTERM, node.terminate)
-    signal.pthread_sigmask(signal.SIG_UNBLOCK, HELD_BACK)
-    # What was made so far stays for good: the collector need not look at it again.
+    signal.pthread_sigmask(signal.SIG_UNBLOCK, BLOCKED_SIGNALS)
+    # The objects made so far stay for good: the collector need not look at them again.
     gc.collect()
     gc.freeze()
-    await node.ended.wait()
+    await node.drained.wait()
     if peers is not None:
-        await peers.leave(0.0)  # nothing is handed on: it says that it goes, and the end of its record
+        await peers.leave(0.0)  # hands nothing over, but announces its end and completes its record
         await peers.stop()
-    await node.finish()
-    signal.pthread_sigmask(signal.SIG_BLOCK, HELD_BACK)  # the loop's end takes the handlers away
+    await node.finish_draining()
+    signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS)  # the end of the loop removes the handlers
 
 
 def main() -> int:
-    """`python -m fernweir node`. 2: the configuration can't be used, or the address can't be had."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, HELD_BACK)  # before the file is read: it may be replaced then
+    """Runs `python -m fernweir node`.
+
+    Returns:
+        The exit code: 2 if the configuration cannot be used or the address is not available, else 0.
+    """
+    # Before the configuration is read: its file may be replaced, and a SIGHUP sent, at any time.
+    signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS)
     try:
         config = load(os.environ)
-        file = peers_file(config, os.environ)
+        file = read_peers_file(config, os.environ)
         asyncio.run(run(config, NodeLog(config.name), os.environ, file))
     except ConfigError as error:
         for line in str(error).splitlines():
--- a/fernweir/node/server_connection.py
+++ b/fernweir/node/server_connection.py
@@ -12,11 +12,11 @@
 from typing import TYPE_CHECKING, Protocol
 
 from fernweir.front.dispatcher import Dispatcher
-from fernweir.node.buffer import Shell
 from fernweir.node.connection_state import ConnectionPhase, ConnectionState
 from fernweir.node.frames import Frame, FrameError, Frames, Type, encode
-from fernweir.node.limits import Remembered
+from fernweir.node.limits import RecentIds
 from fernweir.node.server_endpoint import MAX_FAILED_ATTEMPTS, ServerEndpoint
+from fernweir.node.shared_buffer import SharedBufferProtocol
 
 if TYPE_CHECKING:
     from fernweir.node.attempts import Attempt
@@ -68,7 +68,7 @@
     frame: Frame
 
 
-class ServerConnection(Shell):
+class ServerConnection(SharedBufferProtocol):
     """One connection to a media server. Only its `state` knows its phase.
 
     Times are monotonic, in milliseconds.
@@ -95,7 +95,7 @@
         self.endpoint = endpoint
         self.state = ConnectionState()
         self.attempts: dict[str, Attempt] = {}
-        self.failed_attempts = Remembered(MAX_FAILED_ATTEMPTS)
+        self.failed_attempts = RecentIds(MAX_FAILED_ATTEMPTS)
         self.has_received_eof = False
         self.connect_started_at = self.connected_at = self.last_used_at = dispatcher.now()
         self._dispatcher = dispatcher
@@ -157,7 +157,7 @@
 
     # --- receiving ---
 
-    def bytes_came(self, data: memoryview) -> None:
+    def data_received(self, data: memoryview) -> None:
         """Handles all complete messages, and aborts the connection at the first that can't be read."""
         self.endpoint.liveness.on_data_received(self._dispatcher.now())
         error: FrameError | None = None
@@ -178,14 +178,14 @@
     # --- use ---
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether anything may be written."""
-        return self.state.may_write and super().usable
+        return self.state.may_write and super().is_usable
 
     def may_start_request(self, now: float) -> bool:
         """Whether a new request may be sent: after a long idle time the server may have closed."""
         is_fresh = now - self.last_used_at < _REUSE_RATIO * self._idle_timeout_ms
-        return self.state.may_start_request and self.usable and is_fresh
+        return self.state.may_start_request and self.is_usable and is_fresh
 
     def is_unused(self) -> bool:
         """Whether nothing needs it. Of a server with sessions the last connection is needed to receive on."""
@@ -206,14 +206,14 @@
         Returns:
             Whether they left, or will unless the connection breaks. If not, their last byte never will.
         """
-        if not self.usable:
+        if not self.is_usable:
             return False
         assert self.transport is not None
         self.last_used_at = self._dispatcher.now()
         self.transport.write(data)
         if self.transport.get_write_buffer_size() > _MAX_UNSENT_BYTES:
             self.abort()
-        return self.usable
+        return self.is_usable
 
     def send(self, frame: Frame) -> None:
         """Writes a message, and remembers it for a while if it is a release."""
@@ -240,7 +240,7 @@
 
     def close(self) -> None:
         """Closes this side. What the server has under way, as the end of a session, is still read."""
-        if not self.usable:
+        if not self.is_usable:
             return
         assert self.transport is not None
         self.state.begin_close()
--- a/fernweir/node/server_endpoint.py
+++ b/fernweir/node/server_endpoint.py
@@ -7,7 +7,7 @@
 
 from fernweir.node.config import Address
 from fernweir.node.frames import Frame
-from fernweir.node.limits import Remembered
+from fernweir.node.limits import RecentIds
 from fernweir.node.liveness import LivenessMonitor
 from fernweir.node.release_queue import ReleaseQueue
 
@@ -35,7 +35,7 @@
     @property
     def is_connected(self) -> bool:
         """Whether the connection of its set-up is still there for its server to send on."""
-        return self.connection is not None and self.connection.usable
+        return self.connection is not None and self.connection.is_usable
 
 
 @dataclass(eq=False)
@@ -61,7 +61,7 @@
     attempts: dict[str, Attempt] = field(default_factory=dict)
     placed_sessions: dict[str, PlacedSession] = field(default_factory=dict)
     health_checks: dict[str, HealthCheck] = field(default_factory=dict)
-    failed_attempts: Remembered = field(default_factory=lambda: Remembered(MAX_FAILED_ATTEMPTS))
+    failed_attempts: RecentIds = field(default_factory=lambda: RecentIds(MAX_FAILED_ATTEMPTS))
     release_queue: ReleaseQueue = field(default_factory=ReleaseQueue)
 
     @property
@@ -81,7 +81,7 @@
 
     def is_only_usable(self, connection: ServerConnection) -> bool:
         """Whether no other connection is there for the server to send on."""
-        return not any(other.usable for other in self.connections if other is not connection)
+        return not any(other.is_usable for other in self.connections if other is not connection)
 
     def drain_connections(self) -> None:
         """Sends nothing new on the connections: the server has dropped them, though it may never say so."""
@@ -93,6 +93,6 @@
         return [
             frame
             for connection in self.connections
-            if not connection.usable
+            if not connection.is_usable
             for frame in connection.unconfirmed_releases(now)
         ]
--- a/fernweir/node/server_pool.py
+++ b/fernweir/node/server_pool.py
@@ -13,7 +13,7 @@
 from fernweir.node.config import NodeConfig
 from fernweir.node.connection_state import ConnectionPhase
 from fernweir.node.feed import Feed
-from fernweir.node.limits import Shares
+from fernweir.node.limits import DescriptorQuota
 from fernweir.node.liveness import LivenessMonitor
 from fernweir.node.server_connection import ConnectionEvents, ServerConnection
 from fernweir.node.server_endpoint import ServerEndpoint
@@ -33,7 +33,9 @@
 
     events: ConnectionEvents
 
-    def __init__(self, dispatcher: Dispatcher, feed: Feed, config: NodeConfig, quota: Shares) -> None:
+    def __init__(
+        self, dispatcher: Dispatcher, feed: Feed, config: NodeConfig, quota: DescriptorQuota
+    ) -> None:
         self.endpoints: dict[int, ServerEndpoint] = {}
         self.descriptor_quota = quota
         self.connect_timeout_s = config.connect_ms / 1000.0
@@ -69,7 +71,7 @@
         """Whether a message to a server, as a release, has not left yet."""
         return any(
             endpoint.release_queue.pending_releases
-            or any(connection.unsent for connection in endpoint.connections)
+            or any(connection.unsent_bytes for connection in endpoint.connections)
             for endpoint in self.endpoints.values()
         )
 
@@ -120,7 +122,7 @@
         for connection in reversed(usable):  # the last used one: the others can become idle
             if not connection.attempts:
                 return connection
-        limit = self.descriptor_quota.per_server(len(self.endpoints))
+        limit = self.descriptor_quota.connections_per_server(len(self.endpoints))
         if usable and len(endpoint.connections) >= limit:
             return min(usable, key=lambda connection: len(connection.attempts))
         return None
@@ -131,7 +133,7 @@
         if free is not None:
             return free
         for connection in endpoint.connections:
-            if connection.usable and connection.state.may_start_request:
+            if connection.is_usable and connection.state.may_start_request:
                 return connection
         return None
 
@@ -143,7 +145,7 @@
             for connection in endpoint.connections
             if connection.state.phase is not ConnectionPhase.CLOSING
         ]
-        surplus = len(connections) - self.descriptor_quota.servers_most
+        surplus = len(connections) - self.descriptor_quota.max_server_connections
         for connection in sorted(connections, key=lambda connection: connection.last_used_at):
             if surplus <= 0:
                 return
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -136,8 +136,8 @@
     "fernweir.tokens.claims.Claims": "what all tokens share",
 }
 IN_MEMORY_ENUMS = {
-    "fernweir.node.connection_state.ConnectionPhase": "where a client connection stands",
-    "fernweir.node.visit.Side": "which end of a client connection ended",
+    "fernweir.node.connection_state.ConnectionPhase": "where a server connection stands",
+    "fernweir.node.client_connection_state.ConnectionPhase": "which end of a client connection ended",
     "fernweir.node.liveness.LivenessStatus": "what the liveness monitor asks for",
     "fernweir.node.asking.At": "where a reconnect stands",
     "fernweir.seats.book.State": "where a seat stands; the log stores records instead",
