--- a/bench/golden_state_samples.py
+++ b/bench/golden_state_samples.py
@@ -29,9 +29,9 @@
 from fernweir.journal.events import Entry, What, to_row
 from fernweir.journal.picture import BoxRow, Picture, SessionRow
 from fernweir.journal.segment import pack
-from fernweir.node.frames import Code, Frame, Type, encode
-from fernweir.node.jsonl import TYPES as LINE_TYPES
-from fernweir.node.jsonl import Message, write
+from fernweir.node.frames import Code, Frame, Type, encode_frame
+from fernweir.node.jsonl import MESSAGE_TYPES as LINE_TYPES
+from fernweir.node.jsonl import Message, encode_message
 from fernweir.seats import records as seats
 from fernweir.seats.book import Op
 from fernweir.tokens.claims import BoxClaims, ControlClaims, SessionClaims
@@ -364,7 +364,8 @@
 def node() -> list[Sample]:
     """Lines of viewers, messages of servers, the control feed, and a configuration."""
     lines = [
-        Sample(f"bare {kind}", "node-line", write(Message(kind, SESSION))) for kind in sorted(LINE_TYPES)
+        Sample(f"bare {kind}", "node-line", encode_message(Message(kind, SESSION)))
+        for kind in sorted(LINE_TYPES)
     ]
     full = Message("answer", SESSION, {"a": "é", "b": 2, "c": 0.5}, 200, "v=0\r\n")
     setup = {"class": "film", "key": "00000000000000ff", "left": 2500.5,
@@ -375,14 +376,16 @@
     rates = {Code.RUNG: b"2"}
     return [
         *lines,
-        Sample("full", "node-line", write(full)),
-        Sample("setup", "node-setup-line", write(Message("setup", SESSION, setup, sdp="v=0"))),
-        Sample("bare setup", "node-setup-line", write(Message("setup", SESSION, bare_setup, sdp="v=0"))),
-        *(Sample(f"bare {kind.value}", "node-frame", encode(Frame(kind, SESSION))) for kind in Type),
-        Sample("full", "node-frame", encode(Frame(Type.SETUP, SESSION, dict(parameters)))),
-        Sample("rate", "node-frame", encode(Frame(Type.RATE, SESSION, rates))),
-        Sample("parameters", "node-frame-fields", encode(Frame(Type.NOTE, SESSION, dict(parameters)))),
-        Sample("no parameters", "node-frame-fields", encode(Frame(Type.NOTE, SESSION))),
+        Sample("full", "node-line", encode_message(full)),
+        Sample("setup", "node-setup-line", encode_message(Message("setup", SESSION, setup, sdp="v=0"))),
+        Sample(
+            "bare setup", "node-setup-line", encode_message(Message("setup", SESSION, bare_setup, sdp="v=0"))
+        ),
+        *(Sample(f"bare {kind.value}", "node-frame", encode_frame(Frame(kind, SESSION))) for kind in Type),
+        Sample("full", "node-frame", encode_frame(Frame(Type.SETUP, SESSION, dict(parameters)))),
+        Sample("rate", "node-frame", encode_frame(Frame(Type.RATE, SESSION, rates))),
+        Sample("parameters", "node-frame-fields", encode_frame(Frame(Type.NOTE, SESSION, dict(parameters)))),
+        Sample("no parameters", "node-frame-fields", encode_frame(Frame(Type.NOTE, SESSION))),
         Sample("feed", "node-feed", b"\n".join(feed_lines())),
         Sample("full", "node-config", json.dumps(node_config()).encode()),
         Sample("bare", "node-config", json.dumps(bare_node_config()).encode()),
--- a/bench/left.py
+++ b/bench/left.py
@@ -21,7 +21,7 @@
 
 from fernweir.interface import Settings
 from fernweir.node.frames import Code, Frame, Type
-from fernweir.node.jsonl import NO_ID, Message, write
+from fernweir.node.jsonl import NO_SESSION_ID, Message, encode_message
 from tests.helpers import SETTINGS
 from tests.node_scene import PLAIN, FarViewer, Stage, staged
 
@@ -91,7 +91,7 @@
             return
         else:
             if way == "cut":
-                viewer.write(write(self.stage.setup())[:40])
+                viewer.write(encode_message(self.stage.setup())[:40])
             viewer.close()
         self.loop.arrived(self.fd)
 
@@ -241,7 +241,7 @@
     if case.draw.random() < 0.3:  # more than the kernel takes, so that the answer stays in the node
         (near,) = (one for one in case.stage.node.viewers._made if one._sock.fileno() == case.fd)
         while not near.unsent:
-            near.write(write(Message("pong", NO_ID, cause=1)) * 100)
+            near.write(encode_message(Message("pong", NO_SESSION_ID, cause=1)) * 100)
     case.loop.until(lambda: case.stage.sent_to(id))
     line = case.stage.far[case.stage.sent_to(id)[0]].line_of(id)
     there = case.loop.near(line.sock)
--- a/bench/restarts.py
+++ b/bench/restarts.py
@@ -36,7 +36,7 @@
 
 from bench.restarts_around import Box, FeedStand, Ledger, Viewer, Wish
 from fernweir.node.config import Address
-from fernweir.node.jsonl import NO_ID, Message, write
+from fernweir.node.jsonl import NO_SESSION_ID, Message, encode_message
 
 ROOT = Path(__file__).parent.parent
 DEADLINES = (280.0, 3_000.0, 6_500.0)
@@ -315,7 +315,7 @@
         if self._stopped or first is None or not first.open or first.half is not None:
             return
         before = self.ledger.pongs
-        first.write(write(Message("ping", NO_ID, cause=0)))
+        first.write(encode_message(Message("ping", NO_SESSION_ID, cause=0)))
         await self.wait(lambda: self.ledger.pongs > before, "a test's answer")
 
     def stop(self) -> None:
--- a/bench/restarts_around.py
+++ b/bench/restarts_around.py
@@ -18,8 +18,8 @@
 from typing import Any
 
 from fernweir.node.config import Address
-from fernweir.node.frames import Code, Frame, Frames, Type, encode
-from fernweir.node.jsonl import NO_ID, Lines, Message, read, write
+from fernweir.node.frames import Code, Frame, FrameReader, Type, encode_frame
+from fernweir.node.jsonl import NO_SESSION_ID, LineReader, Message, decode_message, encode_message
 from fernweir.node.viewers import UNREADABLE
 
 SENT_ON_S = 0.35  # STANDING: no set-up is sent on later than 0.3 s after its viewer left, and 50 ms
@@ -74,7 +74,7 @@
         self.note(f"told {viewer.name}: {message.type} {message.id} {message.cause}")
         if message.type == "pong":
             self.pongs += 1
-        elif message.id == NO_ID and message.cause == UNREADABLE and viewer.halves:
+        elif message.id == NO_SESSION_ID and message.cause == UNREADABLE and viewer.halves:
             viewer.overdue = True  # it took too long over a line: what it completes now, it may not be owed
         elif wish is None:
             self.fault(f"word of an unknown session: {message}")
@@ -258,7 +258,7 @@
             self.halves.pop(id, None)
             self.ledger.happened("released")
         elif frame.type is Type.PING:
-            line.write(encode(Frame(Type.PONG, id, {Code.CAUSE: b"\1"})))
+            line.write(encode_frame(Frame(Type.PONG, id, {Code.CAUSE: b"\1"})))
 
     def _set_up(self, line: BoxLine, frame: Frame) -> None:
         id, ledger, now = frame.session, self.ledger, time.time()
@@ -304,7 +304,7 @@
             self.ledger.happened("broken")
         elif way.isdigit():
             self.out.pop(id, None)
-            line.write(encode(Frame(Type.RELEASE, id, {Code.CAUSE: bytes((int(way),))})))
+            line.write(encode_frame(Frame(Type.RELEASE, id, {Code.CAUSE: bytes((int(way),))})))
             self.ledger.happened("refused")
 
     def _made(self, id: str) -> bytes:
@@ -312,7 +312,7 @@
         text = f"{self.name} {id} {self.dice.random()}\r\n"
         self.ledger.made.setdefault(id, set()).add(text)
         self.stands[id] = time.time()
-        return encode(Frame(Type.ANSWER, id, {Code.DESCRIPTION: text.encode()}))
+        return encode_frame(Frame(Type.ANSWER, id, {Code.DESCRIPTION: text.encode()}))
 
     def answer(self, id: str) -> None:
         line = self.out.pop(id)
@@ -349,7 +349,7 @@
         if there and heard and id not in self.halves and id not in self.out:
             del self.stands[id]
             wish.over_at = time.time()
-            there[-1].write(encode(Frame(Type.RELEASE, id, {Code.CAUSE: b"\x10"})))
+            there[-1].write(encode_frame(Frame(Type.RELEASE, id, {Code.CAUSE: b"\x10"})))
             self.ledger.note(f"{self.name} ended {id}")
             self.ledger.happened("over")
 
@@ -358,7 +358,7 @@
     task: asyncio.Task[Any]
 
     def __init__(self, box: Box, number: int, late: bool) -> None:
-        self.box, self.number, self.late, self._frames = box, number, late, Frames()
+        self.box, self.number, self.late, self._frames = box, number, late, FrameReader()
         self._born = box.born
         self.held: bytearray | None = None  # what waits behind the half of an answer
 
@@ -444,7 +444,7 @@
 
 class FeedLine(Line):
     def __init__(self, feed: FeedStand) -> None:
-        self.feed, self._lines, self._asked = feed, Lines(), False
+        self.feed, self._lines, self._asked = feed, LineReader(), False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -484,7 +484,7 @@
     """A viewer's connection. What is written counts from the moment in which the kernel has its last byte."""
 
     def __init__(self, ledger: Ledger, name: str) -> None:
-        self.ledger, self.name, self._lines = ledger, name, Lines()
+        self.ledger, self.name, self._lines = ledger, name, LineReader()
         self.half: tuple[Wish, bytes] | None = None  # the rest of a line
         self.half_at = 0.0
         self.halves = 0
@@ -507,7 +507,7 @@
     def data_received(self, data: bytes) -> None:
         try:
             for line in self._lines.feed(data):
-                self.ledger.told(self, read(line))
+                self.ledger.told(self, decode_message(line))
         except ValueError as error:
             self.ledger.fault(f"a viewer can't read: {error}")
 
@@ -529,10 +529,10 @@
             wish.at = now
             self.ledger.wishes[wish.message.id] = wish
             self.ledger.note(f"{self.name} asks {wish.message.id} {wish.plays_at}")
-        self.write(b"".join(write(one.message) for one in wishes))
+        self.write(b"".join(encode_message(one.message) for one in wishes))
 
     def wish_half(self, wish: Wish, dice: Random) -> None:
-        data = write(wish.message)
+        data = encode_message(wish.message)
         cut = dice.randrange(1, len(data) - 1)
         self.write(data[:cut])
         self.half = wish, data[cut:]
@@ -550,7 +550,7 @@
 
     def release(self, wish: Wish) -> None:
         self._leaves(wish, "release")
-        self.write(write(Message("release", wish.message.id, cause=16)))
+        self.write(encode_message(Message("release", wish.message.id, cause=16)))
 
     def leave(self, how: str) -> None:
         """`close`, `reset` or `half-close`: whatever is open here is wanted no more."""
--- a/fernweir/node/config.py
+++ b/fernweir/node/config.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from fernweir.interface import Settings
-from fernweir.node.settings import SettingError, agree, check, in_force
+from fernweir.node.settings import SettingError, check_consistency, check_settings, replace_zero_limits
 from fernweir.wire import Fields, WireError, read_settings
 
 Address = tuple[str, int]
@@ -24,19 +24,19 @@
 @dataclass(frozen=True, slots=True)
 class NodeConfig:
     name: str
-    listen: Address
+    listen_address: Address
     seed: int
-    sockets: int
-    feed: Address
-    known_n: int
-    known: tuple[object, ...]  # events as the feed tells them
+    max_descriptors: int
+    feed_address: Address
+    known_sequence_number: int
+    known_events: tuple[object, ...]  # events as the feed tells them
     settings: Settings
-    kinds: tuple[str, ...]  # machine kinds by their position
-    connect_ms: float
-    idle_ms: float  # infinite where idle connections stay
+    server_types: tuple[str, ...]  # machine kinds by their position
+    connect_timeout_ms: float
+    idle_timeout_ms: float  # infinite where idle connections stay
 
 
-def load(environment: Mapping[str, str]) -> NodeConfig:
+def load_config(environment: Mapping[str, str]) -> NodeConfig:
     """Reads the file that the environment names; name and address there go before the file's."""
     path = environment.get("ROUTER_CONFIG")
     if not path:
@@ -53,12 +53,12 @@
         if environment.get(variable):
             body[key] = environment[variable]
     try:
-        return _read(body)
+        return _parse_config(body)
     except (ConfigError, WireError) as error:
         raise ConfigError(f"{path}: {error}") from None
 
 
-def address(text: object, what: str) -> Address:
+def parse_address(text: object, what: str) -> Address:
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     try:
         IPv4Address(host)  # there is no DNS; asking for a name would hold up all that a node does
@@ -70,7 +70,7 @@
     return host, number
 
 
-def _read(body: dict[str, Any]) -> NodeConfig:
+def _parse_config(body: dict[str, Any]) -> NodeConfig:
     seed, limits, known = body.get("seed"), body.get("limits"), body.get("known")
     try:
         number = int(seed, 16) if isinstance(seed, str) else -1
@@ -90,65 +90,65 @@
     name = body.get("name", "")
     if not isinstance(name, str):
         raise ConfigError(f"name is no text: {ascii(name)[:60]}")
-    listen, feed = address(body.get("listen"), "listen"), address(body.get("feed"), "feed")
+    listen, feed = parse_address(body.get("listen"), "listen"), parse_address(body.get("feed"), "feed")
     told = body.get("settings")
-    fields = Fields(flat(told))
-    settings, kinds = _settings(told, fields)
+    fields = Fields(flatten_settings(told))
+    settings, kinds = _parse_settings(told, fields)
     longest = max(one.deadline_ms for one in settings.classes)
     return NodeConfig(
         name=name,
-        listen=listen,
+        listen_address=listen,
         seed=number % 2**64,  # as wide as the wire's
-        sockets=sockets,
-        feed=feed,
-        known_n=last,
-        known=tuple(events),
+        max_descriptors=sockets,
+        feed_address=feed,
+        known_sequence_number=last,
+        known_events=tuple(events),
         settings=settings,
-        kinds=kinds,
+        server_types=kinds,
         # Without a limit of its own no connection is waited for longer than an answer, and none idles out.
-        connect_ms=fields.number("Limits.ConnectTimeout", 0.0) or longest,
-        idle_ms=fields.number("Limits.ConnIdle", 0.0) or math.inf,
+        connect_timeout_ms=fields.number("Limits.ConnectTimeout", 0.0) or longest,
+        idle_timeout_ms=fields.number("Limits.ConnIdle", 0.0) or math.inf,
     )
 
 
-def _settings(told: Any, fields: Fields) -> tuple[Settings, tuple[str, ...]]:
+def _parse_settings(told: Any, fields: Fields) -> tuple[Settings, tuple[str, ...]]:
     try:
-        check(told)
+        check_settings(told)
         settings = read_settings(fields)
-        agree(settings)
+        check_consistency(settings)
     except SettingError as error:
         raise ConfigError(f"settings: {error}") from None
     fields.text("MachineTypes")  # has to be there
-    return in_force(settings), tuple(told["MachineTypes"])
+    return replace_zero_limits(settings), tuple(told["MachineTypes"])
 
 
-def flat(settings: object) -> dict[str, str]:
+def flatten_settings(settings: object) -> dict[str, str]:
     """The nested settings as the simulator's paths and values: one parser reads both."""
     if not isinstance(settings, dict):
         raise ConfigError("settings are no object")
     table: dict[str, str] = {}
     try:
-        _flatten(settings, "", table)
+        _flatten_into(settings, "", table)
     except RecursionError:
         raise ConfigError("settings are nested too deep") from None
     return table
 
 
-def _flatten(value: object, path: str, table: dict[str, str]) -> None:
+def _flatten_into(value: object, path: str, table: dict[str, str]) -> None:
     if isinstance(value, dict):
         for key, inner in value.items():
-            _flatten(inner, f"{path}.{key}" if path else str(key), table)
+            _flatten_into(inner, f"{path}.{key}" if path else str(key), table)
     elif isinstance(value, list) and any(isinstance(one, dict) for one in value):
         table[f"{path}.count"] = str(len(value))
         for place, inner in enumerate(value):
-            _flatten(inner, f"{path}.{place}", table)
+            _flatten_into(inner, f"{path}.{place}", table)
     elif isinstance(value, list):
-        table[path] = ",".join(_plain(one).replace(" ", "_").replace(",", "_") for one in value)
+        table[path] = ",".join(_scalar_text(one).replace(" ", "_").replace(",", "_") for one in value)
     elif value is not None:
-        table[path] = _plain(value)
+        table[path] = _scalar_text(value)
 
 
-def _plain(value: object) -> str:
+def _scalar_text(value: object) -> str:
     """A value alone stays as it is: a class is called in set-ups, and at servers, by its name as told."""
     if isinstance(value, bool):
         return "true" if value else "false"
--- a/fernweir/node/frames.py
+++ b/fernweir/node/frames.py
@@ -15,10 +15,10 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-MOST_BYTES = 16 * 1024
-_HEAD = struct.Struct(">HBQ")
-_PARAMETER = struct.Struct(">BH")
-_MOST_REPORT = 16
+MAX_FRAME_BYTES = 16 * 1024
+_HEADER = struct.Struct(">HBQ")
+_PARAMETER_HEADER = struct.Struct(">BH")
+_MAX_REPORT_VALUES = 16
 
 
 class Type(IntEnum):
@@ -46,7 +46,7 @@
     DESCRIPTION = 48
 
 
-_TYPES = {int(one): one for one in Type}
+_TYPES_BY_NUMBER = {int(one): one for one in Type}
 
 
 class FrameError(ValueError):
@@ -77,72 +77,74 @@
             raise FrameError(f"parameter {code} is no text") from None
 
     def number(self, code: Code) -> float:
-        return _number(self.text(code))
+        return _parse_number(self.text(code))
 
-    def report(self) -> dict[str, float]:
+    def load_report(self) -> dict[str, float]:
         """The load report, as in `x0:0.12;x1:0.4`; empty where there is none."""
         text, found = self.text(Code.REPORT), {}
         parts = [part for part in text.split(";") if part]
-        if len(parts) > _MOST_REPORT:
+        if len(parts) > _MAX_REPORT_VALUES:
             raise FrameError("a report of too many values")
         for part in parts:
             name, colon, value = part.partition(":")
             if not colon:
                 raise FrameError("a report without figures")
-            found[name] = _number(value)
+            found[name] = _parse_number(value)
         return found
 
 
-class Frames:
+class FrameReader:
     """Cuts a stream into frames. What isn't whole is kept, up to the bound."""
 
     def __init__(self) -> None:
-        self._rest = bytearray()
+        self._pending = bytearray()
 
     def feed(self, data: bytes | memoryview) -> list[Frame]:
         """FrameError once anything can't be read; what came before it in the same bytes is in `.read`."""
-        self._rest += data
-        self.read: list[Frame] = []
-        at, rest = 0, self._rest
+        self._pending += data
+        self.complete_frames: list[Frame] = []
+        at, rest = 0, self._pending
         while len(rest) - at >= 2:
             length = rest[at] << 8 | rest[at + 1]
-            if not _HEAD.size - 2 <= length <= MOST_BYTES - 2:
+            if not _HEADER.size - 2 <= length <= MAX_FRAME_BYTES - 2:
                 raise FrameError(f"a length of {length}")
-            if len(rest) - at >= 3 and rest[at + 2] not in _TYPES:
+            if len(rest) - at >= 3 and rest[at + 2] not in _TYPES_BY_NUMBER:
                 raise FrameError(f"unknown type {rest[at + 2]}")
             if len(rest) - at < 2 + length:
                 break
-            self.read.append(_frame(bytes(rest[at : at + 2 + length])))
+            self.complete_frames.append(_decode_frame(bytes(rest[at : at + 2 + length])))
             at += 2 + length
         del rest[:at]
-        return self.read
+        return self.complete_frames
 
 
-def _frame(data: bytes) -> Frame:
-    _, kind, session = _HEAD.unpack_from(data)
-    at, found = _HEAD.size, {}
+def _decode_frame(data: bytes) -> Frame:
+    _, kind, session = _HEADER.unpack_from(data)
+    at, found = _HEADER.size, {}
     while at < len(data):
-        if at + _PARAMETER.size > len(data):
+        if at + _PARAMETER_HEADER.size > len(data):
             raise FrameError("a parameter cut short")
-        code, length = _PARAMETER.unpack_from(data, at)
-        at += _PARAMETER.size
+        code, length = _PARAMETER_HEADER.unpack_from(data, at)
+        at += _PARAMETER_HEADER.size
         if at + length > len(data):
             raise FrameError("a parameter longer than its message")
         if code in found:
             raise FrameError("a parameter that comes twice")
         found[code] = data[at : at + length]
         at += length
-    return Frame(_TYPES[kind], f"{session:016x}", found)
+    return Frame(_TYPES_BY_NUMBER[kind], f"{session:016x}", found)
 
 
-def encode(frame: Frame) -> bytes:
-    body = b"".join(_PARAMETER.pack(code, len(value)) + value for code, value in frame.parameters.items())
-    if _HEAD.size + len(body) > MOST_BYTES:
+def encode_frame(frame: Frame) -> bytes:
+    body = b"".join(
+        _PARAMETER_HEADER.pack(code, len(value)) + value for code, value in frame.parameters.items()
+    )
+    if _HEADER.size + len(body) > MAX_FRAME_BYTES:
         raise FrameError("a message of over 16 KiB")
-    return _HEAD.pack(_HEAD.size - 2 + len(body), frame.type, int(frame.session, 16)) + body
+    return _HEADER.pack(_HEADER.size - 2 + len(body), frame.type, int(frame.session, 16)) + body
 
 
-def _number(text: str) -> float:
+def _parse_number(text: str) -> float:
     try:
         value = float(text)
     except ValueError:
--- a/fernweir/node/logs.py
+++ b/fernweir/node/logs.py
@@ -9,17 +9,17 @@
 from contextlib import suppress
 from typing import TextIO
 
-_LINES_A_SECOND = 50
+_MAX_LINES_PER_SECOND = 50
 
 
 class NodeLog:
     """The methods of a structured logger that the front uses, without its packages."""
 
     def __init__(
-        self, name: str, stream: TextIO | None = None, wall: Callable[[], float] = time.time
+        self, name: str, stream: TextIO | None = None, wall_clock: Callable[[], float] = time.time
     ) -> None:
-        self._name, self._stream, self._wall = name, stream or sys.stderr, wall
-        self._second, self._lines, self._passed = 0, 0, 0
+        self._name, self._stream, self._wall_clock = name, stream or sys.stderr, wall_clock
+        self._second, self._lines_this_second, self._lines_left_out = 0, 0, 0
 
     def info(self, event: str, **fields: object) -> None:
         self._write("info", event, fields)
@@ -31,15 +31,15 @@
         self._write("error", event, fields)
 
     def _write(self, level: str, event: str, fields: dict[str, object]) -> None:
-        now = self._wall()
+        now = self._wall_clock()
         if int(now) != self._second:
-            if self._passed:
-                fields = {**fields, "lines_left_out": self._passed}
-            self._second, self._lines, self._passed = int(now), 0, 0
-        if self._lines >= _LINES_A_SECOND and level != "error":
-            self._passed += 1
+            if self._lines_left_out:
+                fields = {**fields, "lines_left_out": self._lines_left_out}
+            self._second, self._lines_this_second, self._lines_left_out = int(now), 0, 0
+        if self._lines_this_second >= _MAX_LINES_PER_SECOND and level != "error":
+            self._lines_left_out += 1
             return
-        self._lines += 1
+        self._lines_this_second += 1
         line = {"at": round(now, 3), "node": self._name, "level": level, "event": event, **fields}
         with suppress(OSError):  # whoever read it is gone, or its disk is full: no request is to pay for that
             print(json.dumps(line, default=str), file=self._stream, flush=True)
--- a/fernweir/node/program.py
+++ b/fernweir/node/program.py
@@ -14,13 +14,13 @@
 
 from fernweir.front.dispatcher import Dispatcher
 from fernweir.front.session_manager import SessionLimits, SessionManager
-from fernweir.node.config import ConfigError, NodeConfig, load
+from fernweir.node.config import ConfigError, NodeConfig, load_config
 from fernweir.node.ending import Ending
-from fernweir.node.feed import Feed, FeedError
-from fernweir.node.follow import Follower
+from fernweir.node.endpoint_feed import EndpointFeed, FeedError
+from fernweir.node.endpoint_watcher import EndpointWatcher
 from fernweir.node.limits import Door, Shares
 from fernweir.node.logs import NodeLog
-from fernweir.node.requests import Requests
+from fernweir.node.requests import SetUpParser
 from fernweir.node.servers import Servers
 from fernweir.node.viewers import Viewers
 
@@ -43,11 +43,11 @@
         limits = SessionLimits(reply_margin_ms=0.0, unclaimed_session_ttl_ms=0.0)
         self.core = Dispatcher(SessionManager(config.settings, config.seed, limits), log=log)
         offset_ms = (time.time() - loop.time()) * 1000.0
-        self.feed = Feed(config.settings, config.kinds, offset_ms)
-        shares = Shares(config.sockets)
+        self.feed = EndpointFeed(config.settings, config.server_types, offset_ms)
+        shares = Shares(config.max_descriptors)
         self.servers = Servers(self.core, self.feed, config, shares)
-        self.viewers = Viewers(self.core, Requests(config.settings), self.servers, Door(shares.viewers))
-        self.follower = Follower(self.core, self.feed, self.servers, config.feed, config.seed)
+        self.viewers = Viewers(self.core, SetUpParser(config.settings), self.servers, Door(shares.viewers))
+        self.follower = EndpointWatcher(self.core, self.feed, self.servers, config.feed_address, config.seed)
         self.ending = Ending(config.settings)
         self.ended = asyncio.Event()
         self._end: asyncio.TimerHandle | None = None
@@ -55,13 +55,15 @@
     def start(self) -> None:
         """Takes the list and listens. ConfigError or OSError when it can't."""
         try:
-            for update in self.feed.start(self.config.known, self.config.known_n):
-                self.follower.tell(update)
+            for update in self.feed.apply_known_events(
+                self.config.known_events, self.config.known_sequence_number
+            ):
+                self.follower.apply_update(update)
         except FeedError as error:
             raise ConfigError(f"known: {error}") from None
-        if self.feed.left_out:
-            self.log.warning("known events not all of use", events=self.feed.left_out)
-        self.viewers.listen(self.config.listen)
+        if self.feed.partially_applied_events:
+            self.log.warning("known events not all of use", events=self.feed.partially_applied_events)
+        self.viewers.listen(self.config.listen_address)
         self.follower.start()
         self.core.after_step(self._ready)
 
@@ -72,12 +74,12 @@
     def reload(self) -> None:
         """SIGHUP: the feed's address is the one thing that a new file may change while a node runs."""
         try:
-            config = load(self._environment)
+            config = load_config(self._environment)
         except ConfigError as error:
             self.log.error("new configuration not used", why=str(error))
             return
-        self.log.info("feed moved", feed=config.feed, last=self.feed.last)
-        self.follower.move(config.feed)
+        self.log.info("feed moved", feed=config.feed_address, last=self.feed.last_sequence_number)
+        self.follower.change_address(config.feed_address)
 
     def terminate(self) -> None:
         """SIGTERM: what still comes is answered with a refusal; what stands plays on as long as it may."""
@@ -124,10 +126,10 @@
     if not path:
         return None
     try:
-        from fernweir.node.peering import read_peers
+        from fernweir.node.peering import read_peers_file
     except ModuleNotFoundError as error:
         raise ConfigError(f"FERNWEIR_PEERS: package {error.name} is not installed") from None
-    return read_peers(Path(path), config.name)
+    return read_peers_file(Path(path), config.name)
 
 
 async def _peers(node: Node, file: PeersFile) -> Peers:
@@ -163,7 +165,7 @@
     """`python -m fernweir node`. 2: the configuration can't be used, or the address can't be had."""
     signal.pthread_sigmask(signal.SIG_BLOCK, HELD_BACK)  # before the file is read: it may be replaced then
     try:
-        config = load(os.environ)
+        config = load_config(os.environ)
         file = peers_file(config, os.environ)
         asyncio.run(run(config, NodeLog(config.name), os.environ, file))
     except ConfigError as error:
--- a/fernweir/node/requests.py
+++ b/fernweir/node/requests.py
@@ -8,38 +8,40 @@
 from fernweir.front.commands import SessionRequest
 from fernweir.front.names import number_of
 from fernweir.interface import Settings
-from fernweir.node.jsonl import LineError, Message, Value
+from fernweir.node.jsonl import FieldValue, LineError, Message
 
-VIA = "platform"
-_HEX = re.compile(r"[0-9a-f]{16}")
-_FAR = 2.0  # a viewer may wait a little over its class's deadline; this many times it is a mistake
-_NUMBER = re.compile(r"[0-9]{1,9}")
+PROTOCOL_NAME = "platform"
+_KEY = re.compile(r"[0-9a-f]{16}")
+_MAX_WAIT_IN_DEADLINES = (
+    2.0  # a viewer may wait a little over its class's deadline; this many times it is a mistake
+)
+_COUNT = re.compile(r"[0-9]{1,9}")
 
 
-class Requests:
+class SetUpParser:
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
         self._classes = {one.name: place for place, one in enumerate(settings.classes)}
 
-    def read(self, message: Message, ticket: int) -> tuple[SessionRequest, str]:
+    def parse(self, message: Message, ticket: int) -> tuple[SessionRequest, str]:
         """What is asked, and the server it plays at already, or none. LineError says what is wrong."""
         id, fields, settings = message.id, message.fields, self._settings
-        extras = _extras(id, fields.get("extras"))
+        extras = _parse_extras(id, fields.get("extras"))
         at = extras.get("at", "")
-        cls = self._classes.get(_text(fields.get("class")))
+        cls = self._classes.get(_text_or_empty(fields.get("class")))
         if cls is None:
             raise LineError("no known class", id)
-        title = _text(fields.get("key"))
-        if not _HEX.fullmatch(title):
+        title = _text_or_empty(fields.get("key"))
+        if not _KEY.fullmatch(title):
             raise LineError("key is no title", id)
         kind = settings.classes[cls]
-        left = _figure(fields.get("left"))
-        if not at and not 0.0 < left <= _FAR * kind.deadline_ms:
+        left = _parse_number(fields.get("left"))
+        if not at and not 0.0 < left <= _MAX_WAIT_IN_DEADLINES * kind.deadline_ms:
             raise LineError(f"left is out of range: {str(fields.get('left'))[:20]}", id)
         if message.sdp is None and not at:
             raise LineError("a set-up without a description", id)
-        home, copies = _count(id, extras, "home"), _count(id, extras, "copies")
-        top = _count(id, extras, "top", len(settings.rung_rates_kbyte_s) - 1)
+        home, copies = _parse_count(id, extras, "home"), _parse_count(id, extras, "copies")
+        top = _parse_count(id, extras, "top", len(settings.rung_rates_kbyte_s) - 1)
         if (
             home >= settings.zone_count
             or not 1 <= copies <= settings.zone_count
@@ -47,11 +49,11 @@
         ):
             raise LineError("extras are out of range", id)
         viewer = extras.get("viewer", "0" * 16)
-        if not _HEX.fullmatch(viewer):
+        if not _KEY.fullmatch(viewer):
             raise LineError("viewer is no key", id)
         ask = SessionRequest(
             ticket=ticket,
-            protocol=VIA,
+            protocol=PROTOCOL_NAME,
             session_id=id,
             subject=viewer,
             title_name=title,
@@ -68,20 +70,20 @@
         return ask, at
 
 
-def _text(value: Value | None) -> str:
+def _text_or_empty(value: FieldValue | None) -> str:
     return value if isinstance(value, str) else ""
 
 
-def _figure(value: Value | None) -> float:
+def _parse_number(value: FieldValue | None) -> float:
     try:
         return float(value) if value is not None else math.nan
     except ValueError:
         return math.nan
 
 
-def _extras(id: str, value: Value | None) -> dict[str, str]:
+def _parse_extras(id: str, value: FieldValue | None) -> dict[str, str]:
     found: dict[str, str] = {}
-    for part in _text(value).split(";"):
+    for part in _text_or_empty(value).split(";"):
         name, colon, figure = part.partition(":")
         if part and (not colon or name in found):
             raise LineError("extras can't be read", id)
@@ -90,10 +92,10 @@
     return found
 
 
-def _count(id: str, extras: dict[str, str], name: str, absent: int | None = None) -> int:
+def _parse_count(id: str, extras: dict[str, str], name: str, absent: int | None = None) -> int:
     text = extras.get(name)
     if text is None and absent is not None:
         return absent
-    if text is None or not _NUMBER.fullmatch(text):
+    if text is None or not _COUNT.fullmatch(text):
         raise LineError(f"{name} is no count", id)
     return int(text)
--- a/fernweir/node/servers.py
+++ b/fernweir/node/servers.py
@@ -28,8 +28,8 @@
 from fernweir.node.buffer import Shell
 from fernweir.node.config import Address, NodeConfig
 from fernweir.node.course import At, Course
-from fernweir.node.feed import Feed
-from fernweir.node.frames import Code, Frame, FrameError, Frames, Type, encode
+from fernweir.node.endpoint_feed import EndpointFeed
+from fernweir.node.frames import Code, Frame, FrameError, FrameReader, Type, encode_frame
 from fernweir.node.limits import Remembered, Shares
 from fernweir.node.watch import EVERY_MS, Verdict, Watch, broke
 
@@ -116,10 +116,10 @@
 class Servers:
     """Carries out commands towards media servers and tells the host what they say."""
 
-    def __init__(self, core: Dispatcher, feed: Feed, config: NodeConfig, shares: Shares) -> None:
+    def __init__(self, core: Dispatcher, feed: EndpointFeed, config: NodeConfig, shares: Shares) -> None:
         self.core, self.feed, self.shares = core, feed, shares
         self.settings = config.settings
-        self.connect_s, self.idle_ms = config.connect_ms / 1000.0, config.idle_ms
+        self.connect_s, self.idle_ms = config.connect_timeout_ms / 1000.0, config.idle_timeout_ms
         self.links: dict[int, Link] = {}
         self.stopped = False
         self.hear_viewer: Callable[[str], None] = lambda id: None  # reads what its viewer has sent by now
@@ -174,7 +174,7 @@
         self._tests += 1
         id = f"{self._tests:016x}"
         timer = self.core.loop.call_later(self.connect_s, self._test_over, link, id, Result.TIMEOUT)
-        test = Test(self.core.now(), timer, encode(Frame(Type.PING, id, {Code.CAUSE: b"\0"})))
+        test = Test(self.core.now(), timer, encode_frame(Frame(Type.PING, id, {Code.CAUSE: b"\0"})))
         link.tests[id] = test
         self._carry_test(link, test)
 
@@ -200,7 +200,7 @@
             if entry.state is ServerState.REMOVED:
                 self._started.pop(entry.server, None)
                 if link is None:
-                    self.feed.forget(entry.server)
+                    self.feed.forget_server(entry.server)
             elif entry.started_at:
                 self._started[entry.server] = entry.started_at
             if link is not None and entry.started_at > before:
@@ -306,7 +306,7 @@
             conn.say(letter)
         link.letters = [one for one in link.letters if one.session != jti]
         # What didn't leave never ran: it looks for a new connection when this one's end is told.
-        attempt.written = conn.write(encode(Frame(Type.SETUP, jti, parameters)))
+        attempt.written = conn.write(encode_frame(Frame(Type.SETUP, jti, parameters)))
         if attempt.written:
             link.stays[jti] = Stay(conn, now)
 
@@ -379,14 +379,14 @@
         link, id, now = conn.link, frame.session, self.core.now()
         if frame.type is Type.PONG:
             result = Result.OK if frame.cause == 1 else Result.ERROR
-            self._test_over(link, id, result, frame.report())
+            self._test_over(link, id, result, frame.load_report())
         elif frame.type is Type.ANSWER:
             attempt = self._meant(conn, id)
             if attempt is not None:
                 if Code.DESCRIPTION not in frame.parameters:
                     raise FrameError("an answer without a description")
                 took = now - attempt.sent_at
-                end = SetUpResult(Result.OK, took, frame.report(), frame.text(Code.DESCRIPTION))
+                end = SetUpResult(Result.OK, took, frame.load_report(), frame.text(Code.DESCRIPTION))
                 self._finish(link, attempt, end)
         elif frame.type is Type.RELEASE:
             self._released(conn, frame)
@@ -410,7 +410,7 @@
         return attempt if attempt.conn is conn or (attempt.conn is None and id not in conn.before) else None
 
     def _released(self, conn: Connection, frame: Frame) -> None:
-        link, id, cause, report = conn.link, frame.session, frame.cause, frame.report()
+        link, id, cause, report = conn.link, frame.session, frame.cause, frame.load_report()
         attempt, stay = self._meant(conn, id), link.stays.get(id)
         if attempt is not None:
             result = _BEFORE.get(cause if cause is not None else -1)
@@ -625,7 +625,7 @@
                     conn.close()
                 if not link.conns:
                     del self.links[link.server]
-                    self.feed.forget(link.server)
+                    self.feed.forget_server(link.server)
 
     def _make_room(self) -> None:
         """Of more connections than servers may have in all, those longest unused go before they idle out."""
@@ -691,7 +691,7 @@
         self.whole = False  # whether it ended in order, with all read that its server wrote
         self.begun = self.up_at = self.used_at = servers.core.now()
         self._timer = servers.core.loop.call_later(within_s, self._late)
-        self._frames = Frames()
+        self._frames = FrameReader()
         self._said: deque[tuple[float, Frame]] = deque(maxlen=_SAID_MOST)
         self._why = "connection closed"
         self._closed_at = math.inf  # when this side ended
@@ -731,7 +731,7 @@
         try:
             frames = self._frames.feed(data)
         except FrameError as error:
-            frames, why = self._frames.read, str(error)
+            frames, why = self._frames.complete_frames, str(error)
         try:
             for frame in frames:
                 servers.said(self, frame)
@@ -770,7 +770,7 @@
     def say(self, frame: Frame) -> None:
         if frame.type is Type.RELEASE:
             self._said.append((self.servers.core.now(), frame))
-        self.write(encode(frame))
+        self.write(encode_frame(frame))
 
     def unheard(self, now: float) -> list[Frame]:
         """Releases that its end may have cost. One heard twice does no harm; one unheard leaves a session.
--- a/fernweir/node/settings.py
+++ b/fernweir/node/settings.py
@@ -39,7 +39,7 @@
     """A setting can't be used; the text names it."""
 
 
-def check(told: dict[str, Any]) -> None:
+def check_settings(told: dict[str, Any]) -> None:
     """Names the first setting that is of another type, out of range, or at odds with another."""
     for path, most in _NUMBERS.items():
         for value in _found(told, path):
@@ -85,7 +85,7 @@
         names.add(name)
 
 
-def agree(settings: Settings) -> None:
+def check_consistency(settings: Settings) -> None:
     """What was read, taken together."""
     rungs = len(settings.rung_rates_kbyte_s)
     if not 0 < rungs <= _BYTE + 1:
@@ -99,7 +99,7 @@
             raise SettingError(f"Extra.LowestRung of class {place} is over its highest rung")
 
 
-def in_force(settings: Settings) -> Settings:
+def replace_zero_limits(settings: Settings) -> Settings:
     """The settings with what is zero taken as absent, where nothing could be served under it.
 
     On the wire zero stands for an absent value. A cold server that is warm after no time is not cold; a
--- a/fernweir/node/viewers.py
+++ b/fernweir/node/viewers.py
@@ -13,9 +13,9 @@
 from fernweir.interface import Result
 from fernweir.node.buffer import Shell
 from fernweir.node.config import Address
-from fernweir.node.jsonl import NO_ID, LineError, Lines, Message, read, write
+from fernweir.node.jsonl import NO_SESSION_ID, LineError, LineReader, Message, decode_message, encode_message
 from fernweir.node.limits import Door, Patience, Remembered
-from fernweir.node.requests import Requests
+from fernweir.node.requests import SetUpParser
 from fernweir.node.servers import Servers
 from fernweir.node.visit import Side, Visit
 
@@ -32,7 +32,7 @@
     """Takes what viewers send, and tells them answers and ends."""
 
     def __init__(
-        self, core: Dispatcher, requests: Requests, servers: Servers, door: Door[Connection]
+        self, core: Dispatcher, requests: SetUpParser, servers: Servers, door: Door[Connection]
     ) -> None:
         self.core, self.requests, self.servers, self.door = core, requests, servers, door
         self.ready = False
@@ -173,7 +173,7 @@
             self.remembered.add(id)
             raise LineError("an id that is open", id)
         ticket = core.next_ticket()
-        ask, at = self.requests.read(message, ticket)
+        ask, at = self.requests.parse(message, ticket)
         if at:
             if self.servers.take_over(ask, at):
                 self._stands(id, connection)
@@ -221,7 +221,7 @@
     def _say(self, id: str, connection: Connection, answer: SessionReply) -> None:
         if answer.kind is ReplyKind.PLAYS:
             assert isinstance(answer.payload, str)
-            connection.tell(id, write(Message("answer", id, sdp=answer.payload)))
+            connection.tell(id, encode_message(Message("answer", id, sdp=answer.payload)))
             self._stands(id, connection)
             return
         self.remembered.add(id)
@@ -261,7 +261,7 @@
             if over.is_moved
             else Message("release", id, cause=_ENDS.get(over.result, BROKEN))
         )
-        self._tell(id, write(message), connection)
+        self._tell(id, encode_message(message), connection)
 
     def _tell(self, id: str, end: bytes, first: Connection | None = None) -> None:
         for connection in (*([first] if first is not None else ()), *reversed(self.spoken)):
@@ -314,7 +314,7 @@
 
     def __init__(self, viewers: Viewers, sock: socket.socket) -> None:
         self._viewers, self._sock = viewers, sock
-        self._lines = Lines()
+        self._lines = LineReader()
         self.patience = Patience()
         self.visit = Visit()
         self.began = False
@@ -379,7 +379,7 @@
         try:
             lines = self._lines.feed(data)
         except LineError as error:
-            lines, spoilt = self._lines.read, error
+            lines, spoilt = self._lines.complete_lines, error
         for line in lines:
             if not (self.visit.hears and self.usable):
                 return
@@ -388,24 +388,26 @@
             if spoilt is None:
                 if lines:  # what is half by now began after them
                     viewers.door.half(self, now, False)
-                viewers.door.half(self, now, self._lines.half)
+                viewers.door.half(self, now, self._lines.has_partial_line)
             else:
                 self.refuse(spoilt)
                 self._take_no_more()
 
     def _line(self, line: bytes, now: float) -> None:
         try:
-            self._viewers.take(self, read(line))
+            self._viewers.take(self, decode_message(line))
             self._viewers.door.spoke(self, now)
             self.patience.well()
         except LineError as error:
             if not self.visit.takes:
-                if error.id != NO_ID:
+                if error.session_id != NO_SESSION_ID:
                     self.refuse(error)
                 return
             self.refuse(error)
             open_requests = len(self.visit.requests)
-            if (error.id == NO_ID and not open_requests) or self.patience.wrong(open_requests):
+            if (error.session_id == NO_SESSION_ID and not open_requests) or self.patience.wrong(
+                open_requests
+            ):
                 self._take_no_more()
 
     def eof_received(self) -> bool:
@@ -424,12 +426,12 @@
 
     def refuse(self, error: LineError) -> None:
         """Says once that something can't be taken."""
-        self._viewers.core.log.info("request refused", why=str(error), id=error.id)
-        cause = UNREADABLE if error.id == NO_ID else UNKNOWN_ID
-        self.send(Message("release", error.id, cause=cause))
+        self._viewers.core.log.info("request refused", why=str(error), id=error.session_id)
+        cause = UNREADABLE if error.session_id == NO_SESSION_ID else UNKNOWN_ID
+        self.send(Message("release", error.session_id, cause=cause))
 
     def send(self, message: Message) -> None:
-        self.write(write(message))
+        self.write(encode_message(message))
 
     def tell(self, id: str, data: bytes, again: bool = False) -> bool:
         """Says something of a session, which is to be known if it wasn't heard. False if it can't be said."""
--- a/tests/fuzzing/feed.py
+++ b/tests/fuzzing/feed.py
@@ -9,7 +9,7 @@
 
 from fernweir.front.names import number_of
 from fernweir.interface import EndpointListKind, EndpointListUpdate
-from fernweir.node.feed import Feed, FeedError
+from fernweir.node.endpoint_feed import EndpointFeed, FeedError
 from tests.fuzzing import Target, mutate, same
 from tests.helpers import SETTINGS
 
@@ -123,19 +123,19 @@
 
 def check(data: bytes) -> None:
     """Lines of a feed, as they came; after a line that asks again the feed goes on from the last number."""
-    feed, model = Feed(SETTINGS, KINDS, OFFSET_MS), Model()
+    feed, model = EndpointFeed(SETTINGS, KINDS, OFFSET_MS), Model()
     for line in data.split(b"\n"):
         try:
             slow: object = model.line(line)
         except _AskAgain:
             slow = "ask again"
         try:
-            update = feed.line(line)
+            update = feed.apply_line(line)
             ours: object = _told(update, feed.names)
         except FeedError:
             ours = "ask again"
         same(repr(ours), repr(slow), line)
-        same(feed.last, model.last, line)
+        same(feed.last_sequence_number, model.last, line)
         same({feed.names[one]: there for one, there in feed.addresses.items()}, model.addresses, line)
         same(all(number_of(name) == one for one, name in feed.names.items()), True, line)
 
--- a/tests/fuzzing/frames.py
+++ b/tests/fuzzing/frames.py
@@ -5,7 +5,7 @@
 import math
 from random import Random
 
-from fernweir.node.frames import Code, Frame, FrameError, Frames, encode
+from fernweir.node.frames import Code, Frame, FrameError, FrameReader, encode_frame
 from tests.fuzzing import Target, mutate, pieces, same
 
 TYPES = (1, 6, 9, 12, 16, 44, 51, 52, 53, 60)
@@ -59,20 +59,24 @@
 
 
 def check(data: bytes) -> None:
-    codec, found, bad = Frames(), list[Frame](), False
+    codec, found, bad = FrameReader(), list[Frame](), False
     for piece in pieces(data):
         try:
             found += codec.feed(piece)
         except FrameError:
-            found += codec.read
+            found += codec.complete_frames
             bad = True
             break
     ours = [(int(one.type), one.session, dict(one.parameters)) for one in found]
     same((ours, bad), slow_read(data[1:]), data)
     for frame in found:
-        same(slow_read(encode(frame)), ([(int(frame.type), frame.session, frame.parameters)], False), data)
+        same(
+            slow_read(encode_frame(frame)),
+            ([(int(frame.type), frame.session, frame.parameters)], False),
+            data,
+        )
         try:
-            report: dict[str, float] | None = frame.report()
+            report: dict[str, float] | None = frame.load_report()
         except FrameError:
             report = None
         same(report, slow_report(frame.parameters.get(30, b"")), data)
--- a/tests/fuzzing/lines.py
+++ b/tests/fuzzing/lines.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any
 
-from fernweir.node.jsonl import LineError, Lines, Message, read, write
+from fernweir.node.jsonl import LineError, LineReader, Message, decode_message, encode_message
 from tests.fuzzing import Target, mutate, pieces, same
 
 MOST = 16 * 1024
@@ -193,12 +193,12 @@
 
 
 def check(data: bytes) -> None:
-    lines, found, bad = Lines(), list[bytes](), False
+    lines, found, bad = LineReader(), list[bytes](), False
     for piece in pieces(data):
         try:
             found += lines.feed(piece)
         except LineError:
-            found += lines.read
+            found += lines.complete_lines
             bad = True
             break
     same((found, bad), slow_cut(data[1:]), (data[:1], len(data)))
@@ -208,12 +208,12 @@
         except _TooDeep:
             continue
         try:
-            ours: Message | None = read(line)
+            ours: Message | None = decode_message(line)
         except LineError:
             ours = None
         same(repr(ours), repr(slow), line)
         if ours is not None:
-            same(repr(read(write(ours).rstrip(b"\n"))), repr(ours), line)
+            same(repr(decode_message(encode_message(ours).rstrip(b"\n"))), repr(ours), line)
 
 
 _WORDS = [
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -52,8 +52,8 @@
 from fernweir.node import config as node_config
 from fernweir.node import frames, jsonl
 from fernweir.node import peering as node_peering
-from fernweir.node.feed import Feed
-from fernweir.node.requests import Requests
+from fernweir.node.endpoint_feed import EndpointFeed
+from fernweir.node.requests import SetUpParser
 from fernweir.seats import book
 from fernweir.seats import records as seat_records
 from fernweir.seats.log import Recovered, SeatLog, recover
@@ -596,19 +596,19 @@
 
 def read_frame(data: bytes) -> frames.Frame:
     """One binary message of the node."""
-    (frame,) = frames.Frames().feed(data)
+    (frame,) = frames.FrameReader().feed(data)
     return frame
 
 
 def read_frame_fields(data: bytes) -> Any:
     """What the node takes out of a binary message by the names of its parameters."""
     frame = read_frame(data)
-    return [frame.cause, frame.report(), *(frame.parameters.get(code, b"") for code in frames.Code)]
+    return [frame.cause, frame.load_report(), *(frame.parameters.get(code, b"") for code in frames.Code)]
 
 
 def read_setup_line(data: bytes) -> Any:
     """A viewer's set-up line as a request, in the order of its fields here."""
-    ask, at = Requests(interface_settings()).read(jsonl.read(data), 7)
+    ask, at = SetUpParser(interface_settings()).parse(jsonl.decode_message(data), 7)
     return [
         ask.ticket,
         ask.protocol,
@@ -631,9 +631,9 @@
 
 def read_feed(data: bytes) -> Any:
     """What a node learns from the lines of the control feed."""
-    feed = Feed(interface_settings(), ("small", "large"), NOW_S * 1000.0 - 1_000_000.0)
-    updates = [feed.line(line) for line in data.splitlines()]
-    return [updates, feed.last, feed.addresses, feed.names, feed.since]
+    feed = EndpointFeed(interface_settings(), ("small", "large"), NOW_S * 1000.0 - 1_000_000.0)
+    updates = [feed.apply_line(line) for line in data.splitlines()]
+    return [updates, feed.last_sequence_number, feed.addresses, feed.names, feed.status_since_ms]
 
 
 def read_node_config(data: bytes) -> Any:
@@ -641,12 +641,12 @@
     with tempfile.TemporaryDirectory() as name:
         path = Path(name) / "node.json"
         path.write_bytes(data)
-        return node_config.load({"ROUTER_CONFIG": str(path)})
+        return node_config.load_config({"ROUTER_CONFIG": str(path)})
 
 
 def read_platform(data: bytes) -> dict[str, str]:
     """What nodes tell one another of their settings: it crosses the peers' wire, and is compared as text."""
-    return node_peering._platform(read_node_config(data))
+    return node_peering._platform_settings(read_node_config(data))
 
 
 # --- simulator's wire, records, HTTP ---
@@ -768,9 +768,9 @@
     "token-session": Format(token_reader(claims.SessionClaims, "fernweir-front"), write_token),
     "token-server": Format(token_reader(claims.BoxClaims, "fernweir-box"), write_token),
     "token-control": Format(token_reader(claims.ControlClaims, "fernweir-box"), write_token),
-    "node-line": Format(jsonl.read, jsonl.write),
+    "node-line": Format(jsonl.decode_message, jsonl.encode_message),
     "node-setup-line": Format(read_setup_line),
-    "node-frame": Format(read_frame, frames.encode),
+    "node-frame": Format(read_frame, frames.encode_frame),
     "node-frame-fields": Format(read_frame_fields),
     "node-feed": Format(read_feed),
     "node-config": Format(read_node_config),
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -387,7 +387,7 @@
 def node_settings(settings: Settings) -> dict[str, str]:
     """The settings whose digest tells nodes whether they act on the same ones."""
     config: Any = SimpleNamespace(settings=settings, kinds=("small", "large"), connect_ms=250.0, idle_ms=None)
-    return node_peering._platform(config)
+    return node_peering._platform_settings(config)
 
 
 def _all_settings() -> Settings:
--- a/tests/node_scene.py
+++ b/tests/node_scene.py
@@ -16,8 +16,8 @@
 from fernweir.front.names import number_of
 from fernweir.interface import Settings
 from fernweir.node.config import Address, NodeConfig
-from fernweir.node.frames import Code, Frame, Frames, Type, encode
-from fernweir.node.jsonl import NO_ID, Message, read, write
+from fernweir.node.frames import Code, Frame, FrameReader, Type, encode_frame
+from fernweir.node.jsonl import NO_SESSION_ID, Message, decode_message, encode_message
 from fernweir.node.logs import NodeLog
 from fernweir.node.program import Node
 from tests.helpers import SETTINGS
@@ -67,7 +67,7 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.append(writer)
-        frames = Frames()
+        frames = FrameReader()
         for frame in self.unheard:
             self.say(frame, writer)
         try:
@@ -113,7 +113,7 @@
             self.say(answer, writer)
         elif move == "twice":
             unknown = replace(answer, session="f" * 16)
-            writer.write(encode(unknown) + encode(answer) + encode(answer))
+            writer.write(encode_frame(unknown) + encode_frame(answer) + encode_frame(answer))
         elif move == "empty":
             self.say(Frame(Type.ANSWER, id), writer)
         elif move == "noise":
@@ -123,7 +123,7 @@
         elif move == "reset":
             writer.transport.abort()
         elif move == "half":
-            writer.write(encode(answer)[:-5])
+            writer.write(encode_frame(answer)[:-5])
         elif move.isdigit():
             self.refused.append((Frame(Type.RELEASE, id, {Code.CAUSE: bytes((int(move),))}), writer))
             self.say(*self.refused[-1])
@@ -137,7 +137,7 @@
         self.play("answer", id, self.out[id])
 
     def say(self, frame: Frame, writer: asyncio.StreamWriter | None = None) -> None:
-        (writer or self.writers[-1]).write(encode(frame))
+        (writer or self.writers[-1]).write(encode_frame(frame))
 
 
 class FeedServer:
@@ -199,7 +199,7 @@
     async def _read(self) -> None:
         try:
             while line := await self._reader.readline():
-                message = read(line.rstrip(b"\n"))
+                message = decode_message(line.rstrip(b"\n"))
                 self.raw.append(message)
                 self.scene.told(message)
         except ConnectionError:
@@ -207,7 +207,7 @@
         self.closed = True
 
     def send(self, *messages: Message) -> None:
-        self._writer.write(b"".join(map(write, messages)))
+        self._writer.write(b"".join(map(encode_message, messages)))
 
     def write(self, data: bytes) -> None:
         self._writer.write(data)
@@ -397,7 +397,7 @@
         super().__init__(sock)
         self.server, self.heard = server, list[Frame]()
         self.answered, self.ended = set[str](), set[str]()
-        self._frames = Frames()
+        self._frames = FrameReader()
 
     def look(self) -> list[Frame]:
         """What came since the last look; also kept in `heard`."""
@@ -410,11 +410,13 @@
         return {one.session for one in self.heard if one.type is Type.SETUP}
 
     def say(self, frame: Frame) -> None:
-        self.write(encode(frame))
+        self.write(encode_frame(frame))
 
     def answer(self, id: str, part: slice = slice(None)) -> bytes:
         """Writes the answer to a set-up, or a part of its bytes; it stands from the first on."""
-        data = encode(Frame(Type.ANSWER, id, {Code.DESCRIPTION: f"{self.server.name} {id}\r\n".encode()}))
+        data = encode_frame(
+            Frame(Type.ANSWER, id, {Code.DESCRIPTION: f"{self.server.name} {id}\r\n".encode()})
+        )
         self.answered.add(id)
         self.write(data[part])
         return data
@@ -467,15 +469,15 @@
         self._rest = b""
 
     def send(self, *messages: Message) -> None:
-        self.write(b"".join(map(write, messages)))
+        self.write(b"".join(map(encode_message, messages)))
 
     def look(self) -> list[Message]:
         """What came since the last look; also kept in `raw`."""
         *lines, self._rest = (self._rest + self.take()).split(b"\n")
-        came = [read(line) for line in lines]
+        came = [decode_message(line) for line in lines]
         for message in came:
             self.raw.append(message)
-            if message.id != NO_ID:
+            if message.id != NO_SESSION_ID:
                 self.stage.told(message)
         return came
 
--- a/tests/peers_mutants/fuzz.py
+++ b/tests/peers_mutants/fuzz.py
@@ -4,7 +4,7 @@
 
 from tests.peers_mutants import Mutant
 
-_LINES, _FRAMES, _FEED = "fernweir/node/jsonl.py", "fernweir/node/frames.py", "fernweir/node/feed.py"
+_LINES, _FRAMES, _FEED = "fernweir/node/jsonl.py", "fernweir/node/frames.py", "fernweir/node/endpoint_feed.py"
 _HTTP, _SSE, _INI = "fernweir/http/parse.py", "fernweir/http/sse.py", "fernweir/config/ini.py"
 _CODEC = "fernweir/peers/wire/codec.py"
 _LEDGER, _BOXES, _DISK = (
@@ -20,25 +20,43 @@
     "lines": [
         Mutant("a key twice is taken", _LINES, "if len(found) != len(pairs):", "if not pairs:", 60),
         Mutant("cause of 256", _LINES, "not 0 <= cause < 256", "not 0 <= cause <= 256", 120),
-        Mutant("line one byte too long", _LINES, "self._bound(len(line) + 1)", "self._bound(len(line))", 200),
-        Mutant("surrogates in names", _LINES, "if not all(map(_encodable, fields)) or ", "if ", 600),
-        Mutant("lines before a long one lost", _LINES, "self.read.append(line)", "self.read = lines", 200),
+        Mutant(
+            "line one byte too long",
+            _LINES,
+            "self._check_length(len(line) + 1)",
+            "self._check_length(len(line))",
+            200,
+        ),
+        Mutant("surrogates in names", _LINES, "if not all(map(_is_encodable, fields)) or ", "if ", 600),
+        Mutant(
+            "lines before a long one lost",
+            _LINES,
+            "self.complete_lines.append(line)",
+            "self.complete_lines = lines",
+            200,
+        ),
     ],
     "frames": [
         Mutant("a parameter twice", _FRAMES, "if code in found:", "if code in found and not length:", 200),
         Mutant("whole frame kept back", _FRAMES, "at < 2 + length:", "at <= 2 + length:", 20),
-        Mutant("report of 17", _FRAMES, "> _MOST_REPORT", "> _MOST_REPORT + 1", 60),
+        Mutant("report of 17", _FRAMES, "> _MAX_REPORT_VALUES", "> _MAX_REPORT_VALUES + 1", 60),
     ],
     "feed": [
-        Mutant("a gap of one", _FEED, "if n > self.last + 1:", "if n > self.last + 2:", 30),
+        Mutant(
+            "a gap of one",
+            _FEED,
+            "if n > self.last_sequence_number + 1:",
+            "if n > self.last_sequence_number + 2:",
+            30,
+        ),
         Mutant(
             "half an event applied",
             _FEED,
-            'self.last = body["n"]\n',
-            'self.last = self.last or body["n"]\n',
+            'self.last_sequence_number = body["n"]\n',
+            'self.last_sequence_number = self.last_sequence_number or body["n"]\n',
             30,
         ),
-        Mutant("an event in part at once", _FEED, "if line != self._refused:", "if not line:", 30),
+        Mutant("an event in part at once", _FEED, "if line != self._last_rejected_line:", "if not line:", 30),
         Mutant("a list in part empties", _FEED, "or not self.names)", "or True)", 1_000),
         Mutant(
             "a name that no bytes stand for",
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -139,7 +139,7 @@
     "fernweir.node.course.At": "where a client connection stands",
     "fernweir.node.visit.Side": "which end of a client connection ended",
     "fernweir.node.watch.Verdict": "what the liveness monitor asks for",
-    "fernweir.node.asking.At": "where a reconnect stands",
+    "fernweir.node.reconnect.ReconnectPhase": "where a reconnect stands",
     "fernweir.seats.book.State": "where a seat stands; the log stores records instead",
     "fernweir.seats.book.Said": "what a reply of the entitlement server means",
     "fernweir.rehearsal.fleet.process.Life": "whether a process of the rig lives; its value is only printed",
@@ -222,7 +222,7 @@
     traced = {json.loads(bytes.fromhex(one["bytes"]))["kind"] for one in SAMPLES.values()
               if one["format"] == "trace-record"}  # fmt: skip
     assert traced == kinds
-    assert {one["fields"][0] for one in values["node-line"]} == jsonl.TYPES
+    assert {one["fields"][0] for one in values["node-line"]} == jsonl.MESSAGE_TYPES
     assert {one["fields"][0] for one in values["node-frame"]} == {kind.value for kind in frames.Type}
     assert {one["fields"][2] for one in values["journal-row"]} == {what.value for what in What}
     actions = {one["type"] for one in values["wire-action"]}
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -14,7 +14,7 @@
 from fernweir.front.names import number_of
 from fernweir.http.reset import reset
 from fernweir.node.frames import Code, Frame, Type
-from fernweir.node.jsonl import Message, write
+from fernweir.node.jsonl import Message, encode_message
 from fernweir.node.viewers import Viewers
 from fernweir.node.visit import Side
 from tests.node_scene import OFFER, PLAIN, MediaServer, Scene, Told, ViewerConnection, play
@@ -46,8 +46,8 @@
         first, second = await scene.viewer(), await scene.viewer()
         offer = OFFER + '\u00e9\U0001f3ac \\ "\t'
         wish = scene.setup(sdp=offer)
-        first.write(write(wish)[:40])
-        first.write(write(wish)[40:])
+        first.write(encode_message(wish)[:40])
+        first.write(encode_message(wish)[40:])
         answer = await first.answer(wish.id)
         ((name, frame),) = scene.setups()
         assert answer.sdp == f"{name} {wish.id}\r\n"
@@ -455,7 +455,7 @@
         scene.feed.events.append({"n": 2, "members": members})
         scene.feed.writers[-1].write(half[:50])
         scene.feed.writers[-1].close()
-        await until(lambda: scene.node.feed.last == 2)
+        await until(lambda: scene.node.feed.last_sequence_number == 2)
         assert scene.feed.asked == [1, 1]
         scene.feed.tell(scene.feed.events[0])  # told twice
         scene.feed.tell(2)
@@ -476,15 +476,15 @@
         await until(lambda: scene.feed.asked == [1])
         scene.node._environment = {"ROUTER_CONFIG": "/nowhere/config.json"}
         scene.node.reload()
-        assert scene.node.follower.there == scene.feed.address and "not used" in scene.log.getvalue()
+        assert scene.node.follower.address == scene.feed.address and "not used" in scene.log.getvalue()
         other = type(scene.feed)()
         await other.listen()
-        scene.node.follower.move(other.address)
-        scene.node.follower.move(other.address)  # twice in a row
+        scene.node.follower.change_address(other.address)
+        scene.node.follower.change_address(other.address)  # twice in a row
         await until(lambda: other.writers)
         members = {"index": 2, "snapshot": False, "endpoints": [scene.line("s-0", "removed")]}
         other.add(members)
-        await until(lambda: scene.node.feed.last >= 2)
+        await until(lambda: scene.node.feed.last_sequence_number >= 2)
         assert other.asked[-1] == 1
 
     play(story)
@@ -511,14 +511,14 @@
         old = scene.servers[name]
         successor = scene.line(name) | {"name": "s-new"}
         scene.feed.add({"index": 2, "snapshot": False, "endpoints": [scene.line(name, "removed"), successor]})
-        await until(lambda: scene.node.feed.last == 2)
+        await until(lambda: scene.node.feed.last_sequence_number == 2)
         for writer in old.writers:
             writer.transport.abort()
         await until(lambda: wish.id in scene.ends)
         await until(lambda: number_of(name) not in scene.node.servers.links)
         unused = next(one for one in scene.servers if number_of(one) not in scene.node.servers.links)
         scene.feed.add({"index": 3, "snapshot": False, "endpoints": [scene.line(unused, "removed")]})
-        await until(lambda: scene.node.feed.last == 3)
+        await until(lambda: scene.node.feed.last_sequence_number == 3)
         for one in (name, unused):
             number = number_of(one)
             assert (
@@ -642,7 +642,7 @@
     async def story(scene: Scene) -> None:
         _, writer = await asyncio.open_connection(*scene.node.viewers.address)
         writer.transport.pause_reading()  # type: ignore[attr-defined]
-        ping = write(Message("ping", "0" * 15 + "1", cause=0)) * 2000
+        ping = encode_message(Message("ping", "0" * 15 + "1", cause=0)) * 2000
         try:
             for _ in range(400):
                 writer.write(ping)
--- a/tests/test_node_crossing_feed.py
+++ b/tests/test_node_crossing_feed.py
@@ -14,9 +14,9 @@
 
 from fernweir.front.names import number_of
 from fernweir.interface import EndpointListUpdate, ServerState
-from fernweir.node.asking import Asking
 from fernweir.node.config import NodeConfig
-from fernweir.node.feed import Feed, FeedError
+from fernweir.node.endpoint_feed import EndpointFeed, FeedError
+from fernweir.node.reconnect import ReconnectPolicy
 from tests.helpers import SETTINGS
 from tests.node_scene import FarFeed, Stage, staged
 from tests.sockets import Far
@@ -67,7 +67,7 @@
     ((line, asked),) = live(stage.feed, feed) if feed is not stage.feed else live(feed)
     assert line in feed.lines and asked == b"SUB %d\n" % last
     line.write(said(change(stage, last + 1)))
-    stage.loop.until(lambda: stage.node.feed.last == last + 1)
+    stage.loop.until(lambda: stage.node.feed.last_sequence_number == last + 1)
 
 
 @pytest.mark.parametrize("turns", TURNS)
@@ -107,12 +107,12 @@
         stage.loop.turn(turns)
         other = FarFeed()
         for _ in range(times):  # in one turn
-            stage.node.follower.move(other.address)
+            stage.node.follower.change_address(other.address)
         for line in stage.feed.look():  # what the old one still says
             if not line.over:
                 line.write(said(change(stage, 2, "removed")))
         stage.loop.settle()
-        assert stage.node.feed.last == 1
+        assert stage.node.feed.last_sequence_number == 1
         follows(stage, other)
         assert stage.node.core.sessions.endpoint_states == {number_of("s-0"): ServerState.DRAINING}
         other.close()
@@ -125,7 +125,7 @@
         other, (ours, theirs) = FarFeed(), socket.socketpair()
         old = stage.feed.look()[-1]
         stage.loop.add_reader(
-            ours, lambda: (stage.loop.remove_reader(ours), stage.node.follower.move(other.address))
+            ours, lambda: (stage.loop.remove_reader(ours), stage.node.follower.change_address(other.address))
         )
         fds = [ours.fileno(), stage.loop.near(old.sock)]
         stage.loop.selected.first = fds if first == "move" else fds[::-1]
@@ -144,9 +144,9 @@
         stage.loop.settle()
         stage.feed.look()[-1].end()
         stage.loop.until(lambda: "feed away" in stage.log.getvalue())
-        (retry,) = [one for one in stage.loop.due() if "Follower" in repr(one)]
+        (retry,) = [one for one in stage.loop.due() if "EndpointWatcher" in repr(one)]
         other = FarFeed()
-        stage.loop.call_at(retry.when() + after, stage.node.follower.move, other.address)
+        stage.loop.call_at(retry.when() + after, stage.node.follower.change_address, other.address)
         stage.loop.jump(80.0)  # both are due, and run in one turn
         stage.loop.advance(3_000)
         for feed in (stage.feed, other):
@@ -163,7 +163,7 @@
         opening(stage)
         stage.loop.turn(turns)
         stage.node.follower.stop()
-        stage.node.follower.move(other.address)
+        stage.node.follower.change_address(other.address)
         stage.loop.advance(5_000)
         assert live(stage.feed, other) == [] and not other.lines
         other.close()
@@ -173,7 +173,7 @@
     with staged() as stage:
         other = FarFeed()
         stage.node.terminate()
-        stage.node.follower.move(other.address)
+        stage.node.follower.change_address(other.address)
         stage.loop.settle()
         follows(stage, other)
         stage.loop.advance(4_000)
@@ -187,7 +187,7 @@
         fresh = type(stage.node.follower)(
             stage.node.core, stage.node.feed, stage.node.servers, other.address, 1
         )
-        fresh.move(other.address)
+        fresh.change_address(other.address)
         stage.loop.advance(1_000)
         assert other.look() == []
         fresh.start()
@@ -237,8 +237,8 @@
     with staged() as stage:
         stage.loop.settle()
         told: list[int] = []
-        tell = stage.node.follower.tell
-        stage.node.follower.tell = lambda update: (told.append(update.version), tell(update))[1]  # type: ignore
+        tell = stage.node.follower.apply_update
+        stage.node.follower.apply_update = lambda update: (told.append(update.version), tell(update))[1]  # type: ignore
         line, event = stage.feed.look()[-1], said(change(stage, 2))
         line.write(event[:40])
         stage.loop.settle()
@@ -254,7 +254,7 @@
         assert asked == b"SUB 1\n"
         line.write(event + event + said(change(stage, 2, "removed")) + said(change(stage, 3, "up")))
         stage.loop.settle()
-        assert told == [2, 3] and stage.node.feed.last == 3
+        assert told == [2, 3] and stage.node.feed.last_sequence_number == 3
         line.write(said(change(stage, 5)))  # a gap
         stage.loop.advance(100)
         follows(stage, stage.feed, 3)
@@ -266,7 +266,7 @@
         stage.loop.advance(1_700)  # silent, and about to be left
         other = FarFeed()
         began = stage.loop.clock
-        stage.node.follower.move(other.address)
+        stage.node.follower.change_address(other.address)
         for tries in (1, 2, 3):
             stage.loop.until(lambda: connecting(stage))
             stage.loop.selected.held = set(connecting(stage))
@@ -285,30 +285,48 @@
 
 
 def test_an_opening_ends_once_and_a_feed_that_is_of_no_use_is_asked_ever_more_slowly() -> None:
-    asking, now, pauses = Asking(1), 0.0, []
+    asking, now, pauses = ReconnectPolicy(1), 0.0, []
     for _ in range(40):
-        first = asking.open(now)
-        opening = asking.open(now)  # takes the place of the first
-        assert first is not None and opening is not None and asking.late() == "no connection in time"
-        assert not asking.up(first, now) and not asking.over(first, now)
-        assert asking.up(opening, now) and asking.counts(opening) and asking.late() == "silent"
-        asking.heard(now, told=False)  # the last number, at once; then an event that can't be used
-        assert asking.over(opening, now) and not asking.over(opening, now) and not asking.counts(opening)
-        assert asking.due is not None and asking.late() is None
-        pauses.append(asking.due - now)
-        now = asking.due
+        first = asking.begin_connection(now)
+        opening = asking.begin_connection(now)  # takes the place of the first
+        assert (
+            first is not None and opening is not None and asking.timeout_reason() == "no connection in time"
+        )
+        assert not asking.on_connected(first, now) and not asking.on_connection_ended(first, now)
+        assert (
+            asking.on_connected(opening, now)
+            and asking.is_current(opening)
+            and asking.timeout_reason() == "silent"
+        )
+        asking.on_data_received(
+            now, applied_event=False
+        )  # the last number, at once; then an event that can't be used
+        assert (
+            asking.on_connection_ended(opening, now)
+            and not asking.on_connection_ended(opening, now)
+            and not asking.is_current(opening)
+        )
+        assert asking.deadline is not None and asking.timeout_reason() is None
+        pauses.append(asking.deadline - now)
+        now = asking.deadline
     assert pauses[0] < 0.075 and min(pauses[5:]) >= 0.4 and max(pauses) <= 1.2
     for told, stood_s in ((True, 0.0), (False, 1.0)):  # an event taken, or a while in use: as at first
-        opening = asking.open(now)
-        assert opening is not None and asking.up(opening, now)
-        asking.heard(now + stood_s, told)
-        assert asking.due == now + stood_s + 1.8
-        asking.over(opening, now)
-        assert asking.due < now + 0.075
-    opening = asking.open(now)
+        opening = asking.begin_connection(now)
+        assert opening is not None and asking.on_connected(opening, now)
+        asking.on_data_received(now + stood_s, told)
+        assert asking.deadline == now + stood_s + 1.8
+        asking.on_connection_ended(opening, now)
+        assert asking.deadline < now + 0.075
+    opening = asking.begin_connection(now)
     asking.stop()
-    assert opening is not None and not asking.up(opening, now) and not asking.over(opening, now)
-    assert asking.due is None and not asking.moved() and asking.open(now) is None
+    assert (
+        opening is not None
+        and not asking.on_connected(opening, now)
+        and not asking.on_connection_ended(opening, now)
+    )
+    assert (
+        asking.deadline is None and not asking.on_address_changed() and asking.begin_connection(now) is None
+    )
 
 
 def test_an_event_that_comes_the_same_again_is_taken_as_far_as_it_can_be_read() -> None:
@@ -326,25 +344,33 @@
                 assert not tries or asked == b"SUB %d\n" % (n - 1)
                 line.write(b"%d\n" % (n - 1) + said(told))
                 stage.loop.advance(500)
-            assert stage.node.feed.last == n
+            assert stage.node.feed.last_sequence_number == n
             listed[number_of("s-0")] = ServerState.DRAINING
         assert stage.node.core.sessions.endpoint_states == listed
         assert stage.log.getvalue().count("not all of use") == 2
         line.write(said(change(stage, 4)))
-        stage.loop.until(lambda: stage.node.feed.last == 4)
+        stage.loop.until(lambda: stage.node.feed.last_sequence_number == 4)
 
 
 def test_a_feed_that_begins_behind_its_first_event_is_asked_for_what_is_missing() -> None:
-    feed = Feed(SETTINGS, ("box",), 0.0)
+    feed = EndpointFeed(SETTINGS, ("box",), 0.0)
     for n in (2, 10**30):
         with pytest.raises(FeedError):
-            feed.line(b'{"n":%d}' % n)
+            feed.apply_line(b'{"n":%d}' % n)
     with pytest.raises(FeedError):
-        feed.line(b"9" * 5_000)
-    assert feed.line(b'{"n":0}') is None and feed.line(b'{"n":-3}') is None and feed.fresh == 0
-    assert feed.line(b'{"n":1}') is None and feed.line(b"1") is None and (feed.last, feed.fresh) == (1, 2)
-    known = Feed(SETTINGS, ("box",), 0.0)
-    assert list(known.start(({"n": 7}, {"n": 8}), 8)) == [] and known.last == 8
+        feed.apply_line(b"9" * 5_000)
+    assert (
+        feed.apply_line(b'{"n":0}') is None
+        and feed.apply_line(b'{"n":-3}') is None
+        and feed.in_sequence_lines == 0
+    )
+    assert (
+        feed.apply_line(b'{"n":1}') is None
+        and feed.apply_line(b"1") is None
+        and (feed.last_sequence_number, feed.in_sequence_lines) == (1, 2)
+    )
+    known = EndpointFeed(SETTINGS, ("box",), 0.0)
+    assert list(known.apply_known_events(({"n": 7}, {"n": 8}), 8)) == [] and known.last_sequence_number == 8
 
 
 class Knowing(Stage):
@@ -361,7 +387,9 @@
             {"n": n, "members": {"index": n, "snapshot": False, "endpoints": [line]}}
             for n, line in enumerate(lines, 2)
         ]
-        return replace(base, known=(*base.known, *events), known_n=len(events) + 1)
+        return replace(
+            base, known_events=(*base.known_events, *events), known_sequence_number=len(events) + 1
+        )
 
 
 def test_a_server_that_went_and_came_back_before_a_start_can_be_reached() -> None:
@@ -377,11 +405,14 @@
     """A node that runs has left it out; one that starts again beside it must not end over it."""
     stage = Knowing({"status": "removed", "type": "odd"}, {"status": "draining"})
     assert stage.node.core.sessions.endpoint_states == {number_of("s-0"): ServerState.DRAINING}
-    assert stage.node.feed.last == 3 and stage.log.getvalue().count("known events not all of use") == 1
+    assert (
+        stage.node.feed.last_sequence_number == 3
+        and stage.log.getvalue().count("known events not all of use") == 1
+    )
     stage.tally()
     stage.finish()
     with pytest.raises(FeedError):  # what is missing can't be known of
-        list(Feed(SETTINGS, ("box",), 0.0).start(({"n": 1}, {"n": 3}), 3))
+        list(EndpointFeed(SETTINGS, ("box",), 0.0).apply_known_events(({"n": 1}, {"n": 3}), 3))
 
 
 DEEDS = (
@@ -400,8 +431,8 @@
         self.told: dict[int, int] = {}  # a connection, by its feed's place and its own: the last event told
         self.broken: set[int] = set()  # connections that say nothing more
         self.applied: list[int] = []
-        self.tell = stage.node.follower.tell
-        stage.node.follower.tell = self.took  # type: ignore[method-assign]
+        self.tell = stage.node.follower.apply_update
+        stage.node.follower.apply_update = self.took  # type: ignore[method-assign]
 
     def took(self, update: EndpointListUpdate) -> None:
         self.applied.append(update.version)
@@ -443,7 +474,7 @@
         elif deed == "move":
             self.feeds += [FarFeed()] * (dice.random() < 0.7)
             for _ in range(dice.choice([1, 1, 2])):
-                self.stage.node.follower.move(self.feeds[-1].address)
+                self.stage.node.follower.change_address(self.feeds[-1].address)
         elif deed == "hold":
             loop.selected.held.update(connecting(self.stage))
         elif deed == "free":
@@ -487,7 +518,7 @@
         if self.dice.random() < 0.7 and (lines := [one for one in feed.look() if not one.over]):
             lines[-1].reset()
         elif self.dice.random() < 0.5:
-            self.stage.node.follower.move(feed.address)
+            self.stage.node.follower.change_address(feed.address)
 
     def whole(self) -> None:
         for _ in range(80):
--- a/tests/test_node_crossing_lost.py
+++ b/tests/test_node_crossing_lost.py
@@ -11,7 +11,7 @@
 import pytest
 
 from fernweir.front.names import number_of
-from fernweir.node.frames import Code, Frame, Type, encode
+from fernweir.node.frames import Code, Frame, Type, encode_frame
 from fernweir.node.jsonl import Message
 from fernweir.node.watch import EVERY_MS
 from tests.node_scene import FarLine, FarServer, FarViewer, Stage, staged
@@ -148,7 +148,7 @@
         id, line = stage.stands(viewer)
         line.ended.add(id)
         stage.loop.advance(100.0)
-        started = stage.loop.clock * 1000.0 + stage.node.feed._offset
+        started = stage.loop.clock * 1000.0 + stage.node.feed._offset_ms
         tell(stage, stage.line("s-0", since_ms=started))
         stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
         stage.loop.advance(1_000.0)
@@ -267,7 +267,7 @@
             return
         while (line := self.far.accept()) is not None:
             for end in self.ends:
-                self.write(line, encode(end))
+                self.write(line, encode_frame(end))
         for line, rest in self.rests:
             self.write(line, rest)
         self.rests.clear()
@@ -288,12 +288,12 @@
             self.end(self.draw.choice(sorted(self.stands)))
 
     def act(self, id: str, line: FarLine, what: str) -> None:
-        data = encode(Frame(Type.ANSWER, id, {Code.DESCRIPTION: b"one\r\n"}))
+        data = encode_frame(Frame(Type.ANSWER, id, {Code.DESCRIPTION: b"one\r\n"}))
         if what == "silent":
             return
         del self.out[id]
         if what in ("34", "47"):
-            self.write(line, encode(Frame(Type.RELEASE, id, {Code.CAUSE: bytes((int(what),))})))
+            self.write(line, encode_frame(Frame(Type.RELEASE, id, {Code.CAUSE: bytes((int(what),))})))
         elif what == "gone":
             line.reset()
             self.give_up(line)
@@ -312,7 +312,7 @@
         self.stands.remove(id)
         self.ends.append(Frame(Type.RELEASE, id, {Code.CAUSE: bytes((16,))}))
         for line in [one for one in self.far.lines if not one.over][-1:]:
-            self.write(line, encode(self.ends[-1]))
+            self.write(line, encode_frame(self.ends[-1]))
 
     def write(self, line: FarLine, data: bytes) -> bool:
         """Whether the connection took it; one that the node has ended gives up what is open on it."""
--- a/tests/test_node_crossing_servers.py
+++ b/tests/test_node_crossing_servers.py
@@ -13,7 +13,7 @@
 import pytest
 
 from fernweir.node.course import At, Course
-from fernweir.node.frames import Code, Frame, Type, encode
+from fernweir.node.frames import Code, Frame, Type, encode_frame
 from fernweir.node.jsonl import Message
 from fernweir.node.watch import EVERY_MS
 from tests.node_scene import PLAIN, FarLine, FarServer, FarViewer, Stage, staged
@@ -38,7 +38,7 @@
 def heard(stage: Stage, line: FarLine, *frames: Frame) -> None:
     """A media server says this in one piece, and the node takes it."""
     fd = stage.loop.near(line.sock)
-    line.write(b"".join(map(encode, frames)))
+    line.write(b"".join(map(encode_frame, frames)))
     stage.loop.arrived(fd)
     stage.loop.settle()
 
@@ -46,10 +46,10 @@
 def tell(stage: Stage, *lines: dict[str, Any]) -> None:
     """One event of the feed, taken by the node."""
     (feed,) = stage.feed.look()
-    last = stage.node.feed.last + 1
+    last = stage.node.feed.last_sequence_number + 1
     members = {"index": last, "snapshot": False, "endpoints": list(lines)}
     feed.write(json.dumps({"n": last, "members": members}).encode() + b"\n")
-    stage.loop.until(lambda: stage.node.feed.last == last)
+    stage.loop.until(lambda: stage.node.feed.last_sequence_number == last)
 
 
 def test_a_connection_goes_onward_only() -> None:
--- a/tests/test_node_crossing_stop.py
+++ b/tests/test_node_crossing_stop.py
@@ -12,7 +12,7 @@
 from fernweir.interface import Idempotency
 from fernweir.node.ending import Ending
 from fernweir.node.frames import Code, Frame, Type
-from fernweir.node.jsonl import Message, write
+from fernweir.node.jsonl import Message, encode_message
 from tests.node_scene import PLAIN, FarLine, FarViewer, Stage, staged
 
 REFUSED, FAILED = 34, 41
@@ -132,10 +132,10 @@
         stage.loop.advance(stage.node.ending.plays_ms - 500.0)
         open_one, half = stage.far_viewer(), stage.far_viewer()
         on_open, in_half, on_new = stage.setup(), stage.setup(), stage.setup()
-        half.write(write(in_half)[:40])
+        half.write(encode_message(in_half)[:40])
         stage.loop.settle()
         open_one.send(on_open)
-        half.write(write(in_half)[40:])
+        half.write(encode_message(in_half)[40:])
         newcomer = FarViewer(stage)  # in the backlog
         stage.viewers.append(newcomer)
         newcomer.send(on_new)
--- a/tests/test_node_crossing_viewers.py
+++ b/tests/test_node_crossing_viewers.py
@@ -12,7 +12,7 @@
 
 from fernweir.interface import Idempotency
 from fernweir.node.frames import Code, Frame, Type
-from fernweir.node.jsonl import Message, write
+from fernweir.node.jsonl import Message, encode_message
 from fernweir.node.limits import HUSH_MS, Door
 from fernweir.node.viewers import _SWEEP_S, Connection
 from fernweir.node.visit import DOUBT_MS, Side, Visit
@@ -171,7 +171,7 @@
     with staged() as stage:
         viewer, wish = stage.far_viewer(), stage.setup()
         ask_and_hold(stage, viewer, wish)
-        viewer.write(write(Message("release", wish.id, cause=16)) + b"nothing\n")
+        viewer.write(encode_message(Message("release", wish.id, cause=16)) + b"nothing\n")
         stage.loop.until(lambda: viewer.look() is not None and viewer.over)
         assert [one.cause for one in viewer.raw] == [111] and len(stage.node.viewers.door) == 0
 
@@ -285,7 +285,7 @@
         id, line = stage.set_up(viewer)
         # Fill what the kernel takes, so that the answer stays in the node.
         while not ours_.unsent:
-            ours_.write(write(Message("pong", "0" * 16, cause=1)) * 100)
+            ours_.write(encode_message(Message("pong", "0" * 16, cause=1)) * 100)
         line.answer(id)
         stage.loop.until(
             lambda: stage.node.core.sessions.sessions_playing_at(stage.node.core.sessions.session(id).server)
@@ -468,7 +468,7 @@
 def test_a_line_that_ends_in_time_is_heard_before_a_late_loop_calls_it_overdue() -> None:
     with staged() as stage:
         viewer, wish = stage.far_viewer(), stage.setup()
-        fd, data = near(stage, viewer), write(wish)
+        fd, data = near(stage, viewer), encode_message(wish)
         viewer.write(data[:40])
         stage.loop.settle()
         stage.loop.selected.held.add(fd)  # the loop doesn't look before its sweep is due
@@ -510,7 +510,7 @@
         elif how == "endless":
             viewer.write(b"x" * 20_000 + b"\n")
         else:
-            viewer.write(b"nothing\n" * 64 + write(late))
+            viewer.write(b"nothing\n" * 64 + encode_message(late))
         stage.loop.settle()
         viewer.look()
         assert not viewer.over and id in stage.node.viewers.open
@@ -544,7 +544,7 @@
 def test_a_line_has_its_time_from_its_own_beginning() -> None:
     """Each read ends in the middle of the next line, as under a stream of them: that is no silence."""
     with staged() as stage:
-        viewer, data = stage.far_viewer(), write(Message("ping", f"{1:016x}", cause=0))
+        viewer, data = stage.far_viewer(), encode_message(Message("ping", f"{1:016x}", cause=0))
         viewer.write(data[:10])
         for _ in range(4):
             stage.loop.advance(0.4 * HUSH_MS)
@@ -560,7 +560,7 @@
         viewer = stage.far_viewer()
         (one,) = ours(stage)
         while not one.unsent:
-            one.write(write(Message("pong", "0" * 16, cause=1)) * 100)
+            one.write(encode_message(Message("pong", "0" * 16, cause=1)) * 100)
         one.end()
         stage.loop.settle()
         assert len(stage.node.viewers.door) == 1 and one.visit.side is Side.CLOSING
@@ -694,7 +694,7 @@
         stage.stands(other)
         (one,) = (one for one in ours(stage) if id in one.visit.sessions)
         while not one.unsent:
-            one.write(write(Message("pong", "0" * 16, cause=1)) * 100)
+            one.write(encode_message(Message("pong", "0" * 16, cause=1)) * 100)
         line.release(id, 16)
         stage.loop.until(lambda: stage.node.core.sessions.session(id) is None)
         stage.loop.settle()
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -22,10 +22,10 @@
 from fernweir.front.session_manager import SessionLimits, SessionManager
 from fernweir.interface import Action, EndpointListKind, EndpointListUpdate, Event, Result, ServerState
 from fernweir.node import frames, jsonl
-from fernweir.node.config import ConfigError, flat, load
-from fernweir.node.feed import Feed, FeedError
-from fernweir.node.frames import Code, Frame, FrameError, Frames, Type, encode
-from fernweir.node.jsonl import LineError, Lines, Message, read, write
+from fernweir.node.config import ConfigError, flatten_settings, load_config
+from fernweir.node.endpoint_feed import EndpointFeed, FeedError
+from fernweir.node.frames import Code, Frame, FrameError, FrameReader, Type, encode_frame
+from fernweir.node.jsonl import LineError, LineReader, Message, decode_message, encode_message
 from fernweir.node.limits import HUSH_MS, Door, Remembered
 from fernweir.node.logs import NodeLog
 from fernweir.node.watch import EVERY_MS, Verdict, Watch
@@ -37,7 +37,7 @@
 IDS = st.text("0123456789abcdef", min_size=16, max_size=16)
 MESSAGES = st.builds(
     Message,
-    st.sampled_from(sorted(jsonl.TYPES)),
+    st.sampled_from(sorted(jsonl.MESSAGE_TYPES)),
     IDS,
     st.dictionaries(st.text(max_size=8), st.text(max_size=20) | st.integers(-(10**18), 10**18), max_size=5),
     st.none() | st.integers(0, 255),
@@ -58,55 +58,57 @@
 
 @given(st.lists(MESSAGES, min_size=1, max_size=4), st.lists(st.integers(0, 5000), max_size=12))
 def test_lines_say_the_same_however_they_are_cut(messages: list[Message], cuts: list[int]) -> None:
-    lines = Lines()
-    found = [line for piece in pieces(b"".join(map(write, messages)), cuts) for line in lines.feed(piece)]
-    assert [read(line) for line in found] == messages and not lines.half
+    lines = LineReader()
+    found = [
+        line for piece in pieces(b"".join(map(encode_message, messages)), cuts) for line in lines.feed(piece)
+    ]
+    assert [decode_message(line) for line in found] == messages and not lines.has_partial_line
 
 
 @given(st.lists(FRAMES, min_size=1, max_size=4), st.lists(st.integers(0, 5000), max_size=12))
 def test_frames_say_the_same_however_they_are_cut(sent: list[Frame], cuts: list[int]) -> None:
-    codec, found = Frames(), list[Frame]()
-    for piece in pieces(b"".join(map(encode, sent)), cuts):
+    codec, found = FrameReader(), list[Frame]()
+    for piece in pieces(b"".join(map(encode_frame, sent)), cuts):
         found += codec.feed(piece)
     assert found == sent
 
 
 @given(st.lists(st.binary(max_size=400), max_size=100))
 def test_noise_makes_one_kind_of_error_and_little_is_kept(noise: list[bytes]) -> None:
-    codec, lines = Frames(), Lines()
+    codec, lines = FrameReader(), LineReader()
     try:
         for piece in noise:
             for frame in codec.feed(piece):
-                _ = (frame.cause, frame.report(), frame.text(Code.CLASS), frame.number(Code.LEVEL))
+                _ = (frame.cause, frame.load_report(), frame.text(Code.CLASS), frame.number(Code.LEVEL))
     except FrameError:
         pass
-    assert len(codec._rest) <= frames.MOST_BYTES + 400
+    assert len(codec._pending) <= frames.MAX_FRAME_BYTES + 400
     try:
         for piece in noise:
             for line in lines.feed(piece):
-                read(line)
+                decode_message(line)
     except LineError:
         pass
-    assert len(lines._rest) <= jsonl.MOST_BYTES
+    assert len(lines._pending) <= jsonl.MAX_LINE_BYTES
 
 
 def test_a_line_that_never_ends_is_let_go_and_a_long_one_just_passes() -> None:
-    lines = Lines()
-    assert lines.feed(b"x" * (jsonl.MOST_BYTES - 1) + b"\n") == [b"x" * (jsonl.MOST_BYTES - 1)]
+    lines = LineReader()
+    assert lines.feed(b"x" * (jsonl.MAX_LINE_BYTES - 1) + b"\n") == [b"x" * (jsonl.MAX_LINE_BYTES - 1)]
     with pytest.raises(LineError):
         for _ in range(2000):
             lines.feed(b"y" * 1000)
-    assert not lines._rest
+    assert not lines._pending
 
 
 def test_whole_lines_before_one_too_long_are_heard_however_they_are_cut() -> None:
-    data = b"first\n" + b"x" * jsonl.MOST_BYTES + b"\nlast\n"
+    data = b"first\n" + b"x" * jsonl.MAX_LINE_BYTES + b"\nlast\n"
     for cuts in ([], [6], [3, 9000], list(range(0, len(data), 100))):
-        lines, found = Lines(), list[bytes]()
+        lines, found = LineReader(), list[bytes]()
         with pytest.raises(LineError):
             for piece in pieces(data, cuts):
                 found += lines.feed(piece)
-        assert found + lines.read == [b"first"]
+        assert found + lines.complete_lines == [b"first"]
 
 
 @pytest.mark.parametrize(
@@ -121,16 +123,16 @@
     ],
 )
 def test_frames_that_do_not_fit_are_refused_after_what_came_before(data: bytes) -> None:
-    good, codec = Frame(Type.RELEASED, "0" * 15 + "7"), Frames()
+    good, codec = Frame(Type.RELEASED, "0" * 15 + "7"), FrameReader()
     with pytest.raises(FrameError):
-        codec.feed(encode(good) + data)
-    assert codec.read == [good]
+        codec.feed(encode_frame(good) + data)
+    assert codec.complete_frames == [good]
 
 
 @pytest.mark.parametrize("report", [b"x0", b"x0:nan", b"x0:1e999", b"x0:\xff", b";".join([b"a:1"] * 40)])
 def test_a_report_that_is_none_is_refused(report: bytes) -> None:
     with pytest.raises(FrameError):
-        Frame(Type.PONG, "0" * 16, {Code.REPORT: report}).report()
+        Frame(Type.PONG, "0" * 16, {Code.REPORT: report}).load_report()
 
 
 def endpoint(name: str, **more: object) -> dict[str, Any]:
@@ -143,12 +145,12 @@
 
 
 def test_a_feed_takes_each_event_once_in_order_and_asks_again_after_a_gap() -> None:
-    feed = Feed(SETTINGS, ("box",), offset_ms=1000.0)
-    (whole,) = feed.start((event(1, endpoint("a"), endpoint("b"), snapshot=True),), 1)
+    feed = EndpointFeed(SETTINGS, ("box",), offset_ms=1000.0)
+    (whole,) = feed.apply_known_events((event(1, endpoint("a"), endpoint("b"), snapshot=True),), 1)
     assert (whole.kind, len(whole.entries)) == (EndpointListKind.CACHED, 2)
 
     def tell(body: object) -> EndpointListUpdate | None:
-        return feed.line(json.dumps(body).encode())
+        return feed.apply_line(json.dumps(body).encode())
 
     started = tell(event(2, endpoint("c", since_ms=5000)))
     assert (
@@ -167,11 +169,13 @@
     ):
         with pytest.raises(FeedError):
             tell(bad)
-        assert feed.last == 2
+        assert feed.last_sequence_number == 2
     with pytest.raises(FeedError):
-        feed.line(b'{"n":3,"mem')
+        feed.apply_line(b'{"n":3,"mem')
     gone = tell(event(3, endpoint("a", status="removed")))
-    assert gone is not None and gone.entries[0].state is ServerState.REMOVED and feed.last == 3
+    assert (
+        gone is not None and gone.entries[0].state is ServerState.REMOVED and feed.last_sequence_number == 3
+    )
 
 
 def test_the_door_prefers_those_who_speak_and_forgets_who_left() -> None:
@@ -250,8 +254,8 @@
 
 
 def test_the_settings_read_alike_from_json_and_from_the_simulators_text() -> None:
-    assert read_settings(Fields(flat(nested(TEXT)))) == parse_settings(TEXT.encode())
-    assert flat({"a": [1, 2.5], "b": True, "c": None, "d": ["x y"]}) == {
+    assert read_settings(Fields(flatten_settings(nested(TEXT)))) == parse_settings(TEXT.encode())
+    assert flatten_settings({"a": [1, 2.5], "b": True, "c": None, "d": ["x y"]}) == {
         "a": "1,2.5",
         "b": "true",
         "d": "x_y",
@@ -266,10 +270,10 @@
     if text is not None:
         path.write_text(text)
     with pytest.raises(ConfigError) as caught:
-        load({"ROUTER_CONFIG": str(path), "ROUTER_LISTEN": "127.0.0.1:1"})
+        load_config({"ROUTER_CONFIG": str(path), "ROUTER_LISTEN": "127.0.0.1:1"})
     assert "\n" not in str(caught.value)
     with pytest.raises(ConfigError):
-        load({})
+        load_config({})
 
 
 def test_the_log_of_a_node_is_bounded() -> None:
--- a/tests/test_node_peers.py
+++ b/tests/test_node_peers.py
@@ -15,11 +15,11 @@
 import msgspec
 
 from fernweir.front.names import number_of
-from fernweir.node.config import Address, load
-from fernweir.node.feed import Feed
+from fernweir.node.config import Address, load_config
+from fernweir.node.endpoint_feed import EndpointFeed
 from fernweir.node.jsonl import Message
 from fernweir.node.logs import NodeLog
-from fernweir.node.peering import NodePort, Told, read_peers, short, start_peers
+from fernweir.node.peering import ListedServers, NodePort, read_peers_file, short_server_number, start_peers
 from fernweir.node.program import Node
 from fernweir.peers import base
 from fernweir.peers.acts.versions import Versions, boxes_digest
@@ -70,9 +70,9 @@
             {"n": 4, "members": {"index": 8, "snapshot": True, "endpoints": first}},
             {"n": 5, "members": {"index": 9, "endpoints": later}},
         )
-        config = replace(load(variables), known=known, known_n=5)
+        config = replace(load_config(variables), known_events=known, known_sequence_number=5)
         node = Node(config, NodeLog("n2", self.log), {})
-        file = read_peers(self.peers_file("n2", free_address()), "n2")
+        file = read_peers_file(self.peers_file("n2", free_address()), "n2")
         peers = await start_peers(node.core, node.feed, config, file)
         node.start()
         await until(lambda: node.viewers.ready)
@@ -139,7 +139,7 @@
         server = answer.sdp.split()[0]
         assert (row["front"], row["box"], row["outcome"]) == (
             "n7",
-            short(number_of(server)),
+            short_server_number(number_of(server)),
             f"try 0 at {server}",
         )
         # A copy answered for the dead: what it did last may be missing, and that is said.
@@ -167,10 +167,12 @@
 
         # Drains are acts as well; and who is shut out refuses what is new, and says when to come again.
         line = {**fleet.line("s-1"), "status": "draining"}
-        update = node.feed.line(msgspec.json.encode({"n": 6, "members": {"index": 10, "endpoints": [line]}}))
+        update = node.feed.apply_line(
+            msgspec.json.encode({"n": 6, "members": {"index": 10, "endpoints": [line]}})
+        )
         assert update is not None
         before = peers.peer.recording.versions.boxes
-        node.follower.tell(update)
+        node.follower.apply_update(update)
         assert peers.peer.recording.versions.boxes != before
         told: list[dict[str, Any]] = []
         peers.questions.ask({"question": "acts", "deed": "drain"}, told.append)
@@ -255,13 +257,13 @@
         return {"name": name, "status": status, "since_ms": since_ms, **fixed}
 
     def digest(offset_ms: float, *events: tuple[bool, list[dict[str, Any]]]) -> bytes:
-        feed = Feed(PLAIN, ("box",), offset_ms)
-        told = Told(feed)
+        feed = EndpointFeed(PLAIN, ("box",), offset_ms)
+        told = ListedServers(feed)
         for n, (whole, lines) in enumerate(events, 1):
             members = {"index": 40 + n, "snapshot": whole, "endpoints": lines}
-            update = feed.line(msgspec.json.encode({"n": n, "members": members}))
+            update = feed.apply_line(msgspec.json.encode({"n": n, "members": members}))
             assert update is not None
-            told.take(update)
+            told.on_endpoint_list(update)
         return boxes_digest(told.list_rows())
 
     a, b = line("a", 1.7e12), line("b", 0.0)
@@ -313,7 +315,7 @@
         text = "[peers]\nlisten = 127.0.0.1:1\nkey = fleet.key\nkeepers = n0, n1, n2\nlate-after = 5 s\n"
         text += "bring-up-within = 3 s\n"
         (folder / "peers.ini").write_text(text)
-        file = read_peers(folder / "peers.ini", "n0")
+        file = read_peers_file(folder / "peers.ini", "n0")
         self.now, self._sent = 0.0, list[tuple[float, int, str, str, base.Message]]()
         self.kinds: set[type[base.Message]] = set()
         self.ports = {f"n{place}": Alone() for place in range(3)}
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from fernweir.node.config import Address
-from fernweir.node.jsonl import Message, write
+from fernweir.node.jsonl import Message, encode_message
 from tests.node_scene import FeedServer, MediaServer, Scene
 from tests.sockets import until
 from tests.test_node_parts import ROOT, nested
@@ -220,7 +220,7 @@
             viewer.send(stands)
             assert (await viewer.answer(stands.id)).type == "answer"
             late = await outside.viewer()
-            late.write(write(half)[:40])
+            late.write(encode_message(half)[:40])
             server.script = ["silent"] * 9
             process.send_signal(signal.SIGSTOP)
             await until(lambda: state(process.pid) == "T")
@@ -228,7 +228,7 @@
             process.send_signal(signal.SIGTERM)
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGTERM)
-            late.write(write(half)[40:])
+            late.write(encode_message(half)[40:])
             viewer.send(on_open, Message("release", stands.id, cause=16))
             newcomer, gone = await outside.viewer(), await outside.viewer()
             newcomer.send(on_new)
--- a/tests/test_node_settings.py
+++ b/tests/test_node_settings.py
@@ -31,8 +31,8 @@
     SlowStart,
     TimerFired,
 )
-from fernweir.node.config import ConfigError, NodeConfig, load
-from fernweir.node.feed import Feed
+from fernweir.node.config import ConfigError, NodeConfig, load_config
+from fernweir.node.endpoint_feed import EndpointFeed
 from tests.helpers import entry, viewer
 from tests.node_scene import PLAIN, Scene, play
 
@@ -107,7 +107,7 @@
 def loaded(folder: Path, body: object) -> NodeConfig:
     file = folder / "config.json"
     file.write_text(written(body))
-    return load({"ROUTER_CONFIG": str(file)})
+    return load_config({"ROUTER_CONFIG": str(file)})
 
 
 def told(**more: dict[str, Any]) -> dict[str, Any]:
@@ -147,14 +147,18 @@
 def test_the_settings_of_the_page_are_read_with_the_names_as_told(tmp_path: Path) -> None:
     config = loaded(tmp_path, BODY)
     assert [one.name for one in config.settings.classes] == ["film, long", "2026", "true"]
-    assert config.kinds == ("box, small", "box 2")
-    assert (config.connect_ms, config.idle_ms, config.settings.max_attempts) == (120.0, 6000.0, 3)
+    assert config.server_types == ("box, small", "box 2")
+    assert (config.connect_timeout_ms, config.idle_timeout_ms, config.settings.max_attempts) == (
+        120.0,
+        6000.0,
+        3,
+    )
     line = {
         "name": "s-0", "address": "127.0.0.1:9", "zone": "z", "type": "box 2", "group": 0, "status": "up",
         "weight": 1, "since_ms": 0,
     }  # fmt: skip
     first = {"n": 1, "members": {"index": 1, "snapshot": True, "endpoints": [line]}}
-    (update,) = Feed(config.settings, config.kinds, 0.0).start((first,), 1)
+    (update,) = EndpointFeed(config.settings, config.server_types, 0.0).apply_known_events((first,), 1)
     assert [(one.server, one.server_type, one.state) for one in update.entries] == [
         (number_of("s-0"), 1, ServerState.READY)
     ]
@@ -177,7 +181,7 @@
     longest = 6500.0  # no connection is waited for longer than an answer
     for none in (0, ABSENT, None):
         config = loaded(tmp_path, told(Limits={"ConnectTimeout": none, "ConnIdle": none}))
-        assert (config.connect_ms, config.idle_ms) == (longest, math.inf)
+        assert (config.connect_timeout_ms, config.idle_timeout_ms) == (longest, math.inf)
         assert loaded(tmp_path, told(Limits={"AttemptsCap": none})).settings.max_attempts is None
         assert loaded(tmp_path, told(Obligations={"BudgetSpan": none})).settings.retry_budget is None
         assert loaded(tmp_path, told(Obligations={"WarmUp": none})).settings.slow_start is None
