--- a/bench/golden_state_samples.py
+++ b/bench/golden_state_samples.py
@@ -29,7 +29,7 @@
 from fernweir.journal.events import Entry, What, to_row
 from fernweir.journal.picture import BoxRow, Picture, SessionRow
 from fernweir.journal.segment import pack
-from fernweir.node.frames import Code, Frame, Type, encode_frame
+from fernweir.node.frames import Frame, FrameType, ParameterCode, encode_frame
 from fernweir.node.jsonl import MESSAGE_TYPES as LINE_TYPES
 from fernweir.node.jsonl import Message, encode_message
 from fernweir.seats import records as seats
@@ -371,9 +371,9 @@
     setup = {"class": "film", "key": "00000000000000ff", "left": 2500.5,
              "extras": "home:3;copies:2;top:1;viewer:00000000000000cc;again:1;at:server-2"}  # fmt: skip
     bare_setup = {"class": "film", "key": "00000000000000ff", "left": "2500", "extras": "home:0;copies:1"}
-    parameters = {code: (b"\x07" if code is Code.CAUSE else b"0.5") for code in Code}
-    parameters[Code.REPORT] = b"x0:0.25;x1:0.5"
-    rates = {Code.RUNG: b"2"}
+    parameters = {code: (b"\x07" if code is ParameterCode.CAUSE else b"0.5") for code in ParameterCode}
+    parameters[ParameterCode.REPORT] = b"x0:0.25;x1:0.5"
+    rates = {ParameterCode.RUNG: b"2"}
     return [
         *lines,
         Sample("full", "node-line", encode_message(full)),
@@ -381,11 +381,16 @@
         Sample(
             "bare setup", "node-setup-line", encode_message(Message("setup", SESSION, bare_setup, sdp="v=0"))
         ),
-        *(Sample(f"bare {kind.value}", "node-frame", encode_frame(Frame(kind, SESSION))) for kind in Type),
-        Sample("full", "node-frame", encode_frame(Frame(Type.SETUP, SESSION, dict(parameters)))),
-        Sample("rate", "node-frame", encode_frame(Frame(Type.RATE, SESSION, rates))),
-        Sample("parameters", "node-frame-fields", encode_frame(Frame(Type.NOTE, SESSION, dict(parameters)))),
-        Sample("no parameters", "node-frame-fields", encode_frame(Frame(Type.NOTE, SESSION))),
+        *(
+            Sample(f"bare {kind.value}", "node-frame", encode_frame(Frame(kind, SESSION)))
+            for kind in FrameType
+        ),
+        Sample("full", "node-frame", encode_frame(Frame(FrameType.SETUP, SESSION, dict(parameters)))),
+        Sample("rate", "node-frame", encode_frame(Frame(FrameType.RATE, SESSION, rates))),
+        Sample(
+            "parameters", "node-frame-fields", encode_frame(Frame(FrameType.NOTE, SESSION, dict(parameters)))
+        ),
+        Sample("no parameters", "node-frame-fields", encode_frame(Frame(FrameType.NOTE, SESSION))),
         Sample("feed", "node-feed", b"\n".join(feed_lines())),
         Sample("full", "node-config", json.dumps(node_config()).encode()),
         Sample("bare", "node-config", json.dumps(bare_node_config()).encode()),
--- a/bench/left.py
+++ b/bench/left.py
@@ -20,7 +20,7 @@
 from random import Random
 
 from fernweir.interface import Settings
-from fernweir.node.frames import Code, Frame, Type
+from fernweir.node.frames import Frame, FrameType, ParameterCode
 from fernweir.node.jsonl import NO_SESSION_ID, Message, encode_message
 from tests.helpers import SETTINGS
 from tests.node_scene import PLAIN, FarViewer, Stage, staged
@@ -120,7 +120,7 @@
 
     def tested() -> bool:
         far.look()
-        pings[:] = [one for line in far.lines for one in line.heard if one.type is Type.PING]
+        pings[:] = [one for line in far.lines for one in line.heard if one.type is FrameType.PING]
         return bool(pings)
 
     case.loop.until(tested)
@@ -129,7 +129,13 @@
     there = case.loop.near(line.sock)
     case.hold(case.fd, there)
     case.leave()
-    line.say(Frame(Type.PONG, pings[0].session, {Code.CAUSE: b"\1", Code.REPORT: b"x0:0.1;x1:0.1"}))
+    line.say(
+        Frame(
+            FrameType.PONG,
+            pings[0].session,
+            {ParameterCode.CAUSE: b"\1", ParameterCode.REPORT: b"x0:0.1;x1:0.1"},
+        )
+    )
     case.seen(there)
 
 
@@ -398,7 +404,7 @@
     owed = set(case.ids) - heard if case.way in ("half-close", "time") else set()
     standing = {id for server in stage.far.values() for id in server.standing()} & set(case.ids)
     lines = [line for server in stage.far.values() for line in server.lines]
-    released = {one.session for line in lines for one in line.heard if one.type is Type.RELEASE}
+    released = {one.session for line in lines for one in line.heard if one.type is FrameType.RELEASE}
     return Outcome(
         len(case.ids),
         sum(max(len(stage.sent_to(id)) - case.before[id], 0) for id in case.ids),
--- a/bench/restarts_around.py
+++ b/bench/restarts_around.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from fernweir.node.config import Address
-from fernweir.node.frames import Code, Frame, FrameReader, Type, encode_frame
+from fernweir.node.frames import Frame, FrameReader, FrameType, ParameterCode, encode_frame
 from fernweir.node.jsonl import NO_SESSION_ID, LineReader, Message, decode_message, encode_message
 from fernweir.node.viewers import UNREADABLE
 
@@ -250,15 +250,15 @@
     def take(self, line: BoxLine, frame: Frame) -> None:
         id = frame.session
         self.ledger.note(f"{self.name} hears {frame.type.name} {id} on {line.number}")
-        if frame.type is Type.SETUP:
+        if frame.type is FrameType.SETUP:
             self._set_up(line, frame)
-        elif frame.type is Type.RELEASE:
+        elif frame.type is FrameType.RELEASE:
             self.stands.pop(id, None)
             self.out.pop(id, None)
             self.halves.pop(id, None)
             self.ledger.happened("released")
-        elif frame.type is Type.PING:
-            line.write(encode_frame(Frame(Type.PONG, id, {Code.CAUSE: b"\1"})))
+        elif frame.type is FrameType.PING:
+            line.write(encode_frame(Frame(FrameType.PONG, id, {ParameterCode.CAUSE: b"\1"})))
 
     def _set_up(self, line: BoxLine, frame: Frame) -> None:
         id, ledger, now = frame.session, self.ledger, time.time()
@@ -267,7 +267,7 @@
         if wish is None or wish.plays_at:
             ledger.fault(f"a set-up that no viewer sent: {id}")
             return
-        if frame.text(Code.DESCRIPTION) != wish.message.sdp:
+        if frame.text_parameter(ParameterCode.DESCRIPTION) != wish.message.sdp:
             ledger.fault(f"{id} was sent on with another description")
         on_time = ledger.timed and not (line.late or ledger.stood_still(wish.left_at, now))
         if wish.left and now > wish.left_at + SENT_ON_S and on_time:
@@ -304,7 +304,7 @@
             self.ledger.happened("broken")
         elif way.isdigit():
             self.out.pop(id, None)
-            line.write(encode_frame(Frame(Type.RELEASE, id, {Code.CAUSE: bytes((int(way),))})))
+            line.write(encode_frame(Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((int(way),))})))
             self.ledger.happened("refused")
 
     def _made(self, id: str) -> bytes:
@@ -312,7 +312,7 @@
         text = f"{self.name} {id} {self.dice.random()}\r\n"
         self.ledger.made.setdefault(id, set()).add(text)
         self.stands[id] = time.time()
-        return encode_frame(Frame(Type.ANSWER, id, {Code.DESCRIPTION: text.encode()}))
+        return encode_frame(Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: text.encode()}))
 
     def answer(self, id: str) -> None:
         line = self.out.pop(id)
@@ -349,7 +349,7 @@
         if there and heard and id not in self.halves and id not in self.out:
             del self.stands[id]
             wish.over_at = time.time()
-            there[-1].write(encode_frame(Frame(Type.RELEASE, id, {Code.CAUSE: b"\x10"})))
+            there[-1].write(encode_frame(Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: b"\x10"})))
             self.ledger.note(f"{self.name} ended {id}")
             self.ledger.happened("over")
 
--- a/fernweir/node/config.py
+++ b/fernweir/node/config.py
@@ -1,4 +1,4 @@
-"""What a front node is told at its start: the JSON named by `ROUTER_CONFIG`."""
+"""The configuration of a front node: the JSON file that `ROUTER_CONFIG` names."""
 
 from __future__ import annotations
 
@@ -8,47 +8,63 @@
 from dataclasses import dataclass
 from ipaddress import IPv4Address
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from fernweir.interface import Settings
 from fernweir.node.settings import SettingError, check_consistency, check_settings, replace_zero_limits
 from fernweir.wire import Fields, WireError, read_settings
 
-Address = tuple[str, int]
+Address = tuple[str, int]  # IPv4 address and port
+_MAX_PORT = 65535
+_MAX_QUOTED = 60  # characters of a value that an error shows
+_SEED_LIMIT = 2**64  # as wide as the wire's
 
 
 class ConfigError(ValueError):
-    """The configuration can't be used; the text says what is wrong, one line a mistake."""
+    """The configuration cannot be used; the text says what is wrong, one line for each mistake."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeConfig:
+    """What a node is told at its start.
+
+    Attributes:
+        name: The node's name.
+        listen_address: Where it accepts client connections.
+        seed: Seeds its random decisions.
+        max_descriptors: How many file descriptors it may use.
+        feed_address: Where the control feed is.
+        known_sequence_number: The feed's last sequence number when the file was written.
+        known_events: Events as the feed sends them, up to that number.
+        settings: The settings of the decisions.
+        server_types: The names of the server types, in the order of their numbers.
+        connect_timeout_ms: How long to wait for a connection to a server.
+        idle_timeout_ms: How long a connection to a server may be unused; infinite if there is no limit.
+    """
+
     name: str
     listen_address: Address
     seed: int
     max_descriptors: int
     feed_address: Address
     known_sequence_number: int
-    known_events: tuple[object, ...]  # events as the feed tells them
+    known_events: tuple[object, ...]
     settings: Settings
-    server_types: tuple[str, ...]  # machine kinds by their position
+    server_types: tuple[str, ...]
     connect_timeout_ms: float
-    idle_timeout_ms: float  # infinite where idle connections stay
+    idle_timeout_ms: float
 
 
 def load_config(environment: Mapping[str, str]) -> NodeConfig:
-    """Reads the file that the environment names; name and address there go before the file's."""
+    """Reads the file that the environment names; name and address in the environment override the file's.
+
+    Raises:
+        ConfigError: There is no usable file.
+    """
     path = environment.get("ROUTER_CONFIG")
     if not path:
         raise ConfigError("ROUTER_CONFIG names no file")
-    try:
-        body = json.loads(Path(path).read_bytes())
-    except OSError as error:
-        raise ConfigError(f"{path}: {error.strerror}") from None
-    except (ValueError, RecursionError) as error:
-        raise ConfigError(f"{path}: not JSON: {error}") from None
-    if not isinstance(body, dict):
-        raise ConfigError(f"{path}: not a JSON object")
+    body = _read_object(path)
     for key, variable in (("name", "ROUTER_NAME"), ("listen", "ROUTER_LISTEN")):
         if environment.get(variable):
             body[key] = environment[variable]
@@ -59,97 +75,154 @@
 
 
 def parse_address(text: object, what: str) -> Address:
-    host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
+    """Parses an address as in `10.0.0.1:4000`.
+
+    Args:
+        text: The value; anything but text is refused.
+        what: What the error calls the value.
+
+    Raises:
+        ConfigError: It is no IPv4 address with a port.
+    """
+    host, _, port_text = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     try:
-        IPv4Address(host)  # there is no DNS; asking for a name would hold up all that a node does
-        number = int(port) if port.isascii() and port.isdigit() else 0
-        if not 0 < number < 65536:
-            raise ValueError
+        IPv4Address(host)  # there is no DNS; resolving a name would block the node
+        port = int(port_text) if port_text.isascii() and port_text.isdigit() else 0
     except ValueError:
-        raise ConfigError(f"{what} is no address with a port: {ascii(text)[:60]}") from None
-    return host, number
+        port = 0
+    if not 0 < port <= _MAX_PORT:
+        raise ConfigError(f"{what} is no address with a port: {_quoted(text)}")
+    return host, port
+
+
+def flatten_settings(settings: dict[str, Any]) -> dict[str, str]:
+    """Returns nested settings as the paths and texts of the simulator's wire, so that one parser reads both.
+
+    Raises:
+        ConfigError: The settings are nested too deep.
+    """
+    table: dict[str, str] = {}
+    try:
+        _flatten_into(table, "", settings)
+    except RecursionError:
+        raise ConfigError("settings are nested too deep") from None
+    return table
+
+
+def _read_object(path: str) -> dict[str, Any]:
+    try:
+        body = json.loads(Path(path).read_bytes())
+    except OSError as error:
+        raise ConfigError(f"{path}: {error.strerror}") from None
+    except (ValueError, RecursionError) as error:
+        raise ConfigError(f"{path}: not JSON: {error}") from None
+    if not isinstance(body, dict):
+        raise ConfigError(f"{path}: not a JSON object")
+    return body
 
 
 def _parse_config(body: dict[str, Any]) -> NodeConfig:
-    seed, limits, known = body.get("seed"), body.get("limits"), body.get("known")
+    seed = _parse_seed(body.get("seed"))
+    max_descriptors = _parse_max_descriptors(body.get("limits"))
+    known = _parse_known(body.get("known"))
+    name = body.get("name", "")
+    if not isinstance(name, str):
+        raise ConfigError(f"name is no text: {_quoted(name)}")
+    listen_address = parse_address(body.get("listen"), "listen")
+    feed_address = parse_address(body.get("feed"), "feed")
+    raw_settings = body.get("settings")
+    if not isinstance(raw_settings, dict):
+        raise ConfigError("settings are no object")
+    fields = Fields(flatten_settings(raw_settings))
+    settings, server_types = _parse_settings(raw_settings, fields)
+    longest_deadline_ms = max(session_class.deadline_ms for session_class in settings.classes)
+    return NodeConfig(
+        name=name,
+        listen_address=listen_address,
+        seed=seed,
+        max_descriptors=max_descriptors,
+        feed_address=feed_address,
+        known_sequence_number=known.last_sequence_number,
+        known_events=known.events,
+        settings=settings,
+        server_types=server_types,
+        # Zero stands for an absent limit: a connection is then waited for as long as an answer, and none
+        # idles out.
+        connect_timeout_ms=fields.number("Limits.ConnectTimeout", 0.0) or longest_deadline_ms,
+        idle_timeout_ms=fields.number("Limits.ConnIdle", 0.0) or math.inf,
+    )
+
+
+def _parse_seed(value: object) -> int:
     try:
-        number = int(seed, 16) if isinstance(seed, str) else -1
+        seed = int(value, 16) if isinstance(value, str) else -1
     except ValueError:
-        number = -1
-    if number < 0:
-        raise ConfigError(f"seed is no hex number: {ascii(seed)[:60]}")
+        seed = -1
+    if seed < 0:
+        raise ConfigError(f"seed is no hex number: {_quoted(value)}")
+    return seed % _SEED_LIMIT
+
+
+def _parse_max_descriptors(limits: object) -> int:
     sockets = limits.get("sockets") if isinstance(limits, dict) else None
     if not isinstance(sockets, int) or isinstance(sockets, bool) or sockets < 1:
         raise ConfigError("limits.sockets is no number of descriptors")
+    return sockets
+
+
+class _Known(NamedTuple):
+    """The feed's events when the file was written."""
+
+    last_sequence_number: int
+    events: tuple[object, ...]
+
+
+def _parse_known(known: object) -> _Known:
     last = known.get("n") if isinstance(known, dict) else None
     if not isinstance(known, dict) or not isinstance(last, int) or isinstance(last, bool):
         raise ConfigError("known has no last number")
     events = known.get("events")
     if not isinstance(events, list):
         raise ConfigError("known has no list of events")
-    name = body.get("name", "")
-    if not isinstance(name, str):
-        raise ConfigError(f"name is no text: {ascii(name)[:60]}")
-    listen, feed = parse_address(body.get("listen"), "listen"), parse_address(body.get("feed"), "feed")
-    told = body.get("settings")
-    fields = Fields(flatten_settings(told))
-    settings, kinds = _parse_settings(told, fields)
-    longest = max(one.deadline_ms for one in settings.classes)
-    return NodeConfig(
-        name=name,
-        listen_address=listen,
-        seed=number % 2**64,  # as wide as the wire's
-        max_descriptors=sockets,
-        feed_address=feed,
-        known_sequence_number=last,
-        known_events=tuple(events),
-        settings=settings,
-        server_types=kinds,
-        # Without a limit of its own no connection is waited for longer than an answer, and none idles out.
-        connect_timeout_ms=fields.number("Limits.ConnectTimeout", 0.0) or longest,
-        idle_timeout_ms=fields.number("Limits.ConnIdle", 0.0) or math.inf,
-    )
+    return _Known(last, tuple(events))
 
 
-def _parse_settings(told: Any, fields: Fields) -> tuple[Settings, tuple[str, ...]]:
+def _parse_settings(raw_settings: dict[str, Any], fields: Fields) -> tuple[Settings, tuple[str, ...]]:
+    """Returns the settings and the names of the server types."""
     try:
-        check_settings(told)
+        check_settings(raw_settings)
         settings = read_settings(fields)
         check_consistency(settings)
     except SettingError as error:
         raise ConfigError(f"settings: {error}") from None
-    fields.text("MachineTypes")  # has to be there
-    return replace_zero_limits(settings), tuple(told["MachineTypes"])
-
-
-def flatten_settings(settings: object) -> dict[str, str]:
-    """The nested settings as the simulator's paths and values: one parser reads both."""
-    if not isinstance(settings, dict):
-        raise ConfigError("settings are no object")
-    table: dict[str, str] = {}
-    try:
-        _flatten_into(settings, "", table)
-    except RecursionError:
-        raise ConfigError("settings are nested too deep") from None
-    return table
+    fields.text("MachineTypes")  # raises if it is absent
+    return replace_zero_limits(settings), tuple(raw_settings["MachineTypes"])
 
 
-def _flatten_into(value: object, path: str, table: dict[str, str]) -> None:
+def _flatten_into(table: dict[str, str], path: str, value: object) -> None:
     if isinstance(value, dict):
         for key, inner in value.items():
-            _flatten_into(inner, f"{path}.{key}" if path else str(key), table)
-    elif isinstance(value, list) and any(isinstance(one, dict) for one in value):
+            _flatten_into(table, f"{path}.{key}" if path else str(key), inner)
+    elif isinstance(value, list) and any(isinstance(item, dict) for item in value):
         table[f"{path}.count"] = str(len(value))
-        for place, inner in enumerate(value):
-            _flatten_into(inner, f"{path}.{place}", table)
+        for index, inner in enumerate(value):
+            _flatten_into(table, f"{path}.{index}", inner)
     elif isinstance(value, list):
-        table[path] = ",".join(_scalar_text(one).replace(" ", "_").replace(",", "_") for one in value)
+        table[path] = ",".join(_list_item_text(item) for item in value)
     elif value is not None:
         table[path] = _scalar_text(value)
 
 
+def _list_item_text(value: object) -> str:
+    return _scalar_text(value).replace(" ", "_").replace(",", "_")
+
+
 def _scalar_text(value: object) -> str:
-    """A value alone stays as it is: a class is called in set-ups, and at servers, by its name as told."""
+    """The text of a single value. Names stay as they are: clients and servers know a class by its name."""
     if isinstance(value, bool):
         return "true" if value else "false"
     return str(value)
+
+
+def _quoted(value: object) -> str:
+    return ascii(value)[:_MAX_QUOTED]
--- a/fernweir/node/frames.py
+++ b/fernweir/node/frames.py
@@ -1,11 +1,11 @@
-"""The binary messages between a front node and media servers: a codec without I/O, strict and bounded.
+"""The binary messages between a front node and media servers: a strict, bounded codec without I/O.
 
     message   = length:2 type:1 session:8 parameters      length counts what follows it; big-endian
     parameter = code:1 length:2 value
 
-`Frames` takes bytes in any pieces and gives whole frames. Only `FrameError` leaves this module. A
-parameter that isn't known is passed over; a type that isn't, a length that doesn't fit or text that can't
-be read mean that the stream can't be trusted any more.
+`FrameReader` takes bytes in any pieces and returns complete frames. Only `FrameError` leaves this module. An
+unknown parameter is kept and ignored. After an unknown type, a length that does not fit, or text that cannot
+be decoded, the stream cannot be trusted any more.
 """
 
 from __future__ import annotations
@@ -16,12 +16,15 @@
 from enum import IntEnum
 
 MAX_FRAME_BYTES = 16 * 1024
+_LENGTH_BYTES = 2
 _HEADER = struct.Struct(">HBQ")
 _PARAMETER_HEADER = struct.Struct(">BH")
 _MAX_REPORT_VALUES = 16
 
 
-class Type(IntEnum):
+class FrameType(IntEnum):
+    """Types of messages, by the names that the platform's protocol gives them."""
+
     SETUP = 1
     PROGRESS = 6
     ANSWER = 9
@@ -34,7 +37,9 @@
     RATE = 60
 
 
-class Code(IntEnum):
+class ParameterCode(IntEnum):
+    """Parameters of messages, by the names that the platform's protocol gives them."""
+
     CLASS = 3
     WAIT = 6
     TITLE = 15
@@ -46,7 +51,7 @@
     DESCRIPTION = 48
 
 
-_TYPES_BY_NUMBER = {int(one): one for one in Type}
+_TYPES_BY_NUMBER = {int(frame_type): frame_type for frame_type in FrameType}
 
 
 class FrameError(ValueError):
@@ -55,72 +60,136 @@
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """`session` is the id as 16 hex digits."""
+    """One message.
 
-    type: Type
+    Attributes:
+        type: What the message says.
+        session: Id of its session, as 16 hex digits.
+        parameters: Values by code; codes that are not in `ParameterCode` may be among them.
+    """
+
+    type: FrameType
     session: str
     parameters: dict[int, bytes] = field(default_factory=dict)
 
     @property
     def cause(self) -> int | None:
-        value = self.parameters.get(Code.CAUSE)
+        """The cause, from 0 to 255; None if there is none.
+
+        Raises:
+            FrameError: It is not one byte.
+        """
+        value = self.parameters.get(ParameterCode.CAUSE)
         if value is None:
             return None
         if len(value) != 1:
             raise FrameError("a cause that is not one byte")
         return value[0]
 
-    def text(self, code: Code) -> str:
+    def text_parameter(self, code: ParameterCode) -> str:
+        """Returns a parameter as text; empty if it is absent.
+
+        Raises:
+            FrameError: It is not UTF-8.
+        """
         try:
             return self.parameters.get(code, b"").decode()
         except UnicodeDecodeError:
             raise FrameError(f"parameter {code} is no text") from None
 
-    def number(self, code: Code) -> float:
-        return _parse_number(self.text(code))
+    def number_parameter(self, code: ParameterCode) -> float:
+        """Returns a parameter as a finite number.
+
+        Raises:
+            FrameError: It is absent or no finite number.
+        """
+        return _parse_number(self.text_parameter(code))
 
     def load_report(self) -> dict[str, float]:
-        """The load report, as in `x0:0.12;x1:0.4`; empty where there is none."""
-        text, found = self.text(Code.REPORT), {}
-        parts = [part for part in text.split(";") if part]
+        """Returns the load report, as in `x0:0.12;x1:0.4`, by name; empty if there is none.
+
+        Raises:
+            FrameError: It cannot be read, or has too many values.
+        """
+        parts = [part for part in self.text_parameter(ParameterCode.REPORT).split(";") if part]
         if len(parts) > _MAX_REPORT_VALUES:
             raise FrameError("a report of too many values")
+        report: dict[str, float] = {}
         for part in parts:
             name, colon, value = part.partition(":")
             if not colon:
                 raise FrameError("a report without figures")
-            found[name] = _parse_number(value)
-        return found
+            report[name] = _parse_number(value)
+        return report
 
 
 class FrameReader:
-    """Cuts a stream into frames. What isn't whole is kept, up to the bound."""
+    """Splits a stream into frames. An incomplete frame is kept, up to the limit.
+
+    Attributes:
+        complete_frames: The frames that the last call of `feed` completed, also if it raised.
+    """
 
     def __init__(self) -> None:
         self._pending = bytearray()
+        self.complete_frames: list[Frame] = []
 
     def feed(self, data: bytes | memoryview) -> list[Frame]:
-        """FrameError once anything can't be read; what came before it in the same bytes is in `.read`."""
+        """Takes bytes of the stream.
+
+        Returns:
+            The complete frames.
+
+        Raises:
+            FrameError: Something cannot be read. The frames before it are in `complete_frames`; the reader
+                must not be used again.
+        """
         self._pending += data
-        self.complete_frames: list[Frame] = []
-        at, rest = 0, self._pending
-        while len(rest) - at >= 2:
-            length = rest[at] << 8 | rest[at + 1]
-            if not _HEADER.size - 2 <= length <= MAX_FRAME_BYTES - 2:
-                raise FrameError(f"a length of {length}")
-            if len(rest) - at >= 3 and rest[at + 2] not in _TYPES_BY_NUMBER:
-                raise FrameError(f"unknown type {rest[at + 2]}")
-            if len(rest) - at < 2 + length:
+        self.complete_frames = []
+        at, pending = 0, self._pending
+        while len(pending) - at >= _LENGTH_BYTES:
+            length = int.from_bytes(pending[at : at + _LENGTH_BYTES], "big")
+            _check_length(length)
+            if len(pending) - at > _LENGTH_BYTES:
+                _check_type(pending[at + _LENGTH_BYTES])
+            if len(pending) - at < _LENGTH_BYTES + length:
                 break
-            self.complete_frames.append(_decode_frame(bytes(rest[at : at + 2 + length])))
-            at += 2 + length
-        del rest[:at]
+            end = at + _LENGTH_BYTES + length
+            self.complete_frames.append(_decode_frame(bytes(pending[at:end])))
+            at = end
+        del pending[:at]
         return self.complete_frames
 
 
+def encode_frame(frame: Frame) -> bytes:
+    """Encodes a message.
+
+    Raises:
+        FrameError: It would be longer than `MAX_FRAME_BYTES`.
+    """
+    parameters = b"".join(
+        _PARAMETER_HEADER.pack(code, len(value)) + value for code, value in frame.parameters.items()
+    )
+    size_bytes = _HEADER.size + len(parameters)
+    if size_bytes > MAX_FRAME_BYTES:
+        raise FrameError("a message of over 16 KiB")
+    return _HEADER.pack(size_bytes - _LENGTH_BYTES, frame.type, int(frame.session, 16)) + parameters
+
+
+def _check_length(length: int) -> None:
+    if not _HEADER.size - _LENGTH_BYTES <= length <= MAX_FRAME_BYTES - _LENGTH_BYTES:
+        raise FrameError(f"a length of {length}")
+
+
+def _check_type(number: int) -> None:
+    if number not in _TYPES_BY_NUMBER:
+        raise FrameError(f"unknown type {number}")
+
+
 def _decode_frame(data: bytes) -> Frame:
-    _, kind, session = _HEADER.unpack_from(data)
-    at, found = _HEADER.size, {}
+    _, type_number, session = _HEADER.unpack_from(data)
+    at = _HEADER.size
+    parameters: dict[int, bytes] = {}
     while at < len(data):
         if at + _PARAMETER_HEADER.size > len(data):
             raise FrameError("a parameter cut short")
@@ -128,20 +197,11 @@
         at += _PARAMETER_HEADER.size
         if at + length > len(data):
             raise FrameError("a parameter longer than its message")
-        if code in found:
+        if code in parameters:
             raise FrameError("a parameter that comes twice")
-        found[code] = data[at : at + length]
+        parameters[code] = data[at : at + length]
         at += length
-    return Frame(_TYPES_BY_NUMBER[kind], f"{session:016x}", found)
-
-
-def encode_frame(frame: Frame) -> bytes:
-    body = b"".join(
-        _PARAMETER_HEADER.pack(code, len(value)) + value for code, value in frame.parameters.items()
-    )
-    if _HEADER.size + len(body) > MAX_FRAME_BYTES:
-        raise FrameError("a message of over 16 KiB")
-    return _HEADER.pack(_HEADER.size - 2 + len(body), frame.type, int(frame.session, 16)) + body
+    return Frame(_TYPES_BY_NUMBER[type_number], f"{session:016x}", parameters)
 
 
 def _parse_number(text: str) -> float:
--- a/fernweir/node/logs.py
+++ b/fernweir/node/logs.py
@@ -1,4 +1,4 @@
-"""The log of a node: one line an event on standard error, and no more lines a second than can be read."""
+"""The log of a node: one JSON object a line on standard error, with a limit on the lines in a second."""
 
 from __future__ import annotations
 
@@ -13,33 +13,55 @@
 
 
 class NodeLog:
-    """The methods of a structured logger that the front uses, without its packages."""
+    """The methods of a structured logger that the front uses, without its packages.
+
+    Of more than 50 lines in a second only errors are written; the next line that is written counts those
+    left out, in `lines_left_out`.
+
+    Args:
+        node_name: Stands in every line.
+        stream: Where the lines go; standard error if none is given.
+        wall_clock: Returns Unix time in seconds.
+    """
 
     def __init__(
-        self, name: str, stream: TextIO | None = None, wall_clock: Callable[[], float] = time.time
+        self, node_name: str, stream: TextIO | None = None, wall_clock: Callable[[], float] = time.time
     ) -> None:
-        self._name, self._stream, self._wall_clock = name, stream or sys.stderr, wall_clock
-        self._second, self._lines_this_second, self._lines_left_out = 0, 0, 0
+        self._node_name = node_name
+        self._stream = stream or sys.stderr
+        self._wall_clock = wall_clock
+        self._current_second = 0
+        self._lines_this_second = 0
+        self._lines_left_out = 0
 
     def info(self, event: str, **fields: object) -> None:
+        """Writes a line about normal operation."""
         self._write("info", event, fields)
 
     def warning(self, event: str, **fields: object) -> None:
+        """Writes a line about something unexpected that the node copes with."""
         self._write("warning", event, fields)
 
     def error(self, event: str, **fields: object) -> None:
+        """Writes a line about a fault, whatever the limit."""
         self._write("error", event, fields)
 
     def _write(self, level: str, event: str, fields: dict[str, object]) -> None:
-        now = self._wall_clock()
-        if int(now) != self._second:
+        now_s = self._wall_clock()
+        if int(now_s) != self._current_second:
             if self._lines_left_out:
                 fields = {**fields, "lines_left_out": self._lines_left_out}
-            self._second, self._lines_this_second, self._lines_left_out = int(now), 0, 0
+            self._begin_second(int(now_s))
         if self._lines_this_second >= _MAX_LINES_PER_SECOND and level != "error":
             self._lines_left_out += 1
             return
         self._lines_this_second += 1
-        line = {"at": round(now, 3), "node": self._name, "level": level, "event": event, **fields}
-        with suppress(OSError):  # whoever read it is gone, or its disk is full: no request is to pay for that
+        line = {"at": round(now_s, 3), "node": self._node_name, "level": level, "event": event, **fields}
+        # The reader may be gone, or its disk full: no request may fail for that.
+        with suppress(OSError):
             print(json.dumps(line, default=str), file=self._stream, flush=True)
+
+    def _begin_second(self, second: int) -> None:
+        self._current_second = second
+        self._lines_this_second = 0
+        self._lines_left_out = 0
--- a/fernweir/node/peering.py
+++ b/fernweir/node/peering.py
@@ -1,7 +1,7 @@
-"""A node among its peers: loaded only where `FERNWEIR_PEERS` names a settings file. A thin shell.
+"""A node among its peers; loaded only where `FERNWEIR_PEERS` names a settings file. A thin shell.
 
-Media servers of the platform know no fences, so nodes have no channels: a session stays with the node that
-placed it. Peers see what a node does and by which versions, and keep its record.
+The platform's media servers know no fences, so nodes have no channels: a session stays with the node that
+placed it. Peers see what a node does and its versions, and replicate its audit log.
 """
 
 from __future__ import annotations
@@ -28,34 +28,50 @@
 from fernweir.peers.program import Beginning, Peers, read_keys
 from fernweir.peers.settings import first_versions, link_rules, peer_rules
 
-_STATUS_BY_STATE = {ServerState.READY: "up", ServerState.DRAINING: "draining"}
-_NODE_SPECIFIC_SETTINGS = ("ordinal",)  # of the platform's settings: what differs from node to node
-_DESCRIPTORS_PER_PEER_CONNECTION = (
-    24  # of all descriptors, to peers that are called, and as many to those that call
-)
+_DRAINING = "draining"
+_STATUS_BY_STATE = {ServerState.READY: "up", ServerState.DRAINING: _DRAINING}
+_NODE_SPECIFIC_SETTINGS = ("ordinal",)
+# One descriptor in so many may be a connection to a peer, and as many more one from a peer.
+_DESCRIPTORS_PER_PEER_CONNECTION = 24
+_MIN_PEER_CONNECTIONS = 2
+_MAX_QUOTED_NAME = 80
+_SHORT_NUMBER_SHIFT = 33  # of 64 bits, 31 are left
 
 
 @dataclass(frozen=True, slots=True)
 class PeersFile:
-    """What the settings file says: the section as it was read, as it stands in the file, and the keys."""
+    """What the settings file of the peers says.
+
+    Attributes:
+        section: The section as it was read.
+        section_text: The section's values as they stand in the file.
+        keys: The keys of the fleet.
+    """
 
     section: PeersSection
     section_text: dict[str, str]
     keys: list[bytes]
 
 
-def read_peers_file(path: Path, name: str) -> PeersFile:
-    """ConfigError names all that is wrong, a line each; `name` is the node's."""
+def read_peers_file(path: Path, node_name: str) -> PeersFile:
+    """Reads the settings file of the peers.
+
+    Args:
+        path: The file.
+        node_name: The node's name, which has to be the name of a peer, too.
+
+    Raises:
+        ConfigError: The file cannot be used; the text says what is wrong, one line for each mistake.
+    """
     try:
         file = ini.read_file(path)
         reader = ini.Reader(file)
         section = reader.take("peers", PeersSection)
         if section is not None:
             check_peers(reader, section, path.parent)
-        try:
-            TypeAdapter(PeerName).validate_python(name)
-        except ValidationError:
-            reader.wrong("peers", "", f"the node's name is none for a peer: {name[:80]!r}")
+        if not _is_peer_name(node_name):
+            quoted = repr(node_name[:_MAX_QUOTED_NAME])
+            reader.wrong("peers", "", f"the node's name is none for a peer: {quoted}")
         reader.finish()
         assert section is not None
         return PeersFile(section, file.sections["peers"], read_keys(section, path.parent))
@@ -63,130 +79,170 @@
         raise ConfigError(str(error)) from None
 
 
-async def start_peers(core: Dispatcher, feed: EndpointFeed, config: NodeConfig, file: PeersFile) -> Peers:
-    """Listens and joins, before the node takes its list. OSError if the address can't be had."""
-    offset_ms = (time.time() - core.loop.time()) * 1000.0
+def _is_peer_name(name: str) -> bool:
+    try:
+        TypeAdapter(PeerName).validate_python(name)
+    except ValidationError:
+        return False
+    return True
+
+
+async def start_peers(
+    dispatcher: Dispatcher, feed: EndpointFeed, config: NodeConfig, file: PeersFile
+) -> Peers:
+    """Listens for peers and joins them; to be called before the node applies its endpoint list.
+
+    Raises:
+        OSError: The address cannot be listened on.
+    """
+    offset_ms = (time.time() - dispatcher.loop.time()) * 1000.0
 
     def wall_ms() -> float:
-        return core.now() + offset_ms
+        return dispatcher.now() + offset_ms
 
-    section, most = file.section, max(config.max_descriptors // _DESCRIPTORS_PER_PEER_CONNECTION, 2)
-    begin = Beginning(
+    section = file.section
+    max_connections = max(config.max_descriptors // _DESCRIPTORS_PER_PEER_CONNECTION, _MIN_PEER_CONNECTIONS)
+    texts = {"peers": file.section_text, "platform": _platform_settings(config)}
+    beginning = Beginning(
         name=config.name,
         seed=config.seed,
         section=section,
         keys=file.keys,
-        versions=first_versions(
-            section, {"peers": file.section_text, "platform": _platform_settings(config)}, ()
-        ),
+        versions=first_versions(section, texts, ()),
         rules=peer_rules(section, channels=False),
-        links=replace(link_rules(section), connections=most, half_open=most),
+        links=replace(link_rules(section), connections=max_connections, half_open=max_connections),
     )
-    return await Peers.start(core, NodePort(core, feed, wall_ms), begin, wall_ms)
+    return await Peers.start(dispatcher, NodePort(dispatcher, feed, wall_ms), beginning, wall_ms)
 
 
 def short_server_number(server: int) -> int:
-    """A server's number in acts: the first 31 bits of its name's."""
-    return server >> 33
+    """A server's number in audit records: the first 31 bits of its 64."""
+    return server >> _SHORT_NUMBER_SHIFT
 
 
 class ListedServers:
-    """The servers that the feed names now, as it said it. No I/O."""
+    """The servers on the endpoint list, as the feed describes them. No I/O.
+
+    Args:
+        feed: Knows addresses, names, and since when a server has its status.
+    """
 
     def __init__(self, feed: EndpointFeed) -> None:
         self._feed = feed
         self._rows_by_server: dict[int, list[Any]] = {}
 
     def on_endpoint_list(self, update: EndpointListUpdate) -> None:
+        """Applies an update of the list."""
         if update.kind is not EndpointListKind.DELTA:
             self._rows_by_server.clear()
-        for one in update.entries:
-            if one.state is ServerState.REMOVED:
-                self._rows_by_server.pop(one.server, None)
-            else:
-                self._rows_by_server[one.server] = [
-                    _STATUS_BY_STATE[one.state],
-                    self._feed.status_since_ms[one.server],
-                    *self._feed.addresses[one.server],
-                    one.zone,
-                    one.server_type,
-                    one.weight,
-                ]
-
-    def boxes(self) -> list[int]:
+        for endpoint in update.entries:
+            server = endpoint.server
+            if endpoint.state is ServerState.REMOVED:
+                self._rows_by_server.pop(server, None)
+                continue
+            self._rows_by_server[server] = [
+                _STATUS_BY_STATE[endpoint.state],
+                self._feed.status_since_ms[server],
+                *self._feed.addresses[server],
+                endpoint.zone,
+                endpoint.server_type,
+                endpoint.weight,
+            ]
+
+    def server_numbers(self) -> list[int]:
+        """The numbers of all servers on the list."""
         return list(self._rows_by_server)
 
     def list_rows(self) -> list[tuple[int, Any]]:
+        """The content of the list: each server's number, and its row."""
         return list(self._rows_by_server.items())
 
     def draining(self) -> set[int]:
-        return {server for server, row in self._rows_by_server.items() if row[0] == "draining"}
+        """The numbers of the servers that are draining."""
+        return {server for server, row in self._rows_by_server.items() if row[0] == _DRAINING}
 
-    def named(self, box: int) -> tuple[int, str]:
-        return short_server_number(box), f" at {self._feed.names.get(box, '')}"
+    def named(self, server: int) -> tuple[int, str]:
+        """A server's number in audit records, and what they add to say which server it is."""
+        return short_server_number(server), f" at {self._feed.names.get(server, '')}"
 
 
 class NodePort(Acting):
-    """Implements `peers.port.Port` without channels: nothing is handed on, taken over or claimed."""
+    """Implements `peers.port.Port` without channels: no session is handed over, taken over or claimed."""
 
-    def __init__(self, core: Dispatcher, feed: EndpointFeed, wall_ms: Callable[[], float]) -> None:
+    def __init__(self, dispatcher: Dispatcher, feed: EndpointFeed, wall_ms: Callable[[], float]) -> None:
         self._listed_servers = ListedServers(feed)
-        super().__init__(core, self._listed_servers, wall_ms)
+        super().__init__(dispatcher, self._listed_servers, wall_ms)
 
     def on_endpoint_list(self, now: float, update: EndpointListUpdate) -> None:
+        """Applies the update, then tells the peers."""
         self._listed_servers.on_endpoint_list(update)
         super().on_endpoint_list(now, update)
 
     def standing(self) -> list[Standing]:
+        """Nothing: no session can be handed over."""
         return []
 
     def racks(self) -> list[tuple[str, frozenset[int], float]]:
+        """Nothing: nodes report no racks to their peers."""
         return []
 
     def boxes(self) -> list[int]:
-        return self._listed_servers.boxes()
+        """The numbers of all servers on the list."""
+        return self._listed_servers.server_numbers()
 
     def payload(self, digest: bytes) -> bytes | None:
+        """Nothing: no session can be handed over."""
         return None
 
     def list_document(self) -> bytes:
+        """Nothing: the control feed is the only source of the list."""
         return b""
 
     def take_list(self, now: float, data: bytes, digest: bytes) -> bool:
-        return False  # the control feed is the one source of the list
+        """Refuses a peer's list: the control feed is the only source of it."""
+        return False
 
     def take_over(self, now: float, standing: Standing, payload: bytes | None) -> bool:
+        """Refuses a peer's session."""
         return False
 
     def ended(self, now: float, session: str, attempt: int) -> None:
-        """Nothing was taken over."""
+        """Does nothing: no session was taken over."""
 
     def let_go(self, now: float, session: str) -> bool:
+        """Refuses to hand a session over."""
         return False
 
     def release(
         self, now: float, box: int, session: str, attempt: int, why: str, under: tuple[str, int]
     ) -> None:
-        """Servers know no fence to release by."""
+        """Does nothing: servers know no fence to release a peer's session by."""
 
     def carry(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
+        """Answers a peer's request for a session at once: there is none."""
         then(self._core.now(), Carried(request.number, "none"))
 
     def claim(
-        self, box: int, channel: str, fence: int, overlap_ms: float,
-        then: Callable[[float, Claimed], None], adopt: Sequence[tuple[str, int]] = (),
-    ) -> None:  # fmt: skip
+        self,
+        box: int,
+        channel: str,
+        fence: int,
+        overlap_ms: float,
+        then: Callable[[float, Claimed], None],
+        adopt: Sequence[tuple[str, int]] = (),
+    ) -> None:
+        """Reports that the server was not reached: it knows no channels."""
         asyncio.get_running_loop().call_soon(lambda: then(self._core.now(), Claimed(box, reached=False)))
 
 
 def _platform_settings(config: NodeConfig) -> dict[str, str]:
-    """The platform's settings that all nodes have alike, by name."""
+    """The platform's settings that all nodes have alike, as text by their stored names."""
     stored = BY_CLASS[type(config.settings)]
     pairs = zip(stored.names, stored.attributes, strict=True)
-    said = {name: stored_text(getattr(config.settings, attribute)) for name, attribute in pairs}
-    said |= {
+    texts = {name: stored_text(getattr(config.settings, attribute)) for name, attribute in pairs}
+    texts |= {
         "kinds": repr(config.server_types),
         "connect_ms": repr(config.connect_timeout_ms),
         "idle_ms": repr(config.idle_timeout_ms),
     }
-    return {name: value for name, value in said.items() if name not in _NODE_SPECIFIC_SETTINGS}
+    return {name: text for name, text in texts.items() if name not in _NODE_SPECIFIC_SETTINGS}
--- a/fernweir/node/program.py
+++ b/fernweir/node/program.py
@@ -43,7 +43,7 @@
         limits = SessionLimits(reply_margin_ms=0.0, unclaimed_session_ttl_ms=0.0)
         self.core = Dispatcher(SessionManager(config.settings, config.seed, limits), log=log)
         offset_ms = (time.time() - loop.time()) * 1000.0
-        self.feed = EndpointFeed(config.settings, config.server_types, offset_ms)
+        self.feed = EndpointFeed(config.server_types, offset_ms)
         shares = Shares(config.max_descriptors)
         self.servers = Servers(self.core, self.feed, config, shares)
         self.viewers = Viewers(self.core, SetUpParser(config.settings), self.servers, Door(shares.viewers))
--- a/fernweir/node/requests.py
+++ b/fernweir/node/requests.py
@@ -1,101 +1,169 @@
-"""What a viewer's set-up says, checked against the settings. No I/O."""
+"""Parses set-ups of clients and checks them against the settings. No I/O."""
 
 from __future__ import annotations
 
 import math
 import re
+from dataclasses import dataclass
+from typing import NamedTuple
 
 from fernweir.front.commands import SessionRequest
 from fernweir.front.names import number_of
-from fernweir.interface import Settings
+from fernweir.interface import SessionClass, Settings
 from fernweir.node.jsonl import FieldValue, LineError, Message
 
 PROTOCOL_NAME = "platform"
 _KEY = re.compile(r"[0-9a-f]{16}")
-_MAX_WAIT_IN_DEADLINES = (
-    2.0  # a viewer may wait a little over its class's deadline; this many times it is a mistake
-)
 _COUNT = re.compile(r"[0-9]{1,9}")
+_NO_VIEWER = "0" * 16
+# A client may wait a little longer than the deadline of its class; this many times as long is a mistake.
+_MAX_WAIT_IN_DEADLINES = 2.0
+
+
+class ParsedSetUp(NamedTuple):
+    """A set-up that passed all checks.
+
+    Attributes:
+        request: What the client asks for.
+        current_server: Name of the server that already plays the session; empty for a new session.
+    """
+
+    request: SessionRequest
+    current_server: str
+
+
+class _Placement(NamedTuple):
+    """Which zones hold the title, and the highest rung."""
+
+    first_zone: int
+    replicas: int
+    top_rung: int
 
 
 class SetUpParser:
+    """Turns messages of the type `setup` into session requests.
+
+    Args:
+        settings: Classes, zones and rungs that a set-up may name.
+    """
+
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
-        self._classes = {one.name: place for place, one in enumerate(settings.classes)}
-
-    def parse(self, message: Message, ticket: int) -> tuple[SessionRequest, str]:
-        """What is asked, and the server it plays at already, or none. LineError says what is wrong."""
-        id, fields, settings = message.id, message.fields, self._settings
-        extras = _parse_extras(id, fields.get("extras"))
-        at = extras.get("at", "")
-        cls = self._classes.get(_text_or_empty(fields.get("class")))
-        if cls is None:
-            raise LineError("no known class", id)
-        title = _text_or_empty(fields.get("key"))
-        if not _KEY.fullmatch(title):
-            raise LineError("key is no title", id)
-        kind = settings.classes[cls]
-        left = _parse_number(fields.get("left"))
-        if not at and not 0.0 < left <= _MAX_WAIT_IN_DEADLINES * kind.deadline_ms:
-            raise LineError(f"left is out of range: {str(fields.get('left'))[:20]}", id)
-        if message.sdp is None and not at:
-            raise LineError("a set-up without a description", id)
-        home, copies = _parse_count(id, extras, "home"), _parse_count(id, extras, "copies")
-        top = _parse_count(id, extras, "top", len(settings.rung_rates_kbyte_s) - 1)
-        if (
-            home >= settings.zone_count
-            or not 1 <= copies <= settings.zone_count
-            or top >= len(settings.rung_rates_kbyte_s)
-        ):
-            raise LineError("extras are out of range", id)
-        viewer = extras.get("viewer", "0" * 16)
+        self._class_indexes = {
+            session_class.name: index for index, session_class in enumerate(settings.classes)
+        }
+
+    def parse(self, message: Message, ticket: int) -> ParsedSetUp:
+        """Parses one set-up.
+
+        Args:
+            message: A message of the type `setup`.
+            ticket: The dispatcher's number for the request.
+
+        Raises:
+            LineError: The set-up cannot be used; the text says why.
+        """
+        extras = _Extras.parse(message)
+        current_server = extras.values.get("at", "")
+        class_index = self._parse_class(message)
+        session_class = self._settings.classes[class_index]
+        title_name = _parse_title(message)
+        max_wait_ms = _parse_max_wait(message, session_class, is_playing=bool(current_server))
+        if message.sdp is None and not current_server:
+            raise LineError("a set-up without a description", message.id)
+        placement = self._parse_placement(extras)
+        viewer = extras.values.get("viewer", _NO_VIEWER)
         if not _KEY.fullmatch(viewer):
-            raise LineError("viewer is no key", id)
-        ask = SessionRequest(
+            raise LineError("viewer is no key", message.id)
+        request = SessionRequest(
             ticket=ticket,
             protocol=PROTOCOL_NAME,
-            session_id=id,
+            session_id=message.id,
             subject=viewer,
-            title_name=title,
-            title=number_of(title),
-            first_zone=home,
-            replicas=copies,
-            class_index=cls,
-            top_rung=top,
-            max_wait_ms=left if math.isfinite(left) else kind.deadline_ms,
+            title_name=title_name,
+            title=number_of(title_name),
+            first_zone=placement.first_zone,
+            replicas=placement.replicas,
+            class_index=class_index,
+            top_rung=placement.top_rung,
+            max_wait_ms=max_wait_ms,
             viewer_key=int(viewer, 16),
-            is_returning=extras.get("again") == "1",
+            is_returning=extras.values.get("again") == "1",
             body=(message.sdp or "").encode(),
         )
-        return ask, at
+        return ParsedSetUp(request, current_server)
+
+    def _parse_class(self, message: Message) -> int:
+        class_index = self._class_indexes.get(_text_or_empty(message.fields.get("class")))
+        if class_index is None:
+            raise LineError("no known class", message.id)
+        return class_index
+
+    def _parse_placement(self, extras: _Extras) -> _Placement:
+        zone_count = self._settings.zone_count
+        rung_count = len(self._settings.rung_rates_kbyte_s)
+        placement = _Placement(
+            first_zone=extras.count("home"),
+            replicas=extras.count("copies"),
+            top_rung=extras.count("top", default=rung_count - 1),
+        )
+        has_valid_zones = placement.first_zone < zone_count and 1 <= placement.replicas <= zone_count
+        if not has_valid_zones or placement.top_rung >= rung_count:
+            raise LineError("extras are out of range", extras.session_id)
+        return placement
+
+
+@dataclass(frozen=True, slots=True)
+class _Extras:
+    """The field `extras`, as in `home:0;copies:4`, by name."""
+
+    session_id: str
+    values: dict[str, str]
+
+    @classmethod
+    def parse(cls, message: Message) -> _Extras:
+        values: dict[str, str] = {}
+        for part in _text_or_empty(message.fields.get("extras")).split(";"):
+            if not part:
+                continue
+            name, colon, value = part.partition(":")
+            if not colon or name in values:
+                raise LineError("extras can't be read", message.id)
+            values[name] = value
+        return cls(message.id, values)
+
+    def count(self, name: str, default: int | None = None) -> int:
+        text = self.values.get(name)
+        if text is None and default is not None:
+            return default
+        if text is None or not _COUNT.fullmatch(text):
+            raise LineError(f"{name} is no count", self.session_id)
+        return int(text)
+
+
+def _parse_title(message: Message) -> str:
+    title_name = _text_or_empty(message.fields.get("key"))
+    if not _KEY.fullmatch(title_name):
+        raise LineError("key is no title", message.id)
+    return title_name
+
+
+def _parse_max_wait(message: Message, session_class: SessionClass, is_playing: bool) -> float:
+    """How long the client waits for its answer, in ms; nobody waits for that of a session that plays."""
+    field = message.fields.get("left")
+    max_wait_ms = _number_or_nan(field)
+    longest_ms = _MAX_WAIT_IN_DEADLINES * session_class.deadline_ms
+    if not is_playing and not 0.0 < max_wait_ms <= longest_ms:
+        raise LineError(f"left is out of range: {str(field)[:20]}", message.id)
+    return max_wait_ms if math.isfinite(max_wait_ms) else session_class.deadline_ms
 
 
 def _text_or_empty(value: FieldValue | None) -> str:
     return value if isinstance(value, str) else ""
 
 
-def _parse_number(value: FieldValue | None) -> float:
+def _number_or_nan(value: FieldValue | None) -> float:
     try:
         return float(value) if value is not None else math.nan
     except ValueError:
         return math.nan
-
-
-def _parse_extras(id: str, value: FieldValue | None) -> dict[str, str]:
-    found: dict[str, str] = {}
-    for part in _text_or_empty(value).split(";"):
-        name, colon, figure = part.partition(":")
-        if part and (not colon or name in found):
-            raise LineError("extras can't be read", id)
-        if part:
-            found[name] = figure
-    return found
-
-
-def _parse_count(id: str, extras: dict[str, str], name: str, absent: int | None = None) -> int:
-    text = extras.get(name)
-    if text is None and absent is not None:
-        return absent
-    if text is None or not _COUNT.fullmatch(text):
-        raise LineError(f"{name} is no count", id)
-    return int(text)
--- a/fernweir/node/servers.py
+++ b/fernweir/node/servers.py
@@ -29,7 +29,7 @@
 from fernweir.node.config import Address, NodeConfig
 from fernweir.node.course import At, Course
 from fernweir.node.endpoint_feed import EndpointFeed
-from fernweir.node.frames import Code, Frame, FrameError, FrameReader, Type, encode_frame
+from fernweir.node.frames import Frame, FrameError, FrameReader, FrameType, ParameterCode, encode_frame
 from fernweir.node.limits import Remembered, Shares
 from fernweir.node.watch import EVERY_MS, Verdict, Watch, broke
 
@@ -146,7 +146,7 @@
         self._carry(link, attempt)
 
     def change_rung(self, command: ChangeRung) -> None:
-        rung = Frame(Type.RATE, command.session_id, {Code.RUNG: b"%d" % command.rung})
+        rung = Frame(FrameType.RATE, command.session_id, {ParameterCode.RUNG: b"%d" % command.rung})
         self._tell(command.server, command.session_id, rung)
 
     def release(self, command: ReleaseSession) -> None:
@@ -174,7 +174,9 @@
         self._tests += 1
         id = f"{self._tests:016x}"
         timer = self.core.loop.call_later(self.connect_s, self._test_over, link, id, Result.TIMEOUT)
-        test = Test(self.core.now(), timer, encode_frame(Frame(Type.PING, id, {Code.CAUSE: b"\0"})))
+        test = Test(
+            self.core.now(), timer, encode_frame(Frame(FrameType.PING, id, {ParameterCode.CAUSE: b"\0"}))
+        )
         link.tests[id] = test
         self._carry_test(link, test)
 
@@ -295,18 +297,18 @@
         now = self.core.now()
         left = command.timeout_ms - (now - attempt.sent_at)
         parameters: dict[int, bytes] = {
-            Code.CLASS: self._classes[ask.class_index],
-            Code.WAIT: b"%d" % max(ceil(left), 1),
-            Code.TITLE: ask.title_name.encode(),
-            Code.RUNG: b"%d" % command.rung,
-            Code.DESCRIPTION: ask.body,
+            ParameterCode.CLASS: self._classes[ask.class_index],
+            ParameterCode.WAIT: b"%d" % max(ceil(left), 1),
+            ParameterCode.TITLE: ask.title_name.encode(),
+            ParameterCode.RUNG: b"%d" % command.rung,
+            ParameterCode.DESCRIPTION: ask.body,
         }
         broke = [one for other in link.conns if not other.usable for one in other.unheard(now)]
         for letter in [one for one in (*link.letters, *broke) if one.session == jti]:
             conn.say(letter)
         link.letters = [one for one in link.letters if one.session != jti]
         # What didn't leave never ran: it looks for a new connection when this one's end is told.
-        attempt.written = conn.write(encode_frame(Frame(Type.SETUP, jti, parameters)))
+        attempt.written = conn.write(encode_frame(Frame(FrameType.SETUP, jti, parameters)))
         if attempt.written:
             link.stays[jti] = Stay(conn, now)
 
@@ -377,21 +379,26 @@
 
     def said(self, conn: Connection, frame: Frame) -> None:
         link, id, now = conn.link, frame.session, self.core.now()
-        if frame.type is Type.PONG:
+        if frame.type is FrameType.PONG:
             result = Result.OK if frame.cause == 1 else Result.ERROR
             self._test_over(link, id, result, frame.load_report())
-        elif frame.type is Type.ANSWER:
+        elif frame.type is FrameType.ANSWER:
             attempt = self._meant(conn, id)
             if attempt is not None:
-                if Code.DESCRIPTION not in frame.parameters:
+                if ParameterCode.DESCRIPTION not in frame.parameters:
                     raise FrameError("an answer without a description")
                 took = now - attempt.sent_at
-                end = SetUpResult(Result.OK, took, frame.load_report(), frame.text(Code.DESCRIPTION))
+                end = SetUpResult(
+                    Result.OK, took, frame.load_report(), frame.text_parameter(ParameterCode.DESCRIPTION)
+                )
                 self._finish(link, attempt, end)
-        elif frame.type is Type.RELEASE:
+        elif frame.type is FrameType.RELEASE:
             self._released(conn, frame)
-        elif frame.type is Type.NOTE:
-            kind, level = _NOTES.get(frame.text(Code.NOTE)), frame.number(Code.LEVEL)
+        elif frame.type is FrameType.NOTE:
+            kind, level = (
+                _NOTES.get(frame.text_parameter(ParameterCode.NOTE)),
+                frame.number_parameter(ParameterCode.LEVEL),
+            )
             held = self.core.sessions.session(id)
             if kind is not None and held is not None and held.server == link.server:
                 self.core.sessions.on_server_notice(now, id, held.attempt, kind, level)
@@ -675,7 +682,7 @@
 
 
 def _given_up(id: str) -> Frame:
-    return Frame(Type.RELEASE, id, {Code.CAUSE: bytes((_GIVEN_UP,))})
+    return Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((_GIVEN_UP,))})
 
 
 class Connection(Shell):
@@ -768,7 +775,7 @@
         return self.usable
 
     def say(self, frame: Frame) -> None:
-        if frame.type is Type.RELEASE:
+        if frame.type is FrameType.RELEASE:
             self._said.append((self.servers.core.now(), frame))
         self.write(encode_frame(frame))
 
--- a/fernweir/node/settings.py
+++ b/fernweir/node/settings.py
@@ -1,7 +1,7 @@
-"""Which settings a node can use, and what zero means. No I/O.
+"""Checks which settings a node can use, and gives zero its meaning. No I/O.
 
-The parser of the simulator's wire is handed what the simulator made. A node's configuration is a file: what
-can't be used in it has to end the start with the setting's name, not some request later with a fault.
+The parser of the simulator's wire reads what the simulator wrote. A node's configuration is a file: a value
+that cannot be used has to end the start with the name of its setting, and must not fail a request later.
 """
 
 from __future__ import annotations
@@ -13,149 +13,228 @@
 
 from fernweir.interface import SessionClass, Settings
 
-# How large a number may be: as wide as the wire carries it, else whatever a float counts exactly.
-_MOST, _WORD, _PLACES, _BYTE = 2.0**53, 2.0**32 - 1.0, 2.0**16, 255.0
-_NUMBERS = {
-    "Instances": _WORD, "Ordinal": _WORD, "Period": _MOST,
-    "Extra.Cells": _PLACES, "Extra.Groups": _PLACES, "Extra.WeightKb": _MOST, "Extra.UplinkKb": _MOST,
-    "Extra.SwitchCostS": _MOST, "Extra.SeenAfter": _MOST, "Extra.Tell": _MOST,
-    "Limits.AttemptsCap": _MOST, "Limits.MaxRetryAfter": _MOST, "Limits.ConnectTimeout": _MOST,
-    "Limits.ConnIdle": _MOST, "Obligations.AnswerSlack": _MOST, "Obligations.DrainGrace": _MOST,
-    "Obligations.WarmUp": _MOST, "Obligations.ColdFrom": 1.0, "Obligations.FallMultiple": _MOST,
-    "Obligations.Fall": _MOST, "Obligations.BudgetSpan": _MOST, "Obligations.FreeResends": _MOST,
-    "Obligations.ExtraShare": _MOST,
-}  # fmt: skip
-_OF_CLASSES = {"Aim": _MOST, "Deadline": _MOST, "Gain": _MOST}
-_LISTS = {
-    "Extra.RatesKb": _MOST, "Extra.LevelWorth": _MOST, "Extra.KindSlots": _MOST, "Extra.ClassScale": _MOST,
-    "Extra.LowestRung": _BYTE, "Extra.ClassTop": _BYTE, "Extra.Seats": _MOST,
-}  # fmt: skip
+# The largest value of a number: as wide as the wire carries it, otherwise what a float counts exactly.
+_MAX_EXACT_FLOAT = 2.0**53
+_MAX_UINT32 = 2.0**32 - 1.0
+_MAX_ZONES = 2.0**16
+_MAX_BYTE = 255.0
+_MAX_CLASSES = 256
+_MAX_RUNGS = 256
+_MAX_QUOTED = 40  # characters of a value that an error shows
+
+_NUMBER_LIMITS = {
+    "Instances": _MAX_UINT32,
+    "Ordinal": _MAX_UINT32,
+    "Period": _MAX_EXACT_FLOAT,
+    "Extra.Cells": _MAX_ZONES,
+    "Extra.Groups": _MAX_ZONES,
+    "Extra.WeightKb": _MAX_EXACT_FLOAT,
+    "Extra.UplinkKb": _MAX_EXACT_FLOAT,
+    "Extra.SwitchCostS": _MAX_EXACT_FLOAT,
+    "Extra.SeenAfter": _MAX_EXACT_FLOAT,
+    "Extra.Tell": _MAX_EXACT_FLOAT,
+    "Limits.AttemptsCap": _MAX_EXACT_FLOAT,
+    "Limits.MaxRetryAfter": _MAX_EXACT_FLOAT,
+    "Limits.ConnectTimeout": _MAX_EXACT_FLOAT,
+    "Limits.ConnIdle": _MAX_EXACT_FLOAT,
+    "Obligations.AnswerSlack": _MAX_EXACT_FLOAT,
+    "Obligations.DrainGrace": _MAX_EXACT_FLOAT,
+    "Obligations.WarmUp": _MAX_EXACT_FLOAT,
+    "Obligations.ColdFrom": 1.0,
+    "Obligations.FallMultiple": _MAX_EXACT_FLOAT,
+    "Obligations.Fall": _MAX_EXACT_FLOAT,
+    "Obligations.BudgetSpan": _MAX_EXACT_FLOAT,
+    "Obligations.FreeResends": _MAX_EXACT_FLOAT,
+    "Obligations.ExtraShare": _MAX_EXACT_FLOAT,
+}
+_CLASS_NUMBER_LIMITS = {
+    "Aim": _MAX_EXACT_FLOAT,
+    "Deadline": _MAX_EXACT_FLOAT,
+    "Gain": _MAX_EXACT_FLOAT,
+}
+_LIST_LIMITS = {
+    "Extra.RatesKb": _MAX_EXACT_FLOAT,
+    "Extra.LevelWorth": _MAX_EXACT_FLOAT,
+    "Extra.KindSlots": _MAX_EXACT_FLOAT,
+    "Extra.ClassScale": _MAX_EXACT_FLOAT,
+    "Extra.LowestRung": _MAX_BYTE,
+    "Extra.ClassTop": _MAX_BYTE,
+    "Extra.Seats": _MAX_EXACT_FLOAT,
+}
 _FLAGS = ("Limits.MayProbe", "Limits.RetryAfter")
 _TEXTS = ("Discovery", "Feedback.Via")
-_NAMES = ("MachineTypes", "Feedback.Names")
+_NAME_LISTS = ("MachineTypes", "Feedback.Names")
 
 
 class SettingError(ValueError):
-    """A setting can't be used; the text names it."""
-
-
-def check_settings(told: dict[str, Any]) -> None:
-    """Names the first setting that is of another type, out of range, or at odds with another."""
-    for path, most in _NUMBERS.items():
-        for value in _found(told, path):
-            _number(path, value, most)
-    for path, most in _LISTS.items():
-        for value in _found(told, path):
-            # The simulator's text tells a list of one as its value alone.
-            for one in value if isinstance(value, list) else [value]:
-                _number(path, one, most)
-    for path in _FLAGS:
-        for value in _found(told, path):
-            if not isinstance(value, bool) and value not in ("true", "false"):
-                raise SettingError(f"{path} is neither true nor false: {_short(value)}")
+    """A setting cannot be used; the text names it."""
+
+
+def check_settings(raw_settings: dict[str, Any]) -> None:
+    """Checks each setting by itself, as the file gives it.
+
+    Raises:
+        SettingError: A setting has another type, or is out of range; the first one is named.
+    """
+    _check_numbers(raw_settings)
+    _check_number_lists(raw_settings)
+    _check_flags(raw_settings)
     for path in _TEXTS:
-        for value in _found(told, path):
-            _text(path, value)
-    for path in _NAMES:
-        for value in _found(told, path):
-            if not isinstance(value, list):
-                raise SettingError(f"{path} is no list of names: {_short(value)}")
-            for one in value:
-                _text(path, one)
-    _classes(told.get("Categories"))
-
-
-def _classes(told: object) -> None:
-    if not isinstance(told, list) or not 0 < len(told) <= _BYTE + 1:
-        raise SettingError(f"Categories is no list of classes: {_short(told)}")
-    names = set()
-    for place, one in enumerate(told):
-        where = f"Categories.{place}"
-        if not isinstance(one, dict):
-            raise SettingError(f"{where} is no class: {_short(one)}")
-        for key, most in _OF_CLASSES.items():
-            for value in _found(one, key):
-                _number(f"{where}.{key}", value, most)
-        for value in _found(one, "Idempotency"):
-            _text(f"{where}.Idempotency", value)
-        name = one.get("Name", "")
-        _text(f"{where}.Name", name)
-        if not name or name in names:
-            raise SettingError(f"{where}.Name is no name of its own: {_short(name)}")
-        names.add(name)
+        for value in _present_values(raw_settings, path):
+            _check_text(path, value)
+    _check_name_lists(raw_settings)
+    _check_classes(raw_settings.get("Categories"))
 
 
 def check_consistency(settings: Settings) -> None:
-    """What was read, taken together."""
-    rungs = len(settings.rung_rates_kbyte_s)
-    if not 0 < rungs <= _BYTE + 1:
+    """Checks the settings that were read against one another.
+
+    Raises:
+        SettingError: No session could be served under them.
+    """
+    rung_count = len(settings.rung_rates_kbyte_s)
+    utility_count = len(settings.rung_utilities)
+    if not 0 < rung_count <= _MAX_RUNGS:
         raise SettingError("Extra.RatesKb is no ladder of rates")
-    if len(settings.rung_utilities) < rungs:
-        raise SettingError(f"Extra.LevelWorth has {len(settings.rung_utilities)} values for {rungs} rungs")
-    for place, one in enumerate(settings.classes):
-        if one.deadline_ms <= 0.0:
-            raise SettingError(f"Categories.{place}.Deadline leaves no time for an answer")
-        if one.lowest_rung > one.top_rung:
-            raise SettingError(f"Extra.LowestRung of class {place} is over its highest rung")
+    if utility_count < rung_count:
+        raise SettingError(f"Extra.LevelWorth has {utility_count} values for {rung_count} rungs")
+    for index, session_class in enumerate(settings.classes):
+        if session_class.deadline_ms <= 0.0:
+            raise SettingError(f"Categories.{index}.Deadline leaves no time for an answer")
+        if session_class.lowest_rung > session_class.top_rung:
+            raise SettingError(f"Extra.LowestRung of class {index} is over its highest rung")
 
 
 def replace_zero_limits(settings: Settings) -> Settings:
-    """The settings with what is zero taken as absent, where nothing could be served under it.
+    """Returns the settings with a zero taken as absent, where nothing could be served under it.
 
-    On the wire zero stands for an absent value. A cold server that is warm after no time is not cold; a
-    ration over no time, or a cap of no attempts at all, is none; and with no usual bound of a set-up its
-    deadline is what bounds it.
+    On the wire zero stands for an absent value. A slow start or a retry budget over a window of no time is
+    none, and neither is a limit of no attempts. Without a latency objective the deadline of its class bounds
+    a set-up.
     """
-    cold, budget = settings.slow_start, settings.retry_budget
+    slow_start, retry_budget = settings.slow_start, settings.retry_budget
+    has_slow_start = slow_start is not None and slow_start.window_ms > 0.0
+    has_retry_budget = retry_budget is not None and retry_budget.window_ms > 0.0
     return replace(
         settings,
-        classes=tuple(map(_bounded, settings.classes)),
+        classes=tuple(map(_with_objective, settings.classes)),
         max_attempts=settings.max_attempts or None,
-        slow_start=cold if cold is not None and cold.window_ms > 0.0 else None,
-        retry_budget=budget if budget is not None and budget.window_ms > 0.0 else None,
+        slow_start=slow_start if has_slow_start else None,
+        retry_budget=retry_budget if has_retry_budget else None,
     )
 
 
-def _bounded(one: SessionClass) -> SessionClass:
-    return one if one.latency_objective_ms > 0.0 else replace(one, latency_objective_ms=one.deadline_ms)
+def _with_objective(session_class: SessionClass) -> SessionClass:
+    if session_class.latency_objective_ms > 0.0:
+        return session_class
+    return replace(session_class, latency_objective_ms=session_class.deadline_ms)
+
+
+def _check_numbers(raw_settings: dict[str, Any]) -> None:
+    for path, limit in _NUMBER_LIMITS.items():
+        for value in _present_values(raw_settings, path):
+            _check_number(path, value, limit)
 
 
-def _found(told: dict[str, Any], path: str) -> Iterator[Any]:
-    """The value at a path, unless it is absent. What should hold it has to be an object."""
-    here: Any = told
-    above = ""
+def _check_number_lists(raw_settings: dict[str, Any]) -> None:
+    for path, limit in _LIST_LIMITS.items():
+        for value in _present_values(raw_settings, path):
+            # The simulator's text gives a list of one item as its value alone.
+            for item in value if isinstance(value, list) else [value]:
+                _check_number(path, item, limit)
+
+
+def _check_flags(raw_settings: dict[str, Any]) -> None:
+    for path in _FLAGS:
+        for value in _present_values(raw_settings, path):
+            if not isinstance(value, bool) and value not in ("true", "false"):
+                raise SettingError(f"{path} is neither true nor false: {_quoted(value)}")
+
+
+def _check_name_lists(raw_settings: dict[str, Any]) -> None:
+    for path in _NAME_LISTS:
+        for value in _present_values(raw_settings, path):
+            if not isinstance(value, list):
+                raise SettingError(f"{path} is no list of names: {_quoted(value)}")
+            for name in value:
+                _check_text(path, name)
+
+
+def _check_classes(raw_classes: object) -> None:
+    if not isinstance(raw_classes, list) or not 0 < len(raw_classes) <= _MAX_CLASSES:
+        raise SettingError(f"Categories is no list of classes: {_quoted(raw_classes)}")
+    names: set[str] = set()
+    for index, raw_class in enumerate(raw_classes):
+        path = f"Categories.{index}"
+        name = _check_class(path, raw_class)
+        if not name or name in names:
+            raise SettingError(f"{path}.Name is no name of its own: {_quoted(name)}")
+        names.add(name)
+
+
+def _check_class(path: str, raw_class: object) -> str:
+    """Checks one class and returns its name."""
+    if not isinstance(raw_class, dict):
+        raise SettingError(f"{path} is no class: {_quoted(raw_class)}")
+    for key, limit in _CLASS_NUMBER_LIMITS.items():
+        for value in _present_values(raw_class, key):
+            _check_number(f"{path}.{key}", value, limit)
+    for value in _present_values(raw_class, "Idempotency"):
+        _check_text(f"{path}.Idempotency", value)
+    return _check_text(f"{path}.Name", raw_class.get("Name", ""))
+
+
+def _present_values(raw_settings: dict[str, Any], path: str) -> Iterator[Any]:
+    """Yields the value at a path, unless it is absent or null.
+
+    Raises:
+        SettingError: A part of the path leads to something that is no object.
+    """
+    value: Any = raw_settings
+    parent_path = ""
     for key in path.split("."):
-        if not isinstance(here, dict):
-            raise SettingError(f"{above} is no object: {_short(here)}")
-        here, above = here.get(key), f"{above}.{key}" if above else key
-        if here is None:
+        if not isinstance(value, dict):
+            raise SettingError(f"{parent_path} is no object: {_quoted(value)}")
+        value = value.get(key)
+        parent_path = f"{parent_path}.{key}" if parent_path else key
+        if value is None:
             return
-    yield here
+    yield value
+
 
+def _check_number(path: str, value: object, limit: float) -> None:
+    number = _number_or_nan(value)
+    if not 0.0 <= number <= limit:
+        raise SettingError(f"{path} is no number from 0 to {limit:.0f}: {_quoted(value)}")
 
-def _number(where: str, value: object, most: float) -> None:
+
+def _number_or_nan(value: object) -> float:
+    if isinstance(value, bool) or not isinstance(value, int | float | str):
+        return math.nan
     try:
-        if isinstance(value, bool) or not isinstance(value, int | float | str):
-            raise ValueError
-        number = float(value)
+        return float(value)
     except (ValueError, OverflowError):
-        number = math.nan
-    if not 0.0 <= number <= most:
-        raise SettingError(f"{where} is no number from 0 to {most:.0f}: {_short(value)}")
+        return math.nan
+
 
+def _check_text(path: str, value: object) -> str:
+    """Returns the value, which has to be text that UTF-8 has bytes for; empty text is none."""
+    if isinstance(value, str) and value and _is_encodable(value):
+        return value
+    raise SettingError(f"{path} is no text: {_quoted(value)}")
 
-def _text(where: str, value: object) -> None:
+
+def _is_encodable(text: str) -> bool:
     try:
-        if isinstance(value, str) and value.encode():
-            return
+        text.encode()
     except UnicodeEncodeError:
-        pass
-    raise SettingError(f"{where} is no text: {_short(value)}")
+        return False
+    return True
 
 
-def _short(value: object) -> str:
-    """Something of a value for one line of the log."""
+def _quoted(value: object) -> str:
+    """The beginning of a value, for one line of the log."""
     try:
-        return ascii(value)[:40]
+        return ascii(value)[:_MAX_QUOTED]
     except (ValueError, RecursionError):  # more digits, or deeper, than can be shown
         return type(value).__name__
--- a/tests/fuzzing/feed.py
+++ b/tests/fuzzing/feed.py
@@ -11,7 +11,6 @@
 from fernweir.interface import EndpointListKind, EndpointListUpdate
 from fernweir.node.endpoint_feed import EndpointFeed, FeedError
 from tests.fuzzing import Target, mutate, same
-from tests.helpers import SETTINGS
 
 KINDS = ("std", "big")
 OFFSET_MS = 1_700_000_000_000.0
@@ -123,7 +122,7 @@
 
 def check(data: bytes) -> None:
     """Lines of a feed, as they came; after a line that asks again the feed goes on from the last number."""
-    feed, model = EndpointFeed(SETTINGS, KINDS, OFFSET_MS), Model()
+    feed, model = EndpointFeed(KINDS, OFFSET_MS), Model()
     for line in data.split(b"\n"):
         try:
             slow: object = model.line(line)
--- a/tests/fuzzing/frames.py
+++ b/tests/fuzzing/frames.py
@@ -5,7 +5,7 @@
 import math
 from random import Random
 
-from fernweir.node.frames import Code, Frame, FrameError, FrameReader, encode_frame
+from fernweir.node.frames import Frame, FrameError, FrameReader, ParameterCode, encode_frame
 from tests.fuzzing import Target, mutate, pieces, same
 
 TYPES = (1, 6, 9, 12, 16, 44, 51, 52, 53, 60)
@@ -86,9 +86,9 @@
             cause = "wrong"
         value = frame.parameters.get(45)
         same(cause, None if value is None else value[0] if len(value) == 1 else "wrong", data)
-        for code in (Code.CLASS, Code.LEVEL):
+        for code in (ParameterCode.CLASS, ParameterCode.LEVEL):
             try:
-                text: str | None = frame.text(code)
+                text: str | None = frame.text_parameter(code)
             except FrameError:
                 text = None
             raw = frame.parameters.get(int(code), b"")
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -603,7 +603,11 @@
 def read_frame_fields(data: bytes) -> Any:
     """What the node takes out of a binary message by the names of its parameters."""
     frame = read_frame(data)
-    return [frame.cause, frame.load_report(), *(frame.parameters.get(code, b"") for code in frames.Code)]
+    return [
+        frame.cause,
+        frame.load_report(),
+        *(frame.parameters.get(code, b"") for code in frames.ParameterCode),
+    ]
 
 
 def read_setup_line(data: bytes) -> Any:
@@ -631,7 +635,7 @@
 
 def read_feed(data: bytes) -> Any:
     """What a node learns from the lines of the control feed."""
-    feed = EndpointFeed(interface_settings(), ("small", "large"), NOW_S * 1000.0 - 1_000_000.0)
+    feed = EndpointFeed(("small", "large"), NOW_S * 1000.0 - 1_000_000.0)
     updates = [feed.apply_line(line) for line in data.splitlines()]
     return [updates, feed.last_sequence_number, feed.addresses, feed.names, feed.status_since_ms]
 
--- a/tests/node_scene.py
+++ b/tests/node_scene.py
@@ -16,7 +16,7 @@
 from fernweir.front.names import number_of
 from fernweir.interface import Settings
 from fernweir.node.config import Address, NodeConfig
-from fernweir.node.frames import Code, Frame, FrameReader, Type, encode_frame
+from fernweir.node.frames import Frame, FrameReader, FrameType, ParameterCode, encode_frame
 from fernweir.node.jsonl import NO_SESSION_ID, Message, decode_message, encode_message
 from fernweir.node.logs import NodeLog
 from fernweir.node.program import Node
@@ -87,26 +87,26 @@
             writer.close()
 
     def _take(self, frame: Frame, writer: asyncio.StreamWriter) -> None:
-        if frame.type is Type.SETUP:
+        if frame.type is FrameType.SETUP:
             self.setups.append(frame)
             assert frame.session not in self.out, "two attempts out at one server"
             self.out[frame.session] = writer
             self.play(self.script.pop(0) if self.script else "answer", frame.session, writer)
-        elif frame.type is Type.RELEASE:
+        elif frame.type is FrameType.RELEASE:
             self.releases.append((frame.session, frame.cause))
             self.out.pop(frame.session, None)
             self.stands.discard(frame.session)
-        elif frame.type is Type.RATE:
-            self.rungs.append((frame.session, frame.text(Code.RUNG)))
-        elif frame.type is Type.PING:
+        elif frame.type is FrameType.RATE:
+            self.rungs.append((frame.session, frame.text_parameter(ParameterCode.RUNG)))
+        elif frame.type is FrameType.PING:
             self.pings += 1
             if self.pings <= self.pings_to_break:
                 writer.transport.abort()
                 return
-            self.say(Frame(Type.PONG, frame.session, {Code.CAUSE: b"\1"}), writer)
+            self.say(Frame(FrameType.PONG, frame.session, {ParameterCode.CAUSE: b"\1"}), writer)
 
     def play(self, move: str, id: str, writer: asyncio.StreamWriter) -> None:
-        answer = Frame(Type.ANSWER, id, {Code.DESCRIPTION: f"{self.name} {id}\r\n".encode()})
+        answer = Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: f"{self.name} {id}\r\n".encode()})
         if move in ("answer", "twice", "empty", "noise", "binary", "half"):
             self.stands.add(id)
         if move == "answer":
@@ -115,17 +115,19 @@
             unknown = replace(answer, session="f" * 16)
             writer.write(encode_frame(unknown) + encode_frame(answer) + encode_frame(answer))
         elif move == "empty":
-            self.say(Frame(Type.ANSWER, id), writer)
+            self.say(Frame(FrameType.ANSWER, id), writer)
         elif move == "noise":
             writer.write(b"\0\2\xff\xff")
         elif move == "binary":
-            self.say(Frame(Type.ANSWER, id, {Code.DESCRIPTION: b"\xff\xfe"}), writer)
+            self.say(Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: b"\xff\xfe"}), writer)
         elif move == "reset":
             writer.transport.abort()
         elif move == "half":
             writer.write(encode_frame(answer)[:-5])
         elif move.isdigit():
-            self.refused.append((Frame(Type.RELEASE, id, {Code.CAUSE: bytes((int(move),))}), writer))
+            self.refused.append(
+                (Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((int(move),))}), writer)
+            )
             self.say(*self.refused[-1])
         else:
             assert move == "silent", move
@@ -354,7 +356,7 @@
     def setups(self) -> list[str]:
         """Ids of all set-ups that came whole, in order on each connection."""
         self.look()
-        return [one.session for line in self.lines for one in line.heard if one.type is Type.SETUP]
+        return [one.session for line in self.lines for one in line.heard if one.type is FrameType.SETUP]
 
     def line_of(self, id: str) -> FarLine:
         """The connection that a set-up came on, the newest if it came on several."""
@@ -374,7 +376,7 @@
     @property
     def released(self) -> set[str]:
         self.look()
-        said = {one.session for line in self.lines for one in line.heard if one.type is Type.RELEASE}
+        said = {one.session for line in self.lines for one in line.heard if one.type is FrameType.RELEASE}
         return said | {id for line in self.lines for id in line.ended}
 
     def kill(self) -> None:
@@ -407,7 +409,7 @@
 
     @property
     def setups(self) -> set[str]:
-        return {one.session for one in self.heard if one.type is Type.SETUP}
+        return {one.session for one in self.heard if one.type is FrameType.SETUP}
 
     def say(self, frame: Frame) -> None:
         self.write(encode_frame(frame))
@@ -415,7 +417,7 @@
     def answer(self, id: str, part: slice = slice(None)) -> bytes:
         """Writes the answer to a set-up, or a part of its bytes; it stands from the first on."""
         data = encode_frame(
-            Frame(Type.ANSWER, id, {Code.DESCRIPTION: f"{self.server.name} {id}\r\n".encode()})
+            Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: f"{self.server.name} {id}\r\n".encode()})
         )
         self.answered.add(id)
         self.write(data[part])
@@ -423,7 +425,7 @@
 
     def release(self, id: str, cause: int) -> None:
         self.ended.add(id)
-        self.say(Frame(Type.RELEASE, id, {Code.CAUSE: bytes((cause,))}))
+        self.say(Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((cause,))}))
 
 
 class FarFeed:
--- a/tests/peers_mutants/fuzz.py
+++ b/tests/peers_mutants/fuzz.py
@@ -19,7 +19,7 @@
 BY_TARGET: dict[str, list[Mutant]] = {
     "lines": [
         Mutant("a key twice is taken", _LINES, "if len(found) != len(pairs):", "if not pairs:", 60),
-        Mutant("cause of 256", _LINES, "not 0 <= cause < 256", "not 0 <= cause <= 256", 120),
+        Mutant("cause of 256", _LINES, "<= cause <= _MAX_CAUSE", "<= cause <= _MAX_CAUSE + 1", 120),
         Mutant(
             "line one byte too long",
             _LINES,
@@ -37,16 +37,28 @@
         ),
     ],
     "frames": [
-        Mutant("a parameter twice", _FRAMES, "if code in found:", "if code in found and not length:", 200),
-        Mutant("whole frame kept back", _FRAMES, "at < 2 + length:", "at <= 2 + length:", 20),
+        Mutant(
+            "a parameter twice",
+            _FRAMES,
+            "if code in parameters:",
+            "if code in parameters and not length:",
+            200,
+        ),
+        Mutant(
+            "whole frame kept back",
+            _FRAMES,
+            "at < _LENGTH_BYTES + length:",
+            "at <= _LENGTH_BYTES + length:",
+            20,
+        ),
         Mutant("report of 17", _FRAMES, "> _MAX_REPORT_VALUES", "> _MAX_REPORT_VALUES + 1", 60),
     ],
     "feed": [
         Mutant(
             "a gap of one",
             _FEED,
-            "if n > self.last_sequence_number + 1:",
-            "if n > self.last_sequence_number + 2:",
+            "if sequence_number > self.last_sequence_number + 1:",
+            "if sequence_number > self.last_sequence_number + 2:",
             30,
         ),
         Mutant(
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -223,7 +223,7 @@
               if one["format"] == "trace-record"}  # fmt: skip
     assert traced == kinds
     assert {one["fields"][0] for one in values["node-line"]} == jsonl.MESSAGE_TYPES
-    assert {one["fields"][0] for one in values["node-frame"]} == {kind.value for kind in frames.Type}
+    assert {one["fields"][0] for one in values["node-frame"]} == {kind.value for kind in frames.FrameType}
     assert {one["fields"][2] for one in values["journal-row"]} == {what.value for what in What}
     actions = {one["type"] for one in values["wire-action"]}
     assert {TYPES[name] for name in actions} == set(get_args(interface.Action))
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -13,7 +13,7 @@
 from fernweir.front.commands import SendHealthCheck, SessionReply
 from fernweir.front.names import number_of
 from fernweir.http.reset import reset
-from fernweir.node.frames import Code, Frame, Type
+from fernweir.node.frames import Frame, FrameType, ParameterCode
 from fernweir.node.jsonl import Message, encode_message
 from fernweir.node.viewers import Viewers
 from fernweir.node.visit import Side
@@ -51,15 +51,21 @@
         answer = await first.answer(wish.id)
         ((name, frame),) = scene.setups()
         assert answer.sdp == f"{name} {wish.id}\r\n"
-        assert frame.text(Code.DESCRIPTION) == offer and frame.text(Code.TITLE) == "7f3a9c21e0b4d655"
-        assert frame.text(Code.CLASS) == "film" and 0 < int(frame.text(Code.WAIT)) <= 500
+        assert (
+            frame.text_parameter(ParameterCode.DESCRIPTION) == offer
+            and frame.text_parameter(ParameterCode.TITLE) == "7f3a9c21e0b4d655"
+        )
+        assert (
+            frame.text_parameter(ParameterCode.CLASS) == "film"
+            and 0 < int(frame.text_parameter(ParameterCode.WAIT)) <= 500
+        )
         other = scene.setup(left="4060")  # a little over its class's deadline
         second.send(other)
         await second.answer(other.id)
         first.close()
         await until(lambda: scene.node.viewers.home.get(wish.id) is None)
         server = scene.servers[name]
-        server.say(Frame(Type.RELEASE, wish.id, {Code.CAUSE: bytes((16,))}))
+        server.say(Frame(FrameType.RELEASE, wish.id, {ParameterCode.CAUSE: bytes((16,))}))
         await until(lambda: wish.id in scene.ends)  # on the other's connection
         assert scene.ends[wish.id].cause == 16 and second.raw[-1].id == wish.id
         second.send(Message("release", other.id, cause=16))  # its viewer ends the other
@@ -79,13 +85,13 @@
         await until(lambda: strange.id in scene.answers)  # no such server: it is over
         server = scene.servers["s-1"]
         await until(lambda: server.writers)  # the node comes to hear of its session
-        note = {Code.NOTE: b"level", Code.LEVEL: b"3"}
-        server.say(Frame(Type.NOTE, wish.id, note))
+        note = {ParameterCode.NOTE: b"level", ParameterCode.LEVEL: b"3"}
+        server.say(Frame(FrameType.NOTE, wish.id, note))
         held = scene.node.core.sessions.session(wish.id)
         assert held is not None
         await until(lambda: held.rung == 3)
         scene.answers[wish.id] = Message("answer", wish.id)
-        server.say(Frame(Type.RELEASE, wish.id, {Code.CAUSE: bytes((41,))}))
+        server.say(Frame(FrameType.RELEASE, wish.id, {ParameterCode.CAUSE: bytes((41,))}))
         await until(lambda: wish.id in scene.ends)
         assert not scene.setups() and scene.ends[wish.id].cause == 41
 
@@ -237,7 +243,7 @@
     async def story(scene: Scene) -> None:
         viewer, wish, name = await one_that_stands(scene)
         server = scene.servers[name]
-        end = Frame(Type.RELEASE, wish.id, {Code.CAUSE: bytes((16,))})
+        end = Frame(FrameType.RELEASE, wish.id, {ParameterCode.CAUSE: bytes((16,))})
         says = [lambda: viewer.send(Message("release", wish.id, cause=16)), lambda: server.say(end)]
         for say in says if first == "viewer" else reversed(says):
             say()
@@ -252,8 +258,8 @@
 def test_an_answer_after_its_time_out_and_the_end_behind_it_change_nothing() -> None:
     async def story(scene: Scene) -> None:
         viewer, wish, server = await one_under_way(scene)
-        answer = Frame(Type.ANSWER, wish.id, {Code.DESCRIPTION: b"late\r\n"})
-        server.parting = [answer, Frame(Type.RELEASE, wish.id, {Code.CAUSE: bytes((16,))})]
+        answer = Frame(FrameType.ANSWER, wish.id, {ParameterCode.DESCRIPTION: b"late\r\n"})
+        server.parting = [answer, Frame(FrameType.RELEASE, wish.id, {ParameterCode.CAUSE: bytes((16,))})]
         await until(lambda: len(scene.setups()) == 2)  # elsewhere
         second = next(one for one in scene.servers.values() if one.out)
         await until(lambda: not server.writers)  # the late words were written before its connection ended
@@ -274,7 +280,7 @@
         await viewer.answer(stands.id)
         ((name, _),) = scene.setups()
         server = scene.servers[name]
-        end = Frame(Type.RELEASE, stands.id, {Code.CAUSE: bytes((16,))})
+        end = Frame(FrameType.RELEASE, stands.id, {ParameterCode.CAUSE: bytes((16,))})
         server.script = ["silent"]
         viewer.send(late)  # on the same connection: it times out, which closes that
         await until(lambda: late.id in server.out)
@@ -602,7 +608,7 @@
             elif what == 7 and stands:
                 over = draw.choice(stands)
                 server.stands.remove(over)
-                end = Frame(Type.RELEASE, over, {Code.CAUSE: bytes((16,))})
+                end = Frame(FrameType.RELEASE, over, {ParameterCode.CAUSE: bytes((16,))})
                 server.unheard.append(end)
                 for writer in server.writers[-1:]:
                     server.say(end, writer)
--- a/tests/test_node_crossing.py
+++ b/tests/test_node_crossing.py
@@ -4,7 +4,7 @@
 
 from io import StringIO
 
-from fernweir.node.frames import Type
+from fernweir.node.frames import FrameType
 from tests.node_scene import staged
 
 
@@ -32,7 +32,7 @@
             loop.turn()
         loop.until(lambda: len(stage.sent_to(id)) == 2)
         out.look()
-        assert [one.type for one in out.heard if one.session == id] == [Type.SETUP, Type.RELEASE]
+        assert [one.type for one in out.heard if one.session == id] == [FrameType.SETUP, FrameType.RELEASE]
         stage.far[stage.sent_to(id)[0]].line_of(id).answer(id)
         loop.until(lambda: viewer.look() is not None and id in stage.answers and first in stage.ends)
         home.ended.add(first)  # its machine is gone, and what played there
--- a/tests/test_node_crossing_feed.py
+++ b/tests/test_node_crossing_feed.py
@@ -17,7 +17,6 @@
 from fernweir.node.config import NodeConfig
 from fernweir.node.endpoint_feed import EndpointFeed, FeedError
 from fernweir.node.reconnect import ReconnectPolicy
-from tests.helpers import SETTINGS
 from tests.node_scene import FarFeed, Stage, staged
 from tests.sockets import Far
 
@@ -353,7 +352,7 @@
 
 
 def test_a_feed_that_begins_behind_its_first_event_is_asked_for_what_is_missing() -> None:
-    feed = EndpointFeed(SETTINGS, ("box",), 0.0)
+    feed = EndpointFeed(("box",), 0.0)
     for n in (2, 10**30):
         with pytest.raises(FeedError):
             feed.apply_line(b'{"n":%d}' % n)
@@ -369,7 +368,7 @@
         and feed.apply_line(b"1") is None
         and (feed.last_sequence_number, feed.in_sequence_lines) == (1, 2)
     )
-    known = EndpointFeed(SETTINGS, ("box",), 0.0)
+    known = EndpointFeed(("box",), 0.0)
     assert list(known.apply_known_events(({"n": 7}, {"n": 8}), 8)) == [] and known.last_sequence_number == 8
 
 
@@ -412,7 +411,7 @@
     stage.tally()
     stage.finish()
     with pytest.raises(FeedError):  # what is missing can't be known of
-        list(EndpointFeed(SETTINGS, ("box",), 0.0).apply_known_events(({"n": 1}, {"n": 3}), 3))
+        list(EndpointFeed(("box",), 0.0).apply_known_events(({"n": 1}, {"n": 3}), 3))
 
 
 DEEDS = (
--- a/tests/test_node_crossing_lost.py
+++ b/tests/test_node_crossing_lost.py
@@ -11,7 +11,7 @@
 import pytest
 
 from fernweir.front.names import number_of
-from fernweir.node.frames import Code, Frame, Type, encode_frame
+from fernweir.node.frames import Frame, FrameType, ParameterCode, encode_frame
 from fernweir.node.jsonl import Message
 from fernweir.node.watch import EVERY_MS
 from tests.node_scene import FarLine, FarServer, FarViewer, Stage, staged
@@ -95,7 +95,7 @@
         stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
         let_go(stage, fd)
         stage.loop.settle()
-        assert [one.type for one in idle.heard if one.session == id] == [Type.RELEASE, Type.SETUP]
+        assert [one.type for one in idle.heard if one.session == id] == [FrameType.RELEASE, FrameType.SETUP]
         idle.answer(id)
         answered(stage, viewer, id)
         busy.answer(other)
@@ -122,7 +122,7 @@
         stage.loop.advance(1_000.0)
         assert len(line.server.lines) == 1 and id in line.server.standing()  # nothing is made for it
         wish, new = stage.set_up(viewer)
-        assert id in {one.session for one in new.heard if one.type is Type.RELEASE}
+        assert id in {one.session for one in new.heard if one.type is FrameType.RELEASE}
         new.answer(wish)
         answered(stage, viewer, wish)
 
@@ -188,11 +188,11 @@
         new = next(one for one in stage.far.values() if one is not line.server).line_of(id)
         new.answer(id)
         answered(stage, viewer, id)
-        assert not link.attempts and Type.RELEASE in [one.type for one in line.heard]
+        assert not link.attempts and FrameType.RELEASE in [one.type for one in line.heard]
         stage.loop.advance(2_000.0)  # this side's end is not answered
         line.server.look()
         assert [[one.type for one in other.heard] for other in line.server.lines if other is not line] == [
-            [Type.RELEASE]
+            [FrameType.RELEASE]
         ]
 
 
@@ -207,11 +207,11 @@
         answered(stage, viewer, id)
         (first, _), (second, new) = stage.set_up(viewer), stage.set_up(viewer)
         assert new is not again
-        new.say(Frame(Type.RELEASE, id, {Code.CAUSE: bytes((16,))}))
+        new.say(Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((16,))}))
         stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
         stage.loop.settle()
         again.look()
-        assert [one.type for one in again.heard if one.session == id][-1] is Type.RELEASE
+        assert [one.type for one in again.heard if one.session == id][-1] is FrameType.RELEASE
         again.answer(first)
         new.answer(second)
         for one in (first, second):
@@ -273,10 +273,10 @@
         self.rests.clear()
         for line in self.far.lines:
             for frame in line.look():
-                if frame.type is Type.SETUP:
+                if frame.type is FrameType.SETUP:
                     assert frame.session not in self.out, "two attempts out at one server"
                     self.out[frame.session] = line
-                elif frame.type is Type.RELEASE:
+                elif frame.type is FrameType.RELEASE:
                     self.out.pop(frame.session, None)
                     self.stands.discard(frame.session)
             if line.over:
@@ -288,12 +288,14 @@
             self.end(self.draw.choice(sorted(self.stands)))
 
     def act(self, id: str, line: FarLine, what: str) -> None:
-        data = encode_frame(Frame(Type.ANSWER, id, {Code.DESCRIPTION: b"one\r\n"}))
+        data = encode_frame(Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: b"one\r\n"}))
         if what == "silent":
             return
         del self.out[id]
         if what in ("34", "47"):
-            self.write(line, encode_frame(Frame(Type.RELEASE, id, {Code.CAUSE: bytes((int(what),))})))
+            self.write(
+                line, encode_frame(Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((int(what),))}))
+            )
         elif what == "gone":
             line.reset()
             self.give_up(line)
@@ -310,7 +312,7 @@
 
     def end(self, id: str) -> None:
         self.stands.remove(id)
-        self.ends.append(Frame(Type.RELEASE, id, {Code.CAUSE: bytes((16,))}))
+        self.ends.append(Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((16,))}))
         for line in [one for one in self.far.lines if not one.over][-1:]:
             self.write(line, encode_frame(self.ends[-1]))
 
--- a/tests/test_node_crossing_servers.py
+++ b/tests/test_node_crossing_servers.py
@@ -13,7 +13,7 @@
 import pytest
 
 from fernweir.node.course import At, Course
-from fernweir.node.frames import Code, Frame, Type, encode_frame
+from fernweir.node.frames import Frame, FrameType, ParameterCode, encode_frame
 from fernweir.node.jsonl import Message
 from fernweir.node.watch import EVERY_MS
 from tests.node_scene import PLAIN, FarLine, FarServer, FarViewer, Stage, staged
@@ -206,9 +206,9 @@
         stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
         new = next((one for one in stage.far["s-0"].lines if one is not line), line)
         line.ended.clear()  # what it ended is the first attempt, and the id stands for the second from now
-        late = Frame(Type.RELEASE, id, {Code.CAUSE: bytes((cause,))})
+        late = Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((cause,))})
         if word == "answer":
-            late = Frame(Type.ANSWER, id, {Code.DESCRIPTION: b"late\r\n"})
+            late = Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: b"late\r\n"})
         if second == "out":
             heard(stage, line, late)
             assert id in stage.node.viewers.open and len(stage.sent_to(id)) == 2
@@ -229,7 +229,7 @@
         line.reset()  # it may stand there, for all that anybody knows
         stage.loop.until(lambda: len(stage.far["s-0"].setups()) == 3)
         new = stage.far["s-0"].line_of(id)
-        assert [one.type for one in new.heard] == [Type.RELEASE, Type.SETUP]
+        assert [one.type for one in new.heard] == [FrameType.RELEASE, FrameType.SETUP]
         new.answer(id)
         answered(stage, viewer, id)
         busy.answer(other)
@@ -355,7 +355,7 @@
         assert not [one for one in stage.far["s-0"].lines if one is not line and one.heard]
 
 
-def kinds(line: FarLine) -> list[Type]:
+def kinds(line: FarLine) -> list[FrameType]:
     return [one.type for one in line.heard]
 
 
@@ -408,8 +408,8 @@
         viewer = stage.far_viewer()
         id, line = stage.set_up(viewer)
         words = [
-            Frame(Type.ANSWER, id, {Code.DESCRIPTION: b"one\r\n"}),
-            Frame(Type.RELEASE, id, {Code.CAUSE: bytes((cause,))}),
+            Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: b"one\r\n"}),
+            Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((cause,))}),
         ]
         heard(stage, line, *(words if first == "answer" else words[::-1]))
         if first == "answer":  # it stood, and is over
@@ -421,7 +421,7 @@
         new.answer(id)
         assert answered(stage, viewer, id) == f"{new.server.name} {id}\r\n"
         if cause in (16, 31, 99):  # no word of a set-up's end: what may run is released
-            stage.loop.until(lambda: line.look() is not None and Type.RELEASE in kinds(line))
+            stage.loop.until(lambda: line.look() is not None and FrameType.RELEASE in kinds(line))
 
 
 @pytest.mark.parametrize("first", ["viewer", "server"])
@@ -435,7 +435,7 @@
         line.release(id, 16)
         both(stage, *(fds if first == "viewer" else fds[::-1]))
         stage.loop.settle()
-        assert not stage.node.core.sessions.session_count and Type.RELEASE not in kinds(line)
+        assert not stage.node.core.sessions.session_count and FrameType.RELEASE not in kinds(line)
         viewer.send(Message("ping", "0" * 16, cause=0))
         stage.loop.until(lambda: viewer.look() is not None and viewer.raw[-1].type == "pong")
         assert not [one for one in viewer.raw if one.type == "release" and one.cause != 16]
@@ -482,7 +482,7 @@
         new.reset()
         stage.loop.arrived(fd)
         stage.loop.settle()
-        heard(stage, line, Frame(Type.RELEASE, id, {Code.CAUSE: bytes((34,))}))
+        heard(stage, line, Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((34,))}))
         stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
         stage.loop.until(lambda: not stage.far["s-0"].standing())
 
--- a/tests/test_node_crossing_stop.py
+++ b/tests/test_node_crossing_stop.py
@@ -11,7 +11,7 @@
 
 from fernweir.interface import Idempotency
 from fernweir.node.ending import Ending
-from fernweir.node.frames import Code, Frame, Type
+from fernweir.node.frames import Frame, FrameType, ParameterCode
 from fernweir.node.jsonl import Message, encode_message
 from tests.node_scene import PLAIN, FarLine, FarViewer, Stage, staged
 
@@ -169,7 +169,7 @@
     for _ in range(14):
         id, line = stage.set_up(viewer)
         line.answered.add(id)
-        line.say(Frame(Type.ANSWER, id, {Code.DESCRIPTION: b"v" * 12_000}))
+        line.say(Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: b"v" * 12_000}))
         ids.append(id)
     stage.loop.until(lambda: not stage.node.viewers.open)
     assert any(one.unsent for one in stage.node.viewers._made)
--- a/tests/test_node_crossing_viewers.py
+++ b/tests/test_node_crossing_viewers.py
@@ -11,7 +11,7 @@
 import pytest
 
 from fernweir.interface import Idempotency
-from fernweir.node.frames import Code, Frame, Type
+from fernweir.node.frames import Frame, FrameType, ParameterCode
 from fernweir.node.jsonl import Message, encode_message
 from fernweir.node.limits import HUSH_MS, Door
 from fernweir.node.viewers import _SWEEP_S, Connection
@@ -235,7 +235,7 @@
         def asked() -> bool:
             stage.look()
             lines = stage.far["s-0"].lines
-            pings[:] = [one for line in lines for one in line.heard if one.type is Type.PING]
+            pings[:] = [one for line in lines for one in line.heard if one.type is FrameType.PING]
             return bool(pings)
 
         stage.loop.until(asked)
@@ -244,7 +244,13 @@
         fd, there = near(stage, viewer), stage.loop.near(line.sock)
         stage.loop.selected.held |= {fd, there}
         leave(viewer, how, wish.id)
-        line.say(Frame(Type.PONG, pings[0].session, {Code.CAUSE: b"\1", Code.REPORT: b"x0:0.1;x1:0.1"}))
+        line.say(
+            Frame(
+                FrameType.PONG,
+                pings[0].session,
+                {ParameterCode.CAUSE: b"\1", ParameterCode.REPORT: b"x0:0.1;x1:0.1"},
+            )
+        )
         stage.loop.arrived(fd, there)
         stage.loop.selected.first = [fd, there] if first == "viewer" else [there, fd]
         stage.loop.selected.held.clear()
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -24,7 +24,7 @@
 from fernweir.node import frames, jsonl
 from fernweir.node.config import ConfigError, flatten_settings, load_config
 from fernweir.node.endpoint_feed import EndpointFeed, FeedError
-from fernweir.node.frames import Code, Frame, FrameError, FrameReader, Type, encode_frame
+from fernweir.node.frames import Frame, FrameError, FrameReader, FrameType, ParameterCode, encode_frame
 from fernweir.node.jsonl import LineError, LineReader, Message, decode_message, encode_message
 from fernweir.node.limits import HUSH_MS, Door, Remembered
 from fernweir.node.logs import NodeLog
@@ -45,7 +45,7 @@
 )
 FRAMES = st.builds(
     Frame,
-    st.sampled_from(Type),
+    st.sampled_from(FrameType),
     IDS,
     st.dictionaries(st.integers(0, 255), st.binary(max_size=40), max_size=5),
 )
@@ -79,7 +79,12 @@
     try:
         for piece in noise:
             for frame in codec.feed(piece):
-                _ = (frame.cause, frame.load_report(), frame.text(Code.CLASS), frame.number(Code.LEVEL))
+                _ = (
+                    frame.cause,
+                    frame.load_report(),
+                    frame.text_parameter(ParameterCode.CLASS),
+                    frame.number_parameter(ParameterCode.LEVEL),
+                )
     except FrameError:
         pass
     assert len(codec._pending) <= frames.MAX_FRAME_BYTES + 400
@@ -123,7 +128,7 @@
     ],
 )
 def test_frames_that_do_not_fit_are_refused_after_what_came_before(data: bytes) -> None:
-    good, codec = Frame(Type.RELEASED, "0" * 15 + "7"), FrameReader()
+    good, codec = Frame(FrameType.RELEASED, "0" * 15 + "7"), FrameReader()
     with pytest.raises(FrameError):
         codec.feed(encode_frame(good) + data)
     assert codec.complete_frames == [good]
@@ -132,7 +137,7 @@
 @pytest.mark.parametrize("report", [b"x0", b"x0:nan", b"x0:1e999", b"x0:\xff", b";".join([b"a:1"] * 40)])
 def test_a_report_that_is_none_is_refused(report: bytes) -> None:
     with pytest.raises(FrameError):
-        Frame(Type.PONG, "0" * 16, {Code.REPORT: report}).load_report()
+        Frame(FrameType.PONG, "0" * 16, {ParameterCode.REPORT: report}).load_report()
 
 
 def endpoint(name: str, **more: object) -> dict[str, Any]:
@@ -145,7 +150,7 @@
 
 
 def test_a_feed_takes_each_event_once_in_order_and_asks_again_after_a_gap() -> None:
-    feed = EndpointFeed(SETTINGS, ("box",), offset_ms=1000.0)
+    feed = EndpointFeed(("box",), offset_ms=1000.0)
     (whole,) = feed.apply_known_events((event(1, endpoint("a"), endpoint("b"), snapshot=True),), 1)
     assert (whole.kind, len(whole.entries)) == (EndpointListKind.CACHED, 2)
 
--- a/tests/test_node_peers.py
+++ b/tests/test_node_peers.py
@@ -31,7 +31,7 @@
 from fernweir.peers.port import Listener, Port, Terms
 from fernweir.peers.program import Peers
 from fernweir.peers.settings import first_versions, peer_rules
-from tests.node_scene import PLAIN, MediaServer, ViewerConnection
+from tests.node_scene import MediaServer, ViewerConnection
 from tests.sockets import until
 from tests.test_node_process import Outside, free_address
 
@@ -257,7 +257,7 @@
         return {"name": name, "status": status, "since_ms": since_ms, **fixed}
 
     def digest(offset_ms: float, *events: tuple[bool, list[dict[str, Any]]]) -> bytes:
-        feed = EndpointFeed(PLAIN, ("box",), offset_ms)
+        feed = EndpointFeed(("box",), offset_ms)
         told = ListedServers(feed)
         for n, (whole, lines) in enumerate(events, 1):
             members = {"index": 40 + n, "snapshot": whole, "endpoints": lines}
--- a/tests/test_node_settings.py
+++ b/tests/test_node_settings.py
@@ -158,7 +158,7 @@
         "weight": 1, "since_ms": 0,
     }  # fmt: skip
     first = {"n": 1, "members": {"index": 1, "snapshot": True, "endpoints": [line]}}
-    (update,) = EndpointFeed(config.settings, config.server_types, 0.0).apply_known_events((first,), 1)
+    (update,) = EndpointFeed(config.server_types, 0.0).apply_known_events((first,), 1)
     assert [(one.server, one.server_type, one.state) for one in update.entries] == [
         (number_of("s-0"), 1, ServerState.READY)
     ]
