--- a/fernweir/node/endpoint_watcher.py
+++ b/fernweir/node/endpoint_watcher.py
@@ -10,12 +10,12 @@
 
 from fernweir.front.dispatcher import Dispatcher
 from fernweir.interface import EndpointListUpdate
-from fernweir.node.buffer import Shell
 from fernweir.node.config import Address
 from fernweir.node.endpoint_feed import MAX_EVENT_BYTES, EndpointFeed, FeedError
 from fernweir.node.jsonl import LineError, LineReader
 from fernweir.node.reconnect import ReconnectPolicy
-from fernweir.node.servers import Servers
+from fernweir.node.server_transport import MediaServerTransport
+from fernweir.node.shared_buffer import SharedBufferProtocol
 
 
 class EndpointWatcher:
@@ -27,18 +27,23 @@
     Args:
         dispatcher: Gets the updates of the endpoint list.
         feed: Decodes the lines of the feed.
-        servers: The connections to media servers, which follow the endpoint list.
+        server_transport: Follows the endpoint list with its connections to media servers.
         address: Where the feed is.
         seed: Seeds the random backoff.
     """
 
     def __init__(
-        self, dispatcher: Dispatcher, feed: EndpointFeed, servers: Servers, address: Address, seed: int
+        self,
+        dispatcher: Dispatcher,
+        feed: EndpointFeed,
+        server_transport: MediaServerTransport,
+        address: Address,
+        seed: int,
     ) -> None:
         self.address = address
         self._dispatcher = dispatcher
         self._feed = feed
-        self._servers = servers
+        self._server_transport = server_transport
         self._reconnect_policy = ReconnectPolicy(seed)
         self._connection: _FeedConnection | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -61,7 +66,7 @@
     def apply_update(self, update: EndpointListUpdate) -> None:
         """Gives an update of the endpoint list to the decisions, then to the connections to servers."""
         self._dispatcher.sessions.on_endpoint_list(self._dispatcher.now(), update)
-        self._servers.listed(update)
+        self._server_transport.on_endpoint_list(update)
         self._dispatcher.schedule_step()
 
     # --- reports of the connections ---
@@ -141,7 +146,7 @@
         return self._dispatcher.loop.time()
 
 
-class _FeedConnection(Shell):
+class _FeedConnection(SharedBufferProtocol):
     """One connection to the feed. It reports every event; the watcher decides whether it still counts."""
 
     def __init__(self, watcher: EndpointWatcher, number: int) -> None:
@@ -167,7 +172,7 @@
         else:
             self.transport.abort()
 
-    def bytes_came(self, data: memoryview) -> None:
+    def data_received(self, data: memoryview) -> None:
         try:
             self._watcher.on_lines_received(self._number, self._line_reader.feed(data))
         except (FeedError, LineError) as error:
--- /dev/null
+++ b/fernweir/node/server_pool.py
@@ -0,0 +1,170 @@
+"""The media servers of a node and the connections to them: which there are, and which one to use.
+
+Where the descriptors allow it a set-up has a connection of its own, so that one that breaks or becomes
+unreadable affects no other set-up. A server may report on any of its connections.
+"""
+
+from __future__ import annotations
+
+import asyncio
+
+from fernweir.front.dispatcher import Dispatcher
+from fernweir.interface import ServerState
+from fernweir.node.config import NodeConfig
+from fernweir.node.connection_state import ConnectionPhase
+from fernweir.node.endpoint_feed import EndpointFeed
+from fernweir.node.limits import DescriptorQuota
+from fernweir.node.liveness import LivenessMonitor
+from fernweir.node.server_connection import ConnectionEvents, ServerConnection
+from fernweir.node.server_endpoint import ServerEndpoint
+
+
+class ServerPool:
+    """Creates endpoints and connections, selects connections and keeps to the node's limits.
+
+    Attributes:
+        events: Receives what happens on the connections. Set before the first one is made.
+        endpoints: The servers that this node has anything with, by number.
+        descriptor_quota: How many connections there may be.
+        connect_timeout_s: How long a connect may take, in seconds.
+        idle_timeout_ms: After which time servers close idle connections, in milliseconds.
+        is_stopped: Whether the node has stopped, so that nothing is sent again.
+    """
+
+    events: ConnectionEvents
+
+    def __init__(
+        self, dispatcher: Dispatcher, feed: EndpointFeed, config: NodeConfig, quota: DescriptorQuota
+    ) -> None:
+        self.endpoints: dict[int, ServerEndpoint] = {}
+        self.descriptor_quota = quota
+        self.connect_timeout_s = config.connect_timeout_ms / 1000.0
+        self.idle_timeout_ms = config.idle_timeout_ms
+        self.is_stopped = False
+        self._dispatcher = dispatcher
+        self._feed = feed
+        self._settings = config.settings
+        self._connect_tasks: set[asyncio.Task[None]] = set()
+
+    # --- endpoints ---
+
+    def get_or_create_endpoint(self, server: int) -> ServerEndpoint | None:
+        """Returns the endpoint of a server, or None if the server is not listed."""
+        endpoint = self.endpoints.get(server)
+        address = self._feed.addresses.get(server)
+        if endpoint is None and address is not None:
+            endpoint = ServerEndpoint(server, address, self.new_liveness_monitor())
+            self.endpoints[server] = endpoint
+        return endpoint
+
+    def new_liveness_monitor(self) -> LivenessMonitor:
+        """Returns a monitor for a server that nothing is known of yet."""
+        return LivenessMonitor(self._settings, self.connect_timeout_s * 1000.0, self._dispatcher.now())
+
+    def is_removed(self, endpoint: ServerEndpoint) -> bool:
+        """Whether the server is off the endpoint list: another one may listen at its address by now."""
+        states = self._dispatcher.sessions.endpoint_states
+        return states.get(endpoint.server, ServerState.REMOVED) is ServerState.REMOVED
+
+    @property
+    def has_unsent_messages(self) -> bool:
+        """Whether a message to a server, as a release, has not left yet."""
+        return any(
+            endpoint.release_queue.pending_releases
+            or any(connection.unsent_bytes for connection in endpoint.connections)
+            for endpoint in self.endpoints.values()
+        )
+
+    # --- connections ---
+
+    def connect(self, endpoint: ServerEndpoint, timeout_s: float | None = None) -> ServerConnection:
+        """Starts a new connection.
+
+        Args:
+            endpoint: The server.
+            timeout_s: How long it may take, in seconds; None for `connect_timeout_s`.
+        """
+        timeout_s = self.connect_timeout_s if timeout_s is None else timeout_s
+        connection = ServerConnection(
+            self._dispatcher, self.events, endpoint, timeout_s, self.idle_timeout_ms
+        )
+        endpoint.connections.append(connection)
+        task = connection.start_connect()
+        self._connect_tasks.add(task)
+        task.add_done_callback(self._connect_tasks.discard)
+        return connection
+
+    def connect_unless_connecting(self, endpoint: ServerEndpoint) -> None:
+        """Starts a new connection if none is being made."""
+        if not endpoint.is_connecting:
+            self.connect(endpoint)
+
+    def select_or_connect(self, endpoint: ServerEndpoint, session_id: str = "") -> ServerConnection:
+        """Returns a connection for a new request, which is not established yet if none is free."""
+        return self.select_free(endpoint, session_id) or self.connect(endpoint)
+
+    def select_free(self, endpoint: ServerEndpoint, session_id: str = "") -> ServerConnection | None:
+        """Returns a connection without requests or, where there may be no more, the one with the fewest.
+
+        Never one that carried a failed attempt of the same session, whose late messages could be mistaken
+        for the new one's. One on which a release of the session may be under way comes first, since its
+        server surely reads that before the new set-up on this connection alone.
+        """
+        now = self._dispatcher.now()
+        usable = [
+            connection
+            for connection in endpoint.connections
+            if connection.may_start_request(now) and session_id not in connection.failed_attempts
+        ]
+        for connection in usable:
+            if any(frame.session == session_id for frame in connection.unconfirmed_releases(now)):
+                return connection
+        for connection in reversed(usable):  # the last used one: the others can become idle
+            if not connection.attempts:
+                return connection
+        limit = self.descriptor_quota.connections_per_server(len(self.endpoints))
+        if usable and len(endpoint.connections) >= limit:
+            return min(usable, key=lambda connection: len(connection.attempts))
+        return None
+
+    def select_any(self, endpoint: ServerEndpoint, session_id: str = "") -> ServerConnection | None:
+        """Returns a connection to send a message on that has no reply, or None if there is none."""
+        free = self.select_free(endpoint, session_id)
+        if free is not None:
+            return free
+        for connection in endpoint.connections:
+            if connection.is_usable and connection.state.may_start_request:
+                return connection
+        return None
+
+    def close_surplus(self) -> None:
+        """Closes unused connections, the longest unused first, until the node's limit is kept."""
+        connections = [
+            connection
+            for endpoint in self.endpoints.values()
+            for connection in endpoint.connections
+            if connection.state.phase is not ConnectionPhase.CLOSING
+        ]
+        surplus = len(connections) - self.descriptor_quota.max_server_connections
+        for connection in sorted(connections, key=lambda connection: connection.last_used_at):
+            if surplus <= 0:
+                return
+            if connection.is_unused():
+                connection.close()
+                surplus -= 1
+
+    def close_idle(self, endpoint: ServerEndpoint, now: float) -> None:
+        """Closes the connections of a server that have been unused for long, by `now` in milliseconds."""
+        for connection in list(endpoint.connections):
+            if connection.may_close(now):
+                connection.close()
+
+    def forget_if_idle(self, endpoint: ServerEndpoint) -> None:
+        """Closes the connections of a removed server that carries nothing, and forgets it after the last."""
+        if not (self.is_removed(endpoint) and endpoint.is_idle):
+            return
+        for connection in list(endpoint.connections):
+            connection.close()
+        if not endpoint.connections:
+            del self.endpoints[endpoint.server]
+            self._feed.forget_server(endpoint.server)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -13,10 +13,10 @@
 from fernweir.front.commands import SendHealthCheck, SessionReply
 from fernweir.front.names import number_of
 from fernweir.http.reset import reset
+from fernweir.node.client_connection_state import ConnectionPhase
+from fernweir.node.client_requests import ClientRequests
 from fernweir.node.frames import Frame, FrameType, ParameterCode
 from fernweir.node.jsonl import Message, encode_message
-from fernweir.node.viewers import Viewers
-from fernweir.node.visit import Side
 from tests.node_scene import OFFER, PLAIN, MediaServer, Scene, Told, ViewerConnection, play
 from tests.sockets import until
 
@@ -63,7 +63,7 @@
         second.send(other)
         await second.answer(other.id)
         first.close()
-        await until(lambda: scene.node.viewers.home.get(wish.id) is None)
+        await until(lambda: scene.node.session_ends.connection_by_session.get(wish.id) is None)
         server = scene.servers[name]
         server.say(Frame(FrameType.RELEASE, wish.id, {ParameterCode.CAUSE: bytes((16,))}))
         await until(lambda: wish.id in scene.ends)  # on the other's connection
@@ -149,7 +149,7 @@
         server, known = scene.servers["s-1"], scene.brain_server("s-1")
         server.pings_to_break = broken
         known.probing = True
-        scene.node.servers.check_health(SendHealthCheck(number_of("s-1")))
+        scene.node.server_transport.check_health(SendHealthCheck(number_of("s-1")))
         await until(lambda: not known.probing)
         assert server.pings == 3 and bool(known.strikes) is not lives
 
@@ -219,7 +219,7 @@
         loop.time = lambda: time() + late_s  # type: ignore[method-assign]
         assert (await viewer.answer(wish.id)).type == "answer"
         assert len(scene.setups()) == 1 and not server.releases
-        assert scene.node.core.sessions.session_count == 1 and not scene.node.viewers.open
+        assert scene.node.core.sessions.session_count == 1 and not scene.node.client_requests.open_requests
 
     play(story)
 
@@ -233,7 +233,7 @@
             say()
         await until(lambda: (wish.id, 16) in server.releases)
         assert not scene.node.core.sessions.session_count and wish.id not in scene.ends
-        assert len(scene.setups()) == 1 and not scene.node.viewers.open
+        assert len(scene.setups()) == 1 and not scene.node.client_requests.open_requests
 
     play(story)
 
@@ -265,7 +265,7 @@
         await until(lambda: not server.writers)  # the late words were written before its connection ended
         second.finish(wish.id)
         assert (await viewer.answer(wish.id)).sdp == f"{second.name} {wish.id}\r\n"
-        await until(lambda: not scene.node.servers.links[number_of(server.name)].conns)
+        await until(lambda: not scene.node.server_pool.endpoints[number_of(server.name)].connections)
         assert scene.node.core.sessions.session_count == 1 and wish.id not in scene.ends
 
     play(story)
@@ -307,7 +307,7 @@
         viewer.send(*(Message("release", wish.id, cause=16) for wish in wishes))  # in one read
         await until(lambda: not scene.node.core.sessions.session_count)
         await until(lambda: not any(server.out for server in scene.servers.values()))
-        assert not scene.answers and not scene.node.viewers.open
+        assert not scene.answers and not scene.node.client_requests.open_requests
 
     play(story)
 
@@ -317,8 +317,8 @@
     async def story(scene: Scene) -> None:
         viewer, wish, server = await one_under_way(scene)
         viewer._writer.write_eof()
-        (near,) = scene.node.viewers._made
-        await until(lambda: near.visit.side is Side.LEFT)
+        (near,) = scene.node.client_listener.connections
+        await until(lambda: near.state.phase is ConnectionPhase.HALF_CLOSED)
         server.play(end, wish.id, server.out[wish.id])
         assert (await viewer.answer(wish.id)).type == ("answer" if end == "answer" else "release")
         await until(lambda: viewer.closed)  # told at once that this was all
@@ -402,7 +402,7 @@
         await until(lambda: scene.setups())
         thief.send(scene.setup(stolen.id, sdp="other"))
         await until(lambda: thief.closed)
-        assert stolen.id in scene.node.viewers.open and stolen.id not in scene.answers
+        assert stolen.id in scene.node.client_requests.open_requests and stolen.id not in scene.answers
         liar = await scene.viewer()
         liar.send(doubled, scene.setup(doubled.id, sdp="other"))
         assert (await liar.answer(doubled.id)).type == "release"
@@ -445,7 +445,7 @@
         other = scene.setup()
         honest.send(other)
         assert (await honest.answer(other.id)).type == "answer"
-        assert len(scene.node.viewers.door) <= 32 and not honest.closed
+        assert len(scene.node.client_listener.admission) <= 32 and not honest.closed
         for one in crowd + more:
             one.close()
 
@@ -482,11 +482,13 @@
         await until(lambda: scene.feed.asked == [1])
         scene.node._environment = {"ROUTER_CONFIG": "/nowhere/config.json"}
         scene.node.reload()
-        assert scene.node.follower.address == scene.feed.address and "not used" in scene.log.getvalue()
+        assert (
+            scene.node.endpoint_watcher.address == scene.feed.address and "not used" in scene.log.getvalue()
+        )
         other = type(scene.feed)()
         await other.listen()
-        scene.node.follower.change_address(other.address)
-        scene.node.follower.change_address(other.address)  # twice in a row
+        scene.node.endpoint_watcher.change_address(other.address)
+        scene.node.endpoint_watcher.change_address(other.address)  # twice in a row
         await until(lambda: other.writers)
         members = {"index": 2, "snapshot": False, "endpoints": [scene.line("s-0", "removed")]}
         other.add(members)
@@ -521,8 +523,8 @@
         for writer in old.writers:
             writer.transport.abort()
         await until(lambda: wish.id in scene.ends)
-        await until(lambda: number_of(name) not in scene.node.servers.links)
-        unused = next(one for one in scene.servers if number_of(one) not in scene.node.servers.links)
+        await until(lambda: number_of(name) not in scene.node.server_pool.endpoints)
+        unused = next(one for one in scene.servers if number_of(one) not in scene.node.server_pool.endpoints)
         scene.feed.add({"index": 3, "snapshot": False, "endpoints": [scene.line(unused, "removed")]})
         await until(lambda: scene.node.feed.last_sequence_number == 3)
         for one in (name, unused):
@@ -539,14 +541,14 @@
 
     async def story(scene: Scene) -> None:
         if heads:  # the second has another seed, and heard of its servers in another order
-            scene.node.stop()
+            scene.node.shutdown()
             names = dict(reversed(scene.servers.items()))
             cells = {name: scene.line(name) for name in scene.servers}
             scene.servers = names
             scene.line = lambda name, *_: cells[name]  # type: ignore[method-assign,assignment]
             scene.node = type(scene.node)(scene.config(seed=99), scene.node.log, {})
             scene.node.start()
-            await until(lambda: scene.node.viewers.ready)
+            await until(lambda: scene.node.client_requests.is_ready)
         viewer, found = await scene.viewer(), []
         for title in range(12):
             wish = scene.setup(key=f"{title:016x}")
@@ -562,14 +564,14 @@
 
 
 def test_the_scene_sees_a_second_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    once = Viewers._answer
+    once = ClientRequests._on_reply
 
-    def twice(self: Viewers, id: str, answer: SessionReply) -> None:
-        connection = self.open[id][1]
+    def twice(self: ClientRequests, id: str, answer: SessionReply) -> None:
+        connection = self.open_requests[id].connection
         once(self, id, answer)
-        connection.send(Message("answer", id, sdp="again"))
+        connection.send_message(Message("answer", id, sdp="again"))
 
-    monkeypatch.setattr(Viewers, "_answer", twice)
+    monkeypatch.setattr(ClientRequests, "_on_reply", twice)
 
     async def story(scene: Scene) -> None:
         viewer, wish = await scene.viewer(), scene.setup()
@@ -635,7 +637,9 @@
             await step()
         for server in servers:
             server.script.clear()
-        await until(lambda: waits.keys() <= scene.answers.keys() and not scene.node.viewers.open)
+        await until(
+            lambda: waits.keys() <= scene.answers.keys() and not scene.node.client_requests.open_requests
+        )
         held = scene.node.core.sessions.records
         await until(lambda: {*held()} == {id for server in servers for id in server.stands})
         await until(lambda: not given_up & held().keys())
@@ -646,7 +650,7 @@
 
 def test_a_reader_who_does_not_read_is_let_go() -> None:
     async def story(scene: Scene) -> None:
-        _, writer = await asyncio.open_connection(*scene.node.viewers.address)
+        _, writer = await asyncio.open_connection(*scene.node.client_listener.address)
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         ping = encode_message(Message("ping", "0" * 15 + "1", cause=0)) * 2000
         try:
@@ -655,7 +659,7 @@
                 await writer.drain()
         except ConnectionError:
             pass
-        await until(lambda: not len(scene.node.viewers.door))
+        await until(lambda: not len(scene.node.client_listener.admission))
         writer.close()
 
     play(story)
--- a/tests/test_node_crossing_feed.py
+++ b/tests/test_node_crossing_feed.py
@@ -106,7 +106,7 @@
         stage.loop.turn(turns)
         other = FarFeed()
         for _ in range(times):  # in one turn
-            stage.node.follower.change_address(other.address)
+            stage.node.endpoint_watcher.change_address(other.address)
         for line in stage.feed.look():  # what the old one still says
             if not line.over:
                 line.write(said(change(stage, 2, "removed")))
@@ -124,7 +124,11 @@
         other, (ours, theirs) = FarFeed(), socket.socketpair()
         old = stage.feed.look()[-1]
         stage.loop.add_reader(
-            ours, lambda: (stage.loop.remove_reader(ours), stage.node.follower.change_address(other.address))
+            ours,
+            lambda: (
+                stage.loop.remove_reader(ours),
+                stage.node.endpoint_watcher.change_address(other.address),
+            ),
         )
         fds = [ours.fileno(), stage.loop.near(old.sock)]
         stage.loop.selected.first = fds if first == "move" else fds[::-1]
@@ -145,7 +149,7 @@
         stage.loop.until(lambda: "feed away" in stage.log.getvalue())
         (retry,) = [one for one in stage.loop.due() if "EndpointWatcher" in repr(one)]
         other = FarFeed()
-        stage.loop.call_at(retry.when() + after, stage.node.follower.change_address, other.address)
+        stage.loop.call_at(retry.when() + after, stage.node.endpoint_watcher.change_address, other.address)
         stage.loop.jump(80.0)  # both are due, and run in one turn
         stage.loop.advance(3_000)
         for feed in (stage.feed, other):
@@ -161,8 +165,8 @@
         stage.node.terminate()
         opening(stage)
         stage.loop.turn(turns)
-        stage.node.follower.stop()
-        stage.node.follower.change_address(other.address)
+        stage.node.endpoint_watcher.stop()
+        stage.node.endpoint_watcher.change_address(other.address)
         stage.loop.advance(5_000)
         assert live(stage.feed, other) == [] and not other.lines
         other.close()
@@ -172,19 +176,19 @@
     with staged() as stage:
         other = FarFeed()
         stage.node.terminate()
-        stage.node.follower.change_address(other.address)
+        stage.node.endpoint_watcher.change_address(other.address)
         stage.loop.settle()
         follows(stage, other)
         stage.loop.advance(4_000)
-        assert stage.node.ended.is_set()
+        assert stage.node.drained.is_set()
         other.close()
 
 
 def test_a_feed_that_moves_before_the_node_follows_is_not_asked_from_a_list_it_has_not_taken() -> None:
     with staged() as stage:
         other = FarFeed()
-        fresh = type(stage.node.follower)(
-            stage.node.core, stage.node.feed, stage.node.servers, other.address, 1
+        fresh = type(stage.node.endpoint_watcher)(
+            stage.node.core, stage.node.feed, stage.node.server_transport, other.address, 1
         )
         fresh.change_address(other.address)
         stage.loop.advance(1_000)
@@ -236,8 +240,10 @@
     with staged() as stage:
         stage.loop.settle()
         told: list[int] = []
-        tell = stage.node.follower.apply_update
-        stage.node.follower.apply_update = lambda update: (told.append(update.version), tell(update))[1]  # type: ignore
+        tell = stage.node.endpoint_watcher.apply_update
+        stage.node.endpoint_watcher.apply_update = lambda update: (told.append(update.version), tell(update))[
+            1
+        ]  # type: ignore
         line, event = stage.feed.look()[-1], said(change(stage, 2))
         line.write(event[:40])
         stage.loop.settle()
@@ -265,7 +271,7 @@
         stage.loop.advance(1_700)  # silent, and about to be left
         other = FarFeed()
         began = stage.loop.clock
-        stage.node.follower.change_address(other.address)
+        stage.node.endpoint_watcher.change_address(other.address)
         for tries in (1, 2, 3):
             stage.loop.until(lambda: connecting(stage))
             stage.loop.selected.held = set(connecting(stage))
@@ -430,8 +436,8 @@
         self.told: dict[int, int] = {}  # a connection, by its feed's place and its own: the last event told
         self.broken: set[int] = set()  # connections that say nothing more
         self.applied: list[int] = []
-        self.tell = stage.node.follower.apply_update
-        stage.node.follower.apply_update = self.took  # type: ignore[method-assign]
+        self.tell = stage.node.endpoint_watcher.apply_update
+        stage.node.endpoint_watcher.apply_update = self.took  # type: ignore[method-assign]
 
     def took(self, update: EndpointListUpdate) -> None:
         self.applied.append(update.version)
@@ -473,7 +479,7 @@
         elif deed == "move":
             self.feeds += [FarFeed()] * (dice.random() < 0.7)
             for _ in range(dice.choice([1, 1, 2])):
-                self.stage.node.follower.change_address(self.feeds[-1].address)
+                self.stage.node.endpoint_watcher.change_address(self.feeds[-1].address)
         elif deed == "hold":
             loop.selected.held.update(connecting(self.stage))
         elif deed == "free":
@@ -517,7 +523,7 @@
         if self.dice.random() < 0.7 and (lines := [one for one in feed.look() if not one.over]):
             lines[-1].reset()
         elif self.dice.random() < 0.5:
-            self.stage.node.follower.change_address(feed.address)
+            self.stage.node.endpoint_watcher.change_address(feed.address)
 
     def whole(self) -> None:
         for _ in range(80):
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -26,9 +26,9 @@
 from fernweir.node.endpoint_feed import EndpointFeed, FeedError
 from fernweir.node.frames import Frame, FrameError, FrameReader, FrameType, ParameterCode, encode_frame
 from fernweir.node.jsonl import LineError, LineReader, Message, decode_message, encode_message
-from fernweir.node.limits import HUSH_MS, Door, Remembered
+from fernweir.node.limits import IDLE_TIMEOUT_MS, ConnectionAdmission, RecentIds
+from fernweir.node.liveness import CHECK_INTERVAL_MS, LivenessMonitor, LivenessStatus
 from fernweir.node.logs import NodeLog
-from fernweir.node.watch import EVERY_MS, Verdict, Watch
 from fernweir.wire import Fields, parse_settings, read_settings
 from tests.helpers import SETTINGS, entry
 from tests.test_wire import TEXT
@@ -184,57 +184,70 @@
 
 
 def test_the_door_prefers_those_who_speak_and_forgets_who_left() -> None:
-    door: Door[str] = Door(3)
-    assert [door.arrive(key, 0.0) for key in "abc"] == [None] * 3
+    door: ConnectionAdmission[str] = ConnectionAdmission(3)
+    assert [door.admit(key, 0.0) for key in "abc"] == [None] * 3
     for key in "ab":
-        door.spoke(key, 1.0)
-    door.opened("a")
-    door.opened("a")
-    assert door.arrive("d", 2.0) == "c"  # has said nothing
-    door.spoke("d", 2.0)
-    assert door.arrive("e", 3.0) == "b"  # has nothing open, and spoke longest ago
-    assert door.overdue(HUSH_MS + 2.0) == [] and door.overdue(HUSH_MS + 3.0) == ["e"]
-    door.half("a", 10.0, True)
-    door.half("a", 20.0, True)  # the same line goes on
-    assert door.overdue(HUSH_MS + 10.0) == ["e", "a"]
-    door.closed("a", 30.0)
-    door.closed("a", 31.0)
+        door.on_message_received(key, 1.0)
+    door.on_request_opened("a")
+    door.on_request_opened("a")
+    assert door.admit("d", 2.0) == "c"  # has said nothing
+    door.on_message_received("d", 2.0)
+    assert door.admit("e", 3.0) == "b"  # has nothing open, and spoke longest ago
+    assert door.timed_out_connections(IDLE_TIMEOUT_MS + 2.0) == [] and door.timed_out_connections(
+        IDLE_TIMEOUT_MS + 3.0
+    ) == ["e"]
+    door.set_partial_line("a", 10.0, True)
+    door.set_partial_line("a", 20.0, True)  # the same line goes on
+    assert door.timed_out_connections(IDLE_TIMEOUT_MS + 10.0) == ["e", "a"]
+    door.on_request_finished("a", 30.0)
+    door.on_request_finished("a", 31.0)
     for key in "ade":
-        door.leave(key)
-    assert len(door) == 0 and not door.overdue(1e9)
-    remembered = Remembered(2)
+        door.remove(key)
+    assert len(door) == 0 and not door.timed_out_connections(1e9)
+    remembered = RecentIds(2)
     for id in "xyz":
         remembered.add(id)
     assert [id in remembered for id in "xyz"] == [False, True, True]
 
 
 def test_a_server_is_lost_by_proof_only() -> None:
-    watch = Watch(SETTINGS, 250.0, 0.0)
+    watch = LivenessMonitor(SETTINGS, 250.0, 0.0)
     quiet = SETTINGS.report_interval_ms + SETTINGS.report_delay_ms + SETTINGS.batch_period_ms
-    assert watch.look(1e6, holds=False, connected=False, connecting=False) is Verdict.WELL
-    watch.heard(0.0)
-    assert watch.look(quiet - 1, True, True, False) is Verdict.WELL
-    assert watch.look(quiet, True, True, False) is Verdict.LOOK  # silence is looked into
-    assert watch.look(quiet, True, True, True) is Verdict.WELL
-    watch.unreachable(quiet, quiet + 9)
-    assert watch.look(quiet, True, True, False) is Verdict.LOOK  # one packet can be lost
-    watch.unreachable(quiet + 5, quiet + 14)  # and another of the same moment
-    assert watch.look(quiet, True, True, False) is Verdict.LOOK
-    watch.unreachable(quiet + 9, quiet + 18)
-    assert watch.look(quiet - 1, True, True, False) is Verdict.WELL  # an open connection speaks
-    assert watch.look(quiet, True, True, False) is Verdict.LOST and "comes up" in watch.why
-    assert watch.look(quiet, True, False, False) is Verdict.LOOK  # told once
-    watch.came_up(quiet)
-    assert watch.look(quiet, True, False, False) is Verdict.WELL  # it has broken again, a look was just made
-    assert watch.look(quiet + EVERY_MS, True, False, False) is Verdict.LOOK  # a break proves nothing
-    watch.heard(quiet + EVERY_MS)
-    watch.missed()
-    assert watch.look(quiet + 2 * EVERY_MS, True, True, True) is Verdict.WELL  # what was missed comes there
-    assert watch.look(quiet + 2 * EVERY_MS, True, True, False) is Verdict.LOOK
-    watch.came_up(quiet + 2 * EVERY_MS)
-    assert watch.look(quiet + 3 * EVERY_MS, True, True, False) is Verdict.WELL  # it has come
-    watch.refused()
-    assert watch.look(quiet, True, False, False) is Verdict.ENDED and "refused" in watch.why
+    assert (
+        watch.check(1e6, has_sessions=False, is_connected=False, is_connecting=False)
+        is LivenessStatus.HEALTHY
+    )
+    watch.on_data_received(0.0)
+    assert watch.check(quiet - 1, True, True, False) is LivenessStatus.HEALTHY
+    assert watch.check(quiet, True, True, False) is LivenessStatus.CHECK  # silence is looked into
+    assert watch.check(quiet, True, True, True) is LivenessStatus.HEALTHY
+    watch.on_connect_timeout(quiet, quiet + 9)
+    assert watch.check(quiet, True, True, False) is LivenessStatus.CHECK  # one packet can be lost
+    watch.on_connect_timeout(quiet + 5, quiet + 14)  # and another of the same moment
+    assert watch.check(quiet, True, True, False) is LivenessStatus.CHECK
+    watch.on_connect_timeout(quiet + 9, quiet + 18)
+    assert watch.check(quiet - 1, True, True, False) is LivenessStatus.HEALTHY  # an open connection speaks
+    assert watch.check(quiet, True, True, False) is LivenessStatus.UNREACHABLE and "comes up" in watch.reason
+    assert watch.check(quiet, True, False, False) is LivenessStatus.CHECK  # told once
+    watch.on_connected(quiet)
+    assert (
+        watch.check(quiet, True, False, False) is LivenessStatus.HEALTHY
+    )  # it has broken again, a look was just made
+    assert (
+        watch.check(quiet + CHECK_INTERVAL_MS, True, False, False) is LivenessStatus.CHECK
+    )  # a break proves nothing
+    watch.on_data_received(quiet + CHECK_INTERVAL_MS)
+    watch.on_connection_broken()
+    assert (
+        watch.check(quiet + 2 * CHECK_INTERVAL_MS, True, True, True) is LivenessStatus.HEALTHY
+    )  # what was missed comes there
+    assert watch.check(quiet + 2 * CHECK_INTERVAL_MS, True, True, False) is LivenessStatus.CHECK
+    watch.on_connected(quiet + 2 * CHECK_INTERVAL_MS)
+    assert (
+        watch.check(quiet + 3 * CHECK_INTERVAL_MS, True, True, False) is LivenessStatus.HEALTHY
+    )  # it has come
+    watch.on_connection_refused()
+    assert watch.check(quiet, True, False, False) is LivenessStatus.TERMINATED and "refused" in watch.reason
 
 
 def nested(text: str) -> dict[str, Any]:
@@ -340,13 +353,13 @@
 
 
 def test_a_connection_with_a_request_open_is_never_let_go_for_another() -> None:
-    door: Door[str] = Door(2)
-    door.arrive("a", 0.0)
-    door.opened("a")  # its first message is a set-up
-    door.spoke("a", 0.0)
-    door.arrive("b", 0.0)
-    door.opened("b")
-    assert len(door) == 2 and door.arrive("c", 1.0) == "c"
+    door: ConnectionAdmission[str] = ConnectionAdmission(2)
+    door.admit("a", 0.0)
+    door.on_request_opened("a")  # its first message is a set-up
+    door.on_message_received("a", 0.0)
+    door.admit("b", 0.0)
+    door.on_request_opened("b")
+    assert len(door) == 2 and door.admit("c", 1.0) == "c"
 
 
 def test_the_node_loads_the_standard_library_and_itself_alone() -> None:
--- a/tests/test_node_peers.py
+++ b/tests/test_node_peers.py
@@ -75,7 +75,7 @@
         file = read_peers_file(self.peers_file("n2", free_address()), "n2")
         peers = await start_peers(node.core, node.feed, config, file)
         node.start()
-        await until(lambda: node.viewers.ready)
+        await until(lambda: node.client_requests.is_ready)
         return node, peers
 
     async def ask(self, node: Node | None = None, **fields: object) -> Message:
@@ -102,7 +102,7 @@
         finally:
             peers.cut()
             await peers.links.stop()
-            node.stop()
+            node.shutdown()
 
     asyncio.run(whole())
 
@@ -172,7 +172,7 @@
         )
         assert update is not None
         before = peers.peer.recording.versions.boxes
-        node.follower.apply_update(update)
+        node.endpoint_watcher.apply_update(update)
         assert peers.peer.recording.versions.boxes != before
         told: list[dict[str, Any]] = []
         peers.questions.ask({"question": "acts", "deed": "drain"}, told.append)
