--- a/bench/left.py
+++ b/bench/left.py
@@ -20,8 +20,8 @@
 from random import Random
 
 from fernweir.interface import Settings
-from fernweir.node.frames import Code, Frame, Type
-from fernweir.node.jsonl import NO_ID, Message, write
+from fernweir.node.frames import Frame, FrameType, ParameterCode
+from fernweir.node.jsonl import NO_SESSION_ID, Message, encode_message
 from tests.helpers import SETTINGS
 from tests.node_scene import PLAIN, FarViewer, Stage, staged
 
@@ -91,7 +91,7 @@
             return
         else:
             if way == "cut":
-                viewer.write(write(self.stage.setup())[:40])
+                viewer.write(encode_message(self.stage.setup())[:40])
             viewer.close()
         self.loop.arrived(self.fd)
 
@@ -120,7 +120,7 @@
 
     def tested() -> bool:
         far.look()
-        pings[:] = [one for line in far.lines for one in line.heard if one.type is Type.PING]
+        pings[:] = [one for line in far.lines for one in line.heard if one.type is FrameType.PING]
         return bool(pings)
 
     case.loop.until(tested)
@@ -129,7 +129,13 @@
     there = case.loop.near(line.sock)
     case.hold(case.fd, there)
     case.leave()
-    line.say(Frame(Type.PONG, pings[0].session, {Code.CAUSE: b"\1", Code.REPORT: b"x0:0.1;x1:0.1"}))
+    line.say(
+        Frame(
+            FrameType.PONG,
+            pings[0].session,
+            {ParameterCode.CAUSE: b"\1", ParameterCode.REPORT: b"x0:0.1;x1:0.1"},
+        )
+    )
     case.seen(there)
 
 
@@ -243,7 +249,7 @@
             one for one in case.stage.node.client_listener.connections if one._socket.fileno() == case.fd
         )
         while not near.unsent_bytes:
-            near.write(write(Message("pong", NO_ID, cause=1)) * 100)
+            near.write(encode_message(Message("pong", NO_SESSION_ID, cause=1)) * 100)
     case.loop.until(lambda: case.stage.sent_to(id))
     line = case.stage.far[case.stage.sent_to(id)[0]].line_of(id)
     there = case.loop.near(line.sock)
@@ -400,7 +406,7 @@
     owed = set(case.ids) - heard if case.way in ("half-close", "time") else set()
     standing = {id for server in stage.far.values() for id in server.standing()} & set(case.ids)
     lines = [line for server in stage.far.values() for line in server.lines]
-    released = {one.session for line in lines for one in line.heard if one.type is Type.RELEASE}
+    released = {one.session for line in lines for one in line.heard if one.type is FrameType.RELEASE}
     return Outcome(
         len(case.ids),
         sum(max(len(stage.sent_to(id)) - case.before[id], 0) for id in case.ids),
--- a/fernweir/node/attempts.py
+++ b/fernweir/node/attempts.py
@@ -14,8 +14,8 @@
 from fernweir.front.commands import SetUp, SetUpResult
 from fernweir.front.dispatcher import Dispatcher
 from fernweir.interface import RESULT_LABELS, Result, Settings
-from fernweir.node.feed import Feed
-from fernweir.node.frames import Code, Frame, Type, encode
+from fernweir.node.endpoint_feed import EndpointFeed
+from fernweir.node.frames import Frame, FrameType, ParameterCode, encode_frame
 from fernweir.node.liveness import result_of_broken_attempt
 from fernweir.node.server_connection import ServerConnection
 from fernweir.node.server_endpoint import PlacedSession, ServerEndpoint
@@ -59,7 +59,7 @@
     def __init__(
         self,
         dispatcher: Dispatcher,
-        feed: Feed,
+        feed: EndpointFeed,
         settings: Settings,
         pool: ServerPool,
         read_client_input: Callable[[str], None],
@@ -154,7 +154,7 @@
         for release in releases:
             connection.send(release)
         # One that did not leave never ran: it gets a new connection when the end of this one is reported.
-        attempt.is_written = connection.write(encode(set_up))
+        attempt.is_written = connection.write(encode_frame(set_up))
         if attempt.is_written:
             endpoint.placed_sessions[session_id] = PlacedSession(connection, now)
 
@@ -164,13 +164,13 @@
         assert isinstance(request.body, bytes)
         remaining_ms = command.timeout_ms - (now - attempt.sent_at)
         parameters: dict[int, bytes] = {
-            Code.CLASS: self._class_names[request.class_index],
-            Code.WAIT: b"%d" % max(ceil(remaining_ms), 1),
-            Code.TITLE: request.title_name.encode(),
-            Code.RUNG: b"%d" % command.rung,
-            Code.DESCRIPTION: request.body,
+            ParameterCode.CLASS: self._class_names[request.class_index],
+            ParameterCode.WAIT: b"%d" % max(ceil(remaining_ms), 1),
+            ParameterCode.TITLE: request.title_name.encode(),
+            ParameterCode.RUNG: b"%d" % command.rung,
+            ParameterCode.DESCRIPTION: request.body,
         }
-        return Frame(Type.SETUP, request.session_id, parameters)
+        return Frame(FrameType.SETUP, request.session_id, parameters)
 
     # --- events ---
 
--- a/fernweir/node/program.py
+++ b/fernweir/node/program.py
@@ -20,13 +20,13 @@
 from fernweir.node.client_connection import ClientConnection
 from fernweir.node.client_listener import ClientListener
 from fernweir.node.client_requests import ClientRequests
-from fernweir.node.config import ConfigError, NodeConfig, load
-from fernweir.node.feed import Feed, FeedError
-from fernweir.node.follow import Follower
+from fernweir.node.config import ConfigError, NodeConfig, load_config
+from fernweir.node.endpoint_feed import EndpointFeed, FeedError
+from fernweir.node.endpoint_watcher import EndpointWatcher
 from fernweir.node.graceful_shutdown import GracefulShutdown
 from fernweir.node.limits import ConnectionAdmission, DescriptorQuota
 from fernweir.node.logs import NodeLog
-from fernweir.node.requests import Requests
+from fernweir.node.requests import SetUpParser
 from fernweir.node.server_pool import ServerPool
 from fernweir.node.server_transport import MediaServerTransport
 from fernweir.node.session_end_delivery import SessionEndDelivery
@@ -56,19 +56,21 @@
         limits = SessionLimits(reply_margin_ms=0.0, unclaimed_session_ttl_ms=0.0)
         self.core = Dispatcher(SessionManager(config.settings, config.seed, limits), log=log)
         wall_clock_offset_ms = (time.time() - loop.time()) * 1000.0
-        self.feed = Feed(config.settings, config.kinds, wall_clock_offset_ms)
-        quota = DescriptorQuota(config.sockets)
+        self.feed = EndpointFeed(config.server_types, wall_clock_offset_ms)
+        quota = DescriptorQuota(config.max_descriptors)
         self.server_pool = ServerPool(self.core, self.feed, config, quota)
         self.server_transport = MediaServerTransport(self.core, self.feed, config.settings, self.server_pool)
         self._create_client_side(quota)
-        self.follower = Follower(self.core, self.feed, self.server_transport, config.feed, config.seed)
+        self.endpoint_watcher = EndpointWatcher(
+            self.core, self.feed, self.server_transport, config.feed_address, config.seed
+        )
         self.graceful_shutdown = GracefulShutdown(config.settings)
         self.drained = asyncio.Event()
         self._drain_timer: asyncio.TimerHandle | None = None
 
     def _create_client_side(self, quota: DescriptorQuota) -> None:
         admission: ConnectionAdmission[ClientConnection] = ConnectionAdmission(quota.client_connections)
-        parser = Requests(self.config.settings)
+        parser = SetUpParser(self.config.settings)
         self.session_ends = SessionEndDelivery(self.core)
         self.client_requests = ClientRequests(
             self.core, parser, self.server_transport, admission, self.session_ends
@@ -83,14 +85,16 @@
             OSError: The address to listen at is not available.
         """
         try:
-            for update in self.feed.start(self.config.known, self.config.known_n):
-                self.follower.tell(update)
+            for update in self.feed.apply_known_events(
+                self.config.known_events, self.config.known_sequence_number
+            ):
+                self.endpoint_watcher.apply_update(update)
         except FeedError as error:
             raise ConfigError(f"known: {error}") from None
-        if self.feed.left_out:
-            self.log.warning("known events not all of use", events=self.feed.left_out)
-        self.client_listener.listen(self.config.listen)
-        self.follower.start()
+        if self.feed.partially_applied_events:
+            self.log.warning("known events not all of use", events=self.feed.partially_applied_events)
+        self.client_listener.listen(self.config.listen_address)
+        self.endpoint_watcher.start()
         self.core.after_step(self._on_first_step)
 
     def _on_first_step(self) -> None:
@@ -100,12 +104,12 @@
     def reload(self) -> None:
         """Handles SIGHUP: reads the configuration again, of which only the feed's address may change."""
         try:
-            config = load(self._environment)
+            config = load_config(self._environment)
         except ConfigError as error:
             self._log_unusable_configuration(error)
             return
-        self.log.info("feed moved", feed=config.feed, last=self.feed.last)
-        self.follower.move(config.feed)
+        self.log.info("feed moved", feed=config.feed_address, last=self.feed.last_sequence_number)
+        self.endpoint_watcher.change_address(config.feed_address)
 
     def _log_unusable_configuration(self, error: ConfigError) -> None:
         self.log.error("new configuration not used", why=str(error))
@@ -159,7 +163,7 @@
         """Stops all parts and closes all connections."""
         if self._drain_timer is not None:
             self._drain_timer.cancel()
-        self.follower.stop()
+        self.endpoint_watcher.stop()
         self.client_listener.shutdown()
         self.core.run_last_step()  # for what that caused, as the release of a session whose reply was lost
         self.core.stop()
@@ -179,10 +183,10 @@
     if not path:
         return None
     try:
-        from fernweir.node.peering import read_peers
+        from fernweir.node.peering import read_peers_file
     except ModuleNotFoundError as error:
         raise ConfigError(f"FERNWEIR_PEERS: package {error.name} is not installed") from None
-    return read_peers(Path(path), config.name)
+    return read_peers_file(Path(path), config.name)
 
 
 async def _start_peers(node: Node, file: PeersFile) -> Peers:
@@ -232,7 +236,7 @@
     # Before the configuration is read: its file may be replaced, and a SIGHUP sent, at any time.
     signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS)
     try:
-        config = load(os.environ)
+        config = load_config(os.environ)
         file = read_peers_file(config, os.environ)
         asyncio.run(run(config, NodeLog(config.name), os.environ, file))
     except ConfigError as error:
--- a/fernweir/node/release_queue.py
+++ b/fernweir/node/release_queue.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Container, Iterable
 
-from fernweir.node.frames import Code, Frame, Type
+from fernweir.node.frames import Frame, FrameType, ParameterCode
 
 _CAUSE_CANCELLED = 16
 
 
 def release_frame(session_id: str) -> Frame:
     """Returns the message that releases a session at its server."""
-    return Frame(Type.RELEASE, session_id, {Code.CAUSE: bytes((_CAUSE_CANCELLED,))})
+    return Frame(FrameType.RELEASE, session_id, {ParameterCode.CAUSE: bytes((_CAUSE_CANCELLED,))})
 
 
 class ReleaseQueue:
--- a/fernweir/node/server_messages.py
+++ b/fernweir/node/server_messages.py
@@ -5,7 +5,7 @@
 from fernweir.front.dispatcher import Dispatcher
 from fernweir.interface import NoticeKind, Result
 from fernweir.node.attempts import Attempt, AttemptManager
-from fernweir.node.frames import Code, Frame, FrameError, Type
+from fernweir.node.frames import Frame, FrameError, FrameType, ParameterCode
 from fernweir.node.health_checks import HealthChecker
 from fernweir.node.liveness import result_of_broken_attempt
 from fernweir.node.placed_sessions import PlacedSessionManager
@@ -53,29 +53,29 @@
         Raises:
             FrameError: The message lacks what it needs.
         """
-        if frame.type is Type.PONG:
+        if frame.type is FrameType.PONG:
             result = Result.OK if frame.cause == _CAUSE_HEALTHY else Result.ERROR
-            self._health_checks.finish(connection.endpoint, frame.session, result, frame.report())
-        elif frame.type is Type.ANSWER:
+            self._health_checks.finish(connection.endpoint, frame.session, result, frame.load_report())
+        elif frame.type is FrameType.ANSWER:
             self._on_answer(connection, frame)
-        elif frame.type is Type.RELEASE:
+        elif frame.type is FrameType.RELEASE:
             self._on_release(connection, frame)
-        elif frame.type is Type.NOTE:
+        elif frame.type is FrameType.NOTE:
             self._on_notice(connection.endpoint, frame)
 
     def _on_answer(self, connection: ServerConnection, frame: Frame) -> None:
         attempt = self._find_attempt(connection, frame.session)
         if attempt is None:
             return
-        if Code.DESCRIPTION not in frame.parameters:
+        if ParameterCode.DESCRIPTION not in frame.parameters:
             raise FrameError("an answer without a description")
-        report = frame.report()
-        description = frame.text(Code.DESCRIPTION)
+        report = frame.load_report()
+        description = frame.text_parameter(ParameterCode.DESCRIPTION)
         self._attempts.succeed(connection.endpoint, attempt, description, report)
 
     def _on_release(self, connection: ServerConnection, frame: Frame) -> None:
         cause = frame.cause
-        report = frame.report()
+        report = frame.load_report()
         attempt = self._find_attempt(connection, frame.session)
         if attempt is not None:
             self._on_attempt_rejected(connection.endpoint, attempt, cause, report)
@@ -108,8 +108,8 @@
         self._sessions.end(endpoint, session_id, result)
 
     def _on_notice(self, endpoint: ServerEndpoint, frame: Frame) -> None:
-        kind = _NOTICE_KINDS.get(frame.text(Code.NOTE))
-        level = frame.number(Code.LEVEL)
+        kind = _NOTICE_KINDS.get(frame.text_parameter(ParameterCode.NOTE))
+        level = frame.number_parameter(ParameterCode.LEVEL)
         record = self._dispatcher.sessions.session(frame.session)
         if kind is None or record is None or record.server != endpoint.server:
             return
--- a/fernweir/node/server_pool.py
+++ b/fernweir/node/server_pool.py
@@ -12,7 +12,7 @@
 from fernweir.interface import ServerState
 from fernweir.node.config import NodeConfig
 from fernweir.node.connection_state import ConnectionPhase
-from fernweir.node.feed import Feed
+from fernweir.node.endpoint_feed import EndpointFeed
 from fernweir.node.limits import DescriptorQuota
 from fernweir.node.liveness import LivenessMonitor
 from fernweir.node.server_connection import ConnectionEvents, ServerConnection
@@ -34,12 +34,12 @@
     events: ConnectionEvents
 
     def __init__(
-        self, dispatcher: Dispatcher, feed: Feed, config: NodeConfig, quota: DescriptorQuota
+        self, dispatcher: Dispatcher, feed: EndpointFeed, config: NodeConfig, quota: DescriptorQuota
     ) -> None:
         self.endpoints: dict[int, ServerEndpoint] = {}
         self.descriptor_quota = quota
-        self.connect_timeout_s = config.connect_ms / 1000.0
-        self.idle_timeout_ms = config.idle_ms
+        self.connect_timeout_s = config.connect_timeout_ms / 1000.0
+        self.idle_timeout_ms = config.idle_timeout_ms
         self.is_stopped = False
         self._dispatcher = dispatcher
         self._feed = feed
@@ -167,4 +167,4 @@
             connection.close()
         if not endpoint.connections:
             del self.endpoints[endpoint.server]
-            self._feed.forget(endpoint.server)
+            self._feed.forget_server(endpoint.server)
--- a/fernweir/node/server_upkeep.py
+++ b/fernweir/node/server_upkeep.py
@@ -4,7 +4,7 @@
 
 from fernweir.front.dispatcher import Dispatcher
 from fernweir.node.attempts import AttemptManager
-from fernweir.node.feed import Feed
+from fernweir.node.endpoint_feed import EndpointFeed
 from fernweir.node.liveness import CHECK_INTERVAL_MS, LivenessStatus
 from fernweir.node.placed_sessions import PlacedSessionManager
 from fernweir.node.server_endpoint import ServerEndpoint
@@ -19,7 +19,7 @@
     def __init__(
         self,
         dispatcher: Dispatcher,
-        feed: Feed,
+        feed: EndpointFeed,
         pool: ServerPool,
         attempts: AttemptManager,
         sessions: PlacedSessionManager,
--- a/tests/node_scene.py
+++ b/tests/node_scene.py
@@ -16,8 +16,8 @@
 from fernweir.front.names import number_of
 from fernweir.interface import Settings
 from fernweir.node.config import Address, NodeConfig
-from fernweir.node.frames import Code, Frame, Frames, Type, encode
-from fernweir.node.jsonl import NO_ID, Message, read, write
+from fernweir.node.frames import Frame, FrameReader, FrameType, ParameterCode, encode_frame
+from fernweir.node.jsonl import NO_SESSION_ID, Message, decode_message, encode_message
 from fernweir.node.logs import NodeLog
 from fernweir.node.program import Node
 from tests.helpers import SETTINGS
@@ -67,7 +67,7 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.append(writer)
-        frames = Frames()
+        frames = FrameReader()
         for frame in self.unheard:
             self.say(frame, writer)
         try:
@@ -87,45 +87,47 @@
             writer.close()
 
     def _take(self, frame: Frame, writer: asyncio.StreamWriter) -> None:
-        if frame.type is Type.SETUP:
+        if frame.type is FrameType.SETUP:
             self.setups.append(frame)
             assert frame.session not in self.out, "two attempts out at one server"
             self.out[frame.session] = writer
             self.play(self.script.pop(0) if self.script else "answer", frame.session, writer)
-        elif frame.type is Type.RELEASE:
+        elif frame.type is FrameType.RELEASE:
             self.releases.append((frame.session, frame.cause))
             self.out.pop(frame.session, None)
             self.stands.discard(frame.session)
-        elif frame.type is Type.RATE:
-            self.rungs.append((frame.session, frame.text(Code.RUNG)))
-        elif frame.type is Type.PING:
+        elif frame.type is FrameType.RATE:
+            self.rungs.append((frame.session, frame.text_parameter(ParameterCode.RUNG)))
+        elif frame.type is FrameType.PING:
             self.pings += 1
             if self.pings <= self.pings_to_break:
                 writer.transport.abort()
                 return
-            self.say(Frame(Type.PONG, frame.session, {Code.CAUSE: b"\1"}), writer)
+            self.say(Frame(FrameType.PONG, frame.session, {ParameterCode.CAUSE: b"\1"}), writer)
 
     def play(self, move: str, id: str, writer: asyncio.StreamWriter) -> None:
-        answer = Frame(Type.ANSWER, id, {Code.DESCRIPTION: f"{self.name} {id}\r\n".encode()})
+        answer = Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: f"{self.name} {id}\r\n".encode()})
         if move in ("answer", "twice", "empty", "noise", "binary", "half"):
             self.stands.add(id)
         if move == "answer":
             self.say(answer, writer)
         elif move == "twice":
             unknown = replace(answer, session="f" * 16)
-            writer.write(encode(unknown) + encode(answer) + encode(answer))
+            writer.write(encode_frame(unknown) + encode_frame(answer) + encode_frame(answer))
         elif move == "empty":
-            self.say(Frame(Type.ANSWER, id), writer)
+            self.say(Frame(FrameType.ANSWER, id), writer)
         elif move == "noise":
             writer.write(b"\0\2\xff\xff")
         elif move == "binary":
-            self.say(Frame(Type.ANSWER, id, {Code.DESCRIPTION: b"\xff\xfe"}), writer)
+            self.say(Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: b"\xff\xfe"}), writer)
         elif move == "reset":
             writer.transport.abort()
         elif move == "half":
-            writer.write(encode(answer)[:-5])
+            writer.write(encode_frame(answer)[:-5])
         elif move.isdigit():
-            self.refused.append((Frame(Type.RELEASE, id, {Code.CAUSE: bytes((int(move),))}), writer))
+            self.refused.append(
+                (Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((int(move),))}), writer)
+            )
             self.say(*self.refused[-1])
         else:
             assert move == "silent", move
@@ -137,7 +139,7 @@
         self.play("answer", id, self.out[id])
 
     def say(self, frame: Frame, writer: asyncio.StreamWriter | None = None) -> None:
-        (writer or self.writers[-1]).write(encode(frame))
+        (writer or self.writers[-1]).write(encode_frame(frame))
 
 
 class FeedServer:
@@ -199,7 +201,7 @@
     async def _read(self) -> None:
         try:
             while line := await self._reader.readline():
-                message = read(line.rstrip(b"\n"))
+                message = decode_message(line.rstrip(b"\n"))
                 self.raw.append(message)
                 self.scene.told(message)
         except ConnectionError:
@@ -207,7 +209,7 @@
         self.closed = True
 
     def send(self, *messages: Message) -> None:
-        self._writer.write(b"".join(map(write, messages)))
+        self._writer.write(b"".join(map(encode_message, messages)))
 
     def write(self, data: bytes) -> None:
         self._writer.write(data)
@@ -354,7 +356,7 @@
     def setups(self) -> list[str]:
         """Ids of all set-ups that came whole, in order on each connection."""
         self.look()
-        return [one.session for line in self.lines for one in line.heard if one.type is Type.SETUP]
+        return [one.session for line in self.lines for one in line.heard if one.type is FrameType.SETUP]
 
     def line_of(self, id: str) -> FarLine:
         """The connection that a set-up came on, the newest if it came on several."""
@@ -374,7 +376,7 @@
     @property
     def released(self) -> set[str]:
         self.look()
-        said = {one.session for line in self.lines for one in line.heard if one.type is Type.RELEASE}
+        said = {one.session for line in self.lines for one in line.heard if one.type is FrameType.RELEASE}
         return said | {id for line in self.lines for id in line.ended}
 
     def kill(self) -> None:
@@ -397,7 +399,7 @@
         super().__init__(sock)
         self.server, self.heard = server, list[Frame]()
         self.answered, self.ended = set[str](), set[str]()
-        self._frames = Frames()
+        self._frames = FrameReader()
 
     def look(self) -> list[Frame]:
         """What came since the last look; also kept in `heard`."""
@@ -407,21 +409,23 @@
 
     @property
     def setups(self) -> set[str]:
-        return {one.session for one in self.heard if one.type is Type.SETUP}
+        return {one.session for one in self.heard if one.type is FrameType.SETUP}
 
     def say(self, frame: Frame) -> None:
-        self.write(encode(frame))
+        self.write(encode_frame(frame))
 
     def answer(self, id: str, part: slice = slice(None)) -> bytes:
         """Writes the answer to a set-up, or a part of its bytes; it stands from the first on."""
-        data = encode(Frame(Type.ANSWER, id, {Code.DESCRIPTION: f"{self.server.name} {id}\r\n".encode()}))
+        data = encode_frame(
+            Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: f"{self.server.name} {id}\r\n".encode()})
+        )
         self.answered.add(id)
         self.write(data[part])
         return data
 
     def release(self, id: str, cause: int) -> None:
         self.ended.add(id)
-        self.say(Frame(Type.RELEASE, id, {Code.CAUSE: bytes((cause,))}))
+        self.say(Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((cause,))}))
 
 
 class FarFeed:
@@ -467,15 +471,15 @@
         self._rest = b""
 
     def send(self, *messages: Message) -> None:
-        self.write(b"".join(map(write, messages)))
+        self.write(b"".join(map(encode_message, messages)))
 
     def look(self) -> list[Message]:
         """What came since the last look; also kept in `raw`."""
         *lines, self._rest = (self._rest + self.take()).split(b"\n")
-        came = [read(line) for line in lines]
+        came = [decode_message(line) for line in lines]
         for message in came:
             self.raw.append(message)
-            if message.id != NO_ID:
+            if message.id != NO_SESSION_ID:
                 self.stage.told(message)
         return came
 
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -140,7 +140,7 @@
     "fernweir.node.connection_state.ConnectionPhase": "where a server connection stands",
     "fernweir.node.client_connection_state.ConnectionPhase": "which end of a client connection ended",
     "fernweir.node.liveness.LivenessStatus": "what the liveness monitor asks for",
-    "fernweir.node.asking.At": "where a reconnect stands",
+    "fernweir.node.reconnect.ReconnectPhase": "where a reconnect stands",
     "fernweir.seats.seat.SeatState": "where a seat stands; the log stores records instead",
     "fernweir.seats.messages.ResponseStatus": "what a reply of the entitlement server means",
     "fernweir.seats.seat.TimerKind": "what a seat's timer stands for",
@@ -224,8 +224,8 @@
     traced = {json.loads(bytes.fromhex(one["bytes"]))["kind"] for one in SAMPLES.values()
               if one["format"] == "trace-record"}  # fmt: skip
     assert traced == kinds
-    assert {one["fields"][0] for one in values["node-line"]} == jsonl.TYPES
-    assert {one["fields"][0] for one in values["node-frame"]} == {kind.value for kind in frames.Type}
+    assert {one["fields"][0] for one in values["node-line"]} == jsonl.MESSAGE_TYPES
+    assert {one["fields"][0] for one in values["node-frame"]} == {kind.value for kind in frames.FrameType}
     assert {one["fields"][2] for one in values["journal-row"]} == {what.value for what in EventKind}
     actions = {one["type"] for one in values["wire-action"]}
     assert {TYPES[name] for name in actions} == set(get_args(interface.Action))
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -15,8 +15,8 @@
 from fernweir.http.reset import reset
 from fernweir.node.client_connection_state import ConnectionPhase
 from fernweir.node.client_requests import ClientRequests
-from fernweir.node.frames import Code, Frame, Type
-from fernweir.node.jsonl import Message, write
+from fernweir.node.frames import Frame, FrameType, ParameterCode
+from fernweir.node.jsonl import Message, encode_message
 from tests.node_scene import OFFER, PLAIN, MediaServer, Scene, Told, ViewerConnection, play
 from tests.sockets import until
 
@@ -46,20 +46,26 @@
         first, second = await scene.viewer(), await scene.viewer()
         offer = OFFER + '\u00e9\U0001f3ac \\ "\t'
         wish = scene.setup(sdp=offer)
-        first.write(write(wish)[:40])
-        first.write(write(wish)[40:])
+        first.write(encode_message(wish)[:40])
+        first.write(encode_message(wish)[40:])
         answer = await first.answer(wish.id)
         ((name, frame),) = scene.setups()
         assert answer.sdp == f"{name} {wish.id}\r\n"
-        assert frame.text(Code.DESCRIPTION) == offer and frame.text(Code.TITLE) == "7f3a9c21e0b4d655"
-        assert frame.text(Code.CLASS) == "film" and 0 < int(frame.text(Code.WAIT)) <= 500
+        assert (
+            frame.text_parameter(ParameterCode.DESCRIPTION) == offer
+            and frame.text_parameter(ParameterCode.TITLE) == "7f3a9c21e0b4d655"
+        )
+        assert (
+            frame.text_parameter(ParameterCode.CLASS) == "film"
+            and 0 < int(frame.text_parameter(ParameterCode.WAIT)) <= 500
+        )
         other = scene.setup(left="4060")  # a little over its class's deadline
         second.send(other)
         await second.answer(other.id)
         first.close()
         await until(lambda: scene.node.session_ends.connection_by_session.get(wish.id) is None)
         server = scene.servers[name]
-        server.say(Frame(Type.RELEASE, wish.id, {Code.CAUSE: bytes((16,))}))
+        server.say(Frame(FrameType.RELEASE, wish.id, {ParameterCode.CAUSE: bytes((16,))}))
         await until(lambda: wish.id in scene.ends)  # on the other's connection
         assert scene.ends[wish.id].cause == 16 and second.raw[-1].id == wish.id
         second.send(Message("release", other.id, cause=16))  # its viewer ends the other
@@ -79,13 +85,13 @@
         await until(lambda: strange.id in scene.answers)  # no such server: it is over
         server = scene.servers["s-1"]
         await until(lambda: server.writers)  # the node comes to hear of its session
-        note = {Code.NOTE: b"level", Code.LEVEL: b"3"}
-        server.say(Frame(Type.NOTE, wish.id, note))
+        note = {ParameterCode.NOTE: b"level", ParameterCode.LEVEL: b"3"}
+        server.say(Frame(FrameType.NOTE, wish.id, note))
         held = scene.node.core.sessions.session(wish.id)
         assert held is not None
         await until(lambda: held.rung == 3)
         scene.answers[wish.id] = Message("answer", wish.id)
-        server.say(Frame(Type.RELEASE, wish.id, {Code.CAUSE: bytes((41,))}))
+        server.say(Frame(FrameType.RELEASE, wish.id, {ParameterCode.CAUSE: bytes((41,))}))
         await until(lambda: wish.id in scene.ends)
         assert not scene.setups() and scene.ends[wish.id].cause == 41
 
@@ -237,7 +243,7 @@
     async def story(scene: Scene) -> None:
         viewer, wish, name = await one_that_stands(scene)
         server = scene.servers[name]
-        end = Frame(Type.RELEASE, wish.id, {Code.CAUSE: bytes((16,))})
+        end = Frame(FrameType.RELEASE, wish.id, {ParameterCode.CAUSE: bytes((16,))})
         says = [lambda: viewer.send(Message("release", wish.id, cause=16)), lambda: server.say(end)]
         for say in says if first == "viewer" else reversed(says):
             say()
@@ -252,8 +258,8 @@
 def test_an_answer_after_its_time_out_and_the_end_behind_it_change_nothing() -> None:
     async def story(scene: Scene) -> None:
         viewer, wish, server = await one_under_way(scene)
-        answer = Frame(Type.ANSWER, wish.id, {Code.DESCRIPTION: b"late\r\n"})
-        server.parting = [answer, Frame(Type.RELEASE, wish.id, {Code.CAUSE: bytes((16,))})]
+        answer = Frame(FrameType.ANSWER, wish.id, {ParameterCode.DESCRIPTION: b"late\r\n"})
+        server.parting = [answer, Frame(FrameType.RELEASE, wish.id, {ParameterCode.CAUSE: bytes((16,))})]
         await until(lambda: len(scene.setups()) == 2)  # elsewhere
         second = next(one for one in scene.servers.values() if one.out)
         await until(lambda: not server.writers)  # the late words were written before its connection ended
@@ -274,7 +280,7 @@
         await viewer.answer(stands.id)
         ((name, _),) = scene.setups()
         server = scene.servers[name]
-        end = Frame(Type.RELEASE, stands.id, {Code.CAUSE: bytes((16,))})
+        end = Frame(FrameType.RELEASE, stands.id, {ParameterCode.CAUSE: bytes((16,))})
         server.script = ["silent"]
         viewer.send(late)  # on the same connection: it times out, which closes that
         await until(lambda: late.id in server.out)
@@ -455,7 +461,7 @@
         scene.feed.events.append({"n": 2, "members": members})
         scene.feed.writers[-1].write(half[:50])
         scene.feed.writers[-1].close()
-        await until(lambda: scene.node.feed.last == 2)
+        await until(lambda: scene.node.feed.last_sequence_number == 2)
         assert scene.feed.asked == [1, 1]
         scene.feed.tell(scene.feed.events[0])  # told twice
         scene.feed.tell(2)
@@ -476,15 +482,17 @@
         await until(lambda: scene.feed.asked == [1])
         scene.node._environment = {"ROUTER_CONFIG": "/nowhere/config.json"}
         scene.node.reload()
-        assert scene.node.follower.there == scene.feed.address and "not used" in scene.log.getvalue()
+        assert (
+            scene.node.endpoint_watcher.address == scene.feed.address and "not used" in scene.log.getvalue()
+        )
         other = type(scene.feed)()
         await other.listen()
-        scene.node.follower.move(other.address)
-        scene.node.follower.move(other.address)  # twice in a row
+        scene.node.endpoint_watcher.change_address(other.address)
+        scene.node.endpoint_watcher.change_address(other.address)  # twice in a row
         await until(lambda: other.writers)
         members = {"index": 2, "snapshot": False, "endpoints": [scene.line("s-0", "removed")]}
         other.add(members)
-        await until(lambda: scene.node.feed.last >= 2)
+        await until(lambda: scene.node.feed.last_sequence_number >= 2)
         assert other.asked[-1] == 1
 
     play(story)
@@ -511,14 +519,14 @@
         old = scene.servers[name]
         successor = scene.line(name) | {"name": "s-new"}
         scene.feed.add({"index": 2, "snapshot": False, "endpoints": [scene.line(name, "removed"), successor]})
-        await until(lambda: scene.node.feed.last == 2)
+        await until(lambda: scene.node.feed.last_sequence_number == 2)
         for writer in old.writers:
             writer.transport.abort()
         await until(lambda: wish.id in scene.ends)
         await until(lambda: number_of(name) not in scene.node.server_pool.endpoints)
         unused = next(one for one in scene.servers if number_of(one) not in scene.node.server_pool.endpoints)
         scene.feed.add({"index": 3, "snapshot": False, "endpoints": [scene.line(unused, "removed")]})
-        await until(lambda: scene.node.feed.last == 3)
+        await until(lambda: scene.node.feed.last_sequence_number == 3)
         for one in (name, unused):
             number = number_of(one)
             assert (
@@ -602,7 +610,7 @@
             elif what == 7 and stands:
                 over = draw.choice(stands)
                 server.stands.remove(over)
-                end = Frame(Type.RELEASE, over, {Code.CAUSE: bytes((16,))})
+                end = Frame(FrameType.RELEASE, over, {ParameterCode.CAUSE: bytes((16,))})
                 server.unheard.append(end)
                 for writer in server.writers[-1:]:
                     server.say(end, writer)
@@ -644,7 +652,7 @@
     async def story(scene: Scene) -> None:
         _, writer = await asyncio.open_connection(*scene.node.client_listener.address)
         writer.transport.pause_reading()  # type: ignore[attr-defined]
-        ping = write(Message("ping", "0" * 15 + "1", cause=0)) * 2000
+        ping = encode_message(Message("ping", "0" * 15 + "1", cause=0)) * 2000
         try:
             for _ in range(400):
                 writer.write(ping)
