--- a/fernweir/controller.py
+++ b/fernweir/controller.py
@@ -2,7 +2,7 @@
 
 A front owns one Controller, hands over the events that it saw, in order, and carries out the actions that
 `Controller.handle` returns. Times (`now`, `..._at`, `..._until`) are milliseconds of the front's clock, rates
-and capacities kB a second, and loads ratios of demand to capacity.
+and capacities kB a second, and loads ratios of demand to capacity. docs/design.md gives reasons and costs.
 """
 
 from __future__ import annotations
