--- a/fernweir/front/dispatcher.py
+++ b/fernweir/front/dispatcher.py
@@ -183,8 +183,11 @@
         self._timers: set[asyncio.TimerHandle] = set()
         self._idle: asyncio.Event = asyncio.Event()
         self._after_step: list[Callable[[], None]] = []
-        # A table by type: commands are on the hot path, where a chain of isinstance costs more.
-        self._handlers: dict[type[Command], Callable[[Any], None]] = {
+        self._handlers = self._make_handlers()
+
+    def _make_handlers(self) -> dict[type[Command], Callable[[Any], None]]:
+        """Returns the handlers by the types of commands; a chain of isinstance is slower on the hot path."""
+        return {
             SessionReply: self._deliver_reply,
             SetUp: self._set_up,
             ChangeRung: self._change_rung,
--- a/fernweir/front/record.py
+++ b/fernweir/front/record.py
@@ -52,7 +52,7 @@
 
 
 class Recorder:
-    """Writes a record; `watch` fits `Host.watch`."""
+    """Writes a record; `watch` fits `BatchObserver` of the session manager."""
 
     def __init__(self, file: IO[str], settings: Settings, seed: int) -> None:
         self._file = file
--- a/fernweir/front/server_states.py
+++ b/fernweir/front/server_states.py
@@ -52,7 +52,7 @@
             self._apply(update)
 
     def set_silent(self, server: int, is_silent: bool) -> None:
-        """Notes whether a server has stopped to send anything."""
+        """Notes whether a server has stopped sending."""
         if is_silent == (server in self.silent):
             return
         if is_silent:
--- a/fernweir/front/session_context.py
+++ b/fernweir/front/session_context.py
@@ -15,6 +15,7 @@
         settings: The deployment.
         limits: Limits of the session manager.
         metrics: Counters of the session manager.
+        checks_entitlement: Whether sessions begin only after an entitlement check.
         observer: Is notified of what happens to sessions.
         now: The time of the last event that may be journaled, in milliseconds.
         events: Events since the last batch, for the controller.
@@ -22,11 +23,22 @@
         commands: Commands since the last batch, for the shells.
     """
 
-    __slots__ = ("abandoned", "commands", "events", "limits", "metrics", "now", "observer", "settings")
+    __slots__ = (
+        "abandoned",
+        "checks_entitlement",
+        "commands",
+        "events",
+        "limits",
+        "metrics",
+        "now",
+        "observer",
+        "settings",
+    )
 
-    def __init__(self, settings: Settings, limits: SessionLimits) -> None:
+    def __init__(self, settings: Settings, limits: SessionLimits, *, checks_entitlement: bool) -> None:
         self.settings = settings
         self.limits = limits
+        self.checks_entitlement = checks_entitlement
         self.metrics = SessionMetrics()
         self.observer: SessionObserver | None = None
         self.now = 0.0
--- a/fernweir/front/session_endings.py
+++ b/fernweir/front/session_endings.py
@@ -16,18 +16,10 @@
 class SessionEndings:
     """Ends sessions, and owns the deadlines by which viewers must return to sessions that play unseen."""
 
-    def __init__(
-        self,
-        context: SessionContext,
-        table: SessionTable,
-        journal: SessionJournal,
-        *,
-        checks_entitlement: bool,
-    ) -> None:
+    def __init__(self, context: SessionContext, table: SessionTable, journal: SessionJournal) -> None:
         self._context = context
         self._table = table
         self._journal = journal
-        self._checks_entitlement = checks_entitlement
         self._unclaimed_deadlines: list[tuple[float, str, int]] = []
 
     def release_at_server(
@@ -80,7 +72,7 @@
         if context.observer is not None:
             context.observer.on_session_closed(context.now, record, reason)
         self._table.remove(record)
-        if self._checks_entitlement:
+        if context.checks_entitlement:
             context.commands.append(EntitlementReleased(record.request.session_id, is_handed_over))
         self._table.remember_viewer(
             record, is_moved=is_moved, max_viewers=context.limits.max_remembered_viewers
--- a/fernweir/front/session_handover.py
+++ b/fernweir/front/session_handover.py
@@ -41,22 +41,19 @@
 class SessionHandover:
     """Adopts sessions from other fronts and hands sessions over to them."""
 
-    def __init__(  # noqa: PLR0913 - the parts of one session manager, wired once
+    def __init__(
         self,
         context: SessionContext,
         table: SessionTable,
         servers: ServerStates,
         endings: SessionEndings,
         attempts: SessionAttempts,
-        *,
-        checks_entitlement: bool,
     ) -> None:
         self._context = context
         self._table = table
         self._servers = servers
         self._endings = endings
         self._attempts = attempts
-        self._checks_entitlement = checks_entitlement
 
     def adopt(self, now: float, adopted: AdoptedSession) -> bool:
         """Stores a session that plays already; False if its id is known here or its server is not listed."""
@@ -70,7 +67,7 @@
             self._adopt_rung(record, adopted.rung)
         if not adopted.informed_viewers:
             self._endings.expect_viewer_return(now, record)
-        if self._checks_entitlement:  # its seat has to move here; it plays on until that is refused
+        if context.checks_entitlement:  # its seat has to move here; it plays on until that is refused
             deadline = now + context.settings.classes[request.class_index].deadline_ms
             context.commands.append(CheckEntitlement(request, deadline))
         return True
--- a/fernweir/front/session_manager.py
+++ b/fernweir/front/session_manager.py
@@ -66,6 +66,16 @@
 
     Its parts share a `SessionContext`; each state has one part as its owner.
 
+    Args:
+        settings: The deployment.
+        seed: Seed of the controller's random draws.
+        limits: Limits of the manager.
+        batch_observer: Is shown every batch, for recording.
+        checks_entitlement: Whether sessions begin only after an entitlement check.
+        journal: Where events are written, with the controller's reasons.
+        rejection_reason: Returns why a new session may not begin; an empty text if it may.
+        overlay: Operators' orders on servers.
+
     Attributes:
         settings: The deployment.
         controller: Decides where sessions are placed and what they play.
@@ -86,46 +96,24 @@
         rejection_reason: Callable[[SessionRequest], str] | None = None,
         overlay: Overlay | None = None,
     ) -> None:
-        """Makes a manager without sessions.
-
-        Args:
-            settings: The deployment.
-            seed: Seed of the controller's random draws.
-            limits: Limits of the manager.
-            batch_observer: Is shown every batch, for recording.
-            checks_entitlement: Whether sessions begin only after an entitlement check.
-            journal: Where events are written, with the controller's reasons.
-            rejection_reason: Returns why a new session may not begin; an empty text if it may.
-            overlay: Operators' orders on servers.
-        """
         explaining = None if journal is None else _make_explaining_controller(settings, seed)
         self.settings = settings
         self.journal = journal
         self.controller = explaining or Controller(settings, seed)
         self._batch_observer = batch_observer
-        context = self._context = SessionContext(settings, limits or SessionLimits())
+        context = self._context = SessionContext(
+            settings, limits or SessionLimits(), checks_entitlement=checks_entitlement
+        )
         table = self._table = SessionTable()
         recorder = self._journal = SessionJournal(context, journal, explaining)
         servers = self._servers = ServerStates(context, recorder, overlay)
         replies = SessionReplies(context, table, recorder)
-        endings = self._endings = SessionEndings(
-            context, table, recorder, checks_entitlement=checks_entitlement
-        )
+        endings = self._endings = SessionEndings(context, table, recorder)
         attempts = self._attempts = SessionAttempts(context, table, recorder, replies, endings)
         self._requests = SessionRequests(
-            context,
-            table,
-            recorder,
-            servers,
-            replies,
-            endings,
-            attempts,
-            checks_entitlement=checks_entitlement,
-            rejection_reason=rejection_reason,
-        )
-        self._handover = SessionHandover(
-            context, table, servers, endings, attempts, checks_entitlement=checks_entitlement
+            context, table, recorder, servers, replies, endings, attempts, rejection_reason
         )
+        self._handover = SessionHandover(context, table, servers, endings, attempts)
         self._entitlements = SessionEntitlements(context, table, replies, endings, attempts)
         self._actions = ControllerActions(context, table, recorder, replies, endings, attempts)
         self.metrics = context.metrics
@@ -297,7 +285,7 @@
         return len(lost)
 
     def on_server_silence_changed(self, server: int, is_silent: bool) -> None:
-        """A server with sessions has stopped to send anything, though its process may run; or sends again."""
+        """A server with sessions has stopped sending, though its process may run; or it sends again."""
         self._servers.set_silent(server, is_silent)
 
     def on_server_notice(
--- a/fernweir/front/session_record.py
+++ b/fernweir/front/session_record.py
@@ -41,7 +41,7 @@
         attempts: Number of attempts so far.
         server: The server of the last attempt, -1 before the first.
         rung: The rung that the controller wants.
-        sent_rung: The rung that the server was last told, or has reported.
+        sent_rung: The rung that the server was last sent, or has reported.
         payload: What the protocol made of the server's response; viewers are answered from it.
         last_result: How the last attempt ended, None while there is none or it succeeded.
         reply_deadline: When the first viewer stops waiting, in milliseconds of the manager's clock.
--- a/fernweir/front/session_requests.py
+++ b/fernweir/front/session_requests.py
@@ -41,8 +41,6 @@
         replies: SessionReplies,
         endings: SessionEndings,
         attempts: SessionAttempts,
-        *,
-        checks_entitlement: bool,
         rejection_reason: RejectionReason | None,
     ) -> None:
         self.is_closing = False
@@ -54,7 +52,6 @@
         self._replies = replies
         self._endings = endings
         self._attempts = attempts
-        self._checks_entitlement = checks_entitlement
         self._rejection_reason = rejection_reason
 
     def on_request(self, now: float, request: SessionRequest) -> None:
@@ -146,7 +143,7 @@
         record = self._table.create(now, request)
         self._table.add_ticket(record, request.ticket)
         self._journal.record_session(EventKind.ASKED, record)
-        if self._checks_entitlement:
+        if self._context.checks_entitlement:
             record.phase = SessionPhase.AWAITING_ENTITLEMENT
             deadline = now + request.max_wait_ms * self._context.limits.entitlement_wait_ratio
             self._context.commands.append(CheckEntitlement(request, deadline))
--- a/tests/peers_mutants/fuzz.py
+++ b/tests/peers_mutants/fuzz.py
@@ -216,8 +216,8 @@
         Mutant(
             "a seat not given back",
             _ENDINGS,
-            "        if self._checks_entitlement:\n            context.commands.append(EntitlementReleased",
-            "        if self._checks_entitlement and record.informed_viewers:\n"
+            "        if context.checks_entitlement:\n            context.commands.append(EntitlementReleased",
+            "        if context.checks_entitlement and record.informed_viewers:\n"
             "            context.commands.append(EntitlementReleased",
             60,
         ),
