--- a/bench/leads.py
+++ b/bench/leads.py
@@ -76,7 +76,7 @@
         loop.call_later(phase.away[0], setattr, server, "silent", True)
         loop.call_later(phase.away[1], setattr, server, "silent", False)
     ends = await asyncio.gather(*(one(number) for number in range(sessions)))
-    counts = front.gate.book.metrics
+    counts = front.gate.seat_manager.metrics
     front.kill()
     server.stop()
     viewers.close()
--- a/bench/renewals.py
+++ b/bench/renewals.py
@@ -1,4 +1,4 @@
-"""CPU that one renewal costs the book: decisions, timers and turns, without network or disk.
+"""CPU that one renewal costs the seat manager: decisions, timers and queue, without network or disk.
 
 python -m bench.renewals [--seats 20000]
 """
@@ -26,29 +26,29 @@
         return len(log)
 
     ttl, now, fence = 30_000.0, 0.0, 0
-    book = SeatManager(
+    seat_manager = SeatManager(
         now,
         append,
         lambda cls: False,
         SeatManagerConfig(seed=1, max_ttl_ms=ttl, queue=QueueConfig(max_in_flight=1_000_000)),
     )
     for number in range(seats):
-        book.request_seat(now, SeatRequest(f"s{number}", "t", "l", "c", "p", 1.0), now + 2_000.0)
+        seat_manager.request_seat(now, SeatRequest(f"s{number}", "t", "l", "c", "p", 1.0), now + 2_000.0)
 
     def turn() -> int:
         nonlocal fence
-        book.on_log_synced(len(log))
-        sends = [one for one in book.advance(now) if isinstance(one, SendLeaseRequest)]
+        seat_manager.on_log_synced(len(log))
+        sends = [one for one in seat_manager.advance(now) if isinstance(one, SendLeaseRequest)]
         for send in sends:
             fence += 1
-            book.on_response(
+            seat_manager.on_response(
                 now + 1.0,
                 send.request_id,
                 LeaseResponse(ResponseStatus.SUCCEEDED, f"L{send.record.session_id}", fence, ttl),
             )
         return sum(send.operation is Operation.RENEW for send in sends)
 
-    while turn() or book.send_queue.in_flight:
+    while turn() or seat_manager.send_queue.in_flight:
         pass
     begun, renewed = time.process_time(), 0
     while now < 10 * ttl:
--- a/fernweir/cli/ledger.py
+++ b/fernweir/cli/ledger.py
@@ -23,7 +23,7 @@
     return files, found, rebuild_table(found.snapshot, found.records)
 
 
-def _dumped_seat(record: SeatRecord) -> dict[str, object]:
+def _seat_document(record: SeatRecord) -> dict[str, object]:
     """A seat as `dump` prints it; the keys and their order are a format."""
     return {
         "session": record.session_id,
@@ -78,7 +78,7 @@
 def dump(folder: Path) -> None:
     """Print each seat as a line of JSON."""
     for seat in _read(folder)[2].values():
-        click.echo(json.dumps(_dumped_seat(seat)))
+        click.echo(json.dumps(_seat_document(seat)))
 
 
 @ledger.command("compact")
--- a/fernweir/front/entitlement_gate.py
+++ b/fernweir/front/entitlement_gate.py
@@ -1,4 +1,4 @@
-"""The gate: sessions pass when the book of seats says so. A thin shell around book, log and client."""
+"""Admits sessions that have a seat: a thin shell around the seat manager, its log and its client."""
 
 from __future__ import annotations
 
@@ -26,9 +26,14 @@
     """`plays_unanswered` names the classes whose sessions play when the server says nothing."""
 
     def __init__(
-        self, core: Dispatcher, book: SeatManager, log: SeatLog, client: EntitlementClient, sync_s: float
+        self,
+        core: Dispatcher,
+        seat_manager: SeatManager,
+        log: SeatLog,
+        client: EntitlementClient,
+        sync_s: float,
     ) -> None:
-        self.core, self.book, self.log, self.client = core, book, log, client
+        self.core, self.seat_manager, self.log, self.client = core, seat_manager, log, client
         self._sync_s = sync_s
         self._syncing = self._kicked = self._stopped = False
         self._wake: asyncio.TimerHandle | None = None
@@ -48,7 +53,7 @@
         want = SeatRequest(
             ask.session_id, ask.tenant, ask.title_name, kind.name, ask.subject, kind.priority_weight
         )
-        self.book.request_seat(self.core.now(), want, command.deadline)
+        self.seat_manager.request_seat(self.core.now(), want, command.deadline)
         self.kick()
 
     def on_session_released(self, command: EntitlementReleased) -> None:
@@ -58,17 +63,17 @@
             self._moved.add(command.session_id)
             self.core.loop.call_later(_MOVED_S, self._moved_on, command.session_id)
             return
-        self.book.cancel_request(self.core.now(), command.session_id)
+        self.seat_manager.cancel_request(self.core.now(), command.session_id)
         self.kick()
 
     def _moved_on(self, jti: str) -> None:
         self._moved.discard(jti)
         if not self._stopped and self.core.sessions.session(jti) is None:
-            self.book.cancel_request(self.core.now(), jti)
+            self.seat_manager.cancel_request(self.core.now(), jti)
             self.kick()
 
     def is_entitled(self, jti: str) -> bool:
-        return self.book.has_valid_lease(self.core.now(), jti)
+        return self.seat_manager.has_valid_lease(self.core.now(), jti)
 
     def kick(self) -> None:
         if not self._kicked and not self._stopped:
@@ -80,13 +85,13 @@
 
         What moved a moment ago is its heir's to ask for, and lapses if that never does.
         """
-        for session in [one for one in self.book.seats if one not in self._moved]:
-            self.book.cancel_request(self.core.now(), session)
+        for session in [one for one in self.seat_manager.seats if one not in self._moved]:
+            self.seat_manager.cancel_request(self.core.now(), session)
         self.kick()
         end = self.core.loop.time() + within_s
-        while self.book.seats.keys() - self._moved and self.core.loop.time() < end:
+        while self.seat_manager.seats.keys() - self._moved and self.core.loop.time() < end:
             await asyncio.sleep(0.01)
-        return len(self.book.seats.keys() - self._moved)
+        return len(self.seat_manager.seats.keys() - self._moved)
 
     def stop(self) -> None:
         """What is written down is released by the next life, or lapses."""
@@ -99,11 +104,11 @@
         if self._stopped:
             return
         now, host = self.core.now(), self.core.sessions
-        for command in self.book.advance(now):
+        for command in self.seat_manager.advance(now):
             if isinstance(command, SendLeaseRequest):
                 self._send(command)
             elif isinstance(command, AdmissionDecision):
-                seat = self.book.seats.get(command.session_id)
+                seat = self.seat_manager.seats.get(command.session_id)
                 plays = command.is_granted or (
                     command.is_granted is None and seat is not None and seat.is_wanted
                 )
@@ -117,7 +122,7 @@
                 # Renewed: the viewer's next manifest carries a box token signed anew; see docs/seats.md.
                 self.on_lead(command.remaining_ms)
             self.core.schedule_step()
-        due = self.book.next_deadline(now)
+        due = self.seat_manager.next_deadline(now)
         if self._wake is not None:
             self._wake.cancel()
         if due is not None:
@@ -125,7 +130,7 @@
 
     def _send(self, command: SendLeaseRequest) -> None:
         def done(reply: LeaseResponse) -> None:
-            self.book.on_response(self.core.now(), command.request_id, reply)
+            self.seat_manager.on_response(self.core.now(), command.request_id, reply)
             self.kick()
 
         self.client.send(command, done)
@@ -137,11 +142,11 @@
         try:
             number = self.log.commit()
             if self.log.is_snapshot_due:
-                self.log.write_snapshot(encode_table(self.book.records()))
+                self.log.write_snapshot(encode_table(self.seat_manager.records()))
         except LogError as error:
-            if self.book.is_log_writable:
+            if self.seat_manager.is_log_writable:
                 self.core.log.error("seats can't be written down", why=str(error))
-            self.book.on_log_failed()
+            self.seat_manager.on_log_failed()
         else:
-            self.book.on_log_synced(number)
+            self.seat_manager.on_log_synced(number)
         self.kick()
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -403,13 +403,13 @@
     folder = config.path(section.ledger)
     log = SeatLog(files)
     try:
-        found = log.open()
-        table = rebuild_table(found.snapshot, found.records)
+        recovered = log.open()
+        table = rebuild_table(recovered.snapshot, recovered.records)
     except (LogError, RecordError, OSError) as error:
         raise ConfigError(str(folder), [Problem("entitlement", "ledger", 0, str(error))]) from None
     now = core.now()
     gates: list[Gate] = []
-    book = SeatManager(
+    seat_manager = SeatManager(
         now,
         lambda body: gates[0].append(body),
         lambda cls: cls in config.plays_unanswered,
@@ -420,16 +420,16 @@
             seed=config.front.seed,
             wall_clock_offset_s=offset_s,
             queue=QueueConfig(max_in_flight=section.at_once),
+            last_generation=recovered.last_sequence,
         ),
-        generation=found.last_sequence,
     )
     client = EntitlementClient(pool, section.url, config.front.name, token)
-    gate = Gate(core, book, log, client, section.sync / 1000.0)
+    gate = Gate(core, seat_manager, log, client, section.sync / 1000.0)
     gates.append(gate)
-    book.recover_seats(now, now / 1000.0 + offset_s, table)
+    seat_manager.recover_seats(now, now / 1000.0 + offset_s, table)
     core.entitlement_check = gate
-    if found.torn_bytes or table:
-        core.log.info("seat log recovered", seats=len(table), torn_bytes=found.torn_bytes)
+    if recovered.torn_bytes or table:
+        core.log.info("seat log recovered", seats=len(table), torn_bytes=recovered.torn_bytes)
     gate.kick()
     return gate
 
--- a/fernweir/front/seat_reconciliation.py
+++ b/fernweir/front/seat_reconciliation.py
@@ -69,7 +69,7 @@
         self._dice = Random(f"use {seed}")
         self._pages: list[UsePage] = []
         self._timer: asyncio.TimerHandle | None = None
-        self.reconciler = Reconciler(gate.book)
+        self.reconciler = Reconciler(gate.seat_manager)
         self.last = ReconciliationResult()
         self.judged = 0
         self._plan()
--- a/fernweir/rehearsal/storm.py
+++ b/fernweir/rehearsal/storm.py
@@ -1,4 +1,4 @@
-"""A storm of leases on a virtual clock: several fronts' books and logs against one desk.
+"""A storm of leases on a virtual clock: several fronts' seat managers and logs against one desk.
 
 Requests and answers are lost, late and repeated, fronts are killed and come back with the disk as synced,
 the server slows down, goes away and forgets. Everything is drawn from one seed; the desk's own report and
@@ -88,7 +88,7 @@
 
 
 class _Front:
-    """One front: a book, its log, and the sessions that play there."""
+    """One front: a seat manager, its log, and the sessions that play there."""
 
     def __init__(self, storm: Storm, number: int) -> None:
         self.storm, self.name = storm, f"f{number}"
@@ -109,7 +109,7 @@
         found = self.log.open()
         table = rebuild_table(found.snapshot, found.records)
         self.table = table
-        self.book = SeatManager(
+        self.seat_manager = SeatManager(
             storm.now,
             self.append,
             lambda cls: False,
@@ -119,11 +119,11 @@
                 reclaim_after_ms=3_000.0,
                 seed=storm.plan.seed * 100 + self.number * 10 + self.lives,
                 retry=RetryConfig(initial_tokens=200.0),
+                # Keys of a life that lost its log must not be those of the life before.
+                last_generation=self.lives * 1_000_000,
             ),
-            # Keys of a life that lost its log must not be those of the life before.
-            generation=self.lives * 1_000_000,
         )
-        self.book.recover_seats(storm.now, storm.now / 1000.0, table)
+        self.seat_manager.recover_seats(storm.now, storm.now / 1000.0, table)
         self.up = True
         self.committing = False
         self.woken_at = float("inf")
@@ -139,16 +139,16 @@
             return
         self.committing = False
         number = self.log.commit()
-        self.book.on_log_synced(number)
+        self.seat_manager.on_log_synced(number)
         if self.log.is_snapshot_due:
-            self.log.write_snapshot(encode_table(self.book.records()))
+            self.log.write_snapshot(encode_table(self.seat_manager.records()))
         self.run()
 
     def run(self) -> None:
         storm = self.storm
         if not self.up:
             return
-        for command in self.book.advance(storm.now):
+        for command in self.seat_manager.advance(storm.now):
             if isinstance(command, SendLeaseRequest):
                 storm.send(self, command)
             elif isinstance(command, AdmissionDecision):
@@ -160,7 +160,7 @@
                 storm.result.renewed += 1
                 if command.remaining_ms is not None:
                     storm.result.leads_ms.append(command.remaining_ms)
-        due = self.book.next_deadline(storm.now)
+        due = self.seat_manager.next_deadline(storm.now)
         if due is not None and due < self.woken_at:
             self.woken_at = max(due, storm.now + 1.0)
             storm.at(self.woken_at, self._wake, self.lives, self.woken_at)
@@ -253,9 +253,9 @@
             return
         self.result.asked += 1
         front.owed[want.session_id] = want
-        front.book.request_seat(self.now, want, self.now + 2_500.0)
+        front.seat_manager.request_seat(self.now, want, self.now + 2_500.0)
         if self.dice.random() < 0.05:  # its set-up is repeated at once
-            front.book.request_seat(self.now, want, self.now + 2_500.0)
+            front.seat_manager.request_seat(self.now, want, self.now + 2_500.0)
         front.run()
 
     def begin(self, front: _Front, want: SeatRequest) -> None:
@@ -274,7 +274,7 @@
     def _finish(self, front: _Front, life: int, session: str) -> None:
         if front.up and front.lives == life and session in front.playing:
             self.stop(front, session)
-            front.book.cancel_request(self.now, session)
+            front.seat_manager.cancel_request(self.now, session)
             front.run()
 
     def _kill(self) -> None:
@@ -326,17 +326,17 @@
 
     def _answer(self, front: _Front, life: int, number: int, reply: LeaseResponse) -> None:
         if front.up and front.lives == life:
-            front.book.on_response(self.now, number, reply)
+            front.seat_manager.on_response(self.now, number, reply)
             front.run()
 
     def _judge(self) -> None:
         result = self.result
         self.desk.expire(self.now)
         result.virtual_ms = self.now
-        result.left_held = len(self.desk.leases) + sum(len(front.book.seats) for front in self.fronts)
+        result.left_held = len(self.desk.leases) + sum(len(front.seat_manager.seats) for front in self.fronts)
         result.most_over = self.desk.report.most_over
         result.most_by_session = self.desk.report.most_by_session
-        result.repeats = sum(front.book.metrics.retries for front in self.fronts)
+        result.repeats = sum(front.seat_manager.metrics.retries for front in self.fronts)
         result.unanswered_wants = sum(len(front.owed) for front in self.fronts)
 
 
--- a/fernweir/seats/lease_operations.py
+++ b/fernweir/seats/lease_operations.py
@@ -40,7 +40,6 @@
         append_record: Callable[[bytes], int],
         admits_unanswered: Callable[[str], bool],
         config: SeatManagerConfig,
-        generation: int,
     ) -> None:
         self.config = config
         self.metrics = SeatMetrics()
@@ -53,7 +52,7 @@
         self.append_record = append_record
         self.admits_unanswered = admits_unanswered
         self._rng = Random(f"book {config.seed}")
-        self._generation = generation
+        self._generation = config.last_generation
 
     # Seats
 
--- a/fernweir/seats/seat.py
+++ b/fernweir/seats/seat.py
@@ -56,6 +56,7 @@
         reclaim_after_ms: After a restart, unclaimed seats are released within this time.
         tick_ms: The resolution of timers.
         seed: Seeds all random draws.
+        last_generation: A number not below that of any acquisition of an earlier run.
         wall_clock_offset_s: Wall clock less monotonic clock, in seconds.
         retry: The retry policy of requests to the server.
         queue: The queue of requests to the server.
@@ -69,6 +70,7 @@
     reclaim_after_ms: float = 10_000.0
     tick_ms: float = 10.0
     seed: int = 0
+    last_generation: int = 0
     wall_clock_offset_s: float = 0.0
     retry: RetryConfig = field(default_factory=RetryConfig)
     queue: QueueConfig = field(default_factory=QueueConfig)
--- a/fernweir/seats/seat_manager.py
+++ b/fernweir/seats/seat_manager.py
@@ -40,7 +40,6 @@
         append_record: Callable[[bytes], int],
         admits_unanswered: Callable[[str], bool],
         config: SeatManagerConfig | None = None,
-        generation: int = 0,
     ) -> None:
         """Creates a manager without seats.
 
@@ -49,15 +48,13 @@
             append_record: Appends a record to the log and returns its sequence number.
             admits_unanswered: Whether sessions of a class play when the server does not respond.
             config: The configuration; the defaults if None.
-            generation: A number not below that of any earlier acquisition.
         """
-        self._operations = LeaseOperations(
-            now, append_record, admits_unanswered, config or SeatManagerConfig(), generation
-        )
+        config = config or SeatManagerConfig()
+        self._operations = LeaseOperations(now, append_record, admits_unanswered, config)
         self._acquisition = LeaseAcquisition(self._operations)
         self._renewal = LeaseRenewal(self._operations)
         self._release = LeaseRelease(self._operations)
-        self.config = self._operations.config
+        self.config = config
         self.metrics = self._operations.metrics
         self.seats = self._operations.seats
         self.send_queue = self._operations.requests.send_queue
@@ -67,14 +64,7 @@
             Operation.RENEW: self._renewal.on_response,
             Operation.RELEASE: self._release.on_response,
         }
-        self._timer_handlers: dict[TimerKind, Callable[[float, Seat], None]] = {
-            TimerKind.DECISION_DUE: self._acquisition.on_decision_due,
-            TimerKind.RENEWAL_DUE: self._renewal.on_renewal_due,
-            TimerKind.LEASE_EXPIRED: self._renewal.on_lease_expired,
-            TimerKind.RETRY_DUE: self._on_retry_due,
-            TimerKind.RECLAIM_DUE: self._operations.release,
-            TimerKind.RELEASE_EXPIRED: self._release.on_release_expired,
-        }
+        self._timer_handlers = self._handlers_by_timer()
 
     @property
     def is_log_writable(self) -> bool:
@@ -181,6 +171,16 @@
         """Whether this unknown lease is being released already."""
         return unknown_lease_key(session_id, generation) in self.seats
 
+    def _handlers_by_timer(self) -> dict[TimerKind, Callable[[float, Seat], None]]:
+        return {
+            TimerKind.DECISION_DUE: self._acquisition.on_decision_due,
+            TimerKind.RENEWAL_DUE: self._renewal.on_renewal_due,
+            TimerKind.LEASE_EXPIRED: self._renewal.on_lease_expired,
+            TimerKind.RETRY_DUE: self._on_retry_due,
+            TimerKind.RECLAIM_DUE: self._operations.release,
+            TimerKind.RELEASE_EXPIRED: self._release.on_release_expired,
+        }
+
     def _on_retry_due(self, now: float, seat: Seat) -> None:
         operations = self._operations
         if seat.request_id is not None:
--- a/tests/fuzzing/seats.py
+++ b/tests/fuzzing/seats.py
@@ -1,8 +1,8 @@
-"""The book of seats against the entitlement server that it asks, and the log that it writes.
+"""The seat manager against an entitlement server and the log that it writes.
 
 - Each want has one verdict, in its time; of one seat never two requests are out.
-- No ask leaves before its record is durable, and the log folds to what the book has.
-- What the book lets play, the server holds; what the server holds, the book counts.
+- No acquisition is sent before its record is durable, and the log adds up to the manager's seats.
+- What the manager lets play, the server holds; what the server holds, the manager counts.
 - After a kill, from any log that reaches as far as it was durable, all this holds again; but renewals are not
   written down, and a lease that was renewed before may be counted to its first end only.
 - When nobody wants anything any more, nothing is left anywhere.
@@ -31,7 +31,7 @@
 TTL_MS = 10_000.0
 TICK_MS = 10.0
 SESSIONS = "abcde"
-STRAY = 1_000_000  # generations of leases that the book knows nothing of
+STRAY = 1_000_000  # generations of leases that the manager does not know
 
 
 def _slot(send: SendLeaseRequest) -> tuple[str, int]:
@@ -91,7 +91,7 @@
 
     def begin(self) -> None:
         rules = SeatManagerConfig(seed=1, max_ttl_ms=TTL_MS, call_timeout_ms=1_000.0, tick_ms=TICK_MS)
-        self.book = SeatManager(self.now, self.append, lambda cls: self.plays, rules)
+        self.manager = SeatManager(self.now, self.append, lambda cls: self.plays, rules)
         self.out: dict[int, tuple[SendLeaseRequest, float]] = {}
         self.owed: dict[str, float] = {}
         self.playing: set[str] = set()
@@ -110,8 +110,8 @@
         self.durable = len(self.log)
 
     def run(self) -> None:
-        self.book.on_log_synced(self.durable)
-        for one in self.book.advance(self.now):
+        self.manager.on_log_synced(self.durable)
+        for one in self.manager.advance(self.now):
             if isinstance(one, SendLeaseRequest):
                 session = one.record.session_id
                 if any(_slot(other) == _slot(one) for other, _ in self.out.values()):
@@ -141,10 +141,10 @@
             self.run()
             for number in [number for number, (_, by) in self.out.items() if by <= self.now]:
                 del self.out[number]
-                self.book.on_response(self.now, number, LeaseResponse(ResponseStatus.INDETERMINATE))
+                self.manager.on_response(self.now, number, LeaseResponse(ResponseStatus.INDETERMINATE))
             self.run()
             dues = [by for _, by in self.out.values()]
-            if (due := self.book.next_deadline(self.now)) is not None:
+            if (due := self.manager.next_deadline(self.now)) is not None:
                 dues.append(due)
             if self.now >= end:
                 break
@@ -159,20 +159,20 @@
             if session not in self.owed and session not in self.playing:
                 by = self.now + tape.one((2_000.0, 50.0, 700.0))
                 self.owed[session] = by
-                self.book.request_seat(self.now, SeatRequest(session, "t", "l", "c", "p", 1.0), by)
+                self.manager.request_seat(self.now, SeatRequest(session, "t", "l", "c", "p", 1.0), by)
         elif what <= 5:
             self.run()
             self.owed.pop(session, None)
             self.playing.discard(session)
-            self.book.cancel_request(self.now, session)
+            self.manager.cancel_request(self.now, session)
         elif what <= 9 and self.out:
             self.answer(sorted(self.out)[tape.below(len(self.out))])
         elif what == 10:
-            self.book.renew_early(self.now, session)
+            self.manager.renew_early(self.now, session)
         elif what == 11 and tape.below(3) == 0:
             self.kill()
         elif what == 12 and tape.below(2):
-            self.book.release_unknown_lease(self.now, session, STRAY + tape.below(3))
+            self.manager.release_unknown_lease(self.now, session, STRAY + tape.below(3))
         if tape.below(4):
             self.sync()
         self.pass_(tape.one((0.0, 1.0, 200.0, 1_000.0, 4_000.0, 6_000.0, 11_000.0)))
@@ -193,7 +193,7 @@
             self.out[-number] = (send, self.now + 1e9)  # nothing else of this seat leaves meanwhile
             self.pass_(self.tape.one((50.0, 400.0)))
             del self.out[-number]
-        self.book.on_response(self.now, number, reply)
+        self.manager.on_response(self.now, number, reply)
 
     def kill(self) -> None:
         """The log keeps what was durable, and perhaps more; what was out may have been carried out."""
@@ -214,22 +214,22 @@
                 self.unsure.add(lease.key)
         self.now += 1.0 + self.tape.below(2) * 3_000.0
         self.begin()
-        self.book.recover_seats(self.now, self.now / 1_000.0, table)
+        self.manager.recover_seats(self.now, self.now / 1_000.0, table)
 
     def agree(self) -> None:
         now = self.now
         held = self.server.held(now)
         for session in held:
-            if session not in self.book.seats and held[session].key not in self.unsure:
+            if session not in self.manager.seats and held[session].key not in self.unsure:
                 raise Finding(f"{session} is held, and not counted")
         for session, by in self.owed.items():
             if now > by + 2 * TICK_MS:
-                raise Finding(f"{session} had its verdict due at {by}: {self.book.seats.get(session)}")
+                raise Finding(f"{session} had its verdict due at {by}: {self.manager.seats.get(session)}")
         table = self.table(len(self.log))
-        mine = {one: (kept.generation, kept.lease_id) for one, kept in self.book.records().items()}
+        mine = {one: (kept.generation, kept.lease_id) for one, kept in self.manager.records().items()}
         same(mine, {one: (kept.generation, kept.lease_id) for one, kept in table.items()}, "the log")
         for session, lease in held.items():
-            seat = self.book.seats.get(session)
+            seat = self.manager.seats.get(session)
             if seat is None or seat.state is not SeatState.ACTIVE or seat.record.lease_id != lease.name:
                 continue
             if not seat.usable_until_ms <= lease.until <= seat.latest_expiry_ms:
@@ -237,8 +237,8 @@
                     f"{lease} is used until {seat.usable_until_ms}, counted until {seat.latest_expiry_ms}"
                 )
         for session in sorted(self.playing):
-            seat = self.book.seats.get(session)
-            if self.book.has_valid_lease(now, session) and session not in held:
+            seat = self.manager.seats.get(session)
+            if self.manager.has_valid_lease(now, session) and session not in held:
                 raise Finding(f"{session} is used, and not held: {seat}")
 
     def finish(self) -> None:
@@ -246,16 +246,22 @@
             self.run()
             self.owed.pop(session, None)
             self.playing.discard(session)
-            self.book.cancel_request(self.now, session)
+            self.manager.cancel_request(self.now, session)
         for _ in range(120):
             self.sync()
             for number in sorted(self.out):
                 if number in self.out:
                     send, _ = self.out.pop(number)
-                    self.book.on_response(self.now, number, self.server.answer(self.now, send))
+                    self.manager.on_response(self.now, number, self.server.answer(self.now, send))
             self.pass_(900.0)
-        same((self.book.seats, self.table(len(self.log)), self.server.held(self.now)), ({}, {}, {}), "left")
-        same((len(self.book.send_queue), self.book.timers.next_deadline(), self.owed), (0, None, {}), "left")
+        same(
+            (self.manager.seats, self.table(len(self.log)), self.server.held(self.now)), ({}, {}, {}), "left"
+        )
+        same(
+            (len(self.manager.send_queue), self.manager.timers.next_deadline(), self.owed),
+            (0, None, {}),
+            "left",
+        )
 
 
 def check(data: bytes) -> None:
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -82,7 +82,7 @@
         wishes = [scene.wish(play_s=0.4) for _ in range(10)]
         await asyncio.gather(*(scene.viewers.watch(wish) for wish in wishes))
         scene.entitlement.lost_share = 0.0
-        await until(lambda: not mine.leases and not scene.fronts[0].gate.book.seats)  # type: ignore[union-attr]
+        await until(lambda: not mine.leases and not scene.fronts[0].gate.seat_manager.seats)  # type: ignore[union-attr]
 
     play(story, PLAN, desk=mine)
     assert mine.report.most_by_session == 1 and mine.report.repeated_keys > 0
@@ -99,7 +99,7 @@
         scene.fronts.pop().kill()
         await scene.start_front(0)
         gate = scene.fronts[0].gate
-        assert gate is not None and len(gate.book.seats) == 4
+        assert gate is not None and len(gate.seat_manager.seats) == 4
         assert (await scene.ask(wishes[0])).status == 200  # comes back to its seat
         await until(lambda: len(mine.leases) == 1)  # those nobody came back for are given back
         await scene.http("DELETE", "/lessons/lesson-0/session", wishes[0])
--- a/tests/test_reconcile.py
+++ b/tests/test_reconcile.py
@@ -1,4 +1,4 @@
-"""What the server says a front holds, against the book: acted upon slowly, never on a contradiction."""
+"""The server's report of leases against the seats: acted upon slowly, never on a contradiction."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     for number in range(count):
         mine.want(f"s{number}")
     mine.grant_all()
-    return mine, Reconciler(mine.book)
+    return mine, Reconciler(mine.manager)
 
 
 def honest(mine: Desk) -> UsageReport:
-    seats = [seat.record for seat in mine.book.seats.values() if seat.record.lease_id]
+    seats = [seat.record for seat in mine.manager.seats.values() if seat.record.lease_id]
     listed = tuple(ListedLease(one.lease_id, one.session_id, one.generation, one.fence) for one in seats)
     return UsageReport(mine.fence, len(listed), listed, {("t", "l", "c"): len(listed)})
 
@@ -57,7 +57,7 @@
     assert [(send.operation, send.record.session_id) for send in sends] == [(Operation.RENEW, "s0")]
     assert told(mine, reconciler, report) == []  # its answer is awaited
     mine.reply(sends[0], ResponseStatus.LEASE_UNKNOWN)
-    assert mine.sent().operation is Operation.ACQUIRE and mine.book.seats["s0"].is_wanted
+    assert mine.sent().operation is Operation.ACQUIRE and mine.manager.seats["s0"].is_wanted
 
 
 def test_a_lease_nobody_knows_is_given_back_by_its_key_and_only_once() -> None:
@@ -74,8 +74,10 @@
     for send in sends:
         mine.reply(send, ResponseStatus.SUCCEEDED)
     mine.step()
-    assert set(mine.book.seats) == {"s0", "s1", "s2"} and mine.book.seats["s1"].state is SeatState.ACTIVE
-    assert len(mine.log) == log and set(mine.book.records()) == {"s0", "s1", "s2"}
+    assert (
+        set(mine.manager.seats) == {"s0", "s1", "s2"} and mine.manager.seats["s1"].state is SeatState.ACTIVE
+    )
+    assert len(mine.log) == log and set(mine.manager.records()) == {"s0", "s1", "s2"}
 
 
 def test_a_stray_that_nobody_takes_back_is_forgotten_when_it_must_have_lapsed() -> None:
@@ -83,10 +85,10 @@
     report = UsageReport(9, 1, (ListedLease("Lx", "lost", 77, 1),))
     sends = told(mine, reconciler, report, 2)
     begun = mine.now
-    while mine.book.seats:
+    while mine.manager.seats:
         for send in sends:
             mine.reply(send, ResponseStatus.INDETERMINATE)
-        due = mine.book.next_deadline(mine.now)
+        due = mine.manager.next_deadline(mine.now)
         assert due is not None
         sends = [one for one in mine.step(max(due - mine.now, 1.0)) if isinstance(one, SendLeaseRequest)]
     assert mine.now <= begun + 61_500.0
@@ -121,12 +123,12 @@
     empty = UsageReport(100, 0, ())
     for _ in range(4):  # its renewal comes between question and report, each time
         reconciler.on_report_requested(mine.now)
-        mine.book.renew_early(mine.now, "s0")
+        mine.manager.renew_early(mine.now, "s0")
         mine.reply(mine.sent(), ResponseStatus.SUCCEEDED)
         assert reconciler.on_report(mine.now, empty).unconfirmed_count == 0
     late = replace(honest(mine), fence=mine.fence)
     reconciler.on_report_requested(mine.now)
-    mine.book.renew_early(mine.now, "s0")
+    mine.manager.renew_early(mine.now, "s0")
     mine.reply(mine.sent(), ResponseStatus.SUCCEEDED)
     assert (
         reconciler.on_report(mine.now, late).contradiction == ""
@@ -135,7 +137,7 @@
 
 def test_a_large_difference_is_worked_off_in_portions() -> None:
     mine, _ = desk(10)
-    reconciler = Reconciler(mine.book, ReconciliationConfig(max_actions=3))
+    reconciler = Reconciler(mine.manager, ReconciliationConfig(max_actions=3))
     empty = UsageReport(1_000, 0, ())
     counts = [len(told(mine, reconciler, empty)) for _ in range(6)]
     assert counts == [0, 3, 3, 3, 1, 0]
--- a/tests/test_seats.py
+++ b/tests/test_seats.py
@@ -1,4 +1,4 @@
-"""Wheel, retries, turns and the book of seats: decisions without I/O, in any order of what happens."""
+"""Timing wheel, retries, send queue and seat manager: decisions without I/O, in any order of events."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 from fernweir.seats.timing_wheel import TimingWheel
 from fernweir.standin.leases import LeaseDesk
 
-# --- the wheel ---
+# --- the timing wheel ---
 
 SPANS = st.one_of(st.integers(0, 40), st.integers(0, 3000), st.integers(0, 200_000), st.integers(0, 2**41))
 
@@ -194,34 +194,34 @@
 
 
 def test_twenty_thousand_renewals_in_one_second_go_out_before_a_crew() -> None:
-    book = Desk(ttl=30_000.0)
+    desk = Desk(ttl=30_000.0)
     for number in range(20_000):
-        book.book.send_queue.config = QueueConfig(max_in_flight=30_000)
-        book.want(f"s{number}")
-    book.grant_all()
-    book.book.send_queue.config = QueueConfig(max_in_flight=64)
+        desk.manager.send_queue.config = QueueConfig(max_in_flight=30_000)
+        desk.want(f"s{number}")
+    desk.grant_all()
+    desk.manager.send_queue.config = QueueConfig(max_in_flight=64)
     sends: list[SendLeaseRequest] = []
     for step in range(200):
         if step == 100:
             for number in range(500):
-                book.want(f"crew{number}", worth=9.0)
-        out = [one for one in book.step(100.0) if isinstance(one, SendLeaseRequest)]
+                desk.want(f"crew{number}", worth=9.0)
+        out = [one for one in desk.step(100.0) if isinstance(one, SendLeaseRequest)]
         sends += out
         for send in out:
-            book.reply(send, ResponseStatus.SUCCEEDED)
-        while more := [one for one in book.step(0.0) if isinstance(one, SendLeaseRequest)]:
+            desk.reply(send, ResponseStatus.SUCCEEDED)
+        while more := [one for one in desk.step(0.0) if isinstance(one, SendLeaseRequest)]:
             sends += more
             for send in more:
-                book.reply(send, ResponseStatus.SUCCEEDED)
-    assert book.book.metrics.expired == 0 and book.book.metrics.revoked == 0
-    assert book.book.metrics.renewed >= 20_000 and book.book.metrics.shortest_remaining_ms > 5_000.0
+                desk.reply(send, ResponseStatus.SUCCEEDED)
+    assert desk.manager.metrics.expired == 0 and desk.manager.metrics.revoked == 0
+    assert desk.manager.metrics.renewed >= 20_000 and desk.manager.metrics.shortest_remaining_ms > 5_000.0
 
 
-# --- the book ---
+# --- the seat manager ---
 
 
 class Desk:
-    """A book, a clock, and what it said; the log is a list that is durable at once."""
+    """A seat manager, a clock, and its commands; the log is a list that is durable at once."""
 
     def __init__(self, ttl: float = 10_000.0, plays: bool = False, **rules: float) -> None:
         self.now, self.ttl, self.fence = 1000.0, ttl, 0
@@ -229,7 +229,9 @@
         self.said: list[SeatCommand] = []
         self.open: dict[int, SendLeaseRequest] = {}
         more = {"max_ttl_ms": 10_000.0 if ttl < 10_001 else ttl, **rules}
-        self.book = SeatManager(self.now, self.append, lambda cls: plays, SeatManagerConfig(**more, seed=1))
+        self.manager = SeatManager(
+            self.now, self.append, lambda cls: plays, SeatManagerConfig(**more, seed=1)
+        )
 
     def append(self, body: bytes) -> int:
         self.log.append(body)
@@ -243,20 +245,20 @@
 
     def step(self, after: float = 1.0) -> list[SeatCommand]:
         self.now += after
-        self.book.on_log_synced(len(self.log))
-        said = self.book.advance(self.now)
+        self.manager.on_log_synced(len(self.log))
+        said = self.manager.advance(self.now)
         self.said += said
         self.open |= {one.request_id: one for one in said if isinstance(one, SendLeaseRequest)}
         return said
 
     def want(self, session: str = "a", wait: float = 2000.0, worth: float = 1.0) -> None:
-        self.book.request_seat(self.now, SeatRequest(session, "t", "l", "c", "p", worth), self.now + wait)
+        self.manager.request_seat(self.now, SeatRequest(session, "t", "l", "c", "p", worth), self.now + wait)
 
     def reply(self, send: SendLeaseRequest, said: ResponseStatus, **more: object) -> None:
         self.fence += 1
         self.open.pop(send.request_id, None)
         base = LeaseResponse(said, f"L{send.record.session_id}", self.fence, self.ttl)
-        self.book.on_response(self.now, send.request_id, replace(base, **more))  # type: ignore[arg-type]
+        self.manager.on_response(self.now, send.request_id, replace(base, **more))  # type: ignore[arg-type]
 
     def sent(self, after: float = 1.0) -> SendLeaseRequest:
         """The one request that goes out now."""
@@ -267,7 +269,7 @@
     def next_sent(self) -> SendLeaseRequest:
         """The next request, whenever it comes."""
         for _ in range(20_000):
-            due = self.book.next_deadline(self.now)
+            due = self.manager.next_deadline(self.now)
             assert due is not None, "nothing more will be sent"
             sends = [one for one in self.step(max(due - self.now, 0.5)) if isinstance(one, SendLeaseRequest)]
             if sends:
@@ -299,7 +301,7 @@
 def test_an_ask_leaves_only_when_it_is_written_down() -> None:
     desk = Desk()
     desk.want()
-    assert [one for one in desk.book.advance(desk.now) if isinstance(one, SendLeaseRequest)] == []
+    assert [one for one in desk.manager.advance(desk.now) if isinstance(one, SendLeaseRequest)] == []
     assert desk.sent().operation is Operation.ACQUIRE and "a" in desk.table()
 
 
@@ -314,7 +316,7 @@
     desk.step()
     desk.want()  # plays already
     desk.step()
-    assert desk.verdicts() == [True, True] and desk.book.count_seats("l", "c") == 1
+    assert desk.verdicts() == [True, True] and desk.manager.count_seats("l", "c") == 1
 
 
 @pytest.mark.parametrize("done", [True, False])
@@ -371,10 +373,10 @@
     for send, word in reversed(replies) if late_first else replies:
         desk.reply(send, word, lease_id="La", fence=5)
     desk.step()
-    assert desk.verdicts() == [said is ResponseStatus.SUCCEEDED] and desk.book.count_seats("l", "c") == (
+    assert desk.verdicts() == [said is ResponseStatus.SUCCEEDED] and desk.manager.count_seats("l", "c") == (
         said is ResponseStatus.SUCCEEDED
     )
-    assert desk.book.send_queue.in_flight == 0
+    assert desk.manager.send_queue.in_flight == 0
 
 
 def test_with_no_answer_the_class_decides_and_the_seat_is_not_leaked() -> None:
@@ -393,14 +395,14 @@
         )
         desk.reply(send, ResponseStatus.SUCCEEDED)
         desk.step()
-        assert desk.book.count_seats("l", "c") == (1 if plays else 0) and ("a" in desk.table()) == plays
+        assert desk.manager.count_seats("l", "c") == (1 if plays else 0) and ("a" in desk.table()) == plays
 
 
 def test_a_release_follows_an_ask_that_ends_after_its_viewer_left() -> None:
     desk = Desk()
     desk.want()
     ask = desk.sent()
-    desk.book.cancel_request(desk.now, "a")
+    desk.manager.cancel_request(desk.now, "a")
     assert [
         one for one in desk.step() if isinstance(one, SendLeaseRequest)
     ] == []  # one request of a seat at a time
@@ -413,7 +415,7 @@
     assert again.operation is Operation.ACQUIRE and again.idempotency_key != ask.idempotency_key
     desk.reply(again, ResponseStatus.SUCCEEDED)
     desk.step()
-    assert desk.verdicts() == [True] and desk.book.count_seats("l", "c") == 1
+    assert desk.verdicts() == [True] and desk.manager.count_seats("l", "c") == 1
 
 
 @pytest.mark.parametrize(
@@ -429,19 +431,19 @@
     desk = granted()
     renewal = desk.next_sent()
     assert renewal.operation is Operation.RENEW
-    desk.book.cancel_request(desk.now, "a")
+    desk.manager.cancel_request(desk.now, "a")
     desk.reply(renewal, answer)
     sends = [one for one in desk.step() if isinstance(one, SendLeaseRequest)]
     if answer in (ResponseStatus.SUCCEEDED, ResponseStatus.INDETERMINATE):
         assert [send.operation for send in sends] == [Operation.RELEASE]
         desk.reply(sends[0], ResponseStatus.SUCCEEDED)
         desk.step()
-    assert desk.book.seats == {} and desk.table() == {} and desk.of(RevokeSession) == []
+    assert desk.manager.seats == {} and desk.table() == {} and desk.of(RevokeSession) == []
 
 
 def test_a_renewal_without_answer_is_tried_until_it_lapses_and_counted_no_longer() -> None:
     desk = granted()
-    lapse = desk.book.seats["a"].usable_until_ms
+    lapse = desk.manager.seats["a"].usable_until_ms
     while desk.of(RevokeSession) == []:
         send = desk.next_sent()
         if send.operation is not Operation.RENEW:
@@ -450,13 +452,13 @@
         desk.reply(send, ResponseStatus.INDETERMINATE)
         desk.step()
     assert [one.reason for one in desk.of(RevokeSession)] == ["entitlement could not be renewed"]
-    assert lapse <= desk.now < lapse + 5_000.0 and desk.book.metrics.retries >= 2
-    held_until = desk.book.seats["a"].latest_expiry_ms
+    assert lapse <= desk.now < lapse + 5_000.0 and desk.manager.metrics.retries >= 2
+    held_until = desk.manager.seats["a"].latest_expiry_ms
     assert held_until <= desk.now + 10_000.0
-    while desk.book.seats:  # no release is answered either
+    while desk.manager.seats:  # no release is answered either
         for send in list(desk.open.values()):
             desk.reply(send, ResponseStatus.INDETERMINATE)
-        due = desk.book.next_deadline(desk.now)
+        due = desk.manager.next_deadline(desk.now)
         assert due is not None
         desk.step(max(due - desk.now, 0.5))
     assert desk.now <= held_until + 1_500.0 and desk.table() == {}
@@ -472,7 +474,7 @@
         desk.fence = -50 if fence else desk.fence
         desk.reply(ask, ResponseStatus.SUCCEEDED)
         desk.step()
-        assert desk.of(RevokeSession) == [] and desk.book.count_seats("l", "c") == 1
+        assert desk.of(RevokeSession) == [] and desk.manager.count_seats("l", "c") == 1
         assert desk.next_sent().operation is Operation.RENEW
 
 
@@ -483,19 +485,19 @@
     desk = granted()
     desk.reply(desk.next_sent(), said)
     desk.step()
-    assert why in desk.of(RevokeSession)[0].reason and desk.book.seats == {} and desk.table() == {}
+    assert why in desk.of(RevokeSession)[0].reason and desk.manager.seats == {} and desk.table() == {}
 
 
 def test_a_front_that_stood_still_past_a_lease_asks_before_it_ends_the_session() -> None:
     desk = granted()
     sends = [one for one in desk.step(20_000.0) if isinstance(one, SendLeaseRequest)]
     assert [send.operation for send in sends] == [Operation.RENEW] and desk.of(RevokeSession) == []
-    assert not desk.book.has_valid_lease(desk.now, "a")
+    assert not desk.manager.has_valid_lease(desk.now, "a")
     desk.reply(sends[0], ResponseStatus.LEASE_UNKNOWN)
     ask = desk.sent()
     desk.reply(ask, ResponseStatus.SUCCEEDED)
     desk.step()
-    assert desk.of(RevokeSession) == [] and desk.book.has_valid_lease(desk.now, "a")
+    assert desk.of(RevokeSession) == [] and desk.manager.has_valid_lease(desk.now, "a")
 
 
 @pytest.mark.parametrize("step_s", [-3600.0, 0.0, 3600.0])
@@ -504,50 +506,55 @@
     wall = 500.0 + step_s
     table = {name: replace(kept, expires_at_s=505.0) for name, kept in before.table().items()}
     desk = Desk(reclaim_after_ms=4_000.0)
-    desk.book.recover_seats(desk.now, wall, table)
-    seat = desk.book.seats["a"]
+    desk.manager.recover_seats(desk.now, wall, table)
+    seat = desk.manager.seats["a"]
     assert seat.state is SeatState.RECOVERED and desk.now < seat.latest_expiry_ms <= desk.now + 10_000.0
     send = desk.next_sent()  # nobody came back: it is given back under its old key
     assert send.operation is Operation.RELEASE and send.idempotency_key == "a.1"
     desk.reply(send, ResponseStatus.SUCCEEDED)
     desk.step()
-    assert desk.book.seats == {}
+    assert desk.manager.seats == {}
 
 
 def test_a_want_for_a_recovered_seat_whose_ask_is_out_sends_no_second_one() -> None:
     desk = Desk()
-    desk.book.recover_seats(desk.now, desk.now / 1000.0, {"a": SeatRecord("a", 1, "t", "l", "c", "p", 1.0)})
+    desk.manager.recover_seats(
+        desk.now, desk.now / 1000.0, {"a": SeatRecord("a", 1, "t", "l", "c", "p", 1.0)}
+    )
     desk.want()
     ask = desk.sent()
-    desk.book.cancel_request(desk.now, "a")
+    desk.manager.cancel_request(desk.now, "a")
     desk.want()
     assert [one for one in desk.step() if isinstance(one, SendLeaseRequest)] == []
     desk.reply(ask, ResponseStatus.SUCCEEDED)
     desk.step()
-    assert desk.verdicts() == [True] and desk.book.has_valid_lease(desk.now, "a")
+    assert desk.verdicts() == [True] and desk.manager.has_valid_lease(desk.now, "a")
 
 
 def test_a_viewer_that_comes_back_after_a_restart_keeps_its_seat() -> None:
     table = granted().table()
     desk = Desk()
-    desk.book.recover_seats(desk.now, 0.0, table)
+    desk.manager.recover_seats(desk.now, 0.0, table)
     desk.want()
     send = desk.sent()
     assert send.operation is Operation.RENEW and send.record.lease_id == "La"
     desk.fence = 50
     desk.reply(send, ResponseStatus.SUCCEEDED)
     desk.step()
-    assert desk.verdicts() == [True] and desk.book.count_seats("l", "c") == 1
+    assert desk.verdicts() == [True] and desk.manager.count_seats("l", "c") == 1
     doubtful = Desk()
-    doubtful.book.recover_seats(doubtful.now, 0.0, {"a": SeatRecord("a", 3, "t", "l", "c", "p", 1.0)})
+    doubtful.manager.recover_seats(doubtful.now, 0.0, {"a": SeatRecord("a", 3, "t", "l", "c", "p", 1.0)})
     doubtful.want()
-    assert (doubtful.sent().idempotency_key, doubtful.book.seats["a"].state) == ("a.3", SeatState.RECOVERED)
+    assert (doubtful.sent().idempotency_key, doubtful.manager.seats["a"].state) == (
+        "a.3",
+        SeatState.RECOVERED,
+    )
 
 
 def test_a_log_that_cannot_be_written_stops_asks_and_not_renewals() -> None:
     desk = granted()
     desk.want("b")
-    desk.book.on_log_failed()
+    desk.manager.on_log_failed()
     desk.want("c")
     desk.step()
     assert desk.verdicts() == [True, False, False]
@@ -608,7 +615,7 @@
         if name in self.playing or name in self.owed:
             self.playing.discard(name)
             self.owed.pop(name, None)
-            self.desk.book.cancel_request(self.desk.now, name)
+            self.desk.manager.cancel_request(self.desk.now, name)
 
     @rule(
         name=st.sampled_from("abc"),
@@ -629,14 +636,14 @@
             self.run(0.0)
             self.owed.pop(name, None)
             self.playing.discard(name)
-            self.desk.book.cancel_request(self.desk.now, name)
+            self.desk.manager.cancel_request(self.desk.now, name)
         for _ in range(90):
             for name in list(self.out):
                 self.desk.reply(self.out.pop(name), ResponseStatus.INDETERMINATE)
             self.run(900.0)
             self.playing.clear()
-        assert self.desk.book.seats == {} and self.desk.table() == {}, "a seat is left"
-        assert len(self.desk.book.send_queue) == 0 and self.desk.book.timers.next_deadline() is None
+        assert self.desk.manager.seats == {} and self.desk.table() == {}, "a seat is left"
+        assert len(self.desk.manager.send_queue) == 0 and self.desk.manager.timers.next_deadline() is None
 
 
 BookStory.TestCase.settings = hypothesis_settings(max_examples=60, stateful_step_count=30)
