--- a/fernweir/node/client_connection.py
+++ b/fernweir/node/client_connection.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from fernweir.front.dispatcher import Dispatcher
-from fernweir.node.client_connection_state import ClientConnectionState, ConnectionPhase
+from fernweir.node.client_connection_state import ClientConnectionPhase, ClientConnectionState
 from fernweir.node.jsonl import NO_ID, LineError, Lines, Message, read, write
 from fernweir.node.limits import ConnectionAdmission, ErrorTolerance
 from fernweir.node.shared_buffer import SharedBufferProtocol
@@ -267,12 +267,12 @@
 
     def evict(self) -> None:
         """Gives up the connection, as its descriptor is needed for another."""
-        if self.state.phase is ConnectionPhase.NEW:
+        if self.state.phase is ClientConnectionPhase.NEW:
             self._owner.on_client_disconnected(self, "let go", is_broken=False)
             return
         self.drain()
         self.check_last_delivery()
-        if self.unsent_bytes or self.state.phase is ConnectionPhase.LINGERING:
+        if self.unsent_bytes or self.state.phase is ClientConnectionPhase.LINGERING:
             self.abort()
 
     def close_if_drained(self) -> None:
@@ -307,7 +307,7 @@
         if error_number:
             self._on_socket_error(os.strerror(error_number))
             return
-        is_lingering = self.state.phase is ConnectionPhase.LINGERING
+        is_lingering = self.state.phase is ClientConnectionPhase.LINGERING
         if is_lingering and not self.state.has_unconfirmed_messages(self._dispatcher.now()):
             self.abort()
 
--- a/fernweir/node/client_connection_state.py
+++ b/fernweir/node/client_connection_state.py
@@ -17,7 +17,7 @@
 DELIVERY_CONFIRMATION_MS = 1_000.0
 
 
-class ConnectionPhase(Enum):
+class ClientConnectionPhase(Enum):
     """How far a client connection has got. It only moves onward."""
 
     NEW = "new"  # accepted, its transport does not exist yet
@@ -29,8 +29,8 @@
     CLOSED = "over"
 
 
-_READABLE_PHASES = frozenset((ConnectionPhase.OPEN, ConnectionPhase.DRAINING))
-_DRAINING_PHASES = frozenset((ConnectionPhase.DRAINING, ConnectionPhase.HALF_CLOSED))
+_READABLE_PHASES = frozenset((ClientConnectionPhase.OPEN, ClientConnectionPhase.DRAINING))
+_DRAINING_PHASES = frozenset((ClientConnectionPhase.DRAINING, ClientConnectionPhase.HALF_CLOSED))
 _WRITABLE_PHASES = _READABLE_PHASES | _DRAINING_PHASES
 
 
@@ -60,7 +60,7 @@
     """
 
     def __init__(self) -> None:
-        self.phase = ConnectionPhase.NEW
+        self.phase = ClientConnectionPhase.NEW
         self.open_requests: set[str] = set()
         self.sessions: set[str] = set()
         self._unconfirmed_messages: dict[str, UnconfirmedMessage] = {}
@@ -70,7 +70,7 @@
     @property
     def may_accept_requests(self) -> bool:
         """Whether new set-ups are accepted."""
-        return self.phase is ConnectionPhase.OPEN
+        return self.phase is ClientConnectionPhase.OPEN
 
     @property
     def may_read(self) -> bool:
@@ -93,14 +93,14 @@
         Returns:
             False if the connection was evicted before.
         """
-        if self.phase is ConnectionPhase.NEW:
-            self.phase = ConnectionPhase.OPEN
-        return self.phase is ConnectionPhase.OPEN
+        if self.phase is ClientConnectionPhase.NEW:
+            self.phase = ClientConnectionPhase.OPEN
+        return self.phase is ClientConnectionPhase.OPEN
 
     def stop_accepting_requests(self) -> None:
         """Starts draining: no new set-ups are accepted from now on."""
-        if self.phase is ConnectionPhase.OPEN:
-            self.phase = ConnectionPhase.DRAINING
+        if self.phase is ClientConnectionPhase.OPEN:
+            self.phase = ClientConnectionPhase.DRAINING
 
     def on_client_half_closed(self) -> bool:
         """Records that the client ended its side.
@@ -110,7 +110,7 @@
         """
         if not self.may_read:
             return False
-        self.phase = ConnectionPhase.HALF_CLOSED
+        self.phase = ClientConnectionPhase.HALF_CLOSED
         return True
 
     def close(self, now: float) -> bool:
@@ -119,8 +119,8 @@
         Returns:
             Whether the connection lingers until the delivery of its last messages is confirmed.
         """
-        lingers = self.phase is ConnectionPhase.HALF_CLOSED and self.has_unconfirmed_messages(now)
-        self.phase = ConnectionPhase.LINGERING if lingers else ConnectionPhase.CLOSING
+        lingers = self.phase is ClientConnectionPhase.HALF_CLOSED and self.has_unconfirmed_messages(now)
+        self.phase = ClientConnectionPhase.LINGERING if lingers else ClientConnectionPhase.CLOSING
         return lingers
 
     def on_connection_ended(self, now: float, is_broken: bool) -> dict[str, UnconfirmedMessage] | None:
@@ -137,11 +137,11 @@
         Returns:
             The messages that were not delivered, by session id, or None if the end was recorded before.
         """
-        if self.phase is ConnectionPhase.CLOSED:
+        if self.phase is ClientConnectionPhase.CLOSED:
             return None
-        had_client_closed = self.phase in (ConnectionPhase.HALF_CLOSED, ConnectionPhase.LINGERING)
+        had_client_closed = self.phase in (ClientConnectionPhase.HALF_CLOSED, ClientConnectionPhase.LINGERING)
         is_recent_lost = is_broken and had_client_closed
-        self.phase = ConnectionPhase.CLOSED
+        self.phase = ClientConnectionPhase.CLOSED
         undelivered = {
             session_id: message
             for session_id, message in self._unconfirmed_messages.items()
--- a/fernweir/node/client_requests.py
+++ b/fernweir/node/client_requests.py
@@ -88,7 +88,7 @@
 
     def _set_up_session(self, connection: ClientConnection, message: Message) -> None:
         session_id = message.id
-        self._check_not_open_here(connection, session_id)
+        self._reject_duplicate_set_up(connection, session_id)
         ticket = self._dispatcher.next_ticket()
         request, server_name = self._parser.read(message, ticket)
         if server_name:
@@ -105,10 +105,10 @@
         self._admission.on_request_opened(connection)
         self._dispatcher.submit(request, lambda reply: self._on_reply(session_id, reply))
 
-    def _check_not_open_here(self, connection: ClientConnection, session_id: str) -> None:
+    def _reject_duplicate_set_up(self, connection: ClientConnection, session_id: str) -> None:
         open_request = self.open_requests.get(session_id)
         if open_request is not None and open_request.connection is connection:
-            # A reply could be for either description, so that there is none: the open request ends here.
+            # The client could not tell which description a reply is for, so both set-ups end without one.
             self._withdraw_request(session_id)
             self.recent_ids.add(session_id)
             raise LineError("an id that is open", session_id)
@@ -121,7 +121,8 @@
         if self._server_transport.adopt_session(request, server_name):
             self._session_ends.on_session_established(session_id, connection)
         elif self._dispatcher.sessions.session(session_id) is None:
-            self.recent_ids.add(session_id)  # its viewer may end it meanwhile: one end is enough
+            # If the client releases it meanwhile, that is no error: it gets one end, not two.
+            self.recent_ids.add(session_id)
             connection.send_message(Message("release", session_id, cause=CAUSE_FAILED))
 
     def _on_reply(self, session_id: str, reply: SessionReply) -> None:
@@ -154,7 +155,7 @@
         elif self._dispatcher.sessions.release_session(self._dispatcher.now(), session_id):
             self._dispatcher.schedule_step()
         elif session_id not in self.recent_ids and not self._is_end_pending(session_id):
-            # Its set-up may lie unread on another connection: this was its reply.
+            # Its set-up may still be unread on another connection; the error below is then its reply.
             self.recent_ids.add(session_id)
             raise LineError("no such session", session_id)
 
--- a/fernweir/node/limits.py
+++ b/fernweir/node/limits.py
@@ -15,7 +15,7 @@
 
 Key = TypeVar("Key", bound=Hashable)
 
-# The platform owes those who send nothing readable a close within 3 s of connecting (DAYS, Bad clients);
+# A client that sends nothing readable must be disconnected within 3 s of connecting (DAYS, Bad clients);
 # viewers themselves close a connection without a session after 4 s (PROTOCOL, Viewers to front nodes).
 IDLE_TIMEOUT_MS = 2_500.0
 
@@ -32,7 +32,7 @@
     """
 
     def __init__(self, sockets: int) -> None:
-        # Honest viewers hold a third of the limit at most (PROTOCOL), so half leaves room for others.
+        # Well-behaved viewers use at most a third of the limit (PROTOCOL); half also admits other clients.
         self.client_connections = max(sockets // 2, 1)
         self.server_connections = max(sockets // 3, 1)
         # What remains of the two also serves idle connections to media servers, except for a twelfth: the
@@ -153,7 +153,10 @@
 
 
 class ErrorTolerance:
-    """When a connection that keeps sending invalid messages is closed. Honest ones make an error at times."""
+    """When a connection that keeps sending invalid messages is closed.
+
+    A few errors are tolerated, as well-behaved clients make one at times.
+    """
 
     _MAX_CONSECUTIVE_ERRORS = 3
     _MAX_ERRORS_WITH_OPEN_REQUESTS = 64
--- a/fernweir/node/program.py
+++ b/fernweir/node/program.py
@@ -54,14 +54,16 @@
         self._environment = environment
         # No client returns to a session here, and a reply after its client's deadline is a failure in time.
         limits = SessionLimits(reply_margin_ms=0.0, unclaimed_session_ttl_ms=0.0)
-        self.core = Dispatcher(SessionManager(config.settings, config.seed, limits), log=log)
+        self.dispatcher = Dispatcher(SessionManager(config.settings, config.seed, limits), log=log)
         wall_clock_offset_ms = (time.time() - loop.time()) * 1000.0
         self.feed = Feed(config.settings, config.kinds, wall_clock_offset_ms)
         quota = DescriptorQuota(config.sockets)
-        self.server_pool = ServerPool(self.core, self.feed, config, quota)
-        self.server_transport = MediaServerTransport(self.core, self.feed, config.settings, self.server_pool)
+        self.server_pool = ServerPool(self.dispatcher, self.feed, config, quota)
+        self.server_transport = MediaServerTransport(
+            self.dispatcher, self.feed, config.settings, self.server_pool
+        )
         self._create_client_side(quota)
-        self.follower = Follower(self.core, self.feed, self.server_transport, config.feed, config.seed)
+        self.follower = Follower(self.dispatcher, self.feed, self.server_transport, config.feed, config.seed)
         self.graceful_shutdown = GracefulShutdown(config.settings)
         self.drained = asyncio.Event()
         self._drain_timer: asyncio.TimerHandle | None = None
@@ -69,11 +71,13 @@
     def _create_client_side(self, quota: DescriptorQuota) -> None:
         admission: ConnectionAdmission[ClientConnection] = ConnectionAdmission(quota.client_connections)
         parser = Requests(self.config.settings)
-        self.session_ends = SessionEndDelivery(self.core)
+        self.session_ends = SessionEndDelivery(self.dispatcher)
         self.client_requests = ClientRequests(
-            self.core, parser, self.server_transport, admission, self.session_ends
+            self.dispatcher, parser, self.server_transport, admission, self.session_ends
+        )
+        self.client_listener = ClientListener(
+            self.dispatcher, self.client_requests, self.session_ends, admission
         )
-        self.client_listener = ClientListener(self.core, self.client_requests, self.session_ends, admission)
 
     def start(self) -> None:
         """Applies the configured endpoint list, listens for clients and follows the feed.
@@ -91,7 +95,7 @@
             self.log.warning("known events not all of use", events=self.feed.left_out)
         self.client_listener.listen(self.config.listen)
         self.follower.start()
-        self.core.after_step(self._on_first_step)
+        self.dispatcher.after_step(self._on_first_step)
 
     def _on_first_step(self) -> None:
         self.client_requests.is_ready = True
@@ -114,25 +118,25 @@
         """Handles SIGTERM: new requests are rejected, established sessions play on until the timeout."""
         if not self.graceful_shutdown.start_draining():
             return
-        self.core.sessions.stop_accepting()
+        self.dispatcher.sessions.stop_accepting()
         self.log.info(
             "stopping",
-            sessions=self.core.sessions.session_count,
+            sessions=self.dispatcher.sessions.session_count,
             within_ms=self.graceful_shutdown.drain_timeout_ms,
         )
-        self._drain_timer = self.core.loop.call_later(
+        self._drain_timer = self.dispatcher.loop.call_later(
             self.graceful_shutdown.drain_timeout_ms / 1000.0, self._on_drain_timeout
         )
 
     def _on_drain_timeout(self) -> None:
         """Abandons the requests that are still open, and lets `finish_draining` begin."""
-        self.core.sessions.abandon_open_requests(self.core.now())
-        self.core.schedule_step()
+        self.dispatcher.sessions.abandon_open_requests(self.dispatcher.now())
+        self.dispatcher.schedule_step()
         self.drained.set()
 
     async def finish_draining(self) -> None:
         """Reads what has still arrived, then shuts down once all replies are sent or their time is over."""
-        self.graceful_shutdown.start_final_check(self.core.now())
+        self.graceful_shutdown.start_final_check(self.dispatcher.now())
         while True:
             activity_before = self.client_listener.activity_count
             # Two turns of the loop: what the first one selects is read before the second is over.
@@ -142,7 +146,9 @@
                 self.client_listener.has_pending_connections
                 or self.client_listener.activity_count != activity_before
             )
-            if self.graceful_shutdown.may_exit(self.core.now(), has_new_input, self._has_unsent_output()):
+            if self.graceful_shutdown.may_exit(
+                self.dispatcher.now(), has_new_input, self._has_unsent_output()
+            ):
                 break
             if not has_new_input:
                 await asyncio.sleep(_FINAL_CHECK_INTERVAL_S)
@@ -161,8 +167,9 @@
             self._drain_timer.cancel()
         self.follower.stop()
         self.client_listener.shutdown()
-        self.core.run_last_step()  # for what that caused, as the release of a session whose reply was lost
-        self.core.stop()
+        # For what that caused, as the release of a session whose reply was not delivered.
+        self.dispatcher.run_last_step()
+        self.dispatcher.stop()
         self.server_transport.shutdown()
 
 
@@ -188,7 +195,7 @@
 async def _start_peers(node: Node, file: PeersFile) -> Peers:
     from fernweir.node.peering import start_peers
 
-    return await start_peers(node.core, node.feed, node.config, file)
+    return await start_peers(node.dispatcher, node.feed, node.config, file)
 
 
 async def run(
--- a/tests/node_scene.py
+++ b/tests/node_scene.py
@@ -292,7 +292,7 @@
         return [(name, frame) for name, server in self.servers.items() for frame in server.setups]
 
     def brain_server(self, name: str) -> Any:
-        return self.node.core.sessions.controller.servers[number_of(name)]
+        return self.node.dispatcher.sessions.controller.servers[number_of(name)]
 
     def stop(self) -> None:
         self.node.shutdown()
@@ -559,7 +559,7 @@
         """Nothing is owed or left: ledger, servers against the host, attempts, tests, tasks, faults."""
         self.loop.settle()
         self.look()
-        core, servers = self.node.core, self.node.server_pool
+        core, servers = self.node.dispatcher, self.node.server_pool
         assert self.faults == [] and self.loop.faults == [], (self.faults, self.loop.faults)
         assert (
             len(core.sessions.reply_ledger) == 0
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -137,7 +137,7 @@
 }
 IN_MEMORY_ENUMS = {
     "fernweir.node.connection_state.ConnectionPhase": "where a server connection stands",
-    "fernweir.node.client_connection_state.ConnectionPhase": "which end of a client connection ended",
+    "fernweir.node.client_connection_state.ClientConnectionPhase": "which end of a client connection ended",
     "fernweir.node.liveness.LivenessStatus": "what the liveness monitor asks for",
     "fernweir.node.asking.At": "where a reconnect stands",
     "fernweir.seats.book.State": "where a seat stands; the log stores records instead",
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -13,7 +13,7 @@
 from fernweir.front.commands import SendHealthCheck, SessionReply
 from fernweir.front.names import number_of
 from fernweir.http.reset import reset
-from fernweir.node.client_connection_state import ConnectionPhase
+from fernweir.node.client_connection_state import ClientConnectionPhase
 from fernweir.node.client_requests import ClientRequests
 from fernweir.node.frames import Code, Frame, Type
 from fernweir.node.jsonl import Message, write
@@ -64,7 +64,7 @@
         assert scene.ends[wish.id].cause == 16 and second.raw[-1].id == wish.id
         second.send(Message("release", other.id, cause=16))  # its viewer ends the other
         await until(lambda: any(one == (other.id, 16) for one in scene.servers[name].releases))
-        await until(lambda: not scene.node.core.sessions.session_count)
+        await until(lambda: not scene.node.dispatcher.sessions.session_count)
         assert other.id not in scene.ends
 
     play(story)
@@ -81,7 +81,7 @@
         await until(lambda: server.writers)  # the node comes to hear of its session
         note = {Code.NOTE: b"level", Code.LEVEL: b"3"}
         server.say(Frame(Type.NOTE, wish.id, note))
-        held = scene.node.core.sessions.session(wish.id)
+        held = scene.node.dispatcher.sessions.session(wish.id)
         assert held is not None
         await until(lambda: held.rung == 3)
         scene.answers[wish.id] = Message("answer", wish.id)
@@ -120,7 +120,7 @@
 def test_a_connection_reset_while_new_says_nothing_of_its_server() -> None:
     async def story(scene: Scene) -> None:
         viewer, wish = await scene.viewer(), scene.setup()
-        loop, resets = scene.node.core.loop, [2]
+        loop, resets = scene.node.dispatcher.loop, [2]
         connect = loop.create_connection
 
         async def reset_first(*args: Any, **more: Any) -> Any:
@@ -159,7 +159,7 @@
         viewer.send(*wishes)
         for wish in wishes:
             assert (await viewer.answer(wish.id)).type == "answer"
-        assert len(scene.setups()) == 4 and scene.node.core.sessions.session_count == 4
+        assert len(scene.setups()) == 4 and scene.node.dispatcher.sessions.session_count == 4
 
     play(story)
 
@@ -172,10 +172,10 @@
             writer.transport.abort()
         server.writers.clear()
         await until(lambda: server.writers)  # the node comes back to hear
-        assert scene.node.core.sessions.session_count == 1
+        assert scene.node.dispatcher.sessions.session_count == 1
         server.die()
         await until(lambda: wish.id in scene.ends)
-        assert scene.brain_server(name).lost and not scene.node.core.sessions.session_count
+        assert scene.brain_server(name).lost and not scene.node.dispatcher.sessions.session_count
 
     play(story)
 
@@ -183,7 +183,7 @@
 def test_a_machine_that_says_nothing_any_more_is_lost_and_its_viewers_hear() -> None:
     async def story(scene: Scene) -> None:
         viewer, wish, name = await one_that_stands(scene)
-        silent, loop = scene.servers[name], scene.node.core.loop
+        silent, loop = scene.servers[name], scene.node.dispatcher.loop
         silent.script = ["34"]
         viewer.send(other := scene.setup())
         assert (await viewer.answer(other.id)).type == "answer"  # at another server
@@ -195,7 +195,7 @@
         loop.create_connection = cut_off  # type: ignore[method-assign,assignment]
         await until(lambda: wish.id in scene.ends)
         assert scene.ends[wish.id].cause == 41 and scene.brain_server(name).lost
-        assert other.id not in scene.ends and scene.node.core.sessions.session_count == 1
+        assert other.id not in scene.ends and scene.node.dispatcher.sessions.session_count == 1
         viewer.send(third := scene.setup())
         assert (await viewer.answer(third.id)).type == "answer"
         assert len(silent.setups) == 2
@@ -207,13 +207,15 @@
 def test_an_answer_and_the_end_of_its_time_in_one_tick_make_one_answer(late_s: float) -> None:
     async def story(scene: Scene) -> None:
         viewer, wish, server = await one_under_way(scene)
-        loop = scene.node.core.loop
+        loop = scene.node.dispatcher.loop
         time = loop.time
         server.finish(wish.id)  # lies in the node's socket while all its timers come due
         loop.time = lambda: time() + late_s  # type: ignore[method-assign]
         assert (await viewer.answer(wish.id)).type == "answer"
         assert len(scene.setups()) == 1 and not server.releases
-        assert scene.node.core.sessions.session_count == 1 and not scene.node.client_requests.open_requests
+        assert (
+            scene.node.dispatcher.sessions.session_count == 1 and not scene.node.client_requests.open_requests
+        )
 
     play(story)
 
@@ -226,7 +228,7 @@
         for say in says if first == "viewer" else reversed(says):
             say()
         await until(lambda: (wish.id, 16) in server.releases)
-        assert not scene.node.core.sessions.session_count and wish.id not in scene.ends
+        assert not scene.node.dispatcher.sessions.session_count and wish.id not in scene.ends
         assert len(scene.setups()) == 1 and not scene.node.client_requests.open_requests
 
     play(story)
@@ -241,7 +243,7 @@
         says = [lambda: viewer.send(Message("release", wish.id, cause=16)), lambda: server.say(end)]
         for say in says if first == "viewer" else reversed(says):
             say()
-        await until(lambda: not scene.node.core.sessions.session_count)
+        await until(lambda: not scene.node.dispatcher.sessions.session_count)
         viewer.send(Message("ping", "0" * 15 + "1", cause=0))
         await until(lambda: any(one.type == "pong" for one in viewer.raw))
         assert all(one.cause == 16 for one in viewer.raw if one.type == "release")
@@ -260,7 +262,7 @@
         second.finish(wish.id)
         assert (await viewer.answer(wish.id)).sdp == f"{second.name} {wish.id}\r\n"
         await until(lambda: not scene.node.server_pool.endpoints[number_of(server.name)].connections)
-        assert scene.node.core.sessions.session_count == 1 and wish.id not in scene.ends
+        assert scene.node.dispatcher.sessions.session_count == 1 and wish.id not in scene.ends
 
     play(story)
 
@@ -299,7 +301,7 @@
         viewer.send(*wishes)
         await until(lambda: scene.setups())
         viewer.send(*(Message("release", wish.id, cause=16) for wish in wishes))  # in one read
-        await until(lambda: not scene.node.core.sessions.session_count)
+        await until(lambda: not scene.node.dispatcher.sessions.session_count)
         await until(lambda: not any(server.out for server in scene.servers.values()))
         assert not scene.answers and not scene.node.client_requests.open_requests
 
@@ -312,11 +314,11 @@
         viewer, wish, server = await one_under_way(scene)
         viewer._writer.write_eof()
         (near,) = scene.node.client_listener.connections
-        await until(lambda: near.state.phase is ConnectionPhase.HALF_CLOSED)
+        await until(lambda: near.state.phase is ClientConnectionPhase.HALF_CLOSED)
         server.play(end, wish.id, server.out[wish.id])
         assert (await viewer.answer(wish.id)).type == ("answer" if end == "answer" else "release")
         await until(lambda: viewer.closed)  # told at once that this was all
-        assert scene.node.core.sessions.session_count == (end == "answer") and len(scene.setups()) == 1
+        assert scene.node.dispatcher.sessions.session_count == (end == "answer") and len(scene.setups()) == 1
         assert end == "answer" or viewer.raw[0].cause == 34
 
     play(story)
@@ -326,7 +328,7 @@
     async def story(scene: Scene) -> None:
         viewer, _wish, _server = await one_under_way(scene)
         reset(viewer._writer.transport)  # type: ignore[arg-type]
-        await until(lambda: not scene.node.core.sessions.session_count)
+        await until(lambda: not scene.node.dispatcher.sessions.session_count)
         assert len(scene.setups()) == 1
         await until(lambda: not any(server.out for server in scene.servers.values()))
 
@@ -522,7 +524,8 @@
         for one in (name, unused):
             number = number_of(one)
             assert (
-                number not in scene.node.feed.names and number not in scene.node.core.sessions.endpoint_states
+                number not in scene.node.feed.names
+                and number not in scene.node.dispatcher.sessions.endpoint_states
             )
 
     play(story)
@@ -632,7 +635,7 @@
         await until(
             lambda: waits.keys() <= scene.answers.keys() and not scene.node.client_requests.open_requests
         )
-        held = scene.node.core.sessions.records
+        held = scene.node.dispatcher.sessions.records
         await until(lambda: {*held()} == {id for server in servers for id in server.stands})
         await until(lambda: not given_up & held().keys())
         assert not any(server.out for server in servers)
--- a/tests/test_node_crossing_feed.py
+++ b/tests/test_node_crossing_feed.py
@@ -114,7 +114,7 @@
         stage.loop.settle()
         assert stage.node.feed.last == 1
         follows(stage, other)
-        assert stage.node.core.sessions.endpoint_states == {number_of("s-0"): ServerState.DRAINING}
+        assert stage.node.dispatcher.sessions.endpoint_states == {number_of("s-0"): ServerState.DRAINING}
         other.close()
 
 
@@ -185,7 +185,7 @@
     with staged() as stage:
         other = FarFeed()
         fresh = type(stage.node.follower)(
-            stage.node.core, stage.node.feed, stage.node.server_transport, other.address, 1
+            stage.node.dispatcher, stage.node.feed, stage.node.server_transport, other.address, 1
         )
         fresh.move(other.address)
         stage.loop.advance(1_000)
@@ -322,13 +322,13 @@
         for n, event in ((2, odd), (3, no_list)):
             for tries, told in enumerate(({**event, "spoilt": 1}, event, event)):  # the first is another
                 ((line, asked),) = live(stage.feed)
-                assert stage.node.core.sessions.endpoint_states == listed
+                assert stage.node.dispatcher.sessions.endpoint_states == listed
                 assert not tries or asked == b"SUB %d\n" % (n - 1)
                 line.write(b"%d\n" % (n - 1) + said(told))
                 stage.loop.advance(500)
             assert stage.node.feed.last == n
             listed[number_of("s-0")] = ServerState.DRAINING
-        assert stage.node.core.sessions.endpoint_states == listed
+        assert stage.node.dispatcher.sessions.endpoint_states == listed
         assert stage.log.getvalue().count("not all of use") == 2
         line.write(said(change(stage, 4)))
         stage.loop.until(lambda: stage.node.feed.last == 4)
@@ -366,7 +366,7 @@
 
 def test_a_server_that_went_and_came_back_before_a_start_can_be_reached() -> None:
     stage = Knowing({"status": "removed"}, {"since_ms": 1_000})
-    assert stage.node.core.sessions.endpoint_states.keys() == stage.node.feed.addresses.keys() != set()
+    assert stage.node.dispatcher.sessions.endpoint_states.keys() == stage.node.feed.addresses.keys() != set()
     stage.stands(stage.far_viewer())
     assert len(stage.feed.look()) == 1 and stage.feed.asked == [b"SUB 3\n"]
     stage.tally()
@@ -376,7 +376,7 @@
 def test_a_known_event_that_can_not_be_read_keeps_no_node_from_starting() -> None:
     """A node that runs has left it out; one that starts again beside it must not end over it."""
     stage = Knowing({"status": "removed", "type": "odd"}, {"status": "draining"})
-    assert stage.node.core.sessions.endpoint_states == {number_of("s-0"): ServerState.DRAINING}
+    assert stage.node.dispatcher.sessions.endpoint_states == {number_of("s-0"): ServerState.DRAINING}
     assert stage.node.feed.last == 3 and stage.log.getvalue().count("known events not all of use") == 1
     stage.tally()
     stage.finish()
@@ -502,7 +502,7 @@
             self.stage.loop.advance(100)
         self.calm()
         assert len(self.open()) == 1 and self.applied == list(range(2, len(self.story) + 1))
-        assert self.stage.node.core.sessions.endpoint_states == {number_of("s-0"): ServerState.DRAINING}
+        assert self.stage.node.dispatcher.sessions.endpoint_states == {number_of("s-0"): ServerState.DRAINING}
         for feed in self.feeds[1:]:
             feed.close()
 
--- a/tests/test_node_crossing_lost.py
+++ b/tests/test_node_crossing_lost.py
@@ -37,7 +37,7 @@
         stage.connecting()  # to hear whether its server lives
         if who == "viewer":
             viewer.send(Message("release", id, cause=16))
-            stage.loop.until(lambda: not stage.node.core.sessions.session_count)
+            stage.loop.until(lambda: not stage.node.dispatcher.sessions.session_count)
         stage.loop.advance(stage.node.server_pool.connect_timeout_s * 1000.0)  # it is late
         if who == "node":
             stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
@@ -248,7 +248,7 @@
         assert breaks(200) == 2
         stage.loop.jump(CHECK_INTERVAL_MS)
         stage.loop.until(lambda: line.server.accept() is not None)  # that one stays
-        assert {id} <= set(stage.node.core.sessions.records())
+        assert {id} <= set(stage.node.dispatcher.sessions.records())
 
 
 class Drawn:
@@ -378,7 +378,7 @@
     draw = Random(seed)
     with staged(servers=1 + seed % 3) as stage:
         mess, viewer = Mess(stage, draw), stage.far_viewer()
-        asked, given_up, host = list[str](), set[str](), stage.node.core.sessions
+        asked, given_up, host = list[str](), set[str](), stage.node.dispatcher.sessions
         for _ in range(300):
             what, server = draw.random(), draw.choice(list(mess.servers.values()))
             if what < 0.3:
--- a/tests/test_node_crossing_servers.py
+++ b/tests/test_node_crossing_servers.py
@@ -100,7 +100,7 @@
         viewer.send(wish := stage.setup())
         fd = stage.connecting()
         viewer.send(Message("release", wish.id, cause=16)) if how == "release" else viewer.reset()
-        stage.loop.until(lambda: not stage.node.core.sessions.session_count)
+        stage.loop.until(lambda: not stage.node.dispatcher.sessions.session_count)
         stage.tally()  # no attempt and no timer of it waits for the connection
         let_go(stage, fd)
         stage.loop.advance(2_000.0)
@@ -164,7 +164,7 @@
             stage.loop.settle()
         viewer.send(wish := stage.setup())
         if first == "set-up":
-            stage.loop.until(lambda: stage.node.core.sessions.metrics.set_ups == 2)
+            stage.loop.until(lambda: stage.node.dispatcher.sessions.metrics.set_ups == 2)
             let_go(stage, fd)
         new = line_of(stage, wish.id)
         new.answer(wish.id)
@@ -221,7 +221,7 @@
         assert answered(stage, viewer, id) == f"s-0 {id}\r\n"
         if second == "stands":
             heard(stage, line, late)
-        assert stage.node.core.sessions.session_count == 1
+        assert stage.node.dispatcher.sessions.session_count == 1
         new.release(id, 16)  # its own connection's word counts
         stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
 
@@ -279,7 +279,7 @@
                 if title:  # the first ones go on
                     line.release(id, 16)
             most = max(most, sum(len(one.connections) for one in servers.endpoints.values()))
-            stage.loop.until(lambda: stage.node.core.sessions.session_count == 3)
+            stage.loop.until(lambda: stage.node.dispatcher.sessions.session_count == 3)
         assert most > servers.descriptor_quota.max_server_connections == 8
         stage.loop.advance(2.5 * CHECK_INTERVAL_MS)
         for far in stage.far.values():
@@ -311,7 +311,7 @@
         id, line = stage.stands(viewer)
         line.ended.add(id)
         last = loop.clock
-        while stage.node.core.sessions.session(id) is not None:
+        while stage.node.dispatcher.sessions.session(id) is not None:
             kept = loop.selected.get_map().values()
             loop.selected.held.update(one.fd for one in kept if one.events & selectors.EVENT_WRITE)
             loop.jump(25.0)
@@ -404,7 +404,7 @@
             elsewhere(stage, id, line).answer(id)
         answered(stage, viewer, id)
         stage.loop.settle()
-        assert stage.node.core.sessions.session_count == 1 and len(stage.sent_to(id)) == (
+        assert stage.node.dispatcher.sessions.session_count == 1 and len(stage.sent_to(id)) == (
             1 if first == "answer" else 2
         )
 
@@ -443,7 +443,7 @@
         line.release(id, 16)
         both(stage, *(fds if first == "viewer" else fds[::-1]))
         stage.loop.settle()
-        assert not stage.node.core.sessions.session_count and Type.RELEASE not in kinds(line)
+        assert not stage.node.dispatcher.sessions.session_count and Type.RELEASE not in kinds(line)
         viewer.send(Message("ping", "0" * 16, cause=0))
         stage.loop.until(lambda: viewer.look() is not None and viewer.raw[-1].type == "pong")
         assert not [one for one in viewer.raw if one.type == "release" and one.cause != 16]
@@ -507,14 +507,14 @@
         plays = stage.setup(extras="home:0;copies:4;top:0;viewer:00000000b4d65521;at:s-0")
         if first == "the session":
             viewer.send(plays)
-            stage.loop.until(lambda: stage.node.core.sessions.session(plays.id))
+            stage.loop.until(lambda: stage.node.dispatcher.sessions.session(plays.id))
         stage.loop.advance(0.0 if first == "the refusal" else 300.0)
         server.listener = socket.create_server(there)
         server.listener.setblocking(False)
         if first == "the refusal":
             viewer.send(plays)
-            stage.loop.until(lambda: stage.node.core.sessions.session(plays.id))
+            stage.loop.until(lambda: stage.node.dispatcher.sessions.session(plays.id))
         stage.loop.advance(600.0)
         lost = first == "the session"  # a refusal while it is held is proof
         assert ("server lost" in stage.log.getvalue()) is lost
-        assert (stage.node.core.sessions.session(plays.id) is None) is lost
+        assert (stage.node.dispatcher.sessions.session(plays.id) is None) is lost
--- a/tests/test_node_crossing_stop.py
+++ b/tests/test_node_crossing_stop.py
@@ -228,7 +228,7 @@
         stage.node.terminate()
         plays = stage.setup(extras="home:0;copies:4;top:0;viewer:00000000b4d65521;at:s-0")
         viewer.send(plays)
-        stage.loop.until(lambda: stage.node.core.sessions.session_count)
+        stage.loop.until(lambda: stage.node.dispatcher.sessions.session_count)
         viewer.send(Message("release", plays.id, cause=16))
         stage.loop.until(lambda: plays.id in stage.far["s-0"].released or stage.far["s-0"].look())
         assert stage.answers == {} and stage.far["s-0"].setups() == []
@@ -240,7 +240,7 @@
         viewer = stage.far_viewer()
         plays = stage.setup(extras="home:0;copies:4;top:0;viewer:00000000b4d65521;at:s-0")
         viewer.send(plays)
-        stage.loop.until(lambda: stage.node.core.sessions.session_count)
+        stage.loop.until(lambda: stage.node.dispatcher.sessions.session_count)
         stage.node.terminate()
         viewer.send(Message("release", plays.id, cause=16))
         making = not_up(stage)
@@ -258,12 +258,12 @@
         viewer, server = stage.far_viewer(), stage.far["s-0"]
         plays = stage.setup(extras="home:0;copies:4;top:0;viewer:00000000b4d65521;at:s-0")
         viewer.send(plays)
-        stage.loop.until(lambda: stage.node.core.sessions.session_count)
+        stage.loop.until(lambda: stage.node.dispatcher.sessions.session_count)
         stage.node.terminate()
         stage.loop.advance(stage.node.graceful_shutdown.drain_timeout_ms - 20.0)
         server.kill()
         viewer.send(Message("release", plays.id, cause=16))
-        stage.loop.until(lambda: not stage.node.core.sessions.session_count)
+        stage.loop.until(lambda: not stage.node.dispatcher.sessions.session_count)
         (link,) = stage.node.server_pool.endpoints.values()
         stage.loop.until(lambda: not link.connections)  # the one made for it was refused
         stage.loop.advance(20.0)
--- a/tests/test_node_crossing_viewers.py
+++ b/tests/test_node_crossing_viewers.py
@@ -14,8 +14,8 @@
 from fernweir.node.client_connection import ClientConnection
 from fernweir.node.client_connection_state import (
     DELIVERY_CONFIRMATION_MS,
+    ClientConnectionPhase,
     ClientConnectionState,
-    ConnectionPhase,
 )
 from fernweir.node.client_listener import IDLE_SWEEP_INTERVAL_S
 from fernweir.node.frames import Code, Frame, Type
@@ -224,7 +224,7 @@
         line.answer(out)
         assert hears(stage, viewer, out).type == hears(stage, other, others).type == "answer"
         stage.loop.until(lambda: viewer.look() is not None and viewer.over)
-        assert stage.node.core.sessions.session_count == 2
+        assert stage.node.dispatcher.sessions.session_count == 2
 
 
 @pytest.mark.parametrize("how", WAYS)
@@ -244,7 +244,7 @@
             return bool(pings)
 
         stage.loop.until(asked)
-        assert stage.node.core.sessions.session(wish.id) is not None and stage.sent_to(wish.id) == []
+        assert stage.node.dispatcher.sessions.session(wish.id) is not None and stage.sent_to(wish.id) == []
         (line,) = stage.far["s-0"].lines
         fd, there = near(stage, viewer), stage.loop.near(line.sock)
         stage.loop.selected.held |= {fd, there}
@@ -275,7 +275,7 @@
         stage.loop.until(
             lambda: (
                 id in stage.node.session_ends.connection_by_session
-                or stage.node.core.sessions.session(id) is None
+                or stage.node.dispatcher.sessions.session(id) is None
             )
         )
         stage.loop.settle()
@@ -283,7 +283,7 @@
             stage.loop.advance(2 * SWEEP_MS)
         stage.loop.selected.held.clear()
         stage.loop.until(lambda: released(stage, id))
-        assert stage.node.core.sessions.session_count == 1 and len(stage.sent_to(id)) == 1
+        assert stage.node.dispatcher.sessions.session_count == 1 and len(stage.sent_to(id)) == 1
 
 
 def test_an_answer_half_written_to_a_reader_that_breaks_ends_its_session() -> None:
@@ -296,12 +296,14 @@
             ours_.write(write(Message("pong", "0" * 16, cause=1)) * 100)
         line.answer(id)
         stage.loop.until(
-            lambda: stage.node.core.sessions.sessions_playing_at(stage.node.core.sessions.session(id).server)
+            lambda: stage.node.dispatcher.sessions.sessions_playing_at(
+                stage.node.dispatcher.sessions.session(id).server
+            )
         )  # type: ignore[union-attr]
         assert ours_.unsent_bytes
         viewer.reset()
         stage.loop.until(lambda: released(stage, id))
-        assert stage.node.core.sessions.session_count == 0
+        assert stage.node.dispatcher.sessions.session_count == 0
 
 
 def test_a_viewer_that_half_closed_and_read_its_answer_keeps_its_session() -> None:
@@ -316,7 +318,7 @@
         stage.loop.until(lambda: viewer.look() is not None and viewer.over)  # told at once that this is all
         stage.loop.advance(DELIVERY_CONFIRMATION_MS + 2 * SWEEP_MS)
         viewer.close()
-        assert len(ours(stage)) == 1 and stage.node.core.sessions.session_count == 2
+        assert len(ours(stage)) == 1 and stage.node.dispatcher.sessions.session_count == 2
         line.release(id, 16)  # its end comes on another connection
         stage.loop.until(lambda: other.look() is not None and id in stage.ends)
 
@@ -328,7 +330,7 @@
         id, line = stage.stands(viewer)
         viewer.reset()
         stage.loop.advance(DELIVERY_CONFIRMATION_MS)
-        assert stage.node.core.sessions.session_count == 2 and not released(stage, id)
+        assert stage.node.dispatcher.sessions.session_count == 2 and not released(stage, id)
         line.release(id, 16)
         stage.loop.until(lambda: other.look() is not None and id in stage.ends)
 
@@ -343,7 +345,7 @@
             wish = stage.setup()
             id = wish.id
             ask_and_hold(stage, viewer, wish)
-        stage.node.core.sessions.stop_accepting()
+        stage.node.dispatcher.sessions.stop_accepting()
         viewer.end()
         stage.loop.settle()
         stage.loop.selected.held.clear()
@@ -370,7 +372,7 @@
         stage.loop.settle()
         sides = {side.state.phase for side in ours(stage)}
         assert (
-            sides == {ConnectionPhase.OPEN, ConnectionPhase.LINGERING}
+            sides == {ClientConnectionPhase.OPEN, ClientConnectionPhase.LINGERING}
             and len(stage.node.client_listener.admission) == 2
         )
         third = FarViewer(stage)
@@ -378,11 +380,11 @@
         stage.loop.until(
             lambda: (
                 len(ours(stage)) == 2
-                and ConnectionPhase.LINGERING not in {o.state.phase for o in ours(stage)}
+                and ClientConnectionPhase.LINGERING not in {o.state.phase for o in ours(stage)}
             )
         )
         line_two.answer(wait)
-        assert hears(stage, two, wait).type == "answer" and stage.node.core.sessions.session_count == 2
+        assert hears(stage, two, wait).type == "answer" and stage.node.dispatcher.sessions.session_count == 2
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -535,7 +537,7 @@
             line.answer(id)
         assert hears(stage, viewer, id).type == "answer"
         stage.loop.until(lambda: viewer.look() is not None and viewer.over)
-        assert stage.sent_to(late.id) == [] and stage.node.core.sessions.session_count == 1
+        assert stage.sent_to(late.id) == [] and stage.node.dispatcher.sessions.session_count == 1
         assert len(stage.node.client_listener.admission) == 0
 
 
@@ -578,7 +580,10 @@
             one.write(write(Message("pong", "0" * 16, cause=1)) * 100)
         one.drain()
         stage.loop.settle()
-        assert len(stage.node.client_listener.admission) == 1 and one.state.phase is ConnectionPhase.CLOSING
+        assert (
+            len(stage.node.client_listener.admission) == 1
+            and one.state.phase is ClientConnectionPhase.CLOSING
+        )
         stage.loop.advance(IDLE_TIMEOUT_MS + 2 * SWEEP_MS)
         assert len(stage.node.client_listener.admission) == 0 and not ours(stage)
         viewer.close()
@@ -609,7 +614,7 @@
         stage.loop.until(lambda: released(stage, id))
         stage.loop.settle()
         viewer.look()
-        assert id not in stage.answers and stage.node.core.sessions.session_count == 0
+        assert id not in stage.answers and stage.node.dispatcher.sessions.session_count == 0
 
 
 @pytest.mark.parametrize("first", ["set-up", "release"])
@@ -645,7 +650,7 @@
         line = stage.far["s-0"].line_of(id)
         line.answer(id)
         stage.loop.until(lambda: again.look() is not None and id in stage.answers)
-        assert stage.node.core.sessions.session_count == 1
+        assert stage.node.dispatcher.sessions.session_count == 1
         stage.far["s-0"].lines[0].ended.discard(id)
 
 
@@ -686,7 +691,7 @@
         assert "no such session" not in stage.log.getvalue()
         assert (
             id not in stage.node.session_ends.connection_by_session
-            and stage.node.core.sessions.session_count == 1
+            and stage.node.dispatcher.sessions.session_count == 1
         )
 
 
@@ -714,7 +719,7 @@
         while not one.unsent_bytes:
             one.write(write(Message("pong", "0" * 16, cause=1)) * 100)
         line.release(id, 16)
-        stage.loop.until(lambda: stage.node.core.sessions.session(id) is None)
+        stage.loop.until(lambda: stage.node.dispatcher.sessions.session(id) is None)
         stage.loop.settle()
         assert id not in stage.ends
         home.reset()
@@ -729,7 +734,7 @@
         viewer.send(lost, Message("ping", "0" * 15 + "1", cause=0))
         stage.loop.until(lambda: viewer.look() is not None and len(viewer.raw) == 2)
         assert [(one.type, one.cause) for one in viewer.raw] == [("release", 41), ("pong", 0)]
-        assert stage.node.core.sessions.session_count == 0 and stage.sent_to(lost.id) == []
+        assert stage.node.dispatcher.sessions.session_count == 0 and stage.sent_to(lost.id) == []
         viewer.send(
             Message("release", lost.id, cause=16)
         )  # crossed the word of its end, or is written beside it
--- a/tests/test_node_peers.py
+++ b/tests/test_node_peers.py
@@ -73,7 +73,7 @@
         config = replace(load(variables), known=known, known_n=5)
         node = Node(config, NodeLog("n2", self.log), {})
         file = read_peers(self.peers_file("n2", free_address()), "n2")
-        peers = await start_peers(node.core, node.feed, config, file)
+        peers = await start_peers(node.dispatcher, node.feed, config, file)
         node.start()
         await until(lambda: node.client_requests.is_ready)
         return node, peers
@@ -178,7 +178,7 @@
         heard = [row["outcome"] for row in told[0]["rows"] if row["front"] == "n2"]
         assert heard == ["heard at s-1", "heard at s-1"]  # by the first event of all, and now
 
-        port = node.core.sessions.observer
+        port = node.dispatcher.sessions.observer
         assert isinstance(port, NodePort)
         port.hold_back("shut out", 5_000.0)
         refused = await fleet.ask(node)
