--- a/fernweir/node/attempts.py
+++ b/fernweir/node/attempts.py
@@ -14,7 +14,6 @@
 from fernweir.front.commands import SetUp, SetUpResult
 from fernweir.front.dispatcher import Dispatcher
 from fernweir.interface import RESULT_LABELS, Result, Settings
-from fernweir.node.feed import Feed
 from fernweir.node.frames import Code, Frame, Type, encode
 from fernweir.node.liveness import result_of_broken_attempt
 from fernweir.node.server_connection import ServerConnection
@@ -30,7 +29,8 @@
     """A set-up in flight, or one that waits for its connection.
 
     Attributes:
-        command: What to set up where.
+        endpoint: The server.
+        command: What to set up there.
         sent_at: When the command came: monotonic, in milliseconds.
         timer: Fires when its time is over.
         connection: Carries it, or will once established. None after that ended.
@@ -39,6 +39,7 @@
         connect_count: How many connections it was assigned to.
     """
 
+    endpoint: ServerEndpoint
     command: SetUp
     sent_at: float
     timer: asyncio.TimerHandle | None = None
@@ -59,7 +60,6 @@
     def __init__(
         self,
         dispatcher: Dispatcher,
-        feed: Feed,
         settings: Settings,
         pool: ServerPool,
         read_client_input: Callable[[str], None],
@@ -68,13 +68,11 @@
 
         Args:
             dispatcher: Receives the results.
-            feed: Knows the names of servers, for the log.
             settings: Names the classes of sessions.
             pool: Provides the connections.
             read_client_input: Reads what the client of a session has sent by now.
         """
         self._dispatcher = dispatcher
-        self._feed = feed
         self._pool = pool
         self._read_client_input = read_client_input
         self._class_names = [session_class.name.encode() for session_class in settings.classes]
@@ -83,11 +81,11 @@
 
     def start(self, endpoint: ServerEndpoint, command: SetUp) -> None:
         """Starts an attempt."""
-        attempt = Attempt(command, self._dispatcher.now())
+        attempt = Attempt(endpoint, command, self._dispatcher.now())
         endpoint.attempts[attempt.session_id] = attempt
         timeout_s = max(command.timeout_ms, 0.0) / 1000.0
-        attempt.timer = self._dispatcher.loop.call_later(timeout_s, self._on_timeout, endpoint, attempt)
-        self._assign(endpoint, attempt)
+        attempt.timer = self._dispatcher.loop.call_later(timeout_s, self._on_timeout, attempt)
+        self._assign(attempt)
 
     def reject_unlisted(self, command: SetUp) -> None:
         """Reports, after this turn of the event loop, that a server is not on the endpoint list."""
@@ -111,21 +109,21 @@
         for endpoint in self._pool.endpoints.values():
             for attempt in list(endpoint.attempts.values()):
                 if not attempt.is_written:
-                    self._check_wanted(endpoint, attempt)
+                    self._check_wanted(attempt)
 
     # --- sending ---
 
-    def _assign(self, endpoint: ServerEndpoint, attempt: Attempt) -> None:
-        if not self._check_before_write(endpoint, attempt):
+    def _assign(self, attempt: Attempt) -> None:
+        if not self._check_before_write(attempt):
             return
         attempt.connect_count += 1
-        connection = self._pool.select_or_connect(endpoint, attempt.session_id)
+        connection = self._pool.select_or_connect(attempt.endpoint, attempt.session_id)
         attempt.connection = connection
         connection.attempts[attempt.session_id] = attempt
         if connection.is_usable:
-            self._write(endpoint, attempt, connection)
+            self._write(attempt, connection)
 
-    def _check_before_write(self, endpoint: ServerEndpoint, attempt: Attempt) -> bool:
+    def _check_before_write(self, attempt: Attempt) -> bool:
         """Ends an attempt whose client has left, or whose time is over, since the event loop last looked.
 
         Returns:
@@ -133,18 +131,19 @@
         """
         self._read_client_input(attempt.session_id)
         if self._dispatcher.now() - attempt.sent_at > attempt.command.timeout_ms:
-            self._on_timeout(endpoint, attempt)  # its timer is due, but the event loop is late
+            self._on_timeout(attempt)  # its timer is due, but the event loop is late
             return False
-        return self._check_wanted(endpoint, attempt)
+        return self._check_wanted(attempt)
 
-    def _check_wanted(self, endpoint: ServerEndpoint, attempt: Attempt) -> bool:
+    def _check_wanted(self, attempt: Attempt) -> bool:
         """Ends an attempt that is not wanted any more, and returns whether it still is."""
         if self._dispatcher.sessions.is_attempt_wanted(attempt.session_id, attempt.command.attempt):
             return True
-        self.fail(endpoint, attempt, Result.NOT_SENT, "not wanted any more")
+        self.fail(attempt, Result.NOT_SENT, "not wanted any more")
         return False
 
-    def _write(self, endpoint: ServerEndpoint, attempt: Attempt, connection: ServerConnection) -> None:
+    def _write(self, attempt: Attempt, connection: ServerConnection) -> None:
+        endpoint = attempt.endpoint
         session_id = attempt.session_id
         now = self._dispatcher.now()
         set_up = self._set_up_frame(attempt, now)
@@ -177,13 +176,13 @@
     def on_connected(self, connection: ServerConnection) -> None:
         """Writes the attempts that waited for a connection."""
         for attempt in list(connection.attempts.values()):
-            if self._check_before_write(connection.endpoint, attempt):
-                self._write(connection.endpoint, attempt, connection)
+            if self._check_before_write(attempt):
+                self._write(attempt, connection)
 
     def on_connect_failed(self, connection: ServerConnection, reason: str) -> None:
         """Ends the attempts that waited for a connection."""
         for attempt in list(connection.attempts.values()):
-            self.fail(connection.endpoint, attempt, Result.CONNECT_FAILED, reason)
+            self.fail(attempt, Result.CONNECT_FAILED, reason)
 
     def on_connection_lost(self, connection: ServerConnection, reason: str) -> None:
         """Assigns the attempts of an ended connection to others, unless they were written."""
@@ -194,9 +193,9 @@
             if attempt.is_written:
                 attempt.break_reason = reason
             elif attempt.connect_count >= MAX_CONNECTS:
-                self.fail(connection.endpoint, attempt, Result.CONNECT_FAILED, reason)
+                self.fail(attempt, Result.CONNECT_FAILED, reason)
             else:
-                self._assign(connection.endpoint, attempt)
+                self._assign(attempt)
 
     def on_liveness_known(self, endpoint: ServerEndpoint, is_alive: bool) -> None:
         """Ends the attempts whose connection broke after they were written.
@@ -205,24 +204,23 @@
         released there.
         """
         for attempt in endpoint.broken_attempts:
-            self.fail(endpoint, attempt, result_of_broken_attempt(is_alive), attempt.break_reason)
+            self.fail(attempt, result_of_broken_attempt(is_alive), attempt.break_reason)
 
     def on_server_lost(self, endpoint: ServerEndpoint) -> None:
         """Ends all attempts at a server that was lost."""
         for attempt in list(endpoint.attempts.values()):
             result = Result.RESET if attempt.is_written else Result.CONNECT_FAILED
-            self.fail(endpoint, attempt, result, "server lost")
+            self.fail(attempt, result, "server lost")
 
-    def _on_timeout(self, endpoint: ServerEndpoint, attempt: Attempt) -> None:
+    def _on_timeout(self, attempt: Attempt) -> None:
         if attempt.connection is not None and attempt.is_written:
             attempt.connection.state.drain()  # its server is late or stuck: nothing new goes there
-        self.fail(endpoint, attempt, Result.TIMEOUT if attempt.is_written else Result.CONNECT_FAILED)
+        self.fail(attempt, Result.TIMEOUT if attempt.is_written else Result.CONNECT_FAILED)
 
     # --- results ---
 
     def fail(
         self,
-        endpoint: ServerEndpoint,
         attempt: Attempt,
         result: Result,
         reason: str = "",
@@ -231,37 +229,34 @@
         """Ends an attempt without success, unless it has ended.
 
         Args:
-            endpoint: Its server.
             attempt: The attempt.
             result: Anything but OK.
             reason: Why, for the log.
             report: The load report that came with the result.
         """
-        if self._remove(endpoint, attempt, has_failed=True):
+        if self._remove(attempt, has_failed=True):
             if attempt.is_written:
-                endpoint.failed_attempts.add(attempt.session_id)
+                attempt.endpoint.failed_attempts.add(attempt.session_id)
             duration_ms = self._dispatcher.now() - attempt.sent_at
             self._report(attempt.command, SetUpResult(result, duration_ms, report or {}, reason=reason))
 
-    def succeed(
-        self, endpoint: ServerEndpoint, attempt: Attempt, description: str, report: dict[str, float]
-    ) -> None:
+    def succeed(self, attempt: Attempt, description: str, report: dict[str, float]) -> None:
         """Ends an attempt with its server's answer, unless it has ended.
 
         Args:
-            endpoint: Its server.
             attempt: The attempt.
             description: The description of the session.
             report: The load report that came with it.
         """
-        if self._remove(endpoint, attempt, has_failed=False):
+        if self._remove(attempt, has_failed=False):
             duration_ms = self._dispatcher.now() - attempt.sent_at
             self._report(attempt.command, SetUpResult(Result.OK, duration_ms, report, description))
 
-    def _remove(self, endpoint: ServerEndpoint, attempt: Attempt, *, has_failed: bool) -> bool:
-        if endpoint.attempts.get(attempt.session_id) is not attempt:
+    def _remove(self, attempt: Attempt, *, has_failed: bool) -> bool:
+        attempts = attempt.endpoint.attempts
+        if attempts.get(attempt.session_id) is not attempt:
             return False
-        del endpoint.attempts[attempt.session_id]
+        del attempts[attempt.session_id]
         self._detach(attempt, has_failed=has_failed)
         return True
 
@@ -283,7 +278,7 @@
             self._dispatcher.log.info(
                 "set-up failed",
                 session=session_id,
-                server=self._feed.names.get(command.server),
+                server=self._pool.server_name(command.server),
                 attempt=command.attempt,
                 result=RESULT_LABELS[result.result],
                 why=result.reason,
--- a/fernweir/node/server_connection.py
+++ b/fernweir/node/server_connection.py
@@ -60,6 +60,19 @@
         """
 
 
+@dataclass(frozen=True, slots=True)
+class ConnectionTimeouts:
+    """The timeouts of a connection.
+
+    Attributes:
+        connect_s: How long it may take until it is established, in seconds.
+        idle_ms: After which time without use its server may close it, in milliseconds.
+    """
+
+    connect_s: float
+    idle_ms: float
+
+
 @dataclass(frozen=True, slots=True)
 class SentRelease:
     """A release that was written, and when: monotonic, in milliseconds."""
@@ -89,8 +102,7 @@
         dispatcher: Dispatcher,
         events: ConnectionEvents,
         endpoint: ServerEndpoint,
-        connect_timeout_s: float,
-        idle_timeout_ms: float,
+        timeouts: ConnectionTimeouts,
     ) -> None:
         self.endpoint = endpoint
         self.state = ConnectionState()
@@ -100,8 +112,8 @@
         self.connect_started_at = self.connected_at = self.last_used_at = dispatcher.now()
         self._dispatcher = dispatcher
         self._events = events
-        self._idle_timeout_ms = idle_timeout_ms
-        self._timer = dispatcher.loop.call_later(connect_timeout_s, self._on_connect_timeout)
+        self._idle_timeout_ms = timeouts.idle_ms
+        self._timer = dispatcher.loop.call_later(timeouts.connect_s, self._on_connect_timeout)
         self._frames = Frames()
         self._sent_releases: deque[SentRelease] = deque(maxlen=_MAX_SENT_RELEASES)
         self._close_reason = "connection closed"
--- a/fernweir/node/server_messages.py
+++ b/fernweir/node/server_messages.py
@@ -71,26 +71,24 @@
             raise FrameError("an answer without a description")
         report = frame.report()
         description = frame.text(Code.DESCRIPTION)
-        self._attempts.succeed(connection.endpoint, attempt, description, report)
+        self._attempts.succeed(attempt, description, report)
 
     def _on_release(self, connection: ServerConnection, frame: Frame) -> None:
         cause = frame.cause
         report = frame.report()
         attempt = self._find_attempt(connection, frame.session)
         if attempt is not None:
-            self._on_attempt_rejected(connection.endpoint, attempt, cause, report)
+            self._on_attempt_rejected(attempt, cause, report)
         else:
             self._on_session_released(connection, frame.session, cause)
 
-    def _on_attempt_rejected(
-        self, endpoint: ServerEndpoint, attempt: Attempt, cause: int | None, report: dict[str, float]
-    ) -> None:
+    def _on_attempt_rejected(self, attempt: Attempt, cause: int | None, report: dict[str, float]) -> None:
         result = None if cause is None else _RESULTS_BEFORE_ANSWER.get(cause)
         if result is None:
             result = result_of_broken_attempt(is_alive=True)
         else:
-            endpoint.placed_sessions.pop(attempt.session_id, None)
-        self._attempts.fail(endpoint, attempt, result, f"cause {cause}", report)
+            attempt.endpoint.placed_sessions.pop(attempt.session_id, None)
+        self._attempts.fail(attempt, result, f"cause {cause}", report)
 
     def _on_session_released(self, connection: ServerConnection, session_id: str, cause: int | None) -> None:
         endpoint = connection.endpoint
--- a/fernweir/node/server_pool.py
+++ b/fernweir/node/server_pool.py
@@ -15,7 +15,7 @@
 from fernweir.node.feed import Feed
 from fernweir.node.limits import DescriptorQuota
 from fernweir.node.liveness import LivenessMonitor
-from fernweir.node.server_connection import ConnectionEvents, ServerConnection
+from fernweir.node.server_connection import ConnectionEvents, ConnectionTimeouts, ServerConnection
 from fernweir.node.server_endpoint import ServerEndpoint
 
 
@@ -75,6 +75,10 @@
             for endpoint in self.endpoints.values()
         )
 
+    def server_name(self, server: int) -> str | None:
+        """Returns the name of a server for the log, or None if the server is not listed."""
+        return self._feed.names.get(server)
+
     # --- connections ---
 
     def connect(self, endpoint: ServerEndpoint, timeout_s: float | None = None) -> ServerConnection:
@@ -84,10 +88,9 @@
             endpoint: The server.
             timeout_s: How long it may take, in seconds; None for `connect_timeout_s`.
         """
-        timeout_s = self.connect_timeout_s if timeout_s is None else timeout_s
-        connection = ServerConnection(
-            self._dispatcher, self.events, endpoint, timeout_s, self.idle_timeout_ms
-        )
+        connect_s = self.connect_timeout_s if timeout_s is None else timeout_s
+        timeouts = ConnectionTimeouts(connect_s, self.idle_timeout_ms)
+        connection = ServerConnection(self._dispatcher, self.events, endpoint, timeouts)
         endpoint.connections.append(connection)
         task = connection.start_connect()
         self._connect_tasks.add(task)
--- a/fernweir/node/server_transport.py
+++ b/fernweir/node/server_transport.py
@@ -37,12 +37,12 @@
         self._feed = feed
         self._pool = pool
         self._attempts = AttemptManager(
-            dispatcher, feed, settings, pool, lambda session_id: self.read_client_input(session_id)
+            dispatcher, settings, pool, lambda session_id: self.read_client_input(session_id)
         )
         self._health_checks = HealthChecker(dispatcher, pool)
         self._sessions = PlacedSessionManager(dispatcher, pool)
         self._messages = ServerMessageHandler(dispatcher, self._attempts, self._health_checks, self._sessions)
-        self._upkeep = ServerUpkeep(dispatcher, feed, pool, self._attempts, self._sessions)
+        self._upkeep = ServerUpkeep(dispatcher, pool, self._attempts, self._sessions)
         self._started_at: dict[int, float] = {}  # when the process of each server started
         pool.events = self
         dispatcher.server_transport = self
--- a/fernweir/node/server_upkeep.py
+++ b/fernweir/node/server_upkeep.py
@@ -4,7 +4,6 @@
 
 from fernweir.front.dispatcher import Dispatcher
 from fernweir.node.attempts import AttemptManager
-from fernweir.node.feed import Feed
 from fernweir.node.liveness import CHECK_INTERVAL_MS, LivenessStatus
 from fernweir.node.placed_sessions import PlacedSessionManager
 from fernweir.node.server_endpoint import ServerEndpoint
@@ -19,13 +18,11 @@
     def __init__(
         self,
         dispatcher: Dispatcher,
-        feed: Feed,
         pool: ServerPool,
         attempts: AttemptManager,
         sessions: PlacedSessionManager,
     ) -> None:
         self._dispatcher = dispatcher
-        self._feed = feed
         self._pool = pool
         self._attempts = attempts
         self._sessions = sessions
@@ -82,7 +79,7 @@
     def _on_server_lost(
         self, endpoint: ServerEndpoint, now: float, status: LivenessStatus, reason: str
     ) -> None:
-        name = self._feed.names.get(endpoint.server)
+        name = self._pool.server_name(endpoint.server)
         session_count = len(endpoint.placed_sessions)
         self._dispatcher.log.warning("server lost", server=name, held=session_count, why=reason)
         self._sessions.on_server_lost(endpoint, is_process_ended=status is LivenessStatus.TERMINATED)
--- a/tests/node_scene.py
+++ b/tests/node_scene.py
@@ -569,8 +569,10 @@
         for name, server in self.far.items():
             held = set(core.sessions.sessions_playing_at(number_of(name)))
             assert server.standing() <= held, f"{name} holds {server.standing() - held}, which nobody holds"
-        for link in servers.endpoints.values():
-            assert not link.attempts and not link.health_checks and not link.broken_attempts, link
+        for endpoint in servers.endpoints.values():
+            assert not endpoint.attempts and not endpoint.health_checks and not endpoint.broken_attempts, (
+                endpoint
+            )
         viewers, door = self.node.client_listener, self.node.client_listener.admission
         session_ends = self.node.session_ends
         tables = (
--- a/tests/test_node_crossing_lost.py
+++ b/tests/test_node_crossing_lost.py
@@ -65,10 +65,13 @@
         viewer = stage.far_viewer()
         id, line = half_answered(stage, viewer)
         reset_while_new(stage, line)
-        (link,) = stage.node.server_pool.endpoints.values()
-        stage.loop.until(lambda: link.release_queue.pending_releases)
+        (endpoint,) = stage.node.server_pool.endpoints.values()
+        stage.loop.until(lambda: endpoint.release_queue.pending_releases)
         first, _ = stage.connecting(), stage.connecting()  # for the release, and the set-up that follows it
-        assert not link.attempts[id].is_written and link.attempts[id].connection is link.connections[1]
+        assert (
+            not endpoint.attempts[id].is_written
+            and endpoint.attempts[id].connection is endpoint.connections[1]
+        )
         let_go(stage, first)
         stage.loop.settle()
         viewer.send(Message("release", id, cause=16))
@@ -84,9 +87,9 @@
         fd = stage.connecting()
         viewer.send(Message("release", tired, cause=16))
         stage.loop.until(lambda: tired in line.server.released)
-        (link,) = stage.node.server_pool.endpoints.values()
+        (endpoint,) = stage.node.server_pool.endpoints.values()
         let_go(stage, fd)
-        while not link.connections[-1].is_usable:
+        while not endpoint.connections[-1].is_usable:
             stage.loop.turn()
         new = line.server.lines[-1]
         stage.loop.selected.held.add(fd)  # the break is in the kernel, and seen by who writes
@@ -182,13 +185,13 @@
     with staged(servers=2) as stage:
         viewer = stage.far_viewer()
         id, line = stage.set_up(viewer)
-        (link,) = stage.node.server_pool.endpoints.values()
-        stage.loop.advance(link.attempts[id].command.timeout_ms)
+        (endpoint,) = stage.node.server_pool.endpoints.values()
+        stage.loop.advance(endpoint.attempts[id].command.timeout_ms)
         stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
         new = next(one for one in stage.far.values() if one is not line.server).line_of(id)
         new.answer(id)
         answered(stage, viewer, id)
-        assert not link.attempts and Type.RELEASE in [one.type for one in line.heard]
+        assert not endpoint.attempts and Type.RELEASE in [one.type for one in line.heard]
         stage.loop.advance(2_000.0)  # this side's end is not answered
         line.server.look()
         assert [[one.type for one in other.heard] for other in line.server.lines if other is not line] == [
@@ -401,7 +404,7 @@
         mess.calm = True
         for server in mess.servers.values():
             server.cut = False
-        links, names = (
+        endpoints, names = (
             stage.node.server_pool.endpoints,
             {number_of(far.name): far.address for far in stage.far.values()},
         )
@@ -414,8 +417,8 @@
             for number, there in names.items():
                 server, held = mess.servers[there], set(host.sessions_playing_at(number))
                 kept = (
-                    {one.session for one in links[number].release_queue.deferred_releases}
-                    if number in links
+                    {one.session for one in endpoints[number].release_queue.deferred_releases}
+                    if number in endpoints
                     else set()
                 )
                 if server.out or not held <= server.stands <= held | kept:
--- a/tests/test_node_crossing_servers.py
+++ b/tests/test_node_crossing_servers.py
@@ -53,21 +53,16 @@
 
 
 def test_a_connection_goes_onward_only() -> None:
-    course = ConnectionState()
-    course.drain()  # one that is being made is not blamed
-    assert course.is_connecting and not course.may_write and not course.begin_close()
-    assert course.open() and not course.open()
-    assert course.may_start_request and course.may_write
-    course.drain()
-    assert (
-        course.may_write
-        and not course.may_start_request
-        and course.begin_close()
-        and not course.begin_close()
-    )
-    assert course.finish() and not course.finish()
-    course.drain()
-    assert course.phase is ConnectionPhase.CLOSED
+    state = ConnectionState()
+    state.drain()  # one that is being made is not blamed
+    assert state.is_connecting and not state.may_write and not state.begin_close()
+    assert state.open() and not state.open()
+    assert state.may_start_request and state.may_write
+    state.drain()
+    assert state.may_write and not state.may_start_request and state.begin_close() and not state.begin_close()
+    assert state.finish() and not state.finish()
+    state.drain()
+    assert state.phase is ConnectionPhase.CLOSED
     given_up = ConnectionState()
     assert given_up.finish() and not given_up.open() and not given_up.finish()
 
@@ -113,12 +108,12 @@
         viewer = stage.far_viewer()
         viewer.send(wish := stage.setup())
         fd = stage.connecting()
-        ((server, link),) = stage.node.server_pool.endpoints.items()
+        ((server, endpoint),) = stage.node.server_pool.endpoints.items()
         name = stage.node.feed.names[server]
         tell(stage, stage.line(name, status))
         if status == "removed":
             let_go(stage, fd)  # it is given up, and its descriptor the next one's
-        assert wish.id not in link.attempts  # ended though the connection is still on its way
+        assert wish.id not in endpoint.attempts  # ended though the connection is still on its way
         line = line_of(stage, wish.id)  # elsewhere, with the first one held
         assert line.server.name != name
         let_go(stage, fd)
@@ -141,8 +136,8 @@
     assert line is not None
     stage.loop.until(lambda: line.look() is not None and line.over)
     assert len(line.heard) == (0 if first == "stop" else 1)
-    for link in stage.node.server_pool.endpoints.values():
-        assert not link.attempts and not link.connections and not link.broken_attempts
+    for endpoint in stage.node.server_pool.endpoints.values():
+        assert not endpoint.attempts and not endpoint.connections and not endpoint.broken_attempts
     stage.finish()
 
 
@@ -254,11 +249,11 @@
             answered(stage, viewer, id)
         stage.loop.jump(stage.node.server_pool.idle_timeout_ms * 0.6)
         stage.loop.settle()
-        (link,) = stage.node.server_pool.endpoints.values()
-        assert [conn.is_usable for conn in link.connections].count(True) == 1
+        (endpoint,) = stage.node.server_pool.endpoints.values()
+        assert [connection.is_usable for connection in endpoint.connections].count(True) == 1
         stage.loop.until(lambda: [line.look() for line in (one, other)] and one.over != other.over)
         (one if one.over else other).close() if how == "order" else (one if one.over else other).reset()
-        stage.loop.until(lambda: len(link.connections) == 1)
+        stage.loop.until(lambda: len(endpoint.connections) == 1)
         stage.loop.settle()
         assert stage.far["s-0"].accept() is None
 
@@ -287,12 +282,16 @@
                 if line.look() is not None and line.over:
                     line.close()
         stage.loop.settle()
-        links = servers.endpoints.values()
+        endpoints = servers.endpoints.values()
         assert (
-            sum(one.is_usable for link in links for one in link.connections)
+            sum(one.is_usable for endpoint in endpoints for one in endpoint.connections)
             <= servers.descriptor_quota.max_server_connections
         )
-        assert all(any(one.is_usable for one in link.connections) for link in links if link.placed_sessions)
+        assert all(
+            any(one.is_usable for one in endpoint.connections)
+            for endpoint in endpoints
+            if endpoint.placed_sessions
+        )
 
 
 @pytest.mark.parametrize("asked", [False, True])
@@ -392,13 +391,13 @@
         line.answer(id)
         line.answer(id)
         stage.loop.arrived(fd)
-        (link,) = stage.node.server_pool.endpoints.values()
-        timer = link.attempts[id].timer
+        (endpoint,) = stage.node.server_pool.endpoints.values()
+        timer = endpoint.attempts[id].timer
         assert timer is not None
         stage.loop.clock = timer.when()
         if first == "time":
             stage.loop.turn()
-            assert id not in link.attempts
+            assert id not in endpoint.attempts
         both(stage, fd)
         if first == "time":
             elsewhere(stage, id, line).answer(id)
--- a/tests/test_node_crossing_stop.py
+++ b/tests/test_node_crossing_stop.py
@@ -264,8 +264,8 @@
         server.kill()
         viewer.send(Message("release", plays.id, cause=16))
         stage.loop.until(lambda: not stage.node.core.sessions.session_count)
-        (link,) = stage.node.server_pool.endpoints.values()
-        stage.loop.until(lambda: not link.connections)  # the one made for it was refused
+        (endpoint,) = stage.node.server_pool.endpoints.values()
+        stage.loop.until(lambda: not endpoint.connections)  # the one made for it was refused
         stage.loop.advance(20.0)
         task = over(stage)
         stage.loop.advance(5.0)
