--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -339,7 +339,7 @@
 OTHER_SEAT = seat_records.SeatRecord("s1", 3, "t", "l", "c", "p", 1.5)
 
 
-def read_seat_record(data: bytes) -> list[seat_records.Kept]:
+def read_seat_record(data: bytes) -> list[seat_records.SeatRecord]:
     """The table that a record makes of one with a single seat in it."""
     table = {OTHER_SEAT.session_id: OTHER_SEAT}
     seat_records.apply_record(table, data)
