--- a/fernweir/control/channel.py
+++ b/fernweir/control/channel.py
@@ -11,6 +11,7 @@
 import socket
 import struct
 from collections.abc import Callable
+from dataclasses import replace
 from pathlib import Path
 from typing import Any, Protocol
 
@@ -134,17 +135,13 @@
     """A snapshot in parts: all but the sessions first. All are encoded at once, so that they fit together."""
     rows = [picture.sessions[key] for key in sorted(picture.sessions)]
     parts = [rows[at : at + _PART] for at in range(0, len(rows), _PART)]
-    rest = StateProjection(**{**_fields(picture), "sessions": {}}).to_plain()
+    rest = replace(picture, sessions={}).to_plain()
     lines = [_line({"watch": "snapshot", "part": 0, "of": len(parts), "picture": rest})]
     for number, part in enumerate(parts, 1):
         lines.append(_line({"watch": "snapshot", "part": number, "of": len(parts), "sessions": part}))
     return lines
 
 
-def _fields(picture: StateProjection) -> dict[str, Any]:
-    return {name: getattr(picture, name) for name in picture.__dataclass_fields__}
-
-
 def _line(document: dict[str, Any]) -> bytes:
     return orjson.dumps(document, option=orjson.OPT_NON_STR_KEYS) + b"\n"
 
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -39,7 +39,7 @@
 from fernweir.http.parse import Limits
 from fernweir.http.server import Server, ServerLimits
 from fernweir.journal.disk import JournalFolder
-from fernweir.journal.store import Journal, JournalConfig
+from fernweir.journal.store import Journal, JournalConfig, StoredSegment
 from fernweir.seats.file_store import DiskFileStore, FileStore
 from fernweir.seats.log import LogError, SeatLog
 from fernweir.seats.records import RecordError, rebuild_table
@@ -272,7 +272,7 @@
 
     section = config.peers
     assert section is not None
-    folder, kept = None, list[tuple[int, int, object]]()
+    folder, kept = None, list[StoredSegment]()
     if section.record is not None:
         folder = JournalFolder(config.path(section.record), max_bytes=int(section.record_disk))
         try:
--- a/fernweir/journal/__init__.py
+++ b/fernweir/journal/__init__.py
@@ -1,1 +1,1 @@
-"""The journal of decisions: what a front did with each session, and the views that fold from it."""
+"""The journal of events: what a front did with each session, and the state that follows from it."""
--- a/fernweir/journal/disk.py
+++ b/fernweir/journal/disk.py
@@ -1,8 +1,9 @@
-"""Keeps the journal's segments in a folder: block files of frames, and the newest rows as JSON lines.
+"""Stores a journal's segments in a folder: block files of frames, and the newest rows as JSON lines.
 
-A frame is length, CRC32C, first and last number, and a segment's bytes. A frame that is cut off or damaged
-ends what is read of its file: the journal is a record for people, and a hole in it is said, not fatal. The
-checksum is of the segment's bytes: where numbers don't follow on, those of its rows are taken.
+A frame is the length and CRC32C of a segment, the numbers of its first and last entry, and the segment.
+Reading a file ends at the first truncated or damaged frame: the journal is a record for people, so a gap is
+reported and is not fatal. The checksum covers the segment alone; where the numbers of adjacent frames are not
+consecutive, the numbers of the rows are used.
 """
 
 from __future__ import annotations
@@ -12,6 +13,7 @@
 import secrets
 import struct
 from collections import deque
+from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 from pathlib import Path
 
@@ -21,189 +23,255 @@
 from fernweir.front.atomic_file import write_file
 from fernweir.journal.events import Entry, EntryError, from_row, to_row
 from fernweir.journal.segment import decode_segment
+from fernweir.journal.store import StoredSegment
 
-_FRAME = struct.Struct("<IIQQ")
+_FRAME_HEADER = struct.Struct("<IIQQ")  # length, CRC32C, first number, last number
 _MAGIC = b"FWJRNL1\n"
-_ID = re.compile(r"[0-9a-f]{16}")
-_NAME = re.compile(r"journal-(\d{12})\.blocks")
+_JOURNAL_ID = re.compile(r"[0-9a-f]{16}")
+_JOURNAL_ID_BYTES = 8
+_BLOCK_FILE_NAME = re.compile(r"journal-(\d{12})\.blocks")
+_ROW_FILE_NAME = "newest.rows"
+_FILE_MODE = 0o600
 
 
 @dataclass(frozen=True, slots=True)
-class _Handle:
-    file: int
-    at: int
+class _SegmentLocation:
+    """Where a segment is stored: number of the file, offset and size in bytes, CRC32C."""
+
+    file_number: int
+    offset: int
     size: int
     crc: int
 
 
 @dataclass(slots=True)
-class _File:
+class _BlockFile:
     number: int
-    first: int
+    first_entry: int
     size: int
 
 
+@dataclass(frozen=True, slots=True)
+class _Frame:
+    first: int
+    last: int
+    location: _SegmentLocation
+
+
 class JournalFolder:
-    """At most `most_bytes` in files of `file_bytes`; the oldest file is deleted first."""
+    """A folder with a journal's segments and newest rows.
+
+    Attributes:
+        folder: The folder.
+        problems: What was found damaged or missing when the folder was opened.
+
+    Args:
+        folder: The folder; `open` creates it if it does not exist.
+        max_bytes: Upper limit of all block files; the oldest file is deleted first.
+        file_bytes: Size from which a new block file is started.
+    """
 
     def __init__(self, folder: Path, *, max_bytes: int = 256 << 20, file_bytes: int = 16 << 20) -> None:
-        self.folder, self._most, self._file_bytes = folder, max_bytes, file_bytes
-        self.problems: list[str] = []  # what was found wrong when it was opened
-        self._files: deque[_File] = deque()
-        self._out: int | None = None
-        self._tail: int | None = None
-        self._next = 1
+        self.folder = folder
+        self.problems: list[str] = []
+        self._max_bytes = max_bytes
+        self._file_bytes = file_bytes
+        self._files: deque[_BlockFile] = deque()
+        self._block_descriptor: int | None = None
+        self._row_descriptor: int | None = None
+        self._next_file_number = 1
 
     @property
     def stored_bytes(self) -> int:
+        """The size of all block files."""
         return sum(file.size for file in self._files)
 
-    def open(self) -> tuple[str, list[tuple[int, int, object]], list[Entry]]:
-        """What is there: the journal's id, sealed segments by first and last number, the rows after them."""
+    def open(self) -> tuple[str, list[StoredSegment], list[Entry]]:
+        """Reads the folder and prepares it for writing.
+
+        Returns:
+            The id of the journal, its sealed segments, and the entries after them.
+
+        Raises:
+            OSError: The folder cannot be read or written.
+        """
         self.folder.mkdir(parents=True, exist_ok=True)
-        id = self._read_id()
-        sealed: list[tuple[int, int, object]] = []
-        names = sorted((int(match[1]), name) for name in os.listdir(self.folder)
-                       if (match := _NAME.fullmatch(name)))  # fmt: skip
-        for number, name in names:
-            found, size = self._scan(number, self.folder / name)
-            if not found:
+        journal_id = self._read_or_create_id()
+        segments: list[StoredSegment] = []
+        for number, name in self._block_files():
+            frames, size = self._scan_file(number, self.folder / name)
+            if not frames:
                 (self.folder / name).unlink()
                 continue
-            if sealed and found[0][0] != sealed[-1][1] + 1:
-                self.problems.append(f"{name}: entries {sealed[-1][1] + 1} to {found[0][0] - 1} are missing")
-            self._files.append(_File(number, found[0][0], size))
-            sealed += found
-            self._next = number + 1
-        tail = self._read_tail(sealed[-1][1] if sealed else 0)
-        self._write_tail(tail)
-        return id, sealed, tail
+            first = frames[0].first
+            if segments and first != segments[-1].last + 1:
+                self.problems.append(f"{name}: entries {segments[-1].last + 1} to {first - 1} are missing")
+            self._files.append(_BlockFile(number, first, size))
+            segments += [StoredSegment(frame.first, frame.last, frame.location) for frame in frames]
+            self._next_file_number = number + 1
+        newest = self._read_rows(segments[-1].last if segments else 0)
+        self._replace_rows(newest)
+        return journal_id, segments, newest
 
     def append_segment(self, first: int, last: int, data: bytes) -> object:
+        """Appends a sealed segment and removes the newest rows, which it contains.
+
+        Args:
+            first: Number of its first entry.
+            last: Number of its last entry.
+            data: Its bytes.
+
+        Returns:
+            A handle for `read_segment`.
+
+        Raises:
+            OSError: It could not be written.
+        """
         file = self._files[-1] if self._files else None
-        if self._out is None or file is None or file.size >= self._file_bytes:
-            file = self._begin(first)
-        assert self._out is not None
-        crc = int(google_crc32c.value(data))
-        frame = _FRAME.pack(len(data), crc, first, last) + data
-        at = file.size
+        if self._block_descriptor is None or file is None or file.size >= self._file_bytes:
+            file = self._start_file(first)
+        assert self._block_descriptor is not None
+        crc = _crc32c(data)
+        frame = _FRAME_HEADER.pack(len(data), crc, first, last) + data
+        offset = file.size
         try:
-            _write(self._out, frame)
+            _write_all(self._block_descriptor, frame)
         except OSError:
-            # Whatever part was written must not stand between good frames, nor a hole in its place.
-            os.ftruncate(self._out, at)
-            os.lseek(self._out, at, os.SEEK_SET)
+            # A partly written frame must not stay between complete ones, nor leave a gap in its place.
+            os.ftruncate(self._block_descriptor, offset)
+            os.lseek(self._block_descriptor, offset, os.SEEK_SET)
             raise
         file.size += len(frame)
-        self._bound()
-        self._write_tail([])
-        return _Handle(file.number, at + _FRAME.size, len(data), crc)
+        self._delete_oldest_files()
+        self._replace_rows([])
+        return _SegmentLocation(file.number, offset + _FRAME_HEADER.size, len(data), crc)
 
     def read_segment(self, handle: object) -> bytes:
-        assert isinstance(handle, _Handle)
-        with open(self._path(handle.file), "rb") as file:
-            file.seek(handle.at)
+        """Returns the bytes of a segment.
+
+        Raises:
+            OSError: It cannot be read, or its bytes are damaged.
+        """
+        assert isinstance(handle, _SegmentLocation)
+        path = self._path(handle.file_number)
+        with open(path, "rb") as file:
+            file.seek(handle.offset)
             data = file.read(handle.size)
-        if len(data) != handle.size or int(google_crc32c.value(data)) != handle.crc:
-            raise OSError(f"{self._path(handle.file).name}: damaged at byte {handle.at}")
+        if len(data) != handle.size or _crc32c(data) != handle.crc:
+            raise OSError(f"{path.name}: damaged at byte {handle.offset}")
         return data
 
     def append_row(self, entry: Entry) -> None:
-        if self._tail is None:
-            self._write_tail([])
-        assert self._tail is not None
-        _write(self._tail, orjson.dumps(to_row(entry)) + b"\n")
+        """Stores one entry until its segment is sealed.
+
+        Raises:
+            OSError: It could not be written.
+        """
+        if self._row_descriptor is None:
+            self._replace_rows([])
+        assert self._row_descriptor is not None
+        _write_all(self._row_descriptor, _row_line(entry))
 
     def first_number(self) -> int:
-        return self._files[0].first if self._files else 0
+        """Returns the number of the oldest stored entry; 0 if there is no segment."""
+        return self._files[0].first_entry if self._files else 0
 
     def close(self) -> None:
-        for handle in (self._out, self._tail):
-            if handle is not None:
-                os.close(handle)
-        self._out = self._tail = None
-
-    # --- pieces ---
-
-    def _read_id(self) -> str:
+        """Closes the open files."""
+        for descriptor in (self._block_descriptor, self._row_descriptor):
+            if descriptor is not None:
+                os.close(descriptor)
+        self._block_descriptor = None
+        self._row_descriptor = None
+
+    def _read_or_create_id(self) -> str:
         path = self.folder / "id"
         try:
-            id = path.read_text(encoding="ascii").strip()
+            journal_id = path.read_text(encoding="ascii").strip()
         except (FileNotFoundError, UnicodeDecodeError):
-            id = ""
-        if not _ID.fullmatch(id):
-            id = secrets.token_hex(8)
-            write_file(path, id.encode())
-        return id
-
-    def _path(self, number: int) -> Path:
-        return self.folder / f"journal-{number:012d}.blocks"
-
-    def _begin(self, first: int) -> _File:
-        if self._out is not None:
-            os.close(self._out)
-            self._out = None
-        path = self._path(self._next)
-        out = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+            journal_id = ""
+        if not _JOURNAL_ID.fullmatch(journal_id):
+            journal_id = secrets.token_hex(_JOURNAL_ID_BYTES)
+            write_file(path, journal_id.encode())
+        return journal_id
+
+    def _path(self, file_number: int) -> Path:
+        return self.folder / f"journal-{file_number:012d}.blocks"
+
+    def _block_files(self) -> list[tuple[int, str]]:
+        """Returns numbers and names of the block files, oldest first."""
+        matches = (_BLOCK_FILE_NAME.fullmatch(name) for name in os.listdir(self.folder))
+        return sorted((int(match[1]), match[0]) for match in matches if match)
+
+    def _start_file(self, first_entry: int) -> _BlockFile:
+        if self._block_descriptor is not None:
+            os.close(self._block_descriptor)
+            self._block_descriptor = None
+        path = self._path(self._next_file_number)
+        descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, _FILE_MODE)
         try:
-            _write(out, _MAGIC)
+            _write_all(descriptor, _MAGIC)
         except OSError:
-            os.close(out)
+            os.close(descriptor)
             path.unlink(missing_ok=True)
             raise
-        self._out = out
-        self._files.append(_File(self._next, first, len(_MAGIC)))
-        self._next += 1
-        return self._files[-1]
-
-    def _bound(self) -> None:
-        while len(self._files) > 1 and self.stored_bytes > self._most:
+        self._block_descriptor = descriptor
+        file = _BlockFile(self._next_file_number, first_entry, len(_MAGIC))
+        self._files.append(file)
+        self._next_file_number += 1
+        return file
+
+    def _delete_oldest_files(self) -> None:
+        while len(self._files) > 1 and self.stored_bytes > self._max_bytes:
             self._path(self._files.popleft().number).unlink(missing_ok=True)
 
-    def _scan(self, number: int, path: Path) -> tuple[list[tuple[int, int, object]], int]:
+    def _scan_file(self, number: int, path: Path) -> tuple[list[_Frame], int]:
+        """Returns the intact frames of a block file, and its size in bytes."""
         data = path.read_bytes()
         if not data.startswith(_MAGIC):
             if data and not _MAGIC.startswith(data):
                 self.problems.append(f"{path.name}: not a journal")
             return [], 0
-        found: list[tuple[int, int, _Handle]] = []
-        at = len(_MAGIC)
-        while at + _FRAME.size <= len(data):
-            size, crc, first, last = _FRAME.unpack_from(data, at)
-            body = data[at + _FRAME.size : at + _FRAME.size + size]
-            if not size or len(body) < size or int(google_crc32c.value(body)) != crc:
-                break  # no bytes are no segment: zeros that a lost write left would be frames of none
-            found.append((first, last, _Handle(number, at + _FRAME.size, size, crc)))
-            at += _FRAME.size + size
-        if at < len(data):
-            self.problems.append(f"{path.name}: damaged at byte {at}, {len(data) - at} bytes passed over")
-        return self._renumbered(path.name, data, found), len(data)
-
-    def _renumbered(
-        self, name: str, data: bytes, found: list[tuple[int, int, _Handle]]
-    ) -> list[tuple[int, int, object]]:
-        """Frames with their rows' numbers, where their own can't be told to be right by their neighbours'."""
-        doubtful = {0, len(found) - 1}
-        for at in range(1, len(found)):
-            if found[at][0] != found[at - 1][1] + 1:
-                doubtful |= {at - 1, at}
-        frames: list[tuple[int, int, object]] = []
-        for at, (first, last, handle) in enumerate(found):
-            if at in doubtful:
-                numbers = _numbers(data[handle.at : handle.at + handle.size]) or (first, last)
-                if numbers != (first, last):
-                    self.problems.append(f"{name}: damaged numbers at byte {handle.at - _FRAME.size}")
-                    first, last = numbers
-            frames.append((first, last, handle))
-        return frames
-
-    def _read_tail(self, sealed_to: int) -> list[Entry]:
+        frames: list[_Frame] = []
+        offset = len(_MAGIC)
+        while offset + _FRAME_HEADER.size <= len(data):
+            size, crc, first, last = _FRAME_HEADER.unpack_from(data, offset)
+            start = offset + _FRAME_HEADER.size
+            segment = data[start : start + size]
+            # Size 0 is damage: zeros that a lost write left would otherwise be frames of empty segments.
+            if not size or len(segment) < size or _crc32c(segment) != crc:
+                break
+            frames.append(_Frame(first, last, _SegmentLocation(number, start, size, crc)))
+            offset = start + size
+        if offset < len(data):
+            skipped = len(data) - offset
+            self.problems.append(f"{path.name}: damaged at byte {offset}, {skipped} bytes passed over")
+        return self._correct_numbers(path.name, data, frames), len(data)
+
+    def _correct_numbers(self, name: str, data: bytes, frames: list[_Frame]) -> list[_Frame]:
+        """Takes the numbers of frames from their rows where adjacent frames do not confirm them."""
+        corrected: list[_Frame] = []
+        unconfirmed = _unconfirmed_frames(frames)
+        for index, frame in enumerate(frames):
+            if index in unconfirmed:
+                location = frame.location
+                segment = data[location.offset : location.offset + location.size]
+                numbers = _numbers_of_rows(segment) or (frame.first, frame.last)
+                if numbers != (frame.first, frame.last):
+                    frame_offset = location.offset - _FRAME_HEADER.size
+                    self.problems.append(f"{name}: damaged numbers at byte {frame_offset}")
+                    frame = _Frame(*numbers, location)
+            corrected.append(frame)
+        return corrected
+
+    def _read_rows(self, sealed_to: int) -> list[Entry]:
+        """Returns the stored rows that are in no segment: those with numbers above `sealed_to`."""
         try:
-            lines = (self.folder / "newest.rows").read_bytes().split(b"\n")
+            lines = (self.folder / _ROW_FILE_NAME).read_bytes().split(b"\n")
         except FileNotFoundError:
             return []
         entries: list[Entry] = []
-        for line in lines[:-1]:  # what has no line end was cut off by a kill
+        for line in lines[:-1]:  # a last line without its end was truncated when the process was killed
             try:
                 entry = from_row(orjson.loads(line))
             except (ValueError, EntryError):
@@ -213,25 +281,42 @@
                 entries.append(entry)
         return entries
 
-    def _write_tail(self, entries: list[Entry]) -> None:
-        """Begins the file of newest rows anew."""
-        if self._tail is not None:
-            os.close(self._tail)
-            self._tail = None
-        path = self.folder / "newest.rows"
-        beside = path.with_suffix(".new")
-        out = os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+    def _replace_rows(self, entries: Iterable[Entry]) -> None:
+        """Replaces the file of newest rows by one with these entries."""
+        if self._row_descriptor is not None:
+            os.close(self._row_descriptor)
+            self._row_descriptor = None
+        path = self.folder / _ROW_FILE_NAME
+        new_path = path.with_suffix(".new")
+        descriptor = os.open(new_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, _FILE_MODE)
         try:
-            _write(out, b"".join(orjson.dumps(to_row(entry)) + b"\n" for entry in entries))
-            os.replace(beside, path)
+            _write_all(descriptor, b"".join(_row_line(entry) for entry in entries))
+            os.replace(new_path, path)
         except OSError:
-            os.close(out)
+            os.close(descriptor)
             raise
-        self._tail = out
+        self._row_descriptor = descriptor
+
+
+def _crc32c(data: bytes) -> int:
+    return int(google_crc32c.value(data))
+
+
+def _row_line(entry: Entry) -> bytes:
+    return orjson.dumps(to_row(entry)) + b"\n"
+
+
+def _unconfirmed_frames(frames: Sequence[_Frame]) -> set[int]:
+    """Returns the indexes of the first and last frame, and of adjacent ones that are not consecutive."""
+    unconfirmed = {0, len(frames) - 1}
+    for index in range(1, len(frames)):
+        if frames[index].first != frames[index - 1].last + 1:
+            unconfirmed |= {index - 1, index}
+    return unconfirmed
 
 
-def _numbers(segment: bytes) -> tuple[int, int] | None:
-    """The first and the last number in it; None if it has no rows that can be read."""
+def _numbers_of_rows(segment: bytes) -> tuple[int, int] | None:
+    """Returns the numbers of a segment's first and last row; None if they cannot be read."""
     try:
         rows = decode_segment(segment)
         return from_row(rows[0]).number, from_row(rows[-1]).number
@@ -239,8 +324,8 @@
         return None
 
 
-def _write(out: int, data: bytes) -> None:
-    """All of it, or OSError: a full disk may take a part first."""
-    view = memoryview(data)
-    while view:
-        view = view[os.write(out, view) :]
+def _write_all(descriptor: int, data: bytes) -> None:
+    """Writes all the data, or raises OSError: a write to a full disk may store a part first."""
+    remaining = memoryview(data)
+    while remaining:
+        remaining = remaining[os.write(descriptor, remaining) :]
--- a/fernweir/journal/events.py
+++ b/fernweir/journal/events.py
@@ -1,7 +1,7 @@
-"""What the journal says: one entry for each step of a session's life, of a box, of an operator.
+"""The events of the journal: one entry for each step of a session, a server or an operator's order.
 
-Entries are facts of what was carried out, in the order it was carried out; nothing in them is a guess made
-later. On the wire and on disk an entry is a JSON array, see `to_row`.
+Entries record what was carried out, in the order in which it was carried out; they contain no later
+inference. On the wire and on disk an entry is a JSON array, see `to_row`.
 """
 
 from __future__ import annotations
@@ -13,23 +13,25 @@
 
 
 class EventKind(StrEnum):
-    FRONT = "front"  # a front began (`why` "up") or ended ("down"): its sessions of before are over
-    ASKED = "asked"  # a session began: the first request with its token was taken
-    SETUP = "setup"  # an attempt left for `box`, `why` it
+    """The kind of an event; the value is stored."""
+
+    FRONT = "front"  # a front started (`why` is "up") or stopped ("down"); its earlier sessions are over
+    ASKED = "asked"  # a session began: the first request with its token was accepted
+    SETUP = "setup"  # an attempt was sent to a server; `why` is the reason for choosing it
     FAILED_TRY = "failed-try"  # the attempt ended without playing
-    STARTED = "started"  # it plays at `box`
-    RUNG = "rung"  # it changed to `rung`; `why` says who did it
-    MOVED = "moved"  # taken from `box`, to be asked for again
-    PLAYS = "plays"  # one request was answered so
-    REFUSED = "refused"
-    FAILED = "failed"
-    CONFLICT = "conflict"
-    ENDED = "ended"  # the session is over, at `box` if it played, and `why`
-    BOX = "box"  # a box is listed as `why` says, or as an operator's order makes it
-    LOST = "lost"  # nobody listens at a box, its sessions are over
-    SILENT = "silent"  # a box that holds sessions says nothing
-    HEARD = "heard"  # and speaks again
-    ORDER = "order"  # an operator's command was carried out
+    STARTED = "started"  # the session plays at a server
+    RUNG = "rung"  # the session changed to `rung`; `why` says who requested it
+    MOVED = "moved"  # the session was taken from its server and will be requested again
+    PLAYS = "plays"  # a request was answered: the session plays
+    REFUSED = "refused"  # a request was answered: rejected
+    FAILED = "failed"  # a request was answered: failed
+    CONFLICT = "conflict"  # a request was answered: another request with its session contradicts it
+    ENDED = "ended"  # the session is over, at a server if it played, for the reason `why`
+    BOX = "box"  # a server's state in the endpoint list, or by an operator's order, is `why`
+    LOST = "lost"  # nothing listens at a server, and its sessions are over
+    SILENT = "silent"  # a server with sessions sends nothing
+    HEARD = "heard"  # a silent server sends again
+    ORDER = "order"  # an operator's order was carried out
 
 
 ANSWERS = (EventKind.PLAYS, EventKind.REFUSED, EventKind.FAILED, EventKind.CONFLICT)
@@ -37,9 +39,25 @@
 
 @dataclass(slots=True)
 class Entry:
-    """`number` grows by one within a journal; `at` is wall time in ms. Fields that don't apply are empty.
-
-    A value, never changed; not frozen, as making frozen ones would be a third of what an entry costs.
+    """One event. Fields that do not apply are empty, or -1 if they are numbers.
+
+    Entries are never changed. The class is not frozen, because creating frozen instances would take a third
+    of the time that an entry costs.
+
+    Attributes:
+        number: Sequence number; grows by one within a journal.
+        at: Wall time in milliseconds.
+        what: The kind.
+        front: Name of the front.
+        session: Id of the session.
+        lesson: Name of its title.
+        cls: Name of its class.
+        tenant: Its tenant.
+        box: Number of the server.
+        attempt: Number of the attempt within the session.
+        rung: The rung.
+        why: The reason.
+        more: Further details, by name.
     """
 
     number: int
@@ -58,30 +76,46 @@
 
 
 def to_row(entry: Entry) -> list[Any]:
+    """Returns the stored form of an entry: its fields in order, `more` only if there are details."""
     row: list[Any] = [
-        entry.number, entry.at, str(entry.what), entry.front, entry.session, entry.lesson, entry.cls,
-        entry.tenant, entry.box, entry.attempt, entry.rung, entry.why,
-    ]  # fmt: skip
+        entry.number,
+        entry.at,
+        str(entry.what),
+        entry.front,
+        entry.session,
+        entry.lesson,
+        entry.cls,
+        entry.tenant,
+        entry.box,
+        entry.attempt,
+        entry.rung,
+        entry.why,
+    ]
     if entry.more:
         row.append(dict(entry.more))
     return row
 
 
-_LEAST, _MOST = 12, 13
+_MIN_FIELDS = 12  # all but `more`
+_MAX_FIELDS = 13
 
 
 class EntryError(ValueError):
-    """A row is no entry."""
+    """A row is not an entry; the text says why."""
 
 
-def from_row(row: Any) -> Entry:
-    """The entry that `to_row` wrote. EntryError if it can't be one."""
-    if not isinstance(row, list) or not _LEAST <= len(row) <= _MOST:
+def from_row(row: object) -> Entry:
+    """Returns the entry of a row that `to_row` made.
+
+    Raises:
+        EntryError: The row is not an entry.
+    """
+    if not isinstance(row, list) or not _MIN_FIELDS <= len(row) <= _MAX_FIELDS:
         raise EntryError("not an entry")
     number, at, what, front, session, lesson, cls, tenant, box, attempt, rung, why, *rest = row
     texts = (front, session, lesson, cls, tenant, why)
     numbers = (number, at, box, attempt, rung)
-    if not all(type(one) is str for one in texts) or not all(type(one) is int for one in numbers):
+    if not all(type(text) is str for text in texts) or not all(type(value) is int for value in numbers):
         raise EntryError("an entry's field is of the wrong type")
     more = rest[0] if rest else {}
     if not isinstance(more, dict):
--- a/fernweir/journal/segment.py
+++ b/fernweir/journal/segment.py
@@ -1,9 +1,9 @@
-"""A sealed piece of the journal: compressed rows with an index made for asking by field.
+"""Sealed segments of the journal: compressed rows, with an index for queries by field.
 
-Fields of few values (kind, box, lesson, tenant, class, reason, front) have one bitmap a value, a Python int
-with a bit an entry, so that a question on several fields is a few ANDs and finds nothing without decoding.
-Sessions have many values with few entries each: a sorted array of 32-bit hashes with their offsets. A hash
-can be another session's; what is decoded is compared. Free of I/O.
+Fields with few values (kind, server, title, tenant, class, reason, front) have one bitmap for each value: a
+Python int with one bit for each entry, so that a query on several fields takes a few ANDs, and one without
+matches decodes nothing. Sessions have many values with few entries each: a sorted array of 32-bit hashes with
+their offsets. As hashes can collide, decoded entries are compared with the query. Free of I/O.
 """
 
 from __future__ import annotations
@@ -19,21 +19,33 @@
 
 from fernweir.journal.events import Entry, EntryError, to_row
 
+# The words of queries, which are the names of an entry's attributes.
 FIELDS = ("what", "box", "lesson", "tenant", "cls", "why", "front")
-_LEVEL = 1  # a segment is sealed on the loop that answers viewers: speed before size
-_BITMAP_BYTES = 120  # about what one value's bitmap costs, key included
+_COMPRESSION_LEVEL = 1  # segments are sealed on the event loop that serves viewers: speed before size
+_BITMAP_BYTES = 120  # approximate cost of one value's bitmap, with its key
+_HASH_BYTES = 6  # a hash and its offset
+_INDEX_BYTES = 200  # approximate cost of an empty index
+_FOREVER_MS = 1 << 62
 
 
 @dataclass(frozen=True, slots=True)
 class Query:
-    """All that is given must hold. Times are wall ms, `since` included and `until` not."""
+    """Filters of entries, all of which must hold.
+
+    Attributes:
+        session: The session; None for any.
+        equal: Values by field, see `FIELDS`.
+        since: Earliest wall time in milliseconds.
+        until: Wall time in milliseconds before which the entries must be.
+    """
 
     session: str | None = None
     equal: Mapping[str, object] = field(default_factory=dict)
     since: int = 0
-    until: int = 1 << 62
+    until: int = _FOREVER_MS
 
     def matches(self, entry: Entry) -> bool:
+        """Whether all filters hold for an entry."""
         if not self.since <= entry.at < self.until:
             return False
         if self.session is not None and entry.session != self.session:
@@ -42,56 +54,63 @@
 
 
 def session_hash(session: str) -> int:
+    """Returns the 32-bit hash under which the index stores a session."""
     return zlib.crc32(session.encode("utf-8", "surrogateescape"))
 
 
 class Index:
-    """Answers which offsets of a run of entries may hold; exact but for sessions.
+    """Finds which entries of a segment may match a query; exact but for sessions.
 
-    An entry is anything with a `session` and the `fields` that are asked for.
+    Args:
+        entries: Objects with a `session` and the attributes that `fields` names.
+        fields: The fields with a bitmap for each value.
     """
 
-    __slots__ = ("_bits", "_hashes", "_offsets", "size")
+    __slots__ = ("_bitmaps", "_hashes", "_offsets", "size")
 
     def __init__(self, entries: Sequence[Any], fields: Sequence[str] = FIELDS) -> None:
         self.size = len(entries)
-        self._bits: dict[tuple[str, object], int] = {}
-        named: list[tuple[int, int]] = []
+        self._bitmaps: dict[tuple[str, object], int] = {}
+        hashed: list[tuple[int, int]] = []
         for offset, entry in enumerate(entries):
             bit = 1 << offset
             for name in fields:
                 value = getattr(entry, name)
                 if value != "" and value != -1:
                     key = (name, value)
-                    self._bits[key] = self._bits.get(key, 0) | bit
+                    self._bitmaps[key] = self._bitmaps.get(key, 0) | bit
             if entry.session:
-                named.append((session_hash(entry.session), offset))
-        named.sort()
-        self._hashes = array("I", (hashed for hashed, _ in named))
-        self._offsets = array("H", (offset for _, offset in named))
+                hashed.append((session_hash(entry.session), offset))
+        hashed.sort()
+        self._hashes = array("I", (session for session, _ in hashed))
+        self._offsets = array("H", (offset for _, offset in hashed))
 
     def size_bytes(self) -> int:
-        return len(self._bits) * _BITMAP_BYTES + len(self._hashes) * 6 + 200
+        """Returns about how much memory the index takes, in bytes."""
+        return len(self._bitmaps) * _BITMAP_BYTES + len(self._hashes) * _HASH_BYTES + _INDEX_BYTES
 
     def find(self, query: Query) -> int:
-        """A bitmap of the offsets that may hold."""
-        found = (1 << self.size) - 1
+        """Returns a bitmap of the offsets of entries that may match."""
+        bitmap = (1 << self.size) - 1
         for key in query.equal.items():
-            found &= self._bits.get(key, 0)
-            if not found:
+            bitmap &= self._bitmaps.get(key, 0)
+            if not bitmap:
                 return 0
         if query.session is not None:
-            wanted = session_hash(query.session)
-            mine, at = 0, bisect_left(self._hashes, wanted)
-            while at < len(self._hashes) and self._hashes[at] == wanted:
-                mine |= 1 << self._offsets[at]
-                at += 1
-            found &= mine
-        return found
+            bitmap &= self._session_bitmap(session_hash(query.session))
+        return bitmap
+
+    def _session_bitmap(self, wanted: int) -> int:
+        bitmap = 0
+        position = bisect_left(self._hashes, wanted)
+        while position < len(self._hashes) and self._hashes[position] == wanted:
+            bitmap |= 1 << self._offsets[position]
+            position += 1
+        return bitmap
 
 
 def set_bits(bitmap: int, *, newest_first: bool) -> Iterator[int]:
-    """The set bits of a bitmap, in order."""
+    """Yields the offsets of the set bits of a bitmap, in order."""
     while bitmap:
         bit = bitmap.bit_length() - 1 if newest_first else (bitmap & -bitmap).bit_length() - 1
         yield bit
@@ -99,11 +118,16 @@
 
 
 def encode_segment(entries: Sequence[Entry]) -> bytes:
-    return zlib.compress(orjson.dumps([to_row(entry) for entry in entries]), _LEVEL)
+    """Returns the bytes of a sealed segment with these entries."""
+    return zlib.compress(orjson.dumps([to_row(entry) for entry in entries]), _COMPRESSION_LEVEL)
 
 
 def decode_segment(data: bytes) -> list[Any]:
-    """The rows of a segment, each still to be read. EntryError if the bytes are none."""
+    """Returns the rows of a segment, none of which has been checked; see `from_row`.
+
+    Raises:
+        EntryError: The bytes are not a segment.
+    """
     try:
         rows = orjson.loads(zlib.decompress(data))
     except (zlib.error, ValueError) as error:
--- a/fernweir/journal/state_projection.py
+++ b/fernweir/journal/state_projection.py
@@ -1,25 +1,40 @@
-"""What a front does now, folded from its journal and from nothing else.
+"""The present state of a front, as a projection of its journal.
 
-A view is a snapshot of a picture and the entries after it, folded by this same code wherever it is shown.
-`to_plain` of two pictures is equal when they show the same.
+A watcher gets a snapshot of a projection and the entries after it, and applies them with this same code. Two
+projections with equal `to_plain` show the same state.
 """
 
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
 from dataclasses import asdict, dataclass, field
-from typing import Any
+from typing import Any, ClassVar
 
 from fernweir.journal.events import ANSWERS, Entry, EventKind
 
-_REASONS = 200
-_ORDERS = 50
+_MAX_REASONS = 200
+_OTHER_REASON = "other"
+_MAX_ORDERS = 50
 
 
 @dataclass(slots=True)
 class SessionRow:
-    """One session that is not over. `phase` is asked, out or playing."""
+    """A session that is not over.
+
+    Attributes:
+        session: Its id.
+        front: Name of its front.
+        lesson: Name of its title.
+        cls: Name of its class.
+        tenant: Its tenant.
+        phase: "asked", "out" (an attempt is in flight) or "playing".
+        since: Wall time of its first request in milliseconds.
+        box: Number of its server; -1 if it has none.
+        attempt: Number of its last attempt; -1 if there was none.
+        rung: Its rung; -1 if it has none.
+        why: Reason of the last attempt or of its failure.
+    """
 
     session: str
     front: str
@@ -36,7 +51,17 @@
 
 @dataclass(slots=True)
 class ServerRow:
-    """One box: as listed, as ordered, and what is there. `start` names one life of it."""
+    """A server: its state by the endpoint list, by orders, and its sessions.
+
+    Attributes:
+        box: Its number.
+        listed: Its state in the endpoint list.
+        drained_by: The operator who ordered it to drain; empty if none did.
+        start: Identifies one incarnation of the server.
+        silent: Whether it has sessions and sends nothing.
+        playing: How many sessions play there.
+        out: How many attempts are in flight there.
+    """
 
     box: int
     listed: str = "unlisted"
@@ -48,207 +73,254 @@
 
     @property
     def state(self) -> str:
+        """Its state in the endpoint list, or "draining" by an operator's order."""
         return "draining" if self.drained_by and self.listed == "ready" else self.listed
 
+    @property
+    def is_empty(self) -> bool:
+        """Whether nothing is known of the server that needs a row."""
+        return self.listed == "unlisted" and not (self.playing or self.out or self.drained_by)
+
 
 @dataclass(slots=True)
 class StateProjection:
-    """Everything that is shown. `number` is the entry that was folded last."""
+    """The state that the entries of a journal add up to.
+
+    Attributes:
+        number: Number of the last entry that was applied.
+        at: Latest wall time of the entries in milliseconds.
+        sessions: Sessions that are not over, by front and id.
+        servers: Servers by number.
+        answers: Counts of answers by kind.
+        by_class: Counts of answers by class and kind, separated by a space.
+        refusals: Counts of rejections and failures by reason.
+        fronts: Wall time since when each front is up.
+        holds: The operator who held a title, by title.
+        caps: Upper limits of sessions, by what they limit.
+        orders: The latest orders as text, the newest last.
+    """
 
     number: int = 0
     at: int = 0
     sessions: dict[str, SessionRow] = field(default_factory=dict)
     servers: dict[int, ServerRow] = field(default_factory=dict)
     answers: Counter[str] = field(default_factory=Counter)
-    by_class: Counter[str] = field(default_factory=Counter)  # "class answer"
+    by_class: Counter[str] = field(default_factory=Counter)
     refusals: Counter[str] = field(default_factory=Counter)
-    fronts: dict[str, int] = field(default_factory=dict)  # up since
-    holds: dict[str, str] = field(default_factory=dict)  # lesson: by whom
+    fronts: dict[str, int] = field(default_factory=dict)
+    holds: dict[str, str] = field(default_factory=dict)
     caps: dict[str, int] = field(default_factory=dict)
-    orders: list[str] = field(default_factory=list)  # the newest last
+    orders: list[str] = field(default_factory=list)
 
     def apply(self, entry: Entry) -> None:
-        """Applies one entry. One that was folded before is passed over."""
+        """Applies an entry, unless it or a later one was applied before."""
         if entry.number <= self.number:
             return
-        self.number, self.at = entry.number, max(self.at, entry.at)
-        _FOLDS[entry.what](self, entry)
-
-    def _key(self, entry: Entry) -> str:
-        return f"{entry.front}/{entry.session}"
-
-    def _front(self, entry: Entry) -> None:
-        for key in [key for key, row in self.sessions.items() if row.front == entry.front]:
-            self._leave_box(self.sessions.pop(key))
-        if entry.why == "up":
-            if not set(self.fronts) - {entry.front}:
-                # Nobody else has followed the list meanwhile: it is told anew.
-                self.servers = {row.box: ServerRow(row.box, drained_by=row.drained_by)
-                              for row in self.servers.values() if row.drained_by}  # fmt: skip
-            self.fronts[entry.front] = entry.at
-        else:
-            self.fronts.pop(entry.front, None)
+        self.number = entry.number
+        self.at = max(self.at, entry.at)
+        self._HANDLERS[entry.what](self, entry)
 
-    def _asked(self, entry: Entry) -> None:
-        self._drop(entry)
-        self.sessions[self._key(entry)] = SessionRow(
-            entry.session, entry.front, entry.lesson, entry.cls, entry.tenant, "asked", entry.at
+    def to_plain(self) -> dict[str, Any]:
+        """Returns the stored form, for JSON."""
+        return {
+            "number": self.number,
+            "at": self.at,
+            "sessions": [asdict(row) for _, row in sorted(self.sessions.items())],
+            "boxes": [asdict(row) for _, row in sorted(self.servers.items())],
+            "answers": dict(sorted(self.answers.items())),
+            "by_class": dict(sorted(self.by_class.items())),
+            "refusals": dict(sorted(self.refusals.items())),
+            "fronts": dict(sorted(self.fronts.items())),
+            "holds": dict(sorted(self.holds.items())),
+            "caps": dict(sorted(self.caps.items())),
+            "orders": list(self.orders),
+        }
+
+    @classmethod
+    def from_plain(cls, plain: Mapping[str, Any]) -> StateProjection:
+        """Returns the projection that `to_plain` stored.
+
+        Raises:
+            KeyError: A field is missing.
+            TypeError: A field has another type, or a row has other fields.
+        """
+        sessions = [SessionRow(**row) for row in plain["sessions"]]
+        servers = [ServerRow(**row) for row in plain["boxes"]]
+        return cls(
+            number=plain["number"],
+            at=plain["at"],
+            sessions={f"{row.front}/{row.session}": row for row in sessions},
+            servers={row.box: row for row in servers},
+            answers=Counter(plain["answers"]),
+            by_class=Counter(plain["by_class"]),
+            refusals=Counter(plain["refusals"]),
+            fronts=dict(plain["fronts"]),
+            holds=dict(plain["holds"]),
+            caps=dict(plain["caps"]),
+            orders=list(plain["orders"]),
         )
 
-    def _setup(self, entry: Entry) -> None:
-        row = self.sessions.get(self._key(entry))
-        if row is not None:
-            self._leave_box(row)
-            row.phase, row.box, row.attempt = "out", entry.box, entry.attempt
-            row.rung, row.why = entry.rung, entry.why
-            self._box(entry.box).out += 1
+    def _on_front(self, entry: Entry) -> None:
+        own_keys = [key for key, row in self.sessions.items() if row.front == entry.front]
+        for key in own_keys:
+            self._release_server(self.sessions.pop(key))
+        if entry.why != "up":
+            self.fronts.pop(entry.front, None)
+            return
+        has_other_fronts = bool(set(self.fronts) - {entry.front})
+        if not has_other_fronts:
+            # Nobody followed the endpoint list meanwhile; all its servers will be reported again.
+            self.servers = {
+                row.box: ServerRow(row.box, drained_by=row.drained_by)
+                for row in self.servers.values()
+                if row.drained_by
+            }
+        self.fronts[entry.front] = entry.at
+
+    def _on_asked(self, entry: Entry) -> None:
+        self._remove_session(entry)
+        self.sessions[_session_key(entry)] = SessionRow(
+            entry.session, entry.front, entry.lesson, entry.cls, entry.tenant, "asked", entry.at
+        )
 
-    def _failed_try(self, entry: Entry) -> None:
-        row = self.sessions.get(self._key(entry))
-        if row is not None:
-            self._leave_box(row)
-            row.phase, row.box, row.why = "asked", -1, entry.why
+    def _on_set_up(self, entry: Entry) -> None:
+        row = self.sessions.get(_session_key(entry))
+        if row is None:
+            return
+        self._release_server(row)
+        row.phase = "out"
+        row.box = entry.box
+        row.attempt = entry.attempt
+        row.rung = entry.rung
+        row.why = entry.why
+        self._server(entry.box).out += 1
+
+    def _on_attempt_failed(self, entry: Entry) -> None:
+        row = self.sessions.get(_session_key(entry))
+        if row is None:
+            return
+        self._release_server(row)
+        row.phase = "asked"
+        row.box = -1
+        row.why = entry.why
 
-    def _started(self, entry: Entry) -> None:
-        row = self.sessions.get(self._key(entry))
+    def _on_started(self, entry: Entry) -> None:
+        row = self.sessions.get(_session_key(entry))
+        if row is None:
+            return
+        self._release_server(row)
+        row.phase = "playing"
+        row.box = entry.box
+        row.attempt = entry.attempt
+        row.rung = entry.rung
+        self._server(entry.box).playing += 1
+
+    def _on_rung_changed(self, entry: Entry) -> None:
+        row = self.sessions.get(_session_key(entry))
         if row is not None:
-            self._leave_box(row)
-            row.phase, row.box, row.attempt = "playing", entry.box, entry.attempt
             row.rung = entry.rung
-            self._box(entry.box).playing += 1
 
-    def _rung(self, entry: Entry) -> None:
-        row = self.sessions.get(self._key(entry))
-        if row is not None:
-            row.rung = entry.rung
+    def _on_moved(self, entry: Entry) -> None:
+        """Changes nothing: the end of the attempt is an entry of its own."""
 
-    def _answer(self, entry: Entry) -> None:
+    def _on_answered(self, entry: Entry) -> None:
         self.answers[entry.what] += 1
         self.by_class[f"{entry.cls} {entry.what}"] += 1
-        if entry.what is not EventKind.PLAYS:
-            reason = entry.why
-            if reason not in self.refusals and len(self.refusals) >= _REASONS:
-                reason = "other"
-            self.refusals[reason] += 1
+        if entry.what is EventKind.PLAYS:
+            return
+        reason = entry.why
+        if reason not in self.refusals and len(self.refusals) >= _MAX_REASONS:
+            reason = _OTHER_REASON
+        self.refusals[reason] += 1
 
-    def _ended(self, entry: Entry) -> None:
-        self._drop(entry)
+    def _on_ended(self, entry: Entry) -> None:
+        self._remove_session(entry)
 
-    def _listed(self, entry: Entry) -> None:
+    def _on_server_listed(self, entry: Entry) -> None:
         if entry.why == "unlisted":
-            row = self.servers.get(entry.box)
-            if row is not None:
-                row.listed = "unlisted"
-                if not (row.playing or row.out or row.drained_by):
-                    del self.servers[entry.box]
+            self._on_server_unlisted(entry.box)
             return
-        row = self._box(entry.box)
+        row = self._server(entry.box)
         row.listed = entry.why
         row.start = str(entry.more.get("start", row.start))
         row.silent = row.silent and entry.why != "gone"
 
-    def _lost(self, entry: Entry) -> None:
-        self._box(entry.box).silent = False
+    def _on_server_unlisted(self, number: int) -> None:
+        row = self.servers.get(number)
+        if row is not None:
+            row.listed = "unlisted"
+            self._remove_if_empty(row)
 
-    def _silence(self, entry: Entry) -> None:
-        self._box(entry.box).silent = entry.what is EventKind.SILENT
+    def _on_server_lost(self, entry: Entry) -> None:
+        self._server(entry.box).silent = False
 
-    def _order(self, entry: Entry) -> None:
-        """`more` has the order as it stands now: drains, holds and caps as a whole."""
+    def _on_silence_changed(self, entry: Entry) -> None:
+        self._server(entry.box).silent = entry.what is EventKind.SILENT
+
+    def _on_order(self, entry: Entry) -> None:
+        """Records an order; `more` has all drains, holds and caps that are in force after it."""
         more = entry.more
         self.orders.append(f"{entry.at} {more.get('by', '')}: {entry.why}")
-        del self.orders[:-_ORDERS]
+        del self.orders[:-_MAX_ORDERS]
         if "drains" in more:
-            drains: Mapping[str, Any] = more["drains"]
-            for row in self.servers.values():
-                row.drained_by = ""
-            for box, by in drains.items():
-                self._box(int(box)).drained_by = str(by)
-            for number in [one.box for one in self.servers.values() if _empty(one)]:
-                del self.servers[number]
+            self._replace_drains(more["drains"])
         if "holds" in more:
-            self.holds = {str(lesson): str(by) for lesson, by in more["holds"].items()}
+            self.holds = {str(title): str(operator) for title, operator in more["holds"].items()}
         if "caps" in more:
-            self.caps = {str(what): int(most) for what, most in more["caps"].items()}
-
-    # --- pieces ---
-
-    def _box(self, number: int) -> ServerRow:
+            self.caps = {str(target): int(limit) for target, limit in more["caps"].items()}
+
+    def _replace_drains(self, operators: Mapping[str, Any]) -> None:
+        """Marks the servers that drain, and none besides; `operators` has who ordered it, by server."""
+        for row in self.servers.values():
+            row.drained_by = ""
+        for number, operator in operators.items():
+            self._server(int(number)).drained_by = str(operator)
+        for row in list(self.servers.values()):
+            self._remove_if_empty(row)
+
+    def _server(self, number: int) -> ServerRow:
         row = self.servers.get(number)
         if row is None:
             row = self.servers[number] = ServerRow(number)
         return row
 
-    def _drop(self, entry: Entry) -> None:
-        row = self.sessions.pop(self._key(entry), None)
+    def _remove_session(self, entry: Entry) -> None:
+        row = self.sessions.pop(_session_key(entry), None)
         if row is not None:
-            self._leave_box(row)
+            self._release_server(row)
 
-    def _leave_box(self, row: SessionRow) -> None:
+    def _release_server(self, row: SessionRow) -> None:
+        """Subtracts a session or its attempt from the counts of its server."""
         if row.box < 0 or row.phase == "asked":
             return
-        box = self._box(row.box)
+        server = self._server(row.box)
         if row.phase == "playing":
-            box.playing -= 1
+            server.playing -= 1
         else:
-            box.out -= 1
-        if _empty(box):
-            del self.servers[row.box]
-
-    # --- for the wire ---
-
-    def to_plain(self) -> dict[str, Any]:
-        return {
-            "number": self.number,
-            "at": self.at,
-            "sessions": [asdict(row) for _, row in sorted(self.sessions.items())],
-            "boxes": [asdict(row) for _, row in sorted(self.servers.items())],
-            "answers": dict(sorted(self.answers.items())),
-            "by_class": dict(sorted(self.by_class.items())),
-            "refusals": dict(sorted(self.refusals.items())),
-            "fronts": dict(sorted(self.fronts.items())),
-            "holds": dict(sorted(self.holds.items())),
-            "caps": dict(sorted(self.caps.items())),
-            "orders": list(self.orders),
-        }
-
-    @classmethod
-    def from_plain(cls, plain: Mapping[str, Any]) -> StateProjection:
-        """Of what `to_plain` gave; KeyError or TypeError for anything else."""
-        sessions = [SessionRow(**row) for row in plain["sessions"]]
-        boxes = [ServerRow(**row) for row in plain["boxes"]]
-        return cls(
-            plain["number"],
-            plain["at"],
-            {f"{row.front}/{row.session}": row for row in sessions},
-            {row.box: row for row in boxes},
-            Counter(plain["answers"]),
-            Counter(plain["by_class"]),
-            Counter(plain["refusals"]),
-            dict(plain["fronts"]),
-            dict(plain["holds"]),
-            dict(plain["caps"]),
-            list(plain["orders"]),
-        )
+            server.out -= 1
+        self._remove_if_empty(server)
 
+    def _remove_if_empty(self, row: ServerRow) -> None:
+        if row.is_empty:
+            del self.servers[row.box]
 
-def _empty(row: ServerRow) -> bool:
-    return row.listed == "unlisted" and not (row.playing or row.out or row.drained_by)
-
-
-_FOLDS = {
-    EventKind.FRONT: StateProjection._front,
-    EventKind.ASKED: StateProjection._asked,
-    EventKind.SETUP: StateProjection._setup,
-    EventKind.FAILED_TRY: StateProjection._failed_try,
-    EventKind.STARTED: StateProjection._started,
-    EventKind.RUNG: StateProjection._rung,
-    EventKind.MOVED: lambda picture, entry: None,  # its end follows
-    EventKind.ENDED: StateProjection._ended,
-    EventKind.BOX: StateProjection._listed,
-    EventKind.LOST: StateProjection._lost,
-    EventKind.SILENT: StateProjection._silence,
-    EventKind.HEARD: StateProjection._silence,
-    EventKind.ORDER: StateProjection._order,
-    **dict.fromkeys(ANSWERS, StateProjection._answer),
-}
+    _HANDLERS: ClassVar[dict[EventKind, Callable[[StateProjection, Entry], None]]] = {
+        EventKind.FRONT: _on_front,
+        EventKind.ASKED: _on_asked,
+        EventKind.SETUP: _on_set_up,
+        EventKind.FAILED_TRY: _on_attempt_failed,
+        EventKind.STARTED: _on_started,
+        EventKind.RUNG: _on_rung_changed,
+        EventKind.MOVED: _on_moved,
+        EventKind.ENDED: _on_ended,
+        EventKind.BOX: _on_server_listed,
+        EventKind.LOST: _on_server_lost,
+        EventKind.SILENT: _on_silence_changed,
+        EventKind.HEARD: _on_silence_changed,
+        EventKind.ORDER: _on_order,
+        **dict.fromkeys(ANSWERS, _on_answered),
+    }
+
+
+def _session_key(entry: Entry) -> str:
+    return f"{entry.front}/{entry.session}"
--- a/fernweir/journal/store.py
+++ b/fernweir/journal/store.py
@@ -1,49 +1,85 @@
-"""The journal itself: entries appended, bounded in memory and on disk, asked by field and time.
+"""The journal: appends entries, bounds them in memory and on disk, and finds them by field and time.
 
-The newest entries are held as they are; each full run of them is sealed into a segment. `Blocks` keeps the
-sealed ones for longer than memory does; when it can't (the disk is full), the journal goes on in memory,
-says so once, and tries again with the next segment. Entries leave oldest first, and `first` says how far.
+The newest entries are kept as objects; each full run of them is sealed into a segment. A `SegmentStore` keeps
+the sealed segments for longer than memory does. When it fails (the disk is full), the journal continues in
+memory, reports the fault once, and tries again with the next segment. The oldest entries are dropped first;
+`first` is the oldest that remains.
 """
 
 from __future__ import annotations
 
 import secrets
 from collections import OrderedDict, deque
-from collections.abc import Callable, Iterator, Mapping
+from collections.abc import Callable, Iterator, Mapping, Sequence
 from dataclasses import dataclass
 from itertools import islice
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol, TypedDict, Unpack
 
 from fernweir.journal.events import Entry, EntryError, EventKind, from_row
-from fernweir.journal.segment import Index, Query, set_bits, encode_segment, decode_segment
+from fernweir.journal.segment import Index, Query, decode_segment, encode_segment, set_bits
+
+_JOURNAL_ID_BYTES = 8
+_SEGMENT_OVERHEAD_BYTES = 300  # approximate cost of a sealed segment besides its data and index
+_FOREVER_MS = 1 << 62
+_UNLIMITED = -1
+
+
+class StoredSegment(NamedTuple):
+    """A sealed segment in a store: the numbers of its first and last entry, and the handle to read it."""
+
+    first: int
+    last: int
+    handle: object
 
 
 class SegmentStore(Protocol):
-    """Where sealed segments and the newest rows outlive the process. Methods raise OSError."""
+    """Stores sealed segments and the newest rows beyond the end of the process. Its methods raise OSError."""
 
     def append_segment(self, first: int, last: int, data: bytes) -> object:
-        """Keeps a sealed segment and drops the newest rows, which it holds; a handle for `read`."""
+        """Stores a sealed segment, drops the newest rows, which it contains, and returns its handle."""
 
-    def read_segment(self, handle: object) -> bytes: ...
+    def read_segment(self, handle: object) -> bytes:
+        """Returns the bytes of a segment."""
 
     def append_row(self, entry: Entry) -> None:
-        """Keeps one newest row until its segment is sealed."""
+        """Stores one of the newest entries until its segment is sealed."""
 
     def first_number(self) -> int:
-        """The oldest entry that is kept still; 0 if none is."""
+        """Returns the number of the oldest stored entry; 0 if there is none."""
 
 
 @dataclass(frozen=True, slots=True)
 class JournalConfig:
-    """`memory_bytes` bounds what sealed segments and their indexes take; `run` entries make a segment."""
+    """Settings of a journal.
+
+    Attributes:
+        segment_entries: How many entries make a segment.
+        max_memory_bytes: Upper limit of sealed segments and their indexes in memory.
+        max_decoded_segments: How many decoded segments are cached.
+    """
 
     segment_entries: int = 512
     max_memory_bytes: int = 64 << 20
     max_decoded_segments: int = 8
 
 
+class EventFields(TypedDict, total=False):
+    """The fields of an entry that an event may have; see `Entry`."""
+
+    session: str
+    lesson: str
+    cls: str
+    tenant: str
+    box: int
+    attempt: int
+    rung: int
+    why: str
+
+
 @dataclass(slots=True)
 class _SealedSegment:
+    """A segment in memory, on disk or both. `since` and `until` bound the wall times of its entries."""
+
     first: int
     last: int
     since: int
@@ -52,15 +88,16 @@
     data: bytes | None
     handle: object | None
 
-    def bytes(self) -> int:
-        return (self.index.size_bytes() if self.index else 0) + len(self.data or b"") + 300
+    def size_bytes(self) -> int:
+        index_bytes = self.index.size_bytes() if self.index else 0
+        return index_bytes + len(self.data or b"") + _SEGMENT_OVERHEAD_BYTES
 
 
 @dataclass(slots=True)
 class _ScanBudget:
-    """How many segments a question may still read, and where it stopped for want of them."""
+    """How many segments a query may still read, and before which entry it stopped when none was left."""
 
-    segments_left: int = -1
+    segments_left: int = _UNLIMITED
     stopped_at: int | None = None
 
 
@@ -68,7 +105,20 @@
 
 
 class Journal:
-    """Appends with `add`; `watch` is told of each entry as it is appended."""
+    """A journal of one front or unit.
+
+    Attributes:
+        front: Name of the front that entries get by default.
+        config: Settings.
+        segment_store: Where segments are stored; None for a journal in memory.
+        wall_offset_ms: Wall time less the loop's clock, in milliseconds.
+        id: Identifies the journal; entry numbers are meaningful only within it.
+        last: Number of the newest entry.
+        fault: Why the segment store fails at present; empty if it does not.
+        on_fault: Called with the reason when the store fails or an entry cannot be read, and with an empty
+            text when the store works again.
+        watchers: Called with each entry that is appended.
+    """
 
     def __init__(
         self,
@@ -78,118 +128,155 @@
         *,
         wall_offset_ms: float = 0.0,
     ) -> None:
-        self.front, self.config, self.segment_store = front, config or JournalConfig(), segment_store
+        self.front = front
+        self.config = config or JournalConfig()
+        self.segment_store = segment_store
         self.wall_offset_ms = wall_offset_ms
-        self.id = secrets.token_hex(8)  # numbers mean nothing but within one journal
+        self.id = secrets.token_hex(_JOURNAL_ID_BYTES)
         self.last = 0
-        self.fault = ""  # why the disk keeps nothing just now
+        self.fault = ""
         self.on_fault: Callable[[str], None] = lambda why: None
         self.watchers: list[Watcher] = []
         self._newest: list[Entry] = []
         self._sealed: deque[_SealedSegment] = deque()
-        self._bytes = 0
-        self._rows: OrderedDict[int, list[Any]] = OrderedDict()
+        self._sealed_bytes = 0
+        self._rows: OrderedDict[int, list[Any]] = OrderedDict()  # decoded segments by their first entry
 
     @property
     def first(self) -> int:
-        """The oldest entry that can still be asked for."""
+        """The number of the oldest entry that can still be found."""
         if self._sealed:
             return self._sealed[0].first
         return self._newest[0].number if self._newest else self.last + 1
 
     @property
     def memory_bytes(self) -> int:
-        """What sealed segments take in memory, by the journal's own count."""
-        return self._bytes
+        """About how much memory the sealed segments and their indexes take, in bytes."""
+        return self._sealed_bytes
 
     def __len__(self) -> int:
         return self.last - self.first + 1
 
     def add(
-        self, now: float, what: EventKind, *, front: str | None = None, more: Mapping[str, Any] | None = None,
-        **fields: Any,
-    ) -> Entry:  # fmt: skip
-        """Appends what happened at `now`, ms of the loop's clock."""
-        self.last += 1
+        self,
+        now: float,
+        what: EventKind,
+        *,
+        front: str | None = None,
+        more: Mapping[str, Any] | None = None,
+        **fields: Unpack[EventFields],
+    ) -> Entry:
+        """Appends an event and returns its entry.
+
+        Args:
+            now: Time of the loop's clock in milliseconds.
+            what: The kind of the event.
+            front: Name of the front; by default the journal's own.
+            more: Further details.
+            fields: The other fields of the entry.
+        """
+        values: dict[str, Any] = dict(fields)
         for name, value in fields.items():
-            # A lone surrogate can come in a token; it must not stop the journal when it is written out.
+            # A token may contain a lone surrogate, which could not be encoded when the entry is stored.
             if type(value) is str and not value.isascii():
-                fields[name] = value.encode("utf-8", "backslashreplace").decode()
-        entry = Entry(
-            self.last, int(now + self.wall_offset_ms), what, self.front if front is None else front,
-            more=more or {}, **fields,
-        )  # fmt: skip
+                values[name] = value.encode("utf-8", "backslashreplace").decode()
+        self.last += 1
+        wall_ms = int(now + self.wall_offset_ms)
+        entry_front = self.front if front is None else front
+        entry = Entry(self.last, wall_ms, what, entry_front, more=more or {}, **values)
         self._append(entry)
         return entry
 
-    def restore(self, id: str, sealed: list[tuple[int, int, object]], tail: list[Entry]) -> None:
-        """Takes up what an earlier life kept; its segments are read when they are asked for."""
-        self.id = id
+    def restore(self, journal_id: str, sealed: Sequence[StoredSegment], newest: Sequence[Entry]) -> None:
+        """Continues the journal that an earlier process stored; its segments are read on demand.
+
+        Args:
+            journal_id: The id of the journal.
+            sealed: Its sealed segments.
+            newest: The entries after them.
+        """
+        self.id = journal_id
         for first, last, handle in sealed:
-            self._sealed.append(_SealedSegment(first, last, 0, 1 << 62, None, None, handle))
-            self._bytes += self._sealed[-1].bytes()
+            segment = _SealedSegment(first, last, 0, _FOREVER_MS, None, None, handle)
+            self._sealed.append(segment)
+            self._sealed_bytes += segment.size_bytes()
             self.last = last
-        for entry in tail:
-            if entry.number == self.last + 1 or not (self.last or self._newest):
+        for entry in newest:
+            is_first = not (self.last or self._newest)
+            if entry.number == self.last + 1 or is_first:
                 self.last = entry.number
                 self._newest.append(entry)
 
     def entries(self, start: int, stop: int | None = None) -> Iterator[Entry]:
-        """Entries by number from `start` on, oldest first."""
+        """Yields the entries with numbers from `start` up to but not including `stop`, oldest first."""
         for sealed in list(self._sealed):
             if sealed.last >= start and (stop is None or sealed.first < stop):
-                yield from (one for one in self._entries(sealed) if one.number >= start and
-                            (stop is None or one.number < stop))  # fmt: skip
-        for one in list(self._newest):
-            if one.number >= start and (stop is None or one.number < stop):
-                yield one
+                for entry in self._entries(sealed):
+                    if entry.number >= start and (stop is None or entry.number < stop):
+                        yield entry
+        for entry in list(self._newest):
+            if entry.number >= start and (stop is None or entry.number < stop):
+                yield entry
 
-    def find(self, question: Query, limit: int = 100, before: int | None = None) -> list[Entry]:
-        """The newest `limit` entries that hold, newest first, with numbers under `before`."""
-        return list(islice(self._newest_first(question, before, _ScanBudget()), limit))
+    def find(self, query: Query, limit: int = 100, before: int | None = None) -> list[Entry]:
+        """Returns the newest `limit` entries that match, newest first, with numbers less than `before`."""
+        return list(islice(self._newest_first(query, before, _ScanBudget()), limit))
 
     def search(
-        self, question: Query, limit: int = 100, before: int | None = None, max_segments: int = 16
+        self, query: Query, limit: int = 100, before: int | None = None, max_segments: int = 16
     ) -> tuple[list[Entry], int | None]:
-        """As `find`, but reads at most `runs` segments; and where to go on from, or None at the end.
+        """Finds entries as `find` does, but reads a limited number of segments.
+
+        Reading a segment blocks the caller's event loop for most of a millisecond, so a query whose matches
+        are spread over a day must not delay viewers.
+
+        Args:
+            query: The filters.
+            limit: Upper limit of entries.
+            before: Number that the entries must be less than; None for no limit.
+            max_segments: Upper limit of segments that are read.
 
-        Each segment read costs the caller's loop most of a millisecond: a question about what is spread
-        over a day must not keep a viewer waiting.
+        Returns:
+            The entries, newest first, and the `before` to continue with; None if there are no more.
         """
-        effort = _ScanBudget(max_segments)
-        found = list(islice(self._newest_first(question, before, effort), limit))
+        budget = _ScanBudget(max_segments)
+        found = list(islice(self._newest_first(query, before, budget), limit))
         if len(found) == limit:
             return found, found[-1].number
-        return found, effort.stopped_at
+        return found, budget.stopped_at
 
-    def _newest_first(self, question: Query, before: int | None, effort: _ScanBudget) -> Iterator[Entry]:
-        top = self.last + 1 if before is None else before
+    def _newest_first(self, query: Query, before: int | None, budget: _ScanBudget) -> Iterator[Entry]:
+        end = self.last + 1 if before is None else before
         for newest in reversed(self._newest):
-            if newest.number < top and question.matches(newest):
+            if newest.number < end and query.matches(newest):
                 yield newest
         for sealed in reversed(self._sealed):
-            if sealed.first >= top or sealed.until <= question.since or sealed.since >= question.until:
+            if sealed.first >= end or sealed.until <= query.since or sealed.since >= query.until:
                 continue
-            bitmap = self._index(sealed).find(question)
+            bitmap = self._index(sealed).find(query)
             if not bitmap:
                 continue
-            if effort.segments_left == 0:
-                effort.stopped_at = sealed.last + 1
+            if budget.segments_left == 0:
+                budget.stopped_at = sealed.last + 1
                 return
-            effort.segments_left -= 1
-            rows = self._decode(sealed)
-            for offset in set_bits(bitmap, newest_first=True):
-                # Only what the bitmap points at is read: a segment has hundreds of others.
-                entry = self._read(rows[offset]) if offset < len(rows) else None
-                if entry is not None and entry.number < top and question.matches(entry):
+            budget.segments_left -= 1
+            for entry in self._candidates(sealed, bitmap):
+                if entry.number < end and query.matches(entry):
                     yield entry
 
-    # --- pieces ---
+    def _candidates(self, sealed: _SealedSegment, bitmap: int) -> Iterator[Entry]:
+        """Yields the entries of a segment at the offsets of a bitmap, newest first."""
+        rows = self._decode(sealed)
+        for offset in set_bits(bitmap, newest_first=True):
+            # Only these rows are converted to entries: a segment has hundreds of others.
+            entry = self._entry_of_row(rows[offset]) if offset < len(rows) else None
+            if entry is not None:
+                yield entry
 
     def _append(self, entry: Entry) -> None:
         self._newest.append(entry)
         if self.segment_store is not None and not self.fault:
-            self._on_disk(lambda blocks: blocks.append_row(entry))
+            self._call_store(lambda store: store.append_row(entry))
         for watcher in self.watchers:
             watcher(entry)
         if len(self._newest) >= self.config.segment_entries:
@@ -198,23 +285,21 @@
     def _seal(self) -> None:
         entries, self._newest = self._newest, []
         data = encode_segment(entries)
+        first, last = entries[0].number, entries[-1].number
         handle = None
         if self.segment_store is not None:
-            first, last = entries[0].number, entries[-1].number
-            handle = self._on_disk(lambda blocks: blocks.append_segment(first, last, data))
-        times = [entry.at for entry in entries]
-        sealed = _SealedSegment(
-            entries[0].number, entries[-1].number, min(times), max(times) + 1, Index(entries), data, handle
-        )
+            handle = self._call_store(lambda store: store.append_segment(first, last, data))
+        since, until = _time_range(entries)
+        sealed = _SealedSegment(first, last, since, until, Index(entries), data, handle)
         self._sealed.append(sealed)
-        self._bytes += sealed.bytes()
-        self._bound()
+        self._sealed_bytes += sealed.size_bytes()
+        self._enforce_limits()
 
-    def _on_disk(self, do: Callable[[SegmentStore], object]) -> object | None:
-        """Disk trouble never stops a front: it is said once, and tried again a segment later."""
+    def _call_store(self, operation: Callable[[SegmentStore], object]) -> object | None:
+        """Calls the store and reports when it starts or stops failing; a failure never stops the front."""
         assert self.segment_store is not None
         try:
-            result = do(self.segment_store)
+            result = operation(self.segment_store)
         except OSError as error:
             if not self.fault:
                 self.fault = error.strerror or str(error)
@@ -225,49 +310,49 @@
             self.on_fault("")
         return result
 
-    def _bound(self) -> None:
-        """First the bytes of what the disk holds leave memory, then whole segments."""
-        kept_from = self.segment_store.first_number() if self.segment_store is not None else 0
-        while self._sealed and self._sealed[0].handle is not None and self._sealed[0].first < kept_from:
-            self._drop()  # the disk's own bound has dropped it
+    def _enforce_limits(self) -> None:
+        """Frees memory: first data and then indexes of stored segments, then whole segments."""
+        stored_from = self.segment_store.first_number() if self.segment_store is not None else 0
+        while self._sealed and self._sealed[0].handle is not None and self._sealed[0].first < stored_from:
+            self._drop_oldest()  # the store has deleted it
         for sealed in self._sealed:
-            if self._bytes <= self.config.max_memory_bytes:
+            if self._sealed_bytes <= self.config.max_memory_bytes:
                 return
             if sealed.data is not None and sealed.handle is not None:
-                self._bytes -= len(sealed.data)
+                self._sealed_bytes -= len(sealed.data)
                 sealed.data = None
         for sealed in self._sealed:
-            if self._bytes <= self.config.max_memory_bytes:
+            if self._sealed_bytes <= self.config.max_memory_bytes:
                 return
             if sealed.index is not None and sealed.handle is not None:
-                self._bytes -= sealed.index.size_bytes()
+                self._sealed_bytes -= sealed.index.size_bytes()
                 sealed.index = None
-        while self._bytes > self.config.max_memory_bytes and len(self._sealed) > 1:
-            self._drop()
+        while self._sealed_bytes > self.config.max_memory_bytes and len(self._sealed) > 1:
+            self._drop_oldest()
 
-    def _drop(self) -> None:
+    def _drop_oldest(self) -> None:
         sealed = self._sealed.popleft()
-        self._bytes -= sealed.bytes()
+        self._sealed_bytes -= sealed.size_bytes()
         self._rows.pop(sealed.first, None)
 
     def _index(self, sealed: _SealedSegment) -> Index:
+        """Returns the index of a segment; one that was freed is rebuilt, and cached if memory allows it."""
         if sealed.index is not None:
             return sealed.index
         entries = self._entries(sealed)
         index = Index(entries)
         if entries:
-            sealed.since = min(one.at for one in entries)
-            sealed.until = max(one.at for one in entries) + 1
-        if self._bytes + index.size_bytes() <= self.config.max_memory_bytes:
+            sealed.since, sealed.until = _time_range(entries)
+        if self._sealed_bytes + index.size_bytes() <= self.config.max_memory_bytes:
             sealed.index = index
-            self._bytes += index.size_bytes()
+            self._sealed_bytes += index.size_bytes()
         return index
 
     def _entries(self, sealed: _SealedSegment) -> list[Entry]:
-        found = (self._read(row) for row in self._decode(sealed))
-        return [entry for entry in found if entry is not None]
+        entries = (self._entry_of_row(row) for row in self._decode(sealed))
+        return [entry for entry in entries if entry is not None]
 
-    def _read(self, row: Any) -> Entry | None:
+    def _entry_of_row(self, row: object) -> Entry | None:
         try:
             return from_row(row)
         except EntryError as error:
@@ -275,10 +360,11 @@
             return None
 
     def _decode(self, sealed: _SealedSegment) -> list[Any]:
-        found = self._rows.get(sealed.first)
-        if found is not None:
+        """Returns the rows of a segment from the cache, from memory or from the store; none if it fails."""
+        cached = self._rows.get(sealed.first)
+        if cached is not None:
             self._rows.move_to_end(sealed.first)
-            return found
+            return cached
         try:
             data = sealed.data
             if data is None:
@@ -292,3 +378,9 @@
         if len(self._rows) > self.config.max_decoded_segments:
             self._rows.popitem(last=False)
         return rows
+
+
+def _time_range(entries: Sequence[Entry]) -> tuple[int, int]:
+    """Returns the earliest wall time of the entries, and the first one after all of them."""
+    times = [entry.at for entry in entries]
+    return min(times), max(times) + 1
--- a/tests/fuzzing/journal.py
+++ b/tests/fuzzing/journal.py
@@ -28,7 +28,7 @@
 
     def __init__(self) -> None:
         self.room: int | None = None
-        self.write = disk._write
+        self.write = disk._write_all
 
     def __call__(self, out: int, data: bytes) -> None:
         if self.room is not None and self.room < len(data):
@@ -144,7 +144,7 @@
 
 def check(data: bytes) -> None:
     tape, full = Tape(data), Disk()
-    with tempfile.TemporaryDirectory() as folder, mock.patch.object(disk, "_write", full):
+    with tempfile.TemporaryDirectory() as folder, mock.patch.object(disk, "_write_all", full):
         life = Life(Path(folder), tape, full)
         while tape.more:
             what = tape.below(16)
--- a/tests/peers_mutants/fuzz.py
+++ b/tests/peers_mutants/fuzz.py
@@ -151,9 +151,19 @@
     ],
     "journal": [
         Mutant("a frame's place", _DISK, "        file.size += len(frame)\n", "", 60),
-        Mutant("times of a segment", _STORE, "max(times) + 1, Index", "max(times), Index", 200),
         Mutant(
-            "a hole between good frames", _DISK, "            os.lseek(self._out, at, os.SEEK_SET)\n", "", 60
+            "times of a segment",
+            _STORE,
+            "return min(times), max(times) + 1",
+            "return min(times), max(times)",
+            200,
+        ),
+        Mutant(
+            "a hole between good frames",
+            _DISK,
+            "            os.lseek(self._block_descriptor, offset, os.SEEK_SET)\n",
+            "",
+            60,
         ),
         Mutant(
             "an entry sealed twice",
--- a/tests/test_rehearsals.py
+++ b/tests/test_rehearsals.py
@@ -119,12 +119,12 @@
 
 
 def test_hours_see_a_picture_that_is_wrong(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    kept = StateProjection._ended
+    kept = StateProjection._on_ended
 
     def forgets(self: StateProjection, entry: Any) -> None:
         if entry.number % 50:
             kept(self, entry)
 
-    monkeypatch.setitem(state_projection._FOLDS, EventKind.ENDED, forgets)
+    monkeypatch.setitem(state_projection.StateProjection._HANDLERS, EventKind.ENDED, forgets)
     plan = HoursPlan(hours=0.25, rate=0.6, play_ms=(10_000.0, 60_000.0))
     assert Hours(plan, WIDE, tmp_path, lambda text: None).run().wrong
