--- a/fernweir/node/client_connection.py
+++ b/fernweir/node/client_connection.py
@@ -13,7 +13,7 @@
 
 from fernweir.front.dispatcher import Dispatcher
 from fernweir.node.client_connection_state import ClientConnectionPhase, ClientConnectionState
-from fernweir.node.jsonl import NO_ID, LineError, Lines, Message, read, write
+from fernweir.node.jsonl import NO_SESSION_ID, LineError, LineReader, Message, decode_message, encode_message
 from fernweir.node.limits import ConnectionAdmission, ErrorTolerance
 from fernweir.node.shared_buffer import SharedBufferProtocol
 
@@ -76,7 +76,7 @@
         self._dispatcher = dispatcher
         self._admission = admission
         self._socket = accepted_socket
-        self._lines = Lines()
+        self._lines = LineReader()
         self.error_tolerance = ErrorTolerance()
         self.state = ClientConnectionState()
         self.has_received_data = False
@@ -149,7 +149,7 @@
         try:
             lines = self._lines.feed(data)
         except LineError as error:
-            lines, line_error = self._lines.read, error
+            lines, line_error = self._lines.complete_lines, error
         for line in lines:
             if not (self.state.may_read and self.is_usable):
                 return
@@ -162,18 +162,18 @@
             return
         if lines:  # a partial line that is left now began after them
             self._admission.set_partial_line(self, now, False)
-        self._admission.set_partial_line(self, now, self._lines.half)
+        self._admission.set_partial_line(self, now, self._lines.has_partial_line)
 
     def _handle_line(self, line: bytes, now: float) -> None:
         try:
-            self._message_handler.handle_message(self, read(line))
+            self._message_handler.handle_message(self, decode_message(line))
             self._admission.on_message_received(self, now)
             self.error_tolerance.record_success()
         except LineError as error:
             self._on_invalid_message(error)
 
     def _on_invalid_message(self, error: LineError) -> None:
-        names_session = error.id != NO_ID
+        names_session = error.session_id != NO_SESSION_ID
         if not self.state.may_accept_requests:
             if names_session:
                 self.reject_message(error)
@@ -201,17 +201,17 @@
 
     def reject_message(self, error: LineError) -> None:
         """Sends a release that says that a message is invalid."""
-        self._dispatcher.log.info("request refused", why=str(error), id=error.id)
-        cause = CAUSE_MALFORMED if error.id == NO_ID else CAUSE_UNKNOWN_SESSION
-        self.send_message(Message("release", error.id, cause=cause))
+        self._dispatcher.log.info("request refused", why=str(error), id=error.session_id)
+        cause = CAUSE_MALFORMED if error.session_id == NO_SESSION_ID else CAUSE_UNKNOWN_SESSION
+        self.send_message(Message("release", error.session_id, cause=cause))
 
     def send_message(self, message: Message) -> None:
         """Sends a message whose delivery need not be confirmed."""
-        self.write(write(message))
+        self.write(encode_message(message))
 
     def send_session_reply(self, message: Message) -> None:
         """Sends the reply that a session is established, and keeps track of its delivery."""
-        is_written = self.write(write(message))
+        is_written = self.write(encode_message(message))
         is_flushed = is_written and not self.unsent_bytes
         self.state.on_message_written(message.id, self._dispatcher.now(), None, is_flushed)
 
--- a/fernweir/node/client_requests.py
+++ b/fernweir/node/client_requests.py
@@ -12,9 +12,9 @@
 from fernweir.front.commands import ReplyKind, SessionOver, SessionReply, SessionRequest
 from fernweir.front.dispatcher import Dispatcher
 from fernweir.node.client_connection import CAUSE_FAILED, CAUSE_REJECTED, ClientConnection
-from fernweir.node.jsonl import LineError, Message, Value
+from fernweir.node.jsonl import FieldValue, LineError, Message
 from fernweir.node.limits import ConnectionAdmission, RecentIds
-from fernweir.node.requests import Requests
+from fernweir.node.requests import SetUpParser
 from fernweir.node.server_transport import MediaServerTransport
 from fernweir.node.session_end_delivery import SessionEndDelivery
 
@@ -48,7 +48,7 @@
     def __init__(
         self,
         dispatcher: Dispatcher,
-        parser: Requests,
+        parser: SetUpParser,
         server_transport: MediaServerTransport,
         admission: ConnectionAdmission[ClientConnection],
         session_ends: SessionEndDelivery,
@@ -90,7 +90,7 @@
         session_id = message.id
         self._reject_duplicate_set_up(connection, session_id)
         ticket = self._dispatcher.next_ticket()
-        request, server_name = self._parser.read(message, ticket)
+        request, server_name = self._parser.parse(message, ticket)
         if server_name:
             self._take_over_session(connection, request, server_name)
             return
@@ -141,7 +141,7 @@
         self.recent_ids.add(session_id)
         if reply.kind is ReplyKind.REJECTED:
             retry_after_ms = ceil(reply.retry_after_ms)
-            fields: dict[str, Value] = {"wait": str(retry_after_ms)} if retry_after_ms > 0 else {}
+            fields: dict[str, FieldValue] = {"wait": str(retry_after_ms)} if retry_after_ms > 0 else {}
             connection.send_message(Message("release", session_id, fields, CAUSE_REJECTED))
         else:
             connection.send_message(Message("release", session_id, cause=CAUSE_FAILED))
--- a/fernweir/node/health_checks.py
+++ b/fernweir/node/health_checks.py
@@ -9,7 +9,7 @@
 from fernweir.front.dispatcher import Dispatcher
 from fernweir.interface import Result
 from fernweir.node.attempts import MAX_CONNECTS
-from fernweir.node.frames import Code, Frame, Type, encode
+from fernweir.node.frames import Frame, FrameType, ParameterCode, encode_frame
 from fernweir.node.server_connection import ServerConnection
 from fernweir.node.server_endpoint import ServerEndpoint
 from fernweir.node.server_pool import ServerPool
@@ -54,7 +54,7 @@
         self._check_count += 1
         check_id = f"{self._check_count:016x}"
         timer = loop.call_later(self._pool.connect_timeout_s, self.finish, endpoint, check_id, Result.TIMEOUT)
-        request = encode(Frame(Type.PING, check_id, {Code.CAUSE: b"\0"}))
+        request = encode_frame(Frame(FrameType.PING, check_id, {ParameterCode.CAUSE: b"\0"}))
         check = HealthCheck(self._dispatcher.now(), timer, request)
         endpoint.health_checks[check_id] = check
         self._assign(endpoint, check)
--- a/fernweir/node/placed_sessions.py
+++ b/fernweir/node/placed_sessions.py
@@ -6,7 +6,7 @@
 from fernweir.front.dispatcher import Dispatcher
 from fernweir.front.session_manager import SessionPhase
 from fernweir.interface import Result
-from fernweir.node.frames import Code, Frame, Type
+from fernweir.node.frames import Frame, FrameType, ParameterCode
 from fernweir.node.release_queue import release_frame
 from fernweir.node.server_connection import ServerConnection
 from fernweir.node.server_endpoint import PlacedSession, ServerEndpoint
@@ -31,7 +31,7 @@
         """Sends the new rung of a session."""
         endpoint = self._pool.endpoints.get(command.server)
         if endpoint is not None:
-            frame = Frame(Type.RATE, command.session_id, {Code.RUNG: b"%d" % command.rung})
+            frame = Frame(FrameType.RATE, command.session_id, {ParameterCode.RUNG: b"%d" % command.rung})
             self._send_or_queue(endpoint, frame)
 
     def release(self, endpoint: ServerEndpoint, session_id: str) -> None:
--- a/fernweir/node/server_connection.py
+++ b/fernweir/node/server_connection.py
@@ -13,7 +13,7 @@
 
 from fernweir.front.dispatcher import Dispatcher
 from fernweir.node.connection_state import ConnectionPhase, ConnectionState
-from fernweir.node.frames import Frame, FrameError, Frames, Type, encode
+from fernweir.node.frames import Frame, FrameError, FrameReader, FrameType, encode_frame
 from fernweir.node.limits import RecentIds
 from fernweir.node.server_endpoint import MAX_FAILED_ATTEMPTS, ServerEndpoint
 from fernweir.node.shared_buffer import SharedBufferProtocol
@@ -114,7 +114,7 @@
         self._events = events
         self._idle_timeout_ms = timeouts.idle_ms
         self._timer = dispatcher.loop.call_later(timeouts.connect_s, self._on_connect_timeout)
-        self._frames = Frames()
+        self._frames = FrameReader()
         self._sent_releases: deque[SentRelease] = deque(maxlen=_MAX_SENT_RELEASES)
         self._close_reason = "connection closed"
         self._close_started_at = math.inf
@@ -176,7 +176,7 @@
         try:
             frames = self._frames.feed(data)
         except FrameError as feed_error:
-            frames, error = self._frames.read, feed_error
+            frames, error = self._frames.complete_frames, feed_error
         try:
             for frame in frames:
                 self._events.on_message(self, frame)
@@ -229,9 +229,9 @@
 
     def send(self, frame: Frame) -> None:
         """Writes a message, and remembers it for a while if it is a release."""
-        if frame.type is Type.RELEASE:
+        if frame.type is FrameType.RELEASE:
             self._sent_releases.append(SentRelease(self._dispatcher.now(), frame))
-        self.write(encode(frame))
+        self.write(encode_frame(frame))
 
     def unconfirmed_releases(self, now: float) -> list[Frame]:
         """Returns the releases that the end of the connection may have lost.
--- a/fernweir/node/server_transport.py
+++ b/fernweir/node/server_transport.py
@@ -13,7 +13,7 @@
 from fernweir.front.names import number_of
 from fernweir.interface import Endpoint, EndpointListUpdate, Result, ServerState, Settings
 from fernweir.node.attempts import AttemptManager
-from fernweir.node.feed import Feed
+from fernweir.node.endpoint_feed import EndpointFeed
 from fernweir.node.frames import Frame
 from fernweir.node.health_checks import HealthChecker
 from fernweir.node.placed_sessions import PlacedSessionManager
@@ -31,7 +31,9 @@
         read_client_input: Reads what the client of a session has sent by now; set by the client side.
     """
 
-    def __init__(self, dispatcher: Dispatcher, feed: Feed, settings: Settings, pool: ServerPool) -> None:
+    def __init__(
+        self, dispatcher: Dispatcher, feed: EndpointFeed, settings: Settings, pool: ServerPool
+    ) -> None:
         self.read_client_input: Callable[[str], None] = lambda session_id: None
         self._dispatcher = dispatcher
         self._feed = feed
@@ -124,7 +126,7 @@
         if entry.state is ServerState.REMOVED:
             self._started_at.pop(entry.server, None)
             if endpoint is None:
-                self._feed.forget(entry.server)
+                self._feed.forget_server(entry.server)
         elif entry.started_at:
             self._started_at[entry.server] = entry.started_at
         if endpoint is not None and entry.started_at > last_started_at:
--- a/fernweir/node/session_end_delivery.py
+++ b/fernweir/node/session_end_delivery.py
@@ -11,7 +11,7 @@
 from fernweir.interface import Result
 from fernweir.node.client_connection import CAUSE_FAILED, CAUSE_NORMAL, ClientConnection
 from fernweir.node.client_connection_state import UnconfirmedMessage
-from fernweir.node.jsonl import Message, write
+from fernweir.node.jsonl import Message, encode_message
 
 # PROTOCOL: a release that no connection could carry comes within 8 s of the end.
 _SESSION_END_TTL_MS = 8_000.0
@@ -76,7 +76,7 @@
         else:
             cause = _CAUSE_BY_RESULT.get(session_over.result, CAUSE_FAILED)
             message = Message("release", session_id, cause=cause)
-        self._send_session_end(session_id, write(message), connection)
+        self._send_session_end(session_id, encode_message(message), connection)
 
     def remove_connection(self, connection: ClientConnection) -> None:
         """Forgets a connection that has ended. Its sessions go on."""
--- a/tests/test_node_crossing_stop.py
+++ b/tests/test_node_crossing_stop.py
@@ -10,9 +10,9 @@
 import pytest
 
 from fernweir.interface import Idempotency
-from fernweir.node.frames import Code, Frame, Type
+from fernweir.node.frames import Frame, FrameType, ParameterCode
 from fernweir.node.graceful_shutdown import GracefulShutdown
-from fernweir.node.jsonl import Message, write
+from fernweir.node.jsonl import Message, encode_message
 from tests.node_scene import PLAIN, FarLine, FarViewer, Stage, staged
 
 REFUSED, FAILED = 34, 41
@@ -132,10 +132,10 @@
         stage.loop.advance(stage.node.graceful_shutdown.drain_timeout_ms - 500.0)
         open_one, half = stage.far_viewer(), stage.far_viewer()
         on_open, in_half, on_new = stage.setup(), stage.setup(), stage.setup()
-        half.write(write(in_half)[:40])
+        half.write(encode_message(in_half)[:40])
         stage.loop.settle()
         open_one.send(on_open)
-        half.write(write(in_half)[40:])
+        half.write(encode_message(in_half)[40:])
         newcomer = FarViewer(stage)  # in the backlog
         stage.viewers.append(newcomer)
         newcomer.send(on_new)
@@ -169,7 +169,7 @@
     for _ in range(14):
         id, line = stage.set_up(viewer)
         line.answered.add(id)
-        line.say(Frame(Type.ANSWER, id, {Code.DESCRIPTION: b"v" * 12_000}))
+        line.say(Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: b"v" * 12_000}))
         ids.append(id)
     stage.loop.until(lambda: not stage.node.client_requests.open_requests)
     assert any(one.unsent_bytes for one in stage.node.client_listener.connections)
--- a/tests/test_node_crossing_viewers.py
+++ b/tests/test_node_crossing_viewers.py
@@ -18,8 +18,8 @@
     ClientConnectionState,
 )
 from fernweir.node.client_listener import IDLE_SWEEP_INTERVAL_S
-from fernweir.node.frames import Code, Frame, Type
-from fernweir.node.jsonl import Message, write
+from fernweir.node.frames import Frame, FrameType, ParameterCode
+from fernweir.node.jsonl import Message, encode_message
 from fernweir.node.limits import IDLE_TIMEOUT_MS, ConnectionAdmission
 from tests.helpers import SETTINGS
 from tests.node_scene import PLAIN, FarViewer, Stage, staged
@@ -176,7 +176,7 @@
     with staged() as stage:
         viewer, wish = stage.far_viewer(), stage.setup()
         ask_and_hold(stage, viewer, wish)
-        viewer.write(write(Message("release", wish.id, cause=16)) + b"nothing\n")
+        viewer.write(encode_message(Message("release", wish.id, cause=16)) + b"nothing\n")
         stage.loop.until(lambda: viewer.look() is not None and viewer.over)
         assert [one.cause for one in viewer.raw] == [111] and len(stage.node.client_listener.admission) == 0
 
@@ -240,7 +240,7 @@
         def asked() -> bool:
             stage.look()
             lines = stage.far["s-0"].lines
-            pings[:] = [one for line in lines for one in line.heard if one.type is Type.PING]
+            pings[:] = [one for line in lines for one in line.heard if one.type is FrameType.PING]
             return bool(pings)
 
         stage.loop.until(asked)
@@ -249,7 +249,13 @@
         fd, there = near(stage, viewer), stage.loop.near(line.sock)
         stage.loop.selected.held |= {fd, there}
         leave(viewer, how, wish.id)
-        line.say(Frame(Type.PONG, pings[0].session, {Code.CAUSE: b"\1", Code.REPORT: b"x0:0.1;x1:0.1"}))
+        line.say(
+            Frame(
+                FrameType.PONG,
+                pings[0].session,
+                {ParameterCode.CAUSE: b"\1", ParameterCode.REPORT: b"x0:0.1;x1:0.1"},
+            )
+        )
         stage.loop.arrived(fd, there)
         stage.loop.selected.first = [fd, there] if first == "viewer" else [there, fd]
         stage.loop.selected.held.clear()
@@ -293,7 +299,7 @@
         id, line = stage.set_up(viewer)
         # Fill what the kernel takes, so that the answer stays in the node.
         while not ours_.unsent_bytes:
-            ours_.write(write(Message("pong", "0" * 16, cause=1)) * 100)
+            ours_.write(encode_message(Message("pong", "0" * 16, cause=1)) * 100)
         line.answer(id)
         stage.loop.until(
             lambda: stage.node.dispatcher.sessions.sessions_playing_at(
@@ -485,7 +491,7 @@
 def test_a_line_that_ends_in_time_is_heard_before_a_late_loop_calls_it_overdue() -> None:
     with staged() as stage:
         viewer, wish = stage.far_viewer(), stage.setup()
-        fd, data = near(stage, viewer), write(wish)
+        fd, data = near(stage, viewer), encode_message(wish)
         viewer.write(data[:40])
         stage.loop.settle()
         stage.loop.selected.held.add(fd)  # the loop doesn't look before its sweep is due
@@ -527,7 +533,7 @@
         elif how == "endless":
             viewer.write(b"x" * 20_000 + b"\n")
         else:
-            viewer.write(b"nothing\n" * 64 + write(late))
+            viewer.write(b"nothing\n" * 64 + encode_message(late))
         stage.loop.settle()
         viewer.look()
         assert not viewer.over and id in stage.node.client_requests.open_requests
@@ -561,7 +567,7 @@
 def test_a_line_has_its_time_from_its_own_beginning() -> None:
     """Each read ends in the middle of the next line, as under a stream of them: that is no silence."""
     with staged() as stage:
-        viewer, data = stage.far_viewer(), write(Message("ping", f"{1:016x}", cause=0))
+        viewer, data = stage.far_viewer(), encode_message(Message("ping", f"{1:016x}", cause=0))
         viewer.write(data[:10])
         for _ in range(4):
             stage.loop.advance(0.4 * IDLE_TIMEOUT_MS)
@@ -577,7 +583,7 @@
         viewer = stage.far_viewer()
         (one,) = ours(stage)
         while not one.unsent_bytes:
-            one.write(write(Message("pong", "0" * 16, cause=1)) * 100)
+            one.write(encode_message(Message("pong", "0" * 16, cause=1)) * 100)
         one.drain()
         stage.loop.settle()
         assert (
@@ -717,7 +723,7 @@
         stage.stands(other)
         (one,) = (one for one in ours(stage) if id in one.state.sessions)
         while not one.unsent_bytes:
-            one.write(write(Message("pong", "0" * 16, cause=1)) * 100)
+            one.write(encode_message(Message("pong", "0" * 16, cause=1)) * 100)
         line.release(id, 16)
         stage.loop.until(lambda: stage.node.dispatcher.sessions.session(id) is None)
         stage.loop.settle()
