--- a/fernweir/node/__init__.py
+++ b/fernweir/node/__init__.py
@@ -1,1 +1,1 @@
-"""A front node on the platform's own protocol: one more way in and out of the front (docs/node.md)."""
+"""A front node on the platform's own protocol: its connections, codecs and process (docs/node.md)."""
--- a/fernweir/node/client_requests.py
+++ b/fernweir/node/client_requests.py
@@ -14,9 +14,9 @@
 from fernweir.node.client_connection import CAUSE_FAILED, CAUSE_REJECTED, ClientConnection
 from fernweir.node.jsonl import FieldValue, LineError, Message
 from fernweir.node.limits import ConnectionAdmission, RecentIds
-from fernweir.node.requests import SetUpParser
 from fernweir.node.server_transport import MediaServerTransport
 from fernweir.node.session_end_delivery import SessionEndDelivery
+from fernweir.node.set_up_parser import SetUpParser
 
 _PONG_READY = 1
 _PONG_NOT_READY = 0
--- a/fernweir/node/program.py
+++ b/fernweir/node/program.py
@@ -26,10 +26,10 @@
 from fernweir.node.graceful_shutdown import GracefulShutdown
 from fernweir.node.limits import ConnectionAdmission, DescriptorQuota
 from fernweir.node.logs import NodeLog
-from fernweir.node.requests import SetUpParser
 from fernweir.node.server_pool import ServerPool
 from fernweir.node.server_transport import MediaServerTransport
 from fernweir.node.session_end_delivery import SessionEndDelivery
+from fernweir.node.set_up_parser import SetUpParser
 
 if TYPE_CHECKING:  # needs packages, which a node alone does not have
     from fernweir.node.peering import PeersFile
@@ -170,7 +170,7 @@
         self.server_transport.shutdown()
 
 
-def read_peers_file(config: NodeConfig, environment: Mapping[str, str]) -> PeersFile | None:
+def load_peers_file(config: NodeConfig, environment: Mapping[str, str]) -> PeersFile | None:
     """Reads the settings of the node's peers.
 
     Returns:
@@ -237,7 +237,7 @@
     signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS)
     try:
         config = load_config(os.environ)
-        file = read_peers_file(config, os.environ)
+        file = load_peers_file(config, os.environ)
         asyncio.run(run(config, NodeLog(config.name), os.environ, file))
     except ConfigError as error:
         for line in str(error).splitlines():
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -53,7 +53,7 @@
 from fernweir.node import frames, jsonl
 from fernweir.node import peering as node_peering
 from fernweir.node.endpoint_feed import EndpointFeed
-from fernweir.node.requests import SetUpParser
+from fernweir.node.set_up_parser import SetUpParser
 from fernweir.seats import book
 from fernweir.seats import records as seat_records
 from fernweir.seats.log import Recovered, SeatLog, recover
