--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -386,7 +386,9 @@
 
 def node_settings(settings: Settings) -> dict[str, str]:
     """The settings whose digest tells nodes whether they act on the same ones."""
-    config: Any = SimpleNamespace(settings=settings, kinds=("small", "large"), connect_ms=250.0, idle_ms=None)
+    config: Any = SimpleNamespace(
+        settings=settings, server_types=("small", "large"), connect_timeout_ms=250.0, idle_timeout_ms=None
+    )
     return node_peering._platform_settings(config)
 
 
