--- a/tests/node_scene.py
+++ b/tests/node_scene.py
@@ -294,7 +294,7 @@
         return [(name, frame) for name, server in self.servers.items() for frame in server.setups]
 
     def brain_server(self, name: str) -> Any:
-        return self.node.core.sessions.controller.servers[number_of(name)]
+        return self.node.dispatcher.sessions.controller.servers[number_of(name)]
 
     def stop(self) -> None:
         self.node.shutdown()
@@ -563,7 +563,7 @@
         """Nothing is owed or left: ledger, servers against the host, attempts, tests, tasks, faults."""
         self.loop.settle()
         self.look()
-        core, servers = self.node.core, self.node.server_pool
+        core, servers = self.node.dispatcher, self.node.server_pool
         assert self.faults == [] and self.loop.faults == [], (self.faults, self.loop.faults)
         assert (
             len(core.sessions.reply_ledger) == 0
@@ -573,8 +573,10 @@
         for name, server in self.far.items():
             held = set(core.sessions.sessions_playing_at(number_of(name)))
             assert server.standing() <= held, f"{name} holds {server.standing() - held}, which nobody holds"
-        for link in servers.endpoints.values():
-            assert not link.attempts and not link.health_checks and not link.broken_attempts, link
+        for endpoint in servers.endpoints.values():
+            assert not endpoint.attempts and not endpoint.health_checks and not endpoint.broken_attempts, (
+                endpoint
+            )
         viewers, door = self.node.client_listener, self.node.client_listener.admission
         session_ends = self.node.session_ends
         tables = (
--- a/tests/test_node_crossing_lost.py
+++ b/tests/test_node_crossing_lost.py
@@ -37,7 +37,7 @@
         stage.connecting()  # to hear whether its server lives
         if who == "viewer":
             viewer.send(Message("release", id, cause=16))
-            stage.loop.until(lambda: not stage.node.core.sessions.session_count)
+            stage.loop.until(lambda: not stage.node.dispatcher.sessions.session_count)
         stage.loop.advance(stage.node.server_pool.connect_timeout_s * 1000.0)  # it is late
         if who == "node":
             stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
@@ -65,10 +65,13 @@
         viewer = stage.far_viewer()
         id, line = half_answered(stage, viewer)
         reset_while_new(stage, line)
-        (link,) = stage.node.server_pool.endpoints.values()
-        stage.loop.until(lambda: link.release_queue.pending_releases)
+        (endpoint,) = stage.node.server_pool.endpoints.values()
+        stage.loop.until(lambda: endpoint.release_queue.pending_releases)
         first, _ = stage.connecting(), stage.connecting()  # for the release, and the set-up that follows it
-        assert not link.attempts[id].is_written and link.attempts[id].connection is link.connections[1]
+        assert (
+            not endpoint.attempts[id].is_written
+            and endpoint.attempts[id].connection is endpoint.connections[1]
+        )
         let_go(stage, first)
         stage.loop.settle()
         viewer.send(Message("release", id, cause=16))
@@ -84,9 +87,9 @@
         fd = stage.connecting()
         viewer.send(Message("release", tired, cause=16))
         stage.loop.until(lambda: tired in line.server.released)
-        (link,) = stage.node.server_pool.endpoints.values()
+        (endpoint,) = stage.node.server_pool.endpoints.values()
         let_go(stage, fd)
-        while not link.connections[-1].is_usable:
+        while not endpoint.connections[-1].is_usable:
             stage.loop.turn()
         new = line.server.lines[-1]
         stage.loop.selected.held.add(fd)  # the break is in the kernel, and seen by who writes
@@ -182,13 +185,13 @@
     with staged(servers=2) as stage:
         viewer = stage.far_viewer()
         id, line = stage.set_up(viewer)
-        (link,) = stage.node.server_pool.endpoints.values()
-        stage.loop.advance(link.attempts[id].command.timeout_ms)
+        (endpoint,) = stage.node.server_pool.endpoints.values()
+        stage.loop.advance(endpoint.attempts[id].command.timeout_ms)
         stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
         new = next(one for one in stage.far.values() if one is not line.server).line_of(id)
         new.answer(id)
         answered(stage, viewer, id)
-        assert not link.attempts and FrameType.RELEASE in [one.type for one in line.heard]
+        assert not endpoint.attempts and FrameType.RELEASE in [one.type for one in line.heard]
         stage.loop.advance(2_000.0)  # this side's end is not answered
         line.server.look()
         assert [[one.type for one in other.heard] for other in line.server.lines if other is not line] == [
@@ -248,7 +251,7 @@
         assert breaks(200) == 2
         stage.loop.jump(CHECK_INTERVAL_MS)
         stage.loop.until(lambda: line.server.accept() is not None)  # that one stays
-        assert {id} <= set(stage.node.core.sessions.records())
+        assert {id} <= set(stage.node.dispatcher.sessions.records())
 
 
 class Drawn:
@@ -380,7 +383,7 @@
     draw = Random(seed)
     with staged(servers=1 + seed % 3) as stage:
         mess, viewer = Mess(stage, draw), stage.far_viewer()
-        asked, given_up, host = list[str](), set[str](), stage.node.core.sessions
+        asked, given_up, host = list[str](), set[str](), stage.node.dispatcher.sessions
         for _ in range(300):
             what, server = draw.random(), draw.choice(list(mess.servers.values()))
             if what < 0.3:
@@ -403,7 +406,7 @@
         mess.calm = True
         for server in mess.servers.values():
             server.cut = False
-        links, names = (
+        endpoints, names = (
             stage.node.server_pool.endpoints,
             {number_of(far.name): far.address for far in stage.far.values()},
         )
@@ -416,8 +419,8 @@
             for number, there in names.items():
                 server, held = mess.servers[there], set(host.sessions_playing_at(number))
                 kept = (
-                    {one.session for one in links[number].release_queue.deferred_releases}
-                    if number in links
+                    {one.session for one in endpoints[number].release_queue.deferred_releases}
+                    if number in endpoints
                     else set()
                 )
                 if server.out or not held <= server.stands <= held | kept:
