--- a/fernweir/front/names.py
+++ b/fernweir/front/names.py
@@ -1,4 +1,4 @@
-"""Numbers for the module from names: alike at every front, which its shared order rests on."""
+"""Numbers for names of titles and servers, which are the same at every front."""
 
 from __future__ import annotations
 
@@ -6,5 +6,11 @@
 
 
 def number_of(name: str) -> int:
-    """The number by which the module knows a title or a server."""
+    """Returns the number by which the controller knows a title or a server: a hash of 64 bits.
+
+    Every front ranks the servers of a title by these numbers, so all of them have to agree on them.
+
+    Raises:
+        UnicodeEncodeError: The name has lone surrogates.
+    """
     return int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "big")
--- a/fernweir/node/frames.py
+++ b/fernweir/node/frames.py
@@ -146,18 +146,18 @@
         """
         self._pending += data
         self.complete_frames = []
-        at, pending = 0, self._pending
-        while len(pending) - at >= _LENGTH_BYTES:
-            length = int.from_bytes(pending[at : at + _LENGTH_BYTES], "big")
+        offset, pending = 0, self._pending
+        while len(pending) - offset >= _LENGTH_BYTES:
+            length = int.from_bytes(pending[offset : offset + _LENGTH_BYTES], "big")
             _check_length(length)
-            if len(pending) - at > _LENGTH_BYTES:
-                _check_type(pending[at + _LENGTH_BYTES])
-            if len(pending) - at < _LENGTH_BYTES + length:
+            if len(pending) - offset > _LENGTH_BYTES:
+                _check_type(pending[offset + _LENGTH_BYTES])
+            if len(pending) - offset < _LENGTH_BYTES + length:
                 break
-            end = at + _LENGTH_BYTES + length
-            self.complete_frames.append(_decode_frame(bytes(pending[at:end])))
-            at = end
-        del pending[:at]
+            end = offset + _LENGTH_BYTES + length
+            self.complete_frames.append(_decode_frame(bytes(pending[offset:end])))
+            offset = end
+        del pending[:offset]
         return self.complete_frames
 
 
@@ -188,19 +188,19 @@
 
 def _decode_frame(data: bytes) -> Frame:
     _, type_number, session = _HEADER.unpack_from(data)
-    at = _HEADER.size
+    offset = _HEADER.size
     parameters: dict[int, bytes] = {}
-    while at < len(data):
-        if at + _PARAMETER_HEADER.size > len(data):
+    while offset < len(data):
+        if offset + _PARAMETER_HEADER.size > len(data):
             raise FrameError("a parameter cut short")
-        code, length = _PARAMETER_HEADER.unpack_from(data, at)
-        at += _PARAMETER_HEADER.size
-        if at + length > len(data):
+        code, length = _PARAMETER_HEADER.unpack_from(data, offset)
+        offset += _PARAMETER_HEADER.size
+        if offset + length > len(data):
             raise FrameError("a parameter longer than its message")
         if code in parameters:
             raise FrameError("a parameter that comes twice")
-        parameters[code] = data[at : at + length]
-        at += length
+        parameters[code] = data[offset : offset + length]
+        offset += length
     return Frame(_TYPES_BY_NUMBER[type_number], f"{session:016x}", parameters)
 
 
--- a/tests/peers_mutants/fuzz.py
+++ b/tests/peers_mutants/fuzz.py
@@ -47,8 +47,8 @@
         Mutant(
             "whole frame kept back",
             _FRAMES,
-            "at < _LENGTH_BYTES + length:",
-            "at <= _LENGTH_BYTES + length:",
+            "offset < _LENGTH_BYTES + length:",
+            "offset <= _LENGTH_BYTES + length:",
             20,
         ),
         Mutant("report of 17", _FRAMES, "> _MAX_REPORT_VALUES", "> _MAX_REPORT_VALUES + 1", 60),
--- a/tests/test_node_crossing_feed.py
+++ b/tests/test_node_crossing_feed.py
@@ -240,10 +240,9 @@
     with staged() as stage:
         stage.loop.settle()
         told: list[int] = []
-        tell = stage.node.endpoint_watcher.apply_update
-        stage.node.endpoint_watcher.apply_update = lambda update: (told.append(update.version), tell(update))[
-            1
-        ]  # type: ignore
+        watcher = stage.node.endpoint_watcher
+        apply = watcher.apply_update
+        watcher.apply_update = lambda update: (told.append(update.version), apply(update))[1]  # type: ignore
         line, event = stage.feed.look()[-1], said(change(stage, 2))
         line.write(event[:40])
         stage.loop.settle()
@@ -290,47 +289,46 @@
 
 
 def test_an_opening_ends_once_and_a_feed_that_is_of_no_use_is_asked_ever_more_slowly() -> None:
-    asking, now, pauses = ReconnectPolicy(1), 0.0, []
+    policy, now, pauses = ReconnectPolicy(1), 0.0, []
     for _ in range(40):
-        first = asking.begin_connection(now)
-        opening = asking.begin_connection(now)  # takes the place of the first
+        first = policy.begin_connection(now)
+        opening = policy.begin_connection(now)  # takes the place of the first
         assert (
-            first is not None and opening is not None and asking.timeout_reason() == "no connection in time"
+            first is not None and opening is not None and policy.timeout_reason() == "no connection in time"
         )
-        assert not asking.on_connected(first, now) and not asking.on_connection_ended(first, now)
+        assert not policy.on_connected(first, now) and not policy.on_connection_ended(first, now)
         assert (
-            asking.on_connected(opening, now)
-            and asking.is_current(opening)
-            and asking.timeout_reason() == "silent"
+            policy.on_connected(opening, now)
+            and policy.is_current(opening)
+            and policy.timeout_reason() == "silent"
         )
-        asking.on_data_received(
-            now, applied_event=False
-        )  # the last number, at once; then an event that can't be used
+        # The last number, at once; then an event that can't be used.
+        policy.on_data_received(now, applied_event=False)
         assert (
-            asking.on_connection_ended(opening, now)
-            and not asking.on_connection_ended(opening, now)
-            and not asking.is_current(opening)
+            policy.on_connection_ended(opening, now)
+            and not policy.on_connection_ended(opening, now)
+            and not policy.is_current(opening)
         )
-        assert asking.deadline is not None and asking.timeout_reason() is None
-        pauses.append(asking.deadline - now)
-        now = asking.deadline
+        assert policy.deadline is not None and policy.timeout_reason() is None
+        pauses.append(policy.deadline - now)
+        now = policy.deadline
     assert pauses[0] < 0.075 and min(pauses[5:]) >= 0.4 and max(pauses) <= 1.2
     for told, stood_s in ((True, 0.0), (False, 1.0)):  # an event taken, or a while in use: as at first
-        opening = asking.begin_connection(now)
-        assert opening is not None and asking.on_connected(opening, now)
-        asking.on_data_received(now + stood_s, told)
-        assert asking.deadline == now + stood_s + 1.8
-        asking.on_connection_ended(opening, now)
-        assert asking.deadline < now + 0.075
-    opening = asking.begin_connection(now)
-    asking.stop()
+        opening = policy.begin_connection(now)
+        assert opening is not None and policy.on_connected(opening, now)
+        policy.on_data_received(now + stood_s, told)
+        assert policy.deadline == now + stood_s + 1.8
+        policy.on_connection_ended(opening, now)
+        assert policy.deadline < now + 0.075
+    opening = policy.begin_connection(now)
+    policy.stop()
     assert (
         opening is not None
-        and not asking.on_connected(opening, now)
-        and not asking.on_connection_ended(opening, now)
+        and not policy.on_connected(opening, now)
+        and not policy.on_connection_ended(opening, now)
     )
     assert (
-        asking.deadline is None and not asking.on_address_changed() and asking.begin_connection(now) is None
+        policy.deadline is None and not policy.on_address_changed() and policy.begin_connection(now) is None
     )
 
 
