--- a/bench/golden_state_samples.py
+++ b/bench/golden_state_samples.py
@@ -541,9 +541,17 @@
 def record_values() -> list[Sample]:
     """Every type of a front's record, as it stands there."""
     bare = replace(
-        SETTINGS, classes=(), uplink_kb=None, attempts_cap=None, retry_after_max_ms=None, drain_grace_ms=None,
-        cold=None, budget=None, report_fields=(), kind_streams=(),
-    )  # fmt: skip
+        SETTINGS,
+        classes=(),
+        uplink_rate_kbyte_s=None,
+        max_attempts=None,
+        max_retry_after_ms=None,
+        drain_grace_ms=None,
+        slow_start=None,
+        retry_budget=None,
+        report_fields=(),
+        streams_by_server_type=(),
+    )
     values = [SETTINGS, bare, *EVENTS, *ACTIONS]
     return [
         Sample(f"value {number}", "record-value", write_record_value(one))
