--- a/bench/golden_state_samples.py
+++ b/bench/golden_state_samples.py
@@ -102,30 +102,30 @@
     def add(what: EventKind, **fields: Any) -> None:
         day.append(Entry(len(day) + 1, 1_000 + len(day), what, "front-1", **fields))
 
-    one = {"lesson": "l1", "cls": "film", "tenant": "t1"}
+    one = {"title": "l1", "cls": "film", "tenant": "t1"}
     add(EventKind.FRONT, why="up")
-    add(EventKind.BOX, box=1, why="ready", more={"start": "7"})
-    add(EventKind.BOX, box=2, why="draining")
+    add(EventKind.BOX, server=1, why="ready", more={"start": "7"})
+    add(EventKind.BOX, server=2, why="draining")
     add(EventKind.ASKED, session="s1", **one)
-    add(EventKind.SETUP, session="s1", box=1, attempt=0, rung=2, why="least loaded", **one)
-    add(EventKind.FAILED_TRY, session="s1", box=1, attempt=0, why="timeout", **one)
-    add(EventKind.SETUP, session="s1", box=2, attempt=1, rung=1, why="next", **one)
-    add(EventKind.STARTED, session="s1", box=2, attempt=1, rung=1, **one)
+    add(EventKind.SETUP, session="s1", server=1, attempt=0, rung=2, why="least loaded", **one)
+    add(EventKind.FAILED_TRY, session="s1", server=1, attempt=0, why="timeout", **one)
+    add(EventKind.SETUP, session="s1", server=2, attempt=1, rung=1, why="next", **one)
+    add(EventKind.STARTED, session="s1", server=2, attempt=1, rung=1, **one)
     add(EventKind.PLAYS, session="s1", **one)
-    add(EventKind.RUNG, session="s1", box=2, attempt=1, rung=2, why="room", **one)
+    add(EventKind.RUNG, session="s1", server=2, attempt=1, rung=2, why="room", **one)
     add(EventKind.ASKED, session="s2", **one)
     add(EventKind.REFUSED, session="s2", why="no room", **one)
     add(EventKind.FAILED, session="s3", why="time is over", **one)
     add(EventKind.CONFLICT, session="s4", why="other title", **one)
     add(EventKind.ENDED, session="s2", why="refused", **one)
-    add(EventKind.SILENT, box=2)
-    add(EventKind.HEARD, box=2)
-    add(EventKind.LOST, box=1)
-    add(EventKind.MOVED, session="s1", box=2, **one)
+    add(EventKind.SILENT, server=2)
+    add(EventKind.HEARD, server=2)
+    add(EventKind.LOST, server=1)
+    add(EventKind.MOVED, session="s1", server=2, **one)
     more = {"by": "ann", "drains": {"1": "ann"}, "holds": {"l2": "bob"}, "caps": {"tenant:t1": 4}}
     add(EventKind.ORDER, why="drain 1: done", more=more)
-    add(EventKind.BOX, box=3, why="gone")
-    add(EventKind.BOX, box=3, why="unlisted")
+    add(EventKind.BOX, server=3, why="gone")
+    add(EventKind.BOX, server=3, why="unlisted")
     return day
 
 
--- a/bench/journal.py
+++ b/bench/journal.py
@@ -40,20 +40,20 @@
     number = 0
     while len(plain) < count:
         number += 1
-        named = {"session": f"s{number}", "lesson": f"lesson-{number % 40}", "cls": "c", "tenant": "t"}
+        named = {"session": f"s{number}", "title": f"lesson-{number % 40}", "cls": "c", "tenant": "t"}
         at = number * 30.0
         plain.append(journal.add(at, EventKind.ASKED, **named))
         if dice.random() < 0.1:
             plain.append(journal.add(at, EventKind.REFUSED, why="no box has room", **named))
         else:
-            place = {"box": dice.randrange(130), "attempt": 0, "rung": 3}
+            place = {"server": dice.randrange(130), "attempt": 0, "rung": 3}
             more = {"passed": [[1, "over the mark"]], "link": 0.5, "uplink": 0.4}
             plain.append(journal.add(at, EventKind.SETUP, why="2th in order, first under the mark", more=more,
                                      **place, **named))  # fmt: skip
             if dice.random() < 0.0005:
                 plain.append(journal.add(at, EventKind.FAILED_TRY, why="reset: broken", **place, **named))
             plain.append(journal.add(at, EventKind.STARTED, more={"took_ms": 20.1}, **place, **named))
-            plain.append(journal.add(at, EventKind.PLAYS, box=place["box"], **named))
+            plain.append(journal.add(at, EventKind.PLAYS, server=place["server"], **named))
         plain.append(journal.add(at, EventKind.ENDED, why="over", **named))
     return plain
 
--- a/bench/peers_estimate.py
+++ b/bench/peers_estimate.py
@@ -199,7 +199,7 @@
     first = min(kept[0].at for kept in entries.values() if kept)
     return {
         front: [
-            Row(one.at - first, str(one.what), one.session, one.lesson, one.box, one.tenant, "", one.why)
+            Row(one.at - first, str(one.what), one.session, one.title, one.server, one.tenant, "", one.why)
             for one in kept
         ]
         for front, kept in entries.items()
--- a/fernweir/appliance/merge.py
+++ b/fernweir/appliance/merge.py
@@ -49,7 +49,7 @@
             return
         fields = {
             name: getattr(entry, name)
-            for name in ("session", "lesson", "cls", "tenant", "box", "attempt", "rung", "why")
+            for name in ("session", "title", "cls", "tenant", "server", "attempt", "rung", "why")
         }
         self._add(front, entry.at, entry.what, {**entry.more, "n": entry.number, "j": journal}, **fields)
 
@@ -61,16 +61,18 @@
         self._add(front, at, EventKind.FRONT, {"seen": True, **mark}, why="up")
         for box in picture.servers.values():
             if box.listed != "unlisted":
-                self._add(front, at, EventKind.BOX, {"start": box.start, **mark}, box=box.box, why=box.listed)
+                self._add(
+                    front, at, EventKind.BOX, {"start": box.start, **mark}, server=box.server, why=box.listed
+                )
             if box.silent:
-                self._add(front, at, EventKind.SILENT, mark, box=box.box)
+                self._add(front, at, EventKind.SILENT, mark, server=box.server)
         for row in picture.sessions.values():
             fields: dict[str, Any] = {
-                "session": row.session, "lesson": row.lesson, "cls": row.cls, "tenant": row.tenant
+                "session": row.session, "title": row.title, "cls": row.cls, "tenant": row.tenant
             }  # fmt: skip
             self._add(front, at, EventKind.ASKED, mark, **fields)
             if row.phase != "asked":
-                fields |= {"box": row.box, "attempt": row.attempt, "rung": row.rung}
+                fields |= {"server": row.server, "attempt": row.attempt, "rung": row.rung}
                 self._add(front, at, EventKind.SETUP, mark, why=row.why, **fields)
                 if row.phase == "playing":
                     self._add(front, at, EventKind.STARTED, mark, **fields)
--- a/fernweir/console/views.py
+++ b/fernweir/console/views.py
@@ -68,7 +68,7 @@
 
 def _orders(shown: Shown) -> list[str]:
     picture = shown.picture
-    said = [f"box {one.box} drained by {one.drained_by}" for one in sorted_boxes(shown) if one.drained_by]
+    said = [f"box {one.server} drained by {one.drained_by}" for one in sorted_boxes(shown) if one.drained_by]
     said += [f"{lesson} held by {by}" for lesson, by in sorted(picture.holds.items())]
     said += [f"limit {most} for {what}" for what, most in sorted(picture.caps.items())]
     lines = ["orders    " + ("; ".join(said) or "none")]
@@ -97,8 +97,8 @@
     choice = choice or Choice()
     found = [one for one in shown.picture.sessions.values() if choice.takes(_session_cells(one))]
     orders: dict[str, Callable[[SessionRow], object]] = {
-        "box": lambda one: (one.box, one.session),
-        "lesson": lambda one: (one.lesson, one.session),
+        "box": lambda one: (one.server, one.session),
+        "lesson": lambda one: (one.title, one.session),
         "rung": lambda one: (-one.rung, one.session),
         "since": lambda one: (one.since, one.session),
         "phase": lambda one: (one.phase, one.session),
@@ -112,15 +112,15 @@
 
 def _session_cells(one: SessionRow) -> dict[str, object]:
     return {
-        "session": one.session, "phase": one.phase, "lesson": one.lesson, "cls": one.cls,
-        "tenant": one.tenant, "box": one.box, "rung": one.rung, "front": one.front,
+        "session": one.session, "phase": one.phase, "lesson": one.title, "cls": one.cls,
+        "tenant": one.tenant, "box": one.server, "rung": one.rung, "front": one.front,
     }  # fmt: skip
 
 
 def _session_row(one: SessionRow) -> tuple[str, ...]:
-    box = str(one.box) if one.box >= 0 else "-"
+    box = str(one.server) if one.server >= 0 else "-"
     rung = str(one.rung) if one.rung >= 0 else "-"
-    return one.session, one.phase, one.lesson, one.cls, box, rung, clock(one.since)
+    return one.session, one.phase, one.title, one.cls, box, rung, clock(one.since)
 
 
 def boxes(shown: Shown, choice: Choice | None = None, columns: int = 80) -> View:
@@ -128,28 +128,28 @@
     loads = shown.gauges.get("boxes", {})
 
     def load(one: ServerRow) -> list[float]:
-        return list(loads.get(str(one.box), [0.0, 0.0, 0, 0, 0]))
+        return list(loads.get(str(one.server), [0.0, 0.0, 0, 0, 0]))
 
     found = [
         one
         for one in sorted_boxes(shown)
-        if choice.takes({"box": one.box, "state": one.state, "by": one.drained_by})
+        if choice.takes({"box": one.server, "state": one.state, "by": one.drained_by})
     ]
     if choice.sort == "link":
-        found.sort(key=lambda one: (-load(one)[0], one.box))
+        found.sort(key=lambda one: (-load(one)[0], one.server))
     elif choice.sort in ("playing", "out"):
-        found.sort(key=lambda one: (-getattr(one, choice.sort), one.box))
+        found.sort(key=lambda one: (-getattr(one, choice.sort), one.server))
     elif choice.sort == "state":
-        found.sort(key=lambda one: (one.state, one.box))
+        found.sort(key=lambda one: (one.state, one.server))
     sizes = _spread(_BOX_COLUMNS, columns, 7)
     head = [row(("box", "state", "plays", "out", "link", "uplink", "list", "drained by"), sizes)]
     rows = []
     for one in found:
         state = one.state + (" SILENT" if one.silent else "")
-        cells = (str(one.box), state, str(one.playing), str(one.out), _load(load(one), 0, 6),
+        cells = (str(one.server), state, str(one.playing), str(one.out), _load(load(one), 0, 6),
                  _load(load(one), 1, 6), one.listed, one.drained_by)  # fmt: skip
         rows.append(row(cells, sizes))
-    return View(head, rows or ["none"], [str(one.box) for one in found] or [""])
+    return View(head, rows or ["none"], [str(one.server) for one in found] or [""])
 
 
 def refusals(shown: Shown, choice: Choice | None = None, columns: int = 80) -> View:
@@ -181,10 +181,10 @@
     parts = [clock(entry.at), f"{entry.what:<10}"]
     if entry.session:
         parts.append(entry.session)
-    if entry.lesson:
-        parts.append(entry.lesson)
-    if entry.box >= 0:
-        parts.append(f"box {entry.box}")
+    if entry.title:
+        parts.append(entry.title)
+    if entry.server >= 0:
+        parts.append(f"box {entry.server}")
     if entry.rung >= 0:
         parts.append(f"rung {entry.rung}")
     text = " ".join(parts)
--- a/fernweir/control/answers.py
+++ b/fernweir/control/answers.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from bisect import bisect_right
-from dataclasses import asdict
 from itertools import islice
 from typing import Any
 
@@ -26,14 +25,14 @@
         if _wanted(row, ask):
             if len(rows) == ask.limit:
                 return {"rows": rows, "next": f"{rows[-1]['front']}/{rows[-1]['session']}"}
-            rows.append(asdict(row))
+            rows.append(row.to_plain())
     return {"rows": rows}
 
 
 def _wanted(row: SessionRow, ask: Sessions) -> bool:
     return (
-        (ask.box is None or row.box == ask.box)
-        and (ask.lesson is None or row.lesson == ask.lesson)
+        (ask.box is None or row.server == ask.box)
+        and (ask.lesson is None or row.title == ask.lesson)
         and (ask.tenant is None or row.tenant == ask.tenant)
         and (ask.phase is None or row.phase == ask.phase)
     )
@@ -45,7 +44,7 @@
     for number in numbers[: ask.limit]:
         row = picture.servers[number]
         load = gauges.get("boxes", {}).get(str(number), [])
-        rows.append({**asdict(row), "state": row.state, "load": load})
+        rows.append({**row.to_plain(), "state": row.state, "load": load})
     more = {"next": numbers[ask.limit - 1]} if len(numbers) > ask.limit else {}
     return {"rows": rows, **more}
 
--- a/fernweir/control/channel.py
+++ b/fernweir/control/channel.py
@@ -138,7 +138,8 @@
     rest = replace(picture, sessions={}).to_plain()
     lines = [_line({"watch": "snapshot", "part": 0, "of": len(parts), "picture": rest})]
     for number, part in enumerate(parts, 1):
-        lines.append(_line({"watch": "snapshot", "part": number, "of": len(parts), "sessions": part}))
+        sessions = [row.to_plain() for row in part]
+        lines.append(_line({"watch": "snapshot", "part": number, "of": len(parts), "sessions": sessions}))
     return lines
 
 
--- a/fernweir/control/follow.py
+++ b/fernweir/control/follow.py
@@ -58,7 +58,7 @@
         picture = StateProjection.from_plain(self._parts[0]["picture"])
         for later in self._parts[1:]:
             for plain in later["sessions"]:
-                row = SessionRow(**plain)
+                row = SessionRow.from_plain(plain)
                 picture.sessions[f"{row.front}/{row.session}"] = row
         self._parts = []
         self.picture, self.broken = picture, ""
--- a/fernweir/front/session_journal.py
+++ b/fernweir/front/session_journal.py
@@ -59,10 +59,10 @@
             self._context.now,
             kind,
             session=request.session_id,
-            lesson=request.title_name,
+            title=request.title_name,
             cls=self._context.settings.classes[request.class_index].name,
             tenant=request.tenant,
-            box=record.server if is_at_server else -1,
+            server=record.server if is_at_server else -1,
             attempt=record.attempt if is_at_server else -1,
             rung=rung,
             why=reason,
@@ -74,7 +74,7 @@
     ) -> None:
         """Writes an event of a server."""
         if self.journal is not None:
-            self.journal.add(self._context.now, kind, box=server, why=reason, more=details)
+            self.journal.add(self._context.now, kind, server=server, why=reason, more=details)
 
     def record_reply(
         self, reply: SessionReply, request: SessionRequest, details: dict[str, object] | None
@@ -86,10 +86,10 @@
             self._context.now,
             _REPLY_EVENTS[reply.kind],
             session=request.session_id,
-            lesson=request.title_name,
+            title=request.title_name,
             cls=self._context.settings.classes[request.class_index].name,
             tenant=request.tenant,
-            box=reply.server,
+            server=reply.server,
             why=reply.reason,
             more=details,
         )
--- a/fernweir/journal/events.py
+++ b/fernweir/journal/events.py
@@ -50,10 +50,10 @@
         what: The kind.
         front: Name of the front.
         session: Id of the session.
-        lesson: Name of its title.
+        title: Name of its title.
         cls: Name of its class.
         tenant: Its tenant.
-        box: Number of the server.
+        server: Number of the server.
         attempt: Number of the attempt within the session.
         rung: The rung.
         why: The reason.
@@ -65,10 +65,10 @@
     what: EventKind
     front: str = ""
     session: str = ""
-    lesson: str = ""
+    title: str = ""
     cls: str = ""
     tenant: str = ""
-    box: int = -1
+    server: int = -1
     attempt: int = -1
     rung: int = -1
     why: str = ""
@@ -83,10 +83,10 @@
         str(entry.what),
         entry.front,
         entry.session,
-        entry.lesson,
+        entry.title,
         entry.cls,
         entry.tenant,
-        entry.box,
+        entry.server,
         entry.attempt,
         entry.rung,
         entry.why,
@@ -112,9 +112,9 @@
     """
     if not isinstance(row, list) or not _MIN_FIELDS <= len(row) <= _MAX_FIELDS:
         raise EntryError("not an entry")
-    number, at, what, front, session, lesson, cls, tenant, box, attempt, rung, why, *rest = row
-    texts = (front, session, lesson, cls, tenant, why)
-    numbers = (number, at, box, attempt, rung)
+    number, at, what, front, session, title, cls, tenant, server, attempt, rung, why, *rest = row
+    texts = (front, session, title, cls, tenant, why)
+    numbers = (number, at, server, attempt, rung)
     if not all(type(text) is str for text in texts) or not all(type(value) is int for value in numbers):
         raise EntryError("an entry's field is of the wrong type")
     more = rest[0] if rest else {}
@@ -124,4 +124,4 @@
         kind = EventKind(what)
     except ValueError:
         raise EntryError(f"unknown kind {what!r}") from None
-    return Entry(number, at, kind, front, session, lesson, cls, tenant, box, attempt, rung, why, more)
+    return Entry(number, at, kind, front, session, title, cls, tenant, server, attempt, rung, why, more)
--- a/fernweir/journal/segment.py
+++ b/fernweir/journal/segment.py
@@ -19,8 +19,16 @@
 
 from fernweir.journal.events import Entry, EntryError, to_row
 
-# The words of queries, which are the names of an entry's attributes.
-FIELDS = ("what", "box", "lesson", "tenant", "cls", "why", "front")
+# The attributes of an entry by the words of queries, which are part of the control protocol.
+ATTRIBUTE_OF_FIELD: Mapping[str, str] = {
+    "what": "what",
+    "box": "server",
+    "lesson": "title",
+    "tenant": "tenant",
+    "cls": "cls",
+    "why": "why",
+    "front": "front",
+}
 _COMPRESSION_LEVEL = 1  # segments are sealed on the event loop that serves viewers: speed before size
 _BITMAP_BYTES = 120  # approximate cost of one value's bitmap, with its key
 _HASH_BYTES = 6  # a hash and its offset
@@ -34,7 +42,7 @@
 
     Attributes:
         session: The session; None for any.
-        equal: Values by field, see `FIELDS`.
+        equal: Values by field, see `ATTRIBUTE_OF_FIELD`.
         since: Earliest wall time in milliseconds.
         until: Wall time in milliseconds before which the entries must be.
     """
@@ -50,7 +58,7 @@
             return False
         if self.session is not None and entry.session != self.session:
             return False
-        return all(getattr(entry, name) == value for name, value in self.equal.items())
+        return all(getattr(entry, ATTRIBUTE_OF_FIELD[name]) == value for name, value in self.equal.items())
 
 
 def session_hash(session: str) -> int:
@@ -62,20 +70,22 @@
     """Finds which entries of a segment may match a query; exact but for sessions.
 
     Args:
-        entries: Objects with a `session` and the attributes that `fields` names.
-        fields: The fields with a bitmap for each value.
+        entries: Objects with a `session` and the attributes of the fields.
+        attribute_of_field: The fields with a bitmap for each value, and the attributes that have them.
     """
 
     __slots__ = ("_bitmaps", "_hashes", "_offsets", "size")
 
-    def __init__(self, entries: Sequence[Any], fields: Sequence[str] = FIELDS) -> None:
+    def __init__(
+        self, entries: Sequence[Any], attribute_of_field: Mapping[str, str] = ATTRIBUTE_OF_FIELD
+    ) -> None:
         self.size = len(entries)
         self._bitmaps: dict[tuple[str, object], int] = {}
         hashed: list[tuple[int, int]] = []
         for offset, entry in enumerate(entries):
             bit = 1 << offset
-            for name in fields:
-                value = getattr(entry, name)
+            for name, attribute in attribute_of_field.items():
+                value = getattr(entry, attribute)
                 if value != "" and value != -1:
                     key = (name, value)
                     self._bitmaps[key] = self._bitmaps.get(key, 0) | bit
--- a/fernweir/journal/state_projection.py
+++ b/fernweir/journal/state_projection.py
@@ -8,11 +8,34 @@
 
 from collections import Counter
 from collections.abc import Callable, Mapping
-from dataclasses import asdict, dataclass, field
+from dataclasses import dataclass, field
 from typing import Any, ClassVar
 
 from fernweir.journal.events import ANSWERS, Entry, EventKind
 
+# The attributes of rows by the names under which snapshots and answers have them, in the order of both.
+SESSION_ATTRIBUTES: Mapping[str, str] = {
+    "session": "session",
+    "front": "front",
+    "lesson": "title",
+    "cls": "cls",
+    "tenant": "tenant",
+    "phase": "phase",
+    "since": "since",
+    "box": "server",
+    "attempt": "attempt",
+    "rung": "rung",
+    "why": "why",
+}
+SERVER_ATTRIBUTES: Mapping[str, str] = {
+    "box": "server",
+    "listed": "listed",
+    "drained_by": "drained_by",
+    "start": "start",
+    "silent": "silent",
+    "playing": "playing",
+    "out": "out",
+}
 _MAX_REASONS = 200
 _OTHER_REASON = "other"
 _MAX_ORDERS = 50
@@ -25,12 +48,12 @@
     Attributes:
         session: Its id.
         front: Name of its front.
-        lesson: Name of its title.
+        title: Name of its title.
         cls: Name of its class.
         tenant: Its tenant.
         phase: "asked", "out" (an attempt is in flight) or "playing".
         since: Wall time of its first request in milliseconds.
-        box: Number of its server; -1 if it has none.
+        server: Number of its server; -1 if it has none.
         attempt: Number of its last attempt; -1 if there was none.
         rung: Its rung; -1 if it has none.
         why: Reason of the last attempt or of its failure.
@@ -38,23 +61,37 @@
 
     session: str
     front: str
-    lesson: str
+    title: str
     cls: str
     tenant: str
     phase: str
     since: int
-    box: int = -1
+    server: int = -1
     attempt: int = -1
     rung: int = -1
     why: str = ""
 
+    def to_plain(self) -> dict[str, Any]:
+        """Returns the row's values by their stored names."""
+        return plain_row(self, SESSION_ATTRIBUTES)
+
+    @classmethod
+    def from_plain(cls, plain: Mapping[str, Any]) -> SessionRow:
+        """Returns the row that `to_plain` stored.
+
+        Raises:
+            KeyError: It has a field of another name.
+            TypeError: A field is missing.
+        """
+        return cls(**{SESSION_ATTRIBUTES[name]: value for name, value in plain.items()})
+
 
 @dataclass(slots=True)
 class ServerRow:
     """A server: its state by the endpoint list, by orders, and its sessions.
 
     Attributes:
-        box: Its number.
+        server: Its number.
         listed: Its state in the endpoint list.
         drained_by: The operator who ordered it to drain; empty if none did.
         start: Identifies one incarnation of the server.
@@ -63,7 +100,7 @@
         out: How many attempts are in flight there.
     """
 
-    box: int
+    server: int
     listed: str = "unlisted"
     drained_by: str = ""
     start: str = ""
@@ -71,6 +108,20 @@
     playing: int = 0
     out: int = 0
 
+    def to_plain(self) -> dict[str, Any]:
+        """Returns the row's values by their stored names."""
+        return plain_row(self, SERVER_ATTRIBUTES)
+
+    @classmethod
+    def from_plain(cls, plain: Mapping[str, Any]) -> ServerRow:
+        """Returns the row that `to_plain` stored.
+
+        Raises:
+            KeyError: It has a field of another name.
+            TypeError: A field is missing.
+        """
+        return cls(**{SERVER_ATTRIBUTES[name]: value for name, value in plain.items()})
+
     @property
     def state(self) -> str:
         """Its state in the endpoint list, or "draining" by an operator's order."""
@@ -125,8 +176,8 @@
         return {
             "number": self.number,
             "at": self.at,
-            "sessions": [asdict(row) for _, row in sorted(self.sessions.items())],
-            "boxes": [asdict(row) for _, row in sorted(self.servers.items())],
+            "sessions": [row.to_plain() for _, row in sorted(self.sessions.items())],
+            "boxes": [row.to_plain() for _, row in sorted(self.servers.items())],
             "answers": dict(sorted(self.answers.items())),
             "by_class": dict(sorted(self.by_class.items())),
             "refusals": dict(sorted(self.refusals.items())),
@@ -141,16 +192,16 @@
         """Returns the projection that `to_plain` stored.
 
         Raises:
-            KeyError: A field is missing.
-            TypeError: A field has another type, or a row has other fields.
+            KeyError: A field is missing, or a row has a field of another name.
+            TypeError: A field has another type, or a row lacks one.
         """
-        sessions = [SessionRow(**row) for row in plain["sessions"]]
-        servers = [ServerRow(**row) for row in plain["boxes"]]
+        sessions = [SessionRow.from_plain(row) for row in plain["sessions"]]
+        servers = [ServerRow.from_plain(row) for row in plain["boxes"]]
         return cls(
             number=plain["number"],
             at=plain["at"],
             sessions={f"{row.front}/{row.session}": row for row in sessions},
-            servers={row.box: row for row in servers},
+            servers={row.server: row for row in servers},
             answers=Counter(plain["answers"]),
             by_class=Counter(plain["by_class"]),
             refusals=Counter(plain["refusals"]),
@@ -171,7 +222,7 @@
         if not has_other_fronts:
             # Nobody followed the endpoint list meanwhile; all its servers will be reported again.
             self.servers = {
-                row.box: ServerRow(row.box, drained_by=row.drained_by)
+                row.server: ServerRow(row.server, drained_by=row.drained_by)
                 for row in self.servers.values()
                 if row.drained_by
             }
@@ -180,7 +231,7 @@
     def _on_asked(self, entry: Entry) -> None:
         self._remove_session(entry)
         self.sessions[_session_key(entry)] = SessionRow(
-            entry.session, entry.front, entry.lesson, entry.cls, entry.tenant, "asked", entry.at
+            entry.session, entry.front, entry.title, entry.cls, entry.tenant, "asked", entry.at
         )
 
     def _on_set_up(self, entry: Entry) -> None:
@@ -189,11 +240,11 @@
             return
         self._release_server(row)
         row.phase = "out"
-        row.box = entry.box
+        row.server = entry.server
         row.attempt = entry.attempt
         row.rung = entry.rung
         row.why = entry.why
-        self._server(entry.box).out += 1
+        self._server(entry.server).out += 1
 
     def _on_attempt_failed(self, entry: Entry) -> None:
         row = self.sessions.get(_session_key(entry))
@@ -201,7 +252,7 @@
             return
         self._release_server(row)
         row.phase = "asked"
-        row.box = -1
+        row.server = -1
         row.why = entry.why
 
     def _on_started(self, entry: Entry) -> None:
@@ -210,10 +261,10 @@
             return
         self._release_server(row)
         row.phase = "playing"
-        row.box = entry.box
+        row.server = entry.server
         row.attempt = entry.attempt
         row.rung = entry.rung
-        self._server(entry.box).playing += 1
+        self._server(entry.server).playing += 1
 
     def _on_rung_changed(self, entry: Entry) -> None:
         row = self.sessions.get(_session_key(entry))
@@ -238,9 +289,9 @@
 
     def _on_server_listed(self, entry: Entry) -> None:
         if entry.why == "unlisted":
-            self._on_server_unlisted(entry.box)
+            self._on_server_unlisted(entry.server)
             return
-        row = self._server(entry.box)
+        row = self._server(entry.server)
         row.listed = entry.why
         row.start = str(entry.more.get("start", row.start))
         row.silent = row.silent and entry.why != "gone"
@@ -252,10 +303,10 @@
             self._remove_if_empty(row)
 
     def _on_server_lost(self, entry: Entry) -> None:
-        self._server(entry.box).silent = False
+        self._server(entry.server).silent = False
 
     def _on_silence_changed(self, entry: Entry) -> None:
-        self._server(entry.box).silent = entry.what is EventKind.SILENT
+        self._server(entry.server).silent = entry.what is EventKind.SILENT
 
     def _on_order(self, entry: Entry) -> None:
         """Records an order; `more` has all drains, holds and caps that are in force after it."""
@@ -291,9 +342,9 @@
 
     def _release_server(self, row: SessionRow) -> None:
         """Subtracts a session or its attempt from the counts of its server."""
-        if row.box < 0 or row.phase == "asked":
+        if row.server < 0 or row.phase == "asked":
             return
-        server = self._server(row.box)
+        server = self._server(row.server)
         if row.phase == "playing":
             server.playing -= 1
         else:
@@ -302,7 +353,7 @@
 
     def _remove_if_empty(self, row: ServerRow) -> None:
         if row.is_empty:
-            del self.servers[row.box]
+            del self.servers[row.server]
 
     _HANDLERS: ClassVar[dict[EventKind, Callable[[StateProjection, Entry], None]]] = {
         EventKind.FRONT: _on_front,
@@ -322,5 +373,10 @@
     }
 
 
+def plain_row(row: SessionRow | ServerRow, attributes: Mapping[str, str]) -> dict[str, Any]:
+    """Returns the values of a row by their stored names."""
+    return {name: getattr(row, attribute) for name, attribute in attributes.items()}
+
+
 def _session_key(entry: Entry) -> str:
     return f"{entry.front}/{entry.session}"
--- a/fernweir/journal/store.py
+++ b/fernweir/journal/store.py
@@ -67,10 +67,10 @@
     """The fields of an entry that an event may have; see `Entry`."""
 
     session: str
-    lesson: str
+    title: str
     cls: str
     tenant: str
-    box: int
+    server: int
     attempt: int
     rung: int
     why: str
--- a/fernweir/peers/acts/segment.py
+++ b/fernweir/peers/acts/segment.py
@@ -31,6 +31,7 @@
 from fernweir.peers.acts.versions import DIGEST_BYTES, Versions
 
 FIELDS = ("deed", "title", "tenant", "box", "outcome", "versions")
+_ATTRIBUTE_OF_FIELD = {name: name for name in FIELDS}  # for the journal's index
 _LEVEL = 1  # made on the loop that answers viewers: speed before size
 _MOST_BYTES = 64 << 20
 _encoder = msgspec.msgpack.Encoder()
@@ -103,12 +104,12 @@
     return Segment(
         blocks[0].block.number, blocks[-1].block.number, blocks[0].block.since, blocks[-1].block.until,
         len(rows), versions, b"".join(sealed.digest for sealed in blocks),
-        array("H", (len(sealed.block) for sealed in blocks)), data, Index(rows, FIELDS),
+        array("H", (len(sealed.block) for sealed in blocks)), data, Index(rows, _ATTRIBUTE_OF_FIELD),
     )  # fmt: skip
 
 
 def index(blocks: Sequence[bytes]) -> Index:
-    return Index([one for data in blocks for one in records(block_of(data))], FIELDS)
+    return Index([one for data in blocks for one in records(block_of(data))], _ATTRIBUTE_OF_FIELD)
 
 
 def trusted(data: bytes) -> list[bytes]:
--- a/fernweir/rehearsal/hours.py
+++ b/fernweir/rehearsal/hours.py
@@ -300,7 +300,7 @@
         assert picture is not None
         held = {jti: (one.phase.value, one.server if one.phase is not SessionPhase.PENDING else -1)
                 for jti, one in self.host.records().items()}  # fmt: skip
-        shown = {row.session: (row.phase, row.box) for row in picture.sessions.values()}
+        shown = {row.session: (row.phase, row.server) for row in picture.sessions.values()}
         if held != shown:
             result.wrong.append(f"{len(held.items() ^ shown.items())} sessions are shown otherwise than held")
         for box, row in picture.servers.items():
--- a/tests/fuzzing/journal.py
+++ b/tests/fuzzing/journal.py
@@ -94,7 +94,7 @@
         dice = self.dice
         self.now += dice.randrange(1, 6)
         entry = self.journal.add(
-            self.now, dice.choice(_WHATS), session=f"s{dice.randrange(4)}", box=dice.randrange(3),
+            self.now, dice.choice(_WHATS), session=f"s{dice.randrange(4)}", server=dice.randrange(3),
             why=dice.choice(("", "full", "\ud800", "é" * 40)),
         )  # fmt: skip
         self.versions.setdefault(entry.number, []).append(entry)
--- a/tests/test_appliance.py
+++ b/tests/test_appliance.py
@@ -229,11 +229,11 @@
         picture, journal, id = self.pictures[name], self.fronts[name], f"s{session}"
         row = picture.sessions.get(f"{name}/{id}")
         if row is None:
-            journal.add(self.count, EventKind.ASKED, session=id, lesson="l", cls="c")
+            journal.add(self.count, EventKind.ASKED, session=id, title="l", cls="c")
         elif row.phase == "asked":
-            journal.add(self.count, EventKind.SETUP, session=id, box=box, attempt=0, rung=1)
+            journal.add(self.count, EventKind.SETUP, session=id, server=box, attempt=0, rung=1)
         elif row.phase == "out":
-            journal.add(self.count, EventKind.STARTED, session=id, box=row.box, attempt=0, rung=1)
+            journal.add(self.count, EventKind.STARTED, session=id, server=row.server, attempt=0, rung=1)
             journal.add(self.count, EventKind.PLAYS, session=id, cls="c")
         else:
             journal.add(self.count, EventKind.ENDED, session=id)
@@ -281,9 +281,9 @@
         if not hasattr(self, "merger"):
             return
         for name in self.connected:
-            shown = {row.session: (row.phase, row.box) for row in self.picture.sessions.values()
+            shown = {row.session: (row.phase, row.server) for row in self.picture.sessions.values()
                      if row.front == name}  # fmt: skip
-            held = {row.session: (row.phase, row.box) for row in self.pictures[name].sessions.values()}
+            held = {row.session: (row.phase, row.server) for row in self.pictures[name].sessions.values()}
             assert shown == held
         gone = {row.front for row in self.picture.sessions.values()} - self.connected
         assert not gone, "sessions of a front that nobody hears"
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -50,15 +50,15 @@
     journal.watchers += [shown.picture.apply, shown.history.add]
     journal.add(0.0, EventKind.FRONT, why="up")
     for box in range(1, boxes + 1):
-        journal.add(1.0, EventKind.BOX, box=box, why="ready", more={"start": str(box)})
+        journal.add(1.0, EventKind.BOX, server=box, why="ready", more={"start": str(box)})
     for number in range(count):
-        named = {"session": f"s{number:05d}{HOSTILE}", "lesson": f"lesson-{number % 5}{HOSTILE}", "cls": "c"}
+        named = {"session": f"s{number:05d}{HOSTILE}", "title": f"lesson-{number % 5}{HOSTILE}", "cls": "c"}
         journal.add(2.0, EventKind.ASKED, **named)
         if number % 4 == 3:
             journal.add(3.0, EventKind.REFUSED, why=f"no box has room {HOSTILE}", **named)
             journal.add(3.0, EventKind.ENDED, why="refused", **named)
             continue
-        place = {"box": number % boxes + 1, "attempt": 0, "rung": number % 5}
+        place = {"server": number % boxes + 1, "attempt": 0, "rung": number % 5}
         journal.add(3.0, EventKind.SETUP, why="first under the mark", **place, **named)
         journal.add(4.0, EventKind.STARTED, **place, **named)
         journal.add(4.0, EventKind.PLAYS, **named)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -277,7 +277,7 @@
     """Whether what is shown is what the host holds now."""
     picture, host = watcher.follower.picture, scene.fronts[0].core.sessions
     assert picture is not None
-    shown = {row.session: (row.phase, row.box, row.rung) for row in picture.sessions.values()}
+    shown = {row.session: (row.phase, row.server, row.rung) for row in picture.sessions.values()}
     held = {
         jti: (one.phase.value, one.server, one.sent_rung)
         if one.phase.value != "asked"
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -11,7 +11,7 @@
 import json
 import pkgutil
 import struct
-from collections.abc import Iterator
+from collections.abc import Iterator, Mapping
 from dataclasses import is_dataclass
 from enum import Enum, IntEnum
 from pathlib import Path
@@ -279,10 +279,10 @@
 
 
 def test_a_changed_stored_field_name_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    def renamed(row: Any) -> dict[str, Any]:
-        return {name.replace("box", "server"): getattr(row, name) for name in row.__slots__}
+    def renamed(row: Any, attributes: Mapping[str, str]) -> dict[str, Any]:
+        return {name.replace("box", "server"): getattr(row, one) for name, one in attributes.items()}
 
-    monkeypatch.setattr(state_projection, "asdict", renamed)
+    monkeypatch.setattr(state_projection, "plain_row", renamed)
     assert {"picture", "picture-snapshot"} <= broken()
 
 
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -484,7 +484,7 @@
         for jti, held in host._table.by_id.items():
             assert (rows[jti].phase, rows[jti].attempt) == (held.phase.value, held.attempt)
             if held.phase in (SessionPhase.IN_FLIGHT, SessionPhase.PLAYING):
-                assert (rows[jti].box, rows[jti].rung) == (held.server, held.sent_rung)
+                assert (rows[jti].server, rows[jti].rung) == (held.server, held.sent_rung)
         for number, box in picture.servers.items():
             assert box.playing == len(host.sessions_playing_at(number))
             assert ServerState[box.state.upper()] is host._servers.states[number]
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -32,7 +32,7 @@
 def fill(journal: Journal, count: int, start: int = 0) -> None:
     for number in range(start, start + count):
         journal.add(
-            float(number), EventKind.PLAYS, session=f"s{number}", lesson=f"l{number % 7}", box=number % 5
+            float(number), EventKind.PLAYS, session=f"s{number}", title=f"l{number % 7}", server=number % 5
         )
 
 
@@ -55,7 +55,7 @@
     journal, plain, now = Journal("f", SMALL), [], 0.0
     for what, name, lesson, box, why, step in rows:
         now += step
-        plain.append(journal.add(now, what, session=name, lesson=lesson, box=box, why=why))
+        plain.append(journal.add(now, what, session=name, title=lesson, server=box, why=why))
     question = Query(session, equal, since, since + span)
     expected = [one for one in reversed(plain) if question.matches(one) and one.number < before]
     assert journal.find(question, limit, before) == expected[:limit]
@@ -205,7 +205,9 @@
 
 def test_an_entry_survives_its_row() -> None:
     journal = Journal("f")
-    entry = journal.add(1.5, EventKind.SETUP, session="s", lesson="l", box=3, more={"passed": [[1, "full"]]})
+    entry = journal.add(
+        1.5, EventKind.SETUP, session="s", title="l", server=3, more={"passed": [[1, "full"]]}
+    )
     assert from_row(to_row(entry)) == entry
 
 
@@ -214,9 +216,9 @@
     journal.watchers.append(picture.apply)
     for front in ("f1", "f2"):
         journal.add(0.0, EventKind.FRONT, front=front, why="up")
-        journal.add(0.0, EventKind.ASKED, front=front, session="same-id", lesson="l", cls="c")
-        journal.add(0.0, EventKind.SETUP, front=front, session="same-id", box=1, attempt=0, rung=2)
-        journal.add(0.0, EventKind.STARTED, front=front, session="same-id", box=1, attempt=0, rung=2)
+        journal.add(0.0, EventKind.ASKED, front=front, session="same-id", title="l", cls="c")
+        journal.add(0.0, EventKind.SETUP, front=front, session="same-id", server=1, attempt=0, rung=2)
+        journal.add(0.0, EventKind.STARTED, front=front, session="same-id", server=1, attempt=0, rung=2)
     assert picture.servers[1].playing == 2 and len(picture.sessions) == 2
     journal.add(0.0, EventKind.FRONT, front="f1", why="up")
     assert list(picture.sessions) == ["f2/same-id"] and picture.servers[1].playing == 1
--- a/tests/test_rehearsals.py
+++ b/tests/test_rehearsals.py
@@ -89,13 +89,13 @@
     shown, journal = Shown(), Journal("f")
     journal.watchers.append(shown.picture.apply)
     for number in (1, 2, 3):
-        named = {"session": f"s{number}", "lesson": "l", "cls": "c"}
-        place = {"box": number, "attempt": 0, "rung": 1}
-        journal.add(0.0, EventKind.BOX, box=number, why="ready")
+        named = {"session": f"s{number}", "title": "l", "cls": "c"}
+        place = {"server": number, "attempt": 0, "rung": 1}
+        journal.add(0.0, EventKind.BOX, server=number, why="ready")
         journal.add(0.0, EventKind.ASKED, **named)
         journal.add(0.0, EventKind.SETUP, **place, **named)
         journal.add(0.0, EventKind.STARTED, **place, **named)
-    journal.add(0.0, EventKind.SILENT, box=2)
+    journal.add(0.0, EventKind.SILENT, server=2)
     printed = Printed(
         5_000.0, 5_001.0,
         [*views.sessions(shown).head, *views.sessions(shown).rows],
