--- a/fernweir/appliance/layout.py
+++ b/fernweir/appliance/layout.py
@@ -10,7 +10,7 @@
 
 from pydantic import Field
 
-from fernweir.config.ini import ConfigError, Reader, Section, read_file
+from fernweir.config.ini import ConfigError, Section, SectionReader, read_file
 from fernweir.config.units import Address, Count, Mode, Names, Positive, PositiveMillis, Size
 from fernweir.control.desk import KIND
 from fernweir.control.orders import Orders, OrdersError
@@ -122,10 +122,10 @@
     layout = Layout(root)
     if not layout.unit_ini.exists():
         raise UnitError(f"{root}: no unit.ini; make a unit with `fernweir appliance init {root}`")
-    reader = Reader(read_file(layout.unit_ini))
-    unit = reader.take("unit", UnitSection)
-    trial = reader.take("trial", TrialSection) if "trial" in reader.file.sections else None
-    reader.finish()
+    reader = SectionReader(read_file(layout.unit_ini))
+    unit = reader.read_section("unit", UnitSection)
+    trial = reader.read_section("trial", TrialSection) if "trial" in reader.file.sections else None
+    reader.raise_problems()
     assert unit is not None
     for number in range(1, unit.fronts + 1):
         if not layout.front_ini(number).exists():
--- a/fernweir/config/front.py
+++ b/fernweir/config/front.py
@@ -10,7 +10,7 @@
 
 from pydantic import AfterValidator, Field
 
-from fernweir.config.ini import IniFile, Reader, Section, read_file
+from fernweir.config.ini import IniFile, Section, SectionReader, read_file
 from fernweir.config.peers import PeersSection, check_peers
 from fernweir.config.units import (
     Address,
@@ -24,8 +24,8 @@
     PositiveMillis,
     RateKb,
     RatesKb,
-    Share,
-    Shares,
+    Ratio,
+    Ratios,
     Size,
     YesNo,
 )
@@ -91,7 +91,7 @@
 
 class LadderSection(Section):
     rates: RatesKb
-    worths: Shares
+    worths: Ratios
     switch_cost: Millis = 500.0
 
 
@@ -109,9 +109,9 @@
     drain_grace: Millis | None = None
     budget_span: PositiveMillis | None = None
     budget_free: Number = 0.0
-    budget_share: Share = 0.0
+    budget_share: Ratio = 0.0
     cold_warm_up: PositiveMillis | None = None
-    cold_from: Share = 0.5
+    cold_from: Ratio = 0.5
     cold_multiple: Number = 3.0
     cold_span: PositiveMillis = 2_000.0
 
@@ -233,45 +233,45 @@
 
 
 def parse_front(file: IniFile, folder: Path) -> FrontConfig:
-    reader = Reader(file)
-    front = reader.take("front", FrontSection)
-    box_list = reader.take("list", ListSection)
-    tokens = reader.take("tokens", TokensSection)
-    fleet = reader.take("fleet", FleetSection)
-    ladder = reader.take("ladder", LadderSection)
-    reports = reader.take("reports", ReportsSection, required=False)
-    rules = reader.take("rules", RulesSection, required=False)
-    http = reader.take("http", HttpSection, required=False)
-    boxes = reader.take("boxes", BoxesSection, required=False)
-    log = reader.take("log", LogSection, required=False)
+    reader = SectionReader(file)
+    front = reader.read_section("front", FrontSection)
+    box_list = reader.read_section("list", ListSection)
+    tokens = reader.read_section("tokens", TokensSection)
+    fleet = reader.read_section("fleet", FleetSection)
+    ladder = reader.read_section("ladder", LadderSection)
+    reports = reader.read_section("reports", ReportsSection, required=False)
+    rules = reader.read_section("rules", RulesSection, required=False)
+    http = reader.read_section("http", HttpSection, required=False)
+    boxes = reader.read_section("boxes", BoxesSection, required=False)
+    log = reader.read_section("log", LogSection, required=False)
     entitlement = None
     if "entitlement" in file.sections:
-        entitlement = reader.take("entitlement", EntitlementSection)
+        entitlement = reader.read_section("entitlement", EntitlementSection)
     introspection = None
     if "introspection" in file.sections:
-        introspection = reader.take("introspection", IntrospectionSection)
+        introspection = reader.read_section("introspection", IntrospectionSection)
     control = None
     if "control" in file.sections:
-        control = reader.take("control", ControlSection)
+        control = reader.read_section("control", ControlSection)
     peers = None
     if "peers" in file.sections:
-        peers = reader.take("peers", PeersSection)
+        peers = reader.read_section("peers", PeersSection)
         if peers is not None:
             check_peers(reader, peers, folder)
-    classes = reader.take_all("class", ClassSection)
+    classes = reader.read_sections("class", ClassSection)
     if not any(name.startswith("class.") for name in file.sections):
-        reader.wrong("class.NAME", "", "at least one class is needed")
+        reader.add_problem("class.NAME", "", "at least one class is needed")
     if front is not None and front.ordinal >= front.fronts:
-        reader.wrong("front", "ordinal", f"counts from 0, and there are {front.fronts} fronts")
+        reader.add_problem("front", "ordinal", f"counts from 0, and there are {front.fronts} fronts")
     if front is not None and front.listen[1] == 0 and front.public_url is not None:
-        reader.wrong("front", "public-url", "needs a fixed port in listen")
+        reader.add_problem("front", "public-url", "needs a fixed port in listen")
     if ladder is not None:
         _check_ladder(reader, ladder, classes)
     if fleet is not None and fleet.racks > fleet.cells:
-        reader.wrong("fleet", "racks", f"more racks than the {fleet.cells} cells")
+        reader.add_problem("fleet", "racks", f"more racks than the {fleet.cells} cells")
     if reports is not None:
         _check_reports(reader, reports)
-    reader.finish()
+    reader.raise_problems()
     assert front and box_list and tokens and fleet and ladder and reports and rules and http and boxes and log
     settings = _settings(front, fleet, ladder, reports, rules, classes)
     numbers = {name: index for index, name in enumerate(classes)}
@@ -295,28 +295,28 @@
     )
 
 
-def _check_ladder(reader: Reader, ladder: LadderSection, classes: dict[str, ClassSection]) -> None:
+def _check_ladder(reader: SectionReader, ladder: LadderSection, classes: dict[str, ClassSection]) -> None:
     rungs = len(ladder.rates)
     if len(ladder.worths) != rungs:
-        reader.wrong("ladder", "worths", f"{len(ladder.worths)} worths for {rungs} rates")
+        reader.add_problem("ladder", "worths", f"{len(ladder.worths)} worths for {rungs} rates")
     for key, values in (("rates", ladder.rates), ("worths", ladder.worths)):
         if any(later <= earlier for earlier, later in pairwise(values)):
-            reader.wrong("ladder", key, "must rise from the lowest rung to the highest")
+            reader.add_problem("ladder", key, "must rise from the lowest rung to the highest")
     for name, one in classes.items():
         top = one.top_rung if one.top_rung is not None else rungs - 1
         if top >= rungs:
-            reader.wrong(f"class.{name}", "top-rung", f"counts from 0, and there are {rungs} rungs")
+            reader.add_problem(f"class.{name}", "top-rung", f"counts from 0, and there are {rungs} rungs")
         if one.lowest_rung > top:
-            reader.wrong(f"class.{name}", "lowest-rung", f"is above the highest rung, {top}")
+            reader.add_problem(f"class.{name}", "lowest-rung", f"is above the highest rung, {top}")
         if one.aim > one.deadline:
-            reader.wrong(f"class.{name}", "aim", "is later than the deadline")
+            reader.add_problem(f"class.{name}", "aim", "is later than the deadline")
 
 
-def _check_reports(reader: Reader, reports: ReportsSection) -> None:
+def _check_reports(reader: SectionReader, reports: ReportsSection) -> None:
     known = ("active", "waiting", "cpu", "avg_ms", "rps", "err_rps", "x0", "x1")
     for field in reports.fields:
         if field not in known:
-            reader.wrong("reports", "fields", f"unknown field {field}; known are {', '.join(known)}")
+            reader.add_problem("reports", "fields", f"unknown field {field}; known are {', '.join(known)}")
 
 
 def _settings(
--- a/fernweir/node/peering.py
+++ b/fernweir/node/peering.py
@@ -65,14 +65,14 @@
     """
     try:
         file = ini.read_file(path)
-        reader = ini.Reader(file)
-        section = reader.take("peers", PeersSection)
+        reader = ini.SectionReader(file)
+        section = reader.read_section("peers", PeersSection)
         if section is not None:
             check_peers(reader, section, path.parent)
         if not _is_peer_name(node_name):
             quoted = repr(node_name[:_MAX_QUOTED_NAME])
-            reader.wrong("peers", "", f"the node's name is none for a peer: {quoted}")
-        reader.finish()
+            reader.add_problem("peers", "", f"the node's name is none for a peer: {quoted}")
+        reader.raise_problems()
         assert section is not None
         return PeersFile(section, file.sections["peers"], read_keys(section, path.parent))
     except ini.ConfigError as error:
