--- a/fernweir/config/front.py
+++ b/fernweir/config/front.py
@@ -1,4 +1,7 @@
-"""The settings of a front, and the module's `Settings` made of them."""
+"""The settings of a front, and the controller's `Settings` made of them.
+
+Times are milliseconds, rates kB/s and sizes bytes, whatever units the file has.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 
 from pydantic import AfterValidator, Field
 
-from fernweir.config.ini import IniFile, Section, SectionReader, read_file
+from fernweir.config.ini import IniFile, Section, SectionReader, SectionT, read_file
 from fernweir.config.peers import PeersSection, check_peers
 from fernweir.config.units import (
     Address,
@@ -31,8 +34,10 @@
 )
 from fernweir.interface import Idempotency, RetryBudget, SessionClass, Settings, SlowStart
 
+_MS_PER_S = 1000.0
+
 
-def _http_url(value: str) -> str:
+def _check_http_url(value: str) -> str:
     parts = urlsplit(value)
     try:
         port = parts.port
@@ -43,11 +48,13 @@
     return value
 
 
-HttpUrl = Annotated[str, AfterValidator(_http_url)]
+HttpUrl = Annotated[str, AfterValidator(_check_http_url)]
 Name = Annotated[str, Field(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]*$")]
 
 
 class FrontSection(Section):
+    """The front itself: its name, addresses, place among the fronts, and times of its event loop."""
+
     name: Name
     listen: Address
     public_url: HttpUrl | None = None
@@ -62,12 +69,16 @@
 
 
 class ListSection(Section):
+    """The endpoint list: its URL, a file that caches it, and how long its stream may be silent."""
+
     url: HttpUrl
     cache: str | None = None
     silence: PositiveMillis = 15_000.0
 
 
 class TokensSection(Section):
+    """Keys and claims of tokens: of viewers, and those that the front issues for servers."""
+
     keys: str
     sign_with: str | None = None
     issuer: str | None = None
@@ -82,6 +93,8 @@
 
 
 class FleetSection(Section):
+    """The servers: zones, racks, streams by type of server, and rates of links and uplinks."""
+
     cells: Positive
     racks: Positive
     streams: Counts
@@ -90,12 +103,16 @@
 
 
 class LadderSection(Section):
+    """The bitrate ladder: rate and utility of each rung, lowest first, and the cost of a switch."""
+
     rates: RatesKb
     worths: Ratios
     switch_cost: Millis = 500.0
 
 
 class ReportsSection(Section):
+    """Load reports: their fields, interval and delay, and whether the front may check health."""
+
     fields: Names = Field(default_factory=list)
     tell: Millis = 0.0
     seen_after: Millis = 500.0
@@ -103,6 +120,8 @@
 
 
 class RulesSection(Section):
+    """Limits of attempts and retries, the retry budget, and slow start."""
+
     attempts: Positive | None = None
     retry_after_max: Millis | None = None
     answer_slack: Millis = 0.0
@@ -117,6 +136,8 @@
 
 
 class ClassSection(Section):
+    """A class of sessions: its latency objective, deadline, priority weight and rungs."""
+
     aim: PositiveMillis
     deadline: PositiveMillis
     gain: Number = 1.0
@@ -129,6 +150,8 @@
 
 
 class HttpSection(Section):
+    """Limits and timeouts of viewers' HTTP connections."""
+
     line: Size = 8_192
     head: Size = 16_384
     fields: Positive = 100
@@ -143,6 +166,8 @@
 
 
 class BoxesSection(Section):
+    """Limits and timeouts of connections to servers."""
+
     connections: Positive = 64
     connect_time: PositiveMillis = 250.0
     idle_time: PositiveMillis = 15_000.0
@@ -152,7 +177,7 @@
 
 
 class EntitlementSection(Section):
-    """Where seats are leased; left out, every good token may play."""
+    """The entitlement server that leases seats; without this section every valid token may play."""
 
     url: HttpUrl
     ledger: str
@@ -165,9 +190,10 @@
 
 
 class IntrospectionSection(Section):
-    """Where tokens are asked about (RFC 7662); left out, a good signature is all that is looked at.
+    """The server for token introspection (RFC 7662); without this section a valid signature suffices.
 
-    `tokens` of `all` asks about signed tokens too; `opaque` only about those that carry no claims.
+    With `tokens` set to `all` signed tokens are introspected too, with `opaque` only those without claims.
+    `believe` and `disbelieve` are the positive and the negative cache TTL.
     """
 
     url: HttpUrl
@@ -180,10 +206,10 @@
 
 
 class ControlSection(Section):
-    """The operators' socket, their orders, and the journal; left out, there is none of it.
+    """The control socket, operators' orders and the journal; without this section there are none.
 
-    `operators` may act, all if none is named; who may look at all is up to `mode`. A `led` front takes its
-    orders from a unit, and `orders` is the unit's file then.
+    `operators` may give orders, or everybody if none is named; `mode` decides who may connect. A `led` front
+    follows the orders of a unit, and `orders` is the unit's file then.
     """
 
     socket: str
@@ -199,20 +225,22 @@
 
 
 class LogSection(Section):
+    """Format and level of the log."""
+
     format: Literal["json", "text"] = "json"
     level: Literal["debug", "info", "warning", "error"] = "info"
 
 
 @dataclass(frozen=True, slots=True)
 class FrontConfig:
-    """All settings of one front; relative paths are resolved against the file's folder."""
+    """All settings of a front; relative paths are resolved against the folder of its file."""
 
     folder: Path
     front: FrontSection
     list: ListSection
     tokens: TokensSection
     http: HttpSection
-    boxes: BoxesSection
+    servers: BoxesSection
     log: LogSection
     entitlement: EntitlementSection | None
     introspection: IntrospectionSection | None
@@ -224,77 +252,129 @@
     sections: dict[str, dict[str, str]]  # as they stand in the file
 
     def path(self, name: str) -> Path:
+        """Returns the path of a file that the settings name."""
         return self.folder / name
 
 
+@dataclass(frozen=True, slots=True)
+class _Sections:
+    """The sections of a file; None for one that is missing or has problems."""
+
+    front: FrontSection | None
+    endpoint_list: ListSection | None
+    tokens: TokensSection | None
+    fleet: FleetSection | None
+    ladder: LadderSection | None
+    reports: ReportsSection | None
+    rules: RulesSection | None
+    http: HttpSection | None
+    servers: BoxesSection | None
+    log: LogSection | None
+    entitlement: EntitlementSection | None
+    introspection: IntrospectionSection | None
+    control: ControlSection | None
+    peers: PeersSection | None
+    classes: dict[str, ClassSection]
+
+
 def load_front(path: Path) -> FrontConfig:
-    """Reads and checks a file. ConfigError names every mistake in it."""
+    """Reads and checks the settings file of a front.
+
+    Raises:
+        ConfigError: The file cannot be read, or has problems.
+    """
     return parse_front(read_file(path), path.parent)
 
 
 def parse_front(file: IniFile, folder: Path) -> FrontConfig:
+    """Checks the settings of a front.
+
+    Args:
+        file: The settings.
+        folder: The folder against which relative paths are resolved.
+
+    Raises:
+        ConfigError: The settings have problems.
+    """
     reader = SectionReader(file)
-    front = reader.read_section("front", FrontSection)
-    box_list = reader.read_section("list", ListSection)
-    tokens = reader.read_section("tokens", TokensSection)
-    fleet = reader.read_section("fleet", FleetSection)
-    ladder = reader.read_section("ladder", LadderSection)
-    reports = reader.read_section("reports", ReportsSection, required=False)
-    rules = reader.read_section("rules", RulesSection, required=False)
-    http = reader.read_section("http", HttpSection, required=False)
-    boxes = reader.read_section("boxes", BoxesSection, required=False)
-    log = reader.read_section("log", LogSection, required=False)
-    entitlement = None
-    if "entitlement" in file.sections:
-        entitlement = reader.read_section("entitlement", EntitlementSection)
-    introspection = None
-    if "introspection" in file.sections:
-        introspection = reader.read_section("introspection", IntrospectionSection)
-    control = None
-    if "control" in file.sections:
-        control = reader.read_section("control", ControlSection)
-    peers = None
-    if "peers" in file.sections:
-        peers = reader.read_section("peers", PeersSection)
-        if peers is not None:
-            check_peers(reader, peers, folder)
-    classes = reader.read_sections("class", ClassSection)
-    if not any(name.startswith("class.") for name in file.sections):
-        reader.add_problem("class.NAME", "", "at least one class is needed")
-    if front is not None and front.ordinal >= front.fronts:
-        reader.add_problem("front", "ordinal", f"counts from 0, and there are {front.fronts} fronts")
-    if front is not None and front.listen[1] == 0 and front.public_url is not None:
-        reader.add_problem("front", "public-url", "needs a fixed port in listen")
-    if ladder is not None:
-        _check_ladder(reader, ladder, classes)
-    if fleet is not None and fleet.racks > fleet.cells:
-        reader.add_problem("fleet", "racks", f"more racks than the {fleet.cells} cells")
-    if reports is not None:
-        _check_reports(reader, reports)
+    sections = _read_sections(reader)
+    _check_sections(reader, sections, folder)
     reader.raise_problems()
-    assert front and box_list and tokens and fleet and ladder and reports and rules and http and boxes and log
-    settings = _settings(front, fleet, ladder, reports, rules, classes)
-    numbers = {name: index for index, name in enumerate(classes)}
-    plays = frozenset(name for name, one in classes.items() if one.when_silent == "play")
     return FrontConfig(
         folder=folder,
-        front=front,
-        list=box_list,
-        tokens=tokens,
-        http=http,
-        boxes=boxes,
-        log=log,
-        entitlement=entitlement,
-        introspection=introspection,
-        control=control,
-        peers=peers,
-        plays_unanswered=plays,
-        class_names=numbers,
-        settings=settings,
+        front=_present(sections.front),
+        list=_present(sections.endpoint_list),
+        tokens=_present(sections.tokens),
+        http=_present(sections.http),
+        servers=_present(sections.servers),
+        log=_present(sections.log),
+        entitlement=sections.entitlement,
+        introspection=sections.introspection,
+        control=sections.control,
+        peers=sections.peers,
+        plays_unanswered=frozenset(
+            name for name, section in sections.classes.items() if section.when_silent == "play"
+        ),
+        class_names={name: index for index, name in enumerate(sections.classes)},
+        settings=_controller_settings(sections),
         sections=file.sections,
     )
 
 
+def _read_sections(reader: SectionReader) -> _Sections:
+    return _Sections(
+        front=reader.read_section("front", FrontSection),
+        endpoint_list=reader.read_section("list", ListSection),
+        tokens=reader.read_section("tokens", TokensSection),
+        fleet=reader.read_section("fleet", FleetSection),
+        ladder=reader.read_section("ladder", LadderSection),
+        reports=reader.read_section("reports", ReportsSection, required=False),
+        rules=reader.read_section("rules", RulesSection, required=False),
+        http=reader.read_section("http", HttpSection, required=False),
+        servers=reader.read_section("boxes", BoxesSection, required=False),
+        log=reader.read_section("log", LogSection, required=False),
+        entitlement=_read_optional(reader, "entitlement", EntitlementSection),
+        introspection=_read_optional(reader, "introspection", IntrospectionSection),
+        control=_read_optional(reader, "control", ControlSection),
+        peers=_read_optional(reader, "peers", PeersSection),
+        classes=reader.read_sections("class", ClassSection),
+    )
+
+
+def _read_optional(reader: SectionReader, name: str, schema: type[SectionT]) -> SectionT | None:
+    return reader.read_section(name, schema) if name in reader.file.sections else None
+
+
+def _present(section: SectionT | None) -> SectionT:
+    """Returns a section that a file without problems has."""
+    assert section is not None
+    return section
+
+
+def _check_sections(reader: SectionReader, sections: _Sections, folder: Path) -> None:
+    """Adds problems between values of one or several sections."""
+    if sections.peers is not None:
+        check_peers(reader, sections.peers, folder)
+    if not any(name.startswith("class.") for name in reader.file.sections):
+        reader.add_problem("class.NAME", "", "at least one class is needed")
+    if sections.front is not None:
+        _check_front(reader, sections.front)
+    if sections.ladder is not None:
+        _check_ladder(reader, sections.ladder, sections.classes)
+    fleet = sections.fleet
+    if fleet is not None and fleet.racks > fleet.cells:
+        reader.add_problem("fleet", "racks", f"more racks than the {fleet.cells} cells")
+    if sections.reports is not None:
+        _check_reports(reader, sections.reports)
+
+
+def _check_front(reader: SectionReader, front: FrontSection) -> None:
+    if front.ordinal >= front.fronts:
+        reader.add_problem("front", "ordinal", f"counts from 0, and there are {front.fronts} fronts")
+    if front.listen[1] == 0 and front.public_url is not None:
+        reader.add_problem("front", "public-url", "needs a fixed port in listen")
+
+
 def _check_ladder(reader: SectionReader, ladder: LadderSection, classes: dict[str, ClassSection]) -> None:
     rungs = len(ladder.rates)
     if len(ladder.worths) != rungs:
@@ -302,13 +382,13 @@
     for key, values in (("rates", ladder.rates), ("worths", ladder.worths)):
         if any(later <= earlier for earlier, later in pairwise(values)):
             reader.add_problem("ladder", key, "must rise from the lowest rung to the highest")
-    for name, one in classes.items():
-        top = one.top_rung if one.top_rung is not None else rungs - 1
+    for name, section in classes.items():
+        top = section.top_rung if section.top_rung is not None else rungs - 1
         if top >= rungs:
             reader.add_problem(f"class.{name}", "top-rung", f"counts from 0, and there are {rungs} rungs")
-        if one.lowest_rung > top:
+        if section.lowest_rung > top:
             reader.add_problem(f"class.{name}", "lowest-rung", f"is above the highest rung, {top}")
-        if one.aim > one.deadline:
+        if section.aim > section.deadline:
             reader.add_problem(f"class.{name}", "aim", "is later than the deadline")
 
 
@@ -319,34 +399,12 @@
             reader.add_problem("reports", "fields", f"unknown field {field}; known are {', '.join(known)}")
 
 
-def _settings(
-    front: FrontSection,
-    fleet: FleetSection,
-    ladder: LadderSection,
-    reports: ReportsSection,
-    rules: RulesSection,
-    classes: dict[str, ClassSection],
-) -> Settings:
-    budget = cold = None
-    if rules.budget_span is not None:
-        budget = RetryBudget(rules.budget_span, rules.budget_free, rules.budget_share)
-    if rules.cold_warm_up is not None:
-        cold = SlowStart(rules.cold_warm_up, rules.cold_from, rules.cold_multiple, rules.cold_span)
+def _controller_settings(sections: _Sections) -> Settings:
+    front, fleet = _present(sections.front), _present(sections.fleet)
+    ladder, reports, rules = _present(sections.ladder), _present(sections.reports), _present(sections.rules)
+    top_rung = len(ladder.rates) - 1
     return Settings(
-        classes=tuple(
-            SessionClass(
-                name=name,
-                latency_objective_ms=one.aim,
-                deadline_ms=one.deadline,
-                priority_weight=one.gain,
-                idempotency=Idempotency(one.effect),
-                rate_multiplier=one.scale,
-                lowest_rung=one.lowest_rung,
-                top_rung=one.top_rung if one.top_rung is not None else len(ladder.rates) - 1,
-                seats=one.seats,
-            )
-            for name, one in classes.items()
-        ),
+        classes=tuple(_session_class(name, section, top_rung) for name, section in sections.classes.items()),
         front_count=front.fronts,
         front_index=front.ordinal,
         batch_period_ms=front.batch,
@@ -357,7 +415,7 @@
         streams_by_server_type=tuple(fleet.streams),
         link_rate_per_weight_kbyte_s=fleet.link,
         uplink_rate_kbyte_s=fleet.uplink,
-        switch_cost_s=ladder.switch_cost / 1000.0,
+        switch_cost_s=ladder.switch_cost / _MS_PER_S,
         report_delay_ms=reports.seen_after,
         report_interval_ms=reports.tell,
         report_fields=tuple(reports.fields),
@@ -367,6 +425,32 @@
         max_retry_after_ms=rules.retry_after_max,
         reply_slack_ms=rules.answer_slack,
         drain_grace_ms=rules.drain_grace,
-        slow_start=cold,
-        retry_budget=budget,
+        slow_start=_slow_start(rules),
+        retry_budget=_retry_budget(rules),
     )
+
+
+def _session_class(name: str, section: ClassSection, top_rung: int) -> SessionClass:
+    return SessionClass(
+        name=name,
+        latency_objective_ms=section.aim,
+        deadline_ms=section.deadline,
+        priority_weight=section.gain,
+        idempotency=Idempotency(section.effect),
+        rate_multiplier=section.scale,
+        lowest_rung=section.lowest_rung,
+        top_rung=section.top_rung if section.top_rung is not None else top_rung,
+        seats=section.seats,
+    )
+
+
+def _retry_budget(rules: RulesSection) -> RetryBudget | None:
+    if rules.budget_span is None:
+        return None
+    return RetryBudget(rules.budget_span, rules.budget_free, rules.budget_share)
+
+
+def _slow_start(rules: RulesSection) -> SlowStart | None:
+    if rules.cold_warm_up is None:
+        return None
+    return SlowStart(rules.cold_warm_up, rules.cold_from, rules.cold_multiple, rules.cold_span)
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -166,17 +166,17 @@
     )
     core = Dispatcher(host, batch_ms=section.batch, log=log)
     pool = Pool(
-        per_origin=config.boxes.connections,
-        connect_s=config.boxes.connect_time / 1000.0,
-        idle_s=config.boxes.idle_time / 1000.0,
-        limits=Limits(body=int(config.boxes.manifest)),
+        per_origin=config.servers.connections,
+        connect_s=config.servers.connect_time / 1000.0,
+        idle_s=config.servers.idle_time / 1000.0,
+        limits=Limits(body=int(config.servers.manifest)),
     )
     boxes = BoxList(settings)
     if control is not None:
         await control.start(core, boxes)
     token = _ControlToken(keyring, section.name, config.tokens.box_audience, wall_s)
-    times = BoxTimes(probe_s=config.boxes.probe_time / 1000.0, call_s=config.boxes.call_time / 1000.0)
-    streams = Pool(per_origin=2, connect_s=config.boxes.connect_time / 1000.0)
+    times = BoxTimes(probe_s=config.servers.probe_time / 1000.0, call_s=config.servers.call_time / 1000.0)
+    streams = Pool(per_origin=2, connect_s=config.servers.connect_time / 1000.0)
     client = BoxClient(core, pool, streams, boxes, token, times, section.seed)
     core.server_transport = client
     gate = None
