--- a/fernweir/node/reconnect.py
+++ b/fernweir/node/reconnect.py
@@ -109,6 +109,10 @@
         is_open = self.phase in (ReconnectPhase.CONNECTING, ReconnectPhase.CONNECTED)
         if connection_number != self.connection_number or not is_open:
             return False
+        if self.phase is ReconnectPhase.CONNECTED and now - self._connected_at >= STABLE_AFTER_S:
+            # The feed can be reached. While a node backs off it learns of no drain, and a grown backoff may
+            # be longer than the grace after one: a feed that is silent between events must not make it grow.
+            self._failed_connects = 0
         backoff_s = min(INITIAL_BACKOFF_S * 2.0**self._failed_connects, MAX_BACKOFF_S)
         random_factor = 0.5 + self._rng.random()
         self._failed_connects = min(self._failed_connects + 1, _MAX_BACKOFF_EXPONENT)
--- a/tests/test_node_crossing_feed.py
+++ b/tests/test_node_crossing_feed.py
@@ -288,6 +288,19 @@
         other.close()
 
 
+def test_a_feed_that_is_silent_between_its_events_is_asked_again_within_a_drain_s_grace() -> None:
+    """While a node backs off it learns of no drain: the shortest grace of a deployment of ours is 400 ms."""
+    policy, now = ReconnectPolicy(1), 0.0
+    for _ in range(40):
+        opening = policy.begin_connection(now)
+        assert opening is not None and policy.on_connected(opening, now)
+        assert policy.deadline is not None and policy.timeout_reason() == "silent"
+        now = policy.deadline
+        assert policy.on_connection_ended(opening, now)
+        assert policy.deadline - now <= 0.075
+        now = policy.deadline
+
+
 def test_an_opening_ends_once_and_a_feed_that_is_of_no_use_is_asked_ever_more_slowly() -> None:
     policy, now, pauses = ReconnectPolicy(1), 0.0, []
     for _ in range(40):
