--- a/fernweir/front/dash.py
+++ b/fernweir/front/dash.py
@@ -16,9 +16,9 @@
 from pydantic import ValidationError
 
 from fernweir.entitlement.introspect import IntrospectionDecision, IntrospectionStatus
-from fernweir.front.boxlist import BoxList
 from fernweir.front.commands import ReplyKind, SessionReply, SessionRequest, SetUp
 from fernweir.front.dispatcher import Dispatcher, InvalidServerReplyError, ServerRequest
+from fernweir.front.endpoint_list import BoxList
 from fernweir.front.introspection import TokenDesk
 from fernweir.front.manifest import Manifest, ManifestCache, ManifestError
 from fernweir.http.client import Reply
--- a/fernweir/front/follower.py
+++ b/fernweir/front/follower.py
@@ -9,8 +9,8 @@
 from urllib.parse import urlsplit
 
 from fernweir.front.atomic_file import write_file
-from fernweir.front.boxlist import BoxList, ListError, ListGapError, read_document
 from fernweir.front.dispatcher import Dispatcher
+from fernweir.front.endpoint_list import BoxList, ListError, ListGapError, read_document
 from fernweir.http.client import Call, Pool, Reply
 from fernweir.http.sse import EventReader, ServerEvent
 from fernweir.interface import EndpointListKind, EndpointListUpdate
--- a/fernweir/front/operator_controls.py
+++ b/fernweir/front/operator_controls.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from fernweir.control.orders import Orders, SiteNow
-from fernweir.front.boxlist import BoxList
 from fernweir.front.dispatcher import Dispatcher
+from fernweir.front.endpoint_list import BoxList
 from fernweir.front.session_manager import SessionPhase
 from fernweir.interface import ServerState
 
--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from typing import Any
 
-from fernweir.front.boxes import BoxClient
-from fernweir.front.boxlist import BoxLine, BoxList, ListError, read_document
 from fernweir.front.commands import ReplyKind, SessionReply, SessionRequest
 from fernweir.front.dispatcher import Dispatcher, InvalidServerReplyError
+from fernweir.front.endpoint_list import BoxLine, BoxList, ListError, read_document
 from fernweir.front.peer_view import Acting
+from fernweir.front.server_client import BoxClient
 from fernweir.front.session_manager import SessionPhase, SessionRecord
 from fernweir.http.client import Outcome, Reply
 from fernweir.interface import Result
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -22,11 +22,10 @@
 from fernweir.entitlement.client import EntitlementClient
 from fernweir.entitlement.introspect import IntrospectionConfig, Introspector
 from fernweir.entitlement.queue import QueueConfig
-from fernweir.front.boxes import BoxClient, BoxTimes
-from fernweir.front.boxlist import BoxList
 from fernweir.front.commands import SessionRequest
 from fernweir.front.dash import DashService, TokenRules
 from fernweir.front.dispatcher import Dispatcher, Log
+from fernweir.front.endpoint_list import BoxList
 from fernweir.front.entitlement_gate import Gate
 from fernweir.front.follower import ListFollower
 from fernweir.front.introspection import TokenDesk
@@ -34,6 +33,7 @@
 from fernweir.front.operator_controls import Steering
 from fernweir.front.record import Recorder
 from fernweir.front.seat_reconciliation import UseCheck
+from fernweir.front.server_client import BoxClient, BoxTimes
 from fernweir.front.session_manager import SessionLimits, SessionManager
 from fernweir.http.client import Pool
 from fernweir.http.parse import Limits
--- a/fernweir/front/boxes.py
+++ b/fernweir/front/server_client.py
@@ -8,9 +8,9 @@
 from random import Random
 from urllib.parse import quote
 
-from fernweir.front.boxlist import BoxList
 from fernweir.front.commands import ChangeRung, ReleaseSession, SendHealthCheck, SetUp, SetUpResult
 from fernweir.front.dispatcher import Dispatcher, InvalidServerReplyError
+from fernweir.front.endpoint_list import BoxList
 from fernweir.front.response_classification import judge, load_report
 from fernweir.front.rungsync import RungSync, Send
 from fernweir.front.server_notices import NotesError, NotesState, Told
--- a/tests/fuzzing/boxlist.py
+++ b/tests/fuzzing/boxlist.py
@@ -6,7 +6,7 @@
 from random import Random
 from typing import Any
 
-from fernweir.front.boxlist import BoxList, ListError, ListGapError, read_document
+from fernweir.front.endpoint_list import BoxList, ListError, ListGapError, read_document
 from fernweir.interface import EndpointListKind
 from tests.fuzzing import Target, mutate, same
 from tests.helpers import SETTINGS
--- a/tests/fuzzing/parsers.py
+++ b/tests/fuzzing/parsers.py
@@ -8,7 +8,7 @@
 
 from fernweir.dash.build import Title, build_mpd
 from fernweir.dash.mpd import MpdError, read_mpd
-from fernweir.front.boxlist import ListError, read_document
+from fernweir.front.endpoint_list import ListError, read_document
 from fernweir.tokens import Keyring, SessionClaims, TokenError
 from fernweir.tokens.key_generation import generate_key_set
 from tests.fuzzing import Finding, Target, mutate
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -36,7 +36,7 @@
 from fernweir.dash.mpd import read_mpd
 from fernweir.entitlement import client as leases
 from fernweir.entitlement import introspect
-from fernweir.front import boxlist, introspection, seat_reconciliation
+from fernweir.front import endpoint_list, introspection, seat_reconciliation
 from fernweir.front.record import from_plain, to_plain
 from fernweir.http import client as http_client
 from fernweir.http import parse as http
@@ -125,9 +125,9 @@
     "control-orders": control.Led,
     "control-ask-fleet": control.AskFleet,
     # The server list.
-    "list-document": boxlist.ListDocument,
-    "list-server": boxlist.BoxLine,
-    "list-title": boxlist.LessonLine,
+    "list-document": endpoint_list.ListDocument,
+    "list-server": endpoint_list.BoxLine,
+    "list-title": endpoint_list.LessonLine,
     # Tokens.
     "claims-session": claims.SessionClaims,
     "claims-server": claims.ServerClaims,
@@ -554,10 +554,10 @@
 # --- lists ---
 
 
-def read_list_cache(data: bytes) -> boxlist.BoxList:
+def read_list_cache(data: bytes) -> endpoint_list.BoxList:
     """A stored copy of the server list."""
-    held = boxlist.BoxList(interface_settings())
-    held.take_whole(50_000.0, boxlist.read_document(data), cached=True)
+    held = endpoint_list.BoxList(interface_settings())
+    held.take_whole(50_000.0, endpoint_list.read_document(data), cached=True)
     return held
 
 
@@ -769,7 +769,7 @@
     "control-hello": Format(control.Hello.model_validate_json, write_model),
     "control-message": Format(read_control_message, write_model),
     "control-conversation": Format(converse),
-    "list-document": Format(boxlist.read_document),
+    "list-document": Format(endpoint_list.read_document),
     "list-cache": Format(read_list_cache, lambda held: held.to_cache()),
     "key-file": Format(read_keys),
     "token-session": Format(token_reader(claims.SessionClaims, "fernweir-front"), write_token),
@@ -824,7 +824,7 @@
     value = read(data)
     if isinstance(value, operators.Orders):
         return plain_orders(value)
-    if isinstance(value, boxlist.BoxList):
+    if isinstance(value, endpoint_list.BoxList):
         titles = {name: [one.number, one.first_cell, one.copies] for name, one in value.lessons.items()}
         return plain([value.epoch, value.version, value.boxes, titles])
     return plain(value)
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from fernweir.front import peering as front_peering
-from fernweir.front.boxlist import BoxList, read_document
+from fernweir.front.endpoint_list import BoxList, read_document
 from fernweir.interface import Idempotency, Settings
 from fernweir.node import peering as node_peering
 from fernweir.peers import foresight, lateness, peer, replacing, weighing
--- a/tests/peers_mutants/fuzz.py
+++ b/tests/peers_mutants/fuzz.py
@@ -9,7 +9,7 @@
 _CODEC = "fernweir/peers/wire/codec.py"
 _LEDGER, _BOXES, _DISK = (
     "fernweir/front/reply_ledger.py",
-    "fernweir/front/boxlist.py",
+    "fernweir/front/endpoint_list.py",
     "fernweir/journal/disk.py",
 )
 _STORE = "fernweir/journal/store.py"
--- a/tests/test_boxlist.py
+++ b/tests/test_boxlist.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fernweir.front.boxlist import BoxList, ListError, ListGapError, read_document
+from fernweir.front.endpoint_list import BoxList, ListError, ListGapError, read_document
 from fernweir.front.response_classification import judge, load_report
 from fernweir.front.rungsync import RungSync, Send
 from fernweir.front.server_notices import NotesError, NotesState, Over, Told
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -116,7 +116,7 @@
     "fernweir.control.orders.Result": "its to_plain stands in the answers of control-conversation",
     "fernweir.control.orders.SiteNow": "its to_plain stands in the answer to `site` of control-conversation",
     "fernweir.control.orders._Undo": "stored as a list within orders-file",
-    "fernweir.front.boxlist.Lesson": "made of a list-title",
+    "fernweir.front.endpoint_list.Lesson": "made of a list-title",
     "fernweir.http.parse.Limits": "limits of a parser",
     "fernweir.seats.log.LogConfig": "settings of the log",
     "fernweir.journal.segment.Query": "made of a control-events message",
@@ -126,14 +126,15 @@
     "seats.log",
     "control.orders", "control.messages", "node.jsonl", "node.frames", "node.config", "http.parse",
     "http.sse",
-    "front.boxlist", "dash.build", "entitlement.client", "front.seat_reconciliation", "front.introspection",
+    "front.endpoint_list", "dash.build", "entitlement.client", "front.seat_reconciliation",
+    "front.introspection",
 )  # fmt: skip
 IN_MEMORY_MODELS = {
     "fernweir.audit.records.Record": "what all records of a trace share",
     "fernweir.config.ini.Section": "what all sections of settings share",
     "fernweir.control.messages.AnyAsk": "reads one of the messages",
     "fernweir.control.messages._Message": "what all messages share",
-    "fernweir.front.boxlist._Strict": "what all parts of a list document share",
+    "fernweir.front.endpoint_list._Strict": "what all parts of a list document share",
     "fernweir.tokens.claims.Claims": "what all tokens share",
 }
 IN_MEMORY_ENUMS = {
--- a/tests/test_peers_boxes.py
+++ b/tests/test_peers_boxes.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from fernweir.front.boxes import BoxClient
 from fernweir.front.peering import Peering
+from fernweir.front.server_client import BoxClient
 from fernweir.interface import Result
 from fernweir.peers.port import Claimed, Standing
 from fernweir.rehearsal.site import SitePlan
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -15,7 +15,7 @@
 import pytest
 
 from fernweir.controller import SafetyRules
-from fernweir.front import boxlist
+from fernweir.front import endpoint_list
 from fernweir.front.manifest import ManifestCache
 from fernweir.front.response_classification import judge
 from fernweir.front.session_replies import SessionReplies
@@ -250,7 +250,7 @@
 
 
 def a_drain_is_taken_for_ready(patch: pytest.MonkeyPatch) -> None:
-    patch.setitem(boxlist._STATES, "draining", ServerState.READY)
+    patch.setitem(endpoint_list._STATES, "draining", ServerState.READY)
 
 
 def a_time_out_counts_as_never_ran(patch: pytest.MonkeyPatch) -> None:
@@ -258,7 +258,7 @@
         result, why = judge(reply)
         return (Result.CONNECT_FAILED, why) if result is Result.TIMEOUT else (result, why)
 
-    patch.setattr("fernweir.front.boxes.judge", wrong)
+    patch.setattr("fernweir.front.server_client.judge", wrong)
 
 
 def the_budget_is_not_looked_at(patch: pytest.MonkeyPatch) -> None:
