--- a/fernweir/front/dash.py
+++ b/fernweir/front/dash.py
@@ -18,7 +18,7 @@
 from fernweir.entitlement.introspect import IntrospectionDecision, IntrospectionStatus
 from fernweir.front.commands import ReplyKind, SessionReply, SessionRequest, SetUp
 from fernweir.front.dispatcher import Dispatcher, InvalidServerReplyError, ServerRequest
-from fernweir.front.endpoint_list import BoxList
+from fernweir.front.endpoint_list import EndpointList
 from fernweir.front.introspection import TokenDesk
 from fernweir.front.manifest import Manifest, ManifestCache, ManifestError
 from fernweir.http.client import Reply
@@ -67,7 +67,7 @@
     def __init__(
         self,
         core: Dispatcher,
-        boxes: BoxList,
+        boxes: EndpointList,
         settings: Settings,
         classes: dict[str, int],
         keyring: Keyring,
--- a/fernweir/front/endpoint_list.py
+++ b/fernweir/front/endpoint_list.py
@@ -79,7 +79,7 @@
     copies: int
 
 
-class BoxList:
+class EndpointList:
     """What is held, and how a document changes it. Clock values are milliseconds."""
 
     def __init__(self, settings: Settings) -> None:
--- a/fernweir/front/follower.py
+++ b/fernweir/front/follower.py
@@ -10,7 +10,7 @@
 
 from fernweir.front.atomic_file import write_file
 from fernweir.front.dispatcher import Dispatcher
-from fernweir.front.endpoint_list import BoxList, ListError, ListGapError, read_document
+from fernweir.front.endpoint_list import EndpointList, ListError, ListGapError, read_document
 from fernweir.http.client import Call, Pool, Reply
 from fernweir.http.sse import EventReader, ServerEvent
 from fernweir.interface import EndpointListKind, EndpointListUpdate
@@ -25,7 +25,7 @@
         self,
         core: Dispatcher,
         pool: Pool,
-        boxes: BoxList,
+        boxes: EndpointList,
         url: str,
         token: Callable[[], str],
         *,
--- a/fernweir/front/operator_controls.py
+++ b/fernweir/front/operator_controls.py
@@ -8,7 +8,7 @@
 
 from fernweir.control.orders import Orders, SiteNow
 from fernweir.front.dispatcher import Dispatcher
-from fernweir.front.endpoint_list import BoxList
+from fernweir.front.endpoint_list import EndpointList
 from fernweir.front.session_manager import SessionPhase
 from fernweir.interface import ServerState
 
@@ -16,7 +16,7 @@
 class Steering:
     """See `control.desk.Hands`."""
 
-    def __init__(self, core: Dispatcher, boxes: BoxList, wall_offset_s: float) -> None:
+    def __init__(self, core: Dispatcher, boxes: EndpointList, wall_offset_s: float) -> None:
         self._core, self._boxes = core, boxes
         self._wall_offset_ms = wall_offset_s * 1000.0
         self._timers: set[asyncio.TimerHandle] = set()
--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -12,7 +12,7 @@
 
 from fernweir.front.commands import ReplyKind, SessionReply, SessionRequest
 from fernweir.front.dispatcher import Dispatcher, InvalidServerReplyError
-from fernweir.front.endpoint_list import BoxLine, BoxList, ListError, read_document
+from fernweir.front.endpoint_list import BoxLine, EndpointList, ListError, read_document
 from fernweir.front.peer_view import Acting
 from fernweir.front.server_client import BoxClient
 from fernweir.front.session_manager import SessionPhase, SessionRecord
@@ -29,7 +29,7 @@
     """`wall_ms` gives wall time now. `fences` is asked under which channel and fence a session is steered."""
 
     def __init__(
-        self, core: Dispatcher, boxes: BoxList, client: BoxClient, classes: Mapping[str, int],
+        self, core: Dispatcher, boxes: EndpointList, client: BoxClient, classes: Mapping[str, int],
         wall_ms: Callable[[], float],
     ) -> None:  # fmt: skip
         super().__init__(core, self, wall_ms)
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -25,7 +25,7 @@
 from fernweir.front.commands import SessionRequest
 from fernweir.front.dash import DashService, TokenRules
 from fernweir.front.dispatcher import Dispatcher, Log
-from fernweir.front.endpoint_list import BoxList
+from fernweir.front.endpoint_list import EndpointList
 from fernweir.front.entitlement_gate import Gate
 from fernweir.front.follower import ListFollower
 from fernweir.front.introspection import TokenDesk
@@ -171,7 +171,7 @@
         idle_s=config.servers.idle_time / 1000.0,
         limits=Limits(body=int(config.servers.manifest)),
     )
-    boxes = BoxList(settings)
+    boxes = EndpointList(settings)
     if control is not None:
         await control.start(core, boxes)
     token = _ControlToken(keyring, section.name, config.tokens.box_audience, wall_s)
@@ -259,7 +259,7 @@
 
 
 async def _start_peers(
-    config: FrontConfig, core: Dispatcher, boxes: BoxList, client: BoxClient, keyring: Keyring,
+    config: FrontConfig, core: Dispatcher, boxes: EndpointList, client: BoxClient, keyring: Keyring,
     wall_s: Callable[[], float], nonce: Callable[[int], bytes],
 ) -> Peers:  # fmt: skip
     from fernweir.front.peering import Peering
@@ -333,7 +333,7 @@
         playing = self._host.count_sessions_by_phase(ask.title_name, ask.tenant) if self.orders.caps else {}
         return self.orders.turned_away(ask.title_name, ask.tenant, playing)
 
-    async def start(self, core: Dispatcher, boxes: BoxList) -> None:
+    async def start(self, core: Dispatcher, boxes: EndpointList) -> None:
         section, self._host = self._section, core.sessions
         self._steering = Steering(core, boxes, self._offset)
         rules = DeskRules(tuple(section.operators), section.led)
--- a/fernweir/front/server_client.py
+++ b/fernweir/front/server_client.py
@@ -10,7 +10,7 @@
 
 from fernweir.front.commands import ChangeRung, ReleaseSession, SendHealthCheck, SetUp, SetUpResult
 from fernweir.front.dispatcher import Dispatcher, InvalidServerReplyError
-from fernweir.front.endpoint_list import BoxList
+from fernweir.front.endpoint_list import EndpointList
 from fernweir.front.response_classification import judge, load_report
 from fernweir.front.rungsync import RungSync, Send
 from fernweir.front.server_notices import NotesError, NotesState, Told
@@ -43,7 +43,7 @@
         core: Dispatcher,
         pool: Pool,
         streams: Pool,
-        boxes: BoxList,
+        boxes: EndpointList,
         control_token: Callable[[], str],
         times: BoxTimes | None = None,
         seed: int = 0,
--- a/tests/fuzzing/boxlist.py
+++ b/tests/fuzzing/boxlist.py
@@ -6,7 +6,7 @@
 from random import Random
 from typing import Any
 
-from fernweir.front.endpoint_list import BoxList, ListError, ListGapError, read_document
+from fernweir.front.endpoint_list import EndpointList, ListError, ListGapError, read_document
 from fernweir.interface import EndpointListKind
 from tests.fuzzing import Target, mutate, same
 from tests.helpers import SETTINGS
@@ -67,7 +67,7 @@
 _STATES = {0: "gone", 1: "ready", 2: "draining"}
 
 
-def _same_held(ours: BoxList, model: Model, what: object) -> None:
+def _same_held(ours: EndpointList, model: Model, what: object) -> None:
     held = {box: line.model_dump() for box, line in ours.boxes.items()}
     fields = set(DEFAULTS) | {"box", "host", "port", "state", "cell"}
     slow = {box: {name: line[name] for name in fields} for box, line in model.boxes.items()}
@@ -78,7 +78,7 @@
 
 def check(data: bytes) -> None:
     """Documents, one a line; between two of them a second passes."""
-    ours, model, now = BoxList(SETTINGS), Model(), 10_000.0
+    ours, model, now = EndpointList(SETTINGS), Model(), 10_000.0
     for line in data.split(b"\n"):
         now += 1_000.0
         try:
@@ -103,7 +103,7 @@
         same(said, slow, line)
         _same_held(ours, model, line)
         if model.epoch:  # what is kept is what was held
-            again = BoxList(SETTINGS)
+            again = EndpointList(SETTINGS)
             again.take_whole(0.0, read_document(ours.to_cache()), cached=True)
             same(
                 {box: line.model_copy(update={"age_s": None}) for box, line in ours.boxes.items()},
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -554,9 +554,9 @@
 # --- lists ---
 
 
-def read_list_cache(data: bytes) -> endpoint_list.BoxList:
+def read_list_cache(data: bytes) -> endpoint_list.EndpointList:
     """A stored copy of the server list."""
-    held = endpoint_list.BoxList(interface_settings())
+    held = endpoint_list.EndpointList(interface_settings())
     held.take_whole(50_000.0, endpoint_list.read_document(data), cached=True)
     return held
 
@@ -824,7 +824,7 @@
     value = read(data)
     if isinstance(value, operators.Orders):
         return plain_orders(value)
-    if isinstance(value, endpoint_list.BoxList):
+    if isinstance(value, endpoint_list.EndpointList):
         titles = {name: [one.number, one.first_cell, one.copies] for name, one in value.lessons.items()}
         return plain([value.epoch, value.version, value.boxes, titles])
     return plain(value)
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from fernweir.front import peering as front_peering
-from fernweir.front.endpoint_list import BoxList, read_document
+from fernweir.front.endpoint_list import EndpointList, read_document
 from fernweir.interface import Idempotency, Settings
 from fernweir.node import peering as node_peering
 from fernweir.peers import foresight, lateness, peer, replacing, weighing
@@ -404,7 +404,7 @@
 
 def _box_list() -> bytes:
     """A held list as a front gives it to a peer that lacks it."""
-    boxes = BoxList(SETTINGS)
+    boxes = EndpointList(SETTINGS)
     box = {"box": 1, "host": "10.0.0.1", "port": 8_001, "state": "ready", "boot": "b-1", "age_s": 5.5}
     lines = [{**box, "cell": 1, "kind": 0, "weight": 1.5}]
     lines += [{**box, "box": 2, "state": "draining", "cell": 2, "boot": "", "age_s": None}]
--- a/tests/test_boxlist.py
+++ b/tests/test_boxlist.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fernweir.front.endpoint_list import BoxList, ListError, ListGapError, read_document
+from fernweir.front.endpoint_list import EndpointList, ListError, ListGapError, read_document
 from fernweir.front.response_classification import judge, load_report
 from fernweir.front.rungsync import RungSync, Send
 from fernweir.front.server_notices import NotesError, NotesState, Over, Told
@@ -30,7 +30,7 @@
 
 
 def test_whole_lists_and_changes() -> None:
-    held = BoxList(SETTINGS)
+    held = EndpointList(SETTINGS)
     lesson = {"title": "t", "cell": 1, "copies": 2}
     first = held.take_whole(10_000.0, document(3, line(1), line(2, age_s=2.0), lessons=[lesson]))
     assert first is not None and first.kind is EndpointListKind.FULL and held.last_id == "e:3"
@@ -53,7 +53,7 @@
 
 
 def test_a_kept_list_is_taken_and_then_replaced() -> None:
-    held, again = BoxList(SETTINGS), BoxList(SETTINGS)
+    held, again = EndpointList(SETTINGS), EndpointList(SETTINGS)
     held.take_whole(
         9_000.0, document(3, line(1, age_s=1.0), lessons=[{"title": "t", "cell": 0, "copies": 1}])
     )
@@ -83,7 +83,7 @@
 
 
 def test_lists_that_do_not_fit_leave_what_was_held() -> None:
-    held = BoxList(SETTINGS)
+    held = EndpointList(SETTINGS)
     held.take_whole(0.0, document(1, line(1)))
     for bad in (document(2, line(1), line(1)), document(2, line(1, cell=99))):
         with pytest.raises(ListError):
