--- a/fernweir/front/endpoint_list.py
+++ b/fernweir/front/endpoint_list.py
@@ -25,7 +25,7 @@
     model_config = ConfigDict(strict=True, frozen=True, extra="ignore")
 
 
-class BoxLine(_Strict):
+class ServerEntry(_Strict):
     """One box. `boot` names one life of its process, `age_s` how long that had lasted when this was sent."""
 
     box: Annotated[int, Field(ge=0, le=0xFFFFFFFF)]
@@ -51,7 +51,7 @@
     epoch: Annotated[str, Field(min_length=1, max_length=64)]
     version: Annotated[int, Field(ge=0)]
     base: Annotated[int, Field(ge=0)] | None = None
-    boxes: list[BoxLine] = []
+    boxes: list[ServerEntry] = []
     lessons: list[LessonLine] = []
 
 
@@ -86,7 +86,7 @@
         self._settings = settings
         self.epoch = ""
         self.version = -1
-        self.boxes: dict[int, BoxLine] = {}
+        self.boxes: dict[int, ServerEntry] = {}
         self.lessons: dict[str, Lesson] = {}
         self._lesson_lines: dict[str, LessonLine] = {}
         self._started: dict[int, tuple[str, float]] = {}
@@ -166,7 +166,7 @@
             self.lessons[lesson.title] = Lesson(number_of(lesson.title), lesson.cell, lesson.copies)
         return EndpointListUpdate(kind, document.version & 0xFFFFFFFF, tuple(entries))
 
-    def _start_of(self, now: float, line: BoxLine) -> float:
+    def _start_of(self, now: float, line: ServerEntry) -> float:
         """When this life of the box began on our clock; 0 is long ago.
 
         Counted once a life: an age told again, later by the time on the way, would look like a restart.
--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -12,7 +12,7 @@
 
 from fernweir.front.commands import ReplyKind, SessionReply, SessionRequest
 from fernweir.front.dispatcher import Dispatcher, InvalidServerReplyError
-from fernweir.front.endpoint_list import BoxLine, EndpointList, ListError, read_document
+from fernweir.front.endpoint_list import EndpointList, ListError, ServerEntry, read_document
 from fernweir.front.peer_view import Acting
 from fernweir.front.server_client import BoxClient
 from fernweir.front.session_manager import SessionPhase, SessionRecord
@@ -271,7 +271,7 @@
             self._payloads.popitem(last=False)
 
 
-def _rows(boxes: Iterable[BoxLine], lessons: Iterable[tuple[str, int, int]]) -> list[tuple[int, Any]]:
+def _rows(boxes: Iterable[ServerEntry], lessons: Iterable[tuple[str, int, int]]) -> list[tuple[int, Any]]:
     rows: list[tuple[int, Any]] = [
         (one.box, [one.state, one.boot, one.host, one.port, one.cell, one.kind, one.weight])
         for one in boxes
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -126,7 +126,7 @@
     "control-ask-fleet": control.AskFleet,
     # The server list.
     "list-document": endpoint_list.ListDocument,
-    "list-server": endpoint_list.BoxLine,
+    "list-server": endpoint_list.ServerEntry,
     "list-title": endpoint_list.LessonLine,
     # Tokens.
     "claims-session": claims.SessionClaims,
