--- a/fernweir/front/endpoint_list.py
+++ b/fernweir/front/endpoint_list.py
@@ -39,7 +39,7 @@
     weight: Annotated[float, Field(gt=0)] = 1.0
 
 
-class LessonLine(_Strict):
+class TitleEntry(_Strict):
     """Where a lesson lies: `copies` cells in a row from `cell`."""
 
     title: Slug
@@ -52,7 +52,7 @@
     version: Annotated[int, Field(ge=0)]
     base: Annotated[int, Field(ge=0)] | None = None
     boxes: list[ServerEntry] = []
-    lessons: list[LessonLine] = []
+    lessons: list[TitleEntry] = []
 
 
 class ListError(ValueError):
@@ -88,7 +88,7 @@
         self.version = -1
         self.boxes: dict[int, ServerEntry] = {}
         self.lessons: dict[str, Lesson] = {}
-        self._lesson_lines: dict[str, LessonLine] = {}
+        self._lesson_lines: dict[str, TitleEntry] = {}
         self._started: dict[int, tuple[str, float]] = {}
 
     @property
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -127,7 +127,7 @@
     # The server list.
     "list-document": endpoint_list.ListDocument,
     "list-server": endpoint_list.ServerEntry,
-    "list-title": endpoint_list.LessonLine,
+    "list-title": endpoint_list.TitleEntry,
     # Tokens.
     "claims-session": claims.SessionClaims,
     "claims-server": claims.ServerClaims,
