--- a/fernweir/front/endpoint_list.py
+++ b/fernweir/front/endpoint_list.py
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lesson:
+class TitlePlacement:
     number: int
     first_cell: int
     copies: int
@@ -87,7 +87,7 @@
         self.epoch = ""
         self.version = -1
         self.boxes: dict[int, ServerEntry] = {}
-        self.lessons: dict[str, Lesson] = {}
+        self.lessons: dict[str, TitlePlacement] = {}
         self._lesson_lines: dict[str, TitleEntry] = {}
         self._started: dict[int, tuple[str, float]] = {}
 
@@ -163,7 +163,7 @@
             )
         for lesson in document.lessons:
             self._lesson_lines[lesson.title] = lesson
-            self.lessons[lesson.title] = Lesson(number_of(lesson.title), lesson.cell, lesson.copies)
+            self.lessons[lesson.title] = TitlePlacement(number_of(lesson.title), lesson.cell, lesson.copies)
         return EndpointListUpdate(kind, document.version & 0xFFFFFFFF, tuple(entries))
 
     def _start_of(self, now: float, line: ServerEntry) -> float:
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -116,7 +116,7 @@
     "fernweir.control.orders.Result": "its to_plain stands in the answers of control-conversation",
     "fernweir.control.orders.SiteNow": "its to_plain stands in the answer to `site` of control-conversation",
     "fernweir.control.orders._Undo": "stored as a list within orders-file",
-    "fernweir.front.endpoint_list.Lesson": "made of a list-title",
+    "fernweir.front.endpoint_list.TitlePlacement": "made of a list-title",
     "fernweir.http.parse.Limits": "limits of a parser",
     "fernweir.seats.log.LogConfig": "settings of the log",
     "fernweir.journal.segment.Query": "made of a control-events message",
