--- a/fernweir/front/endpoint_list.py
+++ b/fernweir/front/endpoint_list.py
@@ -100,7 +100,7 @@
         line = self.boxes.get(box)
         return (line.host, line.port) if line is not None else None
 
-    def take_whole(
+    def apply_full(
         self, now: float, document: ListDocument, *, cached: bool = False
     ) -> EndpointListUpdate | None:
         """A whole list; None if it is older than what is held of the same epoch, or the same."""
--- a/fernweir/front/follower.py
+++ b/fernweir/front/follower.py
@@ -65,7 +65,7 @@
             return
         try:
             document = read_document(self._cache.read_bytes())
-            update = self.boxes.take_whole(self.core.now(), document, cached=True)
+            update = self.boxes.apply_full(self.core.now(), document, cached=True)
         except FileNotFoundError:
             return
         except (OSError, ListError) as error:
@@ -105,7 +105,7 @@
         document = read_document(event.data)
         now = self.core.now()
         if event.event == "whole":
-            update = self.boxes.take_whole(now, document)
+            update = self.boxes.apply_full(now, document)
             if update is None and document.version < self.boxes.version:
                 held = self.boxes.version
                 self.core.log.warning("list went back", version=document.version, held=held)
--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -75,7 +75,7 @@
             # Another life of the list server can't be set in order with this one: its own word is waited for.
             if boxes_digest(shown) != digest or document.epoch != self._boxes.epoch:
                 return False
-            update = self._boxes.take_whole(now, document)
+            update = self._boxes.apply_full(now, document)
         except (ListError, ValueError) as error:
             self._core.log.warning("a peer's list is no good", why=str(error))
             return False
--- a/tests/fuzzing/boxlist.py
+++ b/tests/fuzzing/boxlist.py
@@ -87,7 +87,7 @@
             continue
         slow = model.take(now, json.loads(document.model_dump_json(exclude_unset=True)))
         try:
-            take = ours.take_whole if document.base is None else ours.take_changes
+            take = ours.apply_full if document.base is None else ours.take_changes
             update = take(now, document)
             said: Any = update and [
                 (one.server, _STATES[one.state], one.started_at, one.zone, one.weight)
@@ -104,7 +104,7 @@
         _same_held(ours, model, line)
         if model.epoch:  # what is kept is what was held
             again = EndpointList(SETTINGS)
-            again.take_whole(0.0, read_document(ours.to_cache()), cached=True)
+            again.apply_full(0.0, read_document(ours.to_cache()), cached=True)
             same(
                 {box: line.model_copy(update={"age_s": None}) for box, line in ours.boxes.items()},
                 again.boxes, line,
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -557,7 +557,7 @@
 def read_list_cache(data: bytes) -> endpoint_list.EndpointList:
     """A stored copy of the server list."""
     held = endpoint_list.EndpointList(interface_settings())
-    held.take_whole(50_000.0, endpoint_list.read_document(data), cached=True)
+    held.apply_full(50_000.0, endpoint_list.read_document(data), cached=True)
     return held
 
 
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -411,7 +411,7 @@
     lines += [{**box, "box": 3, "state": "gone", "cell": 3}]
     told = {"epoch": "e-1", "version": 7, "boxes": lines}
     told["lessons"] = [{"title": "title-1", "cell": 1, "copies": 2}, {"title": "a.b", "cell": 0, "copies": 1}]
-    boxes.take_whole(0.0, read_document(json.dumps(told)))
+    boxes.apply_full(0.0, read_document(json.dumps(told)))
     return boxes.to_cache()
 
 
--- a/tests/test_boxlist.py
+++ b/tests/test_boxlist.py
@@ -32,7 +32,7 @@
 def test_whole_lists_and_changes() -> None:
     held = EndpointList(SETTINGS)
     lesson = {"title": "t", "cell": 1, "copies": 2}
-    first = held.take_whole(10_000.0, document(3, line(1), line(2, age_s=2.0), lessons=[lesson]))
+    first = held.apply_full(10_000.0, document(3, line(1), line(2, age_s=2.0), lessons=[lesson]))
     assert first is not None and first.kind is EndpointListKind.FULL and held.last_id == "e:3"
     assert [entry.started_at for entry in first.entries] == [0.0, 8_000.0]
     assert held.lessons["t"].first_cell == 1 and held.address(2) == ("127.0.0.1", 1)
@@ -46,21 +46,21 @@
     for wrong in (document(9, base=8), document(6, base=5, epoch="f"), document(6), document(7, base=4)):
         with pytest.raises(ListGapError):
             held.take_changes(0.0, wrong)
-    assert held.take_whole(0.0, document(4, line(1))) is None  # goes back
-    assert held.take_whole(0.0, document(5, line(1))) is None
-    empty = held.take_whole(0.0, document(1, epoch="f"))  # a new life of the server may say anything
+    assert held.apply_full(0.0, document(4, line(1))) is None  # goes back
+    assert held.apply_full(0.0, document(5, line(1))) is None
+    empty = held.apply_full(0.0, document(1, epoch="f"))  # a new life of the server may say anything
     assert empty is not None and held.boxes == {} and held.address(1) is None
 
 
 def test_a_kept_list_is_taken_and_then_replaced() -> None:
     held, again = EndpointList(SETTINGS), EndpointList(SETTINGS)
-    held.take_whole(
+    held.apply_full(
         9_000.0, document(3, line(1, age_s=1.0), lessons=[{"title": "t", "cell": 0, "copies": 1}])
     )
-    cached = again.take_whole(5.0, read_document(held.to_cache()), cached=True)
+    cached = again.apply_full(5.0, read_document(held.to_cache()), cached=True)
     assert cached is not None and cached.kind is EndpointListKind.CACHED and again.lessons == held.lessons
     assert cached.entries[0].started_at == 0.0
-    assert again.take_whole(6.0, document(4, line(1))) is not None
+    assert again.apply_full(6.0, document(4, line(1))) is not None
 
 
 @pytest.mark.parametrize(
@@ -84,10 +84,10 @@
 
 def test_lists_that_do_not_fit_leave_what_was_held() -> None:
     held = EndpointList(SETTINGS)
-    held.take_whole(0.0, document(1, line(1)))
+    held.apply_full(0.0, document(1, line(1)))
     for bad in (document(2, line(1), line(1)), document(2, line(1, cell=99))):
         with pytest.raises(ListError):
-            held.take_whole(0.0, bad)
+            held.apply_full(0.0, bad)
     assert list(held.boxes) == [1] and held.version == 1
 
 
