--- a/fernweir/front/endpoint_list.py
+++ b/fernweir/front/endpoint_list.py
@@ -111,7 +111,7 @@
         self._lesson_lines, self.lessons = {}, {}
         return self._apply(now, document, EndpointListKind.CACHED if cached else EndpointListKind.FULL)
 
-    def take_changes(self, now: float, document: ListDocument) -> EndpointListUpdate | None:
+    def apply_delta(self, now: float, document: ListDocument) -> EndpointListUpdate | None:
         """Differences; None if they are known already. ListGapError if they build on something else."""
         if document.epoch != self.epoch or document.base is None or document.base > self.version:
             raise ListGapError(
--- a/fernweir/front/follower.py
+++ b/fernweir/front/follower.py
@@ -110,7 +110,7 @@
                 held = self.boxes.version
                 self.core.log.warning("list went back", version=document.version, held=held)
         else:
-            update = self.boxes.take_changes(now, document)
+            update = self.boxes.apply_delta(now, document)
         self._tries, self._failed = 0, False
         self._resume = self.boxes.last_id
         if update is not None:
--- a/tests/fuzzing/boxlist.py
+++ b/tests/fuzzing/boxlist.py
@@ -87,7 +87,7 @@
             continue
         slow = model.take(now, json.loads(document.model_dump_json(exclude_unset=True)))
         try:
-            take = ours.apply_full if document.base is None else ours.take_changes
+            take = ours.apply_full if document.base is None else ours.apply_delta
             update = take(now, document)
             said: Any = update and [
                 (one.server, _STATES[one.state], one.started_at, one.zone, one.weight)
--- a/tests/test_boxlist.py
+++ b/tests/test_boxlist.py
@@ -36,16 +36,16 @@
     assert first is not None and first.kind is EndpointListKind.FULL and held.last_id == "e:3"
     assert [entry.started_at for entry in first.entries] == [0.0, 8_000.0]
     assert held.lessons["t"].first_cell == 1 and held.address(2) == ("127.0.0.1", 1)
-    delta = held.take_changes(12_000.0, document(4, line(2, state="draining", age_s=4.1), base=3))
+    delta = held.apply_delta(12_000.0, document(4, line(2, state="draining", age_s=4.1), base=3))
     assert delta is not None and delta.kind is EndpointListKind.DELTA
     assert delta.entries[0].state is ServerState.DRAINING
     assert delta.entries[0].started_at == 8_000.0  # the same life, whatever its age now comes to
-    back = held.take_changes(20_000.0, document(5, line(2, boot="b", age_s=0.5), base=4))
+    back = held.apply_delta(20_000.0, document(5, line(2, boot="b", age_s=0.5), base=4))
     assert back is not None and back.entries[0].started_at == 19_500.0
-    assert held.take_changes(0.0, document(5, line(2), base=4)) is None  # told twice
+    assert held.apply_delta(0.0, document(5, line(2), base=4)) is None  # told twice
     for wrong in (document(9, base=8), document(6, base=5, epoch="f"), document(6), document(7, base=4)):
         with pytest.raises(ListGapError):
-            held.take_changes(0.0, wrong)
+            held.apply_delta(0.0, wrong)
     assert held.apply_full(0.0, document(4, line(1))) is None  # goes back
     assert held.apply_full(0.0, document(5, line(1))) is None
     empty = held.apply_full(0.0, document(1, epoch="f"))  # a new life of the server may say anything
