--- a/fernweir/front/endpoint_list.py
+++ b/fernweir/front/endpoint_list.py
@@ -86,7 +86,7 @@
         self._settings = settings
         self.epoch = ""
         self.version = -1
-        self.boxes: dict[int, ServerEntry] = {}
+        self.servers: dict[int, ServerEntry] = {}
         self.lessons: dict[str, TitlePlacement] = {}
         self._lesson_lines: dict[str, TitleEntry] = {}
         self._started: dict[int, tuple[str, float]] = {}
@@ -97,7 +97,7 @@
         return f"{self.epoch}:{self.version}" if self.epoch else ""
 
     def address(self, box: int) -> tuple[str, int] | None:
-        line = self.boxes.get(box)
+        line = self.servers.get(box)
         return (line.host, line.port) if line is not None else None
 
     def apply_full(
@@ -107,7 +107,7 @@
         if document.epoch == self.epoch and document.version <= self.version:
             return None
         self._check(document)
-        self.boxes = {}
+        self.servers = {}
         self._lesson_lines, self.lessons = {}, {}
         return self._apply(now, document, EndpointListKind.CACHED if cached else EndpointListKind.FULL)
 
@@ -129,7 +129,7 @@
         document = ListDocument(
             epoch=self.epoch or "none",
             version=max(self.version, 0),
-            boxes=[line.model_copy(update={"age_s": None}) for line in self.boxes.values()],
+            boxes=[line.model_copy(update={"age_s": None}) for line in self.servers.values()],
             lessons=list(self._lesson_lines.values()),
         )
         return json.dumps(document.model_dump(exclude_none=True), separators=(",", ":")).encode()
@@ -150,7 +150,7 @@
         self.epoch, self.version = document.epoch, document.version
         entries = []
         for line in document.boxes:
-            self.boxes[line.box] = line
+            self.servers[line.box] = line
             entries.append(
                 Endpoint(
                     line.box,
--- a/fernweir/front/follower.py
+++ b/fernweir/front/follower.py
@@ -72,7 +72,7 @@
             self.core.log.warning("kept list not used", file=str(self._cache), why=str(error))
             return
         if update is not None:
-            self.core.log.info("kept list taken", version=document.version, boxes=len(self.boxes.boxes))
+            self.core.log.info("kept list taken", version=document.version, boxes=len(self.boxes.servers))
             self._tell(update)
 
     def _open(self) -> None:
@@ -114,7 +114,7 @@
         self._tries, self._failed = 0, False
         self._resume = self.boxes.last_id
         if update is not None:
-            if not self.boxes.boxes:
+            if not self.boxes.servers:
                 self.core.log.warning("list is empty", version=document.version)
             self._tell(update)
             self._cache_later()
--- a/fernweir/front/operator_controls.py
+++ b/fernweir/front/operator_controls.py
@@ -44,7 +44,7 @@
         """Of the list as it stands; loads are what the module takes them for."""
         host, controller, now = self._core.sessions, self._core.sessions.controller, self.now()
         listed = host.endpoint_states
-        lines, cells = self._boxes.boxes, host.settings.zone_count
+        lines, cells = self._boxes.servers, host.settings.zone_count
         servers = controller.servers
         return SiteNow(
             ready=frozenset(box for box, state in listed.items() if state is ServerState.READY),
--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -48,12 +48,12 @@
 
     def boxes(self) -> list[int]:
         """All boxes that the list names now."""
-        return [box for box, line in self._boxes.boxes.items() if line.state != "gone"]
+        return [box for box, line in self._boxes.servers.items() if line.state != "gone"]
 
     def racks(self) -> list[tuple[str, frozenset[int], float]]:
         settings = self._core.sessions.settings
         boxes: dict[int, set[int]] = {rack: set() for rack in range(settings.rack_count)}
-        for box, line in self._boxes.boxes.items():
+        for box, line in self._boxes.servers.items():
             boxes[line.cell % settings.rack_count].add(box)
         # Without a figure for uplinks they are no limit: as much as all links together.
         return [
@@ -199,11 +199,11 @@
         return box, ""
 
     def draining(self) -> set[int]:
-        return {box for box, line in self._boxes.boxes.items() if line.state == "draining"}
+        return {box for box, line in self._boxes.servers.items() if line.state == "draining"}
 
     def list_rows(self) -> list[tuple[int, Any]]:
         lessons = [(title, one.first_cell, one.copies) for title, one in self._boxes.lessons.items()]
-        return _rows(self._boxes.boxes.values(), lessons)
+        return _rows(self._boxes.servers.values(), lessons)
 
     # --- pieces ---
 
--- a/tests/fuzzing/boxlist.py
+++ b/tests/fuzzing/boxlist.py
@@ -68,7 +68,7 @@
 
 
 def _same_held(ours: EndpointList, model: Model, what: object) -> None:
-    held = {box: line.model_dump() for box, line in ours.boxes.items()}
+    held = {box: line.model_dump() for box, line in ours.servers.items()}
     fields = set(DEFAULTS) | {"box", "host", "port", "state", "cell"}
     slow = {box: {name: line[name] for name in fields} for box, line in model.boxes.items()}
     same(held, slow, what)
@@ -106,8 +106,8 @@
             again = EndpointList(SETTINGS)
             again.apply_full(0.0, read_document(ours.to_cache()), cached=True)
             same(
-                {box: line.model_copy(update={"age_s": None}) for box, line in ours.boxes.items()},
-                again.boxes, line,
+                {box: line.model_copy(update={"age_s": None}) for box, line in ours.servers.items()},
+                again.servers, line,
             )  # fmt: skip
             same((again.lessons, again.last_id), (ours.lessons, ours.last_id), line)
 
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -826,7 +826,7 @@
         return plain_orders(value)
     if isinstance(value, endpoint_list.EndpointList):
         titles = {name: [one.number, one.first_cell, one.copies] for name, one in value.lessons.items()}
-        return plain([value.epoch, value.version, value.boxes, titles])
+        return plain([value.epoch, value.version, value.servers, titles])
     return plain(value)
 
 
--- a/tests/peers_mutants/fuzz.py
+++ b/tests/peers_mutants/fuzz.py
@@ -134,7 +134,7 @@
         Mutant(
             "a whole list leaves old boxes",
             _BOXES,
-            "        self.boxes = {}\n        self._lesson",
+            "        self.servers = {}\n        self._lesson",
             "        self._lesson",
             60,
         ),
@@ -144,8 +144,8 @@
         Mutant(
             "checked after it was taken",
             _BOXES,
-            "        self._check(document)\n        self.boxes = {}\n",
-            "        self.boxes = {}\n        self._check(document)\n",
+            "        self._check(document)\n        self.servers = {}\n",
+            "        self.servers = {}\n        self._check(document)\n",
             60,
         ),
     ],
--- a/tests/test_boxlist.py
+++ b/tests/test_boxlist.py
@@ -49,7 +49,7 @@
     assert held.apply_full(0.0, document(4, line(1))) is None  # goes back
     assert held.apply_full(0.0, document(5, line(1))) is None
     empty = held.apply_full(0.0, document(1, epoch="f"))  # a new life of the server may say anything
-    assert empty is not None and held.boxes == {} and held.address(1) is None
+    assert empty is not None and held.servers == {} and held.address(1) is None
 
 
 def test_a_kept_list_is_taken_and_then_replaced() -> None:
@@ -88,7 +88,7 @@
     for bad in (document(2, line(1), line(1)), document(2, line(1, cell=99))):
         with pytest.raises(ListError):
             held.apply_full(0.0, bad)
-    assert list(held.boxes) == [1] and held.version == 1
+    assert list(held.servers) == [1] and held.version == 1
 
 
 def test_notes_and_what_a_new_stream_tells() -> None:
