--- a/fernweir/front/dash.py
+++ b/fernweir/front/dash.py
@@ -253,7 +253,7 @@
     def _take(self, exchange: Exchange, claims: SessionClaims, in_query: bool, spent_ms: float) -> None:
         if not self.boxes.epoch:
             raise _RefusedError(503, "no-list", "the list of boxes is not here yet", (("retry-after", "1"),))
-        lesson = self.boxes.lessons.get(claims.title)
+        lesson = self.boxes.titles.get(claims.title)
         if lesson is None:
             raise _RefusedError(404, "no-lesson", "no such lesson")
         if self.core.sessions.is_closing or len(self.core.sessions.reply_ledger) >= self._most_waiting:
--- a/fernweir/front/endpoint_list.py
+++ b/fernweir/front/endpoint_list.py
@@ -87,7 +87,7 @@
         self.epoch = ""
         self.version = -1
         self.servers: dict[int, ServerEntry] = {}
-        self.lessons: dict[str, TitlePlacement] = {}
+        self.titles: dict[str, TitlePlacement] = {}
         self._lesson_lines: dict[str, TitleEntry] = {}
         self._started: dict[int, tuple[str, float]] = {}
 
@@ -108,7 +108,7 @@
             return None
         self._check(document)
         self.servers = {}
-        self._lesson_lines, self.lessons = {}, {}
+        self._lesson_lines, self.titles = {}, {}
         return self._apply(now, document, EndpointListKind.CACHED if cached else EndpointListKind.FULL)
 
     def apply_delta(self, now: float, document: ListDocument) -> EndpointListUpdate | None:
@@ -163,7 +163,7 @@
             )
         for lesson in document.lessons:
             self._lesson_lines[lesson.title] = lesson
-            self.lessons[lesson.title] = TitlePlacement(number_of(lesson.title), lesson.cell, lesson.copies)
+            self.titles[lesson.title] = TitlePlacement(number_of(lesson.title), lesson.cell, lesson.copies)
         return EndpointListUpdate(kind, document.version & 0xFFFFFFFF, tuple(entries))
 
     def _start_of(self, now: float, line: ServerEntry) -> float:
--- a/fernweir/front/operator_controls.py
+++ b/fernweir/front/operator_controls.py
@@ -55,7 +55,7 @@
                     for box, line in lines.items()
                     if (line.cell - lesson.first_cell) % cells < lesson.copies
                 ]
-                for title, lesson in self._boxes.lessons.items()
+                for title, lesson in self._boxes.titles.items()
             },
             playing={box: len(host.sessions_playing_at(box)) for box in listed},
             carried_kb={
--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -85,7 +85,7 @@
         return update is not None
 
     def take_over(self, now: float, standing: Standing, payload: bytes | None) -> bool:
-        core, lesson = self._core, self._boxes.lessons.get(standing.title)
+        core, lesson = self._core, self._boxes.titles.get(standing.title)
         cls, carrier = self._classes.get(standing.cls), core.set_up_codecs.get(standing.via)
         if lesson is None or cls is None or carrier is None:
             return False
@@ -202,13 +202,13 @@
         return {box for box, line in self._boxes.servers.items() if line.state == "draining"}
 
     def list_rows(self) -> list[tuple[int, Any]]:
-        lessons = [(title, one.first_cell, one.copies) for title, one in self._boxes.lessons.items()]
+        lessons = [(title, one.first_cell, one.copies) for title, one in self._boxes.titles.items()]
         return _rows(self._boxes.servers.values(), lessons)
 
     # --- pieces ---
 
     def _ask(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
-        core, lesson = self._core, self._boxes.lessons.get(request.title)
+        core, lesson = self._core, self._boxes.titles.get(request.title)
         cls, carrier = self._classes.get(request.cls), core.set_up_codecs.get(request.via)
         if lesson is None or cls is None or carrier is None:
             why = "lesson or class is not known to the session's front"
--- a/tests/fuzzing/boxlist.py
+++ b/tests/fuzzing/boxlist.py
@@ -72,7 +72,7 @@
     fields = set(DEFAULTS) | {"box", "host", "port", "state", "cell"}
     slow = {box: {name: line[name] for name in fields} for box, line in model.boxes.items()}
     same(held, slow, what)
-    same({title: (one.first_cell, one.copies) for title, one in ours.lessons.items()}, model.lessons, what)
+    same({title: (one.first_cell, one.copies) for title, one in ours.titles.items()}, model.lessons, what)
     same((ours.epoch, ours.version), (model.epoch, model.version), what)
 
 
@@ -109,7 +109,7 @@
                 {box: line.model_copy(update={"age_s": None}) for box, line in ours.servers.items()},
                 again.servers, line,
             )  # fmt: skip
-            same((again.lessons, again.last_id), (ours.lessons, ours.last_id), line)
+            same((again.titles, again.last_id), (ours.titles, ours.last_id), line)
 
 
 _WORDS = [
--- a/tests/test_boxlist.py
+++ b/tests/test_boxlist.py
@@ -35,7 +35,7 @@
     first = held.apply_full(10_000.0, document(3, line(1), line(2, age_s=2.0), lessons=[lesson]))
     assert first is not None and first.kind is EndpointListKind.FULL and held.last_id == "e:3"
     assert [entry.started_at for entry in first.entries] == [0.0, 8_000.0]
-    assert held.lessons["t"].first_cell == 1 and held.address(2) == ("127.0.0.1", 1)
+    assert held.titles["t"].first_cell == 1 and held.address(2) == ("127.0.0.1", 1)
     delta = held.apply_delta(12_000.0, document(4, line(2, state="draining", age_s=4.1), base=3))
     assert delta is not None and delta.kind is EndpointListKind.DELTA
     assert delta.entries[0].state is ServerState.DRAINING
@@ -58,7 +58,7 @@
         9_000.0, document(3, line(1, age_s=1.0), lessons=[{"title": "t", "cell": 0, "copies": 1}])
     )
     cached = again.apply_full(5.0, read_document(held.to_cache()), cached=True)
-    assert cached is not None and cached.kind is EndpointListKind.CACHED and again.lessons == held.lessons
+    assert cached is not None and cached.kind is EndpointListKind.CACHED and again.titles == held.titles
     assert cached.entries[0].started_at == 0.0
     assert again.apply_full(6.0, document(4, line(1))) is not None
 
