--- a/fernweir/front/endpoint_list.py
+++ b/fernweir/front/endpoint_list.py
@@ -75,8 +75,8 @@
 @dataclass(frozen=True, slots=True)
 class TitlePlacement:
     number: int
-    first_cell: int
-    copies: int
+    first_zone: int
+    replicas: int
 
 
 class EndpointList:
--- a/fernweir/front/operator_controls.py
+++ b/fernweir/front/operator_controls.py
@@ -53,7 +53,7 @@
                 title: [
                     box
                     for box, line in lines.items()
-                    if (line.cell - lesson.first_cell) % cells < lesson.copies
+                    if (line.cell - lesson.first_zone) % cells < lesson.replicas
                 ]
                 for title, lesson in self._boxes.titles.items()
             },
--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -104,8 +104,8 @@
             subject=standing.who,
             title_name=standing.title,
             title=lesson.number,
-            first_zone=lesson.first_cell,
-            replicas=lesson.copies,
+            first_zone=lesson.first_zone,
+            replicas=lesson.replicas,
             class_index=cls,
             top_rung=standing.top_rung,
             max_wait_ms=0.0,
@@ -202,7 +202,7 @@
         return {box for box, line in self._boxes.servers.items() if line.state == "draining"}
 
     def list_rows(self) -> list[tuple[int, Any]]:
-        lessons = [(title, one.first_cell, one.copies) for title, one in self._boxes.titles.items()]
+        lessons = [(title, one.first_zone, one.replicas) for title, one in self._boxes.titles.items()]
         return _rows(self._boxes.servers.values(), lessons)
 
     # --- pieces ---
@@ -235,8 +235,8 @@
 
         ask = SessionRequest(
             ticket=core.next_ticket(), protocol=request.via, session_id=request.session, subject=request.who,
-            title_name=request.title, title=lesson.number, first_zone=lesson.first_cell,
-            replicas=lesson.copies, class_index=cls, top_rung=request.top_rung, max_wait_ms=request.wait_ms,
+            title_name=request.title, title=lesson.number, first_zone=lesson.first_zone,
+            replicas=lesson.replicas, class_index=cls, top_rung=request.top_rung, max_wait_ms=request.wait_ms,
             tenant=request.tenant,
         )  # fmt: skip
         core.submit(ask, answered)
--- a/tests/fuzzing/boxlist.py
+++ b/tests/fuzzing/boxlist.py
@@ -72,7 +72,7 @@
     fields = set(DEFAULTS) | {"box", "host", "port", "state", "cell"}
     slow = {box: {name: line[name] for name in fields} for box, line in model.boxes.items()}
     same(held, slow, what)
-    same({title: (one.first_cell, one.copies) for title, one in ours.titles.items()}, model.lessons, what)
+    same({title: (one.first_zone, one.replicas) for title, one in ours.titles.items()}, model.lessons, what)
     same((ours.epoch, ours.version), (model.epoch, model.version), what)
 
 
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -825,7 +825,7 @@
     if isinstance(value, operators.Orders):
         return plain_orders(value)
     if isinstance(value, endpoint_list.EndpointList):
-        titles = {name: [one.number, one.first_cell, one.copies] for name, one in value.titles.items()}
+        titles = {name: [one.number, one.first_zone, one.replicas] for name, one in value.titles.items()}
         return plain([value.epoch, value.version, value.servers, titles])
     return plain(value)
 
--- a/tests/test_boxlist.py
+++ b/tests/test_boxlist.py
@@ -35,7 +35,7 @@
     first = held.apply_full(10_000.0, document(3, line(1), line(2, age_s=2.0), lessons=[lesson]))
     assert first is not None and first.kind is EndpointListKind.FULL and held.last_id == "e:3"
     assert [entry.started_at for entry in first.entries] == [0.0, 8_000.0]
-    assert held.titles["t"].first_cell == 1 and held.address(2) == ("127.0.0.1", 1)
+    assert held.titles["t"].first_zone == 1 and held.address(2) == ("127.0.0.1", 1)
     delta = held.apply_delta(12_000.0, document(4, line(2, state="draining", age_s=4.1), base=3))
     assert delta is not None and delta.kind is EndpointListKind.DELTA
     assert delta.entries[0].state is ServerState.DRAINING
