--- a/fernweir/front/response_classification.py
+++ b/fernweir/front/response_classification.py
@@ -31,7 +31,7 @@
 _METRIC = re.compile(r"\s*(?:named_metrics\.)?([A-Za-z0-9_.-]{1,64})\s*=\s*([0-9.eE+-]{1,32})\s*")
 
 
-def judge(reply: Reply) -> tuple[Result, str]:
+def classify_reply(reply: Reply) -> tuple[Result, str]:
     """The result of an attempt or a probe, and why. OK says only that the status was a success."""
     if reply.outcome is not Outcome.ANSWERED:
         return _BY_OUTCOME[reply.outcome], reply.detail or reply.outcome.value
--- a/fernweir/front/server_client.py
+++ b/fernweir/front/server_client.py
@@ -11,7 +11,7 @@
 from fernweir.front.commands import ChangeRung, ReleaseSession, SendHealthCheck, SetUp, SetUpResult
 from fernweir.front.dispatcher import Dispatcher, InvalidServerReplyError
 from fernweir.front.endpoint_list import EndpointList
-from fernweir.front.response_classification import judge, load_report
+from fernweir.front.response_classification import classify_reply, load_report
 from fernweir.front.rungsync import RungSync, Send
 from fernweir.front.server_notices import NotesError, NotesState, Told
 from fernweir.http.client import Call, Origin, Outcome, Pool, Reply
@@ -67,7 +67,7 @@
         carrier = core.set_up_codecs[command.request.protocol]
 
         def done(reply: Reply) -> None:
-            result, why = judge(reply)
+            result, why = classify_reply(reply)
             payload = None
             if result is Result.OK:
                 try:
@@ -114,7 +114,7 @@
         core, sent_at = self.core, self.core.now()
 
         def done(reply: Reply) -> None:
-            result, _ = judge(reply)
+            result, _ = classify_reply(reply)
             now = core.now()
             core.sessions.on_health_check_finished(
                 now, command.server, result, now - sent_at, load_report(reply)
@@ -162,7 +162,7 @@
         core = self.core
 
         def done(reply: Reply) -> None:
-            result, why = judge(reply)
+            result, why = classify_reply(reply)
             if reply.status == 404 and reply.outcome is Outcome.ANSWERED:
                 self._rungs.forget(send.jti, send.attempt)
                 core.sessions.on_session_ended(core.now(), send.jti, send.attempt, Result.RESET)
--- a/tests/test_boxlist.py
+++ b/tests/test_boxlist.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from fernweir.front.endpoint_list import EndpointList, ListError, ListGapError, read_document
-from fernweir.front.response_classification import judge, load_report
+from fernweir.front.response_classification import classify_reply, load_report
 from fernweir.front.rungsync import RungSync, Send
 from fernweir.front.server_notices import NotesError, NotesState, Over, Told
 from fernweir.http.client import Outcome, Reply
@@ -192,7 +192,7 @@
     ],
 )
 def test_what_a_reply_proves(reply: Reply, result: Result) -> None:
-    assert judge(reply)[0] is result
+    assert classify_reply(reply)[0] is result
     assert reply.outcome.never_ran == (result in (Result.CONNECT_FAILED, Result.NOT_SENT))
 
 
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -17,7 +17,7 @@
 from fernweir.controller import SafetyRules
 from fernweir.front import endpoint_list
 from fernweir.front.manifest import ManifestCache
-from fernweir.front.response_classification import judge
+from fernweir.front.response_classification import classify_reply
 from fernweir.front.session_replies import SessionReplies
 from fernweir.interface import Result, ServerState
 from fernweir.rehearsal.faults import Fault, Kind, ScheduleError, draw, read_schedule
@@ -255,10 +255,10 @@
 
 def a_time_out_counts_as_never_ran(patch: pytest.MonkeyPatch) -> None:
     def wrong(reply: Any) -> tuple[Result, str]:
-        result, why = judge(reply)
+        result, why = classify_reply(reply)
         return (Result.CONNECT_FAILED, why) if result is Result.TIMEOUT else (result, why)
 
-    patch.setattr("fernweir.front.server_client.judge", wrong)
+    patch.setattr("fernweir.front.server_client.classify_reply", wrong)
 
 
 def the_budget_is_not_looked_at(patch: pytest.MonkeyPatch) -> None:
