--- a/fernweir/front/dash.py
+++ b/fernweir/front/dash.py
@@ -367,7 +367,7 @@
             )
         top = min(command.request.top_rung, kind.top_rung)
         try:
-            return self._manifests.judge(reply.body, kind.lowest_rung, max(top, kind.lowest_rung))
+            return self._manifests.validate(reply.body, kind.lowest_rung, max(top, kind.lowest_rung))
         except ManifestError as error:
             raise InvalidServerReplyError(f"manifest: {error}") from None
 
@@ -380,7 +380,7 @@
         kind = self.settings.classes[cls]
         try:
             top = max(min(top_rung, kind.top_rung), kind.lowest_rung)
-            return self._manifests.judge(data, kind.lowest_rung, top)
+            return self._manifests.validate(data, kind.lowest_rung, top)
         except ManifestError as error:
             raise InvalidServerReplyError(f"manifest: {error}") from None
 
--- a/fernweir/front/manifest.py
+++ b/fernweir/front/manifest.py
@@ -44,7 +44,7 @@
         self._judged: OrderedDict[bytes, Manifest] = OrderedDict()
         self._rendered: OrderedDict[tuple[object, ...], bytes] = OrderedDict()
 
-    def judge(self, body: bytes, lowest: int, highest: int) -> Manifest:
+    def validate(self, body: bytes, lowest: int, highest: int) -> Manifest:
         """Takes a manifest that lists the rungs from lowest to highest, and none that we don't know."""
         digest = blake2b(body, digest_size=16).digest()
         manifest = self._judged.get(digest)
--- a/tests/test_dash.py
+++ b/tests/test_dash.py
@@ -189,7 +189,7 @@
 def test_a_box_manifest_is_judged_and_cut_to_the_viewer() -> None:
     cache = ManifestCache(3)
     body = build_mpd(Title("t", 10, 2, [100, 200, 400])).write()
-    manifest = cache.judge(body, 1, 2)
+    manifest = cache.validate(body, 1, 2)
     for query in ("token=a", "token=b"):
         text = cache.render(manifest, 1, 1, "http://h/", "box-1", "http://f/?a=1&b=2", query)
         mpd = read_mpd(text)
@@ -201,4 +201,4 @@
     long = build_mpd(Title("t", 10, 2, [1, 2, 3, 4])).write()
     for bad in (short, falling, long, b"<html/>", body[:200], body.replace(b'"r2"', b'"hd"')):
         with pytest.raises(ManifestError):
-            cache.judge(bad, 0, 2)
+            cache.validate(bad, 0, 2)
