--- a/fernweir/front/endpoint_list.py
+++ b/fernweir/front/endpoint_list.py
@@ -1,9 +1,9 @@
-"""The list of boxes and lessons as this front has been told it; free of I/O.
+"""The endpoint list: the servers and titles that the list server last published. Free of I/O.
 
-Documents come whole or as differences, each with an epoch (one life of the list server) and a version that
-grows within it. A difference that doesn't build on what is held, or a version that goes back, is never
-applied: the whole list is asked for. What is told is obeyed even if it leaves nothing: the rule on drains
-has no exception for a list that looks wrong.
+A document is a full list or a delta. It has an epoch, which names one incarnation of the list server, and a
+version that grows within the epoch. A delta that does not build on the current version, or a version that
+goes back, is never applied: the follower requests the full list instead. A valid list is applied even if it
+is empty: the rule on drains has no exception for a list that looks wrong.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class ServerEntry(_Strict):
-    """One box. `boot` names one life of its process, `age_s` how long that had lasted when this was sent."""
+    """One server. `boot` names one incarnation of its process, `age_s` is its age when the entry was sent."""
 
     box: Annotated[int, Field(ge=0, le=0xFFFFFFFF)]
     host: Annotated[str, Field(min_length=1, max_length=255)]
@@ -40,7 +40,7 @@
 
 
 class TitleEntry(_Strict):
-    """Where a lesson lies: `copies` cells in a row from `cell`."""
+    """Where a title is stored: in `copies` consecutive zones (cells), starting with `cell`."""
 
     title: Slug
     cell: Annotated[int, Field(ge=0, le=65535)]
@@ -48,6 +48,8 @@
 
 
 class ListDocument(_Strict):
+    """A full list, or a delta to version `base` of the same epoch."""
+
     epoch: Annotated[str, Field(min_length=1, max_length=64)]
     version: Annotated[int, Field(ge=0)]
     base: Annotated[int, Field(ge=0)] | None = None
@@ -56,31 +58,34 @@
 
 
 class ListError(ValueError):
-    """A list document can't be taken; the text says why. What was held stays."""
+    """Raised for a list document that cannot be applied; the current list stays as it is."""
 
 
 class ListGapError(ListError):
-    """The document doesn't build on what is held: ask for the whole list."""
+    """Raised for a delta that does not build on the current list; the full list has to be requested."""
 
 
 def read_document(data: str | bytes) -> ListDocument:
+    """Parses and validates a list document. Raises ListError."""
     try:
         return ListDocument.model_validate_json(data)
     except ValidationError as error:
         first = error.errors()[0]
-        where = ".".join(map(str, first["loc"])) or "document"
-        raise ListError(f"{where}: {first['msg']} ({error.error_count()} in all)") from None
+        location = ".".join(map(str, first["loc"])) or "document"
+        raise ListError(f"{location}: {first['msg']} ({error.error_count()} errors in total)") from None
 
 
 @dataclass(frozen=True, slots=True)
 class TitlePlacement:
+    """The number of a title and the consecutive zones that store it."""
+
     number: int
     first_zone: int
     replicas: int
 
 
 class EndpointList:
-    """What is held, and how a document changes it. Clock values are milliseconds."""
+    """The current list, and how documents change it. Clock values are milliseconds."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
@@ -88,92 +93,102 @@
         self.version = -1
         self.servers: dict[int, ServerEntry] = {}
         self.titles: dict[str, TitlePlacement] = {}
-        self._lesson_lines: dict[str, TitleEntry] = {}
-        self._started: dict[int, tuple[str, float]] = {}
+        self._title_entries: dict[str, TitleEntry] = {}
+        self._incarnations: dict[int, tuple[str, float]] = {}
 
     @property
     def last_id(self) -> str:
-        """What a reconnect sends as `Last-Event-ID`; empty asks for the whole list."""
+        """Returns the `Last-Event-ID` of a reconnect; an empty one requests the full list."""
         return f"{self.epoch}:{self.version}" if self.epoch else ""
 
-    def address(self, box: int) -> tuple[str, int] | None:
-        line = self.servers.get(box)
-        return (line.host, line.port) if line is not None else None
+    def address(self, server: int) -> tuple[str, int] | None:
+        """Returns the host and port of a server; None if it is not listed."""
+        entry = self.servers.get(server)
+        return (entry.host, entry.port) if entry is not None else None
 
     def apply_full(
         self, now: float, document: ListDocument, *, cached: bool = False
     ) -> EndpointListUpdate | None:
-        """A whole list; None if it is older than what is held of the same epoch, or the same."""
+        """Replaces the list; returns None if the document's version is not newer within the same epoch."""
         if document.epoch == self.epoch and document.version <= self.version:
             return None
         self._check(document)
         self.servers = {}
-        self._lesson_lines, self.titles = {}, {}
+        self._title_entries, self.titles = {}, {}
         return self._apply(now, document, EndpointListKind.CACHED if cached else EndpointListKind.FULL)
 
     def apply_delta(self, now: float, document: ListDocument) -> EndpointListUpdate | None:
-        """Differences; None if they are known already. ListGapError if they build on something else."""
+        """Applies a delta; returns None if it was applied already.
+
+        Raises ListGapError if it builds on another list.
+        """
         if document.epoch != self.epoch or document.base is None or document.base > self.version:
             raise ListGapError(
-                f"changes on {document.epoch}:{document.base}, held is {self.last_id or 'nothing'}"
+                f"delta to {document.epoch}:{document.base}, current list is {self.last_id or 'empty'}"
             )
         if document.version <= self.version:
             return None
         if document.base < self.version:
-            raise ListGapError(f"changes on version {document.base}, held is {self.version}")
+            raise ListGapError(f"delta to version {document.base}, current version is {self.version}")
         self._check(document)
         return self._apply(now, document, EndpointListKind.DELTA)
 
     def to_cache(self) -> bytes:
-        """The held list as a document. Ages are left out: a cached box counts as running for long."""
+        """Returns the current list as a document.
+
+        Ages are left out: a server from the cache counts as one that has been running for a long time.
+        """
         document = ListDocument(
             epoch=self.epoch or "none",
             version=max(self.version, 0),
-            boxes=[line.model_copy(update={"age_s": None}) for line in self.servers.values()],
-            lessons=list(self._lesson_lines.values()),
+            boxes=[entry.model_copy(update={"age_s": None}) for entry in self.servers.values()],
+            lessons=list(self._title_entries.values()),
         )
         return json.dumps(document.model_dump(exclude_none=True), separators=(",", ":")).encode()
 
     def _check(self, document: ListDocument) -> None:
-        numbers = [line.box for line in document.boxes]
+        numbers = [entry.box for entry in document.boxes]
         if len(set(numbers)) != len(numbers):
-            raise ListError("a box is listed twice")
-        for line in document.boxes:
-            if line.cell >= self._settings.zone_count:
-                raise ListError(f"box {line.box}: cell {line.cell} of {self._settings.zone_count}")
-        for lesson in document.lessons:
-            if lesson.cell >= self._settings.zone_count or lesson.copies > self._settings.zone_count:
-                where = f"cells {lesson.cell}+{lesson.copies} of {self._settings.zone_count}"
-                raise ListError(f"lesson {lesson.title}: {where}")
+            raise ListError("a server is listed twice")
+        for entry in document.boxes:
+            if entry.cell >= self._settings.zone_count:
+                raise ListError(
+                    f"server {entry.box}: cell {entry.cell} of {self._settings.zone_count} does not exist"
+                )
+        for title in document.lessons:
+            if title.cell >= self._settings.zone_count or title.copies > self._settings.zone_count:
+                zones = f"{title.copies} copies from cell {title.cell}, but {self._settings.zone_count} cells"
+                raise ListError(f"title {title.title}: {zones}")
 
     def _apply(self, now: float, document: ListDocument, kind: EndpointListKind) -> EndpointListUpdate:
         self.epoch, self.version = document.epoch, document.version
-        entries = []
-        for line in document.boxes:
-            self.servers[line.box] = line
-            entries.append(
+        endpoints = []
+        for entry in document.boxes:
+            self.servers[entry.box] = entry
+            endpoints.append(
                 Endpoint(
-                    line.box,
-                    _STATES[line.state],
-                    self._start_of(now, line),
-                    line.cell,
-                    line.kind,
-                    line.weight,
+                    entry.box,
+                    _STATES[entry.state],
+                    self._started_at(now, entry),
+                    entry.cell,
+                    entry.kind,
+                    entry.weight,
                 )
             )
-        for lesson in document.lessons:
-            self._lesson_lines[lesson.title] = lesson
-            self.titles[lesson.title] = TitlePlacement(number_of(lesson.title), lesson.cell, lesson.copies)
-        return EndpointListUpdate(kind, document.version & 0xFFFFFFFF, tuple(entries))
+        for title in document.lessons:
+            self._title_entries[title.title] = title
+            self.titles[title.title] = TitlePlacement(number_of(title.title), title.cell, title.copies)
+        return EndpointListUpdate(kind, document.version & 0xFFFFFFFF, tuple(endpoints))
 
-    def _start_of(self, now: float, line: ServerEntry) -> float:
-        """When this life of the box began on our clock; 0 is long ago.
+    def _started_at(self, now: float, entry: ServerEntry) -> float:
+        """Returns when this incarnation of the server started on our clock; 0 is a long time ago.
 
-        Counted once a life: an age told again, later by the time on the way, would look like a restart.
+        Computed once per incarnation: the same age in a later document, shifted by the delay on the way,
+        would look like a restart.
         """
-        boot, started = self._started.get(line.box, ("", 0.0))
-        if not line.boot or boot != line.boot:
-            old = line.age_s is None or now - line.age_s * 1000.0 <= 0.0
-            started = 0.0 if old or line.age_s is None else now - line.age_s * 1000.0
-            self._started[line.box] = (line.boot, started)
-        return started
+        boot, started_at = self._incarnations.get(entry.box, ("", 0.0))
+        if not entry.boot or boot != entry.boot:
+            long_ago = entry.age_s is None or now - entry.age_s * 1000.0 <= 0.0
+            started_at = 0.0 if long_ago or entry.age_s is None else now - entry.age_s * 1000.0
+            self._incarnations[entry.box] = (entry.boot, started_at)
+        return started_at
--- a/fernweir/front/response_classification.py
+++ b/fernweir/front/response_classification.py
@@ -1,7 +1,7 @@
-"""What a box's reply to a set-up means to the module. A table, free of I/O; see docs/protocols.md.
+"""Classifies a server's reply to a set-up or a health check. Free of I/O; see docs/protocols.md.
 
-Only what proves that nothing ran may be told as such: no connection, no byte written, or a box's own word
-that it turned the set-up away unexamined. All else may have run, however it looks.
+A set-up counts as one that never ran only if that is proven: there was no connection, no byte was written, or
+the server itself states that it rejected the set-up without examining it. Any other set-up may have run.
 """
 
 from __future__ import annotations
@@ -32,54 +32,57 @@
 
 
 def classify_reply(reply: Reply) -> tuple[Result, str]:
-    """The result of an attempt or a probe, and why. OK says only that the status was a success."""
+    """Returns the result of an attempt or a health check, and the reason.
+
+    OK states only that the status was a success.
+    """
     if reply.outcome is not Outcome.ANSWERED:
         return _BY_OUTCOME[reply.outcome], reply.detail or reply.outcome.value
     if 200 <= reply.status < 300:
         return Result.OK, ""
-    kind = problem_type(reply) if reply.status in (429, 503) else ""
-    if kind in (FULL, DRAINING):
-        return Result.FULL, kind.rpartition(":")[2]
+    type_uri = problem_type(reply) if reply.status in (429, 503) else ""
+    if type_uri in (FULL, DRAINING):
+        return Result.FULL, type_uri.rpartition(":")[2]
     return Result.ERROR, f"status {reply.status}"
 
 
 def problem_type(reply: Reply) -> str:
-    """The `type` of a problem document (RFC 9457), or nothing."""
+    """Returns the `type` of a problem document (RFC 9457); empty if the reply has none."""
     if not reply.headers.get("content-type").startswith("application/problem+json"):
         return ""
     try:
         body = json.loads(reply.body)
     except (ValueError, RecursionError):
         return ""
-    kind = body.get("type") if isinstance(body, dict) else None
-    return kind if isinstance(kind, str) else ""
+    type_uri = body.get("type") if isinstance(body, dict) else None
+    return type_uri if isinstance(type_uri, str) else ""
 
 
 def load_report(reply: Reply) -> dict[str, float]:
-    """The metrics of an `endpoint-load-metrics` header (ORCA), in its TEXT or JSON form.
+    """Returns the metrics of an `endpoint-load-metrics` header (ORCA) in its TEXT or JSON form.
 
-    A header that can't be read, or a value that is no finite number of 0 or more, counts as not sent.
+    A malformed header, or a value that is not a finite number of at least 0, is treated as not sent.
     """
     text = reply.headers.get("endpoint-load-metrics").strip()
-    form, _, rest = text.partition(" ")
+    text_format, _, content = text.partition(" ")
     report: dict[str, float] = {}
-    if form == "TEXT":
-        for part in rest.split(","):
+    if text_format == "TEXT":
+        for part in content.split(","):
             match = _METRIC.fullmatch(part)
             if match is not None:
-                _add(report, match[1], match[2])
-    elif form == "JSON":
+                _add_metric(report, match[1], match[2])
+    elif text_format == "JSON":
         try:
-            body = json.loads(rest)
+            body = json.loads(content)
         except (ValueError, RecursionError):
             return {}
-        named = body.get("named_metrics", {}) if isinstance(body, dict) else {}
-        for name, value in named.items() if isinstance(named, dict) else ():
-            _add(report, name, value)
+        metrics = body.get("named_metrics", {}) if isinstance(body, dict) else {}
+        for name, value in metrics.items() if isinstance(metrics, dict) else ():
+            _add_metric(report, name, value)
     return report
 
 
-def _add(report: dict[str, float], name: str, value: object) -> None:
+def _add_metric(report: dict[str, float], name: str, value: object) -> None:
     try:
         number = float(value)  # type: ignore[arg-type]
     except (TypeError, ValueError):
--- a/tests/peers_mutants/fuzz.py
+++ b/tests/peers_mutants/fuzz.py
@@ -134,12 +134,12 @@
         Mutant(
             "a whole list leaves old boxes",
             _BOXES,
-            "        self.servers = {}\n        self._lesson",
-            "        self._lesson",
+            "        self.servers = {}\n        self._title",
+            "        self._title",
             60,
         ),
         Mutant(
-            "an age told again restarts", _BOXES, "if not line.boot or boot != line.boot:", "if True:", 60
+            "an age told again restarts", _BOXES, "if not entry.boot or boot != entry.boot:", "if True:", 60
         ),
         Mutant(
             "checked after it was taken",
