--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -14,7 +14,7 @@
 from fernweir.front.dispatcher import Dispatcher, InvalidServerReplyError
 from fernweir.front.endpoint_list import EndpointList, ListError, ServerEntry, read_document
 from fernweir.front.peer_view import Acting
-from fernweir.front.server_client import BoxClient
+from fernweir.front.server_client import ServerClient
 from fernweir.front.session_manager import SessionPhase, SessionRecord
 from fernweir.http.client import Outcome, Reply
 from fernweir.interface import Result
@@ -29,7 +29,7 @@
     """`wall_ms` gives wall time now. `fences` is asked under which channel and fence a session is steered."""
 
     def __init__(
-        self, core: Dispatcher, boxes: EndpointList, client: BoxClient, classes: Mapping[str, int],
+        self, core: Dispatcher, boxes: EndpointList, client: ServerClient, classes: Mapping[str, int],
         wall_ms: Callable[[], float],
     ) -> None:  # fmt: skip
         super().__init__(core, self, wall_ms)
@@ -117,7 +117,7 @@
             informed_viewers=max(standing.answers, 1), is_answerable=unpacked is not None,
         )  # fmt: skip
         if taken:
-            self._client.listen(standing.box)
+            self._client.open_notice_stream(standing.box)
             core.schedule_step()
         return taken
 
@@ -136,7 +136,7 @@
     def release(
         self, now: float, box: int, session: str, attempt: int, why: str, under: tuple[str, int]
     ) -> None:
-        self._client.drop(box, session, attempt, why, under)
+        self._client.release_unowned_session(box, session, attempt, why, under)
 
     def claim(
         self, box: int, channel: str, fence: int, overlap_ms: float,
@@ -145,7 +145,7 @@
         def done(reply: Reply) -> None:
             then(self._core.now(), _claimed(box, reply))
 
-        self._client.claim(box, channel, fence, overlap_ms, done, adopt)
+        self._client.claim_channel(box, channel, fence, overlap_ms, done, adopt)
 
     def carry(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
         core, number = self._core, request.number
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -33,7 +33,7 @@
 from fernweir.front.operator_controls import Steering
 from fernweir.front.record import Recorder
 from fernweir.front.seat_reconciliation import UseCheck
-from fernweir.front.server_client import BoxClient, BoxTimes
+from fernweir.front.server_client import ServerClient, ServerTimeouts
 from fernweir.front.session_manager import SessionLimits, SessionManager
 from fernweir.http.client import Pool
 from fernweir.http.parse import Limits
@@ -59,7 +59,7 @@
 
     core: Dispatcher
     server: Server
-    boxes: BoxClient
+    server_client: ServerClient
     list: ListFollower
     pools: tuple[Pool, ...]
     record: IO[str] | None
@@ -109,7 +109,7 @@
             self.use.stop()
         if self.gate is not None:
             self.gate.stop()
-        self.boxes.close()
+        self.server_client.close()
         self.core.stop()
         self.server.abort()
         for pool in self.pools:
@@ -175,9 +175,11 @@
     if control is not None:
         await control.start(core, boxes)
     token = _ControlToken(keyring, section.name, config.tokens.box_audience, wall_s)
-    times = BoxTimes(probe_s=config.servers.probe_time / 1000.0, call_s=config.servers.call_time / 1000.0)
+    times = ServerTimeouts(
+        health_check_s=config.servers.probe_time / 1000.0, request_s=config.servers.call_time / 1000.0
+    )
     streams = Pool(per_origin=2, connect_s=config.servers.connect_time / 1000.0)
-    client = BoxClient(core, pool, streams, boxes, token, times, section.seed)
+    client = ServerClient(core, pool, streams, boxes, token, times, section.seed)
     core.server_transport = client
     gate = None
     if config.entitlement is not None:
@@ -259,7 +261,7 @@
 
 
 async def _start_peers(
-    config: FrontConfig, core: Dispatcher, boxes: EndpointList, client: BoxClient, keyring: Keyring,
+    config: FrontConfig, core: Dispatcher, boxes: EndpointList, client: ServerClient, keyring: Keyring,
     wall_s: Callable[[], float], nonce: Callable[[int], bytes],
 ) -> Peers:  # fmt: skip
     from fernweir.front.peering import Peering
--- a/fernweir/front/rungsync.py
+++ b/fernweir/front/rungsync.py
@@ -1,7 +1,8 @@
-"""Brings each playing session's rung to its box: the newest wins, one message out a session; free of I/O.
+"""Synchronizes the rung of each playing session with its server. Free of I/O.
 
-A rung that was lost on the way would leave the module's account wrong for the rest of the session, so it
-is sent again after a pause, a few times; a box that says it knows no such session ends it.
+The newest rung wins, and at most one message per session is in flight. A message that is lost would leave
+the controller's load estimate wrong for the rest of the session, so it is retried a few times with backoff.
+If the server answers that it has no such session, the session ends.
 """
 
 from __future__ import annotations
@@ -13,73 +14,84 @@
 
 
 @dataclass(slots=True)
-class _Wish:
+class _DesiredRung:
+    """The newest rung of a session, and the state of its transmission."""
+
     server: int
     rung: int
-    tries: int = 0
-    out: bool = False
-    again_at: float | None = None
+    sends: int = 0
+    in_flight: bool = False
+    retry_at: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    jti: str
+    """A rung to send to a server now."""
+
+    session_id: str
     attempt: int
     server: int
     rung: int
 
 
 class RungSync:
-    """`due` gives what to send now. Times are milliseconds."""
+    """Decides which rungs to send, and when. Times are milliseconds."""
 
-    def __init__(self, *, tries: int = 4, pause_ms: float = 250.0) -> None:
-        self._tries, self._pause_ms = tries, pause_ms
-        self._wishes: dict[Key, _Wish] = {}
-        self._later: list[tuple[float, Key]] = []
+    def __init__(self, *, max_sends: int = 4, backoff_ms: float = 250.0) -> None:
+        self._max_sends, self._backoff_ms = max_sends, backoff_ms
+        self._desired: dict[Key, _DesiredRung] = {}
+        self._retries: list[tuple[float, Key]] = []
 
     def __len__(self) -> int:
-        return len(self._wishes)
-
-    def want(self, jti: str, attempt: int, server: int, rung: int) -> Send | None:
-        """A new rung; None while an earlier one is out, after which this one goes."""
-        wish = self._wishes.setdefault((jti, attempt), _Wish(server, rung))
-        wish.rung, wish.tries, wish.again_at = rung, 0, None
-        return self._send((jti, attempt), wish)
-
-    def done(self, now: float, sent: Send, arrived: bool) -> Send | None:
-        """The end of one message; what to send next for this session, if anything at once."""
-        key = (sent.jti, sent.attempt)
-        wish = self._wishes.get(key)
-        if wish is None:
+        return len(self._desired)
+
+    def set_rung(self, session_id: str, attempt: int, server: int, rung: int) -> Send | None:
+        """Sets a session's rung; returns None while an earlier one is in flight, after which it is sent."""
+        desired = self._desired.setdefault((session_id, attempt), _DesiredRung(server, rung))
+        desired.rung, desired.sends, desired.retry_at = rung, 0, None
+        return self._send((session_id, attempt), desired)
+
+    def on_send_finished(self, now: float, sent: Send, delivered: bool) -> Send | None:
+        """Ends one message; returns what to send for this session at once, if anything."""
+        key = (sent.session_id, sent.attempt)
+        desired = self._desired.get(key)
+        if desired is None:
             return None
-        wish.out = False
-        if wish.rung != sent.rung:
-            return self._send(key, wish)
-        if arrived or wish.tries >= self._tries:
-            del self._wishes[key]
+        desired.in_flight = False
+        if desired.rung != sent.rung:
+            return self._send(key, desired)
+        if delivered or desired.sends >= self._max_sends:
+            del self._desired[key]
             return None
-        wish.again_at = now + self._pause_ms * 2.0 ** (wish.tries - 1)
-        heapq.heappush(self._later, (wish.again_at, key))
+        desired.retry_at = now + self._backoff_ms * 2.0 ** (desired.sends - 1)
+        heapq.heappush(self._retries, (desired.retry_at, key))
         return None
 
-    def forget(self, jti: str, attempt: int) -> None:
-        self._wishes.pop((jti, attempt), None)
-
-    def due(self, now: float) -> list[Send]:
-        found = []
-        while self._later and self._later[0][0] <= now:
-            at, key = heapq.heappop(self._later)
-            wish = self._wishes.get(key)
-            if wish is not None and wish.again_at == at and (send := self._send(key, wish)) is not None:
-                found.append(send)
-        return found
-
-    def next_due(self) -> float | None:
-        return self._later[0][0] if self._later else None
-
-    def _send(self, key: Key, wish: _Wish) -> Send | None:
-        if wish.out:
+    def forget(self, session_id: str, attempt: int) -> None:
+        """Stops synchronizing a session that has ended."""
+        self._desired.pop((session_id, attempt), None)
+
+    def pop_due(self, now: float) -> list[Send]:
+        """Returns the rungs whose retry is due."""
+        sends = []
+        while self._retries and self._retries[0][0] <= now:
+            retry_at, key = heapq.heappop(self._retries)
+            desired = self._desired.get(key)
+            if (
+                desired is not None
+                and desired.retry_at == retry_at
+                and (send := self._send(key, desired)) is not None
+            ):
+                sends.append(send)
+        return sends
+
+    def next_deadline(self) -> float | None:
+        """Returns when the next retry is due; None if there is none."""
+        return self._retries[0][0] if self._retries else None
+
+    def _send(self, key: Key, desired: _DesiredRung) -> Send | None:
+        if desired.in_flight:
             return None
-        wish.out, wish.again_at = True, None
-        wish.tries += 1
-        return Send(key[0], key[1], wish.server, wish.rung)
+        desired.in_flight, desired.retry_at = True, None
+        desired.sends += 1
+        return Send(key[0], key[1], desired.server, desired.rung)
--- a/fernweir/front/server_client.py
+++ b/fernweir/front/server_client.py
@@ -1,4 +1,7 @@
-"""The way to the boxes: set-ups, rungs, releases, probes and the streams of notes. A thin shell."""
+"""The front's client for media servers: set-ups, rungs, releases, health checks and notice streams.
+
+Does the I/O for the dispatcher's commands and reports each outcome to the session manager.
+"""
 
 from __future__ import annotations
 
@@ -13,107 +16,115 @@
 from fernweir.front.endpoint_list import EndpointList
 from fernweir.front.response_classification import classify_reply, load_report
 from fernweir.front.rungsync import RungSync, Send
-from fernweir.front.server_notices import NotesError, NotesState, Told
+from fernweir.front.server_notices import NoticeError, NoticeStreamState, SessionNotice
 from fernweir.http.client import Call, Origin, Outcome, Pool, Reply
 from fernweir.http.parse import ResponseHead
 from fernweir.http.sse import EventReader
 from fernweir.interface import RESULT_LABELS, Result
 
 MERGE_PATCH = "application/merge-patch+json"  # RFC 7396
-Under = tuple[str, int]  # the channel and the fence by which a session is steered
+ChannelFence = tuple[str, int]  # the channel and the fence under which a front controls a session
 
 
 @dataclass(frozen=True, slots=True)
-class BoxTimes:
-    """Seconds. A stream of notes that says nothing for `silence_s` is opened anew."""
+class ServerTimeouts:
+    """Timeouts and backoffs of requests to servers, in seconds.
+
+    A notice stream that is silent for `stream_silence_s` is reopened; one whose server has had no playing
+    session for `stream_unused_s` is closed.
+    """
 
-    probe_s: float = 0.25
-    call_s: float = 1.0
-    silence_s: float = 3.0
-    unused_s: float = 30.0
-    retry_s: float = 0.05
-    retry_most_s: float = 2.0
+    health_check_s: float = 0.25
+    request_s: float = 1.0
+    stream_silence_s: float = 3.0
+    stream_unused_s: float = 30.0
+    reconnect_backoff_s: float = 0.05
+    max_reconnect_backoff_s: float = 2.0
 
 
-class BoxClient:
-    """Carries out commands towards boxes and tells the host how they ended."""
+class ServerClient:
+    """Carries out commands towards servers and reports their outcome to the session manager."""
 
     def __init__(
         self,
         core: Dispatcher,
         pool: Pool,
-        streams: Pool,
-        boxes: EndpointList,
+        stream_pool: Pool,
+        endpoint_list: EndpointList,
         control_token: Callable[[], str],
-        times: BoxTimes | None = None,
+        timeouts: ServerTimeouts | None = None,
         seed: int = 0,
     ) -> None:
-        self.core, self.pool, self.boxes = core, pool, boxes
-        self.streams = streams  # notes have connections of their own: set-ups can't be kept waiting by them
-        self.times = times or BoxTimes()
-        self._token = control_token
-        self._dice = Random(seed)
-        self._rungs = RungSync()
+        self.core, self.pool, self.endpoint_list = core, pool, endpoint_list
+        self.stream_pool = stream_pool  # a pool of their own, so that notice streams cannot delay set-ups
+        self.timeouts = timeouts or ServerTimeouts()
+        self._control_token = control_token
+        self._rng = Random(seed)
+        self._rung_sync = RungSync()
         self._rung_timer_at: float | None = None
-        self._streams: dict[int, _NotesStream] = {}
+        self._streams: dict[int, _NoticeStream] = {}
         self.closed = False
 
     # --- commands ---
 
     def set_up(self, command: SetUp) -> None:
-        core, host, jti = self.core, self.core.sessions, command.request.session_id
+        """Sends a set-up and reports its end to the session manager exactly once."""
+        core, session_manager, session_id = self.core, self.core.sessions, command.request.session_id
         sent_at = core.now()
-        origin = self.boxes.address(command.server)
-        carrier = core.set_up_codecs[command.request.protocol]
+        origin = self.endpoint_list.address(command.server)
+        codec = core.set_up_codecs[command.request.protocol]
 
-        def done(reply: Reply) -> None:
-            result, why = classify_reply(reply)
+        def on_reply(reply: Reply) -> None:
+            result, reason = classify_reply(reply)
             payload = None
             if result is Result.OK:
                 try:
-                    payload = carrier.accept(command, reply)
+                    payload = codec.accept(command, reply)
                 except InvalidServerReplyError as error:
-                    result, why = Result.ERROR, str(error)
+                    result, reason = Result.ERROR, str(error)
             now = core.now()
             if result is not Result.OK:
                 core.log.info(
-                    "set-up failed", session=jti, box=command.server, attempt=command.attempt,
-                    result=RESULT_LABELS[result], why=why,
+                    "set-up failed", session=session_id, box=command.server, attempt=command.attempt,
+                    result=RESULT_LABELS[result], why=reason,
                 )  # fmt: skip
-            end = SetUpResult(result, now - sent_at, load_report(reply), payload, why)
-            host.on_attempt_finished(now, jti, command.attempt, end)
+            set_up_result = SetUpResult(result, now - sent_at, load_report(reply), payload, reason)
+            session_manager.on_attempt_finished(now, session_id, command.attempt, set_up_result)
             core.schedule_step()
             if result is Result.OK:
-                self._listen(command.server)
+                self._open_notice_stream(command.server)
 
         if origin is None:
-            core.loop.call_soon(done, Reply(Outcome.UNWANTED, detail="no address"))
+            core.loop.call_soon(on_reply, Reply(Outcome.UNWANTED, detail="server has no address"))
             return
-        request = carrier.request(command)
+        request = codec.request(command)
         self.pool.request(
             origin,
             request.method,
             request.target,
-            done,
+            on_reply,
             headers=request.headers,
             body=request.body,
             timeout_s=command.timeout_ms / 1000.0,
-            wanted=lambda: host.is_attempt_wanted(jti, command.attempt),
+            wanted=lambda: session_manager.is_attempt_wanted(session_id, command.attempt),
         )
 
     def change_rung(self, command: ChangeRung) -> None:
-        send = self._rungs.want(command.session_id, command.attempt, command.server, command.rung)
+        """Sends a session's new rung, now or when the one in flight has ended."""
+        send = self._rung_sync.set_rung(command.session_id, command.attempt, command.server, command.rung)
         if send is not None:
             self._send_rung(send)
 
     def release(self, command: ReleaseSession) -> None:
-        self._rungs.forget(command.session_id, command.attempt)
-        self._delete(command, self._under(command.session_id), again=True)
+        """Asks a server to end a session that is no longer wanted."""
+        self._rung_sync.forget(command.session_id, command.attempt)
+        self._end_session(command, self._channel_fence(command.session_id), may_retry=True)
 
     def check_health(self, command: SendHealthCheck) -> None:
+        """Sends a health check and reports its end to the session manager exactly once."""
         core, sent_at = self.core, self.core.now()
 
-        def done(reply: Reply) -> None:
+        def on_reply(reply: Reply) -> None:
             result, _ = classify_reply(reply)
             now = core.now()
             core.sessions.on_health_check_finished(
@@ -121,233 +132,267 @@
             )
             core.schedule_step()
 
-        origin = self.boxes.address(command.server)
+        origin = self.endpoint_list.address(command.server)
         if origin is None:
-            core.loop.call_soon(done, Reply(Outcome.UNREACHED, detail="no address"))
+            core.loop.call_soon(on_reply, Reply(Outcome.UNREACHED, detail="server has no address"))
         else:
-            self.pool.request(origin, "GET", "/probe", done, timeout_s=self.times.probe_s)
+            self.pool.request(origin, "GET", "/probe", on_reply, timeout_s=self.timeouts.health_check_s)
 
-    def claim(
-        self, box: int, channel: str, fence: int, overlap_ms: float, done: Callable[[Reply], None],
+    def claim_channel(
+        self, server: int, channel: str, fence: int, overlap_ms: float, on_reply: Callable[[Reply], None],
         adopt: Sequence[tuple[str, int]] = (),
     ) -> None:  # fmt: skip
-        """Tells a box that this front owns a channel under a fence; `done` is called once, never at once.
+        """Claims a channel at a server under a fence; `on_reply` is called once, after this has returned.
 
-        `adopt`: sessions that this front set up there in no channel, and which are in this one from now on.
+        `adopt` has the sessions that this front set up there outside any channel and that join this one.
         """
-        origin = self.boxes.address(box)
+        origin = self.endpoint_list.address(server)
         if origin is None:
-            self.core.loop.call_soon(done, Reply(Outcome.UNREACHED, detail="no address"))
+            self.core.loop.call_soon(on_reply, Reply(Outcome.UNREACHED, detail="server has no address"))
             return
         target = f"/channels?channel={quote(channel, safe='')}"
         body = json.dumps({"fence": fence, "overlap_ms": overlap_ms, "adopt": list(adopt)}).encode()
-        self._call(origin, "PUT", target, done, body)
+        self._request(origin, "PUT", target, on_reply, body)
 
-    def drop(self, box: int, session: str, attempt: int, why: str, under: Under) -> None:
-        """Takes back what runs at a box and is no session of this front's."""
-        self._delete(ReleaseSession(session, attempt, box, why), under, again=True)
+    def release_unowned_session(
+        self, server: int, session_id: str, attempt: int, reason: str, channel_fence: ChannelFence
+    ) -> None:
+        """Asks a server to end a session that runs there and that this front does not own."""
+        self._end_session(ReleaseSession(session_id, attempt, server, reason), channel_fence, may_retry=True)
 
-    def listen(self, server: int) -> None:
-        """Hears a box's notes, as for sessions that were taken over there."""
-        self._listen(server)
+    def open_notice_stream(self, server: int) -> None:
+        """Opens a server's notice stream if it is not open, as for sessions that were taken over there."""
+        self._open_notice_stream(server)
 
     def close(self) -> None:
+        """Closes all notice streams and stops all retries."""
         self.closed = True
         for stream in list(self._streams.values()):
             stream.stop()
 
-    # --- pieces ---
+    # --- rungs, releases and requests ---
 
     def _send_rung(self, send: Send) -> None:
         core = self.core
 
-        def done(reply: Reply) -> None:
-            result, why = classify_reply(reply)
+        def on_reply(reply: Reply) -> None:
+            result, reason = classify_reply(reply)
             if reply.status == 404 and reply.outcome is Outcome.ANSWERED:
-                self._rungs.forget(send.jti, send.attempt)
-                core.sessions.on_session_ended(core.now(), send.jti, send.attempt, Result.RESET)
+                self._rung_sync.forget(send.session_id, send.attempt)
+                core.sessions.on_session_ended(core.now(), send.session_id, send.attempt, Result.RESET)
                 core.schedule_step()
                 return
-            arrived = result is Result.OK
-            if not arrived:
-                core.log.info("rung not set", session=send.jti, box=send.server, why=why)
-            following = self._rungs.done(core.now(), send, arrived)
-            if following is not None:
-                self._send_rung(following)
-            self._rungs_later()
-
-        origin = self.boxes.address(send.server)
+            delivered = result is Result.OK
+            if not delivered:
+                core.log.info("rung change failed", session=send.session_id, box=send.server, why=reason)
+            next_send = self._rung_sync.on_send_finished(core.now(), send, delivered)
+            if next_send is not None:
+                self._send_rung(next_send)
+            self._schedule_rung_retries()
+
+        origin = self.endpoint_list.address(send.server)
         if origin is None:
-            self._rungs.forget(send.jti, send.attempt)
+            self._rung_sync.forget(send.session_id, send.attempt)
             return
         body = json.dumps({"rung": send.rung}).encode()
-        self._call(origin, "PATCH", _session(send.jti, send.attempt), done, body, self._under(send.jti))
+        self._request(
+            origin,
+            "PATCH",
+            _session_target(send.session_id, send.attempt),
+            on_reply,
+            body,
+            self._channel_fence(send.session_id),
+        )
 
-    def _rungs_later(self) -> None:
-        due = self._rungs.next_due()
-        if due is not None and due != self._rung_timer_at and not self.closed:
-            self._rung_timer_at = due
-            self.core.loop.call_at(due / 1000.0, self._rungs_due)
+    def _schedule_rung_retries(self) -> None:
+        deadline = self._rung_sync.next_deadline()
+        if deadline is not None and deadline != self._rung_timer_at and not self.closed:
+            self._rung_timer_at = deadline
+            self.core.loop.call_at(deadline / 1000.0, self._on_rung_timer)
 
-    def _rungs_due(self) -> None:
+    def _on_rung_timer(self) -> None:
         self._rung_timer_at = None
-        for send in [] if self.closed else self._rungs.due(self.core.now()):
+        for send in [] if self.closed else self._rung_sync.pop_due(self.core.now()):
             self._send_rung(send)
-        self._rungs_later()
-
-    def _delete(self, command: ReleaseSession, under: Under | None, again: bool) -> None:
-        def done(reply: Reply) -> None:
-            # Once more, for an answer that was lost; after that the box's own idle limit must do.
-            if again and reply.outcome is not Outcome.ANSWERED and not self.closed:
-                self.core.loop.call_later(self.times.call_s, self._delete, command, under, False)
+        self._schedule_rung_retries()
 
-        origin, target = self.boxes.address(command.server), _session(command.session_id, command.attempt)
+    def _end_session(
+        self, command: ReleaseSession, channel_fence: ChannelFence | None, may_retry: bool
+    ) -> None:
+        def on_reply(reply: Reply) -> None:
+            # One retry, in case the reply was lost; after that the server's own idle limit ends the session.
+            if may_retry and reply.outcome is not Outcome.ANSWERED and not self.closed:
+                self.core.loop.call_later(
+                    self.timeouts.request_s, self._end_session, command, channel_fence, False
+                )
+
+        origin, target = (
+            self.endpoint_list.address(command.server),
+            _session_target(command.session_id, command.attempt),
+        )
         if origin is None:
             return
-        if command.may_finish_segment and again:
+        if command.may_finish_segment and may_retry:
             body = json.dumps({"end": command.reason}).encode()
-            self._call(origin, "PATCH", target, done, body, under)
+            self._request(origin, "PATCH", target, on_reply, body, channel_fence)
         else:
-            self._call(origin, "DELETE", target, done, under=under)
+            self._request(origin, "DELETE", target, on_reply, channel_fence=channel_fence)
 
-    def _call(
-        self, origin: Origin, method: str, target: str, done: Callable[[Reply], None], body: bytes = b"",
-        under: Under | None = None,
+    def _request(
+        self, origin: Origin, method: str, target: str, on_reply: Callable[[Reply], None], body: bytes = b"",
+        channel_fence: ChannelFence | None = None,
     ) -> None:  # fmt: skip
-        headers = [("authorization", f"Bearer {self._token()}")]
+        headers = [("authorization", f"Bearer {self._control_token()}")]
         if body:
             headers.append(("content-type", MERGE_PATCH))
-        if under is not None:
-            headers.append(("fernweir-fence", f"{under[0]};{under[1]}"))
+        if channel_fence is not None:
+            headers.append(("fernweir-fence", f"{channel_fence[0]};{channel_fence[1]}"))
         self.pool.request(
-            origin, method, target, done, headers=headers, body=body, timeout_s=self.times.call_s
+            origin, method, target, on_reply, headers=headers, body=body, timeout_s=self.timeouts.request_s
         )
 
-    def _under(self, jti: str) -> Under | None:
-        return self.core.channel_ownership.fence(jti) if self.core.channel_ownership is not None else None
+    def _channel_fence(self, session_id: str) -> ChannelFence | None:
+        return (
+            self.core.channel_ownership.fence(session_id) if self.core.channel_ownership is not None else None
+        )
 
-    def _listen(self, server: int) -> None:
+    def _open_notice_stream(self, server: int) -> None:
         if server not in self._streams and not self.closed:
-            _NotesStream(self, server)
+            _NoticeStream(self, server)
 
 
-def _session(jti: str, attempt: int) -> str:
-    return f"/sessions/{quote(jti, safe='')}?attempt={attempt}"
+def _session_target(session_id: str, attempt: int) -> str:
+    return f"/sessions/{quote(session_id, safe='')}?attempt={attempt}"
 
 
-class _NotesStream:
-    """One box's stream of notes, opened anew for as long as sessions are held there."""
+class _NoticeStream:
+    """One server's notice stream, which is reopened for as long as sessions play there."""
 
-    def __init__(self, client: BoxClient, server: int) -> None:
+    def __init__(self, client: ServerClient, server: int) -> None:
         self.client, self.server = client, server
-        self.core, self.host = client.core, client.core.sessions
-        self.state = NotesState()
+        self.core, self.session_manager = client.core, client.core.sessions
+        self.state = NoticeStreamState()
         self._reader = EventReader()
-        self._call: Call | None = None
-        self._tries = 0
-        self._heard_at = self._used_at = self.core.loop.time()
-        self._stopped = self._doubtful = False
-        client._streams[server] = self  # until `stop`, which may come before this has begun
+        self._stream_request: Call | None = None
+        self._reconnects = 0
+        self._last_received_at = self._last_used_at = self.core.loop.time()
+        self._stopped = self._reported_silent = False
+        client._streams[server] = self  # until `stop`, which `_open` may call
         self._open()
-        self._watch()
+        self._check_silence()
 
     def stop(self) -> None:
         self._stopped = True
         self.client._streams.pop(self.server, None)
-        self.host.on_server_silence_changed(self.server, False)
-        if self._call is not None:
-            self._call.cancel()
+        self.session_manager.on_server_silence_changed(self.server, False)
+        if self._stream_request is not None:
+            self._stream_request.cancel()
 
     def _open(self) -> None:
-        origin = self.client.boxes.address(self.server)
+        origin = self.client.endpoint_list.address(self.server)
         if self._stopped:
             return
         if origin is None:
-            self._lost("not listed")
+            self._report_server_lost("server is not listed")
             return
-        self.state.asked(self.host.sessions_playing_at(self.server))
+        self.state.on_stream_opened(self.session_manager.sessions_playing_at(self.server))
         self._reader = EventReader()
-        headers = [("authorization", f"Bearer {self.client._token()}"), ("accept", "text/event-stream")]
-        self._call = self.client.streams.request(
-            origin, "GET", "/notes", self._ended, headers=headers, on_head=self._head, on_data=self._data
+        headers = [
+            ("authorization", f"Bearer {self.client._control_token()}"),
+            ("accept", "text/event-stream"),
+        ]
+        self._stream_request = self.client.stream_pool.request(
+            origin,
+            "GET",
+            "/notes",
+            self._on_stream_ended,
+            headers=headers,
+            on_head=self._on_head,
+            on_data=self._on_data,
         )
 
-    def _head(self, head: ResponseHead) -> None:
-        self._hear()
-        if head.status != 200 and self._call is not None:
-            self.core.log.warning("notes refused", box=self.server, status=head.status)
+    def _on_head(self, head: ResponseHead) -> None:
+        self._on_received()
+        if head.status != 200 and self._stream_request is not None:
+            self.core.log.warning("notice stream refused", box=self.server, status=head.status)
 
-    def _hear(self) -> None:
-        self._heard_at = self.core.loop.time()
-        if self._doubtful:
-            self._doubtful = False
-            self.host.on_server_silence_changed(self.server, False)
+    def _on_received(self) -> None:
+        self._last_received_at = self.core.loop.time()
+        if self._reported_silent:
+            self._reported_silent = False
+            self.session_manager.on_server_silence_changed(self.server, False)
 
-    def _data(self, data: bytes) -> None:
-        self._hear()
+    def _on_data(self, data: bytes) -> None:
+        self._on_received()
         try:
             events = self._reader.feed(data)
         except ValueError:
             events = []
-            if self._call is not None:
-                self._call.cancel()
+            if self._stream_request is not None:
+                self._stream_request.cancel()
         now = self.core.now()
         for event in events:
             try:
-                news = self.state.take(event)
-            except NotesError as error:
-                self.core.log.warning("note passed over", box=self.server, why=str(error))
+                updates = self.state.handle(event)
+            except NoticeError as error:
+                self.core.log.warning("server notice skipped", box=self.server, why=str(error))
                 continue
-            if self.state.greeted:
-                self._tries = 0
-            for one in news:
-                if isinstance(one, Told):
-                    self.host.on_server_notice(now, one.jti, one.attempt, one.kind, one.level)
+            if self.state.hello_received:
+                self._reconnects = 0
+            for update in updates:
+                if isinstance(update, SessionNotice):
+                    self.session_manager.on_server_notice(
+                        now, update.session_id, update.attempt, update.kind, update.level
+                    )
                 else:
-                    self.client._rungs.forget(one.jti, one.attempt)
-                    self.host.on_session_ended(now, one.jti, one.attempt, one.result)
+                    self.client._rung_sync.forget(update.session_id, update.attempt)
+                    self.session_manager.on_session_ended(
+                        now, update.session_id, update.attempt, update.result
+                    )
         if events:
             self.core.schedule_step()
 
-    def _ended(self, reply: Reply) -> None:
-        self._call = None
+    def _on_stream_ended(self, reply: Reply) -> None:
+        self._stream_request = None
         if self._stopped:
             return
         if reply.outcome is Outcome.REFUSED:
-            self._lost(reply.detail)
+            self._report_server_lost(reply.detail)
             return
-        times = self.client.times
-        pause = min(times.retry_s * 2.0**self._tries, times.retry_most_s)
-        self._tries += 1
-        # A box that says nothing on a new stream either holds its viewers up.
-        if self._tries > 2:
-            self._doubt()
-        self.core.loop.call_later(pause * (0.5 + self.client._dice.random()), self._open)
-
-    def _lost(self, why: str) -> None:
-        """Nobody listens there any more: the process is gone, and its sessions with it."""
-        count = self.host.on_server_lost(self.core.now(), self.server)
-        self.core.log.info("box lost", box=self.server, sessions=count, why=why)
+        timeouts = self.client.timeouts
+        backoff_s = min(
+            timeouts.reconnect_backoff_s * 2.0**self._reconnects, timeouts.max_reconnect_backoff_s
+        )
+        self._reconnects += 1
+        # A server that stays silent on new streams too keeps its viewers waiting as well.
+        if self._reconnects > 2:
+            self._report_silent()
+        self.core.loop.call_later(backoff_s * (0.5 + self.client._rng.random()), self._open)
+
+    def _report_server_lost(self, reason: str) -> None:
+        """Nothing accepts connections there any more: the process and its sessions are gone."""
+        session_count = self.session_manager.on_server_lost(self.core.now(), self.server)
+        self.core.log.info("server lost", box=self.server, sessions=session_count, why=reason)
         self.stop()
         self.core.schedule_step()
 
-    def _doubt(self) -> None:
-        if not self._doubtful:
-            self._doubtful = True
-            self.host.on_server_silence_changed(self.server, True)
+    def _report_silent(self) -> None:
+        if not self._reported_silent:
+            self._reported_silent = True
+            self.session_manager.on_server_silence_changed(self.server, True)
 
-    def _watch(self) -> None:
+    def _check_silence(self) -> None:
         if self._stopped:
             return
-        now, times = self.core.loop.time(), self.client.times
-        if self.host.sessions_playing_at(self.server):
-            self._used_at = now
-        elif now - self._used_at > times.unused_s:
+        now, timeouts = self.core.loop.time(), self.client.timeouts
+        if self.session_manager.sessions_playing_at(self.server):
+            self._last_used_at = now
+        elif now - self._last_used_at > timeouts.stream_unused_s:
             self.stop()
             return
-        if now - self._heard_at > times.silence_s:
-            self._doubt()
-            self._heard_at = now
-            if self._call is not None:
-                self._call.cancel()
-        self.core.loop.call_later(times.silence_s / 4.0, self._watch)
+        if now - self._last_received_at > timeouts.stream_silence_s:
+            self._report_silent()
+            self._last_received_at = now
+            if self._stream_request is not None:
+                self._stream_request.cancel()
+        self.core.loop.call_later(timeouts.stream_silence_s / 4.0, self._check_silence)
--- a/fernweir/front/server_notices.py
+++ b/fernweir/front/server_notices.py
@@ -1,8 +1,8 @@
-"""The stream of notes from one box: what it must look like, and what its silence or end means.
+"""Parses the notice stream of one server. Free of I/O.
 
-`NotesState` is free of I/O: it reads events and says what they tell. A stream that breaks proves nothing
-of the sessions; what does is a refused connection, or the box's own list of what it holds when the stream
-comes back.
+A stream that breaks proves nothing about the sessions at the server. They are known to have ended only if a
+connection is refused, or if they are missing in the list of sessions that the server sends when the stream
+is opened again.
 """
 
 from __future__ import annotations
@@ -13,83 +13,91 @@
 from fernweir.http.sse import ServerEvent
 from fernweir.interface import NoticeKind, Result
 
-_KINDS = {
+_KIND_BY_EVENT = {
     "delivered": NoticeKind.DELIVERED,
     "rung": NoticeKind.RUNG,
     "link": NoticeKind.LINK,
     "uplink": NoticeKind.UPLINK,
 }
-_ENDS = {"finished": Result.OK, "left": Result.OK, "broken": Result.RESET, "idle": Result.RESET}
+_RESULT_BY_REASON = {"finished": Result.OK, "left": Result.OK, "broken": Result.RESET, "idle": Result.RESET}
 
 
-class NotesError(ValueError):
-    """An event that the protocol doesn't know in this form; it is passed over."""
+class NoticeError(ValueError):
+    """Raised for an event that the protocol does not allow in this form; the event is skipped."""
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """A note on one session."""
+class SessionNotice:
+    """A measurement or a change of one session, as reported by its server."""
 
-    jti: str
+    session_id: str
     attempt: int
     kind: NoticeKind
     level: float
 
 
 @dataclass(frozen=True, slots=True)
-class Over:
-    """One session ended at the box."""
+class SessionEnded:
+    """One session ended at its server."""
 
-    jti: str
+    session_id: str
     attempt: int
     result: Result
-    why: str
+    reason: str
 
 
-News = Told | Over
+SessionUpdate = SessionNotice | SessionEnded
 
 
-class NotesState:
-    """What one box's stream has said. `asked` takes the sessions that play there as the stream is opened."""
+class NoticeStreamState:
+    """What one server's stream has reported since it was opened."""
 
     def __init__(self) -> None:
         self.boot = ""
-        self.greeted = False
-        self._asked: dict[str, int] = {}
+        self.hello_received = False
+        self._expected: dict[str, int] = {}
 
-    def asked(self, playing: dict[str, int]) -> None:
-        # A session set up after this may be missing in the greeting without being lost.
-        self._asked, self.greeted = dict(playing), False
+    def on_stream_opened(self, playing: dict[str, int]) -> None:
+        """Starts a stream; `playing` has the attempt of each session that plays at the server now."""
+        # A session that is set up after this may be missing in the `hello` event without being lost.
+        self._expected, self.hello_received = dict(playing), False
 
-    def take(self, event: ServerEvent) -> list[News]:
-        """What an event tells. NotesError if it can't be read."""
+    def handle(self, event: ServerEvent) -> list[SessionUpdate]:
+        """Returns the updates that an event contains. Raises NoticeError if it is malformed."""
         try:
             body = json.loads(event.data)
         except (ValueError, RecursionError):
-            raise NotesError(f"{event.event}: not JSON") from None
+            raise NoticeError(f"{event.event}: data is not JSON") from None
         if not isinstance(body, dict):
-            raise NotesError(f"{event.event}: not an object")
+            raise NoticeError(f"{event.event}: data is not an object")
         if event.event == "hello":
-            return self._hello(body)
-        if event.event not in _KINDS and event.event != "ended":
+            return self._on_hello(body)
+        if event.event not in _KIND_BY_EVENT and event.event != "ended":
             return []
-        jti, attempt = body.get("session"), body.get("attempt")
-        if not isinstance(jti, str) or not isinstance(attempt, int):
-            raise NotesError(f"{event.event}: without session and attempt")
+        session_id, attempt = body.get("session"), body.get("attempt")
+        if not isinstance(session_id, str) or not isinstance(attempt, int):
+            raise NoticeError(f"{event.event}: session or attempt is missing")
         if event.event == "ended":
-            why = str(body.get("reason"))
-            return [Over(jti, attempt, _ENDS.get(why, Result.RESET), why)]
+            reason = str(body.get("reason"))
+            return [SessionEnded(session_id, attempt, _RESULT_BY_REASON.get(reason, Result.RESET), reason)]
         level = body.get("level")
         if not isinstance(level, int | float) or isinstance(level, bool) or not 0 <= level < 1e9:
-            raise NotesError(f"{event.event}: level is no number")
-        return [Told(jti, attempt, _KINDS[event.event], float(level))]
-
-    def _hello(self, body: dict[str, object]) -> list[News]:
-        held = body.get("sessions")
-        if not isinstance(held, list):
-            raise NotesError("hello: without sessions")
-        there = {(one[0], one[1]) for one in held if isinstance(one, list) and len(one) == 2}
-        self.boot, self.greeted = str(body.get("boot", "")), True
-        lost = [(jti, attempt) for jti, attempt in self._asked.items() if (jti, attempt) not in there]
-        self._asked = {}
-        return [Over(jti, attempt, Result.RESET, "unknown to its box") for jti, attempt in lost]
+            raise NoticeError(f"{event.event}: level is not a number from 0 to 1e9")
+        return [SessionNotice(session_id, attempt, _KIND_BY_EVENT[event.event], float(level))]
+
+    def _on_hello(self, body: dict[str, object]) -> list[SessionUpdate]:
+        sessions = body.get("sessions")
+        if not isinstance(sessions, list):
+            raise NoticeError("hello: sessions is not a list")
+        present = {(pair[0], pair[1]) for pair in sessions if isinstance(pair, list) and len(pair) == 2}
+        self.boot, self.hello_received = str(body.get("boot", "")), True
+        lost = [
+            (session_id, attempt)
+            for session_id, attempt in self._expected.items()
+            if (session_id, attempt) not in present
+        ]
+        self._expected = {}
+        return [
+            SessionEnded(session_id, attempt, Result.RESET, "unknown to its server")
+            for session_id, attempt in lost
+        ]
--- a/tests/peers_mutants/joint.py
+++ b/tests/peers_mutants/joint.py
@@ -48,7 +48,7 @@
     ),
     Mutant(
         "an heir does not listen to the boxes of what it takes over", _PEERING,
-        "            self._client.listen(standing.box)\n", "", 12,
+        "            self._client.open_notice_stream(standing.box)\n", "", 12,
     ),
     Mutant(
         "a session goes to its heir and stays with its owner", _OWNING,
--- a/tests/test_boxlist.py
+++ b/tests/test_boxlist.py
@@ -12,7 +12,7 @@
 from fernweir.front.endpoint_list import EndpointList, ListError, ListGapError, read_document
 from fernweir.front.response_classification import classify_reply, load_report
 from fernweir.front.rungsync import RungSync, Send
-from fernweir.front.server_notices import NotesError, NotesState, Over, Told
+from fernweir.front.server_notices import NoticeError, NoticeStreamState, SessionEnded, SessionNotice
 from fernweir.http.client import Outcome, Reply
 from fernweir.http.headers import Headers
 from fernweir.http.problem import problem
@@ -92,19 +92,23 @@
 
 
 def test_notes_and_what_a_new_stream_tells() -> None:
-    state = NotesState()
-    state.asked({"a": 0, "b": 1, "c": 0})
+    state = NoticeStreamState()
+    state.on_stream_opened({"a": 0, "b": 1, "c": 0})
     hello = {"boot": "x", "sessions": [["a", 0], ["b", 0]]}
-    lost = state.take(ServerEvent(json.dumps(hello), "hello"))
+    lost = state.handle(ServerEvent(json.dumps(hello), "hello"))
     assert lost == [
-        Over("b", 1, Result.RESET, "unknown to its box"),
-        Over("c", 0, Result.RESET, "unknown to its box"),
+        SessionEnded("b", 1, Result.RESET, "unknown to its server"),
+        SessionEnded("c", 0, Result.RESET, "unknown to its server"),
     ]
     note = {"session": "a", "attempt": 0, "level": 0.5}
-    assert state.take(ServerEvent(json.dumps(note), "uplink")) == [Told("a", 0, NoticeKind.UPLINK, 0.5)]
+    assert state.handle(ServerEvent(json.dumps(note), "uplink")) == [
+        SessionNotice("a", 0, NoticeKind.UPLINK, 0.5)
+    ]
     ended = {"session": "a", "attempt": 0, "reason": "finished"}
-    assert state.take(ServerEvent(json.dumps(ended), "ended")) == [Over("a", 0, Result.OK, "finished")]
-    assert state.take(ServerEvent("{}", "something-newer")) == []
+    assert state.handle(ServerEvent(json.dumps(ended), "ended")) == [
+        SessionEnded("a", 0, Result.OK, "finished")
+    ]
+    assert state.handle(ServerEvent("{}", "something-newer")) == []
     who = '{"session": "a", "attempt": 0'
     for bad in (
         "no",
@@ -113,13 +117,13 @@
         who + "}",
         *(f'{who}, "level": {level}}}' for level in ("true", "-1", "NaN")),
     ):
-        with pytest.raises(NotesError):
-            state.take(ServerEvent(bad, "link"))
+        with pytest.raises(NoticeError):
+            state.handle(ServerEvent(bad, "link"))
 
 
 @given(st.lists(st.tuples(st.sampled_from(["want", "done", "lost", "time"]), st.integers(0, 3)), max_size=40))
 def test_the_last_rung_wanted_is_the_last_that_arrives(steps: list[tuple[str, int]]) -> None:
-    sync, now, out, arrived, wanted = RungSync(tries=100), 0.0, [], None, None
+    sync, now, out, arrived, wanted = RungSync(max_sends=100), 0.0, [], None, None
 
     def send(one: Send | None) -> None:
         if one is not None:
@@ -129,27 +133,27 @@
     for step, rung in [*steps, *[("time", 0), ("done", 0)] * 60]:
         if step == "want":
             wanted = rung
-            send(sync.want("a", 0, 1, rung))
+            send(sync.set_rung("a", 0, 1, rung))
         elif step == "time":
             now += 1e6
-            for one in sync.due(now):
+            for one in sync.pop_due(now):
                 send(one)
         elif out:
             sent = out.pop()
             if step == "done":
                 arrived = sent.rung
-            send(sync.done(now, sent, step == "done"))
+            send(sync.on_send_finished(now, sent, step == "done"))
     assert arrived == wanted and len(sync) == 0
 
 
 def test_a_rung_that_never_arrives_is_given_up() -> None:
-    sync, now, sends = RungSync(tries=3, pause_ms=10.0), 0.0, 1
-    sent = sync.want("a", 0, 1, 2)
+    sync, now, sends = RungSync(max_sends=3, backoff_ms=10.0), 0.0, 1
+    sent = sync.set_rung("a", 0, 1, 2)
     assert sent is not None
-    while sync.done(now, sent, False) is None and sync.next_due() is not None:
-        now = sync.next_due() or 0.0
-        assert sync.due(now - 1.0) == []
-        again = sync.due(now)
+    while sync.on_send_finished(now, sent, False) is None and sync.next_deadline() is not None:
+        now = sync.next_deadline() or 0.0
+        assert sync.pop_due(now - 1.0) == []
+        again = sync.pop_due(now)
         if not again:
             break
         sent, sends = again[0], sends + 1
--- a/tests/test_front_sockets.py
+++ b/tests/test_front_sockets.py
@@ -236,15 +236,15 @@
 def test_a_front_that_is_out_of_descriptors_takes_no_box_for_dead() -> None:
     async def story(scene: Scene) -> None:
         assert (await scene.ask(scene.wish(play_s=5.0))).status == 200
-        host, client = scene.fronts[0].core.sessions, scene.fronts[0].boxes
+        host, client = scene.fronts[0].core.sessions, scene.fronts[0].server_client
         box = int(scene.of("box.setup")[0]["box"])
-        await until(lambda: client._streams[box].state.greeted)
+        await until(lambda: client._streams[box].state.hello_received)
         with patch.object(scene.loop, "create_connection", side_effect=OSError(errno.EMFILE, "too many")):
             for watcher in list(scene.site.boxes[box]._watchers.values()):
                 watcher.exchange.drop()
-            await until(lambda: client._streams[box]._tries > 1)
+            await until(lambda: client._streams[box]._reconnects > 1)
             assert len(host.sessions_playing_at(box)) == 1
-        await until(lambda: client._streams[box]._tries == 0)
+        await until(lambda: client._streams[box]._reconnects == 0)
         assert len(host.sessions_playing_at(box)) == 1
 
     play(story, PLAN)
@@ -252,12 +252,12 @@
 
 def test_a_box_unlisted_as_its_set_up_ends_is_heard_again_when_it_is_back() -> None:
     async def story(scene: Scene) -> None:
-        client, box = scene.fronts[0].boxes, next(iter(scene.site.boxes))
-        with patch.object(client.boxes, "address", return_value=None):
-            client.listen(box)
+        client, box = scene.fronts[0].server_client, next(iter(scene.site.boxes))
+        with patch.object(client.endpoint_list, "address", return_value=None):
+            client.open_notice_stream(box)
         assert box not in client._streams
-        client.listen(box)
-        await until(lambda: client._streams[box].state.greeted)
+        client.open_notice_stream(box)
+        await until(lambda: client._streams[box].state.hello_received)
 
     play(story, PLAN)
 
--- a/tests/test_peers_boxes.py
+++ b/tests/test_peers_boxes.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from fernweir.front.peering import Peering
-from fernweir.front.server_client import BoxClient
+from fernweir.front.server_client import ServerClient
 from fernweir.interface import Result
 from fernweir.peers.port import Claimed, Standing
 from fernweir.rehearsal.site import SitePlan
@@ -81,9 +81,9 @@
         ports, told = [], []
         for number, front in enumerate(scene.fronts):
             client = front.core.server_transport
-            assert isinstance(client, BoxClient)
+            assert isinstance(client, ServerClient)
             classes = {one.name: place for place, one in enumerate(front.core.sessions.settings.classes)}
-            port = Peering(front.core, client.boxes, client, classes, lambda: 0.0)
+            port = Peering(front.core, client.endpoint_list, client, classes, lambda: 0.0)
             front.core.channel_ownership = _Owner("front-0:1/0", 5 + number)
             told.append(_Told())
             port.listen(told[-1])
@@ -133,7 +133,7 @@
     async def story(scene: Scene) -> None:
         front = scene.fronts[0]
         client = front.core.server_transport
-        assert isinstance(client, BoxClient)
+        assert isinstance(client, ServerClient)
         owner = front.core.channel_ownership = _Owner("front-0:1/0", 5)
         wish = scene.wish(play_s=30.0)
         assert (await scene.http("GET", "/lessons/lesson-0/manifest.mpd", wish)).status == 200
@@ -141,8 +141,8 @@
         box = scene.site.boxes[int(setup["box"])]
         claims: list[object] = []
         heir = scene.fronts[1].core.server_transport
-        assert isinstance(heir, BoxClient)
-        heir.claim(box.spec.number, "front-0:1/0", 9, 400.0, claims.append)
+        assert isinstance(heir, ServerClient)
+        heir.claim_channel(box.spec.number, "front-0:1/0", 9, 400.0, claims.append)
         await until(lambda: bool(claims))
         began = box._loop.time()
         await until(lambda: box._loop.time() - began > 0.45)
@@ -153,7 +153,7 @@
         assert (wish.session, 0) in box.sessions
         owner.under = None  # steering without a fence is refused as well
         host.on_session_ended(front.core.now(), wish.session, 0, Result.OK)
-        client.drop(box.spec.number, wish.session, 0, "another's", ("front-0:1/0", 5))
+        client.release_unowned_session(box.spec.number, wish.session, 0, "another's", ("front-0:1/0", 5))
         front.kill()
         began = box._loop.time()
         await until(lambda: box._loop.time() - began > 0.8)  # more than `orphan`: an heir may still come
