--- a/fernweir/front/follower.py
+++ b/fernweir/front/follower.py
@@ -1,4 +1,7 @@
-"""Follows the list of boxes by Server-Sent Events and keeps a copy in a file. A thin shell."""
+"""Follows the endpoint list by Server-Sent Events and caches it in a file.
+
+The list itself is in `endpoint_list`; this module does the I/O.
+"""
 
 from __future__ import annotations
 
@@ -15,153 +18,163 @@
 from fernweir.http.sse import EventReader, ServerEvent
 from fernweir.interface import EndpointListKind, EndpointListUpdate
 
-_FIRST_PAUSE_S, _LONGEST_PAUSE_S, _CACHE_PAUSE_S = 0.1, 5.0, 0.5
+_RECONNECT_BACKOFF_S, _MAX_RECONNECT_BACKOFF_S, _CACHE_WRITE_DELAY_S = 0.1, 5.0, 0.5
 
 
 class ListFollower:
-    """Resumes by `Last-Event-ID`; a stream that says nothing for `silence_s` seconds is opened anew."""
+    """Keeps the endpoint list up to date.
+
+    Resumes by `Last-Event-ID`; a stream that is silent for `silence_s` seconds is reopened.
+    """
 
     def __init__(
         self,
         core: Dispatcher,
         pool: Pool,
-        boxes: EndpointList,
+        endpoint_list: EndpointList,
         url: str,
         token: Callable[[], str],
         *,
         silence_s: float,
-        cache: Path | None,
+        cache_path: Path | None,
         seed: int = 0,
     ) -> None:
         parts = urlsplit(url)
-        self.core, self.pool, self.boxes = core, pool, boxes
+        self.core, self.pool, self.endpoint_list = core, pool, endpoint_list
         self.listed = asyncio.Event()
         self._origin = (parts.hostname or "", parts.port or 80)
         self._target = parts.path or "/"
-        self._token, self._silence_s, self._cache = token, silence_s, cache
-        self._dice = Random(seed)
+        self._token, self._silence_s, self._cache_path = token, silence_s, cache_path
+        self._rng = Random(seed)
         self._reader = EventReader()
-        self._call: Call | None = None
-        self._resume = ""
-        self._tries = 0
-        self._failed = self._stopped = self._cache_due = False
-        self._heard_at = core.loop.time()
+        self._stream_request: Call | None = None
+        self._last_event_id = ""
+        self._reconnects = 0
+        self._failure_reported = self._stopped = self._cache_write_pending = False
+        self._last_received_at = core.loop.time()
 
     def start(self) -> None:
-        """Takes the list in the file, if there is one, and opens the stream."""
+        """Applies the cached list, if there is one, and opens the stream."""
         self._read_cache()
         self._open()
-        self._watch()
+        self._check_silence()
 
     def stop(self) -> None:
+        """Closes the stream, and writes a pending list to the cache first."""
         self._stopped = True
-        if self._cache_due:
+        if self._cache_write_pending:
             self._write_cache()
-        if self._call is not None:
-            self._call.cancel()
+        if self._stream_request is not None:
+            self._stream_request.cancel()
 
     def _read_cache(self) -> None:
-        if self._cache is None:
+        if self._cache_path is None:
             return
         try:
-            document = read_document(self._cache.read_bytes())
-            update = self.boxes.apply_full(self.core.now(), document, cached=True)
+            document = read_document(self._cache_path.read_bytes())
+            update = self.endpoint_list.apply_full(self.core.now(), document, cached=True)
         except FileNotFoundError:
             return
         except (OSError, ListError) as error:
-            self.core.log.warning("kept list not used", file=str(self._cache), why=str(error))
+            self.core.log.warning("cached list not used", file=str(self._cache_path), why=str(error))
             return
         if update is not None:
-            self.core.log.info("kept list taken", version=document.version, boxes=len(self.boxes.servers))
-            self._tell(update)
+            self.core.log.info(
+                "cached list loaded", version=document.version, boxes=len(self.endpoint_list.servers)
+            )
+            self._report_update(update)
 
     def _open(self) -> None:
         if self._stopped:
             return
-        self._reader, self._heard_at = EventReader(), self.core.loop.time()
+        self._reader, self._last_received_at = EventReader(), self.core.loop.time()
         headers = [("accept", "text/event-stream"), ("authorization", f"Bearer {self._token()}")]
-        if self._resume:
-            headers.append(("last-event-id", self._resume))
-        self._call = self.pool.request(
-            self._origin, "GET", self._target, self._ended, headers=headers, on_data=self._data
+        if self._last_event_id:
+            headers.append(("last-event-id", self._last_event_id))
+        self._stream_request = self.pool.request(
+            self._origin, "GET", self._target, self._on_stream_ended, headers=headers, on_data=self._on_data
         )
 
-    def _data(self, data: bytes) -> None:
-        self._heard_at = self.core.loop.time()
+    def _on_data(self, data: bytes) -> None:
+        self._last_received_at = self.core.loop.time()
         try:
             for event in self._reader.feed(data):
-                self._take(event)
+                self._on_event(event)
         except ListGapError as error:
-            self.core.log.warning("list has a gap", why=str(error))
-            self._resume = ""
-            self._break()
+            self.core.log.warning("endpoint list has a gap", why=str(error))
+            self._last_event_id = ""
+            self._abort_stream()
         except (ListError, ValueError) as error:
-            self.core.log.warning("list refused", why=str(error))
-            self._break()
+            self.core.log.warning("endpoint list rejected", why=str(error))
+            self._abort_stream()
 
-    def _take(self, event: ServerEvent) -> None:
+    def _on_event(self, event: ServerEvent) -> None:
         if event.event not in ("whole", "changes"):
             return
         document = read_document(event.data)
         now = self.core.now()
         if event.event == "whole":
-            update = self.boxes.apply_full(now, document)
-            if update is None and document.version < self.boxes.version:
-                held = self.boxes.version
-                self.core.log.warning("list went back", version=document.version, held=held)
+            update = self.endpoint_list.apply_full(now, document)
+            if update is None and document.version < self.endpoint_list.version:
+                current_version = self.endpoint_list.version
+                self.core.log.warning(
+                    "endpoint list version went back", version=document.version, held=current_version
+                )
         else:
-            update = self.boxes.apply_delta(now, document)
-        self._tries, self._failed = 0, False
-        self._resume = self.boxes.last_id
+            update = self.endpoint_list.apply_delta(now, document)
+        self._reconnects, self._failure_reported = 0, False
+        self._last_event_id = self.endpoint_list.last_id
         if update is not None:
-            if not self.boxes.servers:
-                self.core.log.warning("list is empty", version=document.version)
-            self._tell(update)
-            self._cache_later()
+            if not self.endpoint_list.servers:
+                self.core.log.warning("endpoint list is empty", version=document.version)
+            self._report_update(update)
+            self._schedule_cache_write()
 
-    def _tell(self, update: EndpointListUpdate) -> None:
+    def _report_update(self, update: EndpointListUpdate) -> None:
         self.listed.set()
         self.core.sessions.on_endpoint_list(self.core.now(), update)
         self.core.schedule_step()
 
-    def _break(self) -> None:
-        if self._call is not None:
-            self._call.cancel()
+    def _abort_stream(self) -> None:
+        if self._stream_request is not None:
+            self._stream_request.cancel()
 
-    def _ended(self, reply: Reply) -> None:
-        self._call = None
+    def _on_stream_ended(self, reply: Reply) -> None:
+        self._stream_request = None
         if self._stopped:
             return
-        if not self._failed:
-            self._failed = True
-            self.core.log.warning("list server away", why=reply.detail or reply.outcome.value)
+        if not self._failure_reported:
+            self._failure_reported = True
+            self.core.log.warning("list server unavailable", why=reply.detail or reply.outcome.value)
             self.core.sessions.on_endpoint_list(
                 self.core.now(), EndpointListUpdate(EndpointListKind.FAILED, 0, ())
             )
             self.core.schedule_step()
-        asked = (self._reader.retry_ms or 0) / 1000.0
-        pause = min(_FIRST_PAUSE_S * 2.0**self._tries, _LONGEST_PAUSE_S)
-        self._tries += 1
-        self.core.loop.call_later(max(pause * (0.5 + self._dice.random()), asked), self._open)
+        requested_backoff_s = (self._reader.retry_ms or 0) / 1000.0
+        backoff_s = min(_RECONNECT_BACKOFF_S * 2.0**self._reconnects, _MAX_RECONNECT_BACKOFF_S)
+        self._reconnects += 1
+        self.core.loop.call_later(
+            max(backoff_s * (0.5 + self._rng.random()), requested_backoff_s), self._open
+        )
 
-    def _watch(self) -> None:
+    def _check_silence(self) -> None:
         if self._stopped:
             return
-        if self.core.loop.time() - self._heard_at > self._silence_s:
-            self._heard_at = self.core.loop.time()
-            self._break()
-        self.core.loop.call_later(self._silence_s / 4.0, self._watch)
+        if self.core.loop.time() - self._last_received_at > self._silence_s:
+            self._last_received_at = self.core.loop.time()
+            self._abort_stream()
+        self.core.loop.call_later(self._silence_s / 4.0, self._check_silence)
 
-    def _cache_later(self) -> None:
-        if self._cache is not None and not self._cache_due:
-            self._cache_due = True
-            self.core.loop.call_later(_CACHE_PAUSE_S, self._write_cache)
+    def _schedule_cache_write(self) -> None:
+        if self._cache_path is not None and not self._cache_write_pending:
+            self._cache_write_pending = True
+            self.core.loop.call_later(_CACHE_WRITE_DELAY_S, self._write_cache)
 
     def _write_cache(self) -> None:
-        if self._cache is None or not self._cache_due:
+        if self._cache_path is None or not self._cache_write_pending:
             return
-        self._cache_due = False
+        self._cache_write_pending = False
         try:
-            write_file(self._cache, self.boxes.to_cache())
+            write_file(self._cache_path, self.endpoint_list.to_cache())
         except OSError as error:
-            self.core.log.error("list not kept", file=str(self._cache), why=str(error))
+            self.core.log.error("endpoint list not cached", file=str(self._cache_path), why=str(error))
--- a/fernweir/front/manifest.py
+++ b/fernweir/front/manifest.py
@@ -1,7 +1,7 @@
-"""From a box's manifest to a viewer's: judged once, rendered once a rung, filled in a session.
+"""Turns a server's manifest into the viewer's: validated once, rendered once per rung, completed per session.
 
-Free of I/O. Most sessions of a title get the same document but for two strings, so what is parsed and
-written is kept by its bytes, and a session costs two replacements.
+Free of I/O. The documents for most sessions of a title differ in two strings only, so parsed and rendered
+documents are cached by their content, and a further session costs two replacements.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from fernweir.dash.urlparam import put_query
 from fernweir.dash.xml import escape_attr
 
-_QUERY, _LOCATION = "fernweir-query-goes-here", "http://fernweir-location-goes-here/"
+_QUERY_PLACEHOLDER, _LOCATION_PLACEHOLDER = "fernweir-query-goes-here", "http://fernweir-location-goes-here/"
 
 
-K = TypeVar("K")
-V = TypeVar("V")
+Key = TypeVar("Key")
+Value = TypeVar("Value")
 
 
 class ManifestError(ValueError):
-    """A box's manifest can't be served; the text says why."""
+    """Raised for a server's manifest that cannot be served to viewers."""
 
 
 @dataclass(frozen=True, slots=True)
 class Manifest:
-    """A judged manifest: its bytes and the rungs that it lists."""
+    """A validated manifest: its bytes and the rungs that it lists."""
 
     body: bytes
     digest: bytes
@@ -37,63 +37,86 @@
 
 
 class ManifestCache:
-    """`ladder` is the number of rungs there are."""
+    """Caches validated manifests and rendered documents.
 
-    def __init__(self, ladder: int, size: int = 4_096) -> None:
-        self._ladder, self._size = ladder, size
-        self._judged: OrderedDict[bytes, Manifest] = OrderedDict()
+    `rung_count` is the number of rungs of the ladder.
+    """
+
+    def __init__(self, rung_count: int, size: int = 4_096) -> None:
+        self._rung_count, self._size = rung_count, size
+        self._validated: OrderedDict[bytes, Manifest] = OrderedDict()
         self._rendered: OrderedDict[tuple[object, ...], bytes] = OrderedDict()
 
     def validate(self, body: bytes, lowest: int, highest: int) -> Manifest:
-        """Takes a manifest that lists the rungs from lowest to highest, and none that we don't know."""
+        """Parses a manifest that lists at least the rungs from lowest to highest.
+
+        Raises ManifestError if a rung is missing, or is not on the ladder.
+        """
         digest = blake2b(body, digest_size=16).digest()
-        manifest = self._judged.get(digest)
+        manifest = self._validated.get(digest)
         if manifest is None:
-            manifest = self._keep(self._judged, digest, Manifest(body, digest, self._rungs(body)))
+            manifest = self._store(self._validated, digest, Manifest(body, digest, self._read_rungs(body)))
         missing = set(range(lowest, highest + 1)) - manifest.rungs
         if missing:
             raise ManifestError(f"rungs {sorted(missing)} are not listed")
         return manifest
 
     def render(
-        self, manifest: Manifest, lowest: int, highest: int, base: str, place: str, location: str, query: str
+        self,
+        manifest: Manifest,
+        lowest: int,
+        highest: int,
+        base_url: str,
+        service_location: str,
+        location: str,
+        query: str,
     ) -> bytes:
-        """The viewer's document: rungs from lowest to highest, at one box, with the token for segments."""
-        key = (manifest.digest, lowest, highest, base, place)
-        text = self._rendered.get(key)
-        if text is None:
-            text = self._keep(self._rendered, key, self._render(manifest, lowest, highest, base, place))
-        text = text.replace(_LOCATION.encode(), escape_attr(location).encode())
-        return text.replace(_QUERY.encode(), escape_attr(query).encode())
-
-    def _rungs(self, body: bytes) -> frozenset[int]:
+        """Returns the viewer's document: rungs from lowest to highest, at one server.
+
+        `query` is appended to segment requests and carries the token.
+        """
+        key = (manifest.digest, lowest, highest, base_url, service_location)
+        document = self._rendered.get(key)
+        if document is None:
+            document = self._store(
+                self._rendered, key, self._render(manifest, lowest, highest, base_url, service_location)
+            )
+        document = document.replace(_LOCATION_PLACEHOLDER.encode(), escape_attr(location).encode())
+        return document.replace(_QUERY_PLACEHOLDER.encode(), escape_attr(query).encode())
+
+    def _read_rungs(self, body: bytes) -> frozenset[int]:
         try:
             mpd = read_mpd(body)
             found: set[int] = set()
             for period in mpd.periods:
-                for group in period.sets:
-                    reps = [(rung_of(rep.id), rep.bandwidth) for rep in group.representations]
-                    rates = [rate for _, rate in sorted(reps)]
-                    if len({rung for rung, _ in reps}) != len(reps) or rates != sorted(rates):
-                        raise ManifestError("rungs repeat, or their rates don't rise")
-                    found |= {rung for rung, _ in reps}
+                for adaptation_set in period.sets:
+                    rungs = [
+                        (rung_of(representation.id), representation.bandwidth)
+                        for representation in adaptation_set.representations
+                    ]
+                    rates = [rate for _, rate in sorted(rungs)]
+                    if len({rung for rung, _ in rungs}) != len(rungs) or rates != sorted(rates):
+                        raise ManifestError("rungs are repeated, or their rates do not increase")
+                    found |= {rung for rung, _ in rungs}
         except (MpdError, ValueError) as error:
             raise ManifestError(str(error)) from None
-        if not found or max(found) >= self._ladder:
-            raise ManifestError(f"lists rungs {sorted(found)} of a ladder of {self._ladder}")
+        if not found or max(found) >= self._rung_count:
+            raise ManifestError(f"lists rungs {sorted(found)}, but the ladder has {self._rung_count}")
         return frozenset(found)
 
-    def _render(self, manifest: Manifest, lowest: int, highest: int, base: str, place: str) -> bytes:
+    def _render(
+        self, manifest: Manifest, lowest: int, highest: int, base_url: str, service_location: str
+    ) -> bytes:
         mpd = read_mpd(manifest.body)
         for period in mpd.periods:
-            for group in period.sets:
-                group.keep({rung_id(rung) for rung in range(lowest, highest + 1)})
-        mpd.put_first("BaseURL", base, serviceLocation=place)
-        mpd.put_first("Location", _LOCATION)
-        put_query(mpd, _QUERY)
+            for adaptation_set in period.sets:
+                adaptation_set.keep({rung_id(rung) for rung in range(lowest, highest + 1)})
+        mpd.put_first("BaseURL", base_url, serviceLocation=service_location)
+        mpd.put_first("Location", _LOCATION_PLACEHOLDER)
+        put_query(mpd, _QUERY_PLACEHOLDER)
         return mpd.write()
 
-    def _keep(self, cache: OrderedDict[K, V], key: K, value: V) -> V:
+    def _store(self, cache: OrderedDict[Key, Value], key: Key, value: Value) -> Value:
         cache[key] = value
         if len(cache) > self._size:
             cache.popitem(last=False)
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -204,7 +204,7 @@
         config.list.url,
         token,
         silence_s=config.list.silence / 1000.0,
-        cache=config.path(config.list.cache) if config.list.cache is not None else None,
+        cache_path=config.path(config.list.cache) if config.list.cache is not None else None,
         seed=section.seed,
     )
     rules = TokenRules(
