--- a/fernweir/front/follower.py
+++ b/fernweir/front/follower.py
@@ -41,7 +41,7 @@
     ) -> None:
         parts = urlsplit(url)
         self.core, self.pool, self.endpoint_list = core, pool, endpoint_list
-        self.listed = asyncio.Event()
+        self.list_received = asyncio.Event()
         self._origin = (parts.hostname or "", parts.port or 80)
         self._target = parts.path or "/"
         self._token, self._silence_s, self._cache_path = token, silence_s, cache_path
@@ -131,7 +131,7 @@
             self._schedule_cache_write()
 
     def _report_update(self, update: EndpointListUpdate) -> None:
-        self.listed.set()
+        self.list_received.set()
         self.core.sessions.on_endpoint_list(self.core.now(), update)
         self.core.schedule_step()
 
