--- a/bench/journal.py
+++ b/bench/journal.py
@@ -116,7 +116,7 @@
     await site.start()
     extra = "[control]\nsocket = f.sock\njournal = journal\norders = orders.json" if control else ""
     front = await start_front(site.config(0, extra=extra))
-    await front.list.list_received.wait()
+    await front.list_follower.list_received.wait()
     clients = [ControlClient(folder / "f.sock", f"w{n}", watch=True) for n in range(watchers)]
     for client in clients:
         client.start()
--- a/bench/leads.py
+++ b/bench/leads.py
@@ -60,7 +60,7 @@
     assert front.gate is not None
     leads = HdrHistogram(1, 600_000, 3)
     front.gate.on_lead = lambda lead: leads.record_value(max(int(lead), 1))
-    await front.list.list_received.wait()
+    await front.list_follower.list_received.wait()
     await asyncio.sleep(1.0)
     viewers = Viewers({"front-0": front.address}, trace, 1, wall_offset_s=site.wall_offset_s)
 
--- a/bench/pictures.py
+++ b/bench/pictures.py
@@ -26,7 +26,7 @@
     await site.start()
     extra = "[control]\nsocket = front.sock\norders = orders.json"
     front = await start_front(site.config(0, extra=extra))
-    await front.list.list_received.wait()
+    await front.list_follower.list_received.wait()
     await asyncio.sleep(0.5)
     viewers = Viewers({"front-0": front.address}, trace, 1, wall_offset_s=site.wall_offset_s)
     app = ConsoleApp(folder / "front.sock", "ann")
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -60,7 +60,7 @@
     core: Dispatcher
     server: Server
     server_client: ServerClient
-    list: ListFollower
+    list_follower: ListFollower
     pools: tuple[Pool, ...]
     record: IO[str] | None
     gate: Gate | None = None
@@ -98,7 +98,7 @@
 
     def kill(self) -> None:
         """Ends at once: connections break, nothing more is said."""
-        self.list.stop()
+        self.list_follower.stop()
         if self.peers is not None:
             self.peers.cut()
         if self.control is not None:
--- a/fernweir/rehearsal/fleet/virtual.py
+++ b/fernweir/rehearsal/fleet/virtual.py
@@ -88,7 +88,7 @@
         for number in self.lives:
             await self._start(number)
         for front in self.fronts.values():
-            await front.list.list_received.wait()
+            await front.list_follower.list_received.wait()
         await self._until_all_own()
         origins = {f"front-{number}": ("127.0.0.1", port) for number, port in self.ports.items()}
         habits = Habits(doubled=0.1, dropped=0.05, asks_while_playing=plan.asks_while_playing)
--- a/fernweir/rehearsal/virtual.py
+++ b/fernweir/rehearsal/virtual.py
@@ -120,7 +120,7 @@
         for number in range(1, plan.fronts + 1):
             await self._start_front(number)
         for front in self.fronts.values():
-            await front.list.list_received.wait()
+            await front.list_follower.list_received.wait()
         origins = {f"front-{number}": ("127.0.0.1", port) for number, port in self.ports.items()}
         habits = Habits(doubled=0.1, dropped=0.06, asks_while_playing=0.1)
         self.viewers = Viewers(origins, trace, plan.seed, habits, offset)
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -60,7 +60,7 @@
         self.trace.write("front.up", front=name)
         self.viewers.fronts[name] = front.address
         self.fronts.append(front)
-        await front.list.list_received.wait()
+        await front.list_follower.list_received.wait()
         await until(lambda: len(front.core.sessions._servers.states) >= len(self.site.boxes))
         return front
 
