--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -1,6 +1,7 @@
-"""The front's side of its peers: what they see of it and do to it, and nothing else. A thin shell.
+"""The front's adapter for its peers: what they can read and change of this front.
 
-Implements `peers.port.Port` with `acting`. It is loaded only where the settings have a `[peers]` section.
+Implements `peers.port.Port` together with `peer_view`. It is loaded only if the settings have a `[peers]`
+section.
 """
 
 from __future__ import annotations
@@ -22,62 +23,77 @@
 from fernweir.peers.forward.messages import Carried, Carry
 from fernweir.peers.port import Claimed, Standing
 
-_PAYLOADS_KEPT = 4_096
+_MAX_CACHED_PAYLOADS = 4_096
 
 
 class Peering(Acting):
-    """`wall_ms` gives wall time now. `fences` is asked under which channel and fence a session is steered."""
+    """Lets peers read the front's sessions and endpoint list, and take over or hand off sessions.
+
+    `wall_ms` returns the current wall time.
+    """
 
     def __init__(
-        self, core: Dispatcher, boxes: EndpointList, client: ServerClient, classes: Mapping[str, int],
+        self, core: Dispatcher, endpoint_list: EndpointList, client: ServerClient, classes: Mapping[str, int],
         wall_ms: Callable[[], float],
     ) -> None:  # fmt: skip
         super().__init__(core, self, wall_ms)
-        self._boxes, self._client, self._classes = boxes, client, classes
-        self._names = {number: name for name, number in classes.items()}
+        self._endpoint_list, self._client, self._classes = endpoint_list, client, classes
+        self._class_names = {number: name for name, number in classes.items()}
         self._payloads: OrderedDict[bytes, bytes] = OrderedDict()
-        self._letting_go = False
+        self._handing_over = False
 
-    # --- what peers ask of the front ---
+    # --- requests of peers (peers.port.Port) ---
 
     def standing(self) -> list[Standing]:
-        return [self._standing(held) for held in self._core.sessions.records().values() if _plays(held)]
+        """Returns the status of all sessions that play here."""
+        return [
+            self._session_status(record)
+            for record in self._core.sessions.records().values()
+            if _is_playing(record)
+        ]
 
     def payload(self, digest: bytes) -> bytes | None:
+        """Returns the payload that viewers of a session are answered from, for a takeover by a successor."""
         return self._payloads.get(digest)
 
     def boxes(self) -> list[int]:
-        """All boxes that the list names now."""
-        return [box for box, line in self._boxes.servers.items() if line.state != "gone"]
+        """Returns the servers of the current list."""
+        return [server for server, entry in self._endpoint_list.servers.items() if entry.state != "gone"]
 
     def racks(self) -> list[tuple[str, frozenset[int], float]]:
+        """Returns each rack's name, its servers, and the capacity of its uplink in kB/s."""
         settings = self._core.sessions.settings
-        boxes: dict[int, set[int]] = {rack: set() for rack in range(settings.rack_count)}
-        for box, line in self._boxes.servers.items():
-            boxes[line.cell % settings.rack_count].add(box)
-        # Without a figure for uplinks they are no limit: as much as all links together.
+        servers_by_rack: dict[int, set[int]] = {rack: set() for rack in range(settings.rack_count)}
+        for server, entry in self._endpoint_list.servers.items():
+            servers_by_rack[entry.cell % settings.rack_count].add(server)
+        # If no uplink rate is configured, uplinks are no bottleneck: their capacity is that of all links.
         return [
             (
                 str(rack),
-                frozenset(those),
-                settings.uplink_rate_kbyte_s or settings.link_rate_per_weight_kbyte_s * max(len(those), 1),
+                frozenset(servers),
+                settings.uplink_rate_kbyte_s or settings.link_rate_per_weight_kbyte_s * max(len(servers), 1),
             )
-            for rack, those in boxes.items()
+            for rack, servers in servers_by_rack.items()
         ]
 
     def list_document(self) -> bytes:
-        return self._boxes.to_cache()
+        """Returns the current endpoint list, for a peer that does not have it."""
+        return self._endpoint_list.to_cache()
 
     def take_list(self, now: float, data: bytes, digest: bytes) -> bool:
+        """Applies a peer's list if its content has this digest and it is newer within the same epoch."""
         try:
             document = read_document(data)
-            shown = _rows(document.boxes, [(one.title, one.cell, one.copies) for one in document.lessons])
-            # Another life of the list server can't be set in order with this one: its own word is waited for.
-            if boxes_digest(shown) != digest or document.epoch != self._boxes.epoch:
+            rows = _rows(
+                document.boxes, [(title.title, title.cell, title.copies) for title in document.lessons]
+            )
+            # Versions of another incarnation of the list server cannot be compared with the current one, so
+            # the list server itself has to send its list.
+            if boxes_digest(rows) != digest or document.epoch != self._endpoint_list.epoch:
                 return False
-            update = self._boxes.apply_full(now, document)
+            update = self._endpoint_list.apply_full(now, document)
         except (ListError, ValueError) as error:
-            self._core.log.warning("a peer's list is no good", why=str(error))
+            self._core.log.warning("endpoint list of a peer rejected", why=str(error))
             return False
         if update is not None:
             self._core.sessions.on_endpoint_list(now, update)
@@ -85,212 +101,237 @@
         return update is not None
 
     def take_over(self, now: float, standing: Standing, payload: bytes | None) -> bool:
-        core, lesson = self._core, self._boxes.titles.get(standing.title)
-        cls, carrier = self._classes.get(standing.cls), core.set_up_codecs.get(standing.via)
-        if lesson is None or cls is None or carrier is None:
+        """Adopts a session of another front.
+
+        Returns False if the session is here already, or if its server, title, class or protocol is unknown.
+        """
+        core, title = self._core, self._endpoint_list.titles.get(standing.title)
+        class_index, codec = self._classes.get(standing.cls), core.set_up_codecs.get(standing.via)
+        if title is None or class_index is None or codec is None:
             return False
         unpacked = None
         if payload is not None:
             try:
-                unpacked = carrier.unpack(cls, standing.top_rung, payload)
+                unpacked = codec.unpack(class_index, standing.top_rung, payload)
             except InvalidServerReplyError as error:
-                core.log.warning("inherited payload is no good", session=standing.session, why=str(error))
+                core.log.warning("payload of a takeover rejected", session=standing.session, why=str(error))
             else:
-                self._keep(standing.payload, payload)
-        ask = SessionRequest(
+                self._cache_payload(standing.payload, payload)
+        request = SessionRequest(
             ticket=0,
             protocol=standing.via,
             session_id=standing.session,
             subject=standing.who,
             title_name=standing.title,
-            title=lesson.number,
-            first_zone=lesson.first_zone,
-            replicas=lesson.replicas,
-            class_index=cls,
+            title=title.number,
+            first_zone=title.first_zone,
+            replicas=title.replicas,
+            class_index=class_index,
             top_rung=standing.top_rung,
             max_wait_ms=0.0,
             tenant=standing.tenant,
             viewer_key=standing.key,
         )
-        taken = core.sessions.adopt_session(
-            now, ask, standing.box, attempt=standing.attempt, rung=standing.rung, payload=unpacked,
+        is_adopted = core.sessions.adopt_session(
+            now, request, standing.box, attempt=standing.attempt, rung=standing.rung, payload=unpacked,
             informed_viewers=max(standing.answers, 1), is_answerable=unpacked is not None,
         )  # fmt: skip
-        if taken:
+        if is_adopted:
             self._client.open_notice_stream(standing.box)
             core.schedule_step()
-        return taken
+        return is_adopted
 
     def ended(self, now: float, session: str, attempt: int) -> None:
+        """Ends a session that was taken over and that no longer runs at its server."""
         self._core.sessions.on_session_ended(now, session, attempt, Result.RESET)
         self._core.schedule_step()
 
     def let_go(self, now: float, session: str) -> bool:
-        self._letting_go = True  # another's now, not over: standbys must not be told of an end
-        gone = self._core.sessions.hand_over_session(now, session)
-        self._letting_go = False
-        if gone:
+        """Gives up a session that another front owns now, without ending it at its server."""
+        self._handing_over = True  # the session has not ended, so standbys must not be notified of an end
+        is_handed_over = self._core.sessions.hand_over_session(now, session)
+        self._handing_over = False
+        if is_handed_over:
             self._core.schedule_step()
-        return gone
+        return is_handed_over
 
     def release(
         self, now: float, box: int, session: str, attempt: int, why: str, under: tuple[str, int]
     ) -> None:
+        """Ends what runs at a server and is not a session of this front."""
         self._client.release_unowned_session(box, session, attempt, why, under)
 
     def claim(
         self, box: int, channel: str, fence: int, overlap_ms: float,
         then: Callable[[float, Claimed], None], adopt: Sequence[tuple[str, int]] = (),
     ) -> None:  # fmt: skip
-        def done(reply: Reply) -> None:
-            then(self._core.now(), _claimed(box, reply))
+        """Claims a channel at a server; `then` is called once, after this has returned."""
 
-        self._client.claim_channel(box, channel, fence, overlap_ms, done, adopt)
+        def on_reply(reply: Reply) -> None:
+            then(self._core.now(), _read_claim_reply(box, reply))
+
+        self._client.claim_channel(box, channel, fence, overlap_ms, on_reply, adopt)
 
     def carry(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
+        """Handles a request that reached another front; `then` is called once with the outcome."""
         core, number = self._core, request.number
-        held = core.sessions.session(request.session)
-        if held is None:
+        session = core.sessions.session(request.session)
+        if session is None:
             then(core.now(), Carried(number, "none"))
         elif request.what == "look":
-            then(core.now(), Carried(number, "done" if held.informed_viewers else "none"))
+            then(core.now(), Carried(number, "done" if session.informed_viewers else "none"))
         elif request.what == "end":
             ended = core.sessions.release_session(core.now(), request.session)
             core.schedule_step()
             then(core.now(), Carried(number, "done" if ended else "none"))
         else:
-            self._ask(request, then)
+            self._submit_forwarded(request, then)
 
-    def answer(self, ask: SessionRequest, carried: Carried) -> SessionReply | None:
-        """What another front said to a request of this one's viewer; None if it holds no such session."""
+    def answer(self, request: SessionRequest, carried: Carried) -> SessionReply | None:
+        """Converts another front's outcome to a reply; None if that front has no such session."""
         if carried.kind in ("none", "done"):
             return None
         kind = ReplyKind(carried.kind)
         if kind is not ReplyKind.PLAYS:
             return SessionReply(
-                ask.ticket, kind, carried.why, carried.retry_ms, is_timeout=carried.timed_out, request=ask
+                request.ticket,
+                kind,
+                carried.why,
+                carried.retry_ms,
+                is_timeout=carried.timed_out,
+                request=request,
             )
         try:
-            payload = self._core.set_up_codecs[ask.protocol].unpack(
-                ask.class_index, ask.top_rung, carried.data
+            payload = self._core.set_up_codecs[request.protocol].unpack(
+                request.class_index, request.top_rung, carried.data
             )
         except InvalidServerReplyError as error:
-            return SessionReply(ask.ticket, ReplyKind.FAILED, str(error), request=ask)
+            return SessionReply(request.ticket, ReplyKind.FAILED, str(error), request=request)
         return SessionReply(
-            ask.ticket, kind, request=ask, server=carried.box, attempt=carried.attempt, rung=carried.rung,
-            payload=payload,
+            request.ticket, kind, request=request, server=carried.box, attempt=carried.attempt,
+            rung=carried.rung, payload=payload,
         )  # fmt: skip
 
-    # --- what happens at the front ---
+    # --- session events (SessionObserver) and the list (peer_view) ---
 
     def on_session_updated(self, now: float, held: SessionRecord) -> None:
-        if self._listener is not None and _plays(held):
-            self._listener.stands(now, self._standing(held))
+        """Reports the status of a session that plays to the peers' listener."""
+        if self._listener is not None and _is_playing(held):
+            self._listener.stands(now, self._session_status(held))
 
     def on_session_closed(self, now: float, held: SessionRecord, why: str) -> None:
-        if self._listener is None or self._letting_go:
+        """Reports a session's end to the peers' listener, unless it was handed over."""
+        if self._listener is None or self._handing_over:
             return
-        if _plays(held):
+        if _is_playing(held):
             self._listener.over(now, held.request.session_id)
         else:
             self._listener.failed(now, held.request.session_id)
 
     def named(self, box: int) -> tuple[int, str]:
+        """Returns the number and the additional name of a server in audit records."""
         return box, ""
 
     def draining(self) -> set[int]:
-        return {box for box, line in self._boxes.servers.items() if line.state == "draining"}
+        """Returns the servers that the list marks as draining."""
+        return {server for server, entry in self._endpoint_list.servers.items() if entry.state == "draining"}
 
     def list_rows(self) -> list[tuple[int, Any]]:
-        lessons = [(title, one.first_zone, one.replicas) for title, one in self._boxes.titles.items()]
-        return _rows(self._boxes.servers.values(), lessons)
+        """Returns the list's content; it is the same at every front that applied the same list."""
+        titles = [
+            (name, placement.first_zone, placement.replicas)
+            for name, placement in self._endpoint_list.titles.items()
+        ]
+        return _rows(self._endpoint_list.servers.values(), titles)
 
-    # --- pieces ---
+    # --- helpers ---
 
-    def _ask(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
-        core, lesson = self._core, self._boxes.titles.get(request.title)
-        cls, carrier = self._classes.get(request.cls), core.set_up_codecs.get(request.via)
-        if lesson is None or cls is None or carrier is None:
-            why = "lesson or class is not known to the session's front"
-            then(core.now(), Carried(request.number, "failed", why))
+    def _submit_forwarded(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
+        core, title = self._core, self._endpoint_list.titles.get(request.title)
+        class_index, codec = self._classes.get(request.cls), core.set_up_codecs.get(request.via)
+        if title is None or class_index is None or codec is None:
+            reason = "title, class or protocol is not known to the session's front"
+            then(core.now(), Carried(request.number, "failed", reason))
             return
 
-        def answered(answer: SessionReply) -> None:
-            digest, data = carrier.pack(answer.payload) if answer.kind is ReplyKind.PLAYS else (b"", b"")
+        def on_reply(reply: SessionReply) -> None:
+            digest, data = codec.pack(reply.payload) if reply.kind is ReplyKind.PLAYS else (b"", b"")
             then(
                 core.now(),
                 Carried(
                     request.number,
-                    answer.kind.value,
-                    answer.reason[:1_000],
-                    answer.retry_after_ms,
-                    answer.is_timeout,
-                    answer.server,
-                    answer.attempt,
-                    answer.rung,
+                    reply.kind.value,
+                    reply.reason[:1_000],
+                    reply.retry_after_ms,
+                    reply.is_timeout,
+                    reply.server,
+                    reply.attempt,
+                    reply.rung,
                     digest,
                     data,
                 ),
             )
 
-        ask = SessionRequest(
+        session_request = SessionRequest(
             ticket=core.next_ticket(), protocol=request.via, session_id=request.session, subject=request.who,
-            title_name=request.title, title=lesson.number, first_zone=lesson.first_zone,
-            replicas=lesson.replicas, class_index=cls, top_rung=request.top_rung, max_wait_ms=request.wait_ms,
-            tenant=request.tenant,
+            title_name=request.title, title=title.number, first_zone=title.first_zone,
+            replicas=title.replicas, class_index=class_index, top_rung=request.top_rung,
+            max_wait_ms=request.wait_ms, tenant=request.tenant,
         )  # fmt: skip
-        core.submit(ask, answered)
+        core.submit(session_request, on_reply)
 
-    def _standing(self, held: SessionRecord) -> Standing:
-        ask = held.request
-        carrier = self._core.set_up_codecs[ask.protocol]
-        digest, data = carrier.pack(held.payload)
+    def _session_status(self, record: SessionRecord) -> Standing:
+        request = record.request
+        codec = self._core.set_up_codecs[request.protocol]
+        digest, data = codec.pack(record.payload)
         if digest:
-            self._keep(digest, data)
+            self._cache_payload(digest, data)
         return Standing(
-            session=ask.session_id,
-            via=ask.protocol,
-            who=ask.subject,
-            title=ask.title_name,
-            cls=self._names[ask.class_index],
-            top_rung=ask.top_rung,
-            tenant=ask.tenant,
-            key=ask.viewer_key,
-            box=held.server,
-            attempt=held.attempt,
-            rung=held.rung,
+            session=request.session_id,
+            via=request.protocol,
+            who=request.subject,
+            title=request.title_name,
+            cls=self._class_names[request.class_index],
+            top_rung=request.top_rung,
+            tenant=request.tenant,
+            key=request.viewer_key,
+            box=record.server,
+            attempt=record.attempt,
+            rung=record.rung,
             payload=digest,
-            answers=held.informed_viewers,
-            spent=held.attempt,
+            answers=record.informed_viewers,
+            spent=record.attempt,
         )
 
-    def _keep(self, digest: bytes, data: bytes) -> None:
+    def _cache_payload(self, digest: bytes, data: bytes) -> None:
         self._payloads[digest] = data
         self._payloads.move_to_end(digest)
-        if len(self._payloads) > _PAYLOADS_KEPT:
+        if len(self._payloads) > _MAX_CACHED_PAYLOADS:
             self._payloads.popitem(last=False)
 
 
-def _rows(boxes: Iterable[ServerEntry], lessons: Iterable[tuple[str, int, int]]) -> list[tuple[int, Any]]:
+def _rows(entries: Iterable[ServerEntry], titles: Iterable[tuple[str, int, int]]) -> list[tuple[int, Any]]:
     rows: list[tuple[int, Any]] = [
-        (one.box, [one.state, one.boot, one.host, one.port, one.cell, one.kind, one.weight])
-        for one in boxes
-        if one.state != "gone"
+        (entry.box, [entry.state, entry.boot, entry.host, entry.port, entry.cell, entry.kind, entry.weight])
+        for entry in entries
+        if entry.state != "gone"
     ]
-    return [*rows, (-1, sorted(map(list, lessons)))]
+    return [*rows, (-1, sorted(map(list, titles)))]
 
 
-def _plays(held: SessionRecord) -> bool:
-    return held.phase is SessionPhase.PLAYING
+def _is_playing(record: SessionRecord) -> bool:
+    return record.phase is SessionPhase.PLAYING
 
 
-def _claimed(box: int, reply: Reply) -> Claimed:
-    """What a box's answer to a claim says; one that can't be read says that the box was not reached."""
+def _read_claim_reply(server: int, reply: Reply) -> Claimed:
+    """Reads a server's reply to a claim; a malformed reply counts as a server that was not reached."""
     if reply.outcome is not Outcome.ANSWERED or reply.status not in (200, 409):
-        return Claimed(box, reached=False)
+        return Claimed(server, reached=False)
     try:
         body = json.loads(reply.body)
-        sessions = tuple((str(jti), int(attempt), int(rung)) for jti, attempt, rung in body["sessions"])
-        return Claimed(box, True, reply.status == 200, int(body["fence"]), sessions)
+        sessions = tuple(
+            (str(session_id), int(attempt), int(rung)) for session_id, attempt, rung in body["sessions"]
+        )
+        return Claimed(server, True, reply.status == 200, int(body["fence"]), sessions)
     except (ValueError, KeyError, TypeError, RecursionError):
-        return Claimed(box, reached=False)
+        return Claimed(server, reached=False)
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -90,7 +90,7 @@
             left = await self.gate.give_back(min(within_s, _GIVE_BACK_S))
             self.core.log.info("seats given back", left=left)
         if self.service is not None:
-            self.service.give_up()
+            self.service.reject_forwarded()
         self.core.run_last_step()
         await asyncio.sleep(0)  # connections end in order with what that answered
         self.kill()
@@ -226,9 +226,9 @@
         front=section.name,
         public_url=section.public_url or "http://placeholder",
         wall_s=wall_s,
-        most_waiting=config.http.waiting,
-        desk=desk,
-        plays_unanswered=config.plays_unanswered,
+        max_waiting=config.http.waiting,
+        introspection=desk,
+        fail_open_classes=config.plays_unanswered,
     )
     if config.tokens.key_set is not None:
         keys = KeySetFollower(
--- a/tests/test_peers_hard.py
+++ b/tests/test_peers_hard.py
@@ -138,7 +138,7 @@
         self.site.tell(1, "draining")
         await self.until(16.0)
         self.heard = [
-            front.peers._port._boxes.servers[1].state  # type: ignore[attr-defined, union-attr]
+            front.peers._port._endpoint_list.servers[1].state  # type: ignore[attr-defined, union-attr]
             for front in self.fronts.values()
         ]
         self.loop.network.ways.clear_all()
