--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -187,7 +187,7 @@
         else:
             self._submit_forwarded(request, then)
 
-    def answer(self, request: SessionRequest, carried: Carried) -> SessionReply | None:
+    def to_session_reply(self, request: SessionRequest, carried: Carried) -> SessionReply | None:
         """Converts another front's outcome to a reply; None if that front has no such session."""
         if carried.kind in ("none", "done"):
             return None
--- a/fernweir/peers/reach.py
+++ b/fernweir/peers/reach.py
@@ -23,7 +23,7 @@
 
     def request_reply(self, ask: SessionRequest, then: Callable[[SessionReply | None], None]) -> None:
         def end(now: float, carried: Carried | None) -> None:
-            then(None if carried is None else self._port.answer(ask, carried))
+            then(None if carried is None else self._port.to_session_reply(ask, carried))
 
         request = Carry(
             self._peers.peer.forward.number(),
