--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -1,4 +1,4 @@
-"""The front as a program: puts the pieces together, runs until told to stop, stops in order."""
+"""The front process: builds its parts from the settings, runs until stopped, and shuts down in order."""
 
 from __future__ import annotations
 
@@ -50,12 +50,12 @@
 if TYPE_CHECKING:  # loaded only where the settings ask for it
     from fernweir.peers.program import Peers
 
-_GIVE_BACK_S = 2.0
+_MAX_SEAT_RELEASE_S = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class Front:
-    """A running front."""
+    """A running front and its parts."""
 
     core: Dispatcher
     server: Server
@@ -73,31 +73,37 @@
 
     @property
     def address(self) -> tuple[str, int]:
+        """The address on which viewers are served."""
         return self.server.address
 
     async def stop(self, within_s: float) -> bool:
-        """Takes nothing new, answers all it took, ends; False if some had no answer in time."""
+        """Accepts nothing new, replies to all pending requests, and ends.
+
+        Returns False if some requests had no reply in time.
+        """
         self.server.stop_listening()
         if self.desk is not None:
             self.desk.give_up()
-        whole = await self.core.drain(within_s)
+        all_answered = await self.core.drain(within_s)
         if self.peers is not None:
-            handed = await self.peers.leave(within_s)
-            self.core.log.info("sessions handed on", whole=handed, left=self.core.sessions.session_count)
+            all_handed_off = await self.peers.leave(within_s)
+            self.core.log.info(
+                "sessions handed off", whole=all_handed_off, left=self.core.sessions.session_count
+            )
             await self.peers.stop()
         self.server.close_when_done()
         if self.gate is not None:
-            left = await self.gate.give_back(min(within_s, _GIVE_BACK_S))
-            self.core.log.info("seats given back", left=left)
+            remaining = await self.gate.give_back(min(within_s, _MAX_SEAT_RELEASE_S))
+            self.core.log.info("seats released", left=remaining)
         if self.service is not None:
             self.service.reject_forwarded()
         self.core.run_last_step()
-        await asyncio.sleep(0)  # connections end in order with what that answered
+        await asyncio.sleep(0)  # connections send the replies of the last step before they end
         self.kill()
-        return whole
+        return all_answered
 
     def kill(self) -> None:
-        """Ends at once: connections break, nothing more is said."""
+        """Ends at once: connections are aborted, and nothing more is sent."""
         self.list_follower.stop()
         if self.peers is not None:
             self.peers.cut()
@@ -119,7 +125,7 @@
 
 
 def read_keyring(config: FrontConfig) -> Keyring:
-    """The keys named by the settings. ConfigError when they can't be had."""
+    """Returns the keys named by the settings. Raises ConfigError if they cannot be read."""
     path = config.path(config.tokens.keys)
     try:
         text = path.read_text(encoding="utf-8")
@@ -132,13 +138,13 @@
     config: FrontConfig, *, wall_offset_s: float | None = None, files: FileStore | None = None,
     nonce: Callable[[int], bytes] = os.urandom, peers_apart_s: float = 0.0,
 ) -> Front:  # fmt: skip
-    """Listens and follows the list. ConfigError or OSError when it can't.
+    """Starts to listen and to follow the endpoint list. Raises ConfigError or OSError on failure.
 
-    For rehearsals: `files` stand in for the seat log's folder, `nonce` for the system's random bytes, and
-    peers are told a wall clock that is `peers_apart_s` ahead.
+    For rehearsals: `files` replaces the seat log's folder, `nonce` the system's random bytes, and the wall
+    clock towards peers is `peers_apart_s` ahead.
     """
     loop = asyncio.get_running_loop()
-    # Wall time crosses the wire only; between its readings the loop's clock carries it on.
+    # Wall time is used in messages only; it is derived from the loop's clock and an offset that is read once.
     offset = time.time() - loop.time() if wall_offset_s is None else wall_offset_s
 
     def wall_s() -> float:
@@ -147,62 +153,64 @@
     settings, section = config.settings, config.front
     keyring = read_keyring(config)
     record = None
-    watch = None
+    observer = None
     if section.record is not None:
         record = open(config.path(section.record), "w", encoding="utf-8")  # noqa: SIM115 - closed by stop
-        watch = Recorder(record, settings, section.seed).watch
+        observer = Recorder(record, settings, section.seed).watch
     limits = SessionLimits(reply_margin_ms=section.margin, unclaimed_session_ttl_ms=section.linger)
     log = structlog.get_logger().bind(front=section.name)
     control = None if config.control is None else _Control(config, config.control, offset, log)
-    host = SessionManager(
+    session_manager = SessionManager(
         settings,
         section.seed,
         limits,
-        watch,
+        observer,
         checks_entitlement=config.entitlement is not None,
         journal=None if control is None else control.journal,
-        rejection_reason=None if control is None else control.turned_away,
+        rejection_reason=None if control is None else control.rejection_reason,
         overlay=None if control is None else control.overlay,
     )
-    core = Dispatcher(host, batch_ms=section.batch, log=log)
+    core = Dispatcher(session_manager, batch_ms=section.batch, log=log)
     pool = Pool(
         per_origin=config.servers.connections,
         connect_s=config.servers.connect_time / 1000.0,
         idle_s=config.servers.idle_time / 1000.0,
         limits=Limits(body=int(config.servers.manifest)),
     )
-    boxes = EndpointList(settings)
+    endpoint_list = EndpointList(settings)
     if control is not None:
-        await control.start(core, boxes)
-    token = _ControlToken(keyring, section.name, config.tokens.box_audience, wall_s)
-    times = ServerTimeouts(
+        await control.start(core, endpoint_list)
+    control_token = _ControlToken(keyring, section.name, config.tokens.box_audience, wall_s)
+    timeouts = ServerTimeouts(
         health_check_s=config.servers.probe_time / 1000.0, request_s=config.servers.call_time / 1000.0
     )
-    streams = Pool(per_origin=2, connect_s=config.servers.connect_time / 1000.0)
-    client = ServerClient(core, pool, streams, boxes, token, times, section.seed)
-    core.server_transport = client
+    stream_pool = Pool(per_origin=2, connect_s=config.servers.connect_time / 1000.0)
+    server_client = ServerClient(
+        core, pool, stream_pool, endpoint_list, control_token, timeouts, section.seed
+    )
+    core.server_transport = server_client
     gate = None
     if config.entitlement is not None:
         files = files or DiskFileStore(config.path(config.entitlement.ledger))
-        gate = _make_gate(config, core, pool, token, offset, files)
-    use = None
+        gate = _make_gate(config, core, pool, control_token, offset, files)
+    use_check = None
     if gate is not None and config.entitlement is not None:
-        use = UseCheck(
+        use_check = UseCheck(
             gate,
             pool,
             config.entitlement.url,
             section.name,
-            token,
+            control_token,
             every_s=config.entitlement.use_every / 1000.0,
             call_s=config.entitlement.call_time / 1000.0,
             seed=section.seed,
         )
     follower = ListFollower(
         core,
-        streams,
-        boxes,
+        stream_pool,
+        endpoint_list,
         config.list.url,
-        token,
+        control_token,
         silence_s=config.list.silence / 1000.0,
         cache_path=config.path(config.list.cache) if config.list.cache is not None else None,
         seed=section.seed,
@@ -213,12 +221,14 @@
         config.tokens.box_audience,
         config.tokens.box_life / 1000.0,
     )
-    desk = None
+    introspection = None
     if config.introspection is not None:
-        desk = _make_desk(config.introspection, section.seed, core, pool, token, wall_s)
+        introspection = _make_introspection(
+            config.introspection, section.seed, core, pool, control_token, wall_s
+        )
     service = DashService(
         core,
-        boxes,
+        endpoint_list,
         settings,
         config.class_names,
         keyring,
@@ -227,11 +237,11 @@
         public_url=section.public_url or "http://placeholder",
         wall_s=wall_s,
         max_waiting=config.http.waiting,
-        introspection=desk,
+        introspection=introspection,
         fail_open_classes=config.plays_unanswered,
     )
     if config.tokens.key_set is not None:
-        keys = KeySetFollower(
+        key_set_follower = KeySetFollower(
             core,
             pool,
             keyring,
@@ -240,29 +250,29 @@
             retired_for_s=config.tokens.retired_for / 1000.0,
             wall_s=wall_s,
         )
-        keys.start()
+        key_set_follower.start()
     peers = None
     if config.peers is not None:
         peers = await _start_peers(
-            config, core, boxes, client, keyring, lambda: wall_s() + peers_apart_s, nonce
+            config, core, endpoint_list, server_client, keyring, lambda: wall_s() + peers_apart_s, nonce
         )
-        if control is not None and control.desk is not None:
-            control.desk.fleet = peers.questions
+        if control is not None and control.order_service is not None:
+            control.order_service.fleet = peers.questions
     server = Server(service.handle, _server_limits(config.http))
     await server.listen(*section.listen)
     if section.public_url is None:
         service.public_url = f"http://{server.address[0]}:{server.address[1]}"
     follower.start()
-    log.info("front listens", host=server.address[0], port=server.address[1])
+    log.info("front listening", host=server.address[0], port=server.address[1])
     return Front(
-        core, server, client, follower, (pool, streams), record, gate, keyring, desk, use, control, peers,
-        service,
+        core, server, server_client, follower, (pool, stream_pool), record, gate, keyring, introspection,
+        use_check, control, peers, service,
     )  # fmt: skip
 
 
 async def _start_peers(
-    config: FrontConfig, core: Dispatcher, boxes: EndpointList, client: ServerClient, keyring: Keyring,
-    wall_s: Callable[[], float], nonce: Callable[[int], bytes],
+    config: FrontConfig, core: Dispatcher, endpoint_list: EndpointList, server_client: ServerClient,
+    keyring: Keyring, wall_s: Callable[[], float], nonce: Callable[[int], bytes],
 ) -> Peers:  # fmt: skip
     from fernweir.front.peering import Peering
     from fernweir.peers.program import Beginning, Peers, read_keys
@@ -274,16 +284,16 @@
 
     section = config.peers
     assert section is not None
-    folder, kept = None, list[StoredSegment]()
+    folder, stored_segments = None, list[StoredSegment]()
     if section.record is not None:
         folder = JournalFolder(config.path(section.record), max_bytes=int(section.record_disk))
         try:
-            kept = folder.open()[1]
-        except OSError as error:  # a full or broken disk stops no front
-            core.log.error("record of acts can't be opened", why=error.strerror or str(error))
-        for note in folder.problems:
-            core.log.warning("record of acts is not whole", why=note)
-    begin = Beginning(
+            stored_segments = folder.open()[1]
+        except OSError as error:  # a full or failed disk must not stop the front
+            core.log.error("audit log cannot be opened", why=error.strerror or str(error))
+        for problem in folder.problems:
+            core.log.warning("audit log is incomplete", why=problem)
+    beginning = Beginning(
         name=config.front.name,
         seed=config.front.seed,
         section=section,
@@ -292,16 +302,16 @@
         rules=peer_rules(section),
         links=link_rules(section),
         record=folder,
-        kept=kept,
+        kept=stored_segments,
     )
-    port = Peering(core, boxes, client, config.class_names, wall_ms)
-    peers = await Peers.start(core, port, begin, wall_ms, nonce)
+    port = Peering(core, endpoint_list, server_client, config.class_names, wall_ms)
+    peers = await Peers.start(core, port, beginning, wall_ms, nonce)
     core.channel_ownership = core.session_locator = Reach(core, port, peers, config.settings)
     return peers
 
 
 class _Control:
-    """Journal, orders and the operators' socket of a front."""
+    """The journal, the operators' orders and their socket of a front."""
 
     def __init__(
         self,
@@ -310,69 +320,78 @@
         wall_offset_s: float,
         log: Log,
     ) -> None:
-        self._config, self._section, self._offset, self._log = config, section, wall_offset_s, log
-        self._file = config.path(section.orders)
+        self._config, self._section, self._wall_offset_s, self._log = config, section, wall_offset_s, log
+        self._orders_path = config.path(section.orders)
         try:
-            self.orders = load_orders(self._file)
+            self.orders = load_orders(self._orders_path)
         except (StateFileError, OSError) as error:
-            raise ConfigError(str(self._file), [Problem("control", "orders", 0, str(error))]) from None
+            raise ConfigError(str(self._orders_path), [Problem("control", "orders", 0, str(error))]) from None
         self.orders.rules = OrderRules(pace_ms=section.drain_pace, burst=section.drains_at_once)
         self.overlay = Overlay(self.orders.drained)
         self._folder: JournalFolder | None = None
-        rules = JournalConfig(max_memory_bytes=int(section.journal_memory))
+        journal_config = JournalConfig(max_memory_bytes=int(section.journal_memory))
         if section.journal is not None:
             self._folder = JournalFolder(config.path(section.journal), max_bytes=int(section.journal_disk))
-        self.journal = Journal(config.front.name, rules, self._folder, wall_offset_ms=wall_offset_s * 1000.0)
-        self.journal.on_fault = self._trouble
-        self.desk: OrderDesk | None = None
-        self._host: SessionManager | None = None
-        self._steering: Steering | None = None
+        self.journal = Journal(
+            config.front.name, journal_config, self._folder, wall_offset_ms=wall_offset_s * 1000.0
+        )
+        self.journal.on_fault = self._on_journal_fault
+        self.order_service: OrderDesk | None = None
+        self._session_manager: SessionManager | None = None
+        self._front_control: Steering | None = None
         self._channel: Channel | None = None
 
-    def turned_away(self, ask: SessionRequest) -> str:
-        if not (self.orders.holds or self.orders.caps) or self._host is None:
+    def rejection_reason(self, request: SessionRequest) -> str:
+        """Returns why the operators' orders reject a request; empty if they allow it."""
+        if not (self.orders.holds or self.orders.caps) or self._session_manager is None:
             return ""
-        playing = self._host.count_sessions_by_phase(ask.title_name, ask.tenant) if self.orders.caps else {}
-        return self.orders.turned_away(ask.title_name, ask.tenant, playing)
+        playing = (
+            self._session_manager.count_sessions_by_phase(request.title_name, request.tenant)
+            if self.orders.caps
+            else {}
+        )
+        return self.orders.turned_away(request.title_name, request.tenant, playing)
 
-    async def start(self, core: Dispatcher, boxes: EndpointList) -> None:
-        section, self._host = self._section, core.sessions
-        self._steering = Steering(core, boxes, self._offset)
+    async def start(self, core: Dispatcher, endpoint_list: EndpointList) -> None:
+        """Restores the journal and opens the operators' socket."""
+        section, self._session_manager = self._section, core.sessions
+        self._front_control = Steering(core, endpoint_list, self._wall_offset_s)
         rules = DeskRules(tuple(section.operators), section.led)
-        file = None if section.led else self._file
-        desk = self.desk = OrderDesk(
-            self._config.front.name, self.journal, self.orders, self._steering, rules, file
+        orders_path = None if section.led else self._orders_path
+        order_service = self.order_service = OrderDesk(
+            self._config.front.name, self.journal, self.orders, self._front_control, rules, orders_path
         )
-        self._channel = Channel(desk, self._config.path(section.socket), mode=section.mode)
+        self._channel = Channel(order_service, self._config.path(section.socket), mode=section.mode)
         self.journal.watchers.append(self._channel.entry)
         if self._folder is not None:
             try:
                 self.journal.restore(*self._folder.open())
             except OSError as error:
-                self._trouble(error.strerror or str(error))
-            for note in self._folder.problems:
-                self._log.warning("journal is not whole", why=note)
+                self._on_journal_fault(error.strerror or str(error))
+            for problem in self._folder.problems:
+                self._log.warning("journal is incomplete", why=problem)
             for entry in self.journal.entries(self.journal.first):
-                desk.picture.apply(entry)
-        desk.start()
+                order_service.picture.apply(entry)
+        order_service.start()
         await self._channel.listen()
 
     def stop(self) -> None:
-        if self._steering is not None:
-            self._steering.stop()
+        """Closes the operators' socket and the journal."""
+        if self._front_control is not None:
+            self._front_control.stop()
         if self._channel is not None:
             self._channel.stop()
         if self._folder is not None:
             self._folder.close()
 
-    def _trouble(self, why: str) -> None:
-        if why:
-            self._log.error("journal is not kept", why=why)
+    def _on_journal_fault(self, reason: str) -> None:
+        if reason:
+            self._log.error("journal cannot be written", why=reason)
         else:
-            self._log.info("journal is kept again")
+            self._log.info("journal is written again")
 
 
-def _make_desk(
+def _make_introspection(
     section: IntrospectionSection,
     seed: int,
     core: Dispatcher,
@@ -380,15 +399,15 @@
     token: Callable[[], str],
     wall_s: Callable[[], float],
 ) -> TokenDesk:
-    rules = IntrospectionConfig(
+    introspection_config = IntrospectionConfig(
         positive_cache_ttl_ms=section.believe,
         negative_cache_ttl_ms=section.disbelieve,
         stale_if_error_ms=section.stale,
         request_timeout_ms=section.call_time,
         max_in_flight=section.at_once,
     )
-    judge = Introspector(seed, rules)
-    return TokenDesk(core, pool, judge, section.url, token, wall_s, all_tokens=section.tokens == "all")
+    introspector = Introspector(seed, introspection_config)
+    return TokenDesk(core, pool, introspector, section.url, token, wall_s, all_tokens=section.tokens == "all")
 
 
 def _make_gate(
@@ -399,7 +418,7 @@
     offset_s: float,
     files: FileStore,
 ) -> Gate:
-    """Opens the seat log and takes up what an earlier life left. ConfigError if the log is damaged."""
+    """Opens the seat log and recovers the seats of the previous run. Raises ConfigError if it is damaged."""
     section = config.entitlement
     assert section is not None
     folder = config.path(section.ledger)
@@ -437,27 +456,27 @@
 
 
 class _ControlToken:
-    """The token by which a front steers its sessions at boxes, signed anew before it lapses."""
+    """The token that authorizes a front at servers; it is signed anew before it expires."""
 
-    _LIFE_S, _RENEW_S = 600.0, 300.0
+    _TTL_S, _RENEW_AFTER_S = 600.0, 300.0
 
     def __init__(self, keyring: Keyring, front: str, audience: str, wall_s: Callable[[], float]) -> None:
         self._keyring, self._front, self._audience = keyring, front, audience
         self._wall_s = wall_s
-        self._token, self._good_until = "", 0.0
+        self._token, self._renew_at = "", 0.0
 
     def __call__(self) -> str:
         now = self._wall_s()
-        if now > self._good_until:
+        if now > self._renew_at:
             claims = {
                 "iss": self._front,
                 "aud": self._audience,
                 "front": self._front,
                 "use": "control",
                 "iat": int(now),
-                "exp": int(now + self._LIFE_S),
+                "exp": int(now + self._TTL_S),
             }
-            self._token, self._good_until = self._keyring.sign(claims), now + self._RENEW_S
+            self._token, self._renew_at = self._keyring.sign(claims), now + self._RENEW_AFTER_S
         return self._token
 
 
@@ -474,9 +493,9 @@
 
 
 async def serve(config: FrontConfig, *, until_eof: bool = False) -> int:
-    """Runs until SIGTERM or SIGINT; the exit code is 0 if all that was taken was answered.
+    """Runs until SIGTERM or SIGINT; the exit code is 0 if all accepted requests were answered.
 
-    `until_eof`: also until standard input ends, as it does when the unit that started it is killed.
+    With `until_eof`, it also ends when standard input does, as it does if the parent process is killed.
     """
     front = await start_front(config)
     log = structlog.get_logger().bind(front=config.front.name)
@@ -488,23 +507,29 @@
         stop_at_eof(stopping)
     await stopping.wait()
     log.info(
-        "front stops",
+        "front stopping",
         waiting=len(front.core.sessions.reply_ledger),
         sessions=front.core.sessions.session_count,
     )
-    whole = await front.stop(config.front.stop_within / 1000.0)
-    counts = front.core.sessions.metrics
-    log.info("front stopped", whole=whole, plays=counts.plays, refused=counts.rejected, failed=counts.failed)
-    return 0 if whole else 1
+    all_answered = await front.stop(config.front.stop_within / 1000.0)
+    metrics = front.core.sessions.metrics
+    log.info(
+        "front stopped",
+        whole=all_answered,
+        plays=metrics.plays,
+        refused=metrics.rejected,
+        failed=metrics.failed,
+    )
+    return 0 if all_answered else 1
 
 
 def stop_at_eof(stopping: asyncio.Event) -> None:
-    """Sets the event when standard input, the unit's end of a pipe, is closed."""
+    """Sets the event when the parent process closes its end of the pipe to standard input."""
     loop = asyncio.get_running_loop()
 
-    def readable() -> None:
+    def on_readable() -> None:
         if not os.read(0, 4_096):
             loop.remove_reader(0)
             stopping.set()
 
-    loop.add_reader(0, readable)
+    loop.add_reader(0, on_readable)
