--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -65,8 +65,8 @@
     record: IO[str] | None
     gate: Gate | None = None
     keyring: Keyring | None = None
-    desk: TokenDesk | None = None
-    use: UseCheck | None = None
+    introspection: TokenDesk | None = None
+    use_check: UseCheck | None = None
     control: _Control | None = None
     peers: Peers | None = None
     service: DashService | None = None
@@ -82,8 +82,8 @@
         Returns False if some requests had no reply in time.
         """
         self.server.stop_listening()
-        if self.desk is not None:
-            self.desk.give_up()
+        if self.introspection is not None:
+            self.introspection.give_up()
         all_answered = await self.core.drain(within_s)
         if self.peers is not None:
             all_handed_off = await self.peers.leave(within_s)
@@ -109,10 +109,10 @@
             self.peers.cut()
         if self.control is not None:
             self.control.stop()
-        if self.desk is not None:
-            self.desk.stop()
-        if self.use is not None:
-            self.use.stop()
+        if self.introspection is not None:
+            self.introspection.stop()
+        if self.use_check is not None:
+            self.use_check.stop()
         if self.gate is not None:
             self.gate.stop()
         self.server_client.close()
--- a/tests/test_introspect.py
+++ b/tests/test_introspect.py
@@ -257,7 +257,7 @@
         scene.entitlement.silent = True
         front = scene.fronts[0]
         waiting = asyncio.ensure_future(scene.ask(scene.wish(cls="briefing")))
-        await until(lambda: front.desk is not None and len(front.desk) == 1)
+        await until(lambda: front.introspection is not None and len(front.introspection) == 1)
         stopping = asyncio.ensure_future(front.stop(5.0))
         assert (await waiting).status == 503
         assert await stopping
@@ -280,7 +280,7 @@
 
 def test_without_a_section_nobody_is_asked() -> None:
     async def story(scene: Scene) -> None:
-        assert scene.fronts[0].desk is None
+        assert scene.fronts[0].introspection is None
         assert (await scene.ask(replace(scene.wish(), token="opaque"))).status == 401
 
     play(story, replace(SitePlan(), boxes=3))
--- a/tests/test_reconcile.py
+++ b/tests/test_reconcile.py
@@ -179,7 +179,7 @@
 
     async def story(scene: Scene) -> None:
         assert scene.entitlement is not None
-        use = scene.fronts[0].use
+        use = scene.fronts[0].use_check
         assert use is not None
         scene.entitlement.doctor = doctor
         await asyncio.gather(*(scene.ask(scene.wish()) for _ in range(4)))
