--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -136,12 +136,12 @@
 
 async def start_front(
     config: FrontConfig, *, wall_offset_s: float | None = None, files: FileStore | None = None,
-    nonce: Callable[[int], bytes] = os.urandom, peers_apart_s: float = 0.0,
+    nonce: Callable[[int], bytes] = os.urandom, peer_clock_offset_s: float = 0.0,
 ) -> Front:  # fmt: skip
     """Starts to listen and to follow the endpoint list. Raises ConfigError or OSError on failure.
 
     For rehearsals: `files` replaces the seat log's folder, `nonce` the system's random bytes, and the wall
-    clock towards peers is `peers_apart_s` ahead.
+    clock towards peers is `peer_clock_offset_s` ahead.
     """
     loop = asyncio.get_running_loop()
     # Wall time is used in messages only; it is derived from the loop's clock and an offset that is read once.
@@ -254,7 +254,7 @@
     peers = None
     if config.peers is not None:
         peers = await _start_peers(
-            config, core, endpoint_list, server_client, keyring, lambda: wall_s() + peers_apart_s, nonce
+            config, core, endpoint_list, server_client, keyring, lambda: wall_s() + peer_clock_offset_s, nonce
         )
         if control is not None and control.order_service is not None:
             control.order_service.fleet = peers.questions
--- a/fernweir/rehearsal/fleet/virtual.py
+++ b/fernweir/rehearsal/fleet/virtual.py
@@ -149,7 +149,10 @@
         nonces = Random(f"nonce {plan.seed} {node}")
         starting = self.loop.create_task(
             start_front(
-                config, wall_offset_s=self.site.wall_offset_s, nonce=nonces.randbytes, peers_apart_s=apart
+                config,
+                wall_offset_s=self.site.wall_offset_s,
+                nonce=nonces.randbytes,
+                peer_clock_offset_s=apart,
             ),
             context=context,
         )
