--- a/fernweir/front/manifest.py
+++ b/fernweir/front/manifest.py
@@ -19,8 +19,8 @@
 _QUERY_PLACEHOLDER, _LOCATION_PLACEHOLDER = "fernweir-query-goes-here", "http://fernweir-location-goes-here/"
 
 
-Key = TypeVar("Key")
-Value = TypeVar("Value")
+K = TypeVar("K")
+V = TypeVar("V")
 
 
 class ManifestError(ValueError):
@@ -116,7 +116,7 @@
         put_query(mpd, _QUERY_PLACEHOLDER)
         return mpd.write()
 
-    def _store(self, cache: OrderedDict[Key, Value], key: Key, value: Value) -> Value:
+    def _store(self, cache: OrderedDict[K, V], key: K, value: V) -> V:
         cache[key] = value
         if len(cache) > self._size:
             cache.popitem(last=False)
--- a/fernweir/front/server_notices.py
+++ b/fernweir/front/server_notices.py
@@ -82,7 +82,7 @@
             return [SessionEnded(session_id, attempt, _RESULT_BY_REASON.get(reason, Result.RESET), reason)]
         level = body.get("level")
         if not isinstance(level, int | float) or isinstance(level, bool) or not 0 <= level < 1e9:
-            raise NoticeError(f"{event.event}: level is not a number from 0 to 1e9")
+            raise NoticeError(f"{event.event}: level is not a number from 0 to below 1e9")
         return [SessionNotice(session_id, attempt, _KIND_BY_EVENT[event.event], float(level))]
 
     def _on_hello(self, body: dict[str, object]) -> list[SessionUpdate]:
--- a/tests/test_boxlist.py
+++ b/tests/test_boxlist.py
@@ -1,4 +1,4 @@
-"""The list as it is told, and the small state machines beside it: notes, rungs, verdicts."""
+"""The endpoint list, the notice stream, the rung synchronization, and the classification of replies."""
 
 from __future__ import annotations
 
@@ -21,46 +21,50 @@
 from tests.helpers import SETTINGS
 
 
-def line(box: int, **more: Any) -> dict[str, Any]:
-    return {"box": box, "host": "127.0.0.1", "port": 1, "state": "ready", "boot": "a", "cell": 0, **more}
+def entry(server: int, **fields: Any) -> dict[str, Any]:
+    return {"box": server, "host": "127.0.0.1", "port": 1, "state": "ready", "boot": "a", "cell": 0, **fields}
 
 
-def document(version: int, *boxes: dict[str, Any], epoch: str = "e", **more: Any) -> Any:
-    return read_document(json.dumps({"epoch": epoch, "version": version, "boxes": boxes, **more}))
+def document(version: int, *entries: dict[str, Any], epoch: str = "e", **fields: Any) -> Any:
+    return read_document(json.dumps({"epoch": epoch, "version": version, "boxes": entries, **fields}))
 
 
-def test_whole_lists_and_changes() -> None:
-    held = EndpointList(SETTINGS)
-    lesson = {"title": "t", "cell": 1, "copies": 2}
-    first = held.apply_full(10_000.0, document(3, line(1), line(2, age_s=2.0), lessons=[lesson]))
-    assert first is not None and first.kind is EndpointListKind.FULL and held.last_id == "e:3"
-    assert [entry.started_at for entry in first.entries] == [0.0, 8_000.0]
-    assert held.titles["t"].first_zone == 1 and held.address(2) == ("127.0.0.1", 1)
-    delta = held.apply_delta(12_000.0, document(4, line(2, state="draining", age_s=4.1), base=3))
+def test_full_lists_and_deltas() -> None:
+    endpoint_list = EndpointList(SETTINGS)
+    title = {"title": "t", "cell": 1, "copies": 2}
+    first = endpoint_list.apply_full(10_000.0, document(3, entry(1), entry(2, age_s=2.0), lessons=[title]))
+    assert first is not None and first.kind is EndpointListKind.FULL and endpoint_list.last_id == "e:3"
+    assert [endpoint.started_at for endpoint in first.entries] == [0.0, 8_000.0]
+    assert endpoint_list.titles["t"].first_zone == 1 and endpoint_list.address(2) == ("127.0.0.1", 1)
+    delta = endpoint_list.apply_delta(12_000.0, document(4, entry(2, state="draining", age_s=4.1), base=3))
     assert delta is not None and delta.kind is EndpointListKind.DELTA
     assert delta.entries[0].state is ServerState.DRAINING
-    assert delta.entries[0].started_at == 8_000.0  # the same life, whatever its age now comes to
-    back = held.apply_delta(20_000.0, document(5, line(2, boot="b", age_s=0.5), base=4))
-    assert back is not None and back.entries[0].started_at == 19_500.0
-    assert held.apply_delta(0.0, document(5, line(2), base=4)) is None  # told twice
-    for wrong in (document(9, base=8), document(6, base=5, epoch="f"), document(6), document(7, base=4)):
+    assert delta.entries[0].started_at == 8_000.0  # the start of an incarnation is computed once
+    restarted = endpoint_list.apply_delta(20_000.0, document(5, entry(2, boot="b", age_s=0.5), base=4))
+    assert restarted is not None and restarted.entries[0].started_at == 19_500.0
+    assert endpoint_list.apply_delta(0.0, document(5, entry(2), base=4)) is None  # the same delta again
+    for gap in (document(9, base=8), document(6, base=5, epoch="f"), document(6), document(7, base=4)):
         with pytest.raises(ListGapError):
-            held.apply_delta(0.0, wrong)
-    assert held.apply_full(0.0, document(4, line(1))) is None  # goes back
-    assert held.apply_full(0.0, document(5, line(1))) is None
-    empty = held.apply_full(0.0, document(1, epoch="f"))  # a new life of the server may say anything
-    assert empty is not None and held.servers == {} and held.address(1) is None
+            endpoint_list.apply_delta(0.0, gap)
+    assert endpoint_list.apply_full(0.0, document(4, entry(1))) is None  # an older version
+    assert endpoint_list.apply_full(0.0, document(5, entry(1))) is None
+    empty = endpoint_list.apply_full(0.0, document(1, epoch="f"))  # a new epoch may have any version
+    assert empty is not None and endpoint_list.servers == {} and endpoint_list.address(1) is None
 
 
-def test_a_kept_list_is_taken_and_then_replaced() -> None:
-    held, again = EndpointList(SETTINGS), EndpointList(SETTINGS)
-    held.apply_full(
-        9_000.0, document(3, line(1, age_s=1.0), lessons=[{"title": "t", "cell": 0, "copies": 1}])
+def test_a_cached_list_is_applied_and_then_replaced() -> None:
+    endpoint_list, restored = EndpointList(SETTINGS), EndpointList(SETTINGS)
+    endpoint_list.apply_full(
+        9_000.0, document(3, entry(1, age_s=1.0), lessons=[{"title": "t", "cell": 0, "copies": 1}])
+    )
+    cached = restored.apply_full(5.0, read_document(endpoint_list.to_cache()), cached=True)
+    assert (
+        cached is not None
+        and cached.kind is EndpointListKind.CACHED
+        and restored.titles == endpoint_list.titles
     )
-    cached = again.apply_full(5.0, read_document(held.to_cache()), cached=True)
-    assert cached is not None and cached.kind is EndpointListKind.CACHED and again.titles == held.titles
     assert cached.entries[0].started_at == 0.0
-    assert again.apply_full(6.0, document(4, line(1))) is not None
+    assert restored.apply_full(6.0, document(4, entry(1))) is not None
 
 
 @pytest.mark.parametrize(
@@ -69,29 +73,29 @@
         ("no", "JSON"),
         ('{"version": 1}', "epoch"),
         ('{"epoch": "e", "version": -1}', "version"),
-        (json.dumps({"epoch": "e", "version": 1, "boxes": [line(1, port=0)]}), "port"),
-        (json.dumps({"epoch": "e", "version": 1, "boxes": [line(1, state="odd")]}), "state"),
+        (json.dumps({"epoch": "e", "version": 1, "boxes": [entry(1, port=0)]}), "port"),
+        (json.dumps({"epoch": "e", "version": 1, "boxes": [entry(1, state="odd")]}), "state"),
         (
             json.dumps({"epoch": "e", "version": 1, "lessons": [{"title": "../x", "cell": 0, "copies": 1}]}),
             "title",
         ),
     ],
 )
-def test_documents_that_are_refused(text: str, word: str) -> None:
+def test_invalid_documents_are_rejected(text: str, word: str) -> None:
     with pytest.raises(ListError, match=word):
         read_document(text)
 
 
-def test_lists_that_do_not_fit_leave_what_was_held() -> None:
-    held = EndpointList(SETTINGS)
-    held.apply_full(0.0, document(1, line(1)))
-    for bad in (document(2, line(1), line(1)), document(2, line(1, cell=99))):
+def test_inconsistent_lists_leave_the_current_list() -> None:
+    endpoint_list = EndpointList(SETTINGS)
+    endpoint_list.apply_full(0.0, document(1, entry(1)))
+    for inconsistent in (document(2, entry(1), entry(1)), document(2, entry(1, cell=99))):
         with pytest.raises(ListError):
-            held.apply_full(0.0, bad)
-    assert list(held.servers) == [1] and held.version == 1
+            endpoint_list.apply_full(0.0, inconsistent)
+    assert list(endpoint_list.servers) == [1] and endpoint_list.version == 1
 
 
-def test_notes_and_what_a_new_stream_tells() -> None:
+def test_server_notices_and_the_hello_of_a_new_stream() -> None:
     state = NoticeStreamState()
     state.on_stream_opened({"a": 0, "b": 1, "c": 0})
     hello = {"boot": "x", "sessions": [["a", 0], ["b", 0]]}
@@ -100,8 +104,8 @@
         SessionEnded("b", 1, Result.RESET, "unknown to its server"),
         SessionEnded("c", 0, Result.RESET, "unknown to its server"),
     ]
-    note = {"session": "a", "attempt": 0, "level": 0.5}
-    assert state.handle(ServerEvent(json.dumps(note), "uplink")) == [
+    notice = {"session": "a", "attempt": 0, "level": 0.5}
+    assert state.handle(ServerEvent(json.dumps(notice), "uplink")) == [
         SessionNotice("a", 0, NoticeKind.UPLINK, 0.5)
     ]
     ended = {"session": "a", "attempt": 0, "reason": "finished"}
@@ -109,54 +113,54 @@
         SessionEnded("a", 0, Result.OK, "finished")
     ]
     assert state.handle(ServerEvent("{}", "something-newer")) == []
-    who = '{"session": "a", "attempt": 0'
-    for bad in (
+    prefix = '{"session": "a", "attempt": 0'
+    for malformed in (
         "no",
         "[]",
         "{}",
-        who + "}",
-        *(f'{who}, "level": {level}}}' for level in ("true", "-1", "NaN")),
+        prefix + "}",
+        *(f'{prefix}, "level": {level}}}' for level in ("true", "-1", "NaN")),
     ):
         with pytest.raises(NoticeError):
-            state.handle(ServerEvent(bad, "link"))
+            state.handle(ServerEvent(malformed, "link"))
 
 
 @given(st.lists(st.tuples(st.sampled_from(["want", "done", "lost", "time"]), st.integers(0, 3)), max_size=40))
-def test_the_last_rung_wanted_is_the_last_that_arrives(steps: list[tuple[str, int]]) -> None:
-    sync, now, out, arrived, wanted = RungSync(max_sends=100), 0.0, [], None, None
+def test_the_last_rung_that_was_set_is_the_last_delivered(steps: list[tuple[str, int]]) -> None:
+    sync, now, in_flight, delivered, desired = RungSync(max_sends=100), 0.0, [], None, None
 
-    def send(one: Send | None) -> None:
-        if one is not None:
-            assert not out, "two messages out for one session"
-            out.append(one)
+    def start(message: Send | None) -> None:
+        if message is not None:
+            assert not in_flight, "two messages in flight for one session"
+            in_flight.append(message)
 
     for step, rung in [*steps, *[("time", 0), ("done", 0)] * 60]:
         if step == "want":
-            wanted = rung
-            send(sync.set_rung("a", 0, 1, rung))
+            desired = rung
+            start(sync.set_rung("a", 0, 1, rung))
         elif step == "time":
             now += 1e6
-            for one in sync.pop_due(now):
-                send(one)
-        elif out:
-            sent = out.pop()
+            for message in sync.pop_due(now):
+                start(message)
+        elif in_flight:
+            sent = in_flight.pop()
             if step == "done":
-                arrived = sent.rung
-            send(sync.on_send_finished(now, sent, step == "done"))
-    assert arrived == wanted and len(sync) == 0
+                delivered = sent.rung
+            start(sync.on_send_finished(now, sent, step == "done"))
+    assert delivered == desired and len(sync) == 0
 
 
-def test_a_rung_that_never_arrives_is_given_up() -> None:
+def test_a_rung_that_is_never_delivered_is_abandoned() -> None:
     sync, now, sends = RungSync(max_sends=3, backoff_ms=10.0), 0.0, 1
     sent = sync.set_rung("a", 0, 1, 2)
     assert sent is not None
     while sync.on_send_finished(now, sent, False) is None and sync.next_deadline() is not None:
         now = sync.next_deadline() or 0.0
         assert sync.pop_due(now - 1.0) == []
-        again = sync.pop_due(now)
-        if not again:
+        retries = sync.pop_due(now)
+        if not retries:
             break
-        sent, sends = again[0], sends + 1
+        sent, sends = retries[0], sends + 1
     assert sends == 3 and len(sync) == 0
 
 
@@ -176,7 +180,7 @@
             Reply(Outcome.ANSWERED, 503, PROBLEM, problem(503, "x", kind="urn:fernweir:problem:draining")),
             Result.FULL,
         ),
-        # Any other 503 may have run: only the box's own word proves that nothing did.
+        # Any other 503 may have run: only the server's own statement proves that nothing did.
         (Reply(Outcome.ANSWERED, 503, PROBLEM, problem(503, "x")), Result.ERROR),
         (Reply(Outcome.ANSWERED, 503, PROBLEM, b"["), Result.ERROR),
         (Reply(Outcome.ANSWERED, 503), Result.ERROR),
@@ -195,7 +199,7 @@
         (Reply(Outcome.CANCELLED), Result.CANCELLED),
     ],
 )
-def test_what_a_reply_proves(reply: Reply, result: Result) -> None:
+def test_classification_of_replies(reply: Reply, result: Result) -> None:
     assert classify_reply(reply)[0] is result
     assert reply.outcome.never_ran == (result in (Result.CONNECT_FAILED, Result.NOT_SENT))
 
--- a/tests/test_dash.py
+++ b/tests/test_dash.py
@@ -186,7 +186,7 @@
     assert segment_query(list(levels), "m=1%20") == "a=$&m=1%20&none=&m=1%20&token=abd"
 
 
-def test_a_box_manifest_is_judged_and_cut_to_the_viewer() -> None:
+def test_a_server_manifest_is_validated_and_reduced_to_the_viewer_s_rungs() -> None:
     cache = ManifestCache(3)
     body = build_mpd(Title("t", 10, 2, [100, 200, 400])).write()
     manifest = cache.validate(body, 1, 2)
--- a/tests/test_front_sockets.py
+++ b/tests/test_front_sockets.py
@@ -1,4 +1,4 @@
-"""The whole path over sockets, and each hard case with what causes it. The auditor judges every story."""
+"""The whole path of a request over sockets, and its failure cases. The auditor checks every scenario."""
 
 from __future__ import annotations
 
@@ -35,18 +35,18 @@
         (answer,) = scene.of("viewer.answer")
         assert answer["rungs"] == list(range(1, setup["rung"] + 1))
         host = scene.fronts[0].core.sessions
-        await until(lambda: host.session_count == 0)  # the box told the front that it ended
+        await until(lambda: host.session_count == 0)  # the server reported that the session ended
         assert host.controller.sessions == {}
         assert {record["status"] for record in scene.of("box.segment")} == {200}
 
     play(story, PLAN)
 
 
-def test_the_answer_is_as_the_protocols_say() -> None:
+def test_replies_follow_the_protocol() -> None:
     async def story(scene: Scene) -> None:
         wish = scene.wish()
         path = "/lessons/lesson-0/manifest.mpd"
-        assert (await scene.http("HEAD", path, wish)).status == 404  # asks for no set-up
+        assert (await scene.http("HEAD", path, wish)).status == 404  # HEAD starts no set-up
         reply = await scene.http("GET", f"{path}?access_token={wish.token}")
         assert reply.status == 200 and reply.headers.get("content-type") == "application/dash+xml"
         assert reply.headers.get("access-control-allow-origin") == "*"
@@ -60,7 +60,7 @@
             "access-control-allow-headers"
         )
         assert (await scene.http("POST", path, wish)).headers.get("allow") == "GET, HEAD, OPTIONS"
-        # The box's token opens this session's segments there, up to the rung, and nothing else.
+        # The server's token authorizes this session's segments there, up to its rung, and nothing else.
         box = scene.site.boxes[int(scene.of("box.setup")[0]["box"])]
         assert player.origin == box.address
         assert (await fetch(scene.pool, box.address, "GET", player.segment(0), 5)).status == 200
@@ -74,7 +74,7 @@
     play(story, PLAN)
 
 
-def test_requests_that_are_none_are_told_why_and_not_taken() -> None:
+def test_invalid_requests_are_rejected_with_the_reason() -> None:
     async def story(scene: Scene) -> None:
         wish, path = scene.wish(), "/lessons/lesson-0/manifest.mpd"
         for target, status, kind in [
@@ -93,7 +93,7 @@
     play(story, PLAN)
 
 
-def test_one_token_twice_in_an_instant_while_it_plays_and_after() -> None:
+def test_one_token_used_concurrently_while_playing_and_after_the_end() -> None:
     async def story(scene: Scene) -> None:
         wish = scene.wish()
         replies = await asyncio.gather(*(scene.ask(wish) for _ in range(4)))
@@ -103,12 +103,12 @@
         await scene.http("DELETE", "/lessons/lesson-0/session", wish)
         assert (await scene.ask(wish)).status == 200
         assert len(scene.of("box.setup")) == 2
-        await until(lambda: len(scene.of("box.end")) == 1)  # the first was given back
+        await until(lambda: len(scene.of("box.end")) == 1)  # the first session was released
 
     play(story, PLAN)
 
 
-def test_a_viewer_that_drops_and_comes_back_gets_the_set_up_that_was_out() -> None:
+def test_a_viewer_that_reconnects_gets_the_set_up_in_flight() -> None:
     async def story(scene: Scene) -> None:
         for box in scene.site.boxes:
             scene.behave(box, late_ms=100.0)
@@ -122,8 +122,8 @@
     play(story, PLAN)
 
 
-class Leaver:
-    """A viewer on a socket of its own, who ends its side, or breaks, when told to."""
+class SocketViewer:
+    """A viewer on its own socket that half-closes or resets the connection on request."""
 
     def __init__(self, scene: Scene, wish: Wish) -> None:
         self.scene, self.session = scene, wish.session
@@ -133,11 +133,11 @@
         self._others = set(self.connections)
         self.sock = socket.create_connection(scene.fronts[0].address)
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         self.sock.sendall(self.request)
 
-    async def end_side(self) -> None:
-        """Until the front knows."""
+    async def half_close(self) -> None:
+        """Half-closes the connection and waits until the front has noticed."""
         self.sock.shutdown(socket.SHUT_WR)
         await until(lambda: any(one.half_closed for one in set(self.connections) - self._others))
 
@@ -146,37 +146,37 @@
         self.sock.close()
 
     async def read(self) -> bytes:
-        """All that comes, to the end of the connection."""
+        """Returns everything that is received until the connection ends."""
         self.sock.setblocking(False)
-        seen = b""
+        received = b""
         while data := await self.scene.loop.sock_recv(self.sock, 65_536):
-            seen += data
+            received += data
         self.sock.close()
-        return seen
+        return received
 
 
-def test_a_viewer_that_ends_its_side_is_answered_by_the_attempt_that_is_out() -> None:
+def test_a_half_closed_viewer_is_answered_by_the_attempt_in_flight() -> None:
     async def story(scene: Scene) -> None:
         for box in scene.site.boxes:
             scene.behave(box, late_ms=100.0)
-        viewer = Leaver(scene, scene.wish())
-        viewer.ask()
+        viewer = SocketViewer(scene, scene.wish())
+        viewer.send_request()
         await until(lambda: scene.of("box.setup"))
-        await viewer.end_side()
+        await viewer.half_close()
         assert (await viewer.read()).startswith(b"HTTP/1.1 200 ")
         assert len(scene.of("box.setup")) == 1
 
     play(story, PLAN)
 
 
-def test_after_a_viewer_ended_its_side_a_failed_attempt_is_its_last() -> None:
+def test_a_half_closed_viewer_gets_no_attempt_after_a_failed_one() -> None:
     async def story(scene: Scene) -> None:
         bad = await scene.first_choice()
-        scene.behave(bad, late_ms=600.0)  # an attempt's time is half an aim, 400 ms
-        viewer = Leaver(scene, scene.wish())
-        viewer.ask()
+        scene.behave(bad, late_ms=600.0)  # an attempt times out after half the latency objective, 400 ms
+        viewer = SocketViewer(scene, scene.wish())
+        viewer.send_request()
         await until(lambda: scene.of("box.setup", session=viewer.session))
-        await viewer.end_side()
+        await viewer.half_close()
         assert (await viewer.read()).startswith(b"HTTP/1.1 503 ")
         host = scene.fronts[0].core.sessions
         await until(lambda: host.session_count == 0 and host.controller.sessions == {})
@@ -185,27 +185,27 @@
     play(story, PLAN)
 
 
-@pytest.mark.parametrize("how", ["ends its side", "breaks"])
-def test_a_viewer_that_leaves_while_its_set_up_waits_for_a_connection_is_not_sent_on(how: str) -> None:
+@pytest.mark.parametrize("how", ["half-closes", "resets"])
+def test_a_set_up_that_waits_for_a_connection_is_not_sent_after_its_viewer_left(how: str) -> None:
     async def story(scene: Scene) -> None:
         box = await scene.first_choice()
         for other in scene.site.boxes:
             scene.behave(other, late_ms=250.0)
         first = asyncio.ensure_future(scene.ask(scene.wish(top=1)))
-        await until(lambda: len(scene.of("box.setup", box=box)) == 2)  # it has the one connection
-        viewer, host = Leaver(scene, scene.wish(top=1)), scene.fronts[0].core.sessions
-        viewer.ask()
+        await until(lambda: len(scene.of("box.setup", box=box)) == 2)  # it uses the only connection
+        viewer, host = SocketViewer(scene, scene.wish(top=1)), scene.fronts[0].core.sessions
+        viewer.send_request()
         await until(
             lambda: (
                 viewer.session in host.records()
                 and host.records()[viewer.session].phase is SessionPhase.IN_FLIGHT
             )
         )
-        if how == "breaks":
+        if how == "resets":
             viewer.reset()
             await until(lambda: not host.records()[viewer.session].tickets)
         else:
-            await viewer.end_side()
+            await viewer.half_close()
             assert (await viewer.read()).startswith(b"HTTP/1.1 503 ")
         assert (await first).status == 200
         await until(lambda: viewer.session not in host.records())
@@ -215,18 +215,21 @@
 
 
 @pytest.mark.parametrize("plays", [True, False])
-def test_a_side_that_ends_in_the_read_of_its_request_leaves_one_answer(plays: bool) -> None:
-    """What plays is still told; what would begin has one attempt at the most, and is told how it went."""
+def test_a_half_close_together_with_the_request_gets_one_reply(plays: bool) -> None:
+    """A playing session is still confirmed; a new one gets at most one attempt and its outcome."""
 
     async def story(scene: Scene) -> None:
         wish = scene.wish()
         if plays:
             assert (await scene.ask(wish)).status == 200
-        viewer = Leaver(scene, wish)
-        viewer.ask()
-        viewer.sock.shutdown(socket.SHUT_WR)  # both are there before the front's loop turns
-        seen = await viewer.read()
-        assert seen.count(b"HTTP/1.1 ") == 1 and seen.startswith(b"HTTP/1.1 200" if plays else b"HTTP/1.1 ")
+        viewer = SocketViewer(scene, wish)
+        viewer.send_request()
+        # The front's loop finds the request and the half-close in the same iteration.
+        viewer.sock.shutdown(socket.SHUT_WR)
+        received = await viewer.read()
+        assert received.count(b"HTTP/1.1 ") == 1 and received.startswith(
+            b"HTTP/1.1 200" if plays else b"HTTP/1.1 "
+        )
         assert len(scene.of("box.setup", session=wish.session)) <= 1
         assert len(scene.fronts[0].core.sessions.reply_ledger) == 0
 
@@ -250,7 +253,7 @@
     play(story, PLAN)
 
 
-def test_a_box_unlisted_as_its_set_up_ends_is_heard_again_when_it_is_back() -> None:
+def test_the_notice_stream_of_a_server_that_was_unlisted_is_reopened() -> None:
     async def story(scene: Scene) -> None:
         client, box = scene.fronts[0].server_client, next(iter(scene.site.boxes))
         with patch.object(client.endpoint_list, "address", return_value=None):
@@ -262,17 +265,17 @@
     play(story, PLAN)
 
 
-def test_a_session_whose_viewer_broke_after_it_ended_its_side_does_not_stand_for_nobody() -> None:
+def test_a_session_is_released_if_its_half_closed_viewer_resets_the_connection() -> None:
     async def story(scene: Scene) -> None:
         for box in scene.site.boxes:
             scene.behave(box, late_ms=100.0)
-        viewer, host = Leaver(scene, scene.wish()), scene.fronts[0].core.sessions
-        viewer.ask()
+        viewer, host = SocketViewer(scene, scene.wish()), scene.fronts[0].core.sessions
+        viewer.send_request()
         await until(lambda: scene.of("box.setup"))
-        await viewer.end_side()
+        await viewer.half_close()
         viewer.reset()
         await until(lambda: scene.of("box.end", session=viewer.session, why="released"))
-        assert host.session_count == 0  # after the time that is kept for its return
+        assert host.session_count == 0  # after the time in which the viewer could return
 
     play(story, PLAN, extra="linger = 200 ms")
 
@@ -280,7 +283,7 @@
 @pytest.mark.parametrize(
     "how", ["silent_mid", "cut_mid", "not_xml", "other_rungs", "short_length", "hang", "full", "fail", "lost"]
 )
-def test_a_box_that_fails_so_is_followed_by_another_in_time(how: str) -> None:
+def test_a_failed_attempt_is_retried_at_another_server_in_time(how: str) -> None:
     async def story(scene: Scene) -> None:
         bad = await scene.first_choice()
         shares = {"fail": {"fail_share": 1.0}, "lost": {"lost_share": 1.0}}
@@ -289,19 +292,19 @@
         reply = await scene.ask(wish)
         assert reply.status == 200
         boxes = [record["box"] for record in scene.of("box.setup", session=wish.session)]
-        if how != "hang":  # which does not even read
+        if how != "hang":  # a hung server reads nothing
             assert boxes[0] == bad and len(boxes) == 2
         assert boxes[-1] != bad
-        if how not in ("hang", "full", "fail"):  # the work was done there: it is taken back
+        if how not in ("hang", "full", "fail"):  # the set-up ran there, so it is released
             await until(lambda: scene.of("box.end", session=wish.session, box=bad, why="released"))
 
     play(story, PLAN)
 
 
-def test_an_answer_after_the_time_out_leaves_nothing_behind() -> None:
+def test_a_reply_after_the_timeout_leaves_no_session() -> None:
     async def story(scene: Scene) -> None:
         bad = await scene.first_choice()
-        scene.behave(bad, late_ms=600.0)  # an attempt's time is half an aim, 400 ms
+        scene.behave(bad, late_ms=600.0)  # an attempt times out after half the latency objective, 400 ms
         wish = scene.wish()
         assert (await scene.ask(wish)).status == 200
         await until(lambda: scene.loop.time() * 1000 > scene.of("box.setup", box=bad)[-1]["t"] + 700)
@@ -317,7 +320,8 @@
         scene.behave(box, late_ms=250.0)
         wishes = [scene.wish(top=1) for _ in range(4)]
         answers = [asyncio.ensure_future(scene.ask(wish)) for wish in wishes]
-        await until(lambda: len(scene.of("box.setup", box=box)) == 2)  # one before, and one of these
+        # The set-up of first_choice, and one of these.
+        await until(lambda: len(scene.of("box.setup", box=box)) == 2)
         scene.site.tell(box, "draining")
         replies = await asyncio.gather(*answers)
         assert [reply.status for reply in replies] == [200] * 4
@@ -326,7 +330,7 @@
     play(story, replace(PLAN, drain_grace_ms=20.0), extra="[boxes]\nconnections = 1\nconnect-time = 2 s")
 
 
-def test_a_box_that_dies_takes_its_sessions_and_comes_back_cold() -> None:
+def test_a_crashed_server_loses_its_sessions_and_restarts_cold() -> None:
     async def story(scene: Scene) -> None:
         box = await scene.first_choice()
         watching = asyncio.ensure_future(scene.viewers.watch(scene.wish(play_s=1.5)))
@@ -347,12 +351,12 @@
     play(story, PLAN)
 
 
-def test_a_cold_box_stands_when_two_fronts_send_at_once() -> None:
+def test_cold_servers_are_not_overloaded_by_two_fronts() -> None:
     cold = Cold(warm_up_ms=6000.0, cold_from=0.5, multiple=2.5, window_ms=3000.0)
     plan = replace(PLAN, boxes=3, racks=1, copies=3, cold=cold, streams=30, lessons=1, link_kb=60_000.0)
 
     async def story(scene: Scene) -> None:
-        for number in scene.site.boxes:  # all at once: there is nowhere else to go
+        for number in scene.site.boxes:  # all servers at once, so that no other is available
             scene.site.boxes[number].die()
             scene.site.tell(number, "gone")
         for number in scene.site.boxes:
@@ -367,7 +371,7 @@
     assert auditor.rules[3].checked > 0
 
 
-def test_the_last_seats_of_a_lesson_asked_for_at_once() -> None:
+def test_concurrent_requests_for_the_last_seats_of_a_title() -> None:
     classes = (SiteClass("briefing", 1.4, 1, seats=2, deadline_ms=3000.0), SiteClass("training"))
 
     async def story(scene: Scene) -> None:
@@ -375,7 +379,7 @@
         statuses = sorted([reply.status for reply in await asyncio.gather(*map(scene.ask, wishes))])
         assert statuses == [200, 200, 503]
         refused = [one for one in scene.of("viewer.answer") if one["status"] == 503]
-        assert refused[0]["t"] - scene.of("viewer.ask")[0]["t"] < 1000  # at once, not at a time-out
+        assert refused[0]["t"] - scene.of("viewer.ask")[0]["t"] < 1000  # immediately, not after a timeout
         await scene.http("DELETE", "/lessons/lesson-0/session", wishes[0])
         again = [*wishes[1:], scene.wish(cls="briefing")]
         assert sorted([reply.status for reply in await asyncio.gather(*map(scene.ask, again))])[:2] == [
@@ -386,7 +390,7 @@
     play(story, replace(PLAN, classes=classes))
 
 
-def test_two_hundred_boxes_then_none_then_an_older_list() -> None:
+def test_a_list_of_two_hundred_servers_then_an_empty_and_an_older_one() -> None:
     async def story(scene: Scene) -> None:
         front = scene.fronts[0]
         assert len(front.core.sessions._servers.states) == 200
@@ -398,9 +402,9 @@
         await until(lambda: not front.core.sessions._servers.states)
         late = scene.wish()
         assert (await scene.ask(late)).status == 503
-        assert front.core.sessions.session_count == 1  # what plays goes on
+        assert front.core.sessions.session_count == 1  # a playing session continues
         scene.site.list.lines = {line.box: line for line in lines}
-        scene.site.list.rewind(version)  # goes back to the full list, by an older version
+        scene.site.list.rewind(version)  # the full list again, but with an older version
         assert (await scene.ask(scene.wish())).status == 503
         scene.site.list.version += 5
         scene.site.list.tell_whole()
@@ -410,7 +414,7 @@
     play(story, replace(PLAN, boxes=200, racks=10, lessons=20))
 
 
-def test_a_front_starts_with_the_kept_list_while_the_server_is_away() -> None:
+def test_a_front_starts_with_the_cached_list_while_the_list_server_is_down() -> None:
     async def story(scene: Scene) -> None:
         front = scene.fronts.pop()
         scene.trace.write("front.down", front="front-0")
@@ -427,7 +431,7 @@
     play(story, PLAN)
 
 
-def test_hostile_input_is_refused_and_harms_nobody() -> None:
+def test_malicious_input_is_rejected_without_effect_on_others() -> None:
     async def story(scene: Scene) -> None:
         counts = HostileCounts()
         origin = scene.fronts[0].address
@@ -437,13 +441,14 @@
         )
         assert counts.wrong == [] and counts.sent == len(PAYLOADS)
         assert {reply.status for reply in replies} == {200}
-        seen, closed = await raw(origin, b"GET / HTTP/1.1\r\nHost: a", 10.0)  # never ends its head
-        assert closed and seen.startswith(b"HTTP/1.1 408")
+        # The request head is incomplete.
+        received, closed = await raw(origin, b"GET / HTTP/1.1\r\nHost: a", 10.0)
+        assert closed and received.startswith(b"HTTP/1.1 408")
 
     play(story, PLAN, extra="[http]\nhead-time = 100 ms")
 
 
-def test_a_front_told_to_stop_answers_all_it_took() -> None:
+def test_a_front_that_shuts_down_answers_all_accepted_requests() -> None:
     async def story(scene: Scene) -> None:
         for box in scene.site.boxes:
             scene.behave(box, late_ms=150.0)
@@ -460,19 +465,19 @@
 def test_a_front_told_to_stop_answers_who_waits_for_other_fronts() -> None:
     async def story(scene: Scene) -> None:
         front = scene.fronts[0]
-        front.core.session_locator = Mock()  # says nothing
-        viewer = Leaver(scene, scene.wish())
-        viewer.ask()
+        front.core.session_locator = Mock()  # never replies
+        viewer = SocketViewer(scene, scene.wish())
+        viewer.send_request()
         await until(lambda: front.core.session_locator.request_reply.called)
         read = asyncio.ensure_future(viewer.read())
         await front.stop(10.0)
         assert (await read).startswith(b"HTTP/1.1 503 ")
-        front.core.session_locator.request_reply.call_args.args[1](None)  # their word comes late
+        front.core.session_locator.request_reply.call_args.args[1](None)  # the reply comes too late
 
     play(story, PLAN)
 
 
-def test_a_short_link_steps_sessions_down_at_the_box() -> None:
+def test_sessions_are_stepped_down_when_a_link_loses_capacity() -> None:
     async def story(scene: Scene) -> None:
         box = await scene.first_choice()
         wishes = [scene.wish(cls="briefing", play_s=4.0) for _ in range(3)]
@@ -487,7 +492,7 @@
     play(story, PLAN)
 
 
-def test_a_recorded_front_is_replayed_by_a_fresh_module() -> None:
+def test_a_recording_is_replayed_by_a_new_controller() -> None:
     async def story(scene: Scene) -> None:
         bad = await scene.first_choice()
         scene.behave(bad, fail_share=0.5)
@@ -505,8 +510,8 @@
     play(story, PLAN, extra="record = front.record")
 
 
-def test_a_viewer_of_a_silent_box_is_placed_anew_on_its_one_seat() -> None:
-    """The silent box can't hear that its session was given up; the session still has one seat."""
+def test_a_viewer_of_a_silent_server_is_placed_again_with_its_only_seat() -> None:
+    """The silent server does not receive the release of its session; the session still uses one seat."""
     classes = (SiteClass("briefing", 1.4, 1, seats=1, deadline_ms=3000.0), SiteClass("training"))
 
     async def story(scene: Scene) -> None:
@@ -520,6 +525,6 @@
         assert int(scene.of("box.setup")[-1]["box"]) != silent
         assert (await scene.ask(scene.wish(cls="briefing"))).status == 503
         at = scene.loop.time()
-        await until(lambda: scene.loop.time() > at + 0.2)  # past the auditor's allowance
+        await until(lambda: scene.loop.time() > at + 0.2)  # longer than the auditor tolerates
 
     play(story, replace(PLAN, classes=classes))
--- a/tests/test_peers_boxes.py
+++ b/tests/test_peers_boxes.py
@@ -1,4 +1,4 @@
-"""What a simulated box accepts of two owners of one channel, and a session that goes on at another front."""
+"""Two owners of one channel at a simulated server, and a session that is handed over between fronts."""
 
 from __future__ import annotations
 
@@ -22,40 +22,40 @@
 def test_a_lower_fence_is_accepted_for_the_overlap_alone() -> None:
     fences = Fences(overlap_s=1.0)
     assert fences.claim(0.0, "c", "a", 5) and fences.accepts(0.0, "c", "a", 5)
-    assert not fences.claim(0.0, "c", "b", 5)  # nobody shares a fence
+    assert not fences.claim(0.0, "c", "b", 5)  # a fence has one owner
     assert fences.claim(10.0, "c", "b", 6)
     assert fences.accepts(11.0, "c", "a", 5) and not fences.accepts(11.001, "c", "a", 5)
     assert not fences.claim(10.0, "c", "a", 5)
     assert fences.claim(10.5, "c", "c", 7)
-    # Overtaken by 6 at 10: that 7 came later gives 5 no more time.
+    # Fence 5 was superseded by 6 at 10 s; the later fence 7 does not extend its overlap.
     assert not fences.accepts(11.2, "c", "a", 5) and fences.accepts(11.2, "c", "b", 6)
-    for number in range(8, 30):  # more rises than are remembered: what is forgotten is refused
+    for number in range(8, 30):  # more fences than are remembered: a forgotten one is rejected
         assert fences.accepts(11.3, "c", "d", number)
     assert not fences.accepts(11.3, "c", "b", 6)
     assert fences.owner("c") == "d" and fences.highest("c") == 29
-    unplanned = Fences(overlap_s=1.0)
-    assert unplanned.claim(0.0, "c", "a", 5) and unplanned.claim(1.0, "c", "b", 6, overlap_s=0.0)
-    assert not unplanned.accepts(1.1, "c", "a", 5)  # whoever has no lease has nothing to finish
-    assert unplanned.claim(2.0, "c", "c", 7, overlap_s=9.0)
-    assert not unplanned.accepts(3.1, "c", "b", 6)  # the box's own bound is the longest
-    small = Fences(1.0, most=2)
+    failover = Fences(overlap_s=1.0)
+    assert failover.claim(0.0, "c", "a", 5) and failover.claim(1.0, "c", "b", 6, overlap_s=0.0)
+    assert not failover.accepts(1.1, "c", "a", 5)  # an owner without a lease gets no overlap
+    assert failover.claim(2.0, "c", "c", 7, overlap_s=9.0)
+    assert not failover.accepts(3.1, "c", "b", 6)  # the server's own bound is the maximum
+    bounded = Fences(1.0, most=2)
     for name in "xyz":
-        assert small.claim(0.0, name, "a", 1)
-    assert small.highest("x") == 0 and small.highest("z") == 1
+        assert bounded.claim(0.0, name, "a", 1)
+    assert bounded.highest("x") == 0 and bounded.highest("z") == 1
 
 
 class _Owner:
-    """Channel and fence for every session."""
+    """The same channel and fence for every session."""
 
     def __init__(self, channel: str, fence: int) -> None:
-        self.under: tuple[str, int] | None = (channel, fence)
+        self.channel_fence: tuple[str, int] | None = (channel, fence)
 
-    def fence(self, jti: str) -> tuple[str, int] | None:
-        return self.under
+    def fence(self, session_id: str) -> tuple[str, int] | None:
+        return self.channel_fence
 
 
-class _Told:
-    """A listener that keeps what it is told."""
+class _RecordingListener:
+    """Records the events of a front."""
 
     def __init__(self) -> None:
         self.standings: dict[str, Standing] = {}
@@ -76,27 +76,30 @@
         self.lists.append(rows)
 
 
-def test_a_session_goes_on_at_another_front_that_took_its_channel() -> None:
+def test_a_session_continues_at_another_front_that_claimed_its_channel() -> None:
     async def story(scene: Scene) -> None:
-        ports, told = [], []
+        ports, listeners = [], []
         for number, front in enumerate(scene.fronts):
             client = front.core.server_transport
             assert isinstance(client, ServerClient)
-            classes = {one.name: place for place, one in enumerate(front.core.sessions.settings.classes)}
+            classes = {
+                session_class.name: index
+                for index, session_class in enumerate(front.core.sessions.settings.classes)
+            }
             port = Peering(front.core, client.endpoint_list, client, classes, lambda: 0.0)
             front.core.channel_ownership = _Owner("front-0:1/0", 5 + number)
-            told.append(_Told())
-            port.listen(told[-1])
+            listeners.append(_RecordingListener())
+            port.listen(listeners[-1])
             ports.append(port)
         assert ports[0].list_rows() == ports[1].list_rows() != []
         wish = scene.wish(play_s=30.0)
         path = "/lessons/lesson-0/manifest.mpd"
         reply = await scene.http("GET", path, wish)
         assert reply.status == 200
-        standing = told[0].standings[wish.session]
+        standing = listeners[0].standings[wish.session]
         payload = ports[0].payload(standing.payload)
         assert payload is not None and standing.answers == 1 and standing.attempt == 0
-        assert [str(act.deed) for act in told[0].acts] == ["setup"]  # type: ignore[attr-defined]
+        assert [str(act.deed) for act in listeners[0].acts] == ["setup"]  # type: ignore[attr-defined]
 
         claims: list[Claimed] = []
         ports[1].claim(standing.box, "front-0:1/0", 6, 400.0, lambda now, claimed: claims.append(claimed))
@@ -104,32 +107,30 @@
         assert claims[0].accepted and claims[0].sessions == ((wish.session, 0, standing.rung),)
         now = scene.fronts[1].core.now()
         assert ports[1].take_over(now, standing, payload)
-        assert not ports[1].take_over(now, standing, payload)  # held already
-        assert ports[0].let_go(now, wish.session) and told[0].ends == []
+        assert not ports[1].take_over(now, standing, payload)  # the session is here already
+        assert ports[0].let_go(now, wish.session) and listeners[0].ends == []
         assert not ports[0].let_go(now, wish.session)
-        # The heir answers its viewer from what stands, without a second set-up, and ends it at its box.
+        # The successor replies to the viewer without a second set-up, and ends the session at its server.
         again = await scene.http("GET", path, wish, front=1)
         assert again.status == 200 and len(scene.of("box.setup")) == 1
         claims.clear()
-        ports[0].claim(
-            standing.box, "front-0:1/0", 5, 400.0, lambda now, claimed: claims.append(claimed)
-        )  # woken, and none the wiser
+        # The previous owner resumes without having noticed the takeover.
+        ports[0].claim(standing.box, "front-0:1/0", 5, 400.0, lambda now, claimed: claims.append(claimed))
         await until(lambda: bool(claims))
         assert not claims[0].accepted and claims[0].fence == 6 and claims[0].sessions == ()
-        assert (
-            scene.fronts[1].core.sessions.session_count == 1
-        )  # its stream of notes did not take it for lost
+        # The successor's notice stream did not report the session as lost.
+        assert scene.fronts[1].core.sessions.session_count == 1
         assert (await scene.http("DELETE", "/lessons/lesson-0/session", wish, front=1)).status == 204
         await until(lambda: scene.of("box.end"))
         (end,) = scene.of("box.end")
         assert end["front"] == "front-1" and end["why"] == "released"
-        assert told[1].ends == [wish.session]
+        assert listeners[1].ends == [wish.session]
         assert all(front.core.sessions.session_count == 0 for front in scene.fronts)
 
     play(story, PLAN, fronts=2)
 
 
-def test_a_channel_s_session_outlives_its_front_and_steering_past_the_overlap_is_refused() -> None:
+def test_a_session_outlives_its_front_and_control_after_the_overlap_is_rejected() -> None:
     async def story(scene: Scene) -> None:
         front = scene.fronts[0]
         client = front.core.server_transport
@@ -140,23 +141,25 @@
         (setup,) = scene.of("box.setup")
         box = scene.site.boxes[int(setup["box"])]
         claims: list[object] = []
-        heir = scene.fronts[1].core.server_transport
-        assert isinstance(heir, ServerClient)
-        heir.claim_channel(box.spec.number, "front-0:1/0", 9, 400.0, claims.append)
+        successor = scene.fronts[1].core.server_transport
+        assert isinstance(successor, ServerClient)
+        successor.claim_channel(box.spec.number, "front-0:1/0", 9, 400.0, claims.append)
         await until(lambda: bool(claims))
         began = box._loop.time()
         await until(lambda: box._loop.time() - began > 0.45)
         host = front.core.sessions
-        assert host.release_session(front.core.now(), wish.session)  # past its bound: refused at the box
+        # The overlap is over, so the server rejects the release.
+        assert host.release_session(front.core.now(), wish.session)
         front.core.schedule_step()
         await until(lambda: [one for one in scene.of("box.steer") if not one["accepted"]])
         assert (wish.session, 0) in box.sessions
-        owner.under = None  # steering without a fence is refused as well
+        owner.channel_fence = None  # control without a fence is rejected too
         host.on_session_ended(front.core.now(), wish.session, 0, Result.OK)
         client.release_unowned_session(box.spec.number, wish.session, 0, "another's", ("front-0:1/0", 5))
         front.kill()
         began = box._loop.time()
-        await until(lambda: box._loop.time() - began > 0.8)  # more than `orphan`: an heir may still come
+        # Longer than `orphan`: a successor may still claim the session.
+        await until(lambda: box._loop.time() - began > 0.8)
         assert (wish.session, 0) in box.sessions
 
     play(story, PLAN, fronts=2)
