--- a/fernweir/front/dash.py
+++ b/fernweir/front/dash.py
@@ -306,7 +306,7 @@
             exchange.on_gone = lambda: self.core.withdraw_request(request.ticket)
             exchange.on_left = lambda: self.core.on_client_half_closed(request.ticket)
             self.core.submit(request, lambda reply: self._reply(exchange, reply, location))
-            if exchange.left:  # the client half-closed before the submission; a playing session still replies
+            if exchange.left:  # half-closed before the submission; a playing session is still confirmed
                 self.core.on_client_half_closed(request.ticket)
 
         def on_located(reply: SessionReply | None) -> None:
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -47,7 +47,7 @@
 from fernweir.seats.seat_manager import SeatManager
 from fernweir.tokens import Keyring, KeyringError
 
-if TYPE_CHECKING:  # loaded only where the settings ask for it
+if TYPE_CHECKING:  # loaded only if the settings have a [peers] section
     from fernweir.peers.program import Peers
 
 _MAX_SEAT_RELEASE_S = 2.0
@@ -311,7 +311,7 @@
 
 
 class _Control:
-    """The journal, the operators' orders and their socket of a front."""
+    """The journal, the operators' orders and the operators' socket of a front."""
 
     def __init__(
         self,
