--- a/fernweir/front/dash.py
+++ b/fernweir/front/dash.py
@@ -123,7 +123,7 @@
         except TargetError as error:
             raise _RequestRejectedError(400, "bad-target", str(error)) from None
         if len(path) != 3 or path[0] != "lessons" or path[2] not in ("manifest.mpd", "session"):
-            raise _RequestRejectedError(404, "not-found", "resource not found")
+            raise _RequestRejectedError(404, "not-found", "no such resource")
         allowed = ("GET", "HEAD") if path[2] == "manifest.mpd" else ("DELETE",)
         if exchange.method == "OPTIONS":
             exchange.respond(204, _PREFLIGHT_HEADERS)
@@ -157,7 +157,7 @@
         Introspection may use at most half of the viewer's wait; the rest is left for the set-up.
         """
         if self.core.sessions.is_closing or len(introspection) >= self._max_waiting:
-            raise _RequestRejectedError(503, "busy", "too many requests are waiting", (("retry-after", "1"),))
+            raise _RequestRejectedError(503, "busy", "too many requests wait", (("retry-after", "1"),))
         classes = self.settings.classes
         session_class = (
             classes[self.classes[claims.cls]] if claims else min(classes, key=lambda one: one.deadline_ms)
@@ -204,7 +204,7 @@
         self, exchange: Exchange, path: list[str], claims: SessionClaims, in_query: bool, spent_ms: float
     ) -> None:
         if claims.title != path[1]:
-            raise _challenge(TokenError(TokenFault.TITLE, "the token is for another title"))
+            raise _challenge(TokenError(TokenFault.TITLE, "the token is for another lesson"))
         if exchange.method in ("DELETE", "HEAD"):
             session, locator = self.core.sessions.session(claims.jti), self.core.session_locator
             if session is None and locator is not None:
@@ -230,10 +230,10 @@
         if exchange.gone:
             return
         if plays is None:
-            reason = "the session is being handed over between two fronts"
+            reason = "the session is between two fronts"
             raise _RequestRejectedError(503, "refused", reason, (("retry-after", "1"),))
         if not plays:
-            raise _RequestRejectedError(404, "no-session", "no such session is playing")
+            raise _RequestRejectedError(404, "no-session", "no such session plays here")
         if exchange.method == "DELETE":
             exchange.respond(204, _CORS_HEADERS)
         else:
@@ -269,20 +269,18 @@
     ) -> None:
         if not self.endpoint_list.epoch:
             raise _RequestRejectedError(
-                503, "no-list", "the endpoint list has not been received yet", (("retry-after", "1"),)
+                503, "no-list", "the list of boxes is not here yet", (("retry-after", "1"),)
             )
         title = self.endpoint_list.titles.get(claims.title)
         if title is None:
-            raise _RequestRejectedError(404, "no-lesson", "no such title")
+            raise _RequestRejectedError(404, "no-lesson", "no such lesson")
         if self.core.sessions.is_closing or len(self.core.sessions.reply_ledger) >= self._max_waiting:
-            reason = "front is stopping" if self.core.sessions.is_closing else "too many requests are waiting"
+            reason = "front is stopping" if self.core.sessions.is_closing else "too many requests wait"
             raise _RequestRejectedError(503, "busy", reason, (("retry-after", "1"), ("connection", "close")))
         class_index = self.classes[claims.cls]
         session_class = self.settings.classes[class_index]
         if min(claims.top, session_class.top_rung) < session_class.lowest_rung:
-            raise _RequestRejectedError(
-                403, "no-rung", "the viewer's top rung is below the lowest rung of its class"
-            )
+            raise _RequestRejectedError(403, "no-rung", "this viewer can use no rung that its class may play")
         request = SessionRequest(
             ticket=self.core.next_ticket(),
             protocol=_PROTOCOL,
@@ -351,7 +349,7 @@
                 exchange.on_gone = lambda: self.core.on_reply_undelivered(reply)
                 exchange.respond(200, [*_CORS_HEADERS, *headers], body)
                 return
-            reply = SessionReply(reply.ticket, ReplyKind.FAILED, "the session's server is no longer listed")
+            reply = SessionReply(reply.ticket, ReplyKind.FAILED, "its box is no longer listed")
         status, problem_type, headers = 503, "refused", []
         if reply.kind is ReplyKind.REJECTED:
             headers = [("retry-after", str(max(ceil(reply.retry_after_ms / 1000.0), 0)))]
@@ -391,7 +389,7 @@
         session_class = self.settings.classes[command.request.class_index]
         if reply.status != 200 or not reply.headers.get("content-type").startswith(MPD_TYPE):
             raise InvalidServerReplyError(
-                f"status {reply.status} with {reply.headers.get('content-type')[:40]} instead of an MPD"
+                f"status {reply.status} with {reply.headers.get('content-type')[:40]}, no MPD"
             )
         top = min(command.request.top_rung, session_class.top_rung)
         try:
@@ -478,12 +476,12 @@
     authorizations = exchange.headers.all("authorization")
     in_query = "access_token" in query
     if len(authorizations) + in_query > 1:
-        raise _RequestRejectedError(400, "bad-request", "the request has more than one token")
+        raise _RequestRejectedError(400, "bad-request", "more than one token in a request")
     if not authorizations:
         return query.get("access_token", ""), in_query
     match = _BEARER_TOKEN.fullmatch(authorizations[0].strip())
     if match is None:
-        raise _challenge(TokenError(TokenFault.MALFORMED, "the authorization header is not a Bearer token"))
+        raise _challenge(TokenError(TokenFault.MALFORMED, "not a Bearer token"))
     return match[1], in_query
 
 
--- a/fernweir/front/manifest.py
+++ b/fernweir/front/manifest.py
@@ -96,12 +96,12 @@
                     ]
                     rates = [rate for _, rate in sorted(rungs)]
                     if len({rung for rung, _ in rungs}) != len(rungs) or rates != sorted(rates):
-                        raise ManifestError("rungs are repeated, or their rates do not increase")
+                        raise ManifestError("rungs repeat, or their rates don't rise")
                     found |= {rung for rung, _ in rungs}
         except (MpdError, ValueError) as error:
             raise ManifestError(str(error)) from None
         if not found or max(found) >= self._rung_count:
-            raise ManifestError(f"lists rungs {sorted(found)}, but the ladder has {self._rung_count}")
+            raise ManifestError(f"lists rungs {sorted(found)} of a ladder of {self._rung_count}")
         return frozenset(found)
 
     def _render(
--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -250,7 +250,7 @@
         core, title = self._core, self._endpoint_list.titles.get(request.title)
         class_index, codec = self._classes.get(request.cls), core.set_up_codecs.get(request.via)
         if title is None or class_index is None or codec is None:
-            reason = "title, class or protocol is not known to the session's front"
+            reason = "lesson or class is not known to the session's front"
             then(core.now(), Carried(request.number, "failed", reason))
             return
 
--- a/fernweir/front/server_client.py
+++ b/fernweir/front/server_client.py
@@ -95,7 +95,7 @@
                 self._open_notice_stream(command.server)
 
         if origin is None:
-            core.loop.call_soon(on_reply, Reply(Outcome.UNWANTED, detail="server has no address"))
+            core.loop.call_soon(on_reply, Reply(Outcome.UNWANTED, detail="no address"))
             return
         request = codec.request(command)
         self.pool.request(
@@ -134,7 +134,7 @@
 
         origin = self.endpoint_list.address(command.server)
         if origin is None:
-            core.loop.call_soon(on_reply, Reply(Outcome.UNREACHED, detail="server has no address"))
+            core.loop.call_soon(on_reply, Reply(Outcome.UNREACHED, detail="no address"))
         else:
             self.pool.request(origin, "GET", "/probe", on_reply, timeout_s=self.timeouts.health_check_s)
 
@@ -148,7 +148,7 @@
         """
         origin = self.endpoint_list.address(server)
         if origin is None:
-            self.core.loop.call_soon(on_reply, Reply(Outcome.UNREACHED, detail="server has no address"))
+            self.core.loop.call_soon(on_reply, Reply(Outcome.UNREACHED, detail="no address"))
             return
         target = f"/channels?channel={quote(channel, safe='')}"
         body = json.dumps({"fence": fence, "overlap_ms": overlap_ms, "adopt": list(adopt)}).encode()
@@ -293,7 +293,7 @@
         if self._stopped:
             return
         if origin is None:
-            self._report_server_lost("server is not listed")
+            self._report_server_lost("not listed")
             return
         self.state.on_stream_opened(self.session_manager.sessions_playing_at(self.server))
         self._reader = EventReader()
--- a/fernweir/front/server_notices.py
+++ b/fernweir/front/server_notices.py
@@ -98,6 +98,6 @@
         ]
         self._expected = {}
         return [
-            SessionEnded(session_id, attempt, Result.RESET, "unknown to its server")
+            SessionEnded(session_id, attempt, Result.RESET, "unknown to its box")
             for session_id, attempt in lost
         ]
