--- a/fernweir/front/atomic_file.py
+++ b/fernweir/front/atomic_file.py
@@ -1,4 +1,4 @@
-"""Files that are whole or not there: written beside, synced, renamed, and the folder synced."""
+"""Writes files atomically: a temporary file is written, synced and renamed, then its directory is synced."""
 
 from __future__ import annotations
 
@@ -7,20 +7,24 @@
 
 
 def write_file(path: Path, data: bytes) -> None:
-    """Replaces `path`. OSError when it can't; the old content stands then."""
+    """Replaces the content of `path`, and creates its directory if necessary.
+
+    Raises:
+        OSError: The file could not be written; the old content remains.
+    """
     path.parent.mkdir(parents=True, exist_ok=True)
-    beside = path.with_name(f"{path.name}.{os.getpid()}.new")
+    temporary = path.with_name(f"{path.name}.{os.getpid()}.new")
     try:
-        with open(beside, "wb") as file:
+        with open(temporary, "wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
-        os.replace(beside, path)
+        os.replace(temporary, path)
     except OSError:
-        beside.unlink(missing_ok=True)
+        temporary.unlink(missing_ok=True)
         raise
-    folder = os.open(path.parent, os.O_RDONLY)
+    directory = os.open(path.parent, os.O_RDONLY)
     try:
-        os.fsync(folder)
+        os.fsync(directory)
     finally:
-        os.close(folder)
+        os.close(directory)
--- a/fernweir/front/logs.py
+++ b/fernweir/front/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs on standard error: JSON lines, or text for people."""
+"""Configures structured logging to standard error, as JSON lines or as readable text."""
 
 from __future__ import annotations
 
@@ -10,17 +10,23 @@
 
 
 def set_up_logs(form: str, level: str, stream: TextIO | None = None) -> None:
-    """`form` is json or text. Called once, by a program, never by a library."""
-    render: structlog.typing.Processor = structlog.processors.JSONRenderer()
+    """Configures logging for the process; called once, by a program and never by a library.
+
+    Args:
+        form: `json` or `text`.
+        level: The lowest level that is logged.
+        stream: Where lines are written; standard error if it is None.
+    """
+    renderer: structlog.typing.Processor = structlog.processors.JSONRenderer()
     if form == "text":
-        render = structlog.dev.ConsoleRenderer(colors=(stream or sys.stderr).isatty())
+        renderer = structlog.dev.ConsoleRenderer(colors=(stream or sys.stderr).isatty())
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
             structlog.processors.format_exc_info,
-            render,
+            renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(logging.getLevelName(level.upper())),
         logger_factory=structlog.WriteLoggerFactory(stream or sys.stderr),
--- a/fernweir/front/names.py
+++ b/fernweir/front/names.py
@@ -1,4 +1,4 @@
-"""Numbers for names of titles and servers, which are the same at every front."""
+"""Maps names of titles and servers to numbers that are the same at every front."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 def number_of(name: str) -> int:
-    """Returns the number by which the controller knows a title or a server: a hash of 64 bits.
+    """Returns the number of a title or a server in the controller: a 64-bit hash of its name.
 
-    Every front ranks the servers of a title by these numbers, so all of them have to agree on them.
+    Every front ranks the servers of a title by these numbers, so all fronts must derive the same ones.
 
     Raises:
         UnicodeEncodeError: The name has lone surrogates.
--- a/fernweir/front/record.py
+++ b/fernweir/front/record.py
@@ -1,7 +1,7 @@
-"""Records what a module was told and what it decided, and plays a record to a fresh module.
+"""Records the batches that a controller handles, and replays a record against a new controller.
 
-One JSON document a line: first the settings and the seed, then a batch a line. The same events must give
-the same actions; the first batch that doesn't is named.
+A record has one JSON document per line: first the settings and the seed, then one batch per line. The same
+events must result in the same actions; a replay names the first batch for which they do not.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 
 
 class RecordError(ValueError):
-    """The record can't be read; the text names the line."""
+    """Raised when a record cannot be read; the message names the line."""
 
 
 def to_plain(value: Any) -> Any:
-    """A value of the interface as JSON has it; a dataclass names its type, see `stored_types`."""
+    """Returns a value of the interface in JSON types; a dataclass names its type, see `stored_types`."""
     stored = BY_CLASS.get(type(value))
     if stored is not None:
         pairs = zip(stored.names, stored.attributes, strict=True)
@@ -36,7 +36,11 @@
 
 
 def from_plain(plain: Any, hint: Any = None) -> Any:
-    """The value that `to_plain` wrote, checked against the interface's types."""
+    """Returns the value that `to_plain` encoded, with the types of the interface.
+
+    Raises:
+        RecordError: The value names an unknown type.
+    """
     if isinstance(plain, dict):
         stored = BY_NAME.get(str(plain.get("is")))
         if stored is None:
@@ -52,28 +56,37 @@
 
 
 class Recorder:
-    """Writes a record; `watch` fits `BatchObserver` of the session manager."""
+    """Writes a record; `watch` is a `BatchObserver` of the session manager."""
 
     def __init__(self, file: IO[str], settings: Settings, seed: int) -> None:
         self._file = file
-        self._line({"format": FORMAT, "seed": seed, "settings": to_plain(settings)})
+        self._write_line({"format": FORMAT, "seed": seed, "settings": to_plain(settings)})
 
     def watch(self, now: float, events: list[Event], actions: list[Action]) -> None:
-        said = [to_plain(event) for event in events]
-        self._line({"now": now, "events": said, "actions": [to_plain(action) for action in actions]})
+        """Writes one batch."""
+        plain_events = [to_plain(event) for event in events]
+        self._write_line(
+            {"now": now, "events": plain_events, "actions": [to_plain(action) for action in actions]}
+        )
 
-    def _line(self, document: dict[str, Any]) -> None:
+    def _write_line(self, document: dict[str, Any]) -> None:
         self._file.write(json.dumps(document, separators=(",", ":")) + "\n")
 
 
 def read_record(lines: Iterable[str]) -> tuple[Settings, int, Iterator[tuple[float, list[Event], Any]]]:
-    """Settings, seed, and the batches: clock, events, actions as written."""
+    """Returns the settings, the seed and the batches of a record.
+
+    A batch is its time in milliseconds, its events, and its actions as they were written.
+
+    Raises:
+        RecordError: The record cannot be read; for a batch it is raised when the batch is reached.
+    """
     numbered = enumerate(lines, 1)
     try:
-        head = json.loads(next(numbered)[1])
-        if head["format"] != FORMAT:
-            raise RecordError(f"format {head['format']} is not {FORMAT}")
-        settings, seed = from_plain(head["settings"]), int(head["seed"])
+        header = json.loads(next(numbered)[1])
+        if header["format"] != FORMAT:
+            raise RecordError(f"record has format {header['format']}, but this version reads format {FORMAT}")
+        settings, seed = from_plain(header["settings"]), int(header["seed"])
     except (StopIteration, ValueError, KeyError, TypeError) as error:
         raise RecordError(f"line 1: {error}") from None
 
@@ -89,13 +102,13 @@
 
 
 def replay(lines: Iterable[str]) -> tuple[int, str | None]:
-    """Batches played, and what differed first, or None."""
+    """Returns how many batches were replayed, and the first difference, or None if there is none."""
     settings, seed, batches = read_record(lines)
     controller = Controller(settings, seed)
     count = 0
     for now, events, actions in batches:
         count += 1
-        got = [to_plain(action) for action in controller.handle(now, events)]
-        if got != actions:
-            return count, f"batch {count} at {now:.3f}: recorded {actions}, now {got}"
+        replayed = [to_plain(action) for action in controller.handle(now, events)]
+        if replayed != actions:
+            return count, f"batch {count} at {now:.3f}: recorded {actions}, replayed {replayed}"
     return count, None
--- a/fernweir/front/session_journal.py
+++ b/fernweir/front/session_journal.py
@@ -100,11 +100,11 @@
             return
         reason = self._explaining.take_reason(record.number)
         details: dict[str, object] = {
-            "passed": [list(server) for server in reason.passed],
+            "passed": [list(server) for server in reason.passed_over],
             "link": reason.link,
             "uplink": reason.uplink,
         }
-        self.record_session(EventKind.SETUP, record, rung=record.rung, reason=reason.why, details=details)
+        self.record_session(EventKind.SETUP, record, rung=record.rung, reason=reason.text, details=details)
 
     def record_attempt_succeeded(self, record: SessionRecord, outcome: SetUpResult) -> None:
         """Writes that a server has accepted a session."""
@@ -124,7 +124,7 @@
         if self._explaining is None:
             return {}
         reason = self._explaining.take_reason(record.number)
-        return {"detail": reason.why, "passed": [list(server) for server in reason.passed]}
+        return {"detail": reason.text, "passed": [list(server) for server in reason.passed_over]}
 
     def record_endpoint_list(self, update: EndpointListUpdate) -> None:
         """Writes the servers whose state or start has changed, and those that a full list no longer names."""
--- a/fernweir/front/stored_types.py
+++ b/fernweir/front/stored_types.py
@@ -1,7 +1,7 @@
-"""The names under which values of the interface are stored and sent, whatever their classes are called.
+"""The names under which values of the interface are stored and sent, independent of the names in the code.
 
-A front's record names a value's type and fields, and a node tells its peers its settings in such words. So
-this table is a format: a class or field that is renamed keeps its stored name here.
+A front's record names the type and the fields of a value, and a node sends its settings to its peers under
+these names. The table is therefore a storage format: a class or field that is renamed keeps its stored name.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredType:
-    """One class of the interface as it is stored.
+    """The stored names of one class of the interface.
 
     Attributes:
-        kind: Today's class.
+        kind: The class.
         name: The stored name of the type.
-        field_names: The stored names of the fields, in the class's order, separated by spaces.
-        names: The same, apart.
-        attributes: Today's names of the fields.
+        field_names: The stored names of the fields, in the order of the class, separated by spaces.
+        names: The stored names of the fields as a tuple.
+        attributes: The names of the fields in the code, in the same order.
         hints: The types of the fields.
     """
 
@@ -35,7 +35,7 @@
 
     def __post_init__(self) -> None:
         hints = get_type_hints(self.kind)
-        attributes = tuple(one.name for one in fields(self.kind))
+        attributes = tuple(item.name for item in fields(self.kind))
         object.__setattr__(self, "names", tuple(self.field_names.split()))
         object.__setattr__(self, "attributes", attributes)
         object.__setattr__(self, "hints", tuple(hints[name] for name in attributes))
@@ -82,20 +82,23 @@
     StoredType(interface.Subscribe, "Subscribe", "active"),
     StoredType(interface.Log, "Log", "text"),
 )
-BY_CLASS = {one.kind: one for one in STORED_TYPES}
-BY_NAME = {one.name: one for one in STORED_TYPES}
-_EFFECTS = {"repeatable": "REPEATABLE", "by_key": "BY_KEY", "once": "ONCE"}
+BY_CLASS = {stored.kind: stored for stored in STORED_TYPES}
+BY_NAME = {stored.name: stored for stored in STORED_TYPES}
+_IDEMPOTENCY_NAMES = {"repeatable": "REPEATABLE", "by_key": "BY_KEY", "once": "ONCE"}
 
 
 def stored_text(value: Any) -> str:
-    """A setting's value as text that peers compare: how Python showed it when the format was made."""
+    """Returns a setting's value as the text that peers compare.
+
+    The text is what `repr` returned for the value when the format was defined.
+    """
     stored = BY_CLASS.get(type(value))
     if stored is not None:
         pairs = zip(stored.names, stored.attributes, strict=True)
-        shown = (f"{name}={stored_text(getattr(value, attribute))}" for name, attribute in pairs)
-        return f"{stored.name}({', '.join(shown)})"
+        items = (f"{name}={stored_text(getattr(value, attribute))}" for name, attribute in pairs)
+        return f"{stored.name}({', '.join(items)})"
     if isinstance(value, Enum):
-        return f"<Effect.{_EFFECTS[value.value]}: {value.value!r}>"
+        return f"<Effect.{_IDEMPOTENCY_NAMES[value.value]}: {value.value!r}>"
     if isinstance(value, tuple):
         inner = ", ".join(map(stored_text, value))
         return f"({inner},)" if len(value) == 1 else f"({inner})"
