--- a/fernweir/front/dash.py
+++ b/fernweir/front/dash.py
@@ -19,7 +19,7 @@
 from fernweir.front.boxlist import BoxList
 from fernweir.front.commands import ReplyKind, SessionReply, SessionRequest, SetUp
 from fernweir.front.dispatcher import Dispatcher, InvalidServerReplyError, ServerRequest
-from fernweir.front.introspection import TokenDesk
+from fernweir.front.introspection import IntrospectionClient
 from fernweir.front.manifest import Manifest, ManifestCache, ManifestError
 from fernweir.http.client import Reply
 from fernweir.http.problem import MEDIA_TYPE, problem
@@ -77,7 +77,7 @@
         public_url: str,
         wall_s: Callable[[], float],
         most_waiting: int = 10_000,
-        desk: TokenDesk | None = None,
+        desk: IntrospectionClient | None = None,
         plays_unanswered: frozenset[str] = frozenset(),
     ) -> None:
         self.core, self.boxes, self.settings, self.classes = core, boxes, settings, classes
@@ -137,7 +137,7 @@
 
     def _introspect(
         self,
-        desk: TokenDesk,
+        desk: IntrospectionClient,
         exchange: Exchange,
         path: list[str],
         token: str,
--- a/fernweir/front/introspection.py
+++ b/fernweir/front/introspection.py
@@ -49,7 +49,7 @@
     )
 
 
-class TokenDesk:
+class IntrospectionClient:
     """`all_tokens`: also those whose signature is good here are asked about; else only opaque ones."""
 
     def __init__(
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -29,7 +29,7 @@
 from fernweir.front.dispatcher import Dispatcher, Log
 from fernweir.front.entitlement_gate import Gate
 from fernweir.front.follower import ListFollower
-from fernweir.front.introspection import TokenDesk
+from fernweir.front.introspection import IntrospectionClient
 from fernweir.front.keyset import KeySetFollower
 from fernweir.front.operator_controls import Steering
 from fernweir.front.record import Recorder
@@ -65,7 +65,7 @@
     record: IO[str] | None
     gate: Gate | None = None
     keyring: Keyring | None = None
-    desk: TokenDesk | None = None
+    desk: IntrospectionClient | None = None
     use: UseCheck | None = None
     control: _Control | None = None
     peers: Peers | None = None
@@ -377,7 +377,7 @@
     pool: Pool,
     token: Callable[[], str],
     wall_s: Callable[[], float],
-) -> TokenDesk:
+) -> IntrospectionClient:
     rules = IntrospectionConfig(
         positive_cache_ttl_ms=section.believe,
         negative_cache_ttl_ms=section.disbelieve,
@@ -386,7 +386,9 @@
         max_in_flight=section.at_once,
     )
     judge = Introspector(seed, rules)
-    return TokenDesk(core, pool, judge, section.url, token, wall_s, all_tokens=section.tokens == "all")
+    return IntrospectionClient(
+        core, pool, judge, section.url, token, wall_s, all_tokens=section.tokens == "all"
+    )
 
 
 def _make_gate(
