--- a/fernweir/front/dash.py
+++ b/fernweir/front/dash.py
@@ -173,7 +173,7 @@
                 known = self._claims_told(said)
             self._proceed(exchange, path, known, in_query, self.core.now() - begun)
 
-        number = desk.ask(token, wait_ms(exchange, kind) / 2.0, judged)
+        number = desk.look_up(token, wait_ms(exchange, kind) / 2.0, judged)
         exchange.on_gone = lambda: desk.withdraw(number)
 
     def _claims_told(self, said: IntrospectionDecision) -> SessionClaims:
--- a/fernweir/front/introspection.py
+++ b/fernweir/front/introspection.py
@@ -75,7 +75,7 @@
     def __len__(self) -> int:
         return len(self._waiters)
 
-    def ask(self, token: str, within_ms: float, done: Callable[[IntrospectionDecision], None]) -> int:
+    def look_up(self, token: str, within_ms: float, done: Callable[[IntrospectionDecision], None]) -> int:
         """`done` is called exactly once unless `withdraw` comes first; the number is for that."""
         number, now = next(self._numbers), self.core.now()
         self._waiters[number] = done
