--- a/fernweir/front/introspection.py
+++ b/fernweir/front/introspection.py
@@ -87,7 +87,7 @@
         if self._waiters.pop(number, None) is not None:
             self.judge.withdraw(number)
 
-    def give_up(self) -> None:
+    def shutdown(self) -> None:
         """The front stops: whoever waits is answered now."""
         self.judge.shutdown()
         self._run()
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -79,7 +79,7 @@
         """Takes nothing new, answers all it took, ends; False if some had no answer in time."""
         self.server.stop_listening()
         if self.desk is not None:
-            self.desk.give_up()
+            self.desk.shutdown()
         whole = await self.core.drain(within_s)
         if self.peers is not None:
             handed = await self.peers.leave(within_s)
