--- a/fernweir/front/entitlement_gate.py
+++ b/fernweir/front/entitlement_gate.py
@@ -22,7 +22,7 @@
 _MOVED_S = 2.0
 
 
-class Gate:
+class EntitlementGate:
     """`plays_unanswered` names the classes whose sessions play when the server says nothing."""
 
     def __init__(
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -27,7 +27,7 @@
 from fernweir.front.commands import SessionRequest
 from fernweir.front.dash import DashService, TokenRules
 from fernweir.front.dispatcher import Dispatcher, Log
-from fernweir.front.entitlement_gate import Gate
+from fernweir.front.entitlement_gate import EntitlementGate
 from fernweir.front.follower import ListFollower
 from fernweir.front.introspection import IntrospectionClient
 from fernweir.front.keyset import KeySetFollower
@@ -63,7 +63,7 @@
     list: ListFollower
     pools: tuple[Pool, ...]
     record: IO[str] | None
-    gate: Gate | None = None
+    gate: EntitlementGate | None = None
     keyring: Keyring | None = None
     desk: IntrospectionClient | None = None
     use: UseCheck | None = None
@@ -398,7 +398,7 @@
     token: Callable[[], str],
     offset_s: float,
     files: FileStore,
-) -> Gate:
+) -> EntitlementGate:
     """Opens the seat log and takes up what an earlier life left. ConfigError if the log is damaged."""
     section = config.entitlement
     assert section is not None
@@ -410,7 +410,7 @@
     except (LogError, RecordError, OSError) as error:
         raise ConfigError(str(folder), [Problem("entitlement", "ledger", 0, str(error))]) from None
     now = core.now()
-    gates: list[Gate] = []
+    gates: list[EntitlementGate] = []
     seat_manager = SeatManager(
         now,
         lambda body: gates[0].append(body),
@@ -426,7 +426,7 @@
         ),
     )
     client = EntitlementClient(pool, section.url, config.front.name, token)
-    gate = Gate(core, seat_manager, log, client, section.sync / 1000.0)
+    gate = EntitlementGate(core, seat_manager, log, client, section.sync / 1000.0)
     gates.append(gate)
     seat_manager.recover_seats(now, now / 1000.0 + offset_s, table)
     core.entitlement_check = gate
--- a/fernweir/front/seat_reconciliation.py
+++ b/fernweir/front/seat_reconciliation.py
@@ -10,7 +10,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from fernweir.front.entitlement_gate import Gate
+from fernweir.front.entitlement_gate import EntitlementGate
 from fernweir.http.client import Outcome, Pool, Reply
 from fernweir.seats.reconciliation import ListedLease, Reconciler, ReconciliationResult, UsageReport
 
@@ -50,7 +50,7 @@
 class UseCheck:
     def __init__(
         self,
-        gate: Gate,
+        gate: EntitlementGate,
         pool: Pool,
         url: str,
         name: str,
