--- a/fernweir/front/entitlement_gate.py
+++ b/fernweir/front/entitlement_gate.py
@@ -54,7 +54,7 @@
             ask.session_id, ask.tenant, ask.title_name, kind.name, ask.subject, kind.priority_weight
         )
         self.seat_manager.request_seat(self.core.now(), want, command.deadline)
-        self.kick()
+        self.schedule_step()
 
     def on_session_released(self, command: EntitlementReleased) -> None:
         """The seat of a session that is another front's now is that front's to ask for: it is given back
@@ -64,18 +64,18 @@
             self.core.loop.call_later(_MOVED_S, self._moved_on, command.session_id)
             return
         self.seat_manager.cancel_request(self.core.now(), command.session_id)
-        self.kick()
+        self.schedule_step()
 
     def _moved_on(self, jti: str) -> None:
         self._moved.discard(jti)
         if not self._stopped and self.core.sessions.session(jti) is None:
             self.seat_manager.cancel_request(self.core.now(), jti)
-            self.kick()
+            self.schedule_step()
 
     def is_entitled(self, jti: str) -> bool:
         return self.seat_manager.has_valid_lease(self.core.now(), jti)
 
-    def kick(self) -> None:
+    def schedule_step(self) -> None:
         if not self._kicked and not self._stopped:
             self._kicked = True
             self.core.loop.call_soon(self._run)
@@ -87,7 +87,7 @@
         """
         for session in [one for one in self.seat_manager.seats if one not in self._moved]:
             self.seat_manager.cancel_request(self.core.now(), session)
-        self.kick()
+        self.schedule_step()
         end = self.core.loop.time() + within_s
         while self.seat_manager.seats.keys() - self._moved and self.core.loop.time() < end:
             await asyncio.sleep(0.01)
@@ -126,12 +126,12 @@
         if self._wake is not None:
             self._wake.cancel()
         if due is not None:
-            self._wake = self.core.loop.call_at(max(due, now + 1.0) / 1000.0, self.kick)
+            self._wake = self.core.loop.call_at(max(due, now + 1.0) / 1000.0, self.schedule_step)
 
     def _send(self, command: SendLeaseRequest) -> None:
         def done(reply: LeaseResponse) -> None:
             self.seat_manager.on_response(self.core.now(), command.request_id, reply)
-            self.kick()
+            self.schedule_step()
 
         self.client.send(command, done)
 
@@ -149,4 +149,4 @@
             self.seat_manager.on_log_failed()
         else:
             self.seat_manager.on_log_synced(number)
-        self.kick()
+        self.schedule_step()
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -432,7 +432,7 @@
     core.entitlement_check = gate
     if recovered.torn_bytes or table:
         core.log.info("seat log recovered", seats=len(table), torn_bytes=recovered.torn_bytes)
-    gate.kick()
+    gate.schedule_step()
     return gate
 
 
--- a/fernweir/front/seat_reconciliation.py
+++ b/fernweir/front/seat_reconciliation.py
@@ -125,7 +125,7 @@
             core.log.info(
                 "use differs", asked_again=len(found.renewed_sessions), given_back=len(found.released_leases)
             )
-        self._gate.kick()
+        self._gate.schedule_step()
 
     def _report(self, first: UsePage, last: UsePage) -> UsageReport:
         listed = []
