--- a/fernweir/front/entitlement_gate.py
+++ b/fernweir/front/entitlement_gate.py
@@ -80,7 +80,7 @@
             self._kicked = True
             self.core.loop.call_soon(self._run)
 
-    async def give_back(self, within_s: float) -> int:
+    async def release_all_seats(self, within_s: float) -> int:
         """Releases every seat and waits for it; tells how many are left to lapse.
 
         What moved a moment ago is its heir's to ask for, and lapses if that never does.
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -87,7 +87,7 @@
             await self.peers.stop()
         self.server.close_when_done()
         if self.gate is not None:
-            left = await self.gate.give_back(min(within_s, _GIVE_BACK_S))
+            left = await self.gate.release_all_seats(min(within_s, _GIVE_BACK_S))
             self.core.log.info("seats given back", left=left)
         if self.service is not None:
             self.service.give_up()
