--- a/bench/leads.py
+++ b/bench/leads.py
@@ -59,7 +59,7 @@
     front = await start_front(site.config(0, extra=extra))
     assert front.gate is not None
     leads = HdrHistogram(1, 600_000, 3)
-    front.gate.on_lead = lambda lead: leads.record_value(max(int(lead), 1))
+    front.gate.on_lease_renewed = lambda lead: leads.record_value(max(int(lead), 1))
     await front.list.listed.wait()
     await asyncio.sleep(1.0)
     viewers = Viewers({"front-0": front.address}, trace, 1, wall_offset_s=site.wall_offset_s)
--- a/fernweir/front/entitlement_gate.py
+++ b/fernweir/front/entitlement_gate.py
@@ -38,7 +38,7 @@
         self._syncing = self._kicked = self._stopped = False
         self._wake: asyncio.TimerHandle | None = None
         self._moved: set[str] = set()  # sessions that another front has taken over, lately
-        self.on_lead: Callable[[float], None] | None = None  # of each renewal, for measurements
+        self.on_lease_renewed: Callable[[float], None] | None = None  # of each renewal, for measurements
 
     def append(self, body: bytes) -> int:
         """Gathers a record; all that gather within `sync_s` share one sync."""
@@ -118,9 +118,9 @@
             elif isinstance(command, RevokeSession):
                 self.core.log.info("session revoked", session=command.session_id, why=command.reason)
                 host.revoke_session(now, command.session_id, command.reason)
-            elif command.remaining_ms is not None and self.on_lead is not None:
+            elif command.remaining_ms is not None and self.on_lease_renewed is not None:
                 # Renewed: the viewer's next manifest carries a box token signed anew; see docs/seats.md.
-                self.on_lead(command.remaining_ms)
+                self.on_lease_renewed(command.remaining_ms)
             self.core.schedule_step()
         due = self.seat_manager.next_deadline(now)
         if self._wake is not None:
