--- a/fernweir/front/operator_controls.py
+++ b/fernweir/front/operator_controls.py
@@ -13,7 +13,7 @@
 from fernweir.interface import ServerState
 
 
-class Steering:
+class OperatorControls:
     """See `control.desk.Hands`."""
 
     def __init__(self, core: Dispatcher, boxes: BoxList, wall_offset_s: float) -> None:
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -31,7 +31,7 @@
 from fernweir.front.follower import ListFollower
 from fernweir.front.introspection import IntrospectionClient
 from fernweir.front.keyset import KeySetFollower
-from fernweir.front.operator_controls import Steering
+from fernweir.front.operator_controls import OperatorControls
 from fernweir.front.record import Recorder
 from fernweir.front.seat_reconciliation import UseCheck
 from fernweir.front.session_manager import SessionLimits, SessionManager
@@ -324,7 +324,7 @@
         self.journal.on_fault = self._trouble
         self.desk: OrderDesk | None = None
         self._host: SessionManager | None = None
-        self._steering: Steering | None = None
+        self._steering: OperatorControls | None = None
         self._channel: Channel | None = None
 
     def turned_away(self, ask: SessionRequest) -> str:
@@ -335,7 +335,7 @@
 
     async def start(self, core: Dispatcher, boxes: BoxList) -> None:
         section, self._host = self._section, core.sessions
-        self._steering = Steering(core, boxes, self._offset)
+        self._steering = OperatorControls(core, boxes, self._offset)
         rules = DeskRules(tuple(section.operators), section.led)
         file = None if section.led else self._file
         desk = self.desk = OrderDesk(
