--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -33,7 +33,7 @@
 from fernweir.front.keyset import KeySetFollower
 from fernweir.front.operator_controls import OperatorControls
 from fernweir.front.record import Recorder
-from fernweir.front.seat_reconciliation import UseCheck
+from fernweir.front.seat_reconciliation import SeatReconciliation
 from fernweir.front.session_manager import SessionLimits, SessionManager
 from fernweir.http.client import Pool
 from fernweir.http.parse import Limits
@@ -66,7 +66,7 @@
     gate: EntitlementGate | None = None
     keyring: Keyring | None = None
     desk: IntrospectionClient | None = None
-    use: UseCheck | None = None
+    use: SeatReconciliation | None = None
     control: _Control | None = None
     peers: Peers | None = None
     service: DashService | None = None
@@ -185,7 +185,7 @@
         gate = _make_gate(config, core, pool, token, offset, files)
     use = None
     if gate is not None and config.entitlement is not None:
-        use = UseCheck(
+        use = SeatReconciliation(
             gate,
             pool,
             config.entitlement.url,
--- a/fernweir/front/seat_reconciliation.py
+++ b/fernweir/front/seat_reconciliation.py
@@ -47,7 +47,7 @@
     next: str | None = None
 
 
-class UseCheck:
+class SeatReconciliation:
     def __init__(
         self,
         gate: EntitlementGate,
