--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -150,7 +150,7 @@
     watch = None
     if section.record is not None:
         record = open(config.path(section.record), "w", encoding="utf-8")  # noqa: SIM115 - closed by stop
-        watch = Recorder(record, settings, section.seed).watch
+        watch = Recorder(record, settings, section.seed).on_batch
     limits = SessionLimits(reply_margin_ms=section.margin, unclaimed_session_ttl_ms=section.linger)
     log = structlog.get_logger().bind(front=section.name)
     control = None if config.control is None else _Control(config, config.control, offset, log)
--- a/fernweir/front/record.py
+++ b/fernweir/front/record.py
@@ -56,13 +56,13 @@
 
 
 class Recorder:
-    """Writes a record; `watch` is a `BatchObserver` of the session manager."""
+    """Writes a record; `on_batch` is a `BatchObserver` of the session manager."""
 
     def __init__(self, file: IO[str], settings: Settings, seed: int) -> None:
         self._file = file
         self._write_line({"format": FORMAT, "seed": seed, "settings": to_plain(settings)})
 
-    def watch(self, now: float, events: list[Event], actions: list[Action]) -> None:
+    def on_batch(self, now: float, events: list[Event], actions: list[Action]) -> None:
         """Writes one batch."""
         plain_events = [to_plain(event) for event in events]
         self._write_line(
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -389,7 +389,7 @@
     controller, file = Controller(settings, seed), io.StringIO()
     recorder = Recorder(file, settings, seed)
     for now, events, _ in batches:
-        recorder.watch(now, events, controller.handle(now, events))
+        recorder.on_batch(now, events, controller.handle(now, events))
     assert file.getvalue() == text
 
 
