--- a/fernweir/front/peer_view.py
+++ b/fernweir/front/peer_view.py
@@ -28,7 +28,7 @@
         """A box's number in acts, below 2^31, and what they say besides to tell which it is."""
 
 
-class Acting:
+class PeerView:
     """The host's observer, too. `wall_ms` gives wall time now."""
 
     def __init__(self, core: Dispatcher, boxes: Boxes, wall_ms: Callable[[], float]) -> None:
--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -14,7 +14,7 @@
 from fernweir.front.boxlist import BoxLine, BoxList, ListError, read_document
 from fernweir.front.commands import ReplyKind, SessionReply, SessionRequest
 from fernweir.front.dispatcher import Dispatcher, InvalidServerReplyError
-from fernweir.front.peer_view import Acting
+from fernweir.front.peer_view import PeerView
 from fernweir.front.session_manager import SessionPhase, SessionRecord
 from fernweir.http.client import Outcome, Reply
 from fernweir.interface import Result
@@ -25,7 +25,7 @@
 _PAYLOADS_KEPT = 4_096
 
 
-class Peering(Acting):
+class Peering(PeerView):
     """`wall_ms` gives wall time now. `fences` is asked under which channel and fence a session is steered."""
 
     def __init__(
--- a/fernweir/node/peering.py
+++ b/fernweir/node/peering.py
@@ -18,7 +18,7 @@
 from fernweir.config import ini
 from fernweir.config.peers import PeerName, PeersSection, check_peers
 from fernweir.front.dispatcher import Dispatcher
-from fernweir.front.peer_view import Acting
+from fernweir.front.peer_view import PeerView
 from fernweir.front.stored_types import BY_CLASS, stored_text
 from fernweir.interface import EndpointListKind, EndpointListUpdate, ServerState
 from fernweir.node.config import ConfigError, NodeConfig
@@ -166,7 +166,7 @@
         return short_server_number(server), f" at {self._feed.names.get(server, '')}"
 
 
-class NodePort(Acting):
+class NodePort(PeerView):
     """Implements `peers.port.Port` without channels: no session is handed over, taken over or claimed."""
 
     def __init__(self, dispatcher: Dispatcher, feed: EndpointFeed, wall_ms: Callable[[], float]) -> None:
