--- a/fernweir/front/introspection.py
+++ b/fernweir/front/introspection.py
@@ -1,4 +1,7 @@
-"""Asks the entitlement server about tokens (RFC 7662) for the DASH service. A thin shell."""
+"""Sends token introspection requests (RFC 7662) to the entitlement server for the DASH service.
+
+The decisions are those of `fernweir.entitlement.introspect`; this module adds HTTP and timers.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,10 @@
 
 
 class Introspection(BaseModel):
-    """RFC 7662, section 2.2: `active` is required, and all else is the token's own claims."""
+    """An introspection response of RFC 7662, section 2.2; only `active` is required.
+
+    All other members are claims of the token.
+    """
 
     model_config = ConfigDict(strict=True, frozen=True, extra="allow")
 
@@ -30,33 +36,43 @@
 
 
 def read_introspection(reply: Reply, now_s: float) -> IntrospectionResult:
-    """What a reply says of a token. One that can't be read says nothing: never that it is active."""
+    """Returns the result of an introspection request.
+
+    A response that cannot be read gives UNKNOWN, so that it never makes a token active.
+    """
     if reply.outcome is not Outcome.ANSWERED or reply.status != 200:
         return IntrospectionResult(IntrospectionStatus.UNKNOWN)
     try:
-        said = Introspection.model_validate_json(reply.body)
+        introspection = Introspection.model_validate_json(reply.body)
     except ValidationError:
         return IntrospectionResult(IntrospectionStatus.UNKNOWN)
-    if not said.active:
+    if not introspection.active:
+        return IntrospectionResult(IntrospectionStatus.INACTIVE)
+    remaining_ms = float("inf") if introspection.exp is None else (introspection.exp - now_s) * 1000.0
+    if remaining_ms <= 0.0:
+        # The server calls it active, but its expiry has passed: the stricter of the two decides.
         return IntrospectionResult(IntrospectionStatus.INACTIVE)
-    left = float("inf") if said.exp is None else (said.exp - now_s) * 1000.0
-    if left <= 0.0:
-        return IntrospectionResult(
-            IntrospectionStatus.INACTIVE
-        )  # active and lapsed: the token's own word is the stricter
     return IntrospectionResult(
-        IntrospectionStatus.ACTIVE, said.model_dump(exclude={"active"}, exclude_none=True), left
+        IntrospectionStatus.ACTIVE,
+        introspection.model_dump(exclude={"active"}, exclude_none=True),
+        remaining_ms,
     )
 
 
 class IntrospectionClient:
-    """`all_tokens`: also those whose signature is good here are asked about; else only opaque ones."""
+    """Looks up tokens at the introspection endpoint, and notifies those who wait for the decisions.
+
+    Attributes:
+        core: The dispatcher.
+        introspector: Caches results and decides when a request is sent.
+        all_tokens: Whether tokens with a valid signature are introspected too, or only opaque ones.
+    """
 
     def __init__(
         self,
-        core: Dispatcher,
+        dispatcher: Dispatcher,
         pool: Pool,
-        judge: Introspector,
+        introspector: Introspector,
         url: str,
         token: Callable[[], str],
         wall_s: Callable[[], float],
@@ -65,74 +81,85 @@
     ) -> None:
         parts = urlsplit(url)
         self._origin, self._target = (parts.hostname or "", parts.port or 80), parts.path or "/"
-        self.core, self.judge, self.all_tokens = core, judge, all_tokens
+        self.dispatcher, self.introspector, self.all_tokens = dispatcher, introspector, all_tokens
         self._pool, self._token, self._wall_s = pool, token, wall_s
         self._waiters: dict[int, Callable[[IntrospectionDecision], None]] = {}
-        self._numbers = itertools.count(1)
-        self._wake: asyncio.TimerHandle | None = None
-        self._kicked = self._stopped = False
+        self._next_waiter_number = itertools.count(1)
+        self._wake_up: asyncio.TimerHandle | None = None
+        self._is_step_scheduled = self._is_stopped = False
 
     def __len__(self) -> int:
         return len(self._waiters)
 
-    def look_up(self, token: str, within_ms: float, done: Callable[[IntrospectionDecision], None]) -> int:
-        """`done` is called exactly once unless `withdraw` comes first; the number is for that."""
-        number, now = next(self._numbers), self.core.now()
-        self._waiters[number] = done
-        self.judge.look_up(now, number, token, now + within_ms)
-        self._kick()
+    def look_up(
+        self, token: str, within_ms: float, on_decision: Callable[[IntrospectionDecision], None]
+    ) -> int:
+        """Looks up a token, and returns the number with which the caller may withdraw.
+
+        `on_decision` is called exactly once, unless `withdraw` is called before.
+        """
+        number, now = next(self._next_waiter_number), self.dispatcher.now()
+        self._waiters[number] = on_decision
+        self.introspector.look_up(now, number, token, now + within_ms)
+        self._schedule_step()
         return number
 
     def withdraw(self, number: int) -> None:
+        """Withdraws a look-up: its callback is not called any more."""
         if self._waiters.pop(number, None) is not None:
-            self.judge.withdraw(number)
+            self.introspector.withdraw(number)
 
     def shutdown(self) -> None:
-        """The front stops: whoever waits is answered now."""
-        self.judge.shutdown()
-        self._run()
+        """Answers all who wait now, because the front stops."""
+        self.introspector.shutdown()
+        self._step()
 
     def stop(self) -> None:
-        self._stopped = True
-        if self._wake is not None:
-            self._wake.cancel()
-
-    def _kick(self) -> None:
-        if not self._kicked and not self._stopped:
-            self._kicked = True
-            self.core.loop.call_soon(self._run)
-
-    def _run(self) -> None:
-        self._kicked = False
-        if self._stopped:
+        """Stops at once; callbacks that have not been called are not called any more."""
+        self._is_stopped = True
+        if self._wake_up is not None:
+            self._wake_up.cancel()
+
+    def _schedule_step(self) -> None:
+        if not self._is_step_scheduled and not self._is_stopped:
+            self._is_step_scheduled = True
+            self.dispatcher.loop.call_soon(self._step)
+
+    def _step(self) -> None:
+        self._is_step_scheduled = False
+        if self._is_stopped:
             return
-        now = self.core.now()
-        for command in self.judge.take_effects(now):
-            if isinstance(command, IntrospectionRequest):
-                self._send(command)
-            elif (done := self._waiters.pop(command.waiter, None)) is not None:
-                done(command)
-        if self._wake is not None:
-            self._wake.cancel()
-        due = self.judge.next_deadline(now)
-        if due is not None:
-            self._wake = self.core.loop.call_at(max(due, now + 1.0) / 1000.0, self._kick)
-
-    def _send(self, question: IntrospectionRequest) -> None:
-        def done(reply: Reply) -> None:
-            self.judge.on_reply(self.core.now(), question.number, read_introspection(reply, self._wall_s()))
-            self._kick()
+        now = self.dispatcher.now()
+        for effect in self.introspector.take_effects(now):
+            if isinstance(effect, IntrospectionRequest):
+                self._send(effect)
+            elif (on_decision := self._waiters.pop(effect.waiter, None)) is not None:
+                on_decision(effect)
+        if self._wake_up is not None:
+            self._wake_up.cancel()
+        deadline = self.introspector.next_deadline(now)
+        if deadline is not None:
+            self._wake_up = self.dispatcher.loop.call_at(
+                max(deadline, now + 1.0) / 1000.0, self._schedule_step
+            )
+
+    def _send(self, request: IntrospectionRequest) -> None:
+        def on_reply(reply: Reply) -> None:
+            self.introspector.on_reply(
+                self.dispatcher.now(), request.number, read_introspection(reply, self._wall_s())
+            )
+            self._schedule_step()
 
         self._pool.request(
             self._origin,
             "POST",
             self._target,
-            done,
+            on_reply,
             headers=[
                 ("authorization", f"Bearer {self._token()}"),
                 ("content-type", "application/x-www-form-urlencoded"),
                 ("accept", "application/json"),
             ],
-            body=f"token={quote(question.token, safe='')}&token_type_hint=access_token".encode(),
-            timeout_s=question.timeout_ms / 1000.0,
+            body=f"token={quote(request.token, safe='')}&token_type_hint=access_token".encode(),
+            timeout_s=request.timeout_ms / 1000.0,
         )
--- a/tests/test_introspect.py
+++ b/tests/test_introspect.py
@@ -1,4 +1,4 @@
-"""Tokens asked about at their issuer (RFC 7662): decisions in any order of events, then over sockets."""
+"""Tests of token introspection (RFC 7662): the state machine in any order of events, then over sockets."""
 
 from __future__ import annotations
 
@@ -38,88 +38,93 @@
 )
 
 
-class Story(RuleBasedStateMachine):
-    """Each waiter is told once and in time; one question a token is out; words are never made up."""
+class IntrospectorMachine(RuleBasedStateMachine):
+    """Each waiter is notified once and in time of what the server said; one request per token is open."""
 
     @initialize()
     def begin(self) -> None:
         self.now = 0.0
-        self.judge = Introspector(1, RULES)
-        self.owed: dict[int, tuple[str, float]] = {}
-        self.out: dict[int, IntrospectionRequest] = {}
-        self.said: dict[str, list[tuple[float, IntrospectionStatus]]] = {}
+        self.introspector = Introspector(1, RULES)
+        self.waiting: dict[int, tuple[str, float]] = {}
+        self.in_flight: dict[int, IntrospectionRequest] = {}
+        self.replies: dict[str, list[tuple[float, IntrospectionStatus]]] = {}
         self.cached: list[str] = []  # tokens that a cache of this size must still hold, least recent first
         self.waiters = 0
 
     def run(self) -> None:
-        for one in self.judge.take_effects(self.now):
-            if isinstance(one, IntrospectionRequest):
-                assert one.token not in {other.token for other in self.out.values()}, "asked twice at once"
-                self.out[one.number] = one
+        for effect in self.introspector.take_effects(self.now):
+            if isinstance(effect, IntrospectionRequest):
+                tokens_in_flight = {request.token for request in self.in_flight.values()}
+                assert effect.token not in tokens_in_flight, "two requests for one token in flight"
+                self.in_flight[effect.number] = effect
                 continue
-            token, by = self.owed.pop(one.waiter)
-            heard = [
-                (at, word) for at, word in self.said.get(token, []) if word is not IntrospectionStatus.UNKNOWN
+            token, deadline = self.waiting.pop(effect.waiter)
+            conclusive = [
+                (at, status)
+                for at, status in self.replies.get(token, [])
+                if status is not IntrospectionStatus.UNKNOWN
             ]
-            if one.status is IntrospectionStatus.UNKNOWN:
+            if effect.status is IntrospectionStatus.UNKNOWN:
                 assert (
                     token not in self.cached
-                    or heard[-1][1] is IntrospectionStatus.INACTIVE
-                    or self.now - heard[-1][0] >= 1_000.0
+                    or conclusive[-1][1] is IntrospectionStatus.INACTIVE
+                    or self.now - conclusive[-1][0] >= 1_000.0
                 )
             else:
-                assert heard and heard[-1][1] is one.status, "nobody said so"
-                hold = (
+                assert conclusive and conclusive[-1][1] is effect.status, "the server did not say so"
+                max_age_ms = (
                     100.0
-                    if one.status is IntrospectionStatus.INACTIVE
+                    if effect.status is IntrospectionStatus.INACTIVE
                     else 6_000.0
-                    if one.is_stale
+                    if effect.is_stale
                     else 1_000.0
                 )
-                assert self.now - heard[-1][0] < hold, "too old to be believed"
-            assert self.now <= by + 1.0
+                assert self.now - conclusive[-1][0] < max_age_ms, "the result is too old"
+            assert self.now <= deadline + 1.0
 
     def last_conclusive(self, token: str) -> tuple[float, IntrospectionStatus]:
         """When the server last decided on a token, and how."""
-        return [one for one in self.said[token] if one[1] is not IntrospectionStatus.UNKNOWN][-1]
+        return [reply for reply in self.replies[token] if reply[1] is not IntrospectionStatus.UNKNOWN][-1]
 
     def use(self, token: str) -> None:
         """A token becomes the most recently used of the cache, whose least recent one may go."""
-        self.cached = [*(one for one in self.cached if one != token), token][-RULES.max_cached :]
+        self.cached = [*(other for other in self.cached if other != token), token][-RULES.max_cached :]
 
     @rule(token=st.sampled_from("abcde"), wait=st.sampled_from([50.0, 400.0, 2_000.0]))
     def ask(self, token: str, wait: float) -> None:
         self.waiters += 1
-        self.owed[self.waiters] = (token, self.now + wait)
+        self.waiting[self.waiters] = (token, self.now + wait)
         if token in self.cached:
-            at, word = self.last_conclusive(token)
-            ttl = 1_000.0 if word is IntrospectionStatus.ACTIVE else 100.0
+            at, status = self.last_conclusive(token)
+            ttl = 1_000.0 if status is IntrospectionStatus.ACTIVE else 100.0
             if self.now < at + ttl:
                 self.use(token)
-        self.judge.look_up(self.now, self.waiters, token, self.now + wait)
+        self.introspector.look_up(self.now, self.waiters, token, self.now + wait)
         self.run()
 
     @rule(number=st.integers(0, 5))
     def leave(self, number: int) -> None:
-        if number < len(self.owed):
-            waiter = list(self.owed)[number]
-            del self.owed[waiter]
-            self.judge.withdraw(waiter)
-
-    @rule(number=st.integers(0, 1), word=st.sampled_from([*IntrospectionStatus, IntrospectionStatus.ACTIVE]))
-    def answer(self, number: int, word: IntrospectionStatus) -> None:
-        if number < len(self.out):
-            question = self.out.pop(list(self.out)[number])
-            self.said.setdefault(question.token, []).append((self.now, word))
-            if word is not IntrospectionStatus.UNKNOWN:
-                self.use(question.token)
-            self.judge.on_reply(self.now, question.number, IntrospectionResult(word))
+        if number < len(self.waiting):
+            waiter = list(self.waiting)[number]
+            del self.waiting[waiter]
+            self.introspector.withdraw(waiter)
+
+    @rule(
+        number=st.integers(0, 1), status=st.sampled_from([*IntrospectionStatus, IntrospectionStatus.ACTIVE])
+    )
+    def answer(self, number: int, status: IntrospectionStatus) -> None:
+        if number < len(self.in_flight):
+            request = self.in_flight.pop(list(self.in_flight)[number])
+            self.replies.setdefault(request.token, []).append((self.now, status))
+            if status is not IntrospectionStatus.UNKNOWN:
+                self.use(request.token)
+            self.introspector.on_reply(self.now, request.number, IntrospectionResult(status))
             self.run()
 
     @rule(after=st.sampled_from([1.0, 60.0, 900.0, 5_500.0]))
     def time(self, after: float) -> None:
         end = self.now + after
-        while (due := self.judge.next_deadline(self.now)) is not None and due <= end:
+        while (due := self.introspector.next_deadline(self.now)) is not None and due <= end:
             self.now = max(due, self.now + 0.5)
             if self.now > end:
                 break
@@ -129,40 +134,42 @@
 
     @invariant()
     def bounded(self) -> None:
-        if hasattr(self, "judge"):
-            assert len(self.out) <= 2 and len(self.judge._cache) <= 3
-            assert set(self.judge._digest_of_waiter) == set(self.owed), "somebody is forgotten"
+        if hasattr(self, "introspector"):
+            assert len(self.in_flight) <= 2 and len(self.introspector._cache) <= 3
+            assert set(self.introspector._digest_of_waiter) == set(self.waiting), "a waiter is lost"
 
     def teardown(self) -> None:
-        if hasattr(self, "judge"):
-            self.judge.shutdown()
+        if hasattr(self, "introspector"):
+            self.introspector.shutdown()
             self.run_out()
 
     def run_out(self) -> None:
-        told = [
-            one.waiter for one in self.judge.take_effects(self.now) if isinstance(one, IntrospectionDecision)
+        notified = [
+            effect.waiter
+            for effect in self.introspector.take_effects(self.now)
+            if isinstance(effect, IntrospectionDecision)
         ]
-        assert sorted(told) == sorted(self.owed) and len(self.judge) == 0
+        assert sorted(notified) == sorted(self.waiting) and len(self.introspector) == 0
 
 
-Story.TestCase.settings = hypothesis_settings(max_examples=60, stateful_step_count=30)
-TestStory = Story.TestCase
+IntrospectorMachine.TestCase.settings = hypothesis_settings(max_examples=60, stateful_step_count=30)
+TestIntrospectorMachine = IntrospectorMachine.TestCase
 
 
-def test_a_server_that_fails_is_asked_by_few() -> None:
-    judge, dice, now, questions = Introspector(1, RULES), Random(1), 0.0, 0
+def test_a_server_that_fails_gets_few_requests() -> None:
+    introspector, rng, now, request_count = Introspector(1, RULES), Random(1), 0.0, 0
     for waiter in range(2_000):
         now += 5.0
-        judge.look_up(now, waiter, f"token {waiter}", now + dice.uniform(100.0, 500.0))
-        for one in judge.take_effects(now):
-            if isinstance(one, IntrospectionRequest):
-                questions += 1
-                judge.on_reply(now, one.number, IntrospectionResult(IntrospectionStatus.UNKNOWN))
-    assert questions < 60 and judge.metrics.unknown + len(judge) == 2_000
+        introspector.look_up(now, waiter, f"token {waiter}", now + rng.uniform(100.0, 500.0))
+        for effect in introspector.take_effects(now):
+            if isinstance(effect, IntrospectionRequest):
+                request_count += 1
+                introspector.on_reply(now, effect.number, IntrospectionResult(IntrospectionStatus.UNKNOWN))
+    assert request_count < 60 and introspector.metrics.unknown + len(introspector) == 2_000
 
 
 @pytest.mark.parametrize(
-    ("body", "word"),
+    ("body", "status"),
     [
         (b'{"active": true, "sub": "a"}', IntrospectionStatus.ACTIVE),
         (b'{"active": true, "exp": 50}', IntrospectionStatus.INACTIVE),
@@ -174,8 +181,8 @@
         (b"\xff", IntrospectionStatus.UNKNOWN),
     ],
 )
-def test_what_an_answer_says(body: bytes, word: IntrospectionStatus) -> None:
-    assert read_introspection(Reply(Outcome.ANSWERED, 200, body=body), 100.0).status is word
+def test_read_introspection(body: bytes, status: IntrospectionStatus) -> None:
+    assert read_introspection(Reply(Outcome.ANSWERED, 200, body=body), 100.0).status is status
     assert (
         read_introspection(Reply(Outcome.ANSWERED, 503, body=body), 100.0).status
         is IntrospectionStatus.UNKNOWN
@@ -184,7 +191,7 @@
 
 
 def scene_with(story: Any, **settings: str) -> None:
-    """A front that asks about all its tokens."""
+    """Runs a story with a front that introspects all tokens."""
 
     async def run(scene: Scene) -> None:
         assert scene.entitlement is not None
@@ -198,7 +205,7 @@
     play(run, replace(PLAN), desk=LeaseDesk(ttl_ms=2_000.0))
 
 
-def test_a_token_taken_back_is_refused_at_the_next_request() -> None:
+def test_a_revoked_token_is_rejected_at_the_next_request() -> None:
     async def story(scene: Scene) -> None:
         assert scene.entitlement is not None
         wish = scene.wish()
@@ -208,12 +215,12 @@
         assert refused.status == 401 and b"not-active" in refused.body
         assert "invalid_token" in refused.headers.get("www-authenticate")
         ended = await scene.http("DELETE", "/lessons/lesson-0/session", wish)
-        assert ended.status == 401  # what was taken back ends nobody's session either
+        assert ended.status == 401  # a revoked token cannot end a session either
 
     scene_with(story)
 
 
-def test_opaque_tokens_stand_for_the_claims_their_issuer_tells() -> None:
+def test_opaque_tokens_have_the_claims_of_the_introspection_response() -> None:
     async def story(scene: Scene) -> None:
         server = scene.entitlement
         assert server is not None
@@ -226,16 +233,16 @@
             "no-claims": {"scope": "watch"},
         }
         base = scene.wish()
-        answers = {}
+        statuses = {}
         for token in [*server.opaque, "made-up"]:
-            answers[token] = (await scene.ask(replace(base, session="opaque-1", token=token))).status
-        assert answers == {**dict.fromkeys(answers, 401), "good": 200}
-        assert (await scene.ask(replace(base, token="a.b.c"))).status == 401  # looks signed, and isn't
+            statuses[token] = (await scene.ask(replace(base, session="opaque-1", token=token))).status
+        assert statuses == {**dict.fromkeys(statuses, 401), "good": 200}
+        assert (await scene.ask(replace(base, token="a.b.c"))).status == 401  # has the form of a signed token
 
     scene_with(story, tokens="opaque")
 
 
-def test_an_issuer_that_says_nothing_is_answered_for_by_the_class_or_by_its_older_word() -> None:
+def test_without_a_response_the_class_or_a_stale_result_decides() -> None:
     async def story(scene: Scene) -> None:
         assert scene.entitlement is not None
         known = scene.wish(cls="briefing")
@@ -251,7 +258,7 @@
     scene_with(story, call_time="100 ms", stale="60 s")
 
 
-def test_a_front_that_stops_answers_those_whose_token_is_being_asked_about() -> None:
+def test_a_front_that_stops_answers_requests_whose_token_is_being_introspected() -> None:
     async def story(scene: Scene) -> None:
         assert scene.entitlement is not None
         scene.entitlement.silent = True
@@ -265,7 +272,7 @@
     scene_with(story, call_time="30 s")
 
 
-def test_one_question_for_many_who_ask_at_once() -> None:
+def test_concurrent_requests_with_one_token_share_an_introspection_request() -> None:
     async def story(scene: Scene) -> None:
         assert scene.entitlement is not None
         wish = scene.wish()
@@ -273,12 +280,12 @@
         assert {reply.status for reply in replies} == {200}
         assert scene.entitlement.introspected <= 2
         stranger = await scene.http("GET", "/lessons/lesson-0/manifest.mpd")
-        assert stranger.status == 401 and scene.entitlement.introspected <= 2  # no token, no question
+        assert stranger.status == 401 and scene.entitlement.introspected <= 2  # no token, no request
 
     scene_with(story, believe="60 s")
 
 
-def test_without_a_section_nobody_is_asked() -> None:
+def test_without_a_section_no_token_is_introspected() -> None:
     async def story(scene: Scene) -> None:
         assert scene.fronts[0].desk is None
         assert (await scene.ask(replace(scene.wish(), token="opaque"))).status == 401
