--- a/fernweir/front/seat_reconciliation.py
+++ b/fernweir/front/seat_reconciliation.py
@@ -1,4 +1,4 @@
-"""Asks the entitlement server every so often what this front holds, and has it compared. A thin shell."""
+"""Polls the entitlement server for usage reports, and reconciles the seats of this front with them."""
 
 from __future__ import annotations
 
@@ -14,10 +14,12 @@
 from fernweir.http.client import Outcome, Pool, Reply
 from fernweir.seats.reconciliation import ListedLease, Reconciler, ReconciliationResult, UsageReport
 
-_PAGES = 1_000
+_MAX_PAGES = 1_000
 
 
 class UseLease(BaseModel):
+    """One lease of this front, as the server lists it."""
+
     model_config = ConfigDict(strict=True, frozen=True, extra="ignore")
 
     lease: Annotated[str, Field(min_length=1, max_length=200)]
@@ -27,6 +29,8 @@
 
 
 class UsePlace(BaseModel):
+    """How many seats of a class of a title and tenant are used."""
+
     model_config = ConfigDict(strict=True, frozen=True, extra="ignore", populate_by_name=True)
 
     tenant: str
@@ -36,7 +40,7 @@
 
 
 class UsePage(BaseModel):
-    """`next` is where the following page begins; left out on the last one."""
+    """One page of a usage report; `next` is where the following page begins, and absent on the last one."""
 
     model_config = ConfigDict(strict=True, frozen=True, extra="ignore")
 
@@ -48,6 +52,14 @@
 
 
 class SeatReconciliation:
+    """Polls the usage report and passes each one to the reconciler.
+
+    Attributes:
+        reconciler: Compares reports with the seats of this front.
+        last_result: The result of the last report.
+        report_count: How many reports were compared.
+    """
+
     def __init__(
         self,
         gate: EntitlementGate,
@@ -65,38 +77,41 @@
         self._base = parts.path.rstrip("/")
         self._gate, self._pool, self._token = gate, pool, token
         self._prefix = f"{name}."
-        self._every_s, self._call_s = every_s, call_s
-        self._dice = Random(f"use {seed}")
+        self._interval_s, self._request_timeout_s = every_s, call_s
+        self._rng = Random(f"use {seed}")
         self._pages: list[UsePage] = []
         self._timer: asyncio.TimerHandle | None = None
         self.reconciler = Reconciler(gate.seat_manager)
-        self.last = ReconciliationResult()
-        self.judged = 0
-        self._plan()
+        self.last_result = ReconciliationResult()
+        self.report_count = 0
+        self._schedule_report()
 
     def stop(self) -> None:
+        """Requests no further report."""
         if self._timer is not None:
             self._timer.cancel()
 
-    def _plan(self) -> None:
-        # Fronts that were started together must not ask together for ever.
-        after = self._every_s * self._dice.uniform(0.8, 1.2)
-        self._timer = self._gate.core.loop.call_later(after, self._begin)
+    def _schedule_report(self) -> None:
+        # The jitter keeps fronts that were started together from polling together for ever.
+        delay_s = self._interval_s * self._rng.uniform(0.8, 1.2)
+        self._timer = self._gate.dispatcher.loop.call_later(delay_s, self._request_report)
 
-    def _begin(self) -> None:
+    def _request_report(self) -> None:
         self._pages = []
-        self.reconciler.on_report_requested(self._gate.core.now())
-        self._ask("")
+        self.reconciler.on_report_requested(self._gate.dispatcher.now())
+        self._request_page("")
 
-    def _ask(self, after: str) -> None:
+    def _request_page(self, after: str) -> None:
         if self._pool.closed:
             return
         target = f"{self._base}/use" + (f"?after={quote(after, safe='')}" if after else "")
         headers = [("authorization", f"Bearer {self._token()}"), ("accept", "application/json")]
-        self._pool.request(self._origin, "GET", target, self._had, headers=headers, timeout_s=self._call_s)
+        self._pool.request(
+            self._origin, "GET", target, self._on_page, headers=headers, timeout_s=self._request_timeout_s
+        )
 
-    def _had(self, reply: Reply) -> None:
-        core = self._gate.core
+    def _on_page(self, reply: Reply) -> None:
+        dispatcher = self._gate.dispatcher
         if self._pool.closed:
             return
         page = None
@@ -104,39 +119,42 @@
             try:
                 page = UsePage.model_validate_json(reply.body)
             except ValidationError as error:
-                core.log.warning("use not understood", why=str(error.errors()[0]["msg"]))
+                dispatcher.log.warning("usage report malformed", why=str(error.errors()[0]["msg"]))
         if page is None:
-            self._plan()  # no answer says nothing of what is held
+            self._schedule_report()  # a failed request is no evidence about leases
             return
         self._pages.append(page)
-        if page.next and len(self._pages) < _PAGES:
-            self._ask(page.next)
+        if page.next and len(self._pages) < _MAX_PAGES:
+            self._request_page(page.next)
             return
-        self._judge()
-        self._plan()
-
-    def _judge(self) -> None:
-        core, first, last = self._gate.core, self._pages[0], self._pages[-1]
-        found = self.reconciler.on_report(core.now(), self._report(first, last))
-        self.last, self.judged = found, self.judged + 1
-        if found.contradiction:
-            core.log.warning("use contradicts itself", why=found.contradiction)
-        if found.renewed_sessions or found.released_leases:
-            core.log.info(
-                "use differs", asked_again=len(found.renewed_sessions), given_back=len(found.released_leases)
+        self._reconcile()
+        self._schedule_report()
+
+    def _reconcile(self) -> None:
+        dispatcher, first, last = self._gate.dispatcher, self._pages[0], self._pages[-1]
+        result = self.reconciler.on_report(dispatcher.now(), self._make_report(first, last))
+        self.last_result, self.report_count = result, self.report_count + 1
+        if result.contradiction:
+            dispatcher.log.warning("usage report contradicts itself", why=result.contradiction)
+        if result.renewed_sessions or result.released_leases:
+            dispatcher.log.info(
+                "usage report differs",
+                asked_again=len(result.renewed_sessions),
+                given_back=len(result.released_leases),
             )
         self._gate.schedule_step()
 
-    def _report(self, first: UsePage, last: UsePage) -> UsageReport:
+    def _make_report(self, first: UsePage, last: UsePage) -> UsageReport:
         listed = []
         for page in self._pages:
-            for one in page.leases:
-                session, _, generation = one.key.removeprefix(self._prefix).rpartition(".")
-                if one.key.startswith(self._prefix) and session == one.session and generation.isdecimal():
-                    listed.append(ListedLease(one.lease, one.session, int(generation), one.fence))
-        rows = sum(len(page.leases) for page in self._pages)
-        # Between pages leases come and go: only a report that stood still can contradict itself by its total.
-        total = first.total if first.fence == last.fence and first.total == last.total else rows
-        listed_total = len(listed) if total == rows else total
-        used = {(one.tenant, one.lesson, one.cls): one.used for one in last.places}
+            for lease in page.leases:
+                session, _, generation = lease.key.removeprefix(self._prefix).rpartition(".")
+                if lease.key.startswith(self._prefix) and session == lease.session and generation.isdecimal():
+                    listed.append(ListedLease(lease.lease, lease.session, int(generation), lease.fence))
+        row_count = sum(len(page.leases) for page in self._pages)
+        # Leases are granted and released between pages: the total can contradict the rows only if neither the
+        # fence nor the total changed from the first page to the last.
+        total = first.total if first.fence == last.fence and first.total == last.total else row_count
+        listed_total = len(listed) if total == row_count else total
+        used = {(place.tenant, place.lesson, place.cls): place.used for place in last.places}
         return UsageReport(last.fence, listed_total, tuple(listed), used)
--- a/tests/test_reconcile.py
+++ b/tests/test_reconcile.py
@@ -183,9 +183,9 @@
         assert use is not None
         scene.entitlement.doctor = doctor
         await asyncio.gather(*(scene.ask(scene.wish()) for _ in range(4)))
-        judged = use.judged
-        await until(lambda: use.judged > judged + 3)
-        assert use.last.contradiction and "lists 1" in use.last.contradiction
+        report_count = use.report_count
+        await until(lambda: use.report_count > report_count + 3)
+        assert use.last_result.contradiction and "lists 1" in use.last_result.contradiction
         assert len(mine.leases) == 4 and scene.fronts[0].core.sessions.session_count == 4
         scene.entitlement.doctor = lambda page: page.update(fence="many")
         assert (await scene.ask(scene.wish())).status == 200
