--- a/fernweir/front/operator_controls.py
+++ b/fernweir/front/operator_controls.py
@@ -1,4 +1,4 @@
-"""What the operators' desk can see and do at a front. A thin shell between desk, host and list."""
+"""What the order service can see and do at a front: it reads and changes sessions, servers and the list."""
 
 from __future__ import annotations
 
@@ -14,82 +14,97 @@
 
 
 class OperatorControls:
-    """See `control.desk.Hands`."""
+    """Implements `control.desk.Hands` for one front."""
 
-    def __init__(self, core: Dispatcher, boxes: BoxList, wall_offset_s: float) -> None:
-        self._core, self._boxes = core, boxes
+    def __init__(self, dispatcher: Dispatcher, endpoint_list: BoxList, wall_offset_s: float) -> None:
+        self._dispatcher, self._endpoint_list = dispatcher, endpoint_list
         self._wall_offset_ms = wall_offset_s * 1000.0
         self._timers: set[asyncio.TimerHandle] = set()
 
     def stop(self) -> None:
+        """Cancels the timers that `call_at` started."""
         for timer in self._timers:
             timer.cancel()
 
     def now(self) -> float:
-        return self._core.now()
+        """Returns the time of the dispatcher's clock in milliseconds."""
+        return self._dispatcher.now()
 
     def wall(self) -> int:
-        return int(self._core.now() + self._wall_offset_ms)
+        """Returns the wall time in milliseconds."""
+        return int(self._dispatcher.now() + self._wall_offset_ms)
 
     def site(self, then: Callable[[SiteNow], None]) -> None:
+        """Calls `then` at once with the state of the site."""
         then(self._site())
 
     def retry(self, name: str) -> bool:
+        """Returns False: a front has no failed processes that could be started again."""
         return False
 
     def unit(self) -> Mapping[str, Any]:
+        """Returns nothing: a front is not an appliance unit."""
         return {}
 
     def _site(self) -> SiteNow:
-        """Of the list as it stands; loads are what the module takes them for."""
-        host, controller, now = self._core.sessions, self._core.sessions.controller, self.now()
-        listed = host.endpoint_states
-        lines, cells = self._boxes.boxes, host.settings.zone_count
+        """Returns the current state of the listed servers; loads are the controller's estimates."""
+        sessions, controller, now = (
+            self._dispatcher.sessions,
+            self._dispatcher.sessions.controller,
+            self.now(),
+        )
+        listed = sessions.endpoint_states
+        entries, zone_count = self._endpoint_list.boxes, sessions.settings.zone_count
         servers = controller.servers
         return SiteNow(
-            ready=frozenset(box for box, state in listed.items() if state is ServerState.READY),
-            known=frozenset(box for box, state in listed.items() if state is not ServerState.REMOVED),
+            ready=frozenset(server for server, state in listed.items() if state is ServerState.READY),
+            known=frozenset(server for server, state in listed.items() if state is not ServerState.REMOVED),
             holders={
-                title: [
-                    box
-                    for box, line in lines.items()
-                    if (line.cell - lesson.first_cell) % cells < lesson.copies
+                name: [
+                    server
+                    for server, entry in entries.items()
+                    if (entry.cell - title.first_cell) % zone_count < title.copies
                 ]
-                for title, lesson in self._boxes.lessons.items()
+                for name, title in self._endpoint_list.lessons.items()
             },
-            playing={box: len(host.sessions_playing_at(box)) for box in listed},
+            playing={server: len(sessions.sessions_playing_at(server)) for server in listed},
             carried_kb={
-                box: servers[box].link.load(now) * servers[box].link.capacity_kbyte_s
-                for box, state in listed.items()
-                # What is only guessed, as the module must, is not what an operator is to decide on.
-                if box in servers
+                server: servers[server].link.load(now) * servers[server].link.capacity_kbyte_s
+                for server, state in listed.items()
+                # A load without a recent report is only an estimate, on which operators must not decide.
+                if server in servers
                 and state is not ServerState.REMOVED
-                and servers[box].link.has_recent_report(now)
+                and servers[server].link.has_recent_report(now)
+            },
+            own_kb={server: servers[server].link.own_kbyte_s for server in listed if server in servers},
+            capacity_kb={
+                server: servers[server].link.capacity_kbyte_s for server in listed if server in servers
             },
-            own_kb={box: servers[box].link.own_kbyte_s for box in listed if box in servers},
-            capacity_kb={box: servers[box].link.capacity_kbyte_s for box in listed if box in servers},
-            sessions=frozenset(host.records()),
+            sessions=frozenset(sessions.records()),
         )
 
     def orders_changed(self, orders: Orders, then: Callable[[list[str]], None]) -> None:
-        self._core.sessions.on_operator_orders_changed(self.now())
-        self._core.after_step(lambda: then([]))
+        """Applies changed orders, and calls `then` when the controller has handled them."""
+        self._dispatcher.sessions.on_operator_orders_changed(self.now())
+        self._dispatcher.after_step(lambda: then([]))
 
     def end(self, id: str, session: str, why: str) -> None:
-        self._core.sessions.revoke_session(self.now(), session, why)
-        self._core.schedule_step()
+        """Ends a session by an operator's order."""
+        self._dispatcher.sessions.revoke_session(self.now(), session, why)
+        self._dispatcher.schedule_step()
 
     def limits(self) -> Mapping[str, Any]:
-        settings = self._core.sessions.settings
+        """Returns the limits of the settings, under the names that operators see."""
+        settings = self._dispatcher.sessions.settings
         return {
             "classes": {
-                kind.name: {
-                    "seats": kind.seats,
-                    "deadline_ms": kind.deadline_ms,
-                    "lowest_rung": kind.lowest_rung,
-                    "top_rung": kind.top_rung,
+                session_class.name: {
+                    "seats": session_class.seats,
+                    "deadline_ms": session_class.deadline_ms,
+                    "lowest_rung": session_class.lowest_rung,
+                    "top_rung": session_class.top_rung,
                 }
-                for kind in settings.classes
+                for session_class in settings.classes
             },
             "attempts": settings.max_attempts,
             "drain_grace_ms": settings.drain_grace_ms,
@@ -105,42 +120,46 @@
         }
 
     def gauges(self) -> dict[str, Any]:
-        """Loads by box and what is served, as the module takes them now.
+        """Returns the loads of servers and the utility of the sessions that play, as the controller has them.
 
-        A box's are link, uplink, its rack, and whether each of the two was told lately or is a guess.
+        The values of a server are the loads of its link and uplink, its rack, and for each of the two loads 1
+        if it was reported recently and 0 if it is an estimate.
         """
-        host, now = self._core.sessions, self.now()
-        settings = host.settings
+        sessions, now = self._dispatcher.sessions, self.now()
+        settings = sessions.settings
         loads = {
-            str(box): [
-                round(one.link.load(now), 3),
-                round(one.uplink.load(now), 3),
-                one.rack,
-                int(one.link.has_recent_report(now)),
-                int(one.uplink.has_recent_report(now)),
+            str(server_id): [
+                round(server.link.load(now), 3),
+                round(server.uplink.load(now), 3),
+                server.rack,
+                int(server.link.has_recent_report(now)),
+                int(server.uplink.has_recent_report(now)),
             ]
-            for box, one in sorted(host.controller.servers.items())
-            if one.state is not ServerState.REMOVED
+            for server_id, server in sorted(sessions.controller.servers.items())
+            if server.state is not ServerState.REMOVED
         }
-        worth = most = 0.0
-        for held in host.records().values():
-            if held.phase is SessionPhase.PLAYING:
-                kind = settings.classes[held.request.class_index]
-                worth += kind.priority_weight * settings.rung_utilities[held.rung]
-                most += (
-                    kind.priority_weight * settings.rung_utilities[min(held.request.top_rung, kind.top_rung)]
+        utility = max_utility = 0.0
+        for record in sessions.records().values():
+            if record.phase is SessionPhase.PLAYING:
+                session_class = settings.classes[record.request.class_index]
+                utility += session_class.priority_weight * settings.rung_utilities[record.rung]
+                max_utility += (
+                    session_class.priority_weight
+                    * settings.rung_utilities[min(record.request.top_rung, session_class.top_rung)]
                 )
         return {
             "boxes": loads,
-            "worth": round(worth, 2),
-            "worth_most": round(most, 2),
-            "waiting": len(host.reply_ledger),
+            "worth": round(utility, 2),
+            "worth_most": round(max_utility, 2),
+            "waiting": len(sessions.reply_ledger),
         }
 
     def call_at(self, due: float, do: Callable[[], None]) -> None:
-        def fire() -> None:
+        """Calls back at a time of the dispatcher's clock in milliseconds, or at once if it has passed."""
+
+        def on_timer() -> None:
             self._timers.discard(handle)
             do()
 
-        handle = self._core.loop.call_at(max(due, self.now()) / 1000.0, fire)
+        handle = self._dispatcher.loop.call_at(max(due, self.now()) / 1000.0, on_timer)
         self._timers.add(handle)
--- a/fernweir/front/peer_view.py
+++ b/fernweir/front/peer_view.py
@@ -1,6 +1,6 @@
-"""What peers see of any shell that has a `Core`: how loaded it is, what it does, what list it was told.
+"""What peers see of a front: its number of sessions, its decisions, and the endpoint list that it received.
 
-The part of `peers.port.Port` that fronts of all protocols share. Who has channels adds to it.
+This is the part of `peers.port.Port` that fronts of all protocols share. Fronts with channels extend it.
 """
 
 from __future__ import annotations
@@ -15,52 +15,66 @@
 from fernweir.peers.port import Act, Deed, Listener, Terms
 
 
-class Boxes(Protocol):
-    """The list of boxes, as a front holds it."""
+class ServerList(Protocol):
+    """The endpoint list as a front stores it."""
 
     def list_rows(self) -> list[tuple[int, Any]]:
-        """Its content, alike at every front that was told the same: no feed's number is in it."""
+        """Returns its content without version numbers: equal at all fronts that received the same list."""
 
     def draining(self) -> set[int]:
-        """Boxes that drain by it."""
+        """Returns the servers that are draining."""
 
-    def named(self, box: int) -> tuple[int, str]:
-        """A box's number in acts, below 2^31, and what they say besides to tell which it is."""
+    def named(self, server: int) -> tuple[int, str]:
+        """Returns a server's number in audit records, below 2^31, and a suffix that identifies the server."""
 
 
 class PeerView:
-    """The host's observer, too. `wall_ms` gives wall time now."""
+    """Implements the shared part of `peers.port.Port`, and observes the session manager.
 
-    def __init__(self, core: Dispatcher, boxes: Boxes, wall_ms: Callable[[], float]) -> None:
-        self._core, self._list, self._wall_ms = core, boxes, wall_ms
+    Args:
+        core: The dispatcher.
+        server_list: The endpoint list.
+        wall_ms: Returns the wall time in milliseconds.
+    """
+
+    def __init__(self, core: Dispatcher, server_list: ServerList, wall_ms: Callable[[], float]) -> None:
+        self._core, self._list, self._wall_ms = core, server_list, wall_ms
         self._listener: Listener | None = None
         self._draining: set[int] = set()
-        self._told_at: float | None = None  # wall ms of the last list
+        self._list_received_at_ms: float | None = None  # wall time of the last list
         core.sessions.observer = self
 
-    # --- what peers ask ---
+    # --- queries and orders of peers ---
 
     def listen(self, listener: Listener) -> None:
+        """Sets the listener, and notifies it of the list that was received before, if there is one."""
         self._listener = listener
-        if self._told_at is not None:  # one that lives on under a later life knows no list
-            listener.list_told(self._core.now(), self._list.list_rows(), self._told_at)
+        # A listener of a later incarnation of the peers' part has not received the list.
+        if self._list_received_at_ms is not None:
+            listener.list_told(self._core.now(), self._list.list_rows(), self._list_received_at_ms)
 
     def load(self) -> int:
+        """Returns the number of sessions."""
         return self._core.sessions.session_count
 
     def out(self) -> list[str]:
+        """Returns the ids of the sessions with an attempt in flight."""
         return [
-            jti for jti, held in self._core.sessions.records().items() if held.phase is SessionPhase.IN_FLIGHT
+            session_id
+            for session_id, record in self._core.sessions.records().items()
+            if record.phase is SessionPhase.IN_FLIGHT
         ]
 
     def holds(self, session: str) -> bool:
+        """Whether the session is stored here, in any phase."""
         return self._core.sessions.session(session) is not None
 
     def terms(self) -> Terms:
+        """Returns the rates of rungs in the class with the highest rates, and the retry budget."""
         settings = self._core.sessions.settings
-        dearest = max((one.rate_multiplier for one in settings.classes), default=1.0)
+        max_multiplier = max((one.rate_multiplier for one in settings.classes), default=1.0)
         budget = settings.retry_budget
-        rungs = tuple(rate * dearest for rate in settings.rung_rates_kbyte_s) or (0.0,)
+        rungs = tuple(rate * max_multiplier for rate in settings.rung_rates_kbyte_s) or (0.0,)
         return (
             Terms(rungs)
             if budget is None
@@ -68,39 +82,55 @@
         )
 
     def hold_back(self, why: str, wait_ms: float) -> None:
+        """Rejects new sessions with this reason and Retry-After; an empty reason accepts them again."""
         self._core.sessions.new_sessions_blocked = (why, wait_ms) if why else None
 
-    # --- what happens here (host.Observer) ---
+    # --- notifications of the session manager (`SessionObserver`) ---
 
-    def on_attempt_started(self, now: float, held: SessionRecord) -> None:
-        self._act(now, Deed.SETUP, held)
+    def on_attempt_started(self, now: float, record: SessionRecord) -> None:
+        """Reports the attempt to the listener."""
+        self._report(now, Deed.SETUP, record)
 
-    def on_session_updated(self, now: float, held: SessionRecord) -> None:
-        """Of use to who has channels only, as is `over`."""
+    def on_session_updated(self, now: float, record: SessionRecord) -> None:
+        """Does nothing: only fronts with channels report it."""
 
-    def on_session_moved(self, now: float, held: SessionRecord) -> None:
-        self._act(now, Deed.MOVE, held)
+    def on_session_moved(self, now: float, record: SessionRecord) -> None:
+        """Reports the migration to the listener."""
+        self._report(now, Deed.MOVE, record)
 
-    def on_request_rejected(self, now: float, ask: SessionRequest, why: str) -> None:
+    def on_request_rejected(self, now: float, request: SessionRequest, reason: str) -> None:
+        """Reports the rejection to the listener."""
         if self._listener is not None:
-            act = Act(now, Deed.REFUSED, ask.session_id, ask.title_name, ask.tenant, outcome=why)
+            act = Act(
+                now, Deed.REFUSED, request.session_id, request.title_name, request.tenant, outcome=reason
+            )
             self._listener.acted(act)
 
-    def on_session_closed(self, now: float, held: SessionRecord, why: str) -> None: ...
+    def on_session_closed(self, now: float, record: SessionRecord, reason: str) -> None:
+        """Does nothing: only fronts with channels report it."""
 
     def on_endpoint_list(self, now: float, update: EndpointListUpdate) -> None:
-        draining, self._told_at = self._list.draining(), self._wall_ms()
+        """Reports the list to the listener, and each server that has begun to drain."""
+        draining, self._list_received_at_ms = self._list.draining(), self._wall_ms()
         if self._listener is not None:
-            self._listener.list_told(now, self._list.list_rows(), self._told_at)
-            for box in sorted(draining - self._draining):
-                number, name = self._list.named(box)
-                self._listener.acted(Act(now, Deed.DRAIN, box=number, outcome=f"heard{name}"))
+            self._listener.list_told(now, self._list.list_rows(), self._list_received_at_ms)
+            for server in sorted(draining - self._draining):
+                number, suffix = self._list.named(server)
+                self._listener.acted(Act(now, Deed.DRAIN, box=number, outcome=f"heard{suffix}"))
         self._draining = draining
 
-    def _act(self, now: float, deed: Deed, held: SessionRecord) -> None:
+    def _report(self, now: float, deed: Deed, record: SessionRecord) -> None:
         if self._listener is not None:
-            ask, (number, name) = held.request, self._list.named(held.server)
-            outcome = f"try {held.attempt}{name}"
+            request, (number, suffix) = record.request, self._list.named(record.server)
+            outcome = f"try {record.attempt}{suffix}"
             self._listener.acted(
-                Act(now, deed, ask.session_id, ask.title_name, ask.tenant, number, outcome=outcome)
+                Act(
+                    now,
+                    deed,
+                    request.session_id,
+                    request.title_name,
+                    request.tenant,
+                    number,
+                    outcome=outcome,
+                )
             )
