--- a/fernweir/front/commands.py
+++ b/fernweir/front/commands.py
@@ -1,4 +1,4 @@
-"""What passes between the session manager and the shells around it: types only.
+"""The requests, replies and commands between the session manager and the I/O layer around it; types only.
 
 Times are in milliseconds; a `deadline` is a time of the session manager's clock.
 """
@@ -17,20 +17,20 @@
 
     Attributes:
         ticket: Number of the request; its reply has the same.
-        protocol: Name of the protocol, whose codec knows what a set-up looks like on the way to a server.
-        session_id: The session's id, of its token or connection. Requests with the same id share a session.
-        subject: Who the token was issued to.
-        title_name: The title as users know it.
+        protocol: Name of the protocol, whose codec encodes the set-up request to a server.
+        session_id: The session's id, from its token or connection. Requests with the same id share a session.
+        subject: The subject that the token was issued to.
+        title_name: The title's name, as users see it.
         title: The title's number.
         first_zone: The zone of the title's first replica.
         replicas: How many replicas the title has.
         class_index: The session's class, as an index of the settings' classes.
         top_rung: The highest rung that the viewer can play.
         max_wait_ms: How long the viewer waits from now on.
-        tenant: Whose viewer it is; empty where there are no tenants.
-        viewer_key: The viewer's key where the protocol has one, else 0: the session id stands for the viewer.
-        is_returning: Whether the viewer comes again, where the protocol knows it by `viewer_key`.
-        body: What the protocol passes to the server unread.
+        tenant: The viewer's tenant; empty where there are no tenants.
+        viewer_key: The viewer's key if the protocol has one; with 0 the session id identifies the viewer.
+        is_returning: Whether the viewer returns, if the protocol identifies viewers by `viewer_key`.
+        body: What the protocol passes to the server without reading it.
     """
 
     ticket: int
@@ -56,9 +56,9 @@
 
     Attributes:
         result: How it ended.
-        duration_ms: How long it took.
+        duration_ms: How long the attempt took.
         report: The server's load report by the names of its values; empty if it sent none.
-        payload: What the protocol made of the server's response; None unless the result is OK.
+        payload: What the protocol derived from the server's response; None unless the result is OK.
         reason: What went wrong, for logs and journals.
     """
 
@@ -69,7 +69,7 @@
     reason: str = ""
 
 
-# --- commands: what the shells must do ---
+# --- commands for the I/O layer ---
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeRung:
-    """Tell a server which rung a session has to play."""
+    """Send a server the rung that a session must play."""
 
     session_id: str
     attempt: int
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseSession:
-    """Tell a server that the session of one attempt is no longer wanted, whether it plays or may have begun.
+    """Release the session of one attempt at a server, whether it plays or may have begun.
 
     With `may_finish_segment` a session that plays may end its segment first, and its player gets the reason.
     """
@@ -109,14 +109,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SendHealthCheck:
-    """Check a server's health; the end goes to `SessionManager.on_health_check_finished`."""
+    """Check a server's health; the result goes to `SessionManager.on_health_check_finished`."""
 
     server: int
 
 
 @dataclass(frozen=True, slots=True)
 class StartTimer:
-    """Call `SessionManager.on_timer` with the token after that time."""
+    """Call `SessionManager.on_timer` with the token after the delay."""
 
     token: int
     delay_ms: float
@@ -131,7 +131,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """Write a line of the log."""
+    """Write a line to the log."""
 
     text: str
     session_id: str | None = None
@@ -139,7 +139,7 @@
 
 
 class ReplyKind(Enum):
-    """What a reply says. The values are stored and keep their words."""
+    """The kind of a reply. The values are stored and must not change."""
 
     PLAYS = "plays"
     REJECTED = "refused"
@@ -153,15 +153,15 @@
 
     Attributes:
         ticket: The request.
-        kind: What the reply says.
-        reason: Why it does not play.
-        retry_after_ms: When the viewer may ask again; 0 if that was not decided.
-        is_timeout: Whether a request failed because time ran out.
-        request: The first request of the session, where there is a session.
-        server: Where the session plays; this and what follows are set for PLAYS only.
+        kind: The kind of the reply.
+        reason: Why the session does not play.
+        retry_after_ms: After how long the viewer may retry; 0 if that was not decided.
+        is_timeout: Whether the request failed because of a timeout.
+        request: The first request of the session, if there is a session.
+        server: Where the session plays; this and the following attributes are set for PLAYS only.
         attempt: The attempt that set the session up.
-        rung: What the session plays.
-        payload: What the viewer is answered from.
+        rung: The rung that the session plays.
+        payload: What the viewer's reply is made from.
     """
 
     ticket: int
--- a/fernweir/front/dispatcher.py
+++ b/fernweir/front/dispatcher.py
@@ -1,4 +1,4 @@
-"""The shell around the session manager that all protocols share: batches, timers, tickets and commands.
+"""The I/O layer around the session manager that all protocols share: batches, timers, tickets and commands.
 
 The dispatcher owns the session manager's clock: `loop.time()` in milliseconds. Events of one turn of the
 event loop go to the controller in one batch.
@@ -37,18 +37,18 @@
 
 Log = Any  # structlog's bound logger, whose methods depend on its configuration
 
-# The way to seconds and back may round a deadline to just before it. To wake up for nothing, again and again,
-# would last until the clock has moved.
+# The conversion of a deadline to seconds and back may round it down. Without this delay the loop would wake
+# up repeatedly with nothing due until the clock has advanced.
 _WAKE_UP_DELAY_S = 1e-6
 
 
 class InvalidServerReplyError(ValueError):
-    """A server's response to a set-up has the right status, but its content cannot be used."""
+    """Raised when a server's response to a set-up has a valid status, but its content cannot be used."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServerRequest:
-    """A set-up as a request to a server."""
+    """The HTTP request to a server for a set-up."""
 
     method: str
     target: str
@@ -57,20 +57,20 @@
 
 
 class SetUpCodec(Protocol):
-    """What a protocol adds to the way to a server and back."""
+    """Encodes set-up requests to servers and decodes their responses for one protocol."""
 
     def request(self, command: SetUp) -> ServerRequest:
         """Returns the request for a set-up, with its token."""
 
     def accept(self, command: SetUp, reply: Reply) -> object:
-        """Returns the payload that viewers are answered from.
+        """Returns the payload from which viewers' replies are made.
 
         Raises:
             InvalidServerReplyError: The response cannot be used.
         """
 
     def pack(self, payload: object) -> tuple[bytes, bytes]:
-        """Returns a payload as bytes, and their digest; both are empty if there is nothing to pack."""
+        """Returns a payload as bytes, and their digest; both are empty if there is no payload."""
 
     def unpack(self, class_index: int, top_rung: int, data: bytes) -> object:
         """Returns the payload that another front packed, for a viewer of that class.
@@ -81,16 +81,16 @@
 
 
 class ServerTransport(Protocol):
-    """Carries out commands towards servers."""
+    """Sends requests to servers."""
 
     def set_up(self, command: SetUp) -> None:
         """Begins an attempt, and reports its end to the session manager exactly once."""
 
     def change_rung(self, command: ChangeRung) -> None:
-        """Tells a server which rung a session has to play."""
+        """Sends a server the rung that a session must play."""
 
     def release(self, command: ReleaseSession) -> None:
-        """Tells a server that a session is no longer wanted."""
+        """Sends a server the release of a session that is no longer wanted."""
 
     def check_health(self, command: SendHealthCheck) -> None:
         """Begins a health check, and reports its end to the session manager exactly once."""
@@ -103,29 +103,29 @@
         """Begins a check, and reports the decision to the session manager by the deadline."""
 
     def on_session_released(self, command: EntitlementReleased) -> None:
-        """A session that was checked has ended here."""
+        """Handles the end of a session that was checked."""
 
     def is_entitled(self, session_id: str) -> bool:
-        """Whether a session is entitled now, whatever its first token says."""
+        """Whether a session is entitled now, regardless of its first token."""
 
 
 class ChannelOwnership(Protocol):
-    """Knows under which channel and fence this front steers a session, where sessions can change fronts."""
+    """Maps sessions to the channels and fences under which this front controls them."""
 
     def fence(self, session_id: str) -> tuple[str, int] | None:
-        """Returns channel and fence; None where a session ends with its front, or belongs to another."""
+        """Returns channel and fence; None if a session ends with its front, or belongs to another front."""
 
 
 class SessionLocator(Protocol):
-    """Finds sessions that this front does not have at the other fronts."""
+    """Finds sessions at the other fronts that this front does not have."""
 
     def request_reply(self, request: SessionRequest, on_reply: Callable[[SessionReply | None], None]) -> None:
         """Asks the other fronts for the reply to a request.
 
         Args:
             request: The request.
-            on_reply: Called exactly once within the request's time: with the reply of the front that has the
-                session, a rejection if no front can tell, or None if the session may begin here.
+            on_reply: Called exactly once before the request's deadline: with the reply of the front that has
+                the session, a rejection if that cannot be determined, or None if the session may begin here.
         """
 
     def query_session(
@@ -136,32 +136,32 @@
         Args:
             session_id: The session.
             operation: `look` or `end`.
-            on_result: Called exactly once with whether such a session plays elsewhere; None if no front can
-                tell now.
+            on_result: Called exactly once with whether such a session plays elsewhere; None if that cannot be
+                determined now.
         """
 
 
 class Dispatcher:
-    """Passes events to the session manager in batches, and its commands to those who carry them out.
+    """Passes events to the session manager in batches, and executes its commands.
 
     Attributes:
         loop: The event loop.
         sessions: The session manager.
         log: Where faults and the controller's lines are logged.
         set_up_codecs: The codecs by the names of their protocols.
-        server_transport: Carries out commands towards servers.
-        entitlement_check: Decides whether sessions may play, where that is checked.
-        channel_ownership: Knows channels and fences, where sessions can change fronts.
-        session_locator: Finds sessions at other fronts, where there are any.
+        server_transport: Sends requests to servers.
+        entitlement_check: Decides whether sessions may play, if that is checked.
+        channel_ownership: Maps sessions to channels and fences, if sessions can change fronts.
+        session_locator: Finds sessions at other fronts, if there are any.
         on_session_over: Is called when a session that played has ended.
     """
 
     def __init__(self, sessions: SessionManager, *, batch_ms: float = 0.0, log: Log) -> None:
-        """Makes a dispatcher in a running event loop.
+        """Creates a dispatcher in a running event loop.
 
         Args:
             sessions: The session manager.
-            batch_ms: How long events are collected for a batch; with 0 for one turn of the event loop.
+            batch_ms: How long events are collected for a batch; with 0, for one iteration of the event loop.
             log: Where faults and the controller's lines are logged.
         """
         self.loop = asyncio.get_running_loop()
@@ -186,7 +186,7 @@
         self._handlers = self._make_handlers()
 
     def _make_handlers(self) -> dict[type[Command], Callable[[Any], None]]:
-        """Returns the handlers by the types of commands; a chain of isinstance is slower on the hot path."""
+        """Returns the handlers by command type; a chain of isinstance calls is slower on the hot path."""
         return {
             SessionReply: self._deliver_reply,
             SetUp: self._set_up,
@@ -218,7 +218,7 @@
         self.schedule_step()
 
     def withdraw_request(self, ticket: int) -> None:
-        """The client of a request has disconnected: its callback is not called any more."""
+        """Handles that the client of a request disconnected: its callback is not called any more."""
         if self._reply_callbacks.pop(ticket, None) is not None:
             self.sessions.withdraw_request(self.now(), ticket)
             self.schedule_step()
@@ -226,13 +226,13 @@
                 self._idle.set()
 
     def on_client_half_closed(self, ticket: int) -> None:
-        """The client of a request has closed its sending side; it may still read, and gets its reply."""
+        """Handles that a client closed its sending side; it may still read, and gets its reply."""
         if ticket in self._reply_callbacks:
             self.sessions.on_client_half_closed(self.now(), ticket)
             self.schedule_step()
 
     def on_reply_undelivered(self, reply: SessionReply) -> None:
-        """A reply could not be written because its client has disconnected."""
+        """Handles a reply that could not be written because its client disconnected."""
         if reply.kind is ReplyKind.PLAYS:
             self.sessions.on_reply_undelivered(self.now(), reply)
             self.schedule_step()
@@ -240,7 +240,7 @@
     # --- end ---
 
     async def drain(self, timeout_s: float) -> bool:
-        """Rejects new sessions and waits until all requests are answered; False if time ran out."""
+        """Rejects new sessions and waits until all requests are answered; returns False on a timeout."""
         self.sessions.stop_accepting()
         self.schedule_step()
         try:
@@ -253,7 +253,7 @@
         return True
 
     def run_last_step(self) -> None:
-        """Answers what was requested since the last batch; called before an orderly `stop`."""
+        """Answers the requests since the last batch; called before an orderly `stop`."""
         self.sessions.stop_accepting()
         self._step()
 
@@ -267,7 +267,7 @@
     # --- batches ---
 
     def schedule_step(self) -> None:
-        """Schedules a batch, once, because something happened."""
+        """Schedules a batch, unless one is scheduled already."""
         if self._is_step_scheduled or self._is_stopped:
             return
         self._is_step_scheduled = True
@@ -277,7 +277,7 @@
             self.loop.call_soon(self._step)
 
     def after_step(self, callback: Callable[[], None]) -> None:
-        """Calls back once the controller has handled everything that has happened so far."""
+        """Calls back once the controller has handled all events so far."""
         self._after_step.append(callback)
         self.schedule_step()
 
@@ -288,15 +288,15 @@
         for command in self._run_batch():
             try:
                 self._execute(command)
-            except Exception as error:  # noqa: BLE001 - one fault must not cost others their replies
+            except Exception as error:  # noqa: BLE001 - a failed command must not prevent other replies
                 self._log_fault("command failed", error, command=type(command).__name__)
                 self._on_command_failed(command, repr(error))
         callbacks, self._after_step = self._after_step, []
         for callback in callbacks:
             try:
                 callback()
-            except Exception as error:  # noqa: BLE001 - a fault in one callback must not stop the others
-                self._log_fault("what follows a batch failed", error)
+            except Exception as error:  # noqa: BLE001 - a failed callback must not stop the others
+                self._log_fault("callback after a batch failed", error)
         self._schedule_wake_up()
 
     def _run_batch(self) -> list[Command]:
@@ -333,12 +333,12 @@
             self._idle.set()
         if on_reply is not None:
             on_reply(reply)
-        else:  # withdrawn in the same turn, after the session manager had replied
+        else:  # withdrawn in the same iteration of the loop, after the session manager had replied
             self.on_reply_undelivered(reply)
 
     def _transport(self) -> ServerTransport:
         if self.server_transport is None:
-            raise RuntimeError("no way to boxes")
+            raise RuntimeError("dispatcher has no server transport")
         return self.server_transport
 
     def _set_up(self, command: SetUp) -> None:
@@ -359,7 +359,7 @@
 
     def _entitlements(self) -> EntitlementCheck:
         if self.entitlement_check is None:
-            raise RuntimeError("nobody admits")
+            raise RuntimeError("dispatcher has no entitlement check")
         return self.entitlement_check
 
     def _check_entitlement(self, command: CheckEntitlement) -> None:
@@ -382,10 +382,10 @@
         self.log.info(command.text, **{name: value for name, value in fields.items() if value is not None})
 
     def _watch_endpoint_list(self, command: WatchEndpointList) -> None:
-        """Nothing is to be done: the endpoint list is watched from the start of a front to its end."""
+        """Does nothing: the endpoint list is watched for as long as the front runs."""
 
     def _on_command_failed(self, command: Command, reason: str) -> None:
-        """Reports the end of a command that the session manager waits for; an attempt may have run."""
+        """Reports a failed command whose result the session manager awaits; an attempt may have run."""
         now = self.now()
         if isinstance(command, SetUp):
             outcome = SetUpResult(Result.ERROR, 0.0, {}, reason=reason)
--- a/fernweir/front/reply_ledger.py
+++ b/fernweir/front/reply_ledger.py
@@ -1,8 +1,8 @@
-"""The ledger of replies: each request that was accepted gets exactly one, and none after its deadline.
+"""The ledger of replies: each accepted request gets exactly one reply, and none after its deadline.
 
 The ledger has no clock and no I/O. A ticket is opened when a request is accepted. It is closed by its reply,
-or withdrawn when its client disconnects; otherwise `overdue` finds it. To close a ticket twice is a fault of
-the caller and raises an error, so that a second reply cannot be sent.
+or withdrawn when its client disconnects; otherwise `overdue` returns it. Closing a ticket twice raises an
+exception, so that a second reply cannot be sent.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class ReplyLedgerError(RuntimeError):
-    """A ticket was opened twice, or closed when it was not open."""
+    """Raised when a ticket is opened twice, or closed when it is not open."""
 
 
 @dataclass(slots=True)
@@ -71,7 +71,7 @@
             ReplyLedgerError: The ticket is not open.
         """
         if self._open.pop(ticket, None) is None:
-            raise ReplyLedgerError(f"ticket {ticket} is not open: answered before, or never taken")
+            raise ReplyLedgerError(f"ticket {ticket} is not open: it was closed before or never opened")
         self.metrics.answered += 1
         self._compact_deadlines()
 
@@ -84,7 +84,7 @@
         return True
 
     def overdue(self, now: float) -> list[int]:
-        """Returns open tickets whose deadlines have come, earliest first, each once.
+        """Returns open tickets whose deadlines have passed, earliest first, each once.
 
         They stay open until they are answered.
         """
@@ -102,7 +102,7 @@
         return self._deadlines[0][0] if self._deadlines else None
 
     def _compact_deadlines(self) -> None:
-        # Answered tickets stay in the heap until their deadlines; under load that would be seconds' worth.
+        # Answered tickets stay in the heap until their deadlines: under load, several seconds of requests.
         is_large = len(self._deadlines) > _MIN_ITEMS_TO_COMPACT
         if is_large and len(self._deadlines) > 2 * len(self._open):
             self._deadlines = [item for item in self._deadlines if item[1] in self._open]
--- a/fernweir/front/server_states.py
+++ b/fernweir/front/server_states.py
@@ -1,4 +1,4 @@
-"""What a session manager knows of servers: their listed states, operators' orders, and who is silent."""
+"""The server states of a session manager: listed states, operators' orders, and servers that are silent."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from fernweir.interface import EndpointListKind, EndpointListUpdate, ServerState
 from fernweir.journal.events import EventKind
 
-if TYPE_CHECKING:  # a front may do without operators' orders, so that they are not loaded
+if TYPE_CHECKING:  # not loaded at run time: a front may have no operators' orders
     from fernweir.control.overlay import Overlay
 
 
 class ServerStates:
-    """Owns the states of servers as the controller gets them, after operators' orders.
+    """Owns the states of servers as the controller receives them, after operators' orders.
 
     Attributes:
         states: The state of each server; a server that was removed is absent.
@@ -30,7 +30,7 @@
 
     @property
     def listed(self) -> dict[int, ServerState]:
-        """The states of the endpoint list, whatever operators have ordered."""
+        """The server states of the endpoint list, without operators' orders."""
         return self.states if self._overlay is None else self._overlay.listed
 
     def is_removed(self, server: int) -> bool:
@@ -46,13 +46,13 @@
         self._apply(update if self._overlay is None else self._overlay.list_says(update))
 
     def on_operator_orders_changed(self) -> None:
-        """Operators' orders have changed what the controller gets of the endpoint list."""
+        """Applies operators' orders that change the endpoint list as the controller sees it."""
         update = self._overlay.orders_changed() if self._overlay is not None else None
         if update is not None:
             self._apply(update)
 
     def set_silent(self, server: int, is_silent: bool) -> None:
-        """Notes whether a server has stopped sending."""
+        """Records whether a server has stopped sending."""
         if is_silent == (server in self.silent):
             return
         if is_silent:
--- a/fernweir/front/session_actions.py
+++ b/fernweir/front/session_actions.py
@@ -1,4 +1,4 @@
-"""Turns the actions of the controller into commands and changes of sessions."""
+"""Translates the actions of the controller into commands and changes of sessions."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
         self._replies = replies
         self._endings = endings
         self._attempts = attempts
-        # A table by type: actions are on the hot path, where a chain of isinstance costs more.
+        # A table by type, because actions are on the hot path and a chain of isinstance calls is slower.
         self._handlers: dict[type[Action], Callable[[Any], None]] = {
             Place: self._place,
             SetRung: self._set_rung,
--- a/fernweir/front/session_attempts.py
+++ b/fernweir/front/session_attempts.py
@@ -1,4 +1,4 @@
-"""The attempts and rungs of sessions: from the decision of the controller to the end at the server."""
+"""The attempts and rungs of sessions, from the controller's decision to the server's response."""
 
 from __future__ import annotations
 
@@ -49,9 +49,10 @@
         self._context.events.append(Arrival(self.describe_viewer(now, record)))
 
     def describe_viewer(self, now: float, record: SessionRecord) -> Viewer:
-        """Returns what the controller needs to know of a session's viewer.
+        """Returns the description of a session's viewer for the controller.
 
-        The reply margin is kept twice: for the reply's way back, and for the ledger's deadline before it.
+        The reply margin is subtracted twice: for the delivery of the reply, and for the ledger's deadline,
+        which is a margin earlier.
         """
         request = record.request
         margin_ms = 2.0 * self._context.limits.reply_margin_ms
@@ -86,7 +87,7 @@
         )
 
     def on_attempt_succeeded(self, now: float, record: SessionRecord, outcome: SetUpResult) -> None:
-        """A server has accepted the session: waiting viewers are answered."""
+        """Handles that a server accepted the session: waiting viewers are answered."""
         context = self._context
         record.phase = SessionPhase.PLAYING
         record.payload = outcome.payload
@@ -108,7 +109,7 @@
             context.observer.on_session_updated(now, record)
 
     def on_attempt_failed(self, record: SessionRecord, outcome: SetUpResult) -> None:
-        """An attempt ended without success: it is released if it may have run, and the controller decides."""
+        """Handles a failed attempt: it is released if it may have run, and the controller decides."""
         context, attempt = self._context, record.attempt
         if outcome.result not in NEVER_RAN_RESULTS:
             record.may_have_run = True
@@ -120,7 +121,7 @@
         report = self.select_report(outcome.report)
         self._replies.answer_half_closed(record)
         is_final = not record.tickets
-        if is_final:  # nobody waits: the controller must not place the session again
+        if is_final:  # no viewer waits: the controller must not place the session again
             context.abandon(record)
             self._endings.remove_session(record, "nobody waited any more")
         context.events.append(
@@ -142,7 +143,7 @@
         return values if len(values) == len(names) else ()
 
     def set_rung(self, record: SessionRecord, rung: int) -> None:
-        """Notes the rung that the controller wants, and sends it to the server of a session that plays."""
+        """Stores the rung that the controller wants, and sends it to the server of a session that plays."""
         record.rung = rung
         if record.phase is SessionPhase.PLAYING:
             self.send_rung(record)
@@ -159,7 +160,7 @@
         )
 
     def on_rung_reported(self, now: float, record: SessionRecord, rung: int) -> None:
-        """The server has changed the rung of a session that plays."""
+        """Handles that the server changed the rung of a session that plays."""
         context = self._context
         has_changed = record.rung != rung
         if has_changed:
@@ -170,7 +171,7 @@
             context.observer.on_session_updated(now, record)
 
     def _report_loads(self, record: SessionRecord, report: dict[str, float]) -> None:
-        """Passes the loads of a server's response to the controller; that of the link needs no setting."""
+        """Passes the loads of a server's response to the controller; the link's load needs no setting."""
         context = self._context
         for name, kind in _REPORT_NOTICES.items():
             if name in report and (name == _LINK_FIELD or name in context.settings.report_fields):
--- a/fernweir/front/session_context.py
+++ b/fernweir/front/session_context.py
@@ -1,4 +1,4 @@
-"""What the parts of a session manager share: its settings, its time, and what a batch collects."""
+"""The state shared by the parts of a session manager: settings, time, and a batch's events and commands."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
         observer: Is notified of what happens to sessions.
         now: The time of the last event that may be journaled, in milliseconds.
         events: Events since the last batch, for the controller.
-        abandoned: Numbers of the sessions that nobody has waited for since the last batch, in order.
-        commands: Commands since the last batch, for the shells.
+        abandoned: Numbers of the sessions that lost their last viewer since the last batch, in order.
+        commands: Commands since the last batch, for the I/O layer.
     """
 
     __slots__ = (
@@ -47,14 +47,14 @@
         self.commands: list[Command] = []
 
     def abandon(self, record: SessionRecord) -> None:
-        """Notes that nobody waits for a session any more, so that the controller forgets it first."""
+        """Records that no viewer waits for a session; the controller removes it before other events."""
         self.abandoned[record.number] = None
 
     def take_events(self) -> list[Event]:
         """Returns the events of a batch in order, those of abandoned sessions before all others.
 
         Earlier events of the batch (the session's arrival, the end of an attempt or of a health check) would
-        make the controller place a session that is no longer stored here, and keep it for ever.
+        make the controller place a session that is no longer stored here, and never remove it.
         """
         events, self.events = self.events, []
         abandoned, self.abandoned = self.abandoned, {}
--- a/fernweir/front/session_endings.py
+++ b/fernweir/front/session_endings.py
@@ -1,4 +1,4 @@
-"""How sessions end: released at their server, reported as over, and removed from the table."""
+"""Ends sessions: releases them at their servers, reports their end, and removes them from the table."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class SessionEndings:
-    """Ends sessions, and owns the deadlines by which viewers must return to sessions that play unseen."""
+    """Ends sessions, and owns the deadlines by which viewers must return to sessions without viewers."""
 
     def __init__(self, context: SessionContext, table: SessionTable, journal: SessionJournal) -> None:
         self._context = context
@@ -25,7 +25,7 @@
     def release_at_server(
         self, record: SessionRecord, reason: str, *, may_finish_segment: bool = False
     ) -> None:
-        """Tells a server that a session is no longer wanted there."""
+        """Sends a server the release of a session that is no longer wanted there."""
         self._context.metrics.released += 1
         command = ReleaseSession(
             record.request.session_id, record.attempt, record.server, reason, may_finish_segment
@@ -66,7 +66,7 @@
     def remove_session(
         self, record: SessionRecord, reason: str, *, is_moved: bool = False, is_handed_over: bool = False
     ) -> None:
-        """Removes the record of a session that ended, and gives its entitlement back."""
+        """Removes the record of a session that ended, and releases its entitlement."""
         context = self._context
         self._journal.record_session(EventKind.ENDED, record, reason=reason)
         if context.observer is not None:
@@ -79,10 +79,10 @@
         )
 
     def on_viewer_left(self, record: SessionRecord, reason: str) -> None:
-        """Handles that a request is no longer waiting for its session.
+        """Handles that a request no longer waits for its session.
 
-        Without waiting requests a session that is not at a server is removed, and an attempt in flight is
-        seen through, unless viewers do not return to their sessions.
+        If no request is left, a session that is not at a server is removed. An attempt in flight continues,
+        except where viewers do not return to their sessions: there it is released.
         """
         if record.tickets:
             return
@@ -98,7 +98,7 @@
             self.close_session(record, Result.CANCELLED, reason)
 
     def expect_viewer_return(self, now: float, record: SessionRecord) -> None:
-        """Starts the time in which a viewer must return to a session that plays for nobody."""
+        """Starts the time within which a viewer must return to a session that plays without viewers."""
         deadline = now + self._context.limits.unclaimed_session_ttl_ms
         heapq.heappush(self._unclaimed_deadlines, (deadline, record.request.session_id, record.number))
 
--- a/fernweir/front/session_entitlements.py
+++ b/fernweir/front/session_entitlements.py
@@ -1,4 +1,4 @@
-"""What follows from entitlement checks: a session goes to the controller, is rejected, or has to end."""
+"""Applies the results of entitlement checks: a session goes to the controller, is rejected, or is ended."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
     def on_decided(
         self, now: float, session_id: str, plays: bool, reason: str, retry_after_ms: float
     ) -> None:
-        """The check of a session has ended; `plays` says whether the session may play."""
+        """Handles the end of a session's check; `plays` says whether the session may play."""
         record = self._table.by_id.get(session_id)
         if record is None:
             return
-        if record.phase is SessionPhase.PLAYING and not plays:  # adopted, and its seat was refused
+        if record.phase is SessionPhase.PLAYING and not plays:  # it was adopted, and its seat was denied
             self.revoke(now, session_id, reason)
             return
         if record.phase is not SessionPhase.AWAITING_ENTITLEMENT:
@@ -50,7 +50,7 @@
     def revoke(self, now: float, session_id: str, reason: str) -> None:
         """Ends a session that may no longer play, or rejects its requests if it does not play yet.
 
-        An attempt in flight is seen through.
+        An attempt in flight continues.
         """
         record = self._table.by_id.get(session_id)
         if record is None:
--- a/fernweir/front/session_handover.py
+++ b/fernweir/front/session_handover.py
@@ -1,4 +1,4 @@
-"""Sessions that play and change their front: adopted from another one, or handed over to it."""
+"""Adopts sessions that play from other fronts, and hands such sessions over to them."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
         request: The request that began it.
         server: Where it plays.
         attempt: The index of the attempt that set it up.
-        rung: What it plays, where that is known.
-        payload: What its viewers are answered from.
+        rung: The rung that it plays, if that is known.
+        payload: What its viewers' replies are made from.
         informed_viewers: How many viewers were sent the reply that it plays.
-        is_answerable: Whether `payload` is there; without it the session plays on, and begins anew if its
-            viewer asks again.
+        is_answerable: Whether `payload` is available. Without it the session continues to play, and is
+            replaced if its viewer sends another request.
     """
 
     request: SessionRequest
@@ -56,7 +56,7 @@
         self._attempts = attempts
 
     def adopt(self, now: float, adopted: AdoptedSession) -> bool:
-        """Stores a session that plays already; False if its id is known here or its server is not listed."""
+        """Stores a session that plays already; False if its id is stored here or its server is not listed."""
         request = adopted.request
         if request.session_id in self._table.by_id or self._servers.is_removed(adopted.server):
             return False
@@ -67,13 +67,15 @@
             self._adopt_rung(record, adopted.rung)
         if not adopted.informed_viewers:
             self._endings.expect_viewer_return(now, record)
-        if context.checks_entitlement:  # its seat has to move here; it plays on until that is refused
+        if (
+            context.checks_entitlement
+        ):  # its seat must be requested by this front; it plays until that is denied
             deadline = now + context.settings.classes[request.class_index].deadline_ms
             context.commands.append(CheckEntitlement(request, deadline))
         return True
 
     def hand_over(self, now: float, session_id: str) -> bool:
-        """Forgets a session that plays, without an end for its server or viewer; False if none plays."""
+        """Removes a session that plays without notifying its server or viewer; False if none plays."""
         record = self._table.find_playing(session_id)
         if record is None:
             return False
--- a/fernweir/front/session_interfaces.py
+++ b/fernweir/front/session_interfaces.py
@@ -19,10 +19,10 @@
     """Limits of a session manager.
 
     Attributes:
-        reply_margin_ms: Part of each viewer's wait that is reserved for the reply's way back.
+        reply_margin_ms: Part of each viewer's wait that is reserved for delivering the reply.
         unclaimed_session_ttl_ms: How long a session that was set up for a viewer who disconnected is kept
-            for the viewer's return. With 0 nobody returns to a session, and an attempt that nobody waits
-            for is released at once.
+            for the viewer's return. With 0 viewers do not return to sessions, and an attempt that no viewer
+            waits for is released at once.
         max_remembered_viewers: How many viewers of ended sessions are remembered by their keys.
         blocked_retry_after_ms: Retry-After of requests that an operator's order rejects.
         entitlement_wait_ratio: Part of a viewer's wait that the entitlement check may take; an attempt must
@@ -42,9 +42,9 @@
 
     Attributes:
         plays: Replies that a session plays.
-        rejected: Replies that reject a request, but for those of a front that stops.
+        rejected: Replies that reject a request, except those sent because the front is stopping.
         failed: Replies that a request failed.
-        joined: Requests that joined a session that was known already.
+        joined: Requests that joined a session that was stored already.
         conflicts: Requests that used the id of another session.
         set_ups: Attempts that were sent.
         released: Releases that were sent.
@@ -68,7 +68,7 @@
     """
 
     def on_attempt_started(self, now: float, record: SessionRecord) -> None:
-        """An attempt is sent to a server."""
+        """An attempt is being sent to a server."""
 
     def on_session_updated(self, now: float, record: SessionRecord) -> None:
         """The session plays, or its rung or its number of informed viewers has changed."""
@@ -77,7 +77,7 @@
         """The session is about to end because it moves to another server."""
 
     def on_request_rejected(self, now: float, request: SessionRequest, reason: str) -> None:
-        """A request got another reply than that its session plays."""
+        """A request got a reply other than that its session plays."""
 
     def on_session_closed(self, now: float, record: SessionRecord, reason: str) -> None:
         """The session is no longer stored, whether it had played or not."""
--- a/fernweir/front/session_journal.py
+++ b/fernweir/front/session_journal.py
@@ -1,4 +1,4 @@
-"""What a session manager writes to the journal; without a journal nothing is written."""
+"""Writes the events of a session manager to the journal; does nothing if the front has no journal."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 )
 from fernweir.journal.events import EventKind
 
-if TYPE_CHECKING:  # a front may do without a journal, so that these are not loaded
+if TYPE_CHECKING:  # not loaded at run time: a front may have no journal
     from fernweir.front.commands import SetUpResult
     from fernweir.front.explain import ExplainingController
     from fernweir.journal.store import Journal
@@ -50,7 +50,7 @@
         reason: str = "",
         details: dict[str, object] | None = None,
     ) -> None:
-        """Writes an event of a session, with its server and attempt where it has them."""
+        """Writes an event of a session, with its server and attempt if it has them."""
         if self.journal is None:
             return
         request = record.request
@@ -120,14 +120,14 @@
             self.record_session(EventKind.FAILED_TRY, record, reason=reason, details=details)
 
     def take_rejection_details(self, record: SessionRecord) -> dict[str, object]:
-        """Returns why the controller rejected a session, as it is journaled; empty without a journal."""
+        """Returns the controller's reason for a rejection as journal details; empty without a journal."""
         if self._explaining is None:
             return {}
         reason = self._explaining.take_reason(record.number)
         return {"detail": reason.text, "passed": [list(server) for server in reason.passed_over]}
 
     def record_endpoint_list(self, update: EndpointListUpdate) -> None:
-        """Writes the servers whose state or start has changed, and those that a full list no longer names."""
+        """Writes the servers whose state or start time changed, and those missing from a full list."""
         if self.journal is None:
             return
         if update.kind in (EndpointListKind.CACHED, EndpointListKind.FULL):
--- a/fernweir/front/session_manager.py
+++ b/fernweir/front/session_manager.py
@@ -1,10 +1,10 @@
 """The state machine of a front's sessions, without I/O and without a clock.
 
-Shells report what happened by methods that take `now`, in milliseconds of a monotonic clock, and call `step`,
-which hands all events since the last call to the controller in one batch and returns commands for the shells.
-The manager adds no placement of its own. It settles what the controller does not see: requests with the same
-session id share one session, each request gets one reply in time, and what may run at a server without being
-wanted is released there.
+The I/O layer reports events by methods that take `now`, in milliseconds of a monotonic clock, and calls
+`step`, which passes all events since the last call to the controller in one batch and returns commands for
+the I/O layer. The manager makes no placement decisions. It ensures what the controller does not handle:
+requests with the same session id share one session, each request gets one reply before its deadline, and a
+session that may run at a server but is not wanted is released there.
 
 A session is in one of four phases (`SessionPhase`). It leaves the table when the controller is notified that
 it ended.
@@ -43,7 +43,7 @@
 )
 from fernweir.journal.events import EventKind
 
-if TYPE_CHECKING:  # a front may do without a journal and operators' orders, so that they are not loaded
+if TYPE_CHECKING:  # not loaded at run time: a front may have no journal and no operators' orders
     from fernweir.control.overlay import Overlay
     from fernweir.front.explain import ExplainingController
     from fernweir.journal.store import Journal
@@ -62,15 +62,15 @@
 
 
 class SessionManager:
-    """The sessions of a front; see the module for how shells use it.
+    """The sessions of a front; the module docstring says how the I/O layer uses it.
 
-    Its parts share a `SessionContext`; each state has one part as its owner.
+    Its parts share a `SessionContext`; each piece of state is owned by one part.
 
     Args:
         settings: The deployment.
         seed: Seed of the controller's random draws.
         limits: Limits of the manager.
-        batch_observer: Is shown every batch, for recording.
+        batch_observer: Is called with every batch, for recording.
         checks_entitlement: Whether sessions begin only after an entitlement check.
         journal: Where events are written, with the controller's reasons.
         rejection_reason: Returns why a new session may not begin; an empty text if it may.
@@ -119,7 +119,7 @@
         self.metrics = context.metrics
         self.reply_ledger = replies.ledger
 
-    # --- parts that others use ---
+    # --- attributes of the parts ---
 
     @property
     def limits(self) -> SessionLimits:
@@ -141,7 +141,7 @@
 
     @property
     def is_closing(self) -> bool:
-        """Whether the front stops and begins no session."""
+        """Whether the front is stopping and begins no session."""
         return self._requests.is_closing
 
     @property
@@ -161,38 +161,38 @@
         self._requests.on_request(now, request)
 
     def withdraw_request(self, now: float, ticket: int) -> None:
-        """Handles that a client disconnected. An attempt in flight may be wanted when the viewer returns."""
+        """Handles a client's disconnection. An attempt in flight continues, because the viewer may return."""
         self._context.now = now
         self._requests.withdraw(ticket)
 
     def on_client_half_closed(self, now: float, ticket: int) -> None:
-        """A client closed its sending side, though it may still read: no attempt begins for it.
+        """Handles a client that closed its sending side but may still read: no attempt begins for it.
 
-        Before an attempt the request is answered at once. An attempt in flight may end, and is answered if
-        the session plays; one whose first byte has not left is wanted only if other viewers wait
-        (`is_attempt_wanted`).
+        Before an attempt the request is answered at once. An attempt in flight continues, and the request is
+        answered if the session plays. An attempt whose first byte has not been sent is wanted only if other
+        viewers wait (`is_attempt_wanted`).
         """
         self._requests.on_client_half_closed(now, ticket)
 
     def on_reply_undelivered(self, now: float, reply: SessionReply) -> None:
-        """A viewer left before the reply that its session plays was written: as if it had left before."""
+        """Handles a reply that was not written because the viewer left: it counts as having left before."""
         self._requests.on_reply_undelivered(now, reply)
 
     def stop_accepting(self) -> None:
-        """Rejects new sessions from now on; requests that were accepted are still answered."""
+        """Rejects new sessions from now on; requests that were accepted before are still answered."""
         self._requests.is_closing = True
 
     def abandon_open_requests(self, now: float) -> None:
-        """Answers all waiting requests and releases attempts in flight, because the front ends.
+        """Answers all waiting requests and releases attempts in flight, because the front is ending.
 
-        Requests are rejected where a retry does no harm, else failed.
+        A request is rejected if its client may safely retry it, and failed otherwise.
         """
         self._context.now = now
         self._requests.abandon_all()
 
     # --- sessions ---
 
-    def adopt_session(  # noqa: PLR0913 - what another front knows of a session
+    def adopt_session(  # noqa: PLR0913 - the state of a session at another front
         self,
         now: float,
         request: SessionRequest,
@@ -215,7 +215,7 @@
         return self._handover.adopt(now, adopted)
 
     def hand_over_session(self, now: float, session_id: str) -> bool:
-        """Forgets a session that belongs to another front now; neither server nor viewer sees an end.
+        """Removes a session that belongs to another front now; server and viewer are not notified of an end.
 
         Returns:
             False if it does not play here.
@@ -225,11 +225,11 @@
     def on_entitlement_decided(
         self, now: float, session_id: str, plays: bool, reason: str = "", retry_after_ms: float = 0.0
     ) -> None:
-        """The entitlement check of a session has ended; `plays` says whether it may play."""
+        """Handles the end of a session's entitlement check; `plays` says whether the session may play."""
         self._entitlements.on_decided(now, session_id, plays, reason, retry_after_ms)
 
     def revoke_session(self, now: float, session_id: str, reason: str) -> None:
-        """Ends a session that may no longer play; an attempt in flight is seen through for nobody."""
+        """Ends a session that may no longer play; an attempt in flight continues without a waiting viewer."""
         self._entitlements.revoke(now, session_id, reason)
 
     def release_session(self, now: float, session_id: str) -> bool:
@@ -245,10 +245,10 @@
     # --- servers ---
 
     def is_attempt_wanted(self, session_id: str, attempt: int) -> bool:
-        """Whether the first byte of an attempt may leave; asked at the last moment before.
+        """Whether the first byte of an attempt may be sent; called immediately before it is sent.
 
-        It may not if the server is draining or gone, or if nobody waits but clients that closed their
-        sending side. A viewer who disconnects and returns finds an attempt that had left already.
+        It may not if the server is draining or gone, or if only clients that closed their sending side wait.
+        A viewer who disconnects and returns joins an attempt that was sent before.
         """
         record = self._table.find_attempt(session_id, attempt, SessionPhase.IN_FLIGHT)
         if record is None:
@@ -256,7 +256,7 @@
         return record.has_waiting_viewer and self._servers.states.get(record.server) is ServerState.READY
 
     def on_attempt_finished(self, now: float, session_id: str, attempt: int, outcome: SetUpResult) -> None:
-        """An attempt has ended; reported once. It is ignored for a session that is no longer stored."""
+        """Handles the end of an attempt, which is reported once; ignored if the session is not stored."""
         record = self._table.find_attempt(session_id, attempt, SessionPhase.IN_FLIGHT)
         if record is None:
             return
@@ -267,7 +267,7 @@
             self._attempts.on_attempt_failed(record, outcome)
 
     def on_session_ended(self, now: float, session_id: str, attempt: int, result: Result) -> None:
-        """A session that played has ended at its server."""
+        """Handles the end of a session that played, as its server reported it."""
         record = self._table.find_attempt(session_id, attempt, SessionPhase.PLAYING)
         if record is None:
             return
@@ -276,7 +276,7 @@
         self._endings.end_session(record, result, reason)
 
     def on_server_lost(self, now: float, server: int) -> int:
-        """A server and its sessions are lost; returns how many played there."""
+        """Ends the sessions of a server that is lost, and returns how many there were."""
         self._context.now = now
         lost = self._table.playing_at(server)
         self._journal.record_server(EventKind.LOST, server, details={"sessions": len(lost)})
@@ -285,13 +285,13 @@
         return len(lost)
 
     def on_server_silence_changed(self, server: int, is_silent: bool) -> None:
-        """A server with sessions has stopped sending, though its process may run; or it sends again."""
+        """Handles that a server with sessions stopped sending, though its process may run, or sends again."""
         self._servers.set_silent(server, is_silent)
 
     def on_server_notice(
         self, now: float, session_id: str, attempt: int, kind: NoticeKind, level: float
     ) -> None:
-        """A server has sent news of a session; it is ignored unless that attempt plays."""
+        """Handles a server's notice about a session; it is ignored unless that attempt plays."""
         record = self._table.find_attempt(session_id, attempt, SessionPhase.PLAYING)
         if record is None:
             return
@@ -302,21 +302,21 @@
     def on_health_check_finished(
         self, now: float, server: int, result: Result, duration_ms: float, report: dict[str, float]
     ) -> None:
-        """A health check has ended, with the server's load report if it sent one."""
+        """Handles the end of a health check, with the server's load report if it sent one."""
         values = self._attempts.select_report(report)
         self._context.events.append(HealthCheckEnded(server, result, duration_ms, values))
 
     def on_endpoint_list(self, now: float, update: EndpointListUpdate) -> None:
-        """The endpoint list has changed."""
+        """Handles a change of the endpoint list."""
         self._context.now = now
         self._servers.update(update)
 
     def on_operator_orders_changed(self, now: float) -> None:
-        """Operators' orders have changed what the controller gets of the endpoint list."""
+        """Handles operators' orders that change the endpoint list as the controller sees it."""
         self._context.now = now
         self._servers.on_operator_orders_changed()
 
-    # --- questions ---
+    # --- queries ---
 
     @property
     def session_count(self) -> int:
@@ -325,7 +325,7 @@
 
     @property
     def endpoint_states(self) -> dict[int, ServerState]:
-        """The states of the endpoint list, whatever operators have ordered."""
+        """The server states of the endpoint list, without operators' orders."""
         return self._servers.listed
 
     def session(self, session_id: str) -> SessionRecord | None:
@@ -341,7 +341,7 @@
         return {record.request.session_id: record.attempt for record in self._table.playing_at(server)}
 
     def count_sessions_by_phase(self, title: str, tenant: str) -> dict[str, int]:
-        """Returns the numbers of sessions of a title and of a tenant, by the names that limits have."""
+        """Returns the numbers of sessions of a title and of a tenant, by the names of operators' limits."""
         requests = [record.request for record in self._table.by_id.values()]
         return {
             f"lesson:{title}": sum(request.title_name == title for request in requests),
@@ -351,7 +351,7 @@
     # --- time ---
 
     def on_timer(self, now: float, token: int) -> None:
-        """A timer has fired that a `StartTimer` command started."""
+        """Handles a timer that a `StartTimer` command started."""
         self._context.events.append(TimerFired(token))
 
     def next_deadline(self) -> float | None:
@@ -363,7 +363,7 @@
         return min(reply_deadline, unclaimed_deadline)
 
     def step(self, now: float) -> list[Command]:
-        """Hands the events since the last call to the controller; returns what is to be done, in order."""
+        """Passes the events since the last call to the controller, and returns the commands in order."""
         context = self._context
         context.now = now
         self._requests.fail_overdue(now)
@@ -379,7 +379,7 @@
 
 
 def _make_explaining_controller(settings: Settings, seed: int) -> ExplainingController:
-    """Loads and makes a controller that gives reasons; a front without a journal needs neither."""
+    """Creates a controller that records reasons; its module is loaded only for a front with a journal."""
     from fernweir.front.explain import ExplainingController
 
     return ExplainingController(settings, seed)
--- a/fernweir/front/session_record.py
+++ b/fernweir/front/session_record.py
@@ -10,10 +10,10 @@
 
 
 class SessionPhase(Enum):
-    """Where a session stands. The values are stored in journals and keep their words."""
+    """The phase of a session. The values are stored in journals and must not change."""
 
     AWAITING_ENTITLEMENT = "gated"
-    """The entitlement check is open; the controller does not know the session yet."""
+    """The entitlement check is open; the session has not been submitted to the controller."""
 
     PENDING = "asked"
     """The controller has the session; no attempt is open."""
@@ -33,7 +33,7 @@
         request: The first request, or the one that another front's session was adopted with.
         number: The session's number for the controller, unique while the session is stored.
         key: The viewer's key for the controller, the same when a viewer returns.
-        phase: Where the session stands.
+        phase: The phase of the session.
         tickets: Open requests that wait for the session, in the order in which they came.
         half_closed_tickets: Those of `tickets` whose clients closed their sending side. Only while an
             attempt is in flight.
@@ -42,12 +42,12 @@
         server: The server of the last attempt, -1 before the first.
         rung: The rung that the controller wants.
         sent_rung: The rung that the server was last sent, or has reported.
-        payload: What the protocol made of the server's response; viewers are answered from it.
+        payload: What the protocol derived from the server's response; viewers' replies are made from it.
         last_result: How the last attempt ended, None while there is none or it succeeded.
         reply_deadline: When the first viewer stops waiting, in milliseconds of the manager's clock.
-        was_moved: Whether the viewer comes back after a move to another server.
+        was_moved: Whether the viewer returns after a migration to another server.
         informed_viewers: How many viewers were sent the reply that the session plays.
-        is_answerable: Whether `payload` is there to answer further viewers from.
+        is_answerable: Whether `payload` is available for the replies to further viewers.
     """
 
     request: SessionRequest
@@ -75,5 +75,5 @@
 
     @property
     def has_waiting_viewer(self) -> bool:
-        """Whether a viewer waits who has not closed its sending side; only then may an attempt begin."""
+        """Whether a viewer waits that has not closed its sending side; only then may an attempt begin."""
         return any(ticket not in self.half_closed_tickets for ticket in self.tickets)
--- a/fernweir/front/session_replies.py
+++ b/fernweir/front/session_replies.py
@@ -1,4 +1,4 @@
-"""Replies of a session manager: each open request gets exactly one, and none after its deadline."""
+"""Sends the replies of a session manager: exactly one per open request, and none after its deadline."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         self._journal = journal
 
     def open(self, now: float, request: SessionRequest) -> None:
-        """Opens the ticket of a request, to be answered before its viewer stops waiting."""
+        """Opens the ticket of a request, with a deadline before its viewer stops waiting."""
         wait_ms = max(request.max_wait_ms - self._context.limits.reply_margin_ms, 0.0)
         self.ledger.open(request.ticket, now + wait_ms)
 
@@ -36,8 +36,8 @@
 
         Args:
             reply: The reply.
-            request: The first request of the session, where there is a session; it is journaled.
-            details: Further facts for the journal.
+            request: The first request of the session, if there is a session; it is journaled.
+            details: Further values for the journal.
 
         Raises:
             ReplyLedgerError: The ticket is not open.
@@ -75,7 +75,7 @@
         self.send(SessionReply(request.ticket, ReplyKind.REJECTED, reason, retry_after_ms), request)
 
     def reject_while_closing(self, request: SessionRequest) -> None:
-        """Rejects a request because the front stops; these are not counted."""
+        """Rejects a request because the front is stopping; these rejections are not counted."""
         self.send(SessionReply(request.ticket, ReplyKind.REJECTED, "front is stopping", 0.0), request)
 
     def reject_conflict(self, request: SessionRequest) -> None:
@@ -92,7 +92,7 @@
             self.send(reply, record.request)
 
     def answer_half_closed(self, record: SessionRecord, reason: str = "its viewer left") -> None:
-        """Answers half-closed clients: rejected if a retry does no harm, else failed."""
+        """Answers half-closed clients: rejected if they may safely retry, failed otherwise."""
         may_have_run = record.may_have_run or record.phase is SessionPhase.IN_FLIGHT
         idempotency = self._context.settings.classes[record.request.class_index].idempotency
         is_retry_harmful = may_have_run and idempotency is not Idempotency.IDEMPOTENT
@@ -124,7 +124,7 @@
             self.send(reply, record.request, details)
 
     def fail_overdue(self, ticket: int, record: SessionRecord | None) -> None:
-        """Replies to a request whose deadline has come."""
+        """Replies to a request whose deadline has passed."""
         self._context.metrics.failed += 1
         reply = SessionReply(ticket, ReplyKind.FAILED, "no answer in time", is_timeout=True)
         self.send(reply, record.request if record is not None else None)
--- a/fernweir/front/session_requests.py
+++ b/fernweir/front/session_requests.py
@@ -24,10 +24,10 @@
 
 
 class SessionRequests:
-    """Admits requests, handles clients that leave, and owns what blocks new sessions.
+    """Admits requests, handles clients that leave, and owns the state that blocks new sessions.
 
     Attributes:
-        is_closing: Whether the front stops and begins no session.
+        is_closing: Whether the front is stopping and begins no session.
         new_sessions_blocked: Why no new session may begin and the Retry-After in milliseconds; None if they
             may.
     """
@@ -55,7 +55,7 @@
         self._rejection_reason = rejection_reason
 
     def on_request(self, now: float, request: SessionRequest) -> None:
-        """A request has come: its ticket is opened."""
+        """Opens the ticket of a request, and answers it or assigns it to a session."""
         self._replies.open(now, request)
         record = self._table.by_id.get(request.session_id)
         if record is None:
@@ -72,14 +72,14 @@
             self._replies.send_playing(record, request.ticket)
 
     def withdraw(self, ticket: int) -> None:
-        """The client of a request has disconnected."""
+        """Handles that the client of a request disconnected."""
         record = self._table.by_ticket.pop(ticket, None)
         if self._replies.ledger.withdraw(ticket) and record is not None:
             record.tickets.remove(ticket)
             self._endings.on_viewer_left(record, _VIEWER_LEFT)
 
     def on_client_half_closed(self, now: float, ticket: int) -> None:
-        """The client of a request has closed its sending side; see `SessionManager`."""
+        """Handles that the client of a request closed its sending side; see `SessionManager`."""
         record = self._table.by_ticket.get(ticket)
         if record is None:
             return
@@ -90,7 +90,7 @@
             self._endings.on_viewer_left(record, _VIEWER_LEFT)
 
     def on_reply_undelivered(self, now: float, reply: SessionReply) -> None:
-        """A reply that a session plays could not be written."""
+        """Handles that a reply that a session plays could not be written."""
         if reply.request is None:
             return
         record = self._table.find_attempt(reply.request.session_id, reply.attempt, SessionPhase.PLAYING)
@@ -107,14 +107,14 @@
             self._endings.close_session(record, Result.CANCELLED, _VIEWER_LEFT)
 
     def abandon_all(self) -> None:
-        """Answers all waiting requests, and releases attempts in flight where nobody returns to them."""
+        """Answers all waiting requests, and releases attempts in flight if viewers do not return to them."""
         for record in [record for record in self._table.by_id.values() if record.tickets]:
             record.half_closed_tickets.update(record.tickets)
             self._replies.answer_half_closed(record, _STOPPING)
             self._endings.on_viewer_left(record, _STOPPING)
 
     def fail_overdue(self, now: float) -> None:
-        """Answers the requests whose deadlines have come."""
+        """Answers the requests whose deadlines have passed."""
         for ticket in self._replies.ledger.overdue(now):
             record = self._table.by_ticket.pop(ticket, None)
             self._replies.fail_overdue(ticket, record)
@@ -153,8 +153,8 @@
     def _replace_session(self, now: float, record: SessionRecord, request: SessionRequest) -> None:
         """Ends a session that cannot be joined, and begins another with the same id.
 
-        Its viewer asks again while its server is silent, so that it does not play there, whatever the server
-        last reported; or what viewers were answered from is lost.
+        Either its viewer sent another request while the server is silent, which means that the session does
+        not play there, whatever the server last reported; or the payload for its replies is lost.
         """
         reason = "its box fell silent" if record.is_answerable else "what it was answered from is lost"
         self._endings.release_at_server(record, reason)
--- a/fernweir/front/session_table.py
+++ b/fernweir/front/session_table.py
@@ -1,4 +1,4 @@
-"""The records of a session manager by session id, number, ticket and server, and the viewers it remembers."""
+"""The records of a session manager by session id, number, ticket and server; viewers of ended sessions."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
         return record
 
     def remove(self, record: SessionRecord) -> None:
-        """Removes a record from the indexes by id and number; its tickets and server are left before."""
+        """Removes a record from the indexes by id and number; it is not in those by ticket and server."""
         self.by_id.pop(record.request.session_id, None)
         self.by_number.pop(record.number, None)
 
@@ -59,7 +59,7 @@
         return record
 
     def add_ticket(self, record: SessionRecord, ticket: int) -> None:
-        """Notes that an open request waits for a session."""
+        """Records that an open request waits for a session."""
         record.tickets.append(ticket)
         self.by_ticket[ticket] = record
 
@@ -71,11 +71,11 @@
         return tickets
 
     def attach_to_server(self, record: SessionRecord) -> None:
-        """Notes that a session has an attempt in flight or plays at its server."""
+        """Records that a session has an attempt in flight or plays at its server."""
         self.by_server.setdefault(record.server, {})[record.request.session_id] = record
 
     def detach_from_server(self, record: SessionRecord) -> None:
-        """Notes that a session is no longer at its server."""
+        """Records that a session is no longer at its server."""
         at_server = self.by_server.get(record.server)
         if at_server is not None:
             at_server.pop(record.request.session_id, None)
@@ -88,9 +88,9 @@
         return [record for record in at_server if record.phase is SessionPhase.PLAYING]
 
     def remember_viewer(self, record: SessionRecord, *, is_moved: bool, max_viewers: int) -> None:
-        """Remembers the viewer of a session that ended, so that the controller knows it when it returns.
+        """Stores the viewer of a session that ended, so that the viewer has the same key when it returns.
 
-        A request that brings a key of its own is remembered only after a move.
+        The viewer of a request with its own key is stored only after a migration.
         """
         request = record.request
         if request.viewer_key and not is_moved:
