--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -330,7 +330,7 @@
     def turned_away(self, ask: SessionRequest) -> str:
         if not (self.orders.holds or self.orders.caps) or self._host is None:
             return ""
-        playing = self._host.count_sessions_by_phase(ask.title_name, ask.tenant) if self.orders.caps else {}
+        playing = self._host.count_sessions_by_limit(ask.title_name, ask.tenant) if self.orders.caps else {}
         return self.orders.turned_away(ask.title_name, ask.tenant, playing)
 
     async def start(self, core: Dispatcher, boxes: BoxList) -> None:
--- a/fernweir/front/session_manager.py
+++ b/fernweir/front/session_manager.py
@@ -340,7 +340,7 @@
         """Returns the ids of the sessions that play at a server, with the attempts that set them up."""
         return {record.request.session_id: record.attempt for record in self._table.playing_at(server)}
 
-    def count_sessions_by_phase(self, title: str, tenant: str) -> dict[str, int]:
+    def count_sessions_by_limit(self, title: str, tenant: str) -> dict[str, int]:
         """Returns the numbers of sessions of a title and of a tenant, by the names of operators' limits."""
         requests = [record.request for record in self._table.by_id.values()]
         return {
