--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -1,4 +1,7 @@
-"""The host without a loop: one answer a request, one attempt out a session, whatever comes in what order."""
+"""Tests of the session manager without an event loop, and of the dispatcher with one.
+
+Each request gets one reply, and each session has at most one attempt in flight, in any order of events.
+"""
 
 from __future__ import annotations
 
@@ -51,179 +54,179 @@
 SEATS = replace(ALONE, classes=(replace(SETTINGS.classes[0], seats=2), SETTINGS.classes[1]))
 
 
-Said = TypeVar("Said")
+CommandT = TypeVar("CommandT")
 
 
-class Desk:
-    """A host with a clock that the test moves, and what it said."""
+class Harness:
+    """A session manager with a clock that the test advances, and all its commands."""
 
-    def __init__(self, settings: object = ALONE, boxes: int = 2, **more: object) -> None:
+    def __init__(self, settings: object = ALONE, server_count: int = 2, **more: object) -> None:
         limits = SessionLimits(reply_margin_ms=40.0, unclaimed_session_ttl_ms=500.0)
-        self.host = SessionManager(settings, 7, limits, **more)  # type: ignore[arg-type]
-        self.now, self.tickets, self.said = 1000.0, 0, []  # type: ignore[var-annotated]
-        entries = tuple(entry(number, cell=number % 4) for number in range(1, boxes + 1))
-        self.host.on_endpoint_list(self.now, EndpointListUpdate(EndpointListKind.FULL, 1, entries))
+        self.manager = SessionManager(settings, 7, limits, **more)  # type: ignore[arg-type]
+        self.now, self.tickets, self.commands = 1000.0, 0, []  # type: ignore[var-annotated]
+        entries = tuple(entry(number, cell=number % 4) for number in range(1, server_count + 1))
+        self.manager.on_endpoint_list(self.now, EndpointListUpdate(EndpointListKind.FULL, 1, entries))
         self.step(0)
 
     def step(self, after: float = 1.0) -> list[Command]:
         self.now += after
-        said = self.host.step(self.now)
-        self.said += said
-        return said
+        commands = self.manager.step(self.now)
+        self.commands += commands
+        return commands
 
-    def ask(self, jti: str, **more: object) -> int:
+    def request(self, session_id: str, **more: object) -> int:
         self.tickets += 1
-        ask = SessionRequest(self.tickets, "dash", jti, "who", "lesson", 5, 0, 4, 0, 3, 4000.0)
-        self.host.request_session(self.now, replace(ask, **more))  # type: ignore[arg-type]
+        request = SessionRequest(self.tickets, "dash", session_id, "who", "lesson", 5, 0, 4, 0, 3, 4000.0)
+        self.manager.request_session(self.now, replace(request, **more))  # type: ignore[arg-type]
         return self.tickets
 
-    def done(self, setup: SetUp, result: Result = Result.OK) -> None:
+    def finish_attempt(self, set_up: SetUp, result: Result = Result.OK) -> None:
         end = SetUpResult(result, 5.0, {"x0": 0.1, "x1": 0.1}, "manifest" if result is Result.OK else None)
-        self.host.on_attempt_finished(self.now, setup.request.session_id, setup.attempt, end)
+        self.manager.on_attempt_finished(self.now, set_up.request.session_id, set_up.attempt, end)
 
-    def of(self, kind: type[Said]) -> list[Said]:
-        return [one for one in self.said if isinstance(one, kind)]
+    def commands_of(self, kind: type[CommandT]) -> list[CommandT]:
+        return [one for one in self.commands if isinstance(one, kind)]
 
-    def answers(self) -> dict[int, ReplyKind]:
+    def replies(self) -> dict[int, ReplyKind]:
         found: dict[int, ReplyKind] = {}
-        for answer in self.of(SessionReply):
-            assert answer.ticket not in found, "answered twice"
+        for answer in self.commands_of(SessionReply):
+            assert answer.ticket not in found, "two replies to one ticket"
             found[answer.ticket] = answer.kind
         return found
 
 
-def test_a_token_that_comes_twice_has_one_set_up_and_two_answers() -> None:
-    desk = Desk()
-    first, second = desk.ask("a"), desk.ask("a")  # in one batch
-    desk.step()
-    third = desk.ask("a")  # while it is out
-    desk.step()
-    (setup,) = desk.of(SetUp)
-    desk.done(setup)
-    desk.step()
-    fourth = desk.ask("a")  # while it plays
-    desk.step()
-    assert desk.answers() == dict.fromkeys((first, second, third, fourth), ReplyKind.PLAYS)
-    assert len(desk.of(SetUp)) == 1
-    assert {answer.rung for answer in desk.of(SessionReply)} == {setup.rung}
-    desk.host.on_session_ended(desk.now, "a", 0, Result.OK)
-    desk.ask("a")  # after it ended: a new session of the same viewer
-    desk.step()
-    assert len(desk.of(SetUp)) == 2
+def test_requests_with_one_session_id_share_one_attempt() -> None:
+    harness = Harness()
+    first, second = harness.request("a"), harness.request("a")  # in one batch
+    harness.step()
+    third = harness.request("a")  # while its attempt is in flight
+    harness.step()
+    (set_up,) = harness.commands_of(SetUp)
+    harness.finish_attempt(set_up)
+    harness.step()
+    fourth = harness.request("a")  # while it plays
+    harness.step()
+    assert harness.replies() == dict.fromkeys((first, second, third, fourth), ReplyKind.PLAYS)
+    assert len(harness.commands_of(SetUp)) == 1
+    assert {answer.rung for answer in harness.commands_of(SessionReply)} == {set_up.rung}
+    harness.manager.on_session_ended(harness.now, "a", 0, Result.OK)
+    harness.request("a")  # after it ended: a new session of the same viewer
+    harness.step()
+    assert len(harness.commands_of(SetUp)) == 2
 
 
 def test_a_token_for_another_title_is_a_conflict() -> None:
-    desk = Desk()
-    desk.ask("a")
-    other = desk.ask("a", title=6)
-    desk.step()
-    assert desk.answers() == {other: ReplyKind.CONFLICT} and len(desk.of(SetUp)) == 1
-
-
-def test_a_viewer_who_drops_and_asks_again_finds_its_set_up() -> None:
-    desk = Desk()
-    gone = desk.ask("a")
-    desk.step()
-    desk.host.withdraw_request(desk.now, gone)
-    desk.step()
-    desk.done(desk.of(SetUp)[0])
-    desk.step()
-    assert desk.answers() == {}
-    again = desk.ask("a")
-    desk.step(100)
-    assert desk.answers() == {again: ReplyKind.PLAYS} and len(desk.of(SetUp)) == 1
-
-
-def test_what_nobody_comes_back_for_is_released() -> None:
-    desk = Desk()
-    desk.host.withdraw_request(desk.now, desk.ask("a"))
-    desk.ask("b")
-    desk.step()
-    setups = {setup.request.session_id: setup for setup in desk.of(SetUp)}
-    assert set(setups) == {"b"}  # one who left before the batch is never set up
-    desk.host.withdraw_request(desk.now, 2)
-    desk.done(setups["b"])
-    desk.step()
-    assert desk.host.next_deadline() is not None  # the shell must wake it
-    desk.step(600)
-    assert [release.session_id for release in desk.of(ReleaseSession)] == [
+    harness = Harness()
+    harness.request("a")
+    other = harness.request("a", title=6)
+    harness.step()
+    assert harness.replies() == {other: ReplyKind.CONFLICT} and len(harness.commands_of(SetUp)) == 1
+
+
+def test_a_viewer_who_reconnects_joins_its_attempt() -> None:
+    harness = Harness()
+    gone = harness.request("a")
+    harness.step()
+    harness.manager.withdraw_request(harness.now, gone)
+    harness.step()
+    harness.finish_attempt(harness.commands_of(SetUp)[0])
+    harness.step()
+    assert harness.replies() == {}
+    again = harness.request("a")
+    harness.step(100)
+    assert harness.replies() == {again: ReplyKind.PLAYS} and len(harness.commands_of(SetUp)) == 1
+
+
+def test_a_session_whose_viewer_does_not_return_is_released() -> None:
+    harness = Harness()
+    harness.manager.withdraw_request(harness.now, harness.request("a"))
+    harness.request("b")
+    harness.step()
+    set_ups = {set_up.request.session_id: set_up for set_up in harness.commands_of(SetUp)}
+    assert set(set_ups) == {"b"}  # a request that was withdrawn before the batch gets no attempt
+    harness.manager.withdraw_request(harness.now, 2)
+    harness.finish_attempt(set_ups["b"])
+    harness.step()
+    assert harness.manager.next_deadline() is not None  # the dispatcher must call it then
+    harness.step(600)
+    assert [release.session_id for release in harness.commands_of(ReleaseSession)] == [
         "b"
-    ] and desk.host.session_count == 0
-
-
-def test_who_leaves_while_its_answer_is_on_its_way_is_as_one_who_left_before() -> None:
-    desk = Desk()
-    desk.ask("a"), desk.ask("a")
-    desk.step()
-    desk.done(desk.of(SetUp)[0])
-    desk.step()
-    first, second = desk.of(SessionReply)
-    desk.host.on_reply_undelivered(desk.now, first)
-    desk.step(600)
-    assert desk.host.session_count == 1  # the other heard
-    desk.host.on_reply_undelivered(desk.now, second)
-    desk.step(400)
-    assert desk.host.session_count == 1  # it may come back
-    desk.step(200)
-    assert [release.session_id for release in desk.of(ReleaseSession)] == [
+    ] and harness.manager.session_count == 0
+
+
+def test_an_undelivered_reply_counts_as_a_viewer_who_left_before_it() -> None:
+    harness = Harness()
+    harness.request("a"), harness.request("a")
+    harness.step()
+    harness.finish_attempt(harness.commands_of(SetUp)[0])
+    harness.step()
+    first, second = harness.commands_of(SessionReply)
+    harness.manager.on_reply_undelivered(harness.now, first)
+    harness.step(600)
+    assert harness.manager.session_count == 1  # the other reply was delivered
+    harness.manager.on_reply_undelivered(harness.now, second)
+    harness.step(400)
+    assert harness.manager.session_count == 1  # its viewer may return
+    harness.step(200)
+    assert [release.session_id for release in harness.commands_of(ReleaseSession)] == [
         "a"
-    ] and desk.host.session_count == 0
+    ] and harness.manager.session_count == 0
 
 
-def test_after_its_last_waiter_left_a_failed_attempt_is_not_followed_by_another() -> None:
-    desk = Desk()
-    ticket = desk.ask("a")
-    desk.step()
-    desk.host.withdraw_request(desk.now, ticket)
-    desk.done(desk.of(SetUp)[0], Result.ERROR)
-    desk.step()
-    assert len(desk.of(SetUp)) == 1 and desk.host.session_count == 0
-    assert desk.host.controller.sessions == {}
+def test_no_further_attempt_after_the_last_waiting_viewer_left() -> None:
+    harness = Harness()
+    ticket = harness.request("a")
+    harness.step()
+    harness.manager.withdraw_request(harness.now, ticket)
+    harness.finish_attempt(harness.commands_of(SetUp)[0], Result.ERROR)
+    harness.step()
+    assert len(harness.commands_of(SetUp)) == 1 and harness.manager.session_count == 0
+    assert harness.manager.controller.sessions == {}
 
 
 @pytest.mark.parametrize("answer_first", [True, False])
-def test_deadline_and_answer_in_one_instant_give_one_answer(answer_first: bool) -> None:
-    desk = Desk()
-    ticket = desk.ask("a", max_wait_ms=300.0)
-    desk.step()
-    desk.now = 1000.0 + 300.0 - 40.0  # the very instant at which the ledger gives up
+def test_deadline_and_result_at_the_same_time_give_one_reply(answer_first: bool) -> None:
+    harness = Harness()
+    ticket = harness.request("a", max_wait_ms=300.0)
+    harness.step()
+    harness.now = 1000.0 + 300.0 - 40.0  # the reply deadline
     if answer_first:
-        desk.done(desk.of(SetUp)[0])
-        desk.step(0)
+        harness.finish_attempt(harness.commands_of(SetUp)[0])
+        harness.step(0)
     else:
-        desk.step(0)
-        desk.done(desk.of(SetUp)[0])
-        desk.step(0)
-    assert list(desk.answers()) == [ticket]
-    desk.step(1000)
-    assert list(desk.answers()) == [ticket]
+        harness.step(0)
+        harness.finish_attempt(harness.commands_of(SetUp)[0])
+        harness.step(0)
+    assert list(harness.replies()) == [ticket]
+    harness.step(1000)
+    assert list(harness.replies()) == [ticket]
 
 
-def test_the_last_seats_asked_for_in_one_batch() -> None:
-    desk = Desk(SEATS)
+def test_more_requests_than_seats_in_one_batch() -> None:
+    harness = Harness(SEATS)
     for name in "abc":
-        desk.ask(name)
-    desk.step()
-    assert len(desk.of(SetUp)) == 2
-    assert list(desk.answers().values()) == [ReplyKind.REJECTED]
-
-
-def test_a_drain_stops_a_set_up_that_has_not_left() -> None:
-    desk = Desk(boxes=1)
-    ticket = desk.ask("a")
-    desk.step()
-    (setup,) = desk.of(SetUp)
-    assert desk.host.is_attempt_wanted("a", 0)
-    drained = entry(setup.server, cell=1, state=ServerState.DRAINING)
-    desk.host.on_endpoint_list(desk.now, EndpointListUpdate(EndpointListKind.DELTA, 2, (drained,)))
-    assert not desk.host.is_attempt_wanted("a", 0)
-    desk.done(setup, Result.NOT_SENT)
-    desk.step()
-    assert desk.answers() == {ticket: ReplyKind.REJECTED} and len(desk.of(SetUp)) == 1
-    assert desk.of(ReleaseSession) == []  # nothing can run there
-
-
-def test_doubtful_ends_are_released_and_proven_ones_not() -> None:
+        harness.request(name)
+    harness.step()
+    assert len(harness.commands_of(SetUp)) == 2
+    assert list(harness.replies().values()) == [ReplyKind.REJECTED]
+
+
+def test_a_draining_server_gets_no_attempt_that_was_not_sent_yet() -> None:
+    harness = Harness(server_count=1)
+    ticket = harness.request("a")
+    harness.step()
+    (set_up,) = harness.commands_of(SetUp)
+    assert harness.manager.is_attempt_wanted("a", 0)
+    drained = entry(set_up.server, cell=1, state=ServerState.DRAINING)
+    harness.manager.on_endpoint_list(harness.now, EndpointListUpdate(EndpointListKind.DELTA, 2, (drained,)))
+    assert not harness.manager.is_attempt_wanted("a", 0)
+    harness.finish_attempt(set_up, Result.NOT_SENT)
+    harness.step()
+    assert harness.replies() == {ticket: ReplyKind.REJECTED} and len(harness.commands_of(SetUp)) == 1
+    assert harness.commands_of(ReleaseSession) == []  # nothing can run there
+
+
+def test_failed_attempts_are_released_unless_they_never_ran() -> None:
     for result, releases in [
         (Result.TIMEOUT, 1),
         (Result.RESET, 1),
@@ -231,91 +234,100 @@
         (Result.FULL, 0),
         (Result.CONNECT_FAILED, 0),
     ]:
-        desk = Desk()
-        desk.ask("a")
-        desk.step()
-        desk.done(desk.of(SetUp)[0], result)
-        desk.step()
-        assert len(desk.of(ReleaseSession)) == releases and len(desk.of(SetUp)) == 2
-
-
-def test_a_viewer_of_a_silent_box_is_placed_anew() -> None:
-    desk = Desk()
-    desk.ask("a")
-    desk.step()
-    desk.done(desk.of(SetUp)[0])
-    desk.step()
-    desk.host.on_server_silence_changed(desk.of(SetUp)[0].server, True)
-    desk.ask("a")
-    desk.step()
-    assert len(desk.of(SetUp)) == 2 and [one.attempt for one in desk.of(ReleaseSession)] == [0]
-
-
-def test_a_lost_box_ends_its_sessions_only() -> None:
-    desk = Desk(boxes=2)
+        harness = Harness()
+        harness.request("a")
+        harness.step()
+        harness.finish_attempt(harness.commands_of(SetUp)[0], result)
+        harness.step()
+        assert len(harness.commands_of(ReleaseSession)) == releases and len(harness.commands_of(SetUp)) == 2
+
+
+def test_a_viewer_of_a_silent_server_is_placed_again() -> None:
+    harness = Harness()
+    harness.request("a")
+    harness.step()
+    harness.finish_attempt(harness.commands_of(SetUp)[0])
+    harness.step()
+    harness.manager.on_server_silence_changed(harness.commands_of(SetUp)[0].server, True)
+    harness.request("a")
+    harness.step()
+    assert len(harness.commands_of(SetUp)) == 2 and [
+        one.attempt for one in harness.commands_of(ReleaseSession)
+    ] == [0]
+
+
+def test_a_lost_server_ends_only_its_sessions() -> None:
+    harness = Harness(server_count=2)
     for title in range(6):
-        desk.ask(f"s{title}", title=title)
-    desk.step()
-    for setup in desk.of(SetUp):
-        desk.done(setup)
-    desk.step()
-    at = {setup.request.session_id: setup.server for setup in desk.of(SetUp)}
+        harness.request(f"s{title}", title=title)
+    harness.step()
+    for set_up in harness.commands_of(SetUp):
+        harness.finish_attempt(set_up)
+    harness.step()
+    at = {set_up.request.session_id: set_up.server for set_up in harness.commands_of(SetUp)}
     assert set(at.values()) == {1, 2}
-    assert desk.host.on_server_lost(desk.now, 1) == sum(server == 1 for server in at.values())
-    assert set(desk.host.sessions_playing_at(2)) == {jti for jti, server in at.items() if server == 2}
-    assert desk.host.sessions_playing_at(1) == {}
-
-
-def test_a_rung_set_while_the_set_up_is_out_follows_it() -> None:
-    desk = Desk()
-    desk.ask("a")
-    desk.step()
-    (setup,) = desk.of(SetUp)
-    held = desk.host.session("a")
-    assert held is not None and held.phase is SessionPhase.IN_FLIGHT
-    held.rung -= 1
-    desk.done(setup)
-    desk.step()
-    assert [(one.rung, one.attempt) for one in desk.of(ChangeRung)] == [(setup.rung - 1, 0)]
-    desk.host.on_server_notice(desk.now, "a", 0, NoticeKind.RUNG, 0.0)
-    assert held.rung == 0
-
-
-def test_a_front_that_stops_takes_nothing_and_answers_the_rest() -> None:
-    desk = Desk()
-    first = desk.ask("a")
-    desk.step()
-    desk.host.stop_accepting()
-    late = desk.ask("b")
-    desk.step()
-    assert desk.answers() == {late: ReplyKind.REJECTED}
-    desk.done(desk.of(SetUp)[0])
-    desk.step()
-    assert desk.answers()[first] is ReplyKind.PLAYS and len(desk.host.reply_ledger) == 0
-
-
-@pytest.mark.parametrize("effect", list(Idempotency))
-def test_a_front_about_to_end_answers_all_that_waits_and_lets_go_what_is_out(effect: Idempotency) -> None:
-    kind = replace(ALONE.classes[0], idempotency=effect)
-    desk = Desk(replace(ALONE, classes=(kind, ALONE.classes[1])), boxes=1)
-    desk.host.limits = replace(desk.host.limits, unclaimed_session_ttl_ms=0.0)
-    out, ran, held = desk.ask("out"), desk.ask("ran"), 0
-    desk.step()
-    desk.done(next(one for one in desk.of(SetUp) if one.request.session_id == "ran"), Result.ERROR)
-    held = desk.ask("held")  # the module has not heard of it yet
-    desk.said.clear()
-    desk.host.abandon_open_requests(desk.now)
-    desk.step()
-    unsure = ReplyKind.REJECTED if effect is Idempotency.IDEMPOTENT else ReplyKind.FAILED
-    assert desk.answers() == {out: unsure, ran: unsure, held: ReplyKind.REJECTED}
-    assert {one.session_id for one in desk.of(ReleaseSession)} == {"out", "ran"} and not desk.of(SetUp)
-    assert desk.host.session_count == 0 and len(desk.host.reply_ledger) == 0
-    desk.said.clear()
-    desk.host.abandon_open_requests(desk.now)
-    assert desk.step() == []
-
-
-def test_the_ledger_refuses_a_second_answer() -> None:
+    assert harness.manager.on_server_lost(harness.now, 1) == sum(server == 1 for server in at.values())
+    assert set(harness.manager.sessions_playing_at(2)) == {
+        session_id for session_id, server in at.items() if server == 2
+    }
+    assert harness.manager.sessions_playing_at(1) == {}
+
+
+def test_a_rung_set_during_an_attempt_is_sent_after_it() -> None:
+    harness = Harness()
+    harness.request("a")
+    harness.step()
+    (set_up,) = harness.commands_of(SetUp)
+    record = harness.manager.session("a")
+    assert record is not None and record.phase is SessionPhase.IN_FLIGHT
+    record.rung -= 1
+    harness.finish_attempt(set_up)
+    harness.step()
+    assert [(one.rung, one.attempt) for one in harness.commands_of(ChangeRung)] == [(set_up.rung - 1, 0)]
+    harness.manager.on_server_notice(harness.now, "a", 0, NoticeKind.RUNG, 0.0)
+    assert record.rung == 0
+
+
+def test_a_closing_front_rejects_new_requests_and_answers_open_ones() -> None:
+    harness = Harness()
+    first = harness.request("a")
+    harness.step()
+    harness.manager.stop_accepting()
+    late = harness.request("b")
+    harness.step()
+    assert harness.replies() == {late: ReplyKind.REJECTED}
+    harness.finish_attempt(harness.commands_of(SetUp)[0])
+    harness.step()
+    assert harness.replies()[first] is ReplyKind.PLAYS and len(harness.manager.reply_ledger) == 0
+
+
+@pytest.mark.parametrize("idempotency", list(Idempotency))
+def test_abandoning_answers_open_requests_and_releases_attempts_in_flight(idempotency: Idempotency) -> None:
+    kind = replace(ALONE.classes[0], idempotency=idempotency)
+    harness = Harness(replace(ALONE, classes=(kind, ALONE.classes[1])), server_count=1)
+    harness.manager.limits = replace(harness.manager.limits, unclaimed_session_ttl_ms=0.0)
+    out, ran, unsubmitted = harness.request("out"), harness.request("ran"), 0
+    harness.step()
+    harness.finish_attempt(
+        next(one for one in harness.commands_of(SetUp) if one.request.session_id == "ran"), Result.ERROR
+    )
+    unsubmitted = harness.request("held")  # not yet submitted to the controller
+    harness.commands.clear()
+    harness.manager.abandon_open_requests(harness.now)
+    harness.step()
+    expected = ReplyKind.REJECTED if idempotency is Idempotency.IDEMPOTENT else ReplyKind.FAILED
+    assert harness.replies() == {out: expected, ran: expected, unsubmitted: ReplyKind.REJECTED}
+    assert {one.session_id for one in harness.commands_of(ReleaseSession)} == {
+        "out",
+        "ran",
+    } and not harness.commands_of(SetUp)
+    assert harness.manager.session_count == 0 and len(harness.manager.reply_ledger) == 0
+    harness.commands.clear()
+    harness.manager.abandon_open_requests(harness.now)
+    assert harness.step() == []
+
+
+def test_the_ledger_rejects_a_second_reply() -> None:
     ledger = ReplyLedger()
     ledger.open(1, 100.0)
     with pytest.raises(ReplyLedgerError):
@@ -327,323 +339,346 @@
     for ticket in range(1000):
         ledger.open(ticket + 2, float(ticket))
         ledger.close(ticket + 2)
-    assert len(ledger._deadlines) <= 65, "answered tickets pile up"
+    assert len(ledger._deadlines) <= 65, "closed tickets accumulate"
 
 
-class HostStory(RuleBasedStateMachine):
-    """Anything in any order: each ticket has one answer in time, each session one attempt out."""
+class SessionManagerMachine(RuleBasedStateMachine):
+    """Events in any order: each ticket gets one reply in time, each session has one attempt in flight."""
 
     @initialize(seats=st.sampled_from([0, 1, 2]), probes=st.booleans(), strict=st.booleans())
     def begin(self, seats: int, probes: bool, strict: bool) -> None:
-        self.picture, self.answers = StateProjection(), Counter[str]()
+        self.projection, self.replies = StateProjection(), Counter[str]()
         self.journal = Journal("f", JournalConfig(segment_entries=16))
-        self.journal.watchers.append(self.picture.apply)
+        self.journal.watchers.append(self.projection.apply)
         kinds = tuple(replace(kind, seats=seats) for kind in SETTINGS.classes)
         base = replace(SETTINGS, classes=kinds, may_check_health=probes, front_count=2, drain_grace_ms=0.0)
         settings = replace(base, retry_budget=BUDGET, slow_start=COLD) if strict else base
-        # The module decides the same whether or not it is asked for its reasons.
-        self.silent = Controller(settings, 7)
-        self.desk = Desk(settings, boxes=4, journal=self.journal, batch_observer=self.decides_alike)
-        self.out: dict[str, SetUp] = {}
+        # The controller makes the same decisions whether or not it records its reasons.
+        self.plain_controller = Controller(settings, 7)
+        self.harness = Harness(
+            settings, server_count=4, journal=self.journal, batch_observer=self.compare_decisions
+        )
+        self.in_flight: dict[str, SetUp] = {}
         self.playing: dict[str, SetUp] = {}
-        self.due: dict[int, float] = {}
-        self.left: set[int] = set()
-        self.ended: set[int] = set()  # whose viewers ended their side
-        self.probes: list[int] = []
+        self.deadlines: dict[int, float] = {}
+        self.withdrawn: set[int] = set()
+        self.half_closed: set[int] = set()  # tickets of clients that closed their sending side
+        self.health_checks: list[int] = []
         self.draining: set[int] = set()
 
-    def decides_alike(self, now: float, events: list[Event], actions: list[Action]) -> None:
-        assert self.silent.handle(now, events) == actions
+    def compare_decisions(self, now: float, events: list[Event], actions: list[Action]) -> None:
+        assert self.plain_controller.handle(now, events) == actions
 
     def run(self, after: float = 0.0) -> None:
-        self.batch(0.0)  # what happened in this instant
-        end = self.desk.now + after
-        while (due := self.desk.host.next_deadline()) is not None and due < end:  # as the shell's timer does
-            self.batch(max(due - self.desk.now, 0.0))
-        self.batch(end - self.desk.now)
+        self.batch(0.0)  # the events of this moment
+        end = self.harness.now + after
+        while (
+            deadline := self.harness.manager.next_deadline()
+        ) is not None and deadline < end:  # as the dispatcher's timer does
+            self.batch(max(deadline - self.harness.now, 0.0))
+        self.batch(end - self.harness.now)
 
     def batch(self, after: float) -> None:
-        for command in self.desk.step(after):
+        for command in self.harness.step(after):
             if isinstance(command, SetUp):
-                jti = command.request.session_id
-                assert jti not in self.out, "two attempts out"
-                if not self.desk.host.is_attempt_wanted(jti, command.attempt):
-                    held = self.desk.host.session(jti)
-                    assert command.server in self.draining or held is None or not held.has_waiting_viewer
-                    self.desk.done(command, Result.NOT_SENT)
+                session_id = command.request.session_id
+                assert session_id not in self.in_flight, "two attempts in flight"
+                if not self.harness.manager.is_attempt_wanted(session_id, command.attempt):
+                    record = self.harness.manager.session(session_id)
+                    assert command.server in self.draining or record is None or not record.has_waiting_viewer
+                    self.harness.finish_attempt(command, Result.NOT_SENT)
                     continue
                 assert command.server not in self.draining
                 assert (
-                    command.rung >= self.desk.host.settings.classes[command.request.class_index].lowest_rung
+                    command.rung
+                    >= self.harness.manager.settings.classes[command.request.class_index].lowest_rung
                 )
-                self.out[jti] = command
+                self.in_flight[session_id] = command
             elif isinstance(command, SessionReply):
-                assert command.ticket not in self.left
-                assert self.desk.now <= self.due.pop(command.ticket), "late"
-                self.answers[command.kind.value] += 1
+                assert command.ticket not in self.withdrawn
+                assert self.harness.now <= self.deadlines.pop(command.ticket), "the reply is late"
+                self.replies[command.kind.value] += 1
             elif isinstance(command, SendHealthCheck):
-                self.probes.append(command.server)
+                self.health_checks.append(command.server)
             elif isinstance(command, ReleaseSession):
                 self.playing.pop(command.session_id, None)
 
     @rule(name=st.sampled_from("abcd"), cls=st.integers(0, 1), wait=st.sampled_from([50.0, 400.0, 4000.0]))
-    def ask(self, name: str, cls: int, wait: float) -> None:
-        ticket = self.desk.ask(name, class_index=cls, max_wait_ms=wait)
-        self.due[ticket] = self.desk.now + wait
+    def request_arrives(self, name: str, cls: int, wait: float) -> None:
+        ticket = self.harness.request(name, class_index=cls, max_wait_ms=wait)
+        self.deadlines[ticket] = self.harness.now + wait
 
     @rule(number=st.integers(0, 30))
-    def leave(self, number: int) -> None:
-        if self.due:
-            ticket = sorted(self.due)[number % len(self.due)]
-            if ticket in self.desk.host.reply_ledger:  # else its answer is on the way already
-                del self.due[ticket]
-                self.left.add(ticket)
-            self.desk.host.withdraw_request(self.desk.now, ticket)
+    def client_disconnects(self, number: int) -> None:
+        if self.deadlines:
+            ticket = sorted(self.deadlines)[number % len(self.deadlines)]
+            if ticket in self.harness.manager.reply_ledger:  # otherwise its reply was sent already
+                del self.deadlines[ticket]
+                self.withdrawn.add(ticket)
+            self.harness.manager.withdraw_request(self.harness.now, ticket)
 
     @rule(number=st.integers(0, 30))
-    def side_ends(self, number: int) -> None:
-        if self.due:
-            ticket = sorted(self.due)[number % len(self.due)]
-            self.ended.add(ticket)
-            self.desk.host.on_client_half_closed(self.desk.now, ticket)
+    def client_half_closes(self, number: int) -> None:
+        if self.deadlines:
+            ticket = sorted(self.deadlines)[number % len(self.deadlines)]
+            self.half_closed.add(ticket)
+            self.harness.manager.on_client_half_closed(self.harness.now, ticket)
 
     @rule(number=st.integers(0, 30), result=st.sampled_from([Result.OK, *Result]))
     def attempt_ends(self, number: int, result: Result) -> None:
-        if self.out:
-            jti = sorted(self.out)[number % len(self.out)]
-            setup = self.out.pop(jti)
-            self.desk.done(setup, result)
+        if self.in_flight:
+            session_id = sorted(self.in_flight)[number % len(self.in_flight)]
+            set_up = self.in_flight.pop(session_id)
+            self.harness.finish_attempt(set_up, result)
             if result is Result.OK:
-                self.playing[jti] = setup
+                self.playing[session_id] = set_up
 
     @rule(number=st.integers(0, 30), result=st.sampled_from([Result.OK, Result.RESET]))
     def session_ends(self, number: int, result: Result) -> None:
         if self.playing:
-            jti = sorted(self.playing)[number % len(self.playing)]
-            self.desk.host.on_session_ended(self.desk.now, jti, self.playing.pop(jti).attempt, result)
+            session_id = sorted(self.playing)[number % len(self.playing)]
+            self.harness.manager.on_session_ended(
+                self.harness.now, session_id, self.playing.pop(session_id).attempt, result
+            )
 
     @rule(ok=st.booleans())
-    def probe_ends(self, ok: bool) -> None:
-        if self.probes:
+    def health_check_ends(self, ok: bool) -> None:
+        if self.health_checks:
             result = Result.OK if ok else Result.TIMEOUT
-            self.desk.host.on_health_check_finished(
-                self.desk.now, self.probes.pop(), result, 1.0, {"x0": 0.2, "x1": 0.2}
+            self.harness.manager.on_health_check_finished(
+                self.harness.now, self.health_checks.pop(), result, 1.0, {"x0": 0.2, "x1": 0.2}
             )
 
     @rule(server=st.integers(1, 4), state=st.sampled_from([ServerState.READY, ServerState.DRAINING]))
-    def told(self, server: int, state: ServerState) -> None:
+    def endpoint_list_changes(self, server: int, state: ServerState) -> None:
         (self.draining.add if state is ServerState.DRAINING else self.draining.discard)(server)
         update = EndpointListUpdate(EndpointListKind.DELTA, 2, (entry(server, cell=server % 4, state=state),))
-        self.desk.host.on_endpoint_list(self.desk.now, update)
+        self.harness.manager.on_endpoint_list(self.harness.now, update)
 
     @rule(server=st.integers(1, 4))
-    def box_lost(self, server: int) -> None:
-        self.desk.host.on_server_lost(self.desk.now, server)
-        self.playing = {jti: one for jti, one in self.playing.items() if one.server != server}
+    def server_lost(self, server: int) -> None:
+        self.harness.manager.on_server_lost(self.harness.now, server)
+        self.playing = {session_id: one for session_id, one in self.playing.items() if one.server != server}
 
     @rule(after=st.sampled_from([0.0, 1.0, 250.0]))
-    def time_goes_on(self, after: float) -> None:
+    def time_advances(self, after: float) -> None:
         self.run(after)
-        self.desk.host.on_timer(self.desk.now, 1)
+        self.harness.manager.on_timer(self.harness.now, 1)
         self.run()
-        due = self.desk.host.next_deadline()
-        if due is not None and due <= self.desk.now:
+        deadline = self.harness.manager.next_deadline()
+        if deadline is not None and deadline <= self.harness.now:
             self.run()
 
     @invariant()
-    def accounts_agree(self) -> None:
-        if hasattr(self, "desk"):
-            host = self.desk.host
-            for (
-                held
-            ) in host._table.by_id.values():  # what waits or is to be placed waits for somebody who stays
-                if held.phase is not SessionPhase.IN_FLIGHT:
-                    assert self.ended.isdisjoint(held.tickets) and not held.half_closed_tickets
-            if not (host._context.events or host._context.abandoned):
-                assert set(host.controller.sessions) == {one.number for one in host._table.by_id.values()}
+    def state_is_consistent(self) -> None:
+        if hasattr(self, "harness"):
+            manager = self.harness.manager
+            for record in (
+                manager._table.by_id.values()
+            ):  # a session without an attempt has a client that can still send
+                if record.phase is not SessionPhase.IN_FLIGHT:
+                    assert self.half_closed.isdisjoint(record.tickets) and not record.half_closed_tickets
+            if not (manager._context.events or manager._context.abandoned):
+                assert set(manager.controller.sessions) == {
+                    one.number for one in manager._table.by_id.values()
+                }
                 out = Counter(
-                    one.server for one in host._table.by_id.values() if one.phase is SessionPhase.IN_FLIGHT
+                    one.server for one in manager._table.by_id.values() if one.phase is SessionPhase.IN_FLIGHT
                 )
-                servers = host.controller.servers.values()
+                servers = manager.controller.servers.values()
                 assert {
                     one.server_id: one.attempts_in_flight for one in servers if one.attempts_in_flight
                 } == dict(out)
-            assert {ticket for ticket in self.left if ticket in host.reply_ledger} == set()
-            for jti, setup in self.out.items():
-                held = host.session(jti)
-                assert held is None or held.attempt >= setup.attempt
+            assert {ticket for ticket in self.withdrawn if ticket in manager.reply_ledger} == set()
+            for session_id, set_up in self.in_flight.items():
+                record = manager.session(session_id)
+                assert record is None or record.attempt >= set_up.attempt
 
     @invariant()
-    def the_journal_agrees(self) -> None:
-        """The picture folded from the journal shows what the host holds, and how it answered."""
-        if not hasattr(self, "desk"):
+    def journal_matches_state(self) -> None:
+        """The projection of the journal matches the manager's sessions and replies."""
+        if not hasattr(self, "harness"):
             return
-        host, picture = self.desk.host, self.picture
-        rows = {row.session: row for row in picture.sessions.values()}
-        assert set(rows) == set(host._table.by_id)
-        for jti, held in host._table.by_id.items():
-            assert (rows[jti].phase, rows[jti].attempt) == (held.phase.value, held.attempt)
-            if held.phase in (SessionPhase.IN_FLIGHT, SessionPhase.PLAYING):
-                assert (rows[jti].server, rows[jti].rung) == (held.server, held.sent_rung)
-        for number, box in picture.servers.items():
-            assert box.playing == len(host.sessions_playing_at(number))
-            assert ServerState[box.state.upper()] is host._servers.states[number]
-            assert box.silent == (number in host._servers.silent)
-        waiting = sum(isinstance(one, SessionReply) for one in host._context.commands)
-        assert sum(picture.answers.values()) == sum(self.answers.values()) + waiting
-        assert StateProjection.from_plain(picture.to_plain()) == picture
+        manager, projection = self.harness.manager, self.projection
+        rows = {row.session: row for row in projection.sessions.values()}
+        assert set(rows) == set(manager._table.by_id)
+        for session_id, record in manager._table.by_id.items():
+            assert (rows[session_id].phase, rows[session_id].attempt) == (record.phase.value, record.attempt)
+            if record.phase in (SessionPhase.IN_FLIGHT, SessionPhase.PLAYING):
+                assert (rows[session_id].server, rows[session_id].rung) == (record.server, record.sent_rung)
+        for number, box in projection.servers.items():
+            assert box.playing == len(manager.sessions_playing_at(number))
+            assert ServerState[box.state.upper()] is manager._servers.states[number]
+            assert box.silent == (number in manager._servers.silent)
+        waiting = sum(isinstance(one, SessionReply) for one in manager._context.commands)
+        assert sum(projection.answers.values()) == sum(self.replies.values()) + waiting
+        assert StateProjection.from_plain(projection.to_plain()) == projection
 
     def teardown(self) -> None:
-        if not hasattr(self, "desk"):
+        if not hasattr(self, "harness"):
             return
-        for _ in range(60):  # everything ends: what is out ends, and time passes
-            for jti in sorted(self.out):
-                self.desk.done(self.out.pop(jti), Result.TIMEOUT)
+        for _ in range(60):  # all attempts end, and time passes
+            for session_id in sorted(self.in_flight):
+                self.harness.finish_attempt(self.in_flight.pop(session_id), Result.TIMEOUT)
             self.run(100.0)
-        assert self.due == {}, "a request without an answer"
-        assert len(self.desk.host.reply_ledger) == 0
+        assert self.deadlines == {}, "a request without a reply"
+        assert len(self.harness.manager.reply_ledger) == 0
         again = StateProjection()
         for one in self.journal.entries(1):
             again.apply(one)
-        assert again == self.picture and +self.picture.answers == self.answers
-        lives = Counter(one.session for one in self.journal.entries(1) if one.what is EventKind.ASKED)
-        ends = Counter(one.session for one in self.journal.entries(1) if one.what is EventKind.ENDED)
-        assert lives - ends == Counter(jti for jti in self.desk.host._table.by_id)
+        assert again == self.projection and +self.projection.answers == self.replies
+        begun = Counter(one.session for one in self.journal.entries(1) if one.what is EventKind.ASKED)
+        ended = Counter(one.session for one in self.journal.entries(1) if one.what is EventKind.ENDED)
+        assert begun - ended == Counter(session_id for session_id in self.harness.manager._table.by_id)
 
 
-HostStory.TestCase.settings = hypothesis_settings(max_examples=200, stateful_step_count=40)
-TestHostStory = HostStory.TestCase
+SessionManagerMachine.TestCase.settings = hypothesis_settings(max_examples=200, stateful_step_count=40)
+TestSessionManagerMachine = SessionManagerMachine.TestCase
 
 
-def test_a_session_taken_over_plays_counts_and_its_end_is_told_once() -> None:
-    desk = Desk(SEATS)
-    ask = SessionRequest(0, "x", "a", "who", "lesson", 5, 0, 4, 0, 3, 4000.0, viewer_key=77)
-    assert desk.host.adopt_session(desk.now, ask, 1)
-    assert not desk.host.adopt_session(desk.now, ask, 2)  # told again: held already
-    assert not desk.host.adopt_session(desk.now, replace(ask, session_id="b"), 99)  # no such box
-    desk.step()
+def test_an_adopted_session_takes_a_seat_and_its_end_is_reported_once() -> None:
+    harness = Harness(SEATS)
+    request = SessionRequest(0, "x", "a", "who", "lesson", 5, 0, 4, 0, 3, 4000.0, viewer_key=77)
+    assert harness.manager.adopt_session(harness.now, request, 1)
+    assert not harness.manager.adopt_session(harness.now, request, 2)  # told again: record already
+    assert not harness.manager.adopt_session(
+        harness.now, replace(request, session_id="b"), 99
+    )  # no such server
+    harness.step()
     for name in ("c", "d"):  # one seat of two is left
-        desk.ask(name)
-        desk.step()
-    assert len(desk.of(SetUp)) == 1
-    desk.host.on_session_ended(desk.now, "a", 0, Result.RESET)
-    desk.host.on_session_ended(desk.now, "a", 0, Result.RESET)
-    desk.step()
-    assert [(over.request.session_id, over.is_ended_by_viewer) for over in desk.of(SessionOver)] == [
-        ("a", False)
-    ]
-    assert desk.host.session_count == 1
-
-
-def test_where_nobody_returns_an_attempt_is_released_when_its_viewer_leaves() -> None:
-    desk = Desk()
-    desk.host.limits = SessionLimits(reply_margin_ms=0.0, unclaimed_session_ttl_ms=0.0)
-    ticket = desk.ask("a", viewer_key=77, body=b"offer")
-    desk.step()
-    (setup,) = desk.of(SetUp)
-    assert setup.request.body == b"offer"
-    desk.host.withdraw_request(desk.now, ticket)
-    desk.done(setup)  # its answer comes in the same moment
-    desk.step()
-    assert [(one.session_id, one.attempt) for one in desk.of(ReleaseSession)] == [("a", 0)]
-    assert desk.answers() == {} and desk.of(SessionOver) == [] and desk.host.session_count == 0
-    assert not desk.host._table.known_viewers  # a viewer with a key of its own leaves nothing behind
-
-
-def test_a_front_that_stops_waits_for_nobody_whose_viewers_all_left() -> None:
+        harness.request(name)
+        harness.step()
+    assert len(harness.commands_of(SetUp)) == 1
+    harness.manager.on_session_ended(harness.now, "a", 0, Result.RESET)
+    harness.manager.on_session_ended(harness.now, "a", 0, Result.RESET)
+    harness.step()
+    assert [
+        (over.request.session_id, over.is_ended_by_viewer) for over in harness.commands_of(SessionOver)
+    ] == [("a", False)]
+    assert harness.manager.session_count == 1
+
+
+def test_without_a_return_time_an_attempt_is_released_when_its_viewer_leaves() -> None:
+    harness = Harness()
+    harness.manager.limits = SessionLimits(reply_margin_ms=0.0, unclaimed_session_ttl_ms=0.0)
+    ticket = harness.request("a", viewer_key=77, body=b"offer")
+    harness.step()
+    (set_up,) = harness.commands_of(SetUp)
+    assert set_up.request.body == b"offer"
+    harness.manager.withdraw_request(harness.now, ticket)
+    harness.finish_attempt(set_up)  # the attempt ends in the same batch
+    harness.step()
+    assert [(one.session_id, one.attempt) for one in harness.commands_of(ReleaseSession)] == [("a", 0)]
+    assert (
+        harness.replies() == {}
+        and harness.commands_of(SessionOver) == []
+        and harness.manager.session_count == 0
+    )
+    assert not harness.manager._table.known_viewers  # a viewer with its own key is not stored
+
+
+def test_a_drain_ends_when_all_viewers_have_left() -> None:
     async def story() -> bool:
-        core = Dispatcher(SessionManager(ALONE, 7), log=None)
-        core.server_transport = Mock()  # the set-up stays out
-        core.sessions.on_endpoint_list(core.now(), EndpointListUpdate(EndpointListKind.FULL, 1, (entry(1),)))
-        ask = SessionRequest(core.next_ticket(), "dash", "a", "who", "lesson", 5, 0, 4, 0, 3, 4000.0)
-        core.submit(ask, lambda answer: None)
-        asyncio.get_running_loop().call_soon(core.withdraw_request, ask.ticket)
-        return await core.drain(10.0)
+        dispatcher = Dispatcher(SessionManager(ALONE, 7), log=None)
+        dispatcher.server_transport = Mock()  # the attempt stays in flight
+        dispatcher.sessions.on_endpoint_list(
+            dispatcher.now(), EndpointListUpdate(EndpointListKind.FULL, 1, (entry(1),))
+        )
+        request = SessionRequest(
+            dispatcher.next_ticket(), "dash", "a", "who", "lesson", 5, 0, 4, 0, 3, 4000.0
+        )
+        dispatcher.submit(request, lambda answer: None)
+        asyncio.get_running_loop().call_soon(dispatcher.withdraw_request, request.ticket)
+        return await dispatcher.drain(10.0)
 
     assert asyncio.run(story())
 
 
-NEVER_TWICE = 1  # the class of SETTINGS that may not simply be set up again
-FRONT_WAITS = replace(
+NOT_IDEMPOTENT_CLASS = 1  # index in SETTINGS.classes; an attempt that may have run must not be repeated
+NOT_IDEMPOTENT_SETTINGS = replace(
     ALONE, classes=(ALONE.classes[0], replace(ALONE.classes[1], idempotency=Idempotency.NOT_IDEMPOTENT))
 )
 
 
 @pytest.mark.parametrize("gated", [True, False])
 def test_who_ends_its_side_before_an_attempt_is_out_is_refused_at_once(gated: bool) -> None:
-    desk = Desk(checks_entitlement=gated)
-    ticket = desk.ask("a")
+    harness = Harness(checks_entitlement=gated)
+    ticket = harness.request("a")
     if gated:
-        desk.step()
-    desk.host.on_client_half_closed(desk.now, ticket)
-    desk.host.on_client_half_closed(desk.now, ticket)  # told twice, answered once
-    desk.step()
-    assert desk.answers() == {ticket: ReplyKind.REJECTED} and desk.of(SetUp) == []
-    desk.host.on_entitlement_decided(desk.now, "a", True)  # the verdict comes late
-    desk.step()
-    desk.step()
-    assert desk.of(SetUp) == [] and desk.host.session_count == 0 and len(desk.host.reply_ledger) == 0
-    assert [left.session_id for left in desk.of(EntitlementReleased)] == ["a"] * gated
-
-
-def test_who_ends_its_side_while_an_attempt_is_out_hears_how_it_ended() -> None:
-    desk = Desk()
-    ticket = desk.ask("a")
-    desk.step()
-    desk.host.on_client_half_closed(desk.now, ticket)
-    desk.step()
-    assert desk.answers() == {}
-    desk.done(desk.of(SetUp)[0])
-    desk.step()
-    assert desk.answers() == {ticket: ReplyKind.PLAYS} and desk.host.session_count == 1
-    desk.host.on_client_half_closed(desk.now, ticket)  # as its answer is being written
-    desk.step(2000)
-    assert desk.of(ReleaseSession) == []  # it heard
+        harness.step()
+    harness.manager.on_client_half_closed(harness.now, ticket)
+    harness.manager.on_client_half_closed(harness.now, ticket)  # reported twice, answered once
+    harness.step()
+    assert harness.replies() == {ticket: ReplyKind.REJECTED} and harness.commands_of(SetUp) == []
+    harness.manager.on_entitlement_decided(harness.now, "a", True)  # the decision arrives late
+    harness.step()
+    harness.step()
+    assert (
+        harness.commands_of(SetUp) == []
+        and harness.manager.session_count == 0
+        and len(harness.manager.reply_ledger) == 0
+    )
+    assert [left.session_id for left in harness.commands_of(EntitlementReleased)] == ["a"] * gated
+
+
+def test_a_half_closed_client_gets_the_result_of_an_attempt_in_flight() -> None:
+    harness = Harness()
+    ticket = harness.request("a")
+    harness.step()
+    harness.manager.on_client_half_closed(harness.now, ticket)
+    harness.step()
+    assert harness.replies() == {}
+    harness.finish_attempt(harness.commands_of(SetUp)[0])
+    harness.step()
+    assert harness.replies() == {ticket: ReplyKind.PLAYS} and harness.manager.session_count == 1
+    harness.manager.on_client_half_closed(harness.now, ticket)  # while its reply is being written
+    harness.step(2000)
+    assert harness.commands_of(ReleaseSession) == []  # the reply was delivered
 
 
 @pytest.mark.parametrize(
-    ("cls", "result", "said"),
+    ("cls", "result", "expected"),
     [
         (0, Result.ERROR, ReplyKind.REJECTED),
-        (NEVER_TWICE, Result.ERROR, ReplyKind.FAILED),  # a refusal would say that it never ran
-        (NEVER_TWICE, Result.NOT_SENT, ReplyKind.REJECTED),
-        (NEVER_TWICE, Result.FULL, ReplyKind.REJECTED),
-        (NEVER_TWICE, Result.CONNECT_FAILED, ReplyKind.REJECTED),
-        (NEVER_TWICE, Result.TIMEOUT, ReplyKind.FAILED),
+        (NOT_IDEMPOTENT_CLASS, Result.ERROR, ReplyKind.FAILED),  # a rejection would mean that it never ran
+        (NOT_IDEMPOTENT_CLASS, Result.NOT_SENT, ReplyKind.REJECTED),
+        (NOT_IDEMPOTENT_CLASS, Result.FULL, ReplyKind.REJECTED),
+        (NOT_IDEMPOTENT_CLASS, Result.CONNECT_FAILED, ReplyKind.REJECTED),
+        (NOT_IDEMPOTENT_CLASS, Result.TIMEOUT, ReplyKind.FAILED),
     ],
 )
 def test_after_its_viewer_ended_its_side_no_further_attempt_begins(
-    cls: int, result: Result, said: ReplyKind
+    cls: int, result: Result, expected: ReplyKind
 ) -> None:
-    desk = Desk(FRONT_WAITS)
-    ticket = desk.ask("a", class_index=cls)
-    desk.step()
-    (setup,) = desk.of(SetUp)
-    assert desk.host.is_attempt_wanted("a", 0)
-    desk.host.on_client_half_closed(desk.now, ticket)
-    assert not desk.host.is_attempt_wanted("a", 0)  # were it not sent yet, it would not be
-    desk.done(setup, result)
-    desk.step()
-    desk.step()
-    assert desk.answers() == {ticket: said} and desk.of(SetUp) == [setup]
-    assert desk.host.session_count == 0 and desk.host.controller.sessions == {}
-    assert len(desk.host.reply_ledger) == 0
+    harness = Harness(NOT_IDEMPOTENT_SETTINGS)
+    ticket = harness.request("a", class_index=cls)
+    harness.step()
+    (set_up,) = harness.commands_of(SetUp)
+    assert harness.manager.is_attempt_wanted("a", 0)
+    harness.manager.on_client_half_closed(harness.now, ticket)
+    assert not harness.manager.is_attempt_wanted("a", 0)  # if it has not been sent yet, it must not be
+    harness.finish_attempt(set_up, result)
+    harness.step()
+    harness.step()
+    assert harness.replies() == {ticket: expected} and harness.commands_of(SetUp) == [set_up]
+    assert harness.manager.session_count == 0 and harness.manager.controller.sessions == {}
+    assert len(harness.manager.reply_ledger) == 0
 
 
 def test_a_failed_attempt_and_the_end_of_a_viewers_side_in_one_batch_either_way_round() -> None:
     for fails_first in (True, False):
-        desk = Desk()
-        ticket = desk.ask("a")
-        desk.step()
-        (setup,) = desk.of(SetUp)
+        harness = Harness()
+        ticket = harness.request("a")
+        harness.step()
+        (set_up,) = harness.commands_of(SetUp)
         if fails_first:
-            desk.done(setup, Result.ERROR)
-        desk.host.on_client_half_closed(desk.now, ticket)
+            harness.finish_attempt(set_up, Result.ERROR)
+        harness.manager.on_client_half_closed(harness.now, ticket)
         if not fails_first:
-            desk.done(setup, Result.ERROR)
-        desk.step()
-        assert desk.answers() == {ticket: ReplyKind.REJECTED} and desk.of(SetUp) == [setup]
-        assert desk.host.session_count == 0
+            harness.finish_attempt(set_up, Result.ERROR)
+        harness.step()
+        assert harness.replies() == {ticket: ReplyKind.REJECTED} and harness.commands_of(SetUp) == [set_up]
+        assert harness.manager.session_count == 0
 
 
 @pytest.mark.parametrize("how", ["withdraw_request", "on_client_half_closed"])
@@ -651,136 +686,160 @@
 def test_the_module_holds_nobody_whose_viewer_left_in_the_batch_that_would_place_it(
     before: str, how: str
 ) -> None:
-    desk = Desk(replace(SETTINGS, front_count=2) if before == "probe" else ALONE)
+    harness = Harness(replace(SETTINGS, front_count=2) if before == "probe" else ALONE)
     if before == "probe":
-        desk.step(60_000)  # of no server anything is known
-    ticket = desk.ask("a")
+        harness.step(60_000)  # no server has a recent report
+    ticket = harness.request("a")
     if before == "failed attempt":
-        desk.step()
-        desk.done(desk.of(SetUp)[0], Result.ERROR)
+        harness.step()
+        harness.finish_attempt(harness.commands_of(SetUp)[0], Result.ERROR)
     elif before == "probe":
-        desk.step()
-        (probe,) = desk.of(SendHealthCheck)
-        desk.host.on_health_check_finished(desk.now, probe.server, Result.OK, 1.0, {"x0": 0.2, "x1": 0.2})
-    getattr(desk.host, how)(desk.now, ticket)
-    desk.step()
-    desk.step()
-    module = desk.host.controller
-    assert len(desk.of(SetUp)) == (before == "failed attempt")
-    assert module.sessions == {} and not any(one.attempts_in_flight for one in module.servers.values())
-    assert desk.host.session_count == 0 and len(desk.host.reply_ledger) == 0
+        harness.step()
+        (probe,) = harness.commands_of(SendHealthCheck)
+        harness.manager.on_health_check_finished(
+            harness.now, probe.server, Result.OK, 1.0, {"x0": 0.2, "x1": 0.2}
+        )
+    getattr(harness.manager, how)(harness.now, ticket)
+    harness.step()
+    harness.step()
+    controller = harness.manager.controller
+    assert len(harness.commands_of(SetUp)) == (before == "failed attempt")
+    assert controller.sessions == {} and not any(
+        one.attempts_in_flight for one in controller.servers.values()
+    )
+    assert harness.manager.session_count == 0 and len(harness.manager.reply_ledger) == 0
 
 
 def test_a_session_goes_on_for_those_who_still_wait() -> None:
-    desk = Desk()
-    leaver, stayer = desk.ask("a"), desk.ask("a")
-    desk.step()
-    desk.host.on_client_half_closed(desk.now, leaver)
-    assert desk.host.is_attempt_wanted("a", 0)
-    desk.done(desk.of(SetUp)[0], Result.ERROR)
-    desk.step()
-    assert desk.answers() == {leaver: ReplyKind.REJECTED} and len(desk.of(SetUp)) == 2
-    desk.host.on_client_half_closed(desk.now, stayer)
-    again = desk.ask("a")  # who comes while it is out is waited for
-    assert desk.host.is_attempt_wanted("a", 1)
-    desk.done(desk.of(SetUp)[1])
-    desk.step()
-    assert desk.answers() == {leaver: ReplyKind.REJECTED, stayer: ReplyKind.PLAYS, again: ReplyKind.PLAYS}
-
-
-def test_a_leavers_time_runs_on_and_its_connection_may_break_besides() -> None:
-    desk = Desk()
-    first, second = desk.ask("a", max_wait_ms=300.0), desk.ask("b")
-    desk.step()
-    desk.host.on_client_half_closed(desk.now, first)
-    desk.host.on_client_half_closed(desk.now, second)
-    desk.host.withdraw_request(desk.now, second)
-    desk.step(300)
-    assert desk.answers() == {first: ReplyKind.FAILED}
-    for setup in desk.of(SetUp):
-        desk.done(setup, Result.ERROR)
-    desk.step()
-    assert desk.answers() == {first: ReplyKind.FAILED} and desk.host.session_count == 0
-    assert len(desk.of(SetUp)) == 2 and len(desk.host.reply_ledger) == 0
-
-
-def core_story(story: Callable[[Dispatcher, Mock], Awaitable[None]], **limits: float) -> None:
-    """Plays a story against a core with one box, whose ways and log are stand-ins."""
+    harness = Harness()
+    leaver, stayer = harness.request("a"), harness.request("a")
+    harness.step()
+    harness.manager.on_client_half_closed(harness.now, leaver)
+    assert harness.manager.is_attempt_wanted("a", 0)
+    harness.finish_attempt(harness.commands_of(SetUp)[0], Result.ERROR)
+    harness.step()
+    assert harness.replies() == {leaver: ReplyKind.REJECTED} and len(harness.commands_of(SetUp)) == 2
+    harness.manager.on_client_half_closed(harness.now, stayer)
+    again = harness.request("a")  # a request during the attempt waits for it
+    assert harness.manager.is_attempt_wanted("a", 1)
+    harness.finish_attempt(harness.commands_of(SetUp)[1])
+    harness.step()
+    assert harness.replies() == {leaver: ReplyKind.REJECTED, stayer: ReplyKind.PLAYS, again: ReplyKind.PLAYS}
+
+
+def test_a_half_closed_request_keeps_its_deadline_and_may_be_withdrawn() -> None:
+    harness = Harness()
+    first, second = harness.request("a", max_wait_ms=300.0), harness.request("b")
+    harness.step()
+    harness.manager.on_client_half_closed(harness.now, first)
+    harness.manager.on_client_half_closed(harness.now, second)
+    harness.manager.withdraw_request(harness.now, second)
+    harness.step(300)
+    assert harness.replies() == {first: ReplyKind.FAILED}
+    for set_up in harness.commands_of(SetUp):
+        harness.finish_attempt(set_up, Result.ERROR)
+    harness.step()
+    assert harness.replies() == {first: ReplyKind.FAILED} and harness.manager.session_count == 0
+    assert len(harness.commands_of(SetUp)) == 2 and len(harness.manager.reply_ledger) == 0
+
+
+def run_story_with_dispatcher(story: Callable[[Dispatcher, Mock], Awaitable[None]], **limits: float) -> None:
+    """Runs a story with a dispatcher and one server; the transport and the log are mocks."""
 
     async def run() -> None:
-        host = SessionManager(
+        manager = SessionManager(
             ALONE, 7, SessionLimits(reply_margin_ms=0.0, unclaimed_session_ttl_ms=0.0, **limits)
         )
-        core, doer = Dispatcher(host, log=Mock()), Mock()
-        core.server_transport = doer
-        host.on_endpoint_list(core.now(), EndpointListUpdate(EndpointListKind.FULL, 1, (entry(1),)))
-        await story(core, doer)
-        core.stop()
+        dispatcher, transport = Dispatcher(manager, log=Mock()), Mock()
+        dispatcher.server_transport = transport
+        manager.on_endpoint_list(dispatcher.now(), EndpointListUpdate(EndpointListKind.FULL, 1, (entry(1),)))
+        await story(dispatcher, transport)
+        dispatcher.stop()
 
     asyncio.run(run())
 
 
-def put(core: Dispatcher, jti: str, got: list[SessionReply], wait_ms: float = 4000.0) -> int:
-    ask = SessionRequest(core.next_ticket(), "dash", jti, "who", "lesson", 5, 0, 4, 0, 3, wait_ms)
-    core.submit(ask, got.append)
-    return ask.ticket
+def submit(
+    dispatcher: Dispatcher, session_id: str, replies: list[SessionReply], wait_ms: float = 4000.0
+) -> int:
+    request = SessionRequest(
+        dispatcher.next_ticket(), "dash", session_id, "who", "lesson", 5, 0, 4, 0, 3, wait_ms
+    )
+    dispatcher.submit(request, replies.append)
+    return request.ticket
 
 
 def test_a_set_up_or_probe_that_could_not_be_begun_ends_as_one_that_failed() -> None:
-    async def story(core: Dispatcher, doer: Mock) -> None:
-        doer.set_up.side_effect = doer.check_health.side_effect = ValueError("a fault of this program")
-        got: list[SessionReply] = []
-        put(core, "a", got)
-        await until(lambda: got)  # long before its time is over
+    async def story(dispatcher: Dispatcher, transport: Mock) -> None:
+        transport.set_up.side_effect = transport.check_health.side_effect = ValueError(
+            "a fault of this program"
+        )
+        replies: list[SessionReply] = []
+        submit(dispatcher, "a", replies)
+        await until(lambda: replies)  # long before its deadline
         assert (
-            got[0].kind is ReplyKind.REJECTED
-            and core.sessions.session_count == 0
-            and len(core.sessions.reply_ledger) == 0
+            replies[0].kind is ReplyKind.REJECTED
+            and dispatcher.sessions.session_count == 0
+            and len(dispatcher.sessions.reply_ledger) == 0
+        )
+        controller = dispatcher.sessions.controller
+        assert not any(
+            one.attempts_in_flight or one.is_checking_health for one in controller.servers.values()
         )
-        module = core.sessions.controller
-        assert not any(one.attempts_in_flight or one.is_checking_health for one in module.servers.values())
 
-    core_story(story)
+    run_story_with_dispatcher(story)
 
 
 def test_a_fault_in_telling_one_viewer_costs_no_other_its_answer_and_leaves_no_session() -> None:
-    async def story(core: Dispatcher, doer: Mock) -> None:
-        got: list[SessionReply] = []
-        ask = SessionRequest(core.next_ticket(), "dash", "a", "who", "lesson", 5, 0, 4, 0, 3, 4000.0)
-        core.submit(ask, Mock(side_effect=ValueError("a fault of this program")))
-        await until(lambda: doer.set_up.called)
-        core.sessions.on_attempt_finished(core.now(), "a", 0, SetUpResult(Result.OK, 1.0, {}, "manifest"))
-        core.sessions.stop_accepting()
-        put(core, "b", got)
-        await until(lambda: got)
-        assert await core.drain(10.0) and core.sessions.session_count == 0  # nobody heard that it plays
-        await until(lambda: doer.release.called)
+    async def story(dispatcher: Dispatcher, transport: Mock) -> None:
+        replies: list[SessionReply] = []
+        request = SessionRequest(
+            dispatcher.next_ticket(), "dash", "a", "who", "lesson", 5, 0, 4, 0, 3, 4000.0
+        )
+        dispatcher.submit(request, Mock(side_effect=ValueError("a fault of this program")))
+        await until(lambda: transport.set_up.called)
+        dispatcher.sessions.on_attempt_finished(
+            dispatcher.now(), "a", 0, SetUpResult(Result.OK, 1.0, {}, "manifest")
+        )
+        dispatcher.sessions.stop_accepting()
+        submit(dispatcher, "b", replies)
+        await until(lambda: replies)
+        assert (
+            await dispatcher.drain(10.0) and dispatcher.sessions.session_count == 0
+        )  # the reply that it plays was not delivered
+        await until(lambda: transport.release.called)
 
-    core_story(story)
+    run_story_with_dispatcher(story)
 
 
 def test_a_batch_that_fails_leaves_what_was_asked_its_time_and_its_answer() -> None:
-    async def story(core: Dispatcher, doer: Mock) -> None:
-        got: list[SessionReply] = []
+    async def story(dispatcher: Dispatcher, transport: Mock) -> None:
+        replies: list[SessionReply] = []
         with patch.object(
-            core.sessions.controller, "handle", side_effect=ValueError("a fault of the module")
+            dispatcher.sessions.controller, "handle", side_effect=ValueError("a fault of the module")
         ):
-            put(core, "a", got, 50.0)
-            core.after_step(Mock(side_effect=ValueError("a fault of this program")))
-            await until(lambda: core.log.error.called)
-        await until(lambda: got)
-        assert got[0].kind is ReplyKind.FAILED and got[0].is_timeout and core.sessions.session_count == 0
+            submit(dispatcher, "a", replies, 50.0)
+            dispatcher.after_step(Mock(side_effect=ValueError("a fault of this program")))
+            await until(lambda: dispatcher.log.error.called)
+        await until(lambda: replies)
+        assert (
+            replies[0].kind is ReplyKind.FAILED
+            and replies[0].is_timeout
+            and dispatcher.sessions.session_count == 0
+        )
 
-    core_story(story)
+    run_story_with_dispatcher(story)
 
 
 def test_what_is_asked_in_the_turn_of_the_stop_is_answered_before_it() -> None:
-    async def story(core: Dispatcher, doer: Mock) -> None:
-        got: list[SessionReply] = []
-        assert await core.drain(10.0)
-        put(core, "a", got)
-        core.run_last_step()
-        core.stop()
-        assert [one.kind for one in got] == [ReplyKind.REJECTED] and len(core.sessions.reply_ledger) == 0
-
-    core_story(story)
+    async def story(dispatcher: Dispatcher, transport: Mock) -> None:
+        replies: list[SessionReply] = []
+        assert await dispatcher.drain(10.0)
+        submit(dispatcher, "a", replies)
+        dispatcher.run_last_step()
+        dispatcher.stop()
+        assert [one.kind for one in replies] == [ReplyKind.REJECTED] and len(
+            dispatcher.sessions.reply_ledger
+        ) == 0
+
+    run_story_with_dispatcher(story)
