--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,4 +1,7 @@
-"""Sessions admitted by an entitlement server, over sockets; its own report is what is judged."""
+"""Tests of sessions that need a seat of an entitlement server, over sockets.
+
+The results are judged by the server's own report of its leases.
+"""
 
 from __future__ import annotations
 
@@ -31,33 +34,37 @@
 PLAN = SitePlan(times=QUICK, classes=CLASSES)
 
 
-def desk(seats: int = 10) -> LeaseDesk:
+def make_lease_server(seats: int = 10) -> LeaseDesk:
     return LeaseDesk(ttl_ms=2_000.0, default=seats)
 
 
-def test_seats_are_taken_kept_and_given_back() -> None:
-    mine = desk(seats=2)
+def test_seats_are_granted_renewed_and_released() -> None:
+    lease_server = make_lease_server(seats=2)
 
     async def story(scene: Scene) -> None:
         wishes = [scene.wish(cls="briefing") for _ in range(3)]
-        # Each token twice at once: a seat is one session's, however often it asks.
+        # Each token twice at once: a session has one seat, however many requests it sends.
         replies = await asyncio.gather(*(scene.ask(wish) for wish in [*wishes, *wishes]))
         assert sorted(reply.status for reply in replies) == [200] * 4 + [503] * 2
         refused = next(reply for reply in replies if reply.status == 503)
         assert b"no seat is free" in refused.body and int(refused.headers.get("retry-after")) >= 1
-        fences = {lease.fence for lease in mine.leases.values()}
-        await until(lambda: mine.fence >= max(fences) + 2)  # renewed while they play
+        fences = {lease.fence for lease in lease_server.leases.values()}
+        await until(lambda: lease_server.fence >= max(fences) + 2)  # renewed while the sessions play
         for wish in wishes:
             await scene.http("DELETE", "/lessons/lesson-0/session", wish)
-        await until(lambda: not mine.leases)
+        await until(lambda: not lease_server.leases)
         assert (await scene.ask(wishes[2])).status == 200
 
-    play(story, PLAN, desk=mine)
-    assert (mine.report.most_over, mine.report.most_by_session, mine.report.most) == (0, 1, 2)
+    play(story, PLAN, desk=lease_server)
+    assert (lease_server.report.most_over, lease_server.report.most_by_session, lease_server.report.most) == (
+        0,
+        1,
+        2,
+    )
 
 
-def test_a_server_that_says_nothing_is_answered_for_by_the_class_in_time() -> None:
-    mine = desk()
+def test_without_a_response_the_class_decides_in_time() -> None:
+    lease_server = make_lease_server()
 
     async def story(scene: Scene) -> None:
         assert scene.entitlement is not None
@@ -67,14 +74,16 @@
         )
         assert (strict.status, lenient.status) == (503, 200) and b"did not answer" in strict.body
         scene.entitlement.silent = False
-        await until(lambda: len(mine.leases) == 1)  # asked on, until the one that plays has its seat
+        await until(
+            lambda: len(lease_server.leases) == 1
+        )  # requests go on until the session that plays has its seat
 
-    auditor = play(story, PLAN, desk=mine)
+    auditor = play(story, PLAN, desk=lease_server)
     assert not auditor.findings
 
 
-def test_lost_answers_never_take_two_seats() -> None:
-    mine = desk()
+def test_lost_responses_never_take_two_seats() -> None:
+    lease_server = make_lease_server()
 
     async def story(scene: Scene) -> None:
         assert scene.entitlement is not None
@@ -82,66 +91,66 @@
         wishes = [scene.wish(play_s=0.4) for _ in range(10)]
         await asyncio.gather(*(scene.viewers.watch(wish) for wish in wishes))
         scene.entitlement.lost_share = 0.0
-        await until(lambda: not mine.leases and not scene.fronts[0].gate.seat_manager.seats)  # type: ignore[union-attr]
+        await until(lambda: not lease_server.leases and not scene.fronts[0].gate.seat_manager.seats)  # type: ignore[union-attr]
 
-    play(story, PLAN, desk=mine)
-    assert mine.report.most_by_session == 1 and mine.report.repeated_keys > 0
+    play(story, PLAN, desk=lease_server)
+    assert lease_server.report.most_by_session == 1 and lease_server.report.repeated_keys > 0
 
 
-def test_a_killed_front_finds_its_seats_again_and_leaks_none() -> None:
-    mine = desk()
+def test_a_killed_front_recovers_its_seats_and_leaks_none() -> None:
+    lease_server = make_lease_server()
 
     async def story(scene: Scene) -> None:
         wishes = [scene.wish() for _ in range(4)]
         await asyncio.gather(*map(scene.ask, wishes))
-        assert len(mine.leases) == 4
+        assert len(lease_server.leases) == 4
         scene.trace.write("front.down", front="front-0")
         scene.fronts.pop().kill()
         await scene.start_front(0)
         gate = scene.fronts[0].gate
         assert gate is not None and len(gate.seat_manager.seats) == 4
-        assert (await scene.ask(wishes[0])).status == 200  # comes back to its seat
-        await until(lambda: len(mine.leases) == 1)  # those nobody came back for are given back
+        assert (await scene.ask(wishes[0])).status == 200  # the viewer returns to its seat
+        await until(lambda: len(lease_server.leases) == 1)  # those whose viewers did not return are released
         await scene.http("DELETE", "/lessons/lesson-0/session", wishes[0])
-        await until(lambda: not mine.leases)
+        await until(lambda: not lease_server.leases)
 
-    play(story, PLAN, desk=mine)
-    assert mine.report.most_by_session == 1 and mine.report.granted == 4
+    play(story, PLAN, desk=lease_server)
+    assert lease_server.report.most_by_session == 1 and lease_server.report.granted == 4
 
 
-def test_an_entitlement_that_ends_mid_lesson_ends_the_session() -> None:
-    mine = desk()
+def test_an_entitlement_that_ends_during_a_session_ends_the_session() -> None:
+    lease_server = make_lease_server()
 
     async def story(scene: Scene) -> None:
         wish = scene.wish(play_s=10.0)
         watching = asyncio.ensure_future(scene.viewers.watch(wish))
         await until(lambda: scene.of("box.segment"))
-        mine.denied.add(f"person-{wish.session}")
+        lease_server.denied.add(f"person-{wish.session}")
         shown = await watching
         assert shown.ended == "entitlement has ended" and 0.0 < shown.played_s < 10.0
         statuses = [record["status"] for record in scene.of("box.segment")]
-        assert set(statuses[:-1]) == {200} and statuses[-1] == 410  # no segment was cut off
+        assert set(statuses[:-1]) == {200} and statuses[-1] == 410  # no segment was interrupted
         assert scene.of("box.end", session=wish.session, why="revoked")
         refused = await scene.ask(wish)
         assert refused.status == 503 and b"not entitled" in refused.body
 
-    play(story, PLAN, desk=mine)
+    play(story, PLAN, desk=lease_server)
 
 
-def test_a_server_that_restarts_with_nothing_is_asked_anew() -> None:
-    mine = desk()
+def test_seats_are_requested_again_from_a_server_that_lost_its_state() -> None:
+    lease_server = make_lease_server()
 
     async def story(scene: Scene) -> None:
         wish = scene.wish()
         assert (await scene.ask(wish)).status == 200
-        mine.forget()
-        await until(lambda: len(mine.leases) == 1)
+        lease_server.forget()
+        await until(lambda: len(lease_server.leases) == 1)
         assert scene.fronts[0].core.sessions.session_count == 1 and not scene.of("box.end")
 
-    play(story, PLAN, desk=mine)
+    play(story, PLAN, desk=lease_server)
 
 
-def test_a_damaged_seat_log_is_one_clear_error() -> None:
+def test_a_damaged_seat_log_is_a_configuration_error() -> None:
     async def story(scene: Scene) -> None:
         assert scene.entitlement is not None
         extra = f"[entitlement]\nurl = {scene.entitlement.url}\nledger = bad"
@@ -151,12 +160,12 @@
         with pytest.raises(ConfigError, match=r"ledger: .*not a seat log"):
             await start_front(scene.site.config(1, extra=extra))
 
-    play(story, PLAN, desk=desk())
+    play(story, PLAN, desk=make_lease_server())
 
 
-def test_a_renewed_lease_carries_a_player_past_its_tokens() -> None:
-    """Session and box tokens lapse within two and four seconds; the player sees no break in six."""
-    mine = desk()
+def test_with_a_renewed_lease_a_player_outlasts_its_tokens() -> None:
+    """Session and server tokens expire after two and four seconds; the player sees no break in six."""
+    lease_server = make_lease_server()
 
     async def story(scene: Scene) -> None:
         scene.site.keyring.skew_s = 0.0
@@ -166,16 +175,16 @@
         assert {record["status"] for record in scene.of("box.segment")} == {200}
         assert len(scene.of("box.setup")) == 1
         stranger = scene.wish(life_s=-1.0)
-        assert (await scene.ask(stranger)).status == 401  # nothing stands in for it
-        host = scene.fronts[0].core.sessions
-        await until(lambda: host.session_count == 0)
-        assert (await scene.ask(wish)).status == 401  # nor for one whose session is over
+        assert (await scene.ask(stranger)).status == 401  # no lease replaces its token
+        manager = scene.fronts[0].core.sessions
+        await until(lambda: manager.session_count == 0)
+        assert (await scene.ask(wish)).status == 401  # nor that of a session that is over
 
-    play(story, replace(PLAN, token_lines="skew = 0 ms\nbox-life = 4 s"), desk=mine)
-    assert mine.report.granted == 1
+    play(story, replace(PLAN, token_lines="skew = 0 ms\nbox-life = 4 s"), desk=lease_server)
+    assert lease_server.report.granted == 1
 
 
-def test_keys_rotate_over_http_while_their_tokens_are_out() -> None:
+def test_keys_rotate_over_http_while_their_tokens_are_in_use() -> None:
     async def story(scene: Scene) -> None:
         server = scene.entitlement
         assert server is not None
@@ -200,23 +209,23 @@
         assert (await status(early), await status(wish_by(new))) == (200, 401)
         server.key_set = new
         await until(lambda: "issuer-2" in keyring.key_ids)
-        # The old key is retired, but its tokens are out: they hold for a while, and then no more.
+        # The old key is retired, but tokens signed with it are in use: they stay valid for a while only.
         assert (await status(early), await status(wish_by(new))) == (200, 200)
-        server.key_set = "no key set"  # a server that breaks takes nothing away
+        server.key_set = "no key set"  # an invalid key set removes no key
         await until(lambda: server.key_set_asked > 4)
         assert await status(wish_by(new)) == 200
         server.key_set = new.replace("issuer-2", "issuer-2")
         await until(lambda: "issuer-1" not in keyring.key_ids)
         assert (await status(early), await status(wish_by(new))) == (401, 200)
 
-    play(story, PLAN, desk=desk(seats=50))
+    play(story, PLAN, desk=make_lease_server(seats=50))
 
 
 LEASE = b'{"lease": "a", "fence": 3, "expires_in_ms": 10.0}'
 
 
 @pytest.mark.parametrize(
-    ("op", "reply", "said"),
+    ("operation", "reply", "status"),
     [
         (Operation.ACQUIRE, Reply(Outcome.ANSWERED, 200, body=LEASE), ResponseStatus.SUCCEEDED),
         (Operation.ACQUIRE, Reply(Outcome.ANSWERED, 201, body=LEASE), ResponseStatus.SUCCEEDED),
@@ -253,11 +262,11 @@
         (Operation.ACQUIRE, Reply(Outcome.CUT, 200), ResponseStatus.INDETERMINATE),
     ],
 )
-def test_what_a_reply_of_the_server_says(op: Operation, reply: Reply, said: ResponseStatus) -> None:
-    assert parse_reply(op, reply).status is said
+def test_parse_reply(operation: Operation, reply: Reply, status: ResponseStatus) -> None:
+    assert parse_reply(operation, reply).status is status
 
 
-def test_no_gate_without_its_section() -> None:
+def test_no_entitlement_gate_without_its_section() -> None:
     async def story(scene: Scene) -> None:
         assert scene.fronts[0].gate is None
         assert (await scene.ask(scene.wish())).status == 200
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -302,7 +302,7 @@
 
 
 @pytest.mark.parametrize("idempotency", list(Idempotency))
-def test_abandoning_answers_open_requests_and_releases_attempts_in_flight(idempotency: Idempotency) -> None:
+def test_a_front_about_to_end_answers_open_requests_and_releases_attempts(idempotency: Idempotency) -> None:
     kind = replace(ALONE.classes[0], idempotency=idempotency)
     harness = Harness(replace(ALONE, classes=(kind, ALONE.classes[1])), server_count=1)
     harness.manager.limits = replace(harness.manager.limits, unclaimed_session_ttl_ms=0.0)
