--- a/fernweir/front/dispatcher.py
+++ b/fernweir/front/dispatcher.py
@@ -1,7 +1,7 @@
 """The I/O layer around the session manager that all protocols share: batches, timers, tickets and commands.
 
-The dispatcher owns the session manager's clock: `loop.time()` in milliseconds. Events of one turn of the
-event loop go to the controller in one batch.
+The dispatcher owns the session manager's clock: `loop.time()` in milliseconds. Events of one iteration
+of the event loop go to the controller in one batch.
 """
 
 from __future__ import annotations
@@ -120,7 +120,7 @@
     """Finds sessions at the other fronts that this front does not have."""
 
     def request_reply(self, request: SessionRequest, on_reply: Callable[[SessionReply | None], None]) -> None:
-        """Asks the other fronts for the reply to a request.
+        """Requests the reply to a request from the other fronts.
 
         Args:
             request: The request.
--- a/fernweir/front/introspection.py
+++ b/fernweir/front/introspection.py
@@ -63,7 +63,7 @@
     """Looks up tokens at the introspection endpoint, and notifies those who wait for the decisions.
 
     Attributes:
-        core: The dispatcher.
+        dispatcher: The dispatcher.
         introspector: Caches results and decides when a request is sent.
         all_tokens: Whether tokens with a valid signature are introspected too, or only opaque ones.
     """
--- a/fernweir/front/session_attempts.py
+++ b/fernweir/front/session_attempts.py
@@ -44,7 +44,7 @@
         self._endings = endings
 
     def submit_to_controller(self, now: float, record: SessionRecord) -> None:
-        """Asks the controller to place a session."""
+        """Submits a session to the controller for placement."""
         record.phase = SessionPhase.PENDING
         self._context.events.append(Arrival(self.describe_viewer(now, record)))
 
--- a/fernweir/front/session_manager.py
+++ b/fernweir/front/session_manager.py
@@ -156,7 +156,7 @@
     # --- requests ---
 
     def request_session(self, now: float, request: SessionRequest) -> None:
-        """Handles a request. One with a known session id joins that session, without another attempt."""
+        """Handles a request; if its session id is stored, it joins that session without another attempt."""
         self._context.now = now
         self._requests.on_request(now, request)
 
