--- a/bench/late_day.py
+++ b/bench/late_day.py
@@ -335,7 +335,7 @@
             to = self.fronts[effect.to]
             blocked = (front.name, to.name) in self.blocked
             if not blocked and self.linked(front, to) and self.fronts[front.name].life == front.life:
-                to.machine.heard(self.time(to), front.name, effect.message)
+                to.machine.on_message(self.time(to), front.name, effect.message)
 
         return arrive
 
--- a/bench/late_model.py
+++ b/bench/late_model.py
@@ -192,7 +192,7 @@
                 inputs.append(("evidence", FRONTS[j], true[j]))
             for go, a, b, message in env.way:
                 if go == 0 and b == i and env.lives[a] == old.lives[a]:
-                    inputs.append(("heard", FRONTS[a], message))
+                    inputs.append(("on_message", FRONTS[a], message))
             machines[i], out = self.turn(machines[i], tuple(inputs))
             for effect in out:
                 if hasattr(effect, "message"):
--- a/bench/peers_acts.py
+++ b/bench/peers_acts.py
@@ -123,7 +123,7 @@
                     assert isinstance(effect, Send)
                     to = str(effect.to)
                     began = time.process_time()
-                    self.parts[to].heard(now, name, effect.message)
+                    self.parts[to].on_message(now, name, effect.message)
                     self.spent[to] += time.process_time() - began
 
 
--- a/bench/peers_channel.py
+++ b/bench/peers_channel.py
@@ -72,7 +72,7 @@
         )
         when = max(self.now + self.dice.uniform(*WAY_MS), self.last.get((sender, str(effect.to)), 0.0))
         self.last[(sender, str(effect.to))] = when
-        self.after(when - self.now, lambda: to.heard(self.now, sender, effect.message))
+        self.after(when - self.now, lambda: to.on_message(self.now, sender, effect.message))
 
     def step(self, until: float, parts: dict[str, Any]) -> bool:
         """On to the next thing that is due; False if that is later than `until`."""
--- a/bench/peers_facts.py
+++ b/bench/peers_facts.py
@@ -67,7 +67,7 @@
             self.now, _, sender, to, what = heapq.heappop(self._heap)
             node = self.nodes[to]
             if sender:
-                node.heard(self.now, sender, what)  # type: ignore[arg-type]
+                node.on_message(self.now, sender, what)  # type: ignore[arg-type]
             else:
                 if self._due.get(to) == what:
                     del self._due[to]
@@ -84,7 +84,7 @@
             )  # fmt: skip
             for name, node in self.nodes.items():
                 if name != owner:
-                    node.heard(self.now, owner, part)
+                    node.on_message(self.now, owner, part)
         for node in self.nodes.values():
             node.take()
             node._exchange.hot._left.clear()
--- a/bench/peers_lease.py
+++ b/bench/peers_lease.py
@@ -65,7 +65,7 @@
                     if due is not None and due <= self.at:
                         machine.tick(self.at)
                 else:
-                    machine.heard(self.at, sender, message)  # type: ignore[arg-type]
+                    machine.on_message(self.at, sender, message)  # type: ignore[arg-type]
             self._settle(to)
         self.at = until
 
--- a/bench/peers_members.py
+++ b/bench/peers_members.py
@@ -126,7 +126,7 @@
             front.machine.tick(self.now)
         while front.waiting:
             sender, message = front.waiting.popleft()
-            front.machine.heard(self.now, sender, message)
+            front.machine.on_message(self.now, sender, message)
         self.settle(front)
 
     def run(self, until: float, stop: Callable[[], bool] = lambda: False) -> None:
@@ -139,7 +139,7 @@
                 if front.stopped:
                     front.waiting.append((sender, message))
                     continue
-                front.machine.heard(self.now, sender, message)
+                front.machine.on_message(self.now, sender, message)
             elif front.stopped or front.wakes_at != self.now:
                 continue
             else:
--- a/fernweir/peers/acts/clock.py
+++ b/fernweir/peers/acts/clock.py
@@ -179,7 +179,7 @@
         known = self.relation(name, life)
         return known.theirs(own) if known is not None else UNKNOWN
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         if isinstance(message, Ping):
             if isfinite(message.sent):
                 self._out.add(Send(sender, Pong(message.sent, now, now, self.life)))
--- a/fernweir/peers/acts/copies.py
+++ b/fernweir/peers/acts/copies.py
@@ -127,7 +127,7 @@
 
     # --- the holder's side ---
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         if isinstance(message, Kept):
             chain = message.owner or self.me, message.life
             sending, shelf = self._sending.get(chain), self.store.shelf(*chain)
--- a/fernweir/peers/acts/questions.py
+++ b/fernweir/peers/acts/questions.py
@@ -121,7 +121,7 @@
                 self._stop(run, Why.UNREACHED)
                 self._end_stage(now, run)
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         self._now = now
         if isinstance(message, Ask):
             if len(self._waiting) < _WAITING:
--- a/fernweir/peers/base.py
+++ b/fernweir/peers/base.py
@@ -49,7 +49,7 @@
 class Part(Protocol):
     """One state machine of a peer."""
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         """A message of one of this part's kinds, from a peer whose word is authenticated."""
 
     def tick(self, now: float) -> None:
--- a/fernweir/peers/channel/copies.py
+++ b/fernweir/peers/channel/copies.py
@@ -126,7 +126,7 @@
 
     # --- the part ---
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         if isinstance(message, Have):
             self._have(now, sender, message)
         elif isinstance(message, Hail | Deltas | Piece | Dropped):
@@ -173,7 +173,7 @@
                 self._out.add(Send(sender, Have(message.channel, owned.fence, -1, -1, 0, 0)))
                 return
             self._outdated(now, message.channel, message.fence)
-        self._standby.heard(now, sender, message)
+        self._standby.on_message(now, sender, message)
         # What a new session is answered from is of use only if it is here before the owner is gone.
         self._next_digests = min(self._next_digests, now + self.rules.flush_ms)
 
--- a/fernweir/peers/channel/directory.py
+++ b/fernweir/peers/channel/directory.py
@@ -143,7 +143,7 @@
 
     # --- the part ---
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         if isinstance(message, Registered):
             self._registrar.register(now, sender, message.life, message.sessions)
         elif isinstance(message, Unregistered):
@@ -226,7 +226,7 @@
 
     def _say(self, now: float, name: str, message: Registered | Unregistered) -> None:
         if name == self.me:
-            self.heard(now, self.me, message)
+            self.on_message(now, self.me, message)
         else:
             self._out.add(Send(name, message, whole=True))
 
--- a/fernweir/peers/channel/giving.py
+++ b/fernweir/peers/channel/giving.py
@@ -243,7 +243,7 @@
 
     # --- messages ---
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         if not isinstance(message, Accept | Decline | Got | Acting | Cancel):
             return
         giving = self._givings.get(message.channel)
--- a/fernweir/peers/channel/handoff.py
+++ b/fernweir/peers/channel/handoff.py
@@ -130,9 +130,9 @@
 
     # --- the part ---
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
-        self._giver.heard(now, sender, message)
-        self._taker.heard(now, sender, message)
+    def on_message(self, now: float, sender: str, message: Message) -> None:
+        self._giver.on_message(now, sender, message)
+        self._taker.on_message(now, sender, message)
         self._drain()
 
     def tick(self, now: float) -> None:
--- a/fernweir/peers/channel/standby.py
+++ b/fernweir/peers/channel/standby.py
@@ -125,7 +125,7 @@
         kept.copy = Copy(channel, owner, fence, kept.standings, True, as_of)
         self._kept[channel] = kept
 
-    def heard(self, now: float, sender: str, message: Hail | Deltas | Piece | Dropped) -> None:
+    def on_message(self, now: float, sender: str, message: Hail | Deltas | Piece | Dropped) -> None:
         kept = self._admit(now, sender, message)
         if kept is None:
             return
--- a/fernweir/peers/channel/taking.py
+++ b/fernweir/peers/channel/taking.py
@@ -106,7 +106,7 @@
 
     # --- messages ---
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         if isinstance(message, Offer):
             self._offered(now, sender, message)
             return
--- a/fernweir/peers/facts/store.py
+++ b/fernweir/peers/facts/store.py
@@ -90,7 +90,7 @@
 
     # --- a part of a peer ---
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         if sender == self.me or not self._table.is_peer(sender):
             return
         match message:
--- a/fernweir/peers/facts/transfer.py
+++ b/fernweir/peers/facts/transfer.py
@@ -67,7 +67,7 @@
             self._outgoing.remove(one)
             self._say(one.to, Cancel(one.name, one.digest))
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         match message:
             case Offer():
                 self._answer(sender, message.name, self._incoming.offered(now, sender, message))
--- a/fernweir/peers/forward/desk.py
+++ b/fernweir/peers/forward/desk.py
@@ -92,7 +92,7 @@
 
     # --- base.Part ---
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         if isinstance(message, Carry):
             key = (sender, message.number)
             if key in self._in:
--- a/fernweir/peers/late/stragglers.py
+++ b/fernweir/peers/late/stragglers.py
@@ -147,7 +147,7 @@
 
     # --- the part ---
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         if sender not in self._table.peers:
             return
         match message:
--- a/fernweir/peers/lateness.py
+++ b/fernweir/peers/lateness.py
@@ -95,8 +95,8 @@
 
     # --- base.Part ---
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
-        self.stragglers.heard(now, sender, message)
+    def on_message(self, now: float, sender: str, message: Message) -> None:
+        self.stragglers.on_message(now, sender, message)
 
     def tick(self, now: float) -> None:
         self.stragglers.tick(now)
--- a/fernweir/peers/lease/holder.py
+++ b/fernweir/peers/lease/holder.py
@@ -21,7 +21,7 @@
 class Holder:
     """`life` must differ from that of every earlier process of this name.
 
-    A message to the own name goes to the own keeper's `heard`, as any other, and its answer comes back here.
+    A message to the own name goes to the own keeper's `on_message`, as any other; its answer comes back here.
     """
 
     def __init__(self, me: str, life: int, rules: LeaseRules, seed: int, sets: Iterable[KeeperSet]) -> None:
@@ -82,7 +82,7 @@
 
     # --- the part ---
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         self._keeping.lapse(now)
         if sender not in everyone(self._sets) or getattr(message, "life", self._life) != self._life:
             return
--- a/fernweir/peers/lease/keeper.py
+++ b/fernweir/peers/lease/keeper.py
@@ -33,7 +33,7 @@
 class Keeper:
     """`life` is the wall ms of this start: fences of this life begin above `stamp(life)`.
 
-    A message to its own name must come back to `heard` as any other.
+    A message to its own name must come back to `on_message` as any other.
     """
 
     def __init__(self, me: str, life: int, rules: LeaseRules, now: float, sets: Iterable[KeeperSet]) -> None:
@@ -87,7 +87,7 @@
 
     # --- the part ---
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         self.tick(now)
         match message:
             case Recall():
--- a/fernweir/peers/members/detector.py
+++ b/fernweir/peers/members/detector.py
@@ -123,7 +123,7 @@
 
     # --- a part's four ---
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         if not self._in or not self._voice.own.living:
             return
         self._awake(now)
--- a/fernweir/peers/owning.py
+++ b/fernweir/peers/owning.py
@@ -112,7 +112,7 @@
 
 
 class Owning:
-    """`now` is ms throughout. `heard` takes the messages of `channel` but for the directory's."""
+    """`now` is ms throughout. `on_message` takes the messages of `channel` but for the directory's."""
 
     def __init__(
         self, me: str, life: int, rules: OwningRules, holder: Holder, port: Port, seed: int,
@@ -334,9 +334,9 @@
 
     # --- base.Part ---
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
-        self.replica.heard(now, sender, message)
-        self.handoff.heard(now, sender, message)
+    def on_message(self, now: float, sender: str, message: Message) -> None:
+        self.replica.on_message(now, sender, message)
+        self.handoff.on_message(now, sender, message)
 
     def tick(self, now: float) -> None:
         if now >= self._look_at:
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -377,7 +377,7 @@
 
     def _route(self, now: float, sender: str, message: Message) -> None:
         for part in self._routes.get(type(message), ()):
-            self._at(part).heard(now, sender, message)
+            self._at(part).on_message(now, sender, message)
 
     def _settle(self, now: float) -> None:
         """Carries events from part to part until none is left; what is for oneself is heard at once."""
--- a/fernweir/peers/recording.py
+++ b/fernweir/peers/recording.py
@@ -102,13 +102,13 @@
 
     # --- base.Part ---
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         if isinstance(message, Keep | Kept):
-            self.copies.heard(now, sender, message)
+            self.copies.on_message(now, sender, message)
         elif isinstance(message, Ping | Pong):
-            self.clocks.heard(now, sender, message)
+            self.clocks.on_message(now, sender, message)
         elif isinstance(message, Ask | Piece):
-            self.questions.heard(now, sender, message)
+            self.questions.on_message(now, sender, message)
 
     def tick(self, now: float) -> None:
         self.chain.wall(now, round(self._wall_ms()), _WALL_DOUBT_MS)
--- a/fernweir/rehearsal/leases.py
+++ b/fernweir/rehearsal/leases.py
@@ -276,7 +276,7 @@
                     machine.tick(now)
             case ("heard", int(message)):
                 under = self._messages[message]
-                machine.heard(now, self._names[under.sender], under.message)
+                machine.on_message(now, self._names[under.sender], under.message)
             case ("release",):
                 machine.release(now, CHANNEL)
             case ("hand", str(other)):
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -228,7 +228,7 @@
     """What a holder has after it came."""
     copies = _copies("front-b", ActRules())
     copies.members(0.0, {"front-a": LIFE, "front-b": LIFE})
-    copies.heard(0.0, "front-a", msgspec.msgpack.decode(data, type=Keep))
+    copies.on_message(0.0, "front-a", msgspec.msgpack.decode(data, type=Keep))
     shelf = copies.store.shelf("front-a", LIFE)
     kept = shelf.block(1) if shelf is not None else None
     return _read_block(kept.data) if kept is not None else None
--- a/tests/test_peers_acts.py
+++ b/tests/test_peers_acts.py
@@ -236,7 +236,7 @@
         message, now = self.mods.decoder.decode(data), node.now(self.at)
         part = {"Ping": node.clocks, "Pong": node.clocks, "Keep": node.copies, "Kept": node.copies}.get(
             type(message).__name__, node.questions)  # fmt: skip
-        part.heard(now, sender, message)
+        part.on_message(now, sender, message)
         self.collect(node)
 
     def spread(self) -> None:
--- a/tests/test_peers_channel.py
+++ b/tests/test_peers_channel.py
@@ -219,7 +219,7 @@
                     self.net.send(name, to, effect.message, effect.whole, self.hand(name, to))
 
     def hand(self, sender: str, to: str) -> Callable[[Any], None]:
-        return lambda message: self.parts[to].heard(self.clock(to), sender, message)
+        return lambda message: self.parts[to].on_message(self.clock(to), sender, message)
 
     def check(self) -> None:
         for name, part in self.parts.items():
@@ -621,8 +621,8 @@
         def heard(message: Any) -> None:
             front = self.fronts[to]
             front.look_at_leases()
-            front.handoff.heard(front.clock(), sender, message)
-            front.replica.heard(front.clock(), sender, message)
+            front.handoff.on_message(front.clock(), sender, message)
+            front.replica.on_message(front.clock(), sender, message)
 
         return heard
 
@@ -1046,7 +1046,7 @@
                     if len(pieces) == 18:  # the connection stands and delivers nothing for two seconds
                         back_at = now + 2_000.0
                 if back_at == float("inf") or now >= back_at:
-                    other.heard(now, name, effect.message)
+                    other.on_message(now, name, effect.message)
     copy = standby.copy("a:1/0")
     assert copy is not None and copy.whole and len(copy.standings) == 400
     assert pieces.count(0) == 1 and len(set(pieces)) > 20 and len(pieces) < 2 * len(set(pieces))
@@ -1075,12 +1075,12 @@
                     elif isinstance(effect, mods.base.Send) and dice.random() > 0.1:
                         if isinstance(effect.message, mods.messages.PayloadPiece):
                             crossed += len(effect.message.data)
-                        parts[str(effect.to)].heard(now, name, effect.message)
+                        parts[str(effect.to)].on_message(now, name, effect.message)
 
     run(20_000.0)
     assert parts["b"].payload_of(digest) == data and asked >= 1 and crossed < 2.5 * len(data)
     bad = mods.messages.PayloadPiece(digest, 3, 0, b"bad")
-    parts["b"].heard(now, "a", bad)
+    parts["b"].on_message(now, "a", bad)
     assert parts["b"].payload_of(digest) == data
     parts["a"].over(now, "a:1/0")
     run(5_000.0)
@@ -1137,7 +1137,7 @@
             values["offer"] = dice.choice(offers)
         message, sender = kind(**values), dice.choice("bc")
         for part in (replica, hand):
-            part.heard(now, sender, message)
+            part.on_message(now, sender, message)
             due = part.next_due()
             if due is not None and due <= now:
                 part.tick(now)
--- a/tests/test_peers_facts.py
+++ b/tests/test_peers_facts.py
@@ -163,7 +163,7 @@
                 if to in self.paused:
                     self.later(200.0, sender, to, message)
                 elif to in self.nodes:
-                    self.nodes[to].heard(self.local(to), sender, message)
+                    self.nodes[to].on_message(self.local(to), sender, message)
                     self.effects(to)
             for name in self.nodes:
                 due = self.nodes[name].next_due()
@@ -616,7 +616,7 @@
             self.under_way = [one for one in self.under_way if one[0] > self.now]
             for _, sender, to, message in due:
                 if to in self.nodes:
-                    self.nodes[to].heard(self.now, sender, message)
+                    self.nodes[to].on_message(self.now, sender, message)
                     self.effects(to)
             for name, node in self.nodes.items():
                 if (at := node.next_due()) is not None and at <= self.now:
@@ -745,7 +745,7 @@
             "busy": messages.Refused("list", digest, "busy", True),
         }
         if lie in answers:
-            node.heard(lines.now, "liar", answers[lie])
+            node.on_message(lines.now, "liar", answers[lie])
             assert len(node._out._effects) < 20
             lines.effects("a")
     assert len(lines.told("Failed")) == 1 and lines.now < 60_000.0
@@ -757,14 +757,14 @@
     messages, node = lines.lib.messages, lines.nodes["b"]
     answers = []
     for number in range(20):
-        node.heard(0.0, "liar", messages.Offer(f"blob-{number}", bytes([number]) * 32, 60_000 + number))
+        node.on_message(0.0, "liar", messages.Offer(f"blob-{number}", bytes([number]) * 32, 60_000 + number))
         answers += [type(effect.message).__name__ for effect in node.take()]
     assert answers == ["Ready"] * 2 + ["Refused"] * 18
-    node.heard(0.0, "liar", messages.Chunk("blob-0", bytes(32), 0, bytes(60_001)))
+    node.on_message(0.0, "liar", messages.Chunk("blob-0", bytes(32), 0, bytes(60_001)))
     assert [effect.message.later for effect in node.take()] == [False]
-    node.heard(0.0, "liar", messages.Offer("huge", bytes(32), 120_001))
+    node.on_message(0.0, "liar", messages.Offer("huge", bytes(32), 120_001))
     assert [effect.message.why for effect in node.take()] == ["too large"]
-    node.heard(0.0, "other", messages.Offer("blob", bytes(32), 100_000))
+    node.on_message(0.0, "other", messages.Offer("blob", bytes(32), 100_000))
     assert [type(effect.message).__name__ for effect in node.take()] == ["Ready"]
     node.tick(60_000.0)
     assert node.next_due() is None
@@ -786,7 +786,7 @@
                 message = msgspec.structs.replace(
                     message, digest=digest, name=f"blob{dice.choice(['', 1, 2])}"
                 )
-            lines.nodes["b"].heard(lines.now, "liar", message)
+            lines.nodes["b"].on_message(lines.now, "liar", message)
             lines.run(5.0)
             partial = lines.nodes["b"]._incoming._partial.values()
             assert sum(one.size for one in partial) <= 600_000
--- a/tests/test_peers_forward.py
+++ b/tests/test_peers_forward.py
@@ -26,16 +26,16 @@
     (send,) = asker.take()
     assert send == Send("b", request, whole=True)
     for _ in range(3):
-        owner.heard(1.0, "a", request)
+        owner.on_message(1.0, "a", request)
     assert owner.take() == [Wanted("a", request)]  # carried out once
     owner.answer(2.0, "a", 1, Carried(1, "plays"))
     owner.answer(2.0, "a", 1, Carried(1, "refused"))  # a second end is none
-    owner.heard(3.0, "a", request)  # said again, as the first may have been lost
+    owner.on_message(3.0, "a", request)  # said again, as the first may have been lost
     assert owner.take() == [Send("a", Carried(1, "plays"), whole=True)] * 2
-    asker.heard(4.0, "c", Carried(1, "refused"))  # was not asked
+    asker.on_message(4.0, "c", Carried(1, "refused"))  # was not asked
     assert asker.take() == []
-    asker.heard(5.0, "b", Carried(1, "plays"))
-    asker.heard(6.0, "b", Carried(1, "plays"))
+    asker.on_message(5.0, "b", Carried(1, "plays"))
+    asker.on_message(6.0, "b", Carried(1, "plays"))
     assert asker.take() == [Answered(1, Carried(1, "plays"))]
     asker.tick(10_000.0)
     assert asker.take() == [] and asker.next_due() is None and len(asker) == 0
@@ -53,14 +53,14 @@
     assert asker.take() == [Answered(2, None)]
     asker.gone(380.0, "b")
     assert asker.take() == [Answered(1, None)]
-    asker.heard(390.0, "b", Carried(1, "plays"))
+    asker.on_message(390.0, "b", Carried(1, "plays"))
     assert asker.take() == [] and asker.next_due() is None
     for number in range(10, 18):
         assert asker.ask(400.0, "b", carry(number))
     assert not asker.ask(400.0, "b", carry(18)) and asker.turned_down == 2
     owner = Forward(RULES)
     for number in range(100):  # a peer that asks without end costs a bounded table
-        owner.heard(0.0, "a", carry(number))
+        owner.on_message(0.0, "a", carry(number))
     assert len(owner._in) == RULES.most
     owner.gone(1.0, "a")
     assert not owner._in
@@ -115,7 +115,7 @@
         for one in [one for one in world.wire if one[0] <= now]:
             world.wire.remove(one)
             _, sender, to, message = one
-            world.desks[to].heard(now, sender, message)  # type: ignore[arg-type]
+            world.desks[to].on_message(now, sender, message)  # type: ignore[arg-type]
         for desk in world.desks.values():
             due = desk.next_due()
             if due is not None and due <= now:
--- a/tests/test_peers_heirs.py
+++ b/tests/test_peers_heirs.py
@@ -328,7 +328,7 @@
 
         def deliver() -> None:
             if to in self.parts and self.lives[to] == life:
-                self.parts[to].heard(self.now, sender, self.decoder.decode(data))
+                self.parts[to].on_message(self.now, sender, self.decoder.decode(data))
 
         self.count += 1
         heapq.heappush(self.queue, (self.now + way, self.count, deliver))
@@ -426,8 +426,8 @@
     part = module.Directory("a", 1, rules)
     part.members(0.0, {"b": 7, "c": 1})
     for n in range(9):
-        part.heard(0.0, "b", messages.Registered(7, [(f"x{n}.{m}", 1) for m in range(50)]))
-    part.heard(0.0, "b", messages.Registered(7, [("", 1), ("y" * 9_000, 1), ("z", -1)]))
+        part.on_message(0.0, "b", messages.Registered(7, [(f"x{n}.{m}", 1) for m in range(50)]))
+    part.on_message(0.0, "b", messages.Registered(7, [("", 1), ("y" * 9_000, 1), ("z", -1)]))
     assert len(part._registrar) == 4
     for n in range(9):
         part.find(0.0, f"s{n}")
--- a/tests/test_peers_late.py
+++ b/tests/test_peers_late.py
@@ -376,7 +376,7 @@
         )
         against = (messages.Against(name, 7, (dice.choice(kinds),)),)
         # Of the keepers f1 alone is broken.
-        machine.heard(now, sender, dice.choice((
+        machine.on_message(now, sender, dice.choice((
             messages.Votes(dice.randrange(9), float(dice.randrange(99)), against if sender != "f2" else ()),
             messages.Seen(name, 7, versions, float(dice.randrange(600_000))),
             messages.Part(7, dice.choice(kinds), digest, b"x" * 9),
--- a/tests/test_peers_lease.py
+++ b/tests/test_peers_lease.py
@@ -207,7 +207,7 @@
         now = process.clock(self.at)
         for machine in (process.holder, process.keeper):
             if machine is not None:
-                machine.heard(now, sender, message)
+                machine.on_message(now, sender, message)
 
     def timer(self, process: Process) -> None:
         if not process.alive or process.stopped or process.wake > self.at:
@@ -731,7 +731,7 @@
     assert site.owners(CHANNEL) == ["b"]
     now = owner.clock(site.at)
     assert owner.holder.holds(now, CHANNEL) is None
-    owner.holder.heard(now, "k0", site.code.messages.Extended(owner.life, 1))  # before any timer
+    owner.holder.on_message(now, "k0", site.code.messages.Extended(owner.life, 1))  # before any timer
     assert [(type(event).__name__, event.fence) for event in _events(owner, site)] == [("Lost", fence)]
 
 
@@ -746,7 +746,7 @@
     owner.holder.tick(until - 300)  # a renewal is due and asked for
     turns = {each.message.turn for each in owner.holder.take() if isinstance(each.message, messages.Renew)}
     for keeper in ("k0", "k1"):
-        owner.holder.heard(until + late, keeper, messages.Extended(owner.life, max(turns)))
+        owner.holder.on_message(until + late, keeper, messages.Extended(owner.life, max(turns)))
     lease = owner.holder.holds(until + late, CHANNEL)
     assert (lease is not None) == kept
     assert [type(event).__name__ for event in _events(owner, site)] == (["Renewed"] if kept else ["Lost"])
@@ -763,7 +763,7 @@
     turns = [each.message.turn for each in owner.holder.take() if isinstance(each.message, messages.Renew)]
     assert len(turns) == 6 and len(set(turns)) == 1  # each of three keepers was asked twice
     for keeper in ("k0", "k1"):
-        owner.holder.heard(asked + 100, keeper, messages.Extended(owner.life, turns[0]))
+        owner.holder.on_message(asked + 100, keeper, messages.Extended(owner.life, turns[0]))
     assert owner.holder.holds(asked + 100, CHANNEL).until == asked + site.rules.own_ms
 
 
@@ -779,10 +779,10 @@
         if isinstance(each.message, messages.Prepare)
     }
     promise = messages.Promised(owner.life, (messages.Item(CHANNEL, ballot, lease.fence),))
-    owner.holder.heard(now + 1, "k0", promise)
-    owner.holder.heard(now + 1, "k1", promise)
+    owner.holder.on_message(now + 1, "k0", promise)
+    owner.holder.on_message(now + 1, "k1", promise)
     granted = messages.Item(CHANNEL, ballot, lease.fence + 1)
-    owner.holder.heard(
+    owner.holder.on_message(
         now + 2, "k0", messages.Granted(owner.life, (granted,))
     )  # the others' answers are lost
     owner.holder.tick(now + site.rules.attempt_ms)
@@ -845,10 +845,10 @@
     asked = {one.to: one.message.items for one in holder.take()}
     assert set(asked) == set(keepers)
     for keeper, items in asked.items():
-        holder.heard(2.0, keeper, Promised(life - 1, items))
+        holder.on_message(2.0, keeper, Promised(life - 1, items))
     assert not holder.take()
     for keeper, items in asked.items():
-        holder.heard(2.0, keeper, Promised(life, items))
+        holder.on_message(2.0, keeper, Promised(life, items))
     assert {type(one.message) for one in holder.take()} == {Propose}
 
 
@@ -895,8 +895,8 @@
     for at in range(4_000):
         kind = dice.choice(code.messages.KINDS)
         message = kind(**{field.name: value(field) for field in msgspec.structs.fields(kind)})
-        keeper.heard(float(at % 700), dice.choice(("z", "k1", "a")), message)
-        owner.holder.heard(now + at / 100, dice.choice(("z", "k0", "k1")), message)
+        keeper.on_message(float(at % 700), dice.choice(("z", "k1", "a")), message)
+        owner.holder.on_message(now + at / 100, dice.choice(("z", "k0", "k1")), message)
         keeper.take()
         owner.holder.take()
     assert len(keeper._records.by_channel) <= 50
--- a/tests/test_peers_members.py
+++ b/tests/test_peers_members.py
@@ -500,7 +500,7 @@
             ]
         )
         if dice.random() < 0.7:
-            front.machine.heard(now, dice.choice(names), said)
+            front.machine.on_message(now, dice.choice(names), said)
         else:
             front.machine.tick(now)
         front.events += [(now, effect) for effect in front.machine.take() if not hasattr(effect, "to")]
