--- a/bench/late_day.py
+++ b/bench/late_day.py
@@ -318,7 +318,7 @@
         return msgspec.structs.replace(self.versions(front, true=True), boxes=content("boxes", 1))
 
     def carry(self, front: Front) -> None:
-        for effect in front.machine.take():
+        for effect in front.machine.take_effects():
             if hasattr(effect, "message"):
                 self.sent += 1
                 times = 0 if self.dice.random() < self.loss and not effect.whole else 1
--- a/bench/late_model.py
+++ b/bench/late_model.py
@@ -99,7 +99,7 @@
             for what, *args in inputs:
                 getattr(machine, what)(now, *args)
             machine.tick(now)
-            out = tuple(machine.take())
+            out = tuple(machine.take_effects())
             shift(machine, now, self.rules)
             done = self._done[key] = self.keep(machine), out
         return done
@@ -114,7 +114,7 @@
             for other in FRONTS:
                 machine.versions(-HORIZON, other, versions(0))
             machine.tick(0.0)
-            machine.take()
+            machine.take_effects()
             shift(machine, 0.0, self.rules)
             machines.append(self.keep(machine))
         three = (0,) * 3
--- a/bench/peers_acts.py
+++ b/bench/peers_acts.py
@@ -61,7 +61,7 @@
     for act, versions in acts:
         if act.at >= due:
             copies.tick(act.at)
-            for effect in copies.take():
+            for effect in copies.take_effects():
                 if isinstance(effect, Send):  # as if acknowledged at once
                     blocks += 1
                     assert isinstance(effect.message, Keep)
@@ -115,7 +115,7 @@
                 began = time.process_time()
                 while (due := part.next_due()) is not None and due <= now:
                     part.tick(now)
-                effects = part.take()
+                effects = part.take_effects()
                 self.spent[name] += time.process_time() - began
                 for effect in effects:
                     if isinstance(effect, Answered):
--- a/bench/peers_channel.py
+++ b/bench/peers_channel.py
@@ -113,7 +113,7 @@
     def run(until: float) -> None:
         while paths.step(until, parts):
             for name, part in parts.items():
-                for effect in part.take():
+                for effect in part.take_effects():
                     if isinstance(effect, Send):
                         paths.send(name, effect, parts[str(effect.to)])
                     elif isinstance(effect, NeedPayload):
@@ -179,7 +179,7 @@
     more = True
     while more:
         for name, part in parts.items():
-            for effect in part.take():
+            for effect in part.take_effects():
                 if isinstance(effect, Send):
                     paths.send(name, effect, parts[str(effect.to)])
                 else:
--- a/bench/peers_estimate.py
+++ b/bench/peers_estimate.py
@@ -74,7 +74,7 @@
 def run(estimate: Estimate, at: Scene) -> Result:
     """Runs a question to its end, without a budget."""
     going = Run(estimate, {}, Spend(1e12, 1e12), RunRules(margin=1e6), 0.0)
-    while effects := going.take():
+    while effects := going.take_effects():
         for effect in effects:
             assert not isinstance(effect, Caught)
             if isinstance(effect, Read):
--- a/bench/peers_facts.py
+++ b/bench/peers_facts.py
@@ -44,7 +44,7 @@
 
     def effects(self, name: str) -> None:
         node = self.nodes[name]
-        for effect in node.take():
+        for effect in node.take_effects():
             if isinstance(effect, Send):
                 size = len(_encode(effect.message)) + _HEADERS + len(name)
                 self.bytes[name] += size
@@ -86,7 +86,7 @@
                 if name != owner:
                     node.on_message(self.now, owner, part)
         for node in self.nodes.values():
-            node.take()
+            node.take_effects()
             node._exchange.hot._left.clear()
 
     def start_counting(self) -> None:
--- a/bench/peers_late.py
+++ b/bench/peers_late.py
@@ -86,7 +86,7 @@
         if due is not None and due <= now:
             machine.tick(now)
             looks += 1
-        machine.take()
+        machine.take_effects()
         used += time.process_time() - began
     click.echo(
         f"{fronts} fronts: {used / span * 100.0:.2f}% of a core while the list changes each second "
--- a/bench/peers_lease.py
+++ b/bench/peers_lease.py
@@ -74,7 +74,7 @@
         for machine in (self.holders[name], self.keepers.get(name)):
             if machine is None:
                 continue
-            for effect in machine.take():
+            for effect in machine.take_effects():
                 if isinstance(effect, Send):
                     self._send(name, effect)
                 else:
--- a/bench/peers_members.py
+++ b/bench/peers_members.py
@@ -151,7 +151,7 @@
 
     def settle(self, front: Front) -> None:
         """Carries out what a machine wants and sets its timer."""
-        for effect in front.machine.take():
+        for effect in front.machine.take_effects():
             if hasattr(effect, "to"):
                 self._carry(front, effect)
             else:
--- a/fernweir/peers/acts/clock.py
+++ b/fernweir/peers/acts/clock.py
@@ -228,5 +228,5 @@
         due = min((peer.due for peer in self._peers.values()), default=None)
         return max(due, self._next) if due is not None else None
 
-    def take(self) -> list[Effect]:
-        return self._out.take()
+    def take_effects(self) -> list[Effect]:
+        return self._out.take_effects()
--- a/fernweir/peers/acts/copies.py
+++ b/fernweir/peers/acts/copies.py
@@ -101,8 +101,8 @@
             dues.append(self._watch_at)
         return min((due for due in dues if due is not None), default=None)
 
-    def take(self) -> list[Effect]:
-        return self._out.take()
+    def take_effects(self) -> list[Effect]:
+        return self._out.take_effects()
 
     def _flow(self, now: float) -> None:
         for chain, sending in list(self._sending.items()):
--- a/fernweir/peers/acts/questions.py
+++ b/fernweir/peers/acts/questions.py
@@ -153,8 +153,8 @@
             dues += [shard.sent_at + self.rules.part_ms for shard in run.shards.values() if shard.source]
         return min(dues, default=None)
 
-    def take(self) -> list[Effect]:
-        return self._out.take()
+    def take_effects(self) -> list[Effect]:
+        return self._out.take_effects()
 
     # --- a stage ---
 
--- a/fernweir/peers/base.py
+++ b/fernweir/peers/base.py
@@ -58,7 +58,7 @@
     def next_due(self) -> float | None:
         """When `tick` is wanted at the latest; None for never."""
 
-    def take(self) -> list[Effect]:
+    def take_effects(self) -> list[Effect]:
         """All effects since the last take, in order."""
 
 
@@ -73,7 +73,7 @@
     def add(self, effect: Effect) -> None:
         self._effects.append(effect)
 
-    def take(self) -> list[Effect]:
+    def take_effects(self) -> list[Effect]:
         effects, self._effects = self._effects, []
         return effects
 
--- a/fernweir/peers/channel/copies.py
+++ b/fernweir/peers/channel/copies.py
@@ -152,8 +152,8 @@
             dues.append(self._next_digests)
         return min((due for due in dues if due is not None), default=None)
 
-    def take(self) -> list[Effect]:
-        return self._out.take()
+    def take_effects(self) -> list[Effect]:
+        return self._out.take_effects()
 
     # --- pieces ---
 
--- a/fernweir/peers/channel/directory.py
+++ b/fernweir/peers/channel/directory.py
@@ -190,8 +190,8 @@
             dues.append(self._sweep_at)
         return min(dues, default=None)
 
-    def take(self) -> list[Effect]:
-        return self._out.take()
+    def take_effects(self) -> list[Effect]:
+        return self._out.take_effects()
 
     # --- pieces ---
 
--- a/fernweir/peers/channel/handoff.py
+++ b/fernweir/peers/channel/handoff.py
@@ -29,7 +29,7 @@
 
     `listed` gives the numbers of all boxes that are listed and believed up, `known` the highest fence that
     is known of a channel (`Replica.fence`): what somebody offers under a lower one is not taken.
-    `takeover` is shared by the planned and the unplanned way; its events come out of `take` here.
+    `takeover` is shared by the planned and the unplanned way; its events come out of `take_effects` here.
     """
 
     def __init__(
@@ -145,12 +145,12 @@
         dues = (self._giver.next_due(), self._taker.next_due(), self.takeover.next_due())
         return min((due for due in dues if due is not None), default=None)
 
-    def take(self) -> list[Effect]:
+    def take_effects(self) -> list[Effect]:
         self._drain()
-        return self._out.take()
+        return self._out.take_effects()
 
     def _drain(self) -> None:
-        for effect in self.takeover.take():
+        for effect in self.takeover.take_effects():
             self._out.add(effect)
             if isinstance(effect, Settled):
                 self._giver.settled(effect.channel, effect.take, effect.over)
--- a/fernweir/peers/channel/takeover.py
+++ b/fernweir/peers/channel/takeover.py
@@ -231,8 +231,8 @@
                 dues.append(taken.hold_until + self.rules.doubt_ms)
         return min(dues, default=None)
 
-    def take(self) -> list[Effect]:
-        return self._out.take()
+    def take_effects(self) -> list[Effect]:
+        return self._out.take_effects()
 
     # --- pieces ---
 
--- a/fernweir/peers/estimate/desk.py
+++ b/fernweir/peers/estimate/desk.py
@@ -135,13 +135,13 @@
         dues = [due for one in self._running.values() if (due := one.run.next_due()) is not None]
         return min(dues, default=None)
 
-    def take(self) -> list[Effect]:
-        return self._effects.take()
+    def take_effects(self) -> list[Effect]:
+        return self._effects.take_effects()
 
     def _collect(self, now: float) -> None:
         """Passes on what runs want, and ends those that are through."""
         for ticket, running in list(self._running.items()):
-            for effect in running.run.take():
+            for effect in running.run.take_effects():
                 if isinstance(effect, Read):
                     self._effects.add(ReadFor(ticket, running.estimate.query, effect))
                 elif isinstance(effect, Caught):
--- a/fernweir/peers/estimate/runner.py
+++ b/fernweir/peers/estimate/runner.py
@@ -177,8 +177,8 @@
     def next_due(self) -> float | None:
         return None if self.done else min((self._end, *(out.due for out in self._outs.values())))
 
-    def take(self) -> list[Effect]:
-        return self._effects.take()
+    def take_effects(self) -> list[Effect]:
+        return self._effects.take_effects()
 
     @property
     def done(self) -> bool:
--- a/fernweir/peers/facts/store.py
+++ b/fernweir/peers/facts/store.py
@@ -121,8 +121,8 @@
         due = (self._own.next_due(), self._table.next_due(), self._pushed.next_due(), self._round_at)
         return min((one for one in due if one is not None), default=None)
 
-    def take(self) -> list[Effect]:
-        return self._out.take()
+    def take_effects(self) -> list[Effect]:
+        return self._out.take_effects()
 
     # --- what is new ---
 
--- a/fernweir/peers/facts/transfer.py
+++ b/fernweir/peers/facts/transfer.py
@@ -97,8 +97,8 @@
         due = (self._outgoing.next_due(), self._incoming.next_due(), self._send_at)
         return min((one for one in due if one is not None), default=None)
 
-    def take(self) -> list[Effect]:
-        return self._out.take()
+    def take_effects(self) -> list[Effect]:
+        return self._out.take_effects()
 
     def _heard_of(self, now: float, one: Sending, message: Ready | Done | Refused) -> None:
         if isinstance(message, Ready):
--- a/fernweir/peers/forward/desk.py
+++ b/fernweir/peers/forward/desk.py
@@ -121,5 +121,5 @@
             heapq.heappop(self._due)
         return self._due[0][0] if self._due else None
 
-    def take(self) -> list[Effect]:
-        return self._box.take()
+    def take_effects(self) -> list[Effect]:
+        return self._box.take_effects()
--- a/fernweir/peers/late/stragglers.py
+++ b/fernweir/peers/late/stragglers.py
@@ -172,8 +172,8 @@
     def next_due(self) -> float | None:
         return self._look_at
 
-    def take(self) -> list[Effect]:
-        return self._out.take()
+    def take_effects(self) -> list[Effect]:
+        return self._out.take_effects()
 
     # --- pieces ---
 
--- a/fernweir/peers/lateness.py
+++ b/fernweir/peers/lateness.py
@@ -106,15 +106,15 @@
 
     def run(self, now: float) -> None:
         """Carries out what was decided since the last call."""
-        while effects := self.stragglers.take():
+        while effects := self.stragglers.take_effects():
             for effect in effects:
                 if isinstance(effect, Event):
                     self._do(now, effect)
                 else:
                     self._out.add(effect)
 
-    def take(self) -> list[Effect]:
-        return self._out.take()
+    def take_effects(self) -> list[Effect]:
+        return self._out.take_effects()
 
     # --- pieces ---
 
--- a/fernweir/peers/lease/holder.py
+++ b/fernweir/peers/lease/holder.py
@@ -112,8 +112,8 @@
         dues = (*self._getting.dues(), *self._keeping.dues(), *self._partings.dues())
         return min(dues, default=None)
 
-    def take(self) -> list[Effect]:
-        return self._out.take()
+    def take_effects(self) -> list[Effect]:
+        return self._out.take_effects()
 
     # --- between the three ---
 
--- a/fernweir/peers/lease/keeper.py
+++ b/fernweir/peers/lease/keeper.py
@@ -126,8 +126,8 @@
             due.append(settles_at)
         return min(due)
 
-    def take(self) -> list[Effect]:
-        return self._out.take()
+    def take_effects(self) -> list[Effect]:
+        return self._out.take_effects()
 
     # --- between keepers ---
 
--- a/fernweir/peers/members/detector.py
+++ b/fernweir/peers/members/detector.py
@@ -157,8 +157,8 @@
     def next_due(self) -> float | None:
         return self._due
 
-    def take(self) -> list[Effect]:
-        return self._voice.out.take()
+    def take_effects(self) -> list[Effect]:
+        return self._voice.out.take_effects()
 
     def _plan(self) -> None:
         due = self._voice.gossip_due()
--- a/fernweir/peers/owning.py
+++ b/fernweir/peers/owning.py
@@ -365,8 +365,8 @@
         dues += [due for due, _ in self._turns.values()]
         return min(due for due in dues if due is not None)
 
-    def take(self) -> list[Effect]:
-        return self._out.take()
+    def take_effects(self) -> list[Effect]:
+        return self._out.take_effects()
 
     # --- pieces: own events of the parts ---
 
@@ -375,7 +375,7 @@
         self._run(now)
 
     def _run(self, now: float) -> None:
-        while effects := self.replica.take() + self.handoff.take():
+        while effects := self.replica.take_effects() + self.handoff.take_effects():
             for effect in effects:
                 if isinstance(effect, Event):
                     self._do(now, effect)
--- a/fernweir/peers/parts.py
+++ b/fernweir/peers/parts.py
@@ -54,12 +54,12 @@
             self._first = min(self._dues.values(), default=None)
         return self._first
 
-    def take(self) -> list[Effect]:
+    def take_effects(self) -> list[Effect]:
         """All effects of the parts, in their order."""
         if not self._giving:
             return []
         giving, self._giving = self._giving, set()
-        return [effect for part in self._all if part in giving for effect in part.take()]
+        return [effect for part in self._all if part in giving for effect in part.take_effects()]
 
     def _due(self, part: Part) -> float | None:
         self._moved.discard(part)
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -1,7 +1,8 @@
 """One front among its peers: joins the parts, and is itself a state machine without I/O or clock.
 
 Messages go to the part whose kind they are, events from one part to those that need them. What is decided
-is decided in the parts; what is done to the front goes through its port. `take` gives what is to be sent.
+is decided in the parts; what is done to the front goes through its port. `take_effects`
+gives what is to be sent.
 """
 
 from __future__ import annotations
@@ -282,7 +283,7 @@
         Operators' questions are answered with what has come.
         """
         self.recording.questions.close(now)
-        self.recording.take()
+        self.recording.take_effects()
         sought = [one for waiting in self._seeking.values() for one in waiting]
         carried, self._seeking, self._carried = self._carried, {}, {}
         for number, seeking in carried.items():
@@ -292,7 +293,7 @@
     # --- the driver ---
 
     def heard(self, now: float, sender: str, life: int, message: Message) -> None:
-        """What follows from it comes with the next `take`: several messages are often heard in one turn."""
+        """What follows comes with the next `take_effects`: several messages are often heard in one turn."""
         self._now = max(self._now, now)
         self._route(now, sender, message)
 
@@ -324,7 +325,7 @@
         due = self._parts.next_due()
         return first if due is None else min(first, due)
 
-    def take(self) -> list[Effect]:
+    def take_effects(self) -> list[Effect]:
         """What is to be sent, and what is to be logged."""
         self._settle(self._now)
         out, self._out = self._out, []
@@ -387,7 +388,7 @@
                 self._at(self.lateness).run(now)
             if self._parts.gives(self.owning):
                 self._at(self.owning).run(now)
-            for effect in self._parts.take():
+            for effect in self._parts.take_effects():
                 if isinstance(effect, Event):
                     self._do(now, effect)
                 elif effect.to == self.me.name:
--- a/fernweir/peers/program.py
+++ b/fernweir/peers/program.py
@@ -199,7 +199,7 @@
             self._wake_by(max(due, now + _LOOK_MS))
 
     def _send(self) -> None:
-        for effect in self.peer.take():
+        for effect in self.peer.take_effects():
             if isinstance(effect, Send):
                 self.links.send(effect)
             elif isinstance(effect, Told):
--- a/fernweir/peers/recording.py
+++ b/fernweir/peers/recording.py
@@ -120,8 +120,13 @@
         dues = (self.copies.next_due(), self.clocks.next_due(), self.questions.next_due())
         return min((due for due in dues if due is not None), default=None)
 
-    def take(self) -> list[Effect]:
-        effects = self.copies.take() + self.clocks.take() + self.questions.take() + self._out.take()
+    def take_effects(self) -> list[Effect]:
+        effects = (
+            self.copies.take_effects()
+            + self.clocks.take_effects()
+            + self.questions.take_effects()
+            + self._out.take_effects()
+        )
         for effect in effects:
             if isinstance(effect, Answered) and effect.id in self._asked:
                 self._asked.pop(effect.id)(effect.answer)
--- a/fernweir/rehearsal/leases.py
+++ b/fernweir/rehearsal/leases.py
@@ -137,7 +137,7 @@
                         name, 1, self._rules, -self._rules.silence_ms, self._sets
                     )
                     machine.tick(0.0)
-                    machine.take()
+                    machine.take_effects()
                 else:
                     machine = self._holder(name)
                     machine.want(self._begins_at(number) * self._rates[rates][number], CHANNEL)
@@ -282,7 +282,7 @@
             case ("hand", str(other)):
                 machine.hand(now, CHANNEL, other)
         sent = []
-        for effect in machine.take():
+        for effect in machine.take_effects():
             if isinstance(effect, Send) and isinstance(effect.to, str):
                 sent.append(self._number(Under(number, self._numbers[effect.to], effect.message)))
             elif isinstance(effect, Lost):
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -246,7 +246,7 @@
             due = peer.next_due()
             if due is not None and math.isnan(due):
                 raise Finding("due at no time")
-            effects: list[Effect] = peer.take()
+            effects: list[Effect] = peer.take_effects()
             for effect in effects:
                 if isinstance(effect, Send):
                     sent += 1
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -219,7 +219,11 @@
     for act, rested in ACTS:
         copies.chain.add(act, rested)
     copies.flush(1_500.0)
-    sent = [one.message for one in copies.take() if isinstance(one, Send) and isinstance(one.message, Keep)]
+    sent = [
+        one.message
+        for one in copies.take_effects()
+        if isinstance(one, Send) and isinstance(one.message, Keep)
+    ]
     assert len(sent) == 1 and sent[0].packed
     return msgspec.msgpack.encode(sent[0])
 
--- a/tests/peers_estimate_day.py
+++ b/tests/peers_estimate_day.py
@@ -81,7 +81,7 @@
     answered = 0
     named = {(one.shard.front, one.shard.name) for one in estimate.plan}
     for _ in range(5_000):
-        for effect in going.take():
+        for effect in going.take_effects():
             if isinstance(effect, Caught):
                 wrong.append(f"{effect.front} caught, though honest")
             elif isinstance(effect, Read):
@@ -378,7 +378,7 @@
             now = max(now, due)
         if due is not None and due <= now:
             desk.tick(now)
-        for effect in desk.take():
+        for effect in desk.take_effects():
             if isinstance(effect, ReadFor):
                 if held:
                     wrong.append("read while viewers need everything")
--- a/tests/test_node_peers.py
+++ b/tests/test_node_peers.py
@@ -336,7 +336,7 @@
         """Up to that time, or until `stop` says so."""
         while self.now < until and not stop():
             for name, peer in self.peers.items():
-                for effect in peer.take():
+                for effect in peer.take_effects():
                     if isinstance(effect, base.Send):
                         self.kinds.add(type(effect.message))
                         to = self.there.get(effect.to, str(effect.to))
--- a/tests/test_peers_acts.py
+++ b/tests/test_peers_acts.py
@@ -195,7 +195,7 @@
 
     def collect(self, node: Node) -> None:
         for part in node.parts():
-            for effect in part.take():
+            for effect in part.take_effects():
                 if isinstance(effect, Send):
                     self.post(node.name, str(effect.to), effect.message)
                 elif type(effect).__name__ == "Answered":
--- a/tests/test_peers_channel.py
+++ b/tests/test_peers_channel.py
@@ -213,7 +213,7 @@
             due = part.next_due()
             if due is not None and due <= self.clock(name):
                 part.tick(self.clock(name))
-            for effect in part.take():
+            for effect in part.take_effects():
                 if isinstance(effect, self.mods.base.Send):
                     to = str(effect.to)
                     self.net.send(name, to, effect.message, effect.whole, self.hand(name, to))
@@ -571,7 +571,7 @@
 
     def pump(self) -> None:
         for part in (self.handoff, self.replica):
-            for effect in part.take():
+            for effect in part.take_effects():
                 if isinstance(effect, self.mods.base.Send):
                     to = str(effect.to)
                     self.world.net.send(
@@ -1038,7 +1038,7 @@
         now += 20.0
         for name, part, other in (("a", owner, standby), ("b", standby, owner)):
             part.tick(now)
-            for effect in part.take():
+            for effect in part.take_effects():
                 if not isinstance(effect, mods.base.Send):
                     continue
                 if isinstance(effect.message, mods.messages.Piece):
@@ -1068,7 +1068,7 @@
             now += 10.0
             for name, part in parts.items():
                 part.tick(now)
-                for effect in part.take():
+                for effect in part.take_effects():
                     if isinstance(effect, mods.payloads.NeedPayload):
                         asked += 1
                         part.payload(now, effect.digest, data)
@@ -1141,7 +1141,7 @@
             due = part.next_due()
             if due is not None and due <= now:
                 part.tick(now)
-            for effect in part.take():
+            for effect in part.take_effects():
                 if isinstance(effect, mods.base.Send):
                     offers = [*offers, getattr(effect.message, "offer", 1)][-6:]
                 elif isinstance(effect, mods.giving.Freeze):
--- a/tests/test_peers_estimate.py
+++ b/tests/test_peers_estimate.py
@@ -177,7 +177,7 @@
 
 
 def _reads(run: Run) -> list[Read]:
-    return [effect for effect in run.take() if isinstance(effect, Read)]
+    return [effect for effect in run.take_effects() if isinstance(effect, Read)]
 
 
 def test_a_shard_whose_front_dies_while_it_runs_is_read_from_a_copy() -> None:
@@ -211,7 +211,7 @@
     run = Run(told, {}, FREE, RunRules(), 0.0)
     (first,) = _reads(run)
     run.answered(1.0, first.number, Answered((), 1, 4, 200, 0, 0))
-    assert run.take() == [Caught("a")]
+    assert run.take_effects() == [Caught("a")]
     summaries = Catalogue(CatalogueRules())
     _tell_one(summaries, "a", 1)
     summaries.caught("a")
--- a/tests/test_peers_facts.py
+++ b/tests/test_peers_facts.py
@@ -121,7 +121,7 @@
     # --- the network ---
 
     def effects(self, name: str) -> None:
-        for effect in self.nodes[name].take():
+        for effect in self.nodes[name].take_effects():
             kind = type(effect).__name__
             if kind == "Send":
                 self._send(name, effect)
@@ -594,7 +594,7 @@
         self.under_way = [one for one in self.under_way if name not in one[1:3]]
 
     def effects(self, name: str) -> None:
-        for effect in self.nodes[name].take():
+        for effect in self.nodes[name].take_effects():
             if type(effect).__name__ != "Send":
                 self.events.append((name, effect))
             else:
@@ -758,14 +758,14 @@
     answers = []
     for number in range(20):
         node.on_message(0.0, "liar", messages.Offer(f"blob-{number}", bytes([number]) * 32, 60_000 + number))
-        answers += [type(effect.message).__name__ for effect in node.take()]
+        answers += [type(effect.message).__name__ for effect in node.take_effects()]
     assert answers == ["Ready"] * 2 + ["Refused"] * 18
     node.on_message(0.0, "liar", messages.Chunk("blob-0", bytes(32), 0, bytes(60_001)))
-    assert [effect.message.later for effect in node.take()] == [False]
+    assert [effect.message.later for effect in node.take_effects()] == [False]
     node.on_message(0.0, "liar", messages.Offer("huge", bytes(32), 120_001))
-    assert [effect.message.why for effect in node.take()] == ["too large"]
+    assert [effect.message.why for effect in node.take_effects()] == ["too large"]
     node.on_message(0.0, "other", messages.Offer("blob", bytes(32), 100_000))
-    assert [type(effect.message).__name__ for effect in node.take()] == ["Ready"]
+    assert [type(effect.message).__name__ for effect in node.take_effects()] == ["Ready"]
     node.tick(60_000.0)
     assert node.next_due() is None
 
--- a/tests/test_peers_fleet.py
+++ b/tests/test_peers_fleet.py
@@ -250,7 +250,7 @@
         peer = peers[0].peer
         assert not peer.owning.in_channel(wish.session)
         peer.directory.find(scene.fronts[0].core.now(), wish.session)
-        told = [effect for effect in peer.directory.take() if isinstance(effect, Found)]
+        told = [effect for effect in peer.directory.take_effects() if isinstance(effect, Found)]
         assert not any(found.owner == "front-0" for found in told)
 
     play(story, PLAN, fronts=0)
--- a/tests/test_peers_forward.py
+++ b/tests/test_peers_forward.py
@@ -23,22 +23,22 @@
     asker, owner = Forward(RULES), Forward(RULES)
     request = carry(asker.number())
     assert asker.ask(0.0, "b", request)
-    (send,) = asker.take()
+    (send,) = asker.take_effects()
     assert send == Send("b", request, whole=True)
     for _ in range(3):
         owner.on_message(1.0, "a", request)
-    assert owner.take() == [Wanted("a", request)]  # carried out once
+    assert owner.take_effects() == [Wanted("a", request)]  # carried out once
     owner.answer(2.0, "a", 1, Carried(1, "plays"))
     owner.answer(2.0, "a", 1, Carried(1, "refused"))  # a second end is none
     owner.on_message(3.0, "a", request)  # said again, as the first may have been lost
-    assert owner.take() == [Send("a", Carried(1, "plays"), whole=True)] * 2
+    assert owner.take_effects() == [Send("a", Carried(1, "plays"), whole=True)] * 2
     asker.on_message(4.0, "c", Carried(1, "refused"))  # was not asked
-    assert asker.take() == []
+    assert asker.take_effects() == []
     asker.on_message(5.0, "b", Carried(1, "plays"))
     asker.on_message(6.0, "b", Carried(1, "plays"))
-    assert asker.take() == [Answered(1, Carried(1, "plays"))]
+    assert asker.take_effects() == [Answered(1, Carried(1, "plays"))]
     asker.tick(10_000.0)
-    assert asker.take() == [] and asker.next_due() is None and len(asker) == 0
+    assert asker.take_effects() == [] and asker.next_due() is None and len(asker) == 0
 
 
 def test_no_answer_in_time_a_dead_owner_and_too_many() -> None:
@@ -46,15 +46,15 @@
     assert asker.ask(0.0, "b", carry(1, 500.0)) and asker.ask(0.0, "c", carry(2, 400.0))
     assert not asker.ask(0.0, "c", carry(3, 49.0))  # no time is left for a way there and back
     assert asker.next_due() == 370.0
-    asker.take()
+    asker.take_effects()
     asker.tick(369.9)
-    assert asker.take() == []
+    assert asker.take_effects() == []
     asker.tick(370.0)
-    assert asker.take() == [Answered(2, None)]
+    assert asker.take_effects() == [Answered(2, None)]
     asker.gone(380.0, "b")
-    assert asker.take() == [Answered(1, None)]
+    assert asker.take_effects() == [Answered(1, None)]
     asker.on_message(390.0, "b", Carried(1, "plays"))
-    assert asker.take() == [] and asker.next_due() is None
+    assert asker.take_effects() == [] and asker.next_due() is None
     for number in range(10, 18):
         assert asker.ask(400.0, "b", carry(number))
     assert not asker.ask(400.0, "b", carry(18)) and asker.turned_down == 2
@@ -79,7 +79,7 @@
 
     def drain(self, now: float) -> None:
         for name, desk in self.desks.items():
-            for effect in desk.take():
+            for effect in desk.take_effects():
                 if isinstance(effect, Send):
                     for _ in range(self.dice.choice((0, 1, 1, 1, 2))):
                         at = now + self.dice.choice((1.0, 5.0, 300.0, 2_000.0))
--- a/tests/test_peers_heirs.py
+++ b/tests/test_peers_heirs.py
@@ -356,7 +356,7 @@
                 due = part.next_due()
                 if due is not None and due <= self.now:
                     part.tick(self.now)
-                for effect in part.take():
+                for effect in part.take_effects():
                     if isinstance(effect, self.base.Send):
                         self.send(name, effect)
                     else:
@@ -431,11 +431,11 @@
     assert len(part._registrar) == 4
     for n in range(9):
         part.find(0.0, f"s{n}")
-    effects = part.take()
+    effects = part.take_effects()
     found = [effect for effect in effects if isinstance(effect, module.Found)]
     assert len(found) >= 6 and all(one.owner is None for one in found)
     part.tick(60.0)
-    found += [effect for effect in part.take() if isinstance(effect, module.Found)]
+    found += [effect for effect in part.take_effects() if isinstance(effect, module.Found)]
     assert sorted(one.session for one in found) == [f"s{n}" for n in range(9)]
 
 
--- a/tests/test_peers_late.py
+++ b/tests/test_peers_late.py
@@ -388,7 +388,7 @@
         due = machine.next_due()
         if due is not None and due <= now:
             machine.tick(now)
-        for effect in machine.take():
+        for effect in machine.take_effects():
             assert not isinstance(effect, KIT.events.ShutOut | KIT.events.Apply), effect
     assert set(machine.states()) == set(names) and not machine.shut_out()
     assert len(machine._tally._heard) <= 3
--- a/tests/test_peers_lease.py
+++ b/tests/test_peers_lease.py
@@ -222,7 +222,7 @@
         """Carries out what a process wants done, looks, and sets its timer."""
         self.look(process)
         for machine in (process.holder, process.keeper):
-            for effect in machine.take() if machine is not None else ():
+            for effect in machine.take_effects() if machine is not None else ():
                 if hasattr(effect, "message"):
                     self.send(process.name, effect.to, effect.message)
                 else:
@@ -665,7 +665,7 @@
 
 
 def _events(process: Process, site: Site) -> list[Any]:
-    return [effect for effect in process.holder.take() if not hasattr(effect, "message")]
+    return [effect for effect in process.holder.take_effects() if not hasattr(effect, "message")]
 
 
 def test_a_keeper_that_restarts_inside_a_lease_leaves_it_with_its_owner_and_learns_it_again() -> None:
@@ -744,7 +744,9 @@
     until = _lease(site, "a").until
     messages = code.messages
     owner.holder.tick(until - 300)  # a renewal is due and asked for
-    turns = {each.message.turn for each in owner.holder.take() if isinstance(each.message, messages.Renew)}
+    turns = {
+        each.message.turn for each in owner.holder.take_effects() if isinstance(each.message, messages.Renew)
+    }
     for keeper in ("k0", "k1"):
         owner.holder.on_message(until + late, keeper, messages.Extended(owner.life, max(turns)))
     lease = owner.holder.holds(until + late, CHANNEL)
@@ -760,7 +762,9 @@
     owner.holder.tick(asked)
     owner.holder.tick(asked + 75)
     messages = site.code.messages
-    turns = [each.message.turn for each in owner.holder.take() if isinstance(each.message, messages.Renew)]
+    turns = [
+        each.message.turn for each in owner.holder.take_effects() if isinstance(each.message, messages.Renew)
+    ]
     assert len(turns) == 6 and len(set(turns)) == 1  # each of three keepers was asked twice
     for keeper in ("k0", "k1"):
         owner.holder.on_message(asked + 100, keeper, messages.Extended(owner.life, turns[0]))
@@ -775,7 +779,7 @@
     owner.holder.tick(now)
     (ballot,) = {
         each.message.items[0].ballot
-        for each in owner.holder.take()
+        for each in owner.holder.take_effects()
         if isinstance(each.message, messages.Prepare)
     }
     promise = messages.Promised(owner.life, (messages.Item(CHANNEL, ballot, lease.fence),))
@@ -786,7 +790,7 @@
         now + 2, "k0", messages.Granted(owner.life, (granted,))
     )  # the others' answers are lost
     owner.holder.tick(now + site.rules.attempt_ms)
-    sent = [type(each.message).__name__ for each in owner.holder.take()]
+    sent = [type(each.message).__name__ for each in owner.holder.take_effects()]
     assert "Propose" in sent and "Release" not in sent
     assert owner.holder.holds(now + site.rules.attempt_ms, CHANNEL).fence == lease.fence
 
@@ -842,14 +846,14 @@
     holder = Holder("front-a", life, LeaseRules(), 1, [KeeperSet(1, keepers)])
     holder.want(0.0, "channel")
     holder.tick(1.0)
-    asked = {one.to: one.message.items for one in holder.take()}
+    asked = {one.to: one.message.items for one in holder.take_effects()}
     assert set(asked) == set(keepers)
     for keeper, items in asked.items():
         holder.on_message(2.0, keeper, Promised(life - 1, items))
-    assert not holder.take()
+    assert not holder.take_effects()
     for keeper, items in asked.items():
         holder.on_message(2.0, keeper, Promised(life, items))
-    assert {type(one.message) for one in holder.take()} == {Propose}
+    assert {type(one.message) for one in holder.take_effects()} == {Propose}
 
 
 def test_many_channels_go_in_few_messages() -> None:
@@ -897,8 +901,8 @@
         message = kind(**{field.name: value(field) for field in msgspec.structs.fields(kind)})
         keeper.on_message(float(at % 700), dice.choice(("z", "k1", "a")), message)
         owner.holder.on_message(now + at / 100, dice.choice(("z", "k0", "k1")), message)
-        keeper.take()
-        owner.holder.take()
+        keeper.take_effects()
+        owner.holder.take_effects()
     assert len(keeper._records.by_channel) <= 50
     assert len(owner.holder.held(now + 40)) <= 1 and len(owner.holder._partings._out_now) < 50
     keeper.tick(10_000.0)
--- a/tests/test_peers_members.py
+++ b/tests/test_peers_members.py
@@ -503,7 +503,9 @@
             front.machine.on_message(now, dice.choice(names), said)
         else:
             front.machine.tick(now)
-        front.events += [(now, effect) for effect in front.machine.take() if not hasattr(effect, "to")]
+        front.events += [
+            (now, effect) for effect in front.machine.take_effects() if not hasattr(effect, "to")
+        ]
         due = front.machine.next_due()
         assert due is not None and due >= now
         assert len(front.machine.table()) <= 12
--- a/tests/test_peers_parts.py
+++ b/tests/test_peers_parts.py
@@ -34,19 +34,19 @@
                 Watched.forgotten.append(f"{type(part).__name__} is due at another time")
         return first
 
-    def take(self) -> list[Effect]:
+    def take_effects(self) -> list[Effect]:
         untouched = [part for part in self._all if not self.gives(part)]
-        effects = super().take()
+        effects = super().take_effects()
         for part in untouched:
-            if part.take() or _within(part):
+            if part.take_effects() or _within(part):
                 Watched.forgotten.append(f"{type(part).__name__} had effects")
         return effects
 
 
 def _within(part: Part) -> list[Effect]:
     if isinstance(part, Owning):
-        return part.replica.take() + part.handoff.take()
-    return part.stragglers.take() if isinstance(part, Lateness) else []
+        return part.replica.take_effects() + part.handoff.take_effects()
+    return part.stragglers.take_effects() if isinstance(part, Lateness) else []
 
 
 def found(plan: FleetPlan) -> list[str]:
