--- a/bench/late_day.py
+++ b/bench/late_day.py
@@ -238,7 +238,7 @@
             self.membership(front)
             self.facts(front)
             self.act(front)
-            at = front.machine.next_due()
+            at = front.machine.next_deadline()
             if at is not None and at <= self.time(front):
                 front.machine.tick(self.time(front))
             self.carry(front)
--- a/bench/peers_acts.py
+++ b/bench/peers_acts.py
@@ -67,7 +67,7 @@
                     assert isinstance(effect.message, Keep)
                     copies._own.lines[str(effect.to)].kept((effect.message.number,), (), 1, chain.number)
         chain.add(act, versions)
-        due = chain.next_due() or float("inf")
+        due = chain.next_deadline() or float("inf")
     took = (time.process_time() - began) / len(acts) * 1e6
     began = time.process_time()
     plain = Chain("front-00", 1_800_000_000_000, RULES)
@@ -113,7 +113,7 @@
         while True:
             for name, part in self.parts.items():
                 began = time.process_time()
-                while (due := part.next_due()) is not None and due <= now:
+                while (due := part.next_deadline()) is not None and due <= now:
                     part.tick(now)
                 effects = part.take_effects()
                 self.spent[name] += time.process_time() - began
@@ -177,7 +177,7 @@
         before = tracemalloc.get_traced_memory()[0]
         copies = fleet.copies[name]
         for act, versions in drawn:
-            due = copies.chain.next_due()
+            due = copies.chain.next_deadline()
             if due is not None and act.at >= due:
                 copies.tick(act.at)
             copies.chain.add(act, versions)
--- a/bench/peers_channel.py
+++ b/bench/peers_channel.py
@@ -76,7 +76,7 @@
 
     def step(self, until: float, parts: dict[str, Any]) -> bool:
         """On to the next thing that is due; False if that is later than `until`."""
-        dues = [due for part in parts.values() if (due := part.next_due()) is not None]
+        dues = [due for part in parts.values() if (due := part.next_deadline()) is not None]
         if self.queue:
             dues.append(self.queue[0][0])
         if not dues or min(dues) > until:
@@ -86,7 +86,7 @@
         while self.queue and self.queue[0][0] <= self.now:
             heapq.heappop(self.queue)[2]()
         for part in parts.values():
-            due = part.next_due()
+            due = part.next_deadline()
             if due is not None and due <= self.now:
                 part.tick(self.now)
         return True
--- a/bench/peers_facts.py
+++ b/bench/peers_facts.py
@@ -57,7 +57,7 @@
                     )  # fmt: skip
             elif isinstance(effect, Changed):
                 self.changed(name, effect)
-        due = node.next_due()
+        due = node.next_deadline()
         if due is not None and due < self._due.get(name, float("inf")):
             self._due[name] = due
             heapq.heappush(self._heap, (max(due, self.now), next(self._ties), "", name, due))
--- a/bench/peers_late.py
+++ b/bench/peers_late.py
@@ -82,7 +82,7 @@
         began = time.process_time()
         for name in names[turn % 10 :: 10]:
             machine.versions(now, name, versions)
-        due = machine.next_due()
+        due = machine.next_deadline()
         if due is not None and due <= now:
             machine.tick(now)
             looks += 1
--- a/bench/peers_lease.py
+++ b/bench/peers_lease.py
@@ -61,7 +61,7 @@
                 if machine is None:
                     continue
                 if message is None:
-                    due = machine.next_due()
+                    due = machine.next_deadline()
                     if due is not None and due <= self.at:
                         machine.tick(self.at)
                 else:
@@ -79,7 +79,7 @@
                     self._send(name, effect)
                 else:
                     self.events[type(effect)] += 1
-            if (when := machine.next_due()) is not None:
+            if (when := machine.next_deadline()) is not None:
                 due.append(when)
         wake = max(self.at + 0.1, min(due, default=float("inf")))
         if wake < self._wakes.get(name, float("inf")):
--- a/bench/peers_members.py
+++ b/bench/peers_members.py
@@ -118,7 +118,7 @@
     def wake(self, front: Front, told: bool) -> None:
         """It goes on: with its timer or with what waited for it first, as drawn; `told` calls `stood`."""
         front.stopped = False
-        due = front.machine.next_due()
+        due = front.machine.next_deadline()
         late = self.now - due if due is not None else 0.0
         if told and late > 0:
             front.machine.stood(self.now, late)
@@ -157,7 +157,7 @@
             else:
                 front.events.append((self.now, effect))
                 self.watch(front, effect)
-        due = front.machine.next_due()
+        due = front.machine.next_deadline()
         if due is not None and due != front.wakes_at:
             front.wakes_at = max(due, self.now)
             self._push(front.wakes_at, front, "", None)
--- a/fernweir/peers/acts/chain.py
+++ b/fernweir/peers/acts/chain.py
@@ -83,7 +83,7 @@
         if now >= self._full_at():
             self.seal(now)
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         if self._sealed:  # sealed as it was full, or as the wall clock jumped
             return self._sealed[0].block.until * TICK_MS
         return self._full_at() if self._open else None
--- a/fernweir/peers/acts/clock.py
+++ b/fernweir/peers/acts/clock.py
@@ -224,7 +224,7 @@
         self._next = now + self.rules.exchange_least_ms
         self._out.add(Send(name, Ping(now)))
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         due = min((peer.due for peer in self._peers.values()), default=None)
         return max(due, self._next) if due is not None else None
 
--- a/fernweir/peers/acts/copies.py
+++ b/fernweir/peers/acts/copies.py
@@ -95,8 +95,8 @@
             self._watch_at = now + self.rules.gap_ms / 2
             self._watch(now)
 
-    def next_due(self) -> float | None:
-        dues = [self.chain.next_due(), *(one.next_due() for one in self._sending.values())]
+    def next_deadline(self) -> float | None:
+        dues = [self.chain.next_deadline(), *(one.next_deadline() for one in self._sending.values())]
         if self._progress:
             dues.append(self._watch_at)
         return min((due for due in dues if due is not None), default=None)
--- a/fernweir/peers/acts/line.py
+++ b/fernweir/peers/acts/line.py
@@ -65,7 +65,7 @@
         if late:
             self._wait = min(self._wait * 2, self.rules.resend_most_ms)
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         return min(at for at, _ in self.out.values()) + self._wait if self.out else None
 
     def _forget(self, number: int) -> None:
--- a/fernweir/peers/acts/questions.py
+++ b/fernweir/peers/acts/questions.py
@@ -144,7 +144,7 @@
         for run in list(self._running.values()):
             self._step(now, run)
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         if self._waiting:
             return self._now
         dues = [run.deadline for run in self._running.values()]
--- a/fernweir/peers/acts/sending.py
+++ b/fernweir/peers/acts/sending.py
@@ -62,7 +62,7 @@
                 if sealed is not None:
                     yield sealed
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         return min(
-            (due for line in self.lines.values() if (due := line.next_due()) is not None), default=None
+            (due for line in self.lines.values() if (due := line.next_deadline()) is not None), default=None
         )
--- a/fernweir/peers/base.py
+++ b/fernweir/peers/base.py
@@ -53,9 +53,9 @@
         """A message of one of this part's kinds, from a peer whose word is authenticated."""
 
     def tick(self, now: float) -> None:
-        """Time has come to `next_due`; being early or late must do no harm."""
+        """Time has come to `next_deadline`; being early or late must do no harm."""
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         """When `tick` is wanted at the latest; None for never."""
 
     def take_effects(self) -> list[Effect]:
--- a/fernweir/peers/channel/copies.py
+++ b/fernweir/peers/channel/copies.py
@@ -145,9 +145,9 @@
             self._next_digests = now + self.rules.beat_ms
             self._keep_named(now)
 
-    def next_due(self) -> float | None:
-        dues = [owned.next_due() for owned in self._owned.values()]
-        dues += [self._standby.next_due(), self._payloads.next_due()]
+    def next_deadline(self) -> float | None:
+        dues = [owned.next_deadline() for owned in self._owned.values()]
+        dues += [self._standby.next_deadline(), self._payloads.next_deadline()]
         if self._standby.channels() or self._fetched or self._payloads.size():
             dues.append(self._next_digests)
         return min((due for due in dues if due is not None), default=None)
--- a/fernweir/peers/channel/directory.py
+++ b/fernweir/peers/channel/directory.py
@@ -178,7 +178,7 @@
             self._sweep_at = now + self.rules.refresh_ms / 4.0
             self._registrar.sweep(now)
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         dues = [min(find.again_at, find.until) for find in self._finds.values()]
         if self._flush_at is not None:
             dues.append(self._flush_at)
--- a/fernweir/peers/channel/giving.py
+++ b/fernweir/peers/channel/giving.py
@@ -304,7 +304,7 @@
             if self._givings.get(giving.channel) is giving and now >= giving.again_at:
                 self._again(now, giving)
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         dues: list[float] = []
         for giving in self._givings.values():
             if giving.step in (Step.WAITING, Step.FROZEN):
--- a/fernweir/peers/channel/handoff.py
+++ b/fernweir/peers/channel/handoff.py
@@ -141,8 +141,8 @@
         self.takeover.tick(now)
         self._drain()
 
-    def next_due(self) -> float | None:
-        dues = (self._giver.next_due(), self._taker.next_due(), self.takeover.next_due())
+    def next_deadline(self) -> float | None:
+        dues = (self._giver.next_deadline(), self._taker.next_deadline(), self.takeover.next_deadline())
         return min((due for due in dues if due is not None), default=None)
 
     def take_effects(self) -> list[Effect]:
--- a/fernweir/peers/channel/owned.py
+++ b/fernweir/peers/channel/owned.py
@@ -198,7 +198,7 @@
                 if tries + 1 >= _DROPS:
                     del self._leaving[name]
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         dues = [due for _, due in self._leaving.values()]
         for follower in self._followers.values():
             dues.append(follower.hail_at)
--- a/fernweir/peers/channel/payloads.py
+++ b/fernweir/peers/channel/payloads.py
@@ -143,7 +143,7 @@
         for digest in [digest for digest, one in self._at_hand.items() if now >= one.until]:
             del self._at_hand[digest]
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         dues = [fetch.ask_at for fetch in self._fetches.values()]
         dues += [one.until for one in self._at_hand.values()]
         return min(dues, default=None)
--- a/fernweir/peers/channel/standby.py
+++ b/fernweir/peers/channel/standby.py
@@ -146,7 +146,7 @@
             if now >= kept.heard_at + self.rules.keep_ms:
                 del self._kept[channel]
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         return min((kept.heard_at + self.rules.keep_ms for kept in self._kept.values()), default=None)
 
     # --- whom to believe ---
--- a/fernweir/peers/channel/takeover.py
+++ b/fernweir/peers/channel/takeover.py
@@ -217,7 +217,7 @@
             self._ask(now, taken)
             self._weigh(now, taken)
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         dues: list[float] = []
         for taken in self._taken.values():
             dues += [box.ask_at for box in taken.boxes.values() if not box.answered]
--- a/fernweir/peers/channel/taking.py
+++ b/fernweir/peers/channel/taking.py
@@ -226,7 +226,7 @@
             elif taking.step is Step.ACTING and now >= taking.hold_until:
                 del self._takings[taking.channel]
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         dues = [one.due for one in self._takings.values() if one.step in (Step.ACCEPTED, Step.LEASING)]
         dues += [one.hold_until for one in self._takings.values() if one.step is Step.ACTING]
         return min(dues, default=None)
--- a/fernweir/peers/estimate/desk.py
+++ b/fernweir/peers/estimate/desk.py
@@ -131,8 +131,8 @@
             running.run.tick(now)
         self._collect(now)
 
-    def next_due(self) -> float | None:
-        dues = [due for one in self._running.values() if (due := one.run.next_due()) is not None]
+    def next_deadline(self) -> float | None:
+        dues = [due for one in self._running.values() if (due := one.run.next_deadline()) is not None]
         return min(dues, default=None)
 
     def take_effects(self) -> list[Effect]:
--- a/fernweir/peers/estimate/runner.py
+++ b/fernweir/peers/estimate/runner.py
@@ -174,7 +174,7 @@
         for number in [number for number, out in self._outs.items() if now >= out.due]:
             self.failed(now, number)
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         return None if self.done else min((self._end, *(out.due for out in self._outs.values())))
 
     def take_effects(self) -> list[Effect]:
--- a/fernweir/peers/estimate/waves.py
+++ b/fernweir/peers/estimate/waves.py
@@ -146,7 +146,7 @@
         if self.phase is not Phase.OVER:
             self._abort(why)
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         return self._until if self.phase is Phase.PAUSED else None
 
     def _pause(self, now: float, over: float) -> None:
--- a/fernweir/peers/facts/incoming.py
+++ b/fernweir/peers/facts/incoming.py
@@ -86,7 +86,7 @@
         for key in old:
             del self._partial[key]
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         return min((one.moved_at + self.rules.keep_ms for one in self._partial.values()), default=None)
 
     def _let(self, one: Partial) -> Ready:
--- a/fernweir/peers/facts/news.py
+++ b/fernweir/peers/facts/news.py
@@ -33,7 +33,7 @@
             self._left[owner, key] = self.rules.news_rounds
             self._due = min(self._due, now)
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         return self._due if self._left and self.table.names else None
 
     def tick(self, now: float) -> None:
--- a/fernweir/peers/facts/outgoing.py
+++ b/fernweir/peers/facts/outgoing.py
@@ -116,7 +116,7 @@
     def to_offer_again(self, now: float) -> list[Sending]:
         return [one for one in self._sending.values() if now >= one.retry_at and not one.sendable()]
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         due = [one.fail_at for one in self._sending.values()]
         due += [one.retry_at for one in self._sending.values() if not one.sendable()]
         return min(due, default=None)
--- a/fernweir/peers/facts/own.py
+++ b/fernweir/peers/facts/own.py
@@ -52,7 +52,7 @@
         if claimed > (self.held.life, self.held.known) and entry.life < LIMIT:
             self._claimed = max(self._claimed, claimed)
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         return self._refuted_at + self.rules.refute_ms if self._claimed > _NO_CLAIM else None
 
     def refute(self, now: float) -> bool:
@@ -60,7 +60,7 @@
 
         So a front that is back under its old life, or was lied about, is heard again.
         """
-        due = self.next_due()
+        due = self.next_deadline()
         if due is None or now < due:
             return False
         old, (life, version) = self.held, self._claimed
--- a/fernweir/peers/facts/store.py
+++ b/fernweir/peers/facts/store.py
@@ -117,8 +117,13 @@
             self._round_at = now + self.rules.round_ms * self._dice.uniform(0.9, 1.1)
             self._exchange.round(now)
 
-    def next_due(self) -> float | None:
-        due = (self._own.next_due(), self._table.next_due(), self._pushed.next_due(), self._round_at)
+    def next_deadline(self) -> float | None:
+        due = (
+            self._own.next_deadline(),
+            self._table.next_deadline(),
+            self._pushed.next_deadline(),
+            self._round_at,
+        )
         return min((one for one in due if one is not None), default=None)
 
     def take_effects(self) -> list[Effect]:
--- a/fernweir/peers/facts/table.py
+++ b/fernweir/peers/facts/table.py
@@ -126,7 +126,7 @@
             self._out.add(Gone(owner))
         return gone
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         return min((since + self.rules.keep_ms for since in self._left.values()), default=None)
 
     def _in_life(self, owner: str, life: int, may_begin: bool) -> Held | None:
--- a/fernweir/peers/facts/transfer.py
+++ b/fernweir/peers/facts/transfer.py
@@ -93,8 +93,8 @@
             self._say(turn.to, chunk)
         self._plan(now)
 
-    def next_due(self) -> float | None:
-        due = (self._outgoing.next_due(), self._incoming.next_due(), self._send_at)
+    def next_deadline(self) -> float | None:
+        due = (self._outgoing.next_deadline(), self._incoming.next_deadline(), self._send_at)
         return min((one for one in due if one is not None), default=None)
 
     def take_effects(self) -> list[Effect]:
--- a/fernweir/peers/forward/desk.py
+++ b/fernweir/peers/forward/desk.py
@@ -116,7 +116,7 @@
             if self._out.pop(number, None) is not None:
                 self._box.add(Answered(number, None))
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         while self._due and self._due[0][1] not in self._out:
             heapq.heappop(self._due)
         return self._due[0][0] if self._due else None
--- a/fernweir/peers/late/stragglers.py
+++ b/fernweir/peers/late/stragglers.py
@@ -169,7 +169,7 @@
         if not self._quiet:
             self._look_at = now + self.rules.look_ms
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         return self._look_at
 
     def take_effects(self) -> list[Effect]:
--- a/fernweir/peers/lateness.py
+++ b/fernweir/peers/lateness.py
@@ -101,8 +101,8 @@
     def tick(self, now: float) -> None:
         self.stragglers.tick(now)
 
-    def next_due(self) -> float | None:
-        return self.stragglers.next_due()
+    def next_deadline(self) -> float | None:
+        return self.stragglers.next_deadline()
 
     def run(self, now: float) -> None:
         """Carries out what was decided since the last call."""
--- a/fernweir/peers/lease/holder.py
+++ b/fernweir/peers/lease/holder.py
@@ -108,7 +108,7 @@
         self._partings.tick(now)
         self._finish(now)
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         dues = (*self._getting.dues(), *self._keeping.dues(), *self._partings.dues())
         return min(dues, default=None)
 
--- a/fernweir/peers/lease/keeper.py
+++ b/fernweir/peers/lease/keeper.py
@@ -117,11 +117,11 @@
             for name in self._ask(now):
                 self._out.add(Send(name, Recall()))
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         due = [self._sweep_at]
         if self._overlap.asks() or self._unheard:
             due.append(self._recall_at)
-        settles_at = self._overlap.next_due()
+        settles_at = self._overlap.next_deadline()
         if settles_at is not None:
             due.append(settles_at)
         return min(due)
--- a/fernweir/peers/lease/overlap.py
+++ b/fernweir/peers/lease/overlap.py
@@ -83,5 +83,5 @@
             return ()
         return tuple(name for name in self.before.names if name not in self._moved)
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         return self._settles_at
--- a/fernweir/peers/members/detector.py
+++ b/fernweir/peers/members/detector.py
@@ -154,7 +154,7 @@
             self._voice.spread(self._rules.fanout)
         self._plan()
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         return self._due
 
     def take_effects(self) -> list[Effect]:
--- a/fernweir/peers/owning.py
+++ b/fernweir/peers/owning.py
@@ -359,8 +359,8 @@
         self.handoff.tick(now)
         self._run(now)
 
-    def next_due(self) -> float | None:
-        dues = [self._look_at, self.replica.next_due(), self.handoff.next_due()]
+    def next_deadline(self) -> float | None:
+        dues = [self._look_at, self.replica.next_deadline(), self.handoff.next_deadline()]
         dues += [tried.due for tried in self._tries.values() if not tried.asked]
         dues += [due for due, _ in self._turns.values()]
         return min(due for due in dues if due is not None)
--- a/fernweir/peers/parts.py
+++ b/fernweir/peers/parts.py
@@ -47,7 +47,7 @@
             if due is not None and due <= now:
                 self.at(part).tick(now)
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         if self._moved:
             for part in tuple(self._moved):
                 self._due(part)
@@ -63,7 +63,7 @@
 
     def _due(self, part: Part) -> float | None:
         self._moved.discard(part)
-        due = part.next_due()
+        due = part.next_deadline()
         if due is None:
             self._dues.pop(part, None)
         else:
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -320,9 +320,9 @@
         self._parts.tick(now)
         self._settle(now)
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         first = self._load_at if self._join_by is None else min(self._load_at, self._join_by)
-        due = self._parts.next_due()
+        due = self._parts.next_deadline()
         return first if due is None else min(first, due)
 
     def take_effects(self) -> list[Effect]:
--- a/fernweir/peers/program.py
+++ b/fernweir/peers/program.py
@@ -190,11 +190,11 @@
 
     def _look(self) -> None:
         now = self._looked_at = self._core.now()
-        due = self.peer.next_due()
+        due = self.peer.next_deadline()
         if due is not None and due <= now:
             self.peer.tick(now)
             self._send()
-            due = self.peer.next_due()
+            due = self.peer.next_deadline()
         if due is not None:
             self._wake_by(max(due, now + _LOOK_MS))
 
--- a/fernweir/peers/recording.py
+++ b/fernweir/peers/recording.py
@@ -116,8 +116,8 @@
         self.clocks.tick(now)
         self.questions.tick(now)
 
-    def next_due(self) -> float | None:
-        dues = (self.copies.next_due(), self.clocks.next_due(), self.questions.next_due())
+    def next_deadline(self) -> float | None:
+        dues = (self.copies.next_deadline(), self.clocks.next_deadline(), self.questions.next_deadline())
         return min((due for due in dues if due is not None), default=None)
 
     def take_effects(self) -> list[Effect]:
--- a/fernweir/rehearsal/leases.py
+++ b/fernweir/rehearsal/leases.py
@@ -271,7 +271,7 @@
         machine = self._machines.copy(local)
         match what:
             case ("tick",):
-                due = machine.next_due()
+                due = machine.next_deadline()
                 if due is not None and due <= now:
                     machine.tick(now)
             case ("heard", int(message)):
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -243,7 +243,7 @@
         sent = ticks = 0
         peer = self.peers[name]
         while True:
-            due = peer.next_due()
+            due = peer.next_deadline()
             if due is not None and math.isnan(due):
                 raise Finding("due at no time")
             effects: list[Effect] = peer.take_effects()
--- a/tests/peers_estimate_day.py
+++ b/tests/peers_estimate_day.py
@@ -93,7 +93,7 @@
         if going.done:
             break
         if not out:
-            due = going.next_due()
+            due = going.next_deadline()
             if due is None:
                 wrong.append("neither done nor waiting")
                 break
@@ -373,7 +373,7 @@
                 desk.answered(now, one.ticket, one.read.number, answer)
                 if dice.random() < 0.1:
                     desk.answered(now, one.ticket, one.read.number, answer)
-        due = desk.next_due()
+        due = desk.next_deadline()
         if step > 300 and not out and due is not None:
             now = max(now, due)
         if due is not None and due <= now:
@@ -438,7 +438,7 @@
         wave = waves.next(now)
         if wave is None:
             if waves.phase is Phase.PAUSED:
-                due = waves.next_due()
+                due = waves.next_deadline()
                 if due is None or due <= now:
                     wrong.append("paused without an end")
                     break
--- a/tests/test_node_peers.py
+++ b/tests/test_node_peers.py
@@ -346,7 +346,7 @@
                 if to in self.peers and sender in self.peers:
                     self.peers[to].heard(self.now, sender, 1, message)
             for peer in self.peers.values():
-                due = peer.next_due()
+                due = peer.next_deadline()
                 if due is not None and due <= self.now:
                     peer.tick(self.now)
             self.now += 2.0
--- a/tests/test_peers_acts.py
+++ b/tests/test_peers_acts.py
@@ -185,10 +185,10 @@
     def turn(self, node: Node) -> None:
         now = node.now(self.at)
         for part in node.parts():
-            due = part.next_due()
+            due = part.next_deadline()
             if due is not None and due <= now:
                 part.tick(now)
-                again = part.next_due()
+                again = part.next_deadline()
                 if again is not None and again <= now and part is not node.questions:
                     self.wrong.append(f"{type(part).__name__} wants to be called at once, for ever")
         self.collect(node)
--- a/tests/test_peers_channel.py
+++ b/tests/test_peers_channel.py
@@ -210,7 +210,7 @@
         for name, part in self.parts.items():
             if name in self.net.stopped:
                 continue
-            due = part.next_due()
+            due = part.next_deadline()
             if due is not None and due <= self.clock(name):
                 part.tick(self.clock(name))
             for effect in part.take_effects():
@@ -545,7 +545,7 @@
                 if world.oracle.renew(channel, self.name, owned.fence):
                     owned.until = now + LEASE * 0.97
         for part in (self.handoff, self.replica):
-            due = part.next_due()
+            due = part.next_deadline()
             if due is not None and due <= now:
                 part.tick(now)
         self.inherit()
@@ -1138,7 +1138,7 @@
         message, sender = kind(**values), dice.choice("bc")
         for part in (replica, hand):
             part.on_message(now, sender, message)
-            due = part.next_due()
+            due = part.next_deadline()
             if due is not None and due <= now:
                 part.tick(now)
             for effect in part.take_effects():
--- a/tests/test_peers_estimate.py
+++ b/tests/test_peers_estimate.py
@@ -563,7 +563,7 @@
     assert waves.phase is Phase.PAUSED
     assert waves.next(60_001.0) is None
     rack.hear()
-    again = waves.next(waves.next_due() or 0.0)
+    again = waves.next(waves.next_deadline() or 0.0)
     assert again is not None and again.cost.sessions.high > wave.cost.sessions.high
     for unit in again.units:
         rack.here[int(unit)] = 900
--- a/tests/test_peers_facts.py
+++ b/tests/test_peers_facts.py
@@ -166,7 +166,7 @@
                     self.nodes[to].on_message(self.local(to), sender, message)
                     self.effects(to)
             for name in self.nodes:
-                due = self.nodes[name].next_due()
+                due = self.nodes[name].next_deadline()
                 if name not in self.paused and due is not None and due <= self.local(name):
                     self.nodes[name].tick(self.local(name))
                     self.effects(name)
@@ -619,7 +619,7 @@
                     self.nodes[to].on_message(self.now, sender, message)
                     self.effects(to)
             for name, node in self.nodes.items():
-                if (at := node.next_due()) is not None and at <= self.now:
+                if (at := node.next_deadline()) is not None and at <= self.now:
                     node.tick(self.now)
                 self.effects(name)
 
@@ -714,7 +714,7 @@
     lines.run(5_000.0)
     assert len(lines.told("Received")) == 4 and lines.bytes["a"] < 1_300_000
     lines.run(10_000.0)
-    assert lines.nodes["a"].next_due() is None and lines.nodes["b"].next_due() is None
+    assert lines.nodes["a"].next_deadline() is None and lines.nodes["b"].next_deadline() is None
 
 
 def test_a_sender_that_changes_its_data_midway_is_refused_and_leaves_nothing() -> None:
@@ -726,7 +726,7 @@
     lines.run(5_000.0)
     assert lines.told("Received") == []
     assert [(event.to, event.name) for _, event in lines.told("Failed")] == [("b", "list")]
-    assert lines.nodes["b"].next_due() is None
+    assert lines.nodes["b"].next_deadline() is None
 
 
 @pytest.mark.parametrize("lie", ["beyond", "backwards", "silent", "busy", "too much"])
@@ -736,7 +736,7 @@
     node.offer(0.0, "liar", "list", bytes(400_000))
     digest = node._outgoing.named("list")[0].digest
     offset = 0
-    while node.next_due() is not None and lines.now < 120_000.0:
+    while node.next_deadline() is not None and lines.now < 120_000.0:
         lines.run(250.0)
         answers = {
             "beyond": messages.Ready("list", digest, 400_001, 500_000),
@@ -767,7 +767,7 @@
     node.on_message(0.0, "other", messages.Offer("blob", bytes(32), 100_000))
     assert [type(effect.message).__name__ for effect in node.take_effects()] == ["Ready"]
     node.tick(60_000.0)
-    assert node.next_due() is None
+    assert node.next_deadline() is None
 
 
 def test_whatever_a_peer_says_of_blobs_an_honest_transfer_ends_and_little_is_kept() -> None:
--- a/tests/test_peers_forward.py
+++ b/tests/test_peers_forward.py
@@ -38,14 +38,14 @@
     asker.on_message(6.0, "b", Carried(1, "plays"))
     assert asker.take_effects() == [Answered(1, Carried(1, "plays"))]
     asker.tick(10_000.0)
-    assert asker.take_effects() == [] and asker.next_due() is None and len(asker) == 0
+    assert asker.take_effects() == [] and asker.next_deadline() is None and len(asker) == 0
 
 
 def test_no_answer_in_time_a_dead_owner_and_too_many() -> None:
     asker = Forward(RULES)
     assert asker.ask(0.0, "b", carry(1, 500.0)) and asker.ask(0.0, "c", carry(2, 400.0))
     assert not asker.ask(0.0, "c", carry(3, 49.0))  # no time is left for a way there and back
-    assert asker.next_due() == 370.0
+    assert asker.next_deadline() == 370.0
     asker.take_effects()
     asker.tick(369.9)
     assert asker.take_effects() == []
@@ -54,7 +54,7 @@
     asker.gone(380.0, "b")
     assert asker.take_effects() == [Answered(1, None)]
     asker.on_message(390.0, "b", Carried(1, "plays"))
-    assert asker.take_effects() == [] and asker.next_due() is None
+    assert asker.take_effects() == [] and asker.next_deadline() is None
     for number in range(10, 18):
         assert asker.ask(400.0, "b", carry(number))
     assert not asker.ask(400.0, "b", carry(18)) and asker.turned_down == 2
@@ -117,7 +117,7 @@
             _, sender, to, message = one
             world.desks[to].on_message(now, sender, message)  # type: ignore[arg-type]
         for desk in world.desks.values():
-            due = desk.next_due()
+            due = desk.next_deadline()
             if due is not None and due <= now:
                 desk.tick(now)
         world.drain(now)
--- a/tests/test_peers_heirs.py
+++ b/tests/test_peers_heirs.py
@@ -353,7 +353,7 @@
             while self.queue and self.queue[0][0] <= self.now:
                 heapq.heappop(self.queue)[2]()
             for name, part in list(self.parts.items()):
-                due = part.next_due()
+                due = part.next_deadline()
                 if due is not None and due <= self.now:
                     part.tick(self.now)
                 for effect in part.take_effects():
--- a/tests/test_peers_late.py
+++ b/tests/test_peers_late.py
@@ -385,7 +385,7 @@
         if dice.random() < 0.2:
             machine.versions(now, dice.choice(["f3", "nobody"]), versions)
         machine.evidence(now, dice.choice(names), versions, dice.choice((-1.0, 0.0, 1e9, 5_000.0)))
-        due = machine.next_due()
+        due = machine.next_deadline()
         if due is not None and due <= now:
             machine.tick(now)
         for effect in machine.take_effects():
--- a/tests/test_peers_lease.py
+++ b/tests/test_peers_lease.py
@@ -230,7 +230,7 @@
         due = [
             due
             for machine in (process.holder, process.keeper)
-            if machine is not None and (due := machine.next_due()) is not None
+            if machine is not None and (due := machine.next_deadline()) is not None
         ]
         if due:
             wake = max(self.at + 0.01, process.true(min(due)))
--- a/tests/test_peers_members.py
+++ b/tests/test_peers_members.py
@@ -506,7 +506,7 @@
         front.events += [
             (now, effect) for effect in front.machine.take_effects() if not hasattr(effect, "to")
         ]
-        due = front.machine.next_due()
+        due = front.machine.next_deadline()
         assert due is not None and due >= now
         assert len(front.machine.table()) <= 12
         assert ledger(front) == ""
--- a/tests/test_peers_parts.py
+++ b/tests/test_peers_parts.py
@@ -26,11 +26,11 @@
     looks = 0
     forgotten: ClassVar[list[str]] = []
 
-    def next_due(self) -> float | None:
-        first = super().next_due()
+    def next_deadline(self) -> float | None:
+        first = super().next_deadline()
         Watched.looks += 1
         for part in self._all:
-            if part.next_due() != self._dues.get(part):
+            if part.next_deadline() != self._dues.get(part):
                 Watched.forgotten.append(f"{type(part).__name__} is due at another time")
         return first
 
