--- a/bench/late_day.py
+++ b/bench/late_day.py
@@ -321,8 +321,8 @@
         for effect in front.machine.take_effects():
             if hasattr(effect, "message"):
                 self.sent += 1
-                times = 0 if self.dice.random() < self.loss and not effect.whole else 1
-                times += self.dice.random() < 0.05 and not effect.whole
+                times = 0 if self.dice.random() < self.loss and not effect.reliable else 1
+                times += self.dice.random() < 0.05 and not effect.reliable
                 for _ in range(times):
                     late = 2_000.0 if self.dice.random() < 0.05 else 0.0
                     self.after(self.dice.uniform(1.0, 100.0) + late, self.hearing(front, effect))
--- a/bench/peers_facts.py
+++ b/bench/peers_facts.py
@@ -50,7 +50,7 @@
                 self.bytes[name] += size
                 kind = type(effect.message).__name__
                 self.by_kind[kind] = self.by_kind.get(kind, 0) + size
-                if effect.whole or self.dice.random() >= self.loss:
+                if effect.reliable or self.dice.random() >= self.loss:
                     at = self.now + self.dice.uniform(0.2, 2.0)
                     heapq.heappush(
                         self._heap, (at, next(self._ties), name, str(effect.to), effect.message)
--- a/bench/peers_members.py
+++ b/bench/peers_members.py
@@ -174,7 +174,7 @@
             return
         paths, dice = self.paths, self.dice
         delay = dice.uniform(paths.least, paths.most) + to.slow
-        if send.whole:
+        if send.reliable:
             while dice.random() < paths.loss:  # sent again by the connection
                 delay += 200.0
             self._push(self.now + delay, to, front.name, data)
--- a/bench/peers_wire.py
+++ b/bench/peers_wire.py
@@ -205,7 +205,7 @@
     await start("here")
     alone = tracemalloc.get_traced_memory()[0]
     for number in range(peers):
-        links["here"].send(Send(f"peer-{number}", Probe(number, ""), whole=True))
+        links["here"].send(Send(f"peer-{number}", Probe(number, ""), reliable=True))
         links[f"peer-{number}"].send(Send("here", Probe(number, "")))
     end = loop.time() + 10.0
     while len(heard) < 2 * peers and loop.time() < end:
--- a/fernweir/peers/acts/copies.py
+++ b/fernweir/peers/acts/copies.py
@@ -123,7 +123,7 @@
         self.bytes_sent += len(data)
         block = sealed.block
         owner = "" if (block.front, block.life) == (self.me, self.life) else block.front
-        self._out.add(Send(line.name, Keep(block.life, block.number, packed, data, owner), whole=True))
+        self._out.add(Send(line.name, Keep(block.life, block.number, packed, data, owner), reliable=True))
 
     # --- the holder's side ---
 
@@ -158,7 +158,7 @@
         first = shelf.first_kept if shelf is not None else number + 1
         spans = tuple(shelf.numbers)[-_SPANS:] if shelf is not None else ()
         # What is wrong is acknowledged too: its like would only come again.
-        self._out.add(Send(sender, Kept(life, (number,), first, spans, message.owner), whole=True))
+        self._out.add(Send(sender, Kept(life, (number,), first, spans, message.owner), reliable=True))
 
     def _read(self, sender: str, message: Keep) -> Sealed | None:
         data, most = message.data, 4 * self.rules.block_bytes
--- a/fernweir/peers/acts/questions.py
+++ b/fernweir/peers/acts/questions.py
@@ -140,7 +140,7 @@
             if sender == self.me:
                 self._piece(now, sender, piece)
             else:
-                self._out.add(Send(sender, piece, whole=True))
+                self._out.add(Send(sender, piece, reliable=True))
         for run in list(self._running.values()):
             self._step(now, run)
 
@@ -289,7 +289,7 @@
         if to == self.me:
             self._waiting.append((to, ask))
         else:
-            self._out.add(Send(to, ask, whole=True))
+            self._out.add(Send(to, ask, reliable=True))
 
     def _select(self, run: _Running, shard: Shard) -> Select:
         """The stage's wishes with its times on the shard's clock, with all the room that clocks leave."""
--- a/fernweir/peers/base.py
+++ b/fernweir/peers/base.py
@@ -28,13 +28,13 @@
 class Send:
     """One message to one peer, by name, or by address while its name is not known.
 
-    `whole` goes over the connection between the two (in order, no size limit but the frame's), anything
+    `reliable` goes over the connection between the two (in order, no size limit but the frame's), anything
     else in a datagram, which may be lost, doubled, late, or overtaken.
     """
 
     to: str | Address
     message: Message
-    whole: bool = False
+    reliable: bool = False
 
 
 class Event:
--- a/fernweir/peers/channel/directory.py
+++ b/fernweir/peers/channel/directory.py
@@ -228,7 +228,7 @@
         if name == self.me:
             self.on_message(now, self.me, message)
         else:
-            self._out.add(Send(name, message, whole=True))
+            self._out.add(Send(name, message, reliable=True))
 
     def _ask(self, find: _Find) -> None:
         for name in sorted(find.waiting):
--- a/fernweir/peers/channel/giving.py
+++ b/fernweir/peers/channel/giving.py
@@ -414,7 +414,7 @@
         until = min(giving.parts_got + _PARTS_OUT, len(giving.parts))
         for number in range(giving.parts_got, until):
             part = Moved(giving.channel, giving.offer, number, len(giving.parts), giving.parts[number])
-            self._out.add(Send(giving.heir, part, whole=True))
+            self._out.add(Send(giving.heir, part, reliable=True))
 
     def _send_lates(self, giving: _Giving) -> None:
         for number in range(giving.lates_got, min(giving.lates_got + _LATES_OUT, len(giving.lates))):
@@ -423,14 +423,14 @@
     def _send_late(self, giving: _Giving, number: int) -> None:
         session, standing = giving.lates[number]
         late = Late(giving.channel, giving.offer, number, session, standing)
-        self._out.add(Send(giving.heir, late, whole=True))
+        self._out.add(Send(giving.heir, late, reliable=True))
 
     def _send_yours(self, now: float, giving: _Giving) -> None:
         giving.again_at = now + self.rules.resend_ms
         yours = Yours(
             giving.channel, giving.offer, giving.fence, giving.handed_lates, self.rules.overlap_ms, giving.out
         )
-        self._out.add(Send(giving.heir, yours, whole=True))
+        self._out.add(Send(giving.heir, yours, reliable=True))
 
 
 def cut(standings: Iterable[Standing], size_most: int) -> list[list[Standing]]:
--- a/fernweir/peers/channel/owned.py
+++ b/fernweir/peers/channel/owned.py
@@ -132,7 +132,7 @@
     def drop(self, now: float) -> None:
         """The channel is over: all standbys are told so."""
         for name in [*self._followers, *self._leaving]:
-            self.out.add(Send(name, Dropped(self.channel, self.fence), whole=True))
+            self.out.add(Send(name, Dropped(self.channel, self.fence), reliable=True))
 
     def have(self, now: float, sender: str, told: Have) -> None:
         follower = self._followers.get(sender)
@@ -193,7 +193,7 @@
                     follower.hail_at = follower.told_at + self.rules.beat_ms
         for name, (tries, due) in list(self._leaving.items()):
             if now >= due:
-                self.out.add(Send(name, Dropped(self.channel, self.fence), whole=True))
+                self.out.add(Send(name, Dropped(self.channel, self.fence), reliable=True))
                 self._leaving[name] = (tries + 1, now + self.rules.resend_ms)
                 if tries + 1 >= _DROPS:
                     del self._leaving[name]
@@ -321,7 +321,7 @@
         follower.sent = max(follower.sent, until)
 
     def _tell(self, now: float, name: str, follower: _Follower, message: Piece | Deltas) -> None:
-        self.out.add(Send(name, message, whole=True))
+        self.out.add(Send(name, message, reliable=True))
         follower.told_at = now
 
     def _as_of(self, now: float, follower: _Follower, seq: int) -> AsOf:
--- a/fernweir/peers/channel/payloads.py
+++ b/fernweir/peers/channel/payloads.py
@@ -132,7 +132,7 @@
         until = min(offset + self.rules.window * step, len(data))
         for at in range(offset, until, step):
             piece = PayloadPiece(digest, len(data), at, data[at : at + step])
-            self._out.add(Send(to, piece, whole=True))
+            self._out.add(Send(to, piece, reliable=True))
 
     # --- time ---
 
--- a/fernweir/peers/facts/transfer.py
+++ b/fernweir/peers/facts/transfer.py
@@ -128,7 +128,7 @@
         self._out.add(Failed(one.to, one.name, why))
 
     def _say(self, to: str, message: Message) -> None:
-        self._out.add(Send(to, message, whole=True))
+        self._out.add(Send(to, message, reliable=True))
 
     def _plan(self, now: float) -> None:
         sendable = self._outgoing.any_sendable()
--- a/fernweir/peers/forward/desk.py
+++ b/fernweir/peers/forward/desk.py
@@ -73,14 +73,14 @@
             return False
         self._out[request.number] = _Out(to, now + wait)
         heapq.heappush(self._due, (now + wait, request.number))
-        self._box.add(Send(to, request, whole=True))
+        self._box.add(Send(to, request, reliable=True))
         return True
 
     def answer(self, now: float, sender: str, number: int, answer: Carried) -> None:
         """The end of a request that was carried out here; a second one changes nothing."""
         if self._in.get((sender, number), answer) is None:
             self._in[sender, number] = answer
-            self._box.add(Send(sender, answer, whole=True))
+            self._box.add(Send(sender, answer, reliable=True))
 
     def gone(self, now: float, name: str) -> None:
         """A front is dead: what it was asked has no answer, and what it asked needs none."""
@@ -98,7 +98,7 @@
             if key in self._in:
                 done = self._in[key]
                 if done is not None:
-                    self._box.add(Send(sender, done, whole=True))
+                    self._box.add(Send(sender, done, reliable=True))
                 return
             self._in[key] = None
             if len(self._in) > self.rules.most:
--- a/fernweir/peers/late/stragglers.py
+++ b/fernweir/peers/late/stragglers.py
@@ -126,7 +126,7 @@
         if peer is None or what not in peer.late or len(data) > DATA_MOST:
             return False
         peer.given[what] = content
-        self._out.add(Send(name, Part(peer.life, what, content, data), whole=True))
+        self._out.add(Send(name, Part(peer.life, what, content, data), reliable=True))
         return True
 
     # --- what others ask ---
--- a/fernweir/peers/link/links.py
+++ b/fernweir/peers/link/links.py
@@ -113,7 +113,7 @@
         """Sends, or drops and counts. What goes to one peer in one pass of the loop shares datagrams."""
         raw = self.codec.one(effect.message)
         to = effect.to
-        if effect.whole or len(raw) > self._room:
+        if effect.reliable or len(raw) > self._room:
             self.connections.send(to, join([raw]))
             return
         address = self._address(to)
--- a/fernweir/peers/members/repair.py
+++ b/fernweir/peers/members/repair.py
@@ -151,7 +151,7 @@
         parts = voice.roster.differing(sync.sums)
         if parts and self._allowance.spend(voice.now):
             for message in told(voice.roster, parts):
-                voice.send(sync.me.address, message, whole=True)
+                voice.send(sync.me.address, message, reliable=True)
 
     def heard_rows(self, sender: str, message: Rows) -> None:
         """A whole table that answers a join is not passed on: the others have it."""
@@ -162,4 +162,4 @@
         asker = voice.roster.rows.get(sender)
         if message.ask and asker is not None:
             for answer in better(voice.roster, message):
-                voice.send(asker.address, answer, whole=True)
+                voice.send(asker.address, answer, reliable=True)
--- a/fernweir/peers/members/voice.py
+++ b/fernweir/peers/members/voice.py
@@ -94,5 +94,5 @@
             if member is not None and member.record.living:
                 return member
 
-    def send(self, to: Address, message: Message, whole: bool = False) -> None:
-        self.out.add(Send(to, message, whole))
+    def send(self, to: Address, message: Message, reliable: bool = False) -> None:
+        self.out.add(Send(to, message, reliable))
--- a/tests/test_peers_channel.py
+++ b/tests/test_peers_channel.py
@@ -216,7 +216,7 @@
             for effect in part.take_effects():
                 if isinstance(effect, self.mods.base.Send):
                     to = str(effect.to)
-                    self.net.send(name, to, effect.message, effect.whole, self.hand(name, to))
+                    self.net.send(name, to, effect.message, effect.reliable, self.hand(name, to))
 
     def hand(self, sender: str, to: str) -> Callable[[Any], None]:
         return lambda message: self.parts[to].on_message(self.clock(to), sender, message)
@@ -575,7 +575,7 @@
                 if isinstance(effect, self.mods.base.Send):
                     to = str(effect.to)
                     self.world.net.send(
-                        self.name, to, effect.message, effect.whole, self.world.hand(self.name, to)
+                        self.name, to, effect.message, effect.reliable, self.world.hand(self.name, to)
                     )
                 else:
                     self.event(effect)
--- a/tests/test_peers_facts.py
+++ b/tests/test_peers_facts.py
@@ -137,12 +137,12 @@
     def _send(self, name: str, effect: Any) -> None:
         message, size = self.wire.through(effect.message)
         to = str(effect.to)
-        self.sent[name].append((self.now, size + (0 if effect.whole else 64 + len(name))))
-        if not effect.whole and size > 1_400:
+        self.sent[name].append((self.now, size + (0 if effect.reliable else 64 + len(name))))
+        if not effect.reliable and size > 1_400:
             self.broken.append(f"a datagram of {size} bytes: {type(message).__name__}")
         if (name, to) in self.cut or to not in self.nodes:
             return
-        if effect.whole:
+        if effect.reliable:
             self.later(self.dice.uniform(1.0, 5.0), name, to, message)
             return
         for _ in range(1 + (self.dice.random() < self.doubled)):
@@ -598,7 +598,7 @@
             if type(effect).__name__ != "Send":
                 self.events.append((name, effect))
             else:
-                assert effect.whole
+                assert effect.reliable
                 message, size = self.wire.through(effect.message)
                 self.bytes[name] += size
                 if self.spoil_next and isinstance(message, self.lib.messages.Chunk):
--- a/tests/test_peers_forward.py
+++ b/tests/test_peers_forward.py
@@ -24,14 +24,14 @@
     request = carry(asker.number())
     assert asker.ask(0.0, "b", request)
     (send,) = asker.take_effects()
-    assert send == Send("b", request, whole=True)
+    assert send == Send("b", request, reliable=True)
     for _ in range(3):
         owner.on_message(1.0, "a", request)
     assert owner.take_effects() == [Wanted("a", request)]  # carried out once
     owner.answer(2.0, "a", 1, Carried(1, "plays"))
     owner.answer(2.0, "a", 1, Carried(1, "refused"))  # a second end is none
     owner.on_message(3.0, "a", request)  # said again, as the first may have been lost
-    assert owner.take_effects() == [Send("a", Carried(1, "plays"), whole=True)] * 2
+    assert owner.take_effects() == [Send("a", Carried(1, "plays"), reliable=True)] * 2
     asker.on_message(4.0, "c", Carried(1, "refused"))  # was not asked
     assert asker.take_effects() == []
     asker.on_message(5.0, "b", Carried(1, "plays"))
--- a/tests/test_peers_heirs.py
+++ b/tests/test_peers_heirs.py
@@ -321,7 +321,7 @@
 
     def send(self, sender: str, effect: Any) -> None:
         data = msgspec.msgpack.encode(effect.message)
-        if self.dice.random() < self.loss * (0.3 if effect.whole else 1.0) or effect.to not in self.parts:
+        if self.dice.random() < self.loss * (0.3 if effect.reliable else 1.0) or effect.to not in self.parts:
             return
         way = self.dice.uniform(0.2, 4.0) + (2_000.0 if self.dice.random() < self.loss / 8.0 else 0.0)
         to, life = effect.to, self.lives[effect.to]
--- a/tests/test_peers_link.py
+++ b/tests/test_peers_link.py
@@ -622,7 +622,7 @@
         patched = patch.object(Connection, "connection_made", crossing)
         patched.start()
         with patch("fernweir.peers.link.tcp.asyncio.timeout", timeout):
-            links["a"].send(Send("b", Item(1, b""), whole=True))
+            links["a"].send(Send("b", Item(1, b""), reliable=True))
             await until(lambda: got)
         ways = links["a"].connections
         assert got == [1] and ways.counts.dialled == 2 and ways._retries == {}
@@ -667,7 +667,7 @@
             await listen_again(m, addresses["a"])
         for number in range(20):
             links["a"].send(Send("b", Item(number, bytes(100))))
-            links["b"].send(Send("a", Item(number, bytes(20_000)), whole=True))
+            links["b"].send(Send("a", Item(number, bytes(20_000)), reliable=True))
         await until(lambda: len(got["a"]) == 20)
         await until(lambda: len(got["b"]) == 20)
         assert got["a"] == list(range(20))
