--- a/bench/peers_channel.py
+++ b/bench/peers_channel.py
@@ -24,7 +24,7 @@
 from fernweir.peers.channel.rules import HeirRules
 from fernweir.peers.channel.spread import Loss, spread
 from fernweir.peers.channel.takeover import Claim, Inherited
-from fernweir.peers.port import Claimed, Standing
+from fernweir.peers.port import Claimed, SessionStatus
 
 WAY_MS = (0.3, 2.0)  # between fronts, and between a front and a box
 BOXES = 30
@@ -32,14 +32,14 @@
 QUORUM_MS = 4.0  # a lease from a majority of keepers: two ways there and back
 
 
-def sessions_of(count: int, parts: int, seed: int) -> dict[str, list[Standing]]:
+def sessions_of(count: int, parts: int, seed: int) -> dict[str, list[SessionStatus]]:
     """A front's sessions by channel, with names as long as real ones."""
     dice = Random(f"sessions {seed}")
     payloads = [payload_digest(payload_of(n)) for n in range(PAYLOADS)]
-    channels: dict[str, list[Standing]] = {}
+    channels: dict[str, list[SessionStatus]] = {}
     for _ in range(count):
         session = dice.randbytes(16).hex()
-        one = Standing(
+        one = SessionStatus(
             session, f"10.0.0.{dice.randrange(250)}:40000", f"viewer{dice.randrange(9_999)}@example.org",
             f"lesson-{dice.randrange(60)}", "standard", 4, "lagos", dice.getrandbits(30),
             dice.randrange(BOXES), dice.randrange(3), dice.randrange(5), dice.choice(payloads), 1, 0,
--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -20,7 +20,7 @@
 from fernweir.interface import Result
 from fernweir.peers.acts.versions import boxes_digest
 from fernweir.peers.forward.messages import Carried, Carry
-from fernweir.peers.port import Claimed, Standing
+from fernweir.peers.port import Claimed, SessionStatus
 
 _PAYLOADS_KEPT = 4_096
 
@@ -40,7 +40,7 @@
 
     # --- what peers ask of the front ---
 
-    def standing(self) -> list[Standing]:
+    def standing(self) -> list[SessionStatus]:
         return [self._standing(held) for held in self._core.sessions.records().values() if _plays(held)]
 
     def payload(self, digest: bytes) -> bytes | None:
@@ -84,7 +84,7 @@
             self._core.schedule_step()
         return update is not None
 
-    def take_over(self, now: float, standing: Standing, payload: bytes | None) -> bool:
+    def take_over(self, now: float, standing: SessionStatus, payload: bytes | None) -> bool:
         core, lesson = self._core, self._boxes.lessons.get(standing.title)
         cls, carrier = self._classes.get(standing.cls), core.set_up_codecs.get(standing.via)
         if lesson is None or cls is None or carrier is None:
@@ -241,13 +241,13 @@
         )  # fmt: skip
         core.submit(ask, answered)
 
-    def _standing(self, held: SessionRecord) -> Standing:
+    def _standing(self, held: SessionRecord) -> SessionStatus:
         ask = held.request
         carrier = self._core.set_up_codecs[ask.protocol]
         digest, data = carrier.pack(held.payload)
         if digest:
             self._keep(digest, data)
-        return Standing(
+        return SessionStatus(
             session=ask.session_id,
             via=ask.protocol,
             who=ask.subject,
--- a/fernweir/node/peering.py
+++ b/fernweir/node/peering.py
@@ -24,7 +24,7 @@
 from fernweir.node.config import ConfigError, NodeConfig
 from fernweir.node.endpoint_feed import EndpointFeed
 from fernweir.peers.forward.messages import Carried, Carry
-from fernweir.peers.port import Claimed, Standing
+from fernweir.peers.port import Claimed, SessionStatus
 from fernweir.peers.program import Beginning, Peers, read_keys
 from fernweir.peers.settings import first_versions, link_rules, peer_rules
 
@@ -178,7 +178,7 @@
         self._listed_servers.on_endpoint_list(update)
         super().on_endpoint_list(now, update)
 
-    def standing(self) -> list[Standing]:
+    def standing(self) -> list[SessionStatus]:
         """Nothing: no session can be handed over."""
         return []
 
@@ -202,7 +202,7 @@
         """Refuses a peer's list: the control feed is the only source of it."""
         return False
 
-    def take_over(self, now: float, standing: Standing, payload: bytes | None) -> bool:
+    def take_over(self, now: float, standing: SessionStatus, payload: bytes | None) -> bool:
         """Refuses a peer's session."""
         return False
 
--- a/fernweir/peers/channel/copies.py
+++ b/fernweir/peers/channel/copies.py
@@ -12,7 +12,7 @@
 from fernweir.peers.channel.payloads import Payloads
 from fernweir.peers.channel.rules import ReplicaRules
 from fernweir.peers.channel.standby import Copy, Standby
-from fernweir.peers.port import Standing
+from fernweir.peers.port import SessionStatus
 
 _FETCHED = 256  # payloads that no copy names, fetched for hand-offs
 
@@ -43,7 +43,7 @@
 
     # --- the owner's side ---
 
-    def own(self, now: float, channel: str, fence: int, standings: Iterable[Standing]) -> bool:
+    def own(self, now: float, channel: str, fence: int, standings: Iterable[SessionStatus]) -> bool:
         """This front owns the channel under this fence, and this stands in it. False if a higher is known."""
         owned = self._owned.get(channel)
         if fence < max(self._standby.fence(channel), owned.fence if owned is not None else 0):
@@ -59,7 +59,7 @@
             fresh.standbys(now, owned.names())
         return True
 
-    def change(self, now: float, channel: str, standing: Standing) -> None:
+    def change(self, now: float, channel: str, standing: SessionStatus) -> None:
         """A session is new in an owned channel, or changed."""
         if (owned := self._owned.get(channel)) is not None:
             owned.change(now, standing)
--- a/fernweir/peers/channel/cut.py
+++ b/fernweir/peers/channel/cut.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-from fernweir.peers.port import Standing
+from fernweir.peers.port import SessionStatus
 
 PARTS_MOST = 4_096
 NAME_MOST = 512  # characters of any name in a standing or of a channel's
@@ -40,11 +40,11 @@
 
 
 def payload_digest(data: bytes) -> bytes:
-    """What `Standing.payload` is of the bytes that viewers are answered from."""
+    """What `SessionStatus.payload` is of the bytes that viewers are answered from."""
     return blake2b(data, digest_size=16).digest()
 
 
-def believable(standing: Standing) -> bool:
+def believable(standing: SessionStatus) -> bool:
     """Whether a peer's standing is within what any front could have; checked beyond its types."""
     names = (standing.session, standing.via, standing.who, standing.title, standing.cls, standing.tenant)
     numbers = (
--- a/fernweir/peers/channel/giving.py
+++ b/fernweir/peers/channel/giving.py
@@ -12,7 +12,7 @@
 from fernweir.peers.channel.messages import Accept, Acting, Cancel, Decline, Got, Late, Moved, Offer, Yours
 from fernweir.peers.channel.owned import size_of
 from fernweir.peers.channel.rules import HandoffRules
-from fernweir.peers.port import Standing
+from fernweir.peers.port import SessionStatus
 
 _PARTS_OUT = 8
 _LATES_OUT = 64
@@ -85,7 +85,7 @@
 
     channel: str
     fence: int
-    standings: tuple[Standing, ...]
+    standings: tuple[SessionStatus, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,15 +108,15 @@
     channel: str
     fence: int
     heirs: deque[str]
-    standings: dict[str, Standing]
+    standings: dict[str, SessionStatus]
     step: Step = Step.WAITING
     heir: str = ""
     offer: int = 0
     due: float = 0.0  # when this step has taken too long
     again_at: float = 0.0
-    parts: list[list[Standing]] = field(default_factory=list)
+    parts: list[list[SessionStatus]] = field(default_factory=list)
     parts_got: int = 0
-    lates: list[tuple[str, Standing | None]] = field(default_factory=list)
+    lates: list[tuple[str, SessionStatus | None]] = field(default_factory=list)
     lates_got: int = 0
     handed_lates: int = 0
     out: list[str] = field(default_factory=list)
@@ -135,7 +135,12 @@
         self._givings: dict[str, _Giving] = {}
 
     def offer(
-        self, now: float, channel: str, fence: int, standings: Mapping[str, Standing], heirs: Sequence[str]
+        self,
+        now: float,
+        channel: str,
+        fence: int,
+        standings: Mapping[str, SessionStatus],
+        heirs: Sequence[str],
     ) -> bool:
         if channel in self._givings:
             return False
@@ -143,7 +148,7 @@
         self._start(now)
         return True
 
-    def change(self, now: float, channel: str, session: str, standing: Standing | None) -> None:
+    def change(self, now: float, channel: str, session: str, standing: SessionStatus | None) -> None:
         """Something of a channel on its way changed; without a standing it is over."""
         giving = self._givings.get(channel)
         if giving is not None:
@@ -151,7 +156,7 @@
             if giving.again_at <= now:
                 giving.again_at = now + self.rules.resend_ms
 
-    def settled(self, channel: str, take: Iterable[Standing], over: Iterable[str]) -> None:
+    def settled(self, channel: str, take: Iterable[SessionStatus], over: Iterable[str]) -> None:
         """What was in doubt here when the channel was offered has been decided."""
         giving = self._givings.get(channel)
         if giving is not None:
@@ -160,7 +165,7 @@
             for session in over:
                 self._note(giving, session, None)
 
-    def _note(self, giving: _Giving, session: str, standing: Standing | None) -> None:
+    def _note(self, giving: _Giving, session: str, standing: SessionStatus | None) -> None:
         if standing is None:
             giving.standings.pop(session, None)
         else:
@@ -433,9 +438,9 @@
         self._out.add(Send(giving.heir, yours, reliable=True))
 
 
-def cut(standings: Iterable[Standing], size_most: int) -> list[list[Standing]]:
+def cut(standings: Iterable[SessionStatus], size_most: int) -> list[list[SessionStatus]]:
     """Parts of bounded size; at least one, which may be empty."""
-    parts: list[list[Standing]] = [[]]
+    parts: list[list[SessionStatus]] = [[]]
     size = 0
     for standing in standings:
         one = size_of(standing)
--- a/fernweir/peers/channel/handoff.py
+++ b/fernweir/peers/channel/handoff.py
@@ -21,7 +21,7 @@
 from fernweir.peers.channel.rules import HandoffRules
 from fernweir.peers.channel.takeover import Inherited, Outdone, Settled, Takeover
 from fernweir.peers.channel.taking import Taker
-from fernweir.peers.port import Claimed, Standing
+from fernweir.peers.port import Claimed, SessionStatus
 
 
 class Handoff:
@@ -50,7 +50,12 @@
     # --- the old owner's end ---
 
     def offer(
-        self, now: float, channel: str, fence: int, standings: Mapping[str, Standing], heirs: Sequence[str]
+        self,
+        now: float,
+        channel: str,
+        fence: int,
+        standings: Mapping[str, SessionStatus],
+        heirs: Sequence[str],
     ) -> bool:
         """Hands a channel on, whose lease this front holds under `fence`. False if it is on its way already.
 
@@ -60,7 +65,7 @@
         known = {**self.takeover.undecided(channel), **standings}
         return self._giver.offer(now, channel, fence, known, [name for name in heirs if name != self.me])
 
-    def change(self, now: float, channel: str, standing: Standing) -> None:
+    def change(self, now: float, channel: str, standing: SessionStatus) -> None:
         """A session of a channel on its way is new or changed; in the overlap, an attempt's good end."""
         self._giver.change(now, channel, standing.session, standing)
 
--- a/fernweir/peers/channel/messages.py
+++ b/fernweir/peers/channel/messages.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from fernweir.peers.base import Message
-from fernweir.peers.port import Standing
+from fernweir.peers.port import SessionStatus
 
 # --- an owner's state, at its standbys ---
 
@@ -43,7 +43,7 @@
     channel: str
     fence: int
     seq: int
-    changed: list[Standing]
+    changed: list[SessionStatus]
     ended: list[str]
     as_of: AsOf
     moved: list[tuple[str, Placing]] = msgspec.field(default_factory=list)
@@ -57,7 +57,7 @@
     seq: int
     number: int
     count: int
-    standings: list[Standing]
+    standings: list[SessionStatus]
     as_of: AsOf
 
 
@@ -127,7 +127,7 @@
     offer: int
     number: int
     count: int
-    standings: list[Standing]
+    standings: list[SessionStatus]
 
 
 class Late(Message, tag="channel.late", frozen=True):
@@ -137,7 +137,7 @@
     offer: int
     number: int
     session: str
-    standing: Standing | None = None
+    standing: SessionStatus | None = None
 
 
 class Got(Message, tag="channel.got", frozen=True):
--- a/fernweir/peers/channel/owned.py
+++ b/fernweir/peers/channel/owned.py
@@ -16,7 +16,7 @@
 from fernweir.peers.base import Outbox, Send
 from fernweir.peers.channel.messages import AsOf, Deltas, Dropped, Hail, Have, Piece, Placing
 from fernweir.peers.channel.rules import ReplicaRules
-from fernweir.peers.port import Standing
+from fernweir.peers.port import SessionStatus
 
 _SMALL = 40  # bytes of a placing, at most; more than an end takes
 _SPARE = 16  # batches kept that all standbys have
@@ -26,7 +26,7 @@
 @dataclass(frozen=True, slots=True)
 class _Batch:
     seq: int
-    changed: list[Standing]
+    changed: list[SessionStatus]
     ended: list[str]
     moved: list[tuple[str, Placing]]
     size: int
@@ -38,7 +38,7 @@
     """All that stood at `seq`, cut into pieces."""
 
     seq: int
-    pieces: tuple[list[Standing], ...]
+    pieces: tuple[list[SessionStatus], ...]
     at: float
 
 
@@ -69,13 +69,15 @@
     fence: int
     rules: ReplicaRules
     out: Outbox
-    standings: dict[str, Standing] = field(default_factory=dict)
+    standings: dict[str, SessionStatus] = field(default_factory=dict)
     seq: int = 0
     _log: deque[_Batch] = field(default_factory=deque)
     _log_bytes: int = 0
     _frozen: _Frozen | None = None
-    _pending: dict[str, Standing | None] = field(default_factory=dict)
-    _before: dict[str, Standing | None] = field(default_factory=dict)  # what those were in the last batch
+    _pending: dict[str, SessionStatus | None] = field(default_factory=dict)
+    _before: dict[str, SessionStatus | None] = field(
+        default_factory=dict
+    )  # what those were in the last batch
     _flush_at: float | None = None
     _pending_since: float = 0.0
     _followers: dict[str, _Follower] = field(default_factory=dict)
@@ -83,7 +85,7 @@
 
     # --- the state ---
 
-    def change(self, now: float, standing: Standing) -> None:
+    def change(self, now: float, standing: SessionStatus) -> None:
         old = self.standings.get(standing.session)
         if old != standing:
             self.standings[standing.session] = standing
@@ -94,7 +96,7 @@
         if old is not None:
             self._gather(now, session, old, None)
 
-    def become(self, now: float, standings: Iterable[Standing]) -> None:
+    def become(self, now: float, standings: Iterable[SessionStatus]) -> None:
         """The state is this from now on."""
         wanted = {standing.session: standing for standing in standings}
         for session in [session for session in self.standings if session not in wanted]:
@@ -102,7 +104,9 @@
         for standing in wanted.values():
             self.change(now, standing)
 
-    def _gather(self, now: float, session: str, old: Standing | None, standing: Standing | None) -> None:
+    def _gather(
+        self, now: float, session: str, old: SessionStatus | None, standing: SessionStatus | None
+    ) -> None:
         self._before.setdefault(session, old)
         self._pending[session] = standing
         if self._flush_at is None:
@@ -259,7 +263,7 @@
         """A snapshot of the state after the last batch; one that others still use serves as well."""
         if self._frozen is not None and self._usable(now, self._frozen):
             return self._frozen
-        pieces: list[list[Standing]] = [[]]
+        pieces: list[list[SessionStatus]] = [[]]
         size = 0
         for standing in self.standings.values():
             one = size_of(standing)
@@ -336,7 +340,7 @@
         return AsOf(max(age, 0.0), follower.token, now - follower.token_at)
 
 
-def _moved(before: Standing | None, standing: Standing | None) -> Placing | None:
+def _moved(before: SessionStatus | None, standing: SessionStatus | None) -> Placing | None:
     """The new placing, if nothing else of the standing changed."""
     if before is None or standing is None:
         return None
@@ -344,16 +348,16 @@
     return placing if placed(before, placing) == standing else None
 
 
-def placing_of(standing: Standing) -> Placing:
+def placing_of(standing: SessionStatus) -> Placing:
     return standing.box, standing.attempt, standing.rung, standing.answers, standing.spent
 
 
-def placed(standing: Standing, placing: Placing) -> Standing:
+def placed(standing: SessionStatus, placing: Placing) -> SessionStatus:
     box, attempt, rung, answers, spent = placing
     return msgspec.structs.replace(
         standing, box=box, attempt=attempt, rung=rung, answers=answers, spent=spent
     )
 
 
-def size_of(standing: Standing) -> int:
+def size_of(standing: SessionStatus) -> int:
     return len(msgspec.msgpack.encode(standing))
--- a/fernweir/peers/channel/reconcile.py
+++ b/fernweir/peers/channel/reconcile.py
@@ -28,7 +28,7 @@
 
 import msgspec
 
-from fernweir.peers.port import Claimed, Standing
+from fernweir.peers.port import Claimed, SessionStatus
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,15 +36,15 @@
     """`give_up`: (box, session, attempt), to be released there. `outdone`: the highest fence of a box that
     refused, or 0; then all else is empty."""
 
-    take: tuple[Standing, ...] = ()
+    take: tuple[SessionStatus, ...] = ()
     over: tuple[str, ...] = ()
     give_up: tuple[tuple[int, str, int], ...] = ()
-    unknown: tuple[Standing, ...] = ()
+    unknown: tuple[SessionStatus, ...] = ()
     outdone: int = 0
 
 
 def reconcile(
-    standings: Mapping[str, Standing], told: Sequence[Claimed], elsewhere: Container[str] = ()
+    standings: Mapping[str, SessionStatus], told: Sequence[Claimed], elsewhere: Container[str] = ()
 ) -> Reconciled:
     """See the table. Of several answers of one box the last that reached it counts.
 
@@ -58,9 +58,9 @@
     for box in sorted(answers):
         for session, attempt, rung in answers[box].sessions:
             listed.setdefault(session, []).append((box, attempt, rung))
-    take: list[Standing] = []
+    take: list[SessionStatus] = []
     over: list[str] = []
-    unknown: list[Standing] = []
+    unknown: list[SessionStatus] = []
     give_up: list[tuple[int, str, int]] = []
     for session, standing in standings.items():
         places = listed.pop(session, [])
@@ -77,12 +77,12 @@
     return Reconciled(tuple(take), tuple(over), tuple(give_up), tuple(unknown))
 
 
-def boxes_of(standings: Iterable[Standing]) -> list[int]:
+def boxes_of(standings: Iterable[SessionStatus]) -> list[int]:
     """Boxes that these stand at, in order of their numbers."""
     return sorted({standing.box for standing in standings})
 
 
-def _best(standing: Standing, places: Sequence[tuple[int, int, int]]) -> tuple[int, int, int] | None:
+def _best(standing: SessionStatus, places: Sequence[tuple[int, int, int]]) -> tuple[int, int, int] | None:
     """The place that is the session's, of what the boxes list: (box, attempt, rung)."""
     here = [
         place
@@ -92,7 +92,7 @@
     return max(here, key=lambda place: (place[1], place[0] == standing.box, -place[0]), default=None)
 
 
-def _with(standing: Standing, place: tuple[int, int, int]) -> Standing:
+def _with(standing: SessionStatus, place: tuple[int, int, int]) -> SessionStatus:
     """A standing as it is at its box."""
     box, attempt, rung = place
     return msgspec.structs.replace(standing, box=box, attempt=attempt, rung=rung)
--- a/fernweir/peers/channel/standby.py
+++ b/fernweir/peers/channel/standby.py
@@ -16,7 +16,7 @@
 from fernweir.peers.channel.messages import AsOf, Deltas, Dropped, Hail, Have, Piece
 from fernweir.peers.channel.owned import placed, size_of
 from fernweir.peers.channel.rules import ReplicaRules
-from fernweir.peers.port import Standing
+from fernweir.peers.port import SessionStatus
 
 _TOKENS = 16  # sent last, whose times are kept for each channel
 _SPAN_MOST = 1e9
@@ -40,7 +40,7 @@
     channel: str
     owner: str
     fence: int
-    standings: Mapping[str, Standing]
+    standings: Mapping[str, SessionStatus]
     whole: bool
     as_of: float | None = None  # own clock; None if nothing was proved of its age
 
@@ -58,13 +58,13 @@
     fence: int
     heard_at: float
     copy: Copy | None = None
-    shown: dict[str, Standing] | None = None  # the copy's standings as they are handed out
-    standings: dict[str, Standing] = field(default_factory=dict)
+    shown: dict[str, SessionStatus] | None = None  # the copy's standings as they are handed out
+    standings: dict[str, SessionStatus] = field(default_factory=dict)
     size: int = 0
     seq: int = -1
     piece_seq: int = -1
     piece_count: int = 0
-    pieces: list[list[Standing]] = field(default_factory=list)
+    pieces: list[list[SessionStatus]] = field(default_factory=list)
     pieces_size: int = 0
     pieces_as_of: float | None = None
     over: bool = False
@@ -114,7 +114,7 @@
         channel: str,
         owner: str,
         fence: int,
-        standings: Mapping[str, Standing],
+        standings: Mapping[str, SessionStatus],
         as_of: float,
     ) -> None:
         """A copy of what this front owned, until a later owner's is whole."""
@@ -240,7 +240,7 @@
         if not known:
             self._out.add(Copied(kept.channel, kept.fence))
 
-    def _put(self, kept: _Kept, standing: Standing) -> None:
+    def _put(self, kept: _Kept, standing: SessionStatus) -> None:
         self._remove(kept, standing.session)
         kept.shown = None
         kept.standings[standing.session] = standing
--- a/fernweir/peers/channel/takeover.py
+++ b/fernweir/peers/channel/takeover.py
@@ -16,7 +16,7 @@
 from fernweir.peers.base import Effect, Event, Outbox
 from fernweir.peers.channel.reconcile import Reconciled, boxes_of, reconcile
 from fernweir.peers.channel.rules import TakeoverRules
-from fernweir.peers.port import Claimed, Standing
+from fernweir.peers.port import Claimed, SessionStatus
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
     channel: str
     fence: int
     doubtful: int
-    standings: tuple[Standing, ...]
+    standings: tuple[SessionStatus, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,10 +55,10 @@
 
     channel: str
     fence: int
-    take: tuple[Standing, ...] = ()
+    take: tuple[SessionStatus, ...] = ()
     over: tuple[str, ...] = ()
     give_up: tuple[tuple[int, str, int], ...] = ()
-    gone: tuple[Standing, ...] = ()
+    gone: tuple[SessionStatus, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,7 +92,7 @@
     hold_until: float
     overlap_ms: float
     planned: bool  # the standings are the old owner's last word, but for what was out
-    standings: dict[str, Standing]
+    standings: dict[str, SessionStatus]
     moving: set[str]  # an attempt of the old owner was out for these
     boxes: dict[int, _Box] = field(default_factory=dict)
     told: dict[int, Claimed] = field(default_factory=dict)
@@ -119,7 +119,7 @@
         now: float,
         channel: str,
         fence: int,
-        standings: Mapping[str, Standing],
+        standings: Mapping[str, SessionStatus],
         *,
         listed: Iterable[int] = (),
         planned_ms: float | None = None,
@@ -150,7 +150,7 @@
         taken = self._taken.get(channel)
         return None if taken is None else taken.acting
 
-    def learn(self, now: float, channel: str, session: str, standing: Standing | None) -> bool:
+    def learn(self, now: float, channel: str, session: str, standing: SessionStatus | None) -> bool:
         """The old owner's last word of a session: what it finished, or that it is over. False if too late."""
         taken = self._taken.get(channel)
         if taken is None or session in taken.decided:
@@ -201,7 +201,7 @@
                 taken.told[box] = Claimed(box, True, True, taken.fence)
                 self._weigh(now, taken)
 
-    def undecided(self, channel: str) -> dict[str, Standing]:
+    def undecided(self, channel: str) -> dict[str, SessionStatus]:
         """What may stand of a channel that is being taken over, and is not settled yet."""
         taken = self._taken.get(channel)
         if taken is None:
@@ -311,7 +311,7 @@
             return ()
         return taken.moving if taken.planned else taken.standings
 
-    def _gone(self, taken: _Taken) -> list[Standing]:
+    def _gone(self, taken: _Taken) -> list[SessionStatus]:
         """What was taken by a first list and is missing in the second, but for what was set up here since."""
         if taken.held:
             return []
--- a/fernweir/peers/channel/taking.py
+++ b/fernweir/peers/channel/taking.py
@@ -12,7 +12,7 @@
 from fernweir.peers.channel.messages import Accept, Acting, Cancel, Decline, Got, Late, Moved, Offer, Yours
 from fernweir.peers.channel.rules import HandoffRules
 from fernweir.peers.channel.takeover import Takeover
-from fernweir.peers.port import Standing
+from fernweir.peers.port import SessionStatus
 
 
 class Step(Enum):
@@ -35,7 +35,7 @@
     parts: int = 0
     sessions: int = 0
     lates: int = 0
-    standings: dict[str, Standing] = field(default_factory=dict)
+    standings: dict[str, SessionStatus] = field(default_factory=dict)
     early: dict[int, Late] = field(default_factory=dict)  # lates that came before the parts
     yours: Yours | None = None
     hold_until: float = 0.0
--- a/fernweir/peers/estimate/loads.py
+++ b/fernweir/peers/estimate/loads.py
@@ -13,7 +13,7 @@
 from fernweir.peers.estimate.rules import ShardRules
 from fernweir.peers.estimate.shards import Rates
 from fernweir.peers.estimate.summary import MOST_RATE
-from fernweir.peers.port import Standing
+from fernweir.peers.port import SessionStatus
 
 FORMAT = 1
 KEY = "load"
@@ -57,7 +57,7 @@
         self._channels: Counter[str] = Counter()
         self._starts, self._ends = Rates(now, rules), Rates(now, rules)
 
-    def stands(self, now: float, standing: Standing) -> None:
+    def stands(self, now: float, standing: SessionStatus) -> None:
         if not self._leave(standing.session):
             self._starts.add(now)
         kbps = self._kbps[min(max(0, standing.rung), len(self._kbps) - 1)]
--- a/fernweir/peers/estimate/shards.py
+++ b/fernweir/peers/estimate/shards.py
@@ -12,7 +12,7 @@
 from fernweir.peers.estimate.rules import ShardRules
 from fernweir.peers.estimate.sketches import cut, key, pack_filter, steps, value_key
 from fernweir.peers.estimate.summary import COUNTED, FORMAT, REST, VERSION, Older, Shard, Summary
-from fernweir.peers.port import Standing
+from fernweir.peers.port import SessionStatus
 
 _MIX = 0x9E3779B97F4A7C15  # an odd number near 2**64 by the golden ratio (Knuth's multiplicative hashing)
 _ALL = (1 << 64) - 1
@@ -218,7 +218,7 @@
             max(older.until, shard.until) if older.shards else shard.until,
         )
 
-    def stands(self, now: float, standing: Standing, size: int) -> None:
+    def stands(self, now: float, standing: SessionStatus, size: int) -> None:
         known = self._stands.get(standing.session)
         row = Row(now, STANDING, standing.session, standing.title, standing.box, standing.tenant)
         if known is not None:
--- a/fernweir/peers/foresight.py
+++ b/fernweir/peers/foresight.py
@@ -29,7 +29,7 @@
 from fernweir.peers.estimate.rules import EstimateRules, ShardRules, publish_after
 from fernweir.peers.estimate.shards import Summarizer
 from fernweir.peers.estimate.summary import encode
-from fernweir.peers.port import Act, Standing
+from fernweir.peers.port import Act, SessionStatus
 
 PREFIX = "shard."
 _ACT_BYTES = 76  # of an act in a block, as measured (docs/measurements.md)
@@ -84,7 +84,7 @@
         )  # fmt: skip
         self._own.add(act.at, row, _ACT_BYTES)
 
-    def stands(self, now: float, standing: Standing) -> None:
+    def stands(self, now: float, standing: SessionStatus) -> None:
         self._own.stands(now, standing, _STANDING_BYTES)
 
     def over(self, now: float, session: str) -> None:
--- a/fernweir/peers/owning.py
+++ b/fernweir/peers/owning.py
@@ -38,7 +38,7 @@
 from fernweir.peers.channel.takeover import Claim, Finished, Inherited, Outdone, Settled, Takeover
 from fernweir.peers.lease.events import Got, Lost, Renewed, Taken
 from fernweir.peers.lease.holder import Holder
-from fernweir.peers.port import Claimed, Port, Standing
+from fernweir.peers.port import Claimed, Port, SessionStatus
 
 _SPARED_MS = 1_000.0
 
@@ -124,10 +124,10 @@
         self.replica = Replica(me, rules.replica, seed)
         takeover = Takeover(rules.takeover)
         self.handoff = Handoff(me, rules.handoff, seed, takeover, port.boxes, self.replica.fence)
-        self._sessions: dict[str, dict[str, Standing]] = {}  # of each channel held
+        self._sessions: dict[str, dict[str, SessionStatus]] = {}  # of each channel held
         self._owns: dict[int, str] = {}  # by part: the channels in which new sessions begin
         self._channel: dict[str, str] = {}  # of each session, also of one whose attempt is out
-        self._outside: dict[str, Standing] = {}  # stands here in no channel: there was no lease
+        self._outside: dict[str, SessionStatus] = {}  # stands here in no channel: there was no lease
         self._placed: dict[str, int] = {}  # at which box an attempt of this front's was made last
         self._last: OrderedDict[str, tuple[str, float]] = OrderedDict()  # of what is over, to release it by
         self._fences: dict[str, int] = {}  # under which each channel is held, or was until it was handed on
@@ -170,7 +170,7 @@
     def in_channel(self, session: str) -> bool:
         return session in self._channel
 
-    def owned(self) -> Mapping[str, Mapping[str, Standing]]:
+    def owned(self) -> Mapping[str, Mapping[str, SessionStatus]]:
         """Channels held, with what stands in each."""
         return self._sessions
 
@@ -208,7 +208,7 @@
             self._channel[session] = channel
             self.handoff.takeover.attempted(channel, session, box)
 
-    def stands(self, now: float, standing: Standing) -> None:
+    def stands(self, now: float, standing: SessionStatus) -> None:
         channel = self._channel.get(standing.session)
         if channel is None:
             self._outside[standing.session] = standing
@@ -457,7 +457,7 @@
         else:
             self._begin(now, channel, fence, dict(copy.standings))
 
-    def _begin(self, now: float, channel: str, fence: int, standings: Mapping[str, Standing]) -> None:
+    def _begin(self, now: float, channel: str, fence: int, standings: Mapping[str, SessionStatus]) -> None:
         self.handoff.takeover.begin(now, channel, fence, standings, listed=self._port.boxes())
         for session, where in self._channel.items():  # also what is out, and stands nowhere yet
             if where == channel and session in self._placed:
@@ -473,7 +473,7 @@
         self._owns[part] = f"{self.me}:{self.life}/{number}"
         self._holder.want(now, self._owns[part])
 
-    def _own(self, now: float, channel: str, fence: int, standings: Iterable[Standing] = ()) -> None:
+    def _own(self, now: float, channel: str, fence: int, standings: Iterable[SessionStatus] = ()) -> None:
         """`standings` are in doubt or not: what standbys are to know until it is settled."""
         self._sessions.setdefault(channel, {})
         self._fences[channel] = fence
@@ -545,7 +545,9 @@
             under = (event.channel, event.fence)
             self._port.release(now, box, session, attempt, "nobody can prove that it is wanted", under)
 
-    def _take(self, now: float, channel: str, held: dict[str, Standing], standing: Standing) -> None:
+    def _take(
+        self, now: float, channel: str, held: dict[str, SessionStatus], standing: SessionStatus
+    ) -> None:
         session = standing.session
         self._gone.pop(session, None)
         if self._port.holds(session):
@@ -627,7 +629,7 @@
         """What began while there was no lease comes into a channel once there is one: it has heirs then."""
         if self._leaving or self._resigned or not self._owns:
             return
-        groups: dict[tuple[str, int], list[Standing]] = {}
+        groups: dict[tuple[str, int], list[SessionStatus]] = {}
         for standing in self._outside.values():
             cut = parse(channel_of(self.me, self.life, standing.session, self.rules.parts))
             channel = self._owns.get(cut.part, "") if cut is not None else ""
@@ -638,7 +640,7 @@
             if lease is not None and self.handoff.may_steer(channel):
                 self._ask_to_adopt(channel, lease.fence, box, standings)
 
-    def _ask_to_adopt(self, channel: str, fence: int, box: int, standings: Sequence[Standing]) -> None:
+    def _ask_to_adopt(self, channel: str, fence: int, box: int, standings: Sequence[SessionStatus]) -> None:
         def then(now: float, claimed: Claimed) -> None:
             lease = self._holder.holds(now, channel)
             if not claimed.accepted or lease is None or lease.fence != fence or channel not in self._sessions:
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -54,7 +54,7 @@
 from fernweir.peers.members.rules import MemberRules
 from fernweir.peers.owning import Changed, Owning, OwningRules, Steers, Yields
 from fernweir.peers.parts import Parts
-from fernweir.peers.port import Act, Deed, Port, Standing
+from fernweir.peers.port import Act, Deed, Port, SessionStatus
 from fernweir.peers.recording import Recording, Rested, Trouble
 from fernweir.peers.replacing import KEEPERS, SETTLED, Replacing
 from fernweir.peers.weighing import TALLY, Weighing
@@ -333,7 +333,7 @@
 
     # --- the front's listener ---
 
-    def stands(self, now: float, standing: Standing) -> None:
+    def stands(self, now: float, standing: SessionStatus) -> None:
         self._at(self.owning).stands(now, standing)
         self.foresight.stands(now, standing)
         self.weighing.stands(now, standing, self.owning.channel(standing.session))
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -12,7 +12,7 @@
 from fernweir.peers.forward.messages import Carried, Carry
 
 
-class Standing(msgspec.Struct, frozen=True, array_like=True):
+class SessionStatus(msgspec.Struct, frozen=True, array_like=True):
     """A session that stands, as whoever inherits it must know it.
 
     `cls` and `title` are names, `box` the list's number; `attempt` counts from 0 over all owners, `rung` from
@@ -74,7 +74,7 @@
 class Listener(Protocol):
     """Who is told, in the order in which it happens, of what changes at a front."""
 
-    def stands(self, now: float, standing: Standing) -> None:
+    def stands(self, now: float, standing: SessionStatus) -> None:
         """A session plays, or one that plays changed its rung or was answered again."""
 
     def over(self, now: float, session: str) -> None:
@@ -97,7 +97,7 @@
 
     def listen(self, listener: Listener) -> None: ...
 
-    def standing(self) -> list[Standing]:
+    def standing(self) -> list[SessionStatus]:
         """All that plays here."""
 
     def load(self) -> int:
@@ -126,7 +126,7 @@
     def take_list(self, now: float, data: bytes, digest: bytes) -> bool:
         """Takes a peer's list if its content has this digest and it goes on from what is held."""
 
-    def take_over(self, now: float, standing: Standing, payload: bytes | None) -> bool:
+    def take_over(self, now: float, standing: SessionStatus, payload: bytes | None) -> bool:
         """The session is this front's from now on. False if it is held, or its box or lesson is not known."""
 
     def ended(self, now: float, session: str, attempt: int) -> None:
--- a/fernweir/peers/weighing.py
+++ b/fernweir/peers/weighing.py
@@ -28,7 +28,7 @@
 )
 from fernweir.peers.estimate.rules import ShardRules
 from fernweir.peers.estimate.waves import Cost, WaveRules
-from fernweir.peers.port import Port, Standing
+from fernweir.peers.port import Port, SessionStatus
 
 TALLY = "tally"
 _SAY_MS = 10_000.0
@@ -91,7 +91,7 @@
         self._say_at = now
         self._said, self._said_sessions = b"", 0
 
-    def stands(self, now: float, standing: Standing, channel: str) -> None:
+    def stands(self, now: float, standing: SessionStatus, channel: str) -> None:
         self._channels[standing.session] = channel
         self._tally.stands(now, standing)
 
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -32,7 +32,7 @@
 from fernweir.peers.members.rules import MemberRules
 from fernweir.peers.owning import OwningRules
 from fernweir.peers.peer import KINDS, Peer, PeerRules, Relived
-from fernweir.peers.port import Act, Claimed, Deed, Listener, Standing, Terms
+from fernweir.peers.port import Act, Claimed, Deed, Listener, SessionStatus, Terms
 from fernweir.peers.wire.codec import Codec
 from tests.fuzzing import Finding, Tape, Target
 from tests.fuzzing.shapes import drawn_of, info, message
@@ -92,14 +92,14 @@
     def __init__(self, world: World) -> None:
         self.world = world
         self.listener: Listener
-        self.plays: dict[str, Standing] = {}
+        self.plays: dict[str, SessionStatus] = {}
         self.later: deque[Callable[[float], None]] = deque()
         self.list = 0
 
     def listen(self, listener: Listener) -> None:
         self.listener = listener
 
-    def standing(self) -> list[Standing]:
+    def standing(self) -> list[SessionStatus]:
         return list(self.plays.values())
 
     def load(self) -> int:
@@ -117,7 +117,7 @@
     def payload(self, digest: bytes) -> bytes | None:
         return b"payload" if digest else None
 
-    def take_over(self, now: float, standing: Standing, payload: bytes | None) -> bool:
+    def take_over(self, now: float, standing: SessionStatus, payload: bytes | None) -> bool:
         if standing.session in self.plays or standing.box not in (1, 2):
             return False
         if len(self.plays) < 64:
@@ -406,8 +406,8 @@
     return [(1, ["ready"]), (2, ["draining" if version % 3 else "ready"]), (3, [version])]
 
 
-def _standing(session: str) -> Standing:
-    return Standing(session, "dash", "w", "film", "paid", 2, "t", 1, 1, 0, 1, b"digest", 1, 0)
+def _standing(session: str) -> SessionStatus:
+    return SessionStatus(session, "dash", "w", "film", "paid", 2, "t", 1, 1, 0, 1, b"digest", 1, 0)
 
 
 def tables(root: object) -> Iterator[tuple[str, int, int]]:
--- a/tests/golden_peers.py
+++ b/tests/golden_peers.py
@@ -90,7 +90,7 @@
     "lease.recall": peers.lease.messages.Recall,
     "lease.recalled": peers.lease.messages.Recalled,
     # Channels: copies at standbys, hand-off, directory.
-    "channel.standing": peers.port.Standing,
+    "channel.standing": peers.port.SessionStatus,
     "channel.as_of": peers.channel.messages.AsOf,
     "channel.hail": peers.channel.messages.Hail,
     "channel.deltas": peers.channel.messages.Deltas,
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -54,7 +54,7 @@
 from fernweir.peers.members.messages import Nack, Record, State
 from fernweir.peers.members.table import Roster, part_of
 from fernweir.peers.peer import KINDS
-from fernweir.peers.port import Act, Deed, Standing, Terms
+from fernweir.peers.port import Act, Deed, SessionStatus, Terms
 from fernweir.peers.wire import keys
 from fernweir.peers.wire.codec import Codec
 from fernweir.peers.wire.conversation import Conversation
@@ -309,8 +309,8 @@
     return [plain(part.sets), plain(facts.kept)]
 
 
-def _standing(number: int) -> Standing:
-    return Standing(
+def _standing(number: int) -> SessionStatus:
+    return SessionStatus(
         f"session-{number}", "dash", f"viewer-{number}", f"title-{number}", "live", 4, "tenant", number,
         number % 2, number, number, b"p" * 16, 2, 1,
     )  # fmt: skip
--- a/tests/peers_estimate_day.py
+++ b/tests/peers_estimate_day.py
@@ -29,7 +29,7 @@
 from fernweir.peers.estimate.summary import encode
 from fernweir.peers.estimate.waves import QUANTITIES as COSTS
 from fernweir.peers.estimate.waves import Cost, CostBound, Phase, WaveRules, Waves
-from fernweir.peers.port import Standing
+from fernweir.peers.port import SessionStatus
 
 SHARDS = ShardRules(most_rows=120, most_span_ms=150_000.0, kept=3, frequent=8, sample=48, false_share=0.05)
 ESTIMATES = EstimateRules(most_rows=120, most_span_ms=150_000.0)
@@ -198,7 +198,7 @@
     dice = Random(f"standing/{seed}")
     summaries = Catalogue(CatalogueRules())
     now, fronts = 200_000.0, [f"front-{n}" for n in range(dice.randint(1, 6))]
-    here: dict[str, dict[str, Standing]] = {front: {} for front in fronts}
+    here: dict[str, dict[str, SessionStatus]] = {front: {} for front in fronts}
     own: dict[str, dict[str, float]] = {}  # by front, when what stands was stamped
     for front in fronts:
         told = now - dice.uniform(0.0, 60_000.0)
@@ -216,7 +216,9 @@
                 del there[session]
             else:
                 title, box = f"t{int(dice.paretovariate(0.8)) % 60}", dice.randrange(90)
-                one = Standing(session, "v", "w", title, "c", 3, f"x{box % 3}", 0, box, 0, dice.randrange(4))
+                one = SessionStatus(
+                    session, "v", "w", title, "c", 3, f"x{box % 3}", 0, box, 0, dice.randrange(4)
+                )
                 summarizer.stands(at, one, 60)
                 there[session] = one
         own[front] = {row.session: row.at for row in summarizer.standing()}
--- a/tests/test_peers_boxes.py
+++ b/tests/test_peers_boxes.py
@@ -5,7 +5,7 @@
 from fernweir.front.boxes import BoxClient
 from fernweir.front.peering import Peering
 from fernweir.interface import Result
-from fernweir.peers.port import Claimed, Standing
+from fernweir.peers.port import Claimed, SessionStatus
 from fernweir.rehearsal.site import SitePlan
 from fernweir.standin.fences import Fences
 from fernweir.standin.site import SiteTimes
@@ -58,12 +58,12 @@
     """A listener that keeps what it is told."""
 
     def __init__(self) -> None:
-        self.standings: dict[str, Standing] = {}
+        self.standings: dict[str, SessionStatus] = {}
         self.ends: list[str] = []
         self.acts: list[object] = []
         self.lists: list[object] = []
 
-    def stands(self, now: float, standing: Standing) -> None:
+    def stands(self, now: float, standing: SessionStatus) -> None:
         self.standings[standing.session] = standing
 
     def over(self, now: float, session: str) -> None:
--- a/tests/test_peers_channel.py
+++ b/tests/test_peers_channel.py
@@ -47,7 +47,7 @@
         raise AttributeError(name)
 
     def standing(self, session: str, box: int = 0, attempt: int = 0, rung: int = 0, **more: Any) -> Any:
-        return self.port.Standing(
+        return self.port.SessionStatus(
             session, "via", "who", "title", "cls", 4, "tenant", 7, box, attempt, rung, **more
         )
 
--- a/tests/test_peers_estimate.py
+++ b/tests/test_peers_estimate.py
@@ -39,7 +39,7 @@
 from fernweir.peers.estimate.sketches import cut, pack_filter, read_filter, steps
 from fernweir.peers.estimate.summary import COUNTED, Summary, encode, read
 from fernweir.peers.estimate.waves import Cost, Phase, Wave, WaveRules
-from fernweir.peers.port import Standing
+from fernweir.peers.port import SessionStatus
 from tests import peers_estimate_day as days
 from tests.peers_mutants import Mutant, broken
 from tests.peers_mutants.estimate import DAYS, MUTANTS
@@ -382,9 +382,9 @@
 def test_a_load_counts_what_stands(deeds: list[tuple[bool, int, int, int]]) -> None:
     kbps = (100.0, 200.0, 400.0)
     tally = Tally("a", 1, lambda session: f"a:1/{int(session) % 3}", kbps, ShardRules(), 0.0)
-    standing: dict[str, Standing] = {}
+    standing: dict[str, SessionStatus] = {}
     for number, (stands, session, box, rung) in enumerate(deeds):
-        one = Standing(str(session), "v", "w", "t", "c", 3, "x", 0, box, 0, rung)
+        one = SessionStatus(str(session), "v", "w", "t", "c", 3, "x", 0, box, 0, rung)
         if stands:
             tally.stands(float(number), one)
             standing[one.session] = one
@@ -466,14 +466,14 @@
     rules = ShardRules(most_rows=15, kept=2, frequent=3)
     summarizer = Summarizer("a", 1, rules, 0.0)
     acts: dict[str, list[Row]] = {}
-    standing: dict[str, Standing] = {}
+    standing: dict[str, SessionStatus] = {}
     for number, (deed, session, value) in enumerate(deeds):
         now = float(number)
         if deed == "act":
             row = Row(now, "setup", f"s{session}", f"t{value}", value, outcome="plays")
             acts.setdefault(summarizer.add(now, row, 10 + value), []).append(row)
         elif deed == "stands":
-            one = Standing(f"s{session}", "v", "w", f"t{value}", "c", 3, "x", 0, value, 0, 0)
+            one = SessionStatus(f"s{session}", "v", "w", f"t{value}", "c", 3, "x", 0, value, 0, 0)
             summarizer.stands(now, one, 40)
             standing[one.session] = one
         elif deed == "over":
--- a/tests/test_peers_heirs.py
+++ b/tests/test_peers_heirs.py
@@ -18,7 +18,7 @@
 from fernweir.peers.channel.heirs import Candidate, assign, heirs, standbys, wait_ms
 from fernweir.peers.channel.rules import DirectoryRules, HeirRules, SpreadRules
 from fernweir.peers.channel.spread import Loss, spread
-from fernweir.peers.port import Claimed, Standing
+from fernweir.peers.port import Claimed, SessionStatus
 from tests.peers_mutants import Mutant, broken
 from tests.peers_mutants.channel import DIRECTORY, HEIRS, LIVES, WEIGHING
 
@@ -155,7 +155,9 @@
 # --- reconcile ---
 
 
-def slow_reconcile(copy: dict[str, Standing], told: list[Claimed], elsewhere: str) -> dict[str, set[Any]]:
+def slow_reconcile(
+    copy: dict[str, SessionStatus], told: list[Claimed], elsewhere: str
+) -> dict[str, set[Any]]:
     """The table's rows, one session and one place at a time."""
     answers: dict[int, Claimed] = {}
     for claimed in told:
@@ -194,7 +196,7 @@
     """What the program and the slow model make of the same; where they differ is named."""
     module: Any = importlib.import_module("fernweir.peers.channel.reconcile")
     standings = {
-        session: Standing(session, "v", "w", "t", "c", 3, "x", 1, box, attempt, 0)
+        session: SessionStatus(session, "v", "w", "t", "c", 3, "x", 1, box, attempt, 0)
         for session, (box, attempt) in copy.items()
     }
     told = [
