--- a/bench/peers_members.py
+++ b/bench/peers_members.py
@@ -118,7 +118,7 @@
     def wake(self, front: Front, told: bool) -> None:
         """It goes on: with its timer or with what waited for it first, as drawn; `told` calls `stood`."""
         front.stopped = False
-        due = front.machine.next_due()
+        due = front.machine.next_deadline()
         late = self.now - due if due is not None else 0.0
         if told and late > 0:
             front.machine.stood(self.now, late)
@@ -126,7 +126,7 @@
             front.machine.tick(self.now)
         while front.waiting:
             sender, message = front.waiting.popleft()
-            front.machine.heard(self.now, sender, message)
+            front.machine.on_message(self.now, sender, message)
         self.settle(front)
 
     def run(self, until: float, stop: Callable[[], bool] = lambda: False) -> None:
@@ -139,7 +139,7 @@
                 if front.stopped:
                     front.waiting.append((sender, message))
                     continue
-                front.machine.heard(self.now, sender, message)
+                front.machine.on_message(self.now, sender, message)
             elif front.stopped or front.wakes_at != self.now:
                 continue
             else:
@@ -151,13 +151,13 @@
 
     def settle(self, front: Front) -> None:
         """Carries out what a machine wants and sets its timer."""
-        for effect in front.machine.take():
+        for effect in front.machine.take_effects():
             if hasattr(effect, "to"):
                 self._carry(front, effect)
             else:
                 front.events.append((self.now, effect))
                 self.watch(front, effect)
-        due = front.machine.next_due()
+        due = front.machine.next_deadline()
         if due is not None and due != front.wakes_at:
             front.wakes_at = max(due, self.now)
             self._push(front.wakes_at, front, "", None)
@@ -174,7 +174,7 @@
             return
         paths, dice = self.paths, self.dice
         delay = dice.uniform(paths.least, paths.most) + to.slow
-        if send.whole:
+        if send.reliable:
             while dice.random() < paths.loss:  # sent again by the connection
                 delay += 200.0
             self._push(self.now + delay, to, front.name, data)
--- a/fernweir/peers/acts/copies.py
+++ b/fernweir/peers/acts/copies.py
@@ -95,14 +95,14 @@
             self._watch_at = now + self.rules.gap_ms / 2
             self._watch(now)
 
-    def next_due(self) -> float | None:
-        dues = [self.chain.next_due(), *(one.next_due() for one in self._sending.values())]
+    def next_deadline(self) -> float | None:
+        dues = [self.chain.next_deadline(), *(one.next_deadline() for one in self._sending.values())]
         if self._progress:
             dues.append(self._watch_at)
         return min((due for due in dues if due is not None), default=None)
 
-    def take(self) -> list[Effect]:
-        return self._out.take()
+    def take_effects(self) -> list[Effect]:
+        return self._out.take_effects()
 
     def _flow(self, now: float) -> None:
         for chain, sending in list(self._sending.items()):
@@ -123,11 +123,11 @@
         self.bytes_sent += len(data)
         block = sealed.block
         owner = "" if (block.front, block.life) == (self.me, self.life) else block.front
-        self._out.add(Send(line.name, Keep(block.life, block.number, packed, data, owner), whole=True))
+        self._out.add(Send(line.name, Keep(block.life, block.number, packed, data, owner), reliable=True))
 
     # --- the holder's side ---
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         if isinstance(message, Kept):
             chain = message.owner or self.me, message.life
             sending, shelf = self._sending.get(chain), self.store.shelf(*chain)
@@ -158,7 +158,7 @@
         first = shelf.first_kept if shelf is not None else number + 1
         spans = tuple(shelf.numbers)[-_SPANS:] if shelf is not None else ()
         # What is wrong is acknowledged too: its like would only come again.
-        self._out.add(Send(sender, Kept(life, (number,), first, spans, message.owner), whole=True))
+        self._out.add(Send(sender, Kept(life, (number,), first, spans, message.owner), reliable=True))
 
     def _read(self, sender: str, message: Keep) -> Sealed | None:
         data, most = message.data, 4 * self.rules.block_bytes
--- a/fernweir/peers/late/stragglers.py
+++ b/fernweir/peers/late/stragglers.py
@@ -126,7 +126,7 @@
         if peer is None or what not in peer.late or len(data) > DATA_MOST:
             return False
         peer.given[what] = content
-        self._out.add(Send(name, Part(peer.life, what, content, data), whole=True))
+        self._out.add(Send(name, Part(peer.life, what, content, data), reliable=True))
         return True
 
     # --- what others ask ---
@@ -147,7 +147,7 @@
 
     # --- the part ---
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         if sender not in self._table.peers:
             return
         match message:
@@ -169,11 +169,11 @@
         if not self._quiet:
             self._look_at = now + self.rules.look_ms
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         return self._look_at
 
-    def take(self) -> list[Effect]:
-        return self._out.take()
+    def take_effects(self) -> list[Effect]:
+        return self._out.take_effects()
 
     # --- pieces ---
 
--- a/tests/test_peers_late.py
+++ b/tests/test_peers_late.py
@@ -376,7 +376,7 @@
         )
         against = (messages.Against(name, 7, (dice.choice(kinds),)),)
         # Of the keepers f1 alone is broken.
-        machine.heard(now, sender, dice.choice((
+        machine.on_message(now, sender, dice.choice((
             messages.Votes(dice.randrange(9), float(dice.randrange(99)), against if sender != "f2" else ()),
             messages.Seen(name, 7, versions, float(dice.randrange(600_000))),
             messages.Part(7, dice.choice(kinds), digest, b"x" * 9),
@@ -385,10 +385,10 @@
         if dice.random() < 0.2:
             machine.versions(now, dice.choice(["f3", "nobody"]), versions)
         machine.evidence(now, dice.choice(names), versions, dice.choice((-1.0, 0.0, 1e9, 5_000.0)))
-        due = machine.next_due()
+        due = machine.next_deadline()
         if due is not None and due <= now:
             machine.tick(now)
-        for effect in machine.take():
+        for effect in machine.take_effects():
             assert not isinstance(effect, KIT.events.ShutOut | KIT.events.Apply), effect
     assert set(machine.states()) == set(names) and not machine.shut_out()
     assert len(machine._tally._heard) <= 3
