--- a/bench/peers_channel.py
+++ b/bench/peers_channel.py
@@ -24,7 +24,7 @@
 from fernweir.peers.channel.rules import HeirRules
 from fernweir.peers.channel.spread import Loss, spread
 from fernweir.peers.channel.takeover import Claim, Inherited
-from fernweir.peers.port import Claimed, Standing
+from fernweir.peers.port import Claimed, SessionStatus
 
 WAY_MS = (0.3, 2.0)  # between fronts, and between a front and a box
 BOXES = 30
@@ -32,14 +32,14 @@
 QUORUM_MS = 4.0  # a lease from a majority of keepers: two ways there and back
 
 
-def sessions_of(count: int, parts: int, seed: int) -> dict[str, list[Standing]]:
+def sessions_of(count: int, parts: int, seed: int) -> dict[str, list[SessionStatus]]:
     """A front's sessions by channel, with names as long as real ones."""
     dice = Random(f"sessions {seed}")
     payloads = [payload_digest(payload_of(n)) for n in range(PAYLOADS)]
-    channels: dict[str, list[Standing]] = {}
+    channels: dict[str, list[SessionStatus]] = {}
     for _ in range(count):
         session = dice.randbytes(16).hex()
-        one = Standing(
+        one = SessionStatus(
             session, f"10.0.0.{dice.randrange(250)}:40000", f"viewer{dice.randrange(9_999)}@example.org",
             f"lesson-{dice.randrange(60)}", "standard", 4, "lagos", dice.getrandbits(30),
             dice.randrange(BOXES), dice.randrange(3), dice.randrange(5), dice.choice(payloads), 1, 0,
@@ -72,11 +72,11 @@
         )
         when = max(self.now + self.dice.uniform(*WAY_MS), self.last.get((sender, str(effect.to)), 0.0))
         self.last[(sender, str(effect.to))] = when
-        self.after(when - self.now, lambda: to.heard(self.now, sender, effect.message))
+        self.after(when - self.now, lambda: to.on_message(self.now, sender, effect.message))
 
     def step(self, until: float, parts: dict[str, Any]) -> bool:
         """On to the next thing that is due; False if that is later than `until`."""
-        dues = [due for part in parts.values() if (due := part.next_due()) is not None]
+        dues = [due for part in parts.values() if (due := part.next_deadline()) is not None]
         if self.queue:
             dues.append(self.queue[0][0])
         if not dues or min(dues) > until:
@@ -86,7 +86,7 @@
         while self.queue and self.queue[0][0] <= self.now:
             heapq.heappop(self.queue)[2]()
         for part in parts.values():
-            due = part.next_due()
+            due = part.next_deadline()
             if due is not None and due <= self.now:
                 part.tick(self.now)
         return True
@@ -113,7 +113,7 @@
     def run(until: float) -> None:
         while paths.step(until, parts):
             for name, part in parts.items():
-                for effect in part.take():
+                for effect in part.take_effects():
                     if isinstance(effect, Send):
                         paths.send(name, effect, parts[str(effect.to)])
                     elif isinstance(effect, NeedPayload):
@@ -179,7 +179,7 @@
     more = True
     while more:
         for name, part in parts.items():
-            for effect in part.take():
+            for effect in part.take_effects():
                 if isinstance(effect, Send):
                     paths.send(name, effect, parts[str(effect.to)])
                 else:
--- a/fernweir/peers/channel/directory.py
+++ b/fernweir/peers/channel/directory.py
@@ -143,7 +143,7 @@
 
     # --- the part ---
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         if isinstance(message, Registered):
             self._registrar.register(now, sender, message.life, message.sessions)
         elif isinstance(message, Unregistered):
@@ -178,7 +178,7 @@
             self._sweep_at = now + self.rules.refresh_ms / 4.0
             self._registrar.sweep(now)
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         dues = [min(find.again_at, find.until) for find in self._finds.values()]
         if self._flush_at is not None:
             dues.append(self._flush_at)
@@ -190,8 +190,8 @@
             dues.append(self._sweep_at)
         return min(dues, default=None)
 
-    def take(self) -> list[Effect]:
-        return self._out.take()
+    def take_effects(self) -> list[Effect]:
+        return self._out.take_effects()
 
     # --- pieces ---
 
@@ -226,9 +226,9 @@
 
     def _say(self, now: float, name: str, message: Registered | Unregistered) -> None:
         if name == self.me:
-            self.heard(now, self.me, message)
+            self.on_message(now, self.me, message)
         else:
-            self._out.add(Send(name, message, whole=True))
+            self._out.add(Send(name, message, reliable=True))
 
     def _ask(self, find: _Find) -> None:
         for name in sorted(find.waiting):
--- a/tests/peers_estimate_day.py
+++ b/tests/peers_estimate_day.py
@@ -29,7 +29,7 @@
 from fernweir.peers.estimate.summary import encode
 from fernweir.peers.estimate.waves import QUANTITIES as COSTS
 from fernweir.peers.estimate.waves import Cost, CostBound, Phase, WaveRules, Waves
-from fernweir.peers.port import Standing
+from fernweir.peers.port import SessionStatus
 
 SHARDS = ShardRules(most_rows=120, most_span_ms=150_000.0, kept=3, frequent=8, sample=48, false_share=0.05)
 ESTIMATES = EstimateRules(most_rows=120, most_span_ms=150_000.0)
@@ -81,7 +81,7 @@
     answered = 0
     named = {(one.shard.front, one.shard.name) for one in estimate.plan}
     for _ in range(5_000):
-        for effect in going.take():
+        for effect in going.take_effects():
             if isinstance(effect, Caught):
                 wrong.append(f"{effect.front} caught, though honest")
             elif isinstance(effect, Read):
@@ -93,7 +93,7 @@
         if going.done:
             break
         if not out:
-            due = going.next_due()
+            due = going.next_deadline()
             if due is None:
                 wrong.append("neither done nor waiting")
                 break
@@ -198,7 +198,7 @@
     dice = Random(f"standing/{seed}")
     summaries = Catalogue(CatalogueRules())
     now, fronts = 200_000.0, [f"front-{n}" for n in range(dice.randint(1, 6))]
-    here: dict[str, dict[str, Standing]] = {front: {} for front in fronts}
+    here: dict[str, dict[str, SessionStatus]] = {front: {} for front in fronts}
     own: dict[str, dict[str, float]] = {}  # by front, when what stands was stamped
     for front in fronts:
         told = now - dice.uniform(0.0, 60_000.0)
@@ -216,7 +216,9 @@
                 del there[session]
             else:
                 title, box = f"t{int(dice.paretovariate(0.8)) % 60}", dice.randrange(90)
-                one = Standing(session, "v", "w", title, "c", 3, f"x{box % 3}", 0, box, 0, dice.randrange(4))
+                one = SessionStatus(
+                    session, "v", "w", title, "c", 3, f"x{box % 3}", 0, box, 0, dice.randrange(4)
+                )
                 summarizer.stands(at, one, 60)
                 there[session] = one
         own[front] = {row.session: row.at for row in summarizer.standing()}
@@ -373,12 +375,12 @@
                 desk.answered(now, one.ticket, one.read.number, answer)
                 if dice.random() < 0.1:
                     desk.answered(now, one.ticket, one.read.number, answer)
-        due = desk.next_due()
+        due = desk.next_deadline()
         if step > 300 and not out and due is not None:
             now = max(now, due)
         if due is not None and due <= now:
             desk.tick(now)
-        for effect in desk.take():
+        for effect in desk.take_effects():
             if isinstance(effect, ReadFor):
                 if held:
                     wrong.append("read while viewers need everything")
@@ -438,7 +440,7 @@
         wave = waves.next(now)
         if wave is None:
             if waves.phase is Phase.PAUSED:
-                due = waves.next_due()
+                due = waves.next_deadline()
                 if due is None or due <= now:
                     wrong.append("paused without an end")
                     break
--- a/tests/test_peers_channel.py
+++ b/tests/test_peers_channel.py
@@ -47,7 +47,7 @@
         raise AttributeError(name)
 
     def standing(self, session: str, box: int = 0, attempt: int = 0, rung: int = 0, **more: Any) -> Any:
-        return self.port.Standing(
+        return self.port.SessionStatus(
             session, "via", "who", "title", "cls", 4, "tenant", 7, box, attempt, rung, **more
         )
 
@@ -210,16 +210,16 @@
         for name, part in self.parts.items():
             if name in self.net.stopped:
                 continue
-            due = part.next_due()
+            due = part.next_deadline()
             if due is not None and due <= self.clock(name):
                 part.tick(self.clock(name))
-            for effect in part.take():
+            for effect in part.take_effects():
                 if isinstance(effect, self.mods.base.Send):
                     to = str(effect.to)
-                    self.net.send(name, to, effect.message, effect.whole, self.hand(name, to))
+                    self.net.send(name, to, effect.message, effect.reliable, self.hand(name, to))
 
     def hand(self, sender: str, to: str) -> Callable[[Any], None]:
-        return lambda message: self.parts[to].heard(self.clock(to), sender, message)
+        return lambda message: self.parts[to].on_message(self.clock(to), sender, message)
 
     def check(self) -> None:
         for name, part in self.parts.items():
@@ -545,7 +545,7 @@
                 if world.oracle.renew(channel, self.name, owned.fence):
                     owned.until = now + LEASE * 0.97
         for part in (self.handoff, self.replica):
-            due = part.next_due()
+            due = part.next_deadline()
             if due is not None and due <= now:
                 part.tick(now)
         self.inherit()
@@ -571,11 +571,11 @@
 
     def pump(self) -> None:
         for part in (self.handoff, self.replica):
-            for effect in part.take():
+            for effect in part.take_effects():
                 if isinstance(effect, self.mods.base.Send):
                     to = str(effect.to)
                     self.world.net.send(
-                        self.name, to, effect.message, effect.whole, self.world.hand(self.name, to)
+                        self.name, to, effect.message, effect.reliable, self.world.hand(self.name, to)
                     )
                 else:
                     self.event(effect)
@@ -621,8 +621,8 @@
         def heard(message: Any) -> None:
             front = self.fronts[to]
             front.look_at_leases()
-            front.handoff.heard(front.clock(), sender, message)
-            front.replica.heard(front.clock(), sender, message)
+            front.handoff.on_message(front.clock(), sender, message)
+            front.replica.on_message(front.clock(), sender, message)
 
         return heard
 
@@ -1038,7 +1038,7 @@
         now += 20.0
         for name, part, other in (("a", owner, standby), ("b", standby, owner)):
             part.tick(now)
-            for effect in part.take():
+            for effect in part.take_effects():
                 if not isinstance(effect, mods.base.Send):
                     continue
                 if isinstance(effect.message, mods.messages.Piece):
@@ -1046,7 +1046,7 @@
                     if len(pieces) == 18:  # the connection stands and delivers nothing for two seconds
                         back_at = now + 2_000.0
                 if back_at == float("inf") or now >= back_at:
-                    other.heard(now, name, effect.message)
+                    other.on_message(now, name, effect.message)
     copy = standby.copy("a:1/0")
     assert copy is not None and copy.whole and len(copy.standings) == 400
     assert pieces.count(0) == 1 and len(set(pieces)) > 20 and len(pieces) < 2 * len(set(pieces))
@@ -1068,19 +1068,19 @@
             now += 10.0
             for name, part in parts.items():
                 part.tick(now)
-                for effect in part.take():
+                for effect in part.take_effects():
                     if isinstance(effect, mods.payloads.NeedPayload):
                         asked += 1
                         part.payload(now, effect.digest, data)
                     elif isinstance(effect, mods.base.Send) and dice.random() > 0.1:
                         if isinstance(effect.message, mods.messages.PayloadPiece):
                             crossed += len(effect.message.data)
-                        parts[str(effect.to)].heard(now, name, effect.message)
+                        parts[str(effect.to)].on_message(now, name, effect.message)
 
     run(20_000.0)
     assert parts["b"].payload_of(digest) == data and asked >= 1 and crossed < 2.5 * len(data)
     bad = mods.messages.PayloadPiece(digest, 3, 0, b"bad")
-    parts["b"].heard(now, "a", bad)
+    parts["b"].on_message(now, "a", bad)
     assert parts["b"].payload_of(digest) == data
     parts["a"].over(now, "a:1/0")
     run(5_000.0)
@@ -1137,11 +1137,11 @@
             values["offer"] = dice.choice(offers)
         message, sender = kind(**values), dice.choice("bc")
         for part in (replica, hand):
-            part.heard(now, sender, message)
-            due = part.next_due()
+            part.on_message(now, sender, message)
+            due = part.next_deadline()
             if due is not None and due <= now:
                 part.tick(now)
-            for effect in part.take():
+            for effect in part.take_effects():
                 if isinstance(effect, mods.base.Send):
                     offers = [*offers, getattr(effect.message, "offer", 1)][-6:]
                 elif isinstance(effect, mods.giving.Freeze):
--- a/tests/test_peers_heirs.py
+++ b/tests/test_peers_heirs.py
@@ -18,7 +18,7 @@
 from fernweir.peers.channel.heirs import Candidate, assign, heirs, standbys, wait_ms
 from fernweir.peers.channel.rules import DirectoryRules, HeirRules, SpreadRules
 from fernweir.peers.channel.spread import Loss, spread
-from fernweir.peers.port import Claimed, Standing
+from fernweir.peers.port import Claimed, SessionStatus
 from tests.peers_mutants import Mutant, broken
 from tests.peers_mutants.channel import DIRECTORY, HEIRS, LIVES, WEIGHING
 
@@ -155,7 +155,9 @@
 # --- reconcile ---
 
 
-def slow_reconcile(copy: dict[str, Standing], told: list[Claimed], elsewhere: str) -> dict[str, set[Any]]:
+def slow_reconcile(
+    copy: dict[str, SessionStatus], told: list[Claimed], elsewhere: str
+) -> dict[str, set[Any]]:
     """The table's rows, one session and one place at a time."""
     answers: dict[int, Claimed] = {}
     for claimed in told:
@@ -194,7 +196,7 @@
     """What the program and the slow model make of the same; where they differ is named."""
     module: Any = importlib.import_module("fernweir.peers.channel.reconcile")
     standings = {
-        session: Standing(session, "v", "w", "t", "c", 3, "x", 1, box, attempt, 0)
+        session: SessionStatus(session, "v", "w", "t", "c", 3, "x", 1, box, attempt, 0)
         for session, (box, attempt) in copy.items()
     }
     told = [
@@ -321,14 +323,14 @@
 
     def send(self, sender: str, effect: Any) -> None:
         data = msgspec.msgpack.encode(effect.message)
-        if self.dice.random() < self.loss * (0.3 if effect.whole else 1.0) or effect.to not in self.parts:
+        if self.dice.random() < self.loss * (0.3 if effect.reliable else 1.0) or effect.to not in self.parts:
             return
         way = self.dice.uniform(0.2, 4.0) + (2_000.0 if self.dice.random() < self.loss / 8.0 else 0.0)
         to, life = effect.to, self.lives[effect.to]
 
         def deliver() -> None:
             if to in self.parts and self.lives[to] == life:
-                self.parts[to].heard(self.now, sender, self.decoder.decode(data))
+                self.parts[to].on_message(self.now, sender, self.decoder.decode(data))
 
         self.count += 1
         heapq.heappush(self.queue, (self.now + way, self.count, deliver))
@@ -353,10 +355,10 @@
             while self.queue and self.queue[0][0] <= self.now:
                 heapq.heappop(self.queue)[2]()
             for name, part in list(self.parts.items()):
-                due = part.next_due()
+                due = part.next_deadline()
                 if due is not None and due <= self.now:
                     part.tick(self.now)
-                for effect in part.take():
+                for effect in part.take_effects():
                     if isinstance(effect, self.base.Send):
                         self.send(name, effect)
                     else:
@@ -426,16 +428,16 @@
     part = module.Directory("a", 1, rules)
     part.members(0.0, {"b": 7, "c": 1})
     for n in range(9):
-        part.heard(0.0, "b", messages.Registered(7, [(f"x{n}.{m}", 1) for m in range(50)]))
-    part.heard(0.0, "b", messages.Registered(7, [("", 1), ("y" * 9_000, 1), ("z", -1)]))
+        part.on_message(0.0, "b", messages.Registered(7, [(f"x{n}.{m}", 1) for m in range(50)]))
+    part.on_message(0.0, "b", messages.Registered(7, [("", 1), ("y" * 9_000, 1), ("z", -1)]))
     assert len(part._registrar) == 4
     for n in range(9):
         part.find(0.0, f"s{n}")
-    effects = part.take()
+    effects = part.take_effects()
     found = [effect for effect in effects if isinstance(effect, module.Found)]
     assert len(found) >= 6 and all(one.owner is None for one in found)
     part.tick(60.0)
-    found += [effect for effect in part.take() if isinstance(effect, module.Found)]
+    found += [effect for effect in part.take_effects() if isinstance(effect, module.Found)]
     assert sorted(one.session for one in found) == [f"s{n}" for n in range(9)]
 
 
