--- a/fernweir/front/dash.py
+++ b/fernweir/front/dash.py
@@ -20,7 +20,7 @@
 from fernweir.front.commands import ReplyKind, SessionReply, SessionRequest, SetUp
 from fernweir.front.dispatcher import Dispatcher, InvalidServerReplyError, ServerRequest
 from fernweir.front.endpoint_list import EndpointList
-from fernweir.front.introspection import TokenDesk
+from fernweir.front.introspection import IntrospectionClient
 from fernweir.front.manifest import Manifest, ManifestCache, ManifestError
 from fernweir.http.client import Reply
 from fernweir.http.problem import MEDIA_TYPE, problem
@@ -83,7 +83,7 @@
         public_url: str,
         wall_s: Callable[[], float],
         max_waiting: int = 10_000,
-        introspection: TokenDesk | None = None,
+        introspection: IntrospectionClient | None = None,
         fail_open_classes: frozenset[str] = frozenset(),
     ) -> None:
         self.core, self.endpoint_list, self.settings, self.classes = core, endpoint_list, settings, classes
@@ -145,7 +145,7 @@
 
     def _introspect(
         self,
-        introspection: TokenDesk,
+        introspection: IntrospectionClient,
         exchange: Exchange,
         path: list[str],
         token: str,
@@ -183,7 +183,7 @@
                 verified_claims = self._read_introspected_claims(decision)
             self._proceed(exchange, path, verified_claims, in_query, self.core.now() - started_at)
 
-        number = introspection.ask(token, wait_ms(exchange, session_class) / 2.0, on_decision)
+        number = introspection.look_up(token, wait_ms(exchange, session_class) / 2.0, on_decision)
         exchange.on_gone = lambda: introspection.withdraw(number)
 
     def _read_introspected_claims(self, decision: IntrospectionDecision) -> SessionClaims:
--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -14,19 +14,19 @@
 from fernweir.front.commands import ReplyKind, SessionReply, SessionRequest
 from fernweir.front.dispatcher import Dispatcher, InvalidServerReplyError
 from fernweir.front.endpoint_list import EndpointList, ListError, ServerEntry, read_document
-from fernweir.front.peer_view import Acting
+from fernweir.front.peer_view import PeerView
 from fernweir.front.server_client import ServerClient
 from fernweir.front.session_manager import SessionPhase, SessionRecord
 from fernweir.http.client import Outcome, Reply
 from fernweir.interface import Result
 from fernweir.peers.acts.versions import boxes_digest
 from fernweir.peers.forward.messages import Carried, Carry
-from fernweir.peers.port import Claimed, Standing
+from fernweir.peers.port import Claimed, SessionStatus
 
 _MAX_CACHED_PAYLOADS = 4_096
 
 
-class Peering(Acting):
+class Peering(PeerView):
     """Lets peers read the front's sessions and endpoint list, and take over or hand off sessions.
 
     `wall_ms` returns the current wall time.
@@ -44,7 +44,7 @@
 
     # --- requests of peers (peers.port.Port) ---
 
-    def standing(self) -> list[Standing]:
+    def standing(self) -> list[SessionStatus]:
         """Returns the status of all sessions that play here."""
         return [
             self._session_status(record)
@@ -100,7 +100,7 @@
             self._core.schedule_step()
         return update is not None
 
-    def take_over(self, now: float, standing: Standing, payload: bytes | None) -> bool:
+    def take_over(self, now: float, standing: SessionStatus, payload: bytes | None) -> bool:
         """Adopts a session of another front.
 
         Returns False if the session is here already, or if its server, title, class or protocol is unknown.
@@ -280,13 +280,13 @@
         )  # fmt: skip
         core.submit(session_request, on_reply)
 
-    def _session_status(self, record: SessionRecord) -> Standing:
+    def _session_status(self, record: SessionRecord) -> SessionStatus:
         request = record.request
         codec = self._core.set_up_codecs[request.protocol]
         digest, data = codec.pack(record.payload)
         if digest:
             self._cache_payload(digest, data)
-        return Standing(
+        return SessionStatus(
             session=request.session_id,
             via=request.protocol,
             who=request.subject,
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -26,13 +26,13 @@
 from fernweir.front.dash import DashService, TokenRules
 from fernweir.front.dispatcher import Dispatcher, Log
 from fernweir.front.endpoint_list import EndpointList
-from fernweir.front.entitlement_gate import Gate
+from fernweir.front.entitlement_gate import EntitlementGate
 from fernweir.front.follower import ListFollower
-from fernweir.front.introspection import TokenDesk
+from fernweir.front.introspection import IntrospectionClient
 from fernweir.front.keyset import KeySetFollower
-from fernweir.front.operator_controls import Steering
+from fernweir.front.operator_controls import OperatorControls
 from fernweir.front.record import Recorder
-from fernweir.front.seat_reconciliation import UseCheck
+from fernweir.front.seat_reconciliation import SeatReconciliation
 from fernweir.front.server_client import ServerClient, ServerTimeouts
 from fernweir.front.session_manager import SessionLimits, SessionManager
 from fernweir.http.client import Pool
@@ -63,10 +63,10 @@
     list_follower: ListFollower
     pools: tuple[Pool, ...]
     record: IO[str] | None
-    gate: Gate | None = None
+    gate: EntitlementGate | None = None
     keyring: Keyring | None = None
-    introspection: TokenDesk | None = None
-    use_check: UseCheck | None = None
+    introspection: IntrospectionClient | None = None
+    use_check: SeatReconciliation | None = None
     control: _Control | None = None
     peers: Peers | None = None
     service: DashService | None = None
@@ -83,7 +83,7 @@
         """
         self.server.stop_listening()
         if self.introspection is not None:
-            self.introspection.give_up()
+            self.introspection.shutdown()
         all_answered = await self.core.drain(within_s)
         if self.peers is not None:
             all_handed_off = await self.peers.leave(within_s)
@@ -93,7 +93,7 @@
             await self.peers.stop()
         self.server.close_when_done()
         if self.gate is not None:
-            remaining = await self.gate.give_back(min(within_s, _MAX_SEAT_RELEASE_S))
+            remaining = await self.gate.release_all_seats(min(within_s, _MAX_SEAT_RELEASE_S))
             self.core.log.info("seats released", left=remaining)
         if self.service is not None:
             self.service.reject_forwarded()
@@ -156,7 +156,7 @@
     observer = None
     if section.record is not None:
         record = open(config.path(section.record), "w", encoding="utf-8")  # noqa: SIM115 - closed by stop
-        observer = Recorder(record, settings, section.seed).watch
+        observer = Recorder(record, settings, section.seed).on_batch
     limits = SessionLimits(reply_margin_ms=section.margin, unclaimed_session_ttl_ms=section.linger)
     log = structlog.get_logger().bind(front=section.name)
     control = None if config.control is None else _Control(config, config.control, offset, log)
@@ -195,7 +195,7 @@
         gate = _make_gate(config, core, pool, control_token, offset, files)
     use_check = None
     if gate is not None and config.entitlement is not None:
-        use_check = UseCheck(
+        use_check = SeatReconciliation(
             gate,
             pool,
             config.entitlement.url,
@@ -338,7 +338,7 @@
         self.journal.on_fault = self._on_journal_fault
         self.order_service: OrderDesk | None = None
         self._session_manager: SessionManager | None = None
-        self._front_control: Steering | None = None
+        self._front_control: OperatorControls | None = None
         self._channel: Channel | None = None
 
     def rejection_reason(self, request: SessionRequest) -> str:
@@ -346,7 +346,7 @@
         if not (self.orders.holds or self.orders.caps) or self._session_manager is None:
             return ""
         playing = (
-            self._session_manager.count_sessions_by_phase(request.title_name, request.tenant)
+            self._session_manager.count_sessions_by_limit(request.title_name, request.tenant)
             if self.orders.caps
             else {}
         )
@@ -355,7 +355,7 @@
     async def start(self, core: Dispatcher, endpoint_list: EndpointList) -> None:
         """Restores the journal and opens the operators' socket."""
         section, self._session_manager = self._section, core.sessions
-        self._front_control = Steering(core, endpoint_list, self._wall_offset_s)
+        self._front_control = OperatorControls(core, endpoint_list, self._wall_offset_s)
         rules = DeskRules(tuple(section.operators), section.led)
         orders_path = None if section.led else self._orders_path
         order_service = self.order_service = OrderDesk(
@@ -398,7 +398,7 @@
     pool: Pool,
     token: Callable[[], str],
     wall_s: Callable[[], float],
-) -> TokenDesk:
+) -> IntrospectionClient:
     introspection_config = IntrospectionConfig(
         positive_cache_ttl_ms=section.believe,
         negative_cache_ttl_ms=section.disbelieve,
@@ -407,7 +407,9 @@
         max_in_flight=section.at_once,
     )
     introspector = Introspector(seed, introspection_config)
-    return TokenDesk(core, pool, introspector, section.url, token, wall_s, all_tokens=section.tokens == "all")
+    return IntrospectionClient(
+        core, pool, introspector, section.url, token, wall_s, all_tokens=section.tokens == "all"
+    )
 
 
 def _make_gate(
@@ -417,7 +419,7 @@
     token: Callable[[], str],
     offset_s: float,
     files: FileStore,
-) -> Gate:
+) -> EntitlementGate:
     """Opens the seat log and recovers the seats of the previous run. Raises ConfigError if it is damaged."""
     section = config.entitlement
     assert section is not None
@@ -429,7 +431,7 @@
     except (LogError, RecordError, OSError) as error:
         raise ConfigError(str(folder), [Problem("entitlement", "ledger", 0, str(error))]) from None
     now = core.now()
-    gates: list[Gate] = []
+    gates: list[EntitlementGate] = []
     seat_manager = SeatManager(
         now,
         lambda body: gates[0].append(body),
@@ -445,13 +447,13 @@
         ),
     )
     client = EntitlementClient(pool, section.url, config.front.name, token)
-    gate = Gate(core, seat_manager, log, client, section.sync / 1000.0)
+    gate = EntitlementGate(core, seat_manager, log, client, section.sync / 1000.0)
     gates.append(gate)
     seat_manager.recover_seats(now, now / 1000.0 + offset_s, table)
     core.entitlement_check = gate
     if recovered.torn_bytes or table:
         core.log.info("seat log recovered", seats=len(table), torn_bytes=recovered.torn_bytes)
-    gate.kick()
+    gate.schedule_step()
     return gate
 
 
--- a/fernweir/node/peering.py
+++ b/fernweir/node/peering.py
@@ -18,13 +18,13 @@
 from fernweir.config import ini
 from fernweir.config.peers import PeerName, PeersSection, check_peers
 from fernweir.front.dispatcher import Dispatcher
-from fernweir.front.peer_view import Acting
+from fernweir.front.peer_view import PeerView
 from fernweir.front.stored_types import BY_CLASS, stored_text
 from fernweir.interface import EndpointListKind, EndpointListUpdate, ServerState
 from fernweir.node.config import ConfigError, NodeConfig
 from fernweir.node.endpoint_feed import EndpointFeed
 from fernweir.peers.forward.messages import Carried, Carry
-from fernweir.peers.port import Claimed, Standing
+from fernweir.peers.port import Claimed, SessionStatus
 from fernweir.peers.program import Beginning, Peers, read_keys
 from fernweir.peers.settings import first_versions, link_rules, peer_rules
 
@@ -166,7 +166,7 @@
         return short_server_number(server), f" at {self._feed.names.get(server, '')}"
 
 
-class NodePort(Acting):
+class NodePort(PeerView):
     """Implements `peers.port.Port` without channels: no session is handed over, taken over or claimed."""
 
     def __init__(self, dispatcher: Dispatcher, feed: EndpointFeed, wall_ms: Callable[[], float]) -> None:
@@ -178,7 +178,7 @@
         self._listed_servers.on_endpoint_list(update)
         super().on_endpoint_list(now, update)
 
-    def standing(self) -> list[Standing]:
+    def standing(self) -> list[SessionStatus]:
         """Nothing: no session can be handed over."""
         return []
 
@@ -202,7 +202,7 @@
         """Refuses a peer's list: the control feed is the only source of it."""
         return False
 
-    def take_over(self, now: float, standing: Standing, payload: bytes | None) -> bool:
+    def take_over(self, now: float, standing: SessionStatus, payload: bytes | None) -> bool:
         """Refuses a peer's session."""
         return False
 
--- a/fernweir/peers/acts/clock.py
+++ b/fernweir/peers/acts/clock.py
@@ -179,7 +179,7 @@
         known = self.relation(name, life)
         return known.theirs(own) if known is not None else UNKNOWN
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         if isinstance(message, Ping):
             if isfinite(message.sent):
                 self._out.add(Send(sender, Pong(message.sent, now, now, self.life)))
@@ -224,9 +224,9 @@
         self._next = now + self.rules.exchange_least_ms
         self._out.add(Send(name, Ping(now)))
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         due = min((peer.due for peer in self._peers.values()), default=None)
         return max(due, self._next) if due is not None else None
 
-    def take(self) -> list[Effect]:
-        return self._out.take()
+    def take_effects(self) -> list[Effect]:
+        return self._out.take_effects()
--- a/fernweir/peers/facts/transfer.py
+++ b/fernweir/peers/facts/transfer.py
@@ -67,7 +67,7 @@
             self._outgoing.remove(one)
             self._say(one.to, Cancel(one.name, one.digest))
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         match message:
             case Offer():
                 self._answer(sender, message.name, self._incoming.offered(now, sender, message))
@@ -93,12 +93,12 @@
             self._say(turn.to, chunk)
         self._plan(now)
 
-    def next_due(self) -> float | None:
-        due = (self._outgoing.next_due(), self._incoming.next_due(), self._send_at)
+    def next_deadline(self) -> float | None:
+        due = (self._outgoing.next_deadline(), self._incoming.next_deadline(), self._send_at)
         return min((one for one in due if one is not None), default=None)
 
-    def take(self) -> list[Effect]:
-        return self._out.take()
+    def take_effects(self) -> list[Effect]:
+        return self._out.take_effects()
 
     def _heard_of(self, now: float, one: Sending, message: Ready | Done | Refused) -> None:
         if isinstance(message, Ready):
@@ -128,7 +128,7 @@
         self._out.add(Failed(one.to, one.name, why))
 
     def _say(self, to: str, message: Message) -> None:
-        self._out.add(Send(to, message, whole=True))
+        self._out.add(Send(to, message, reliable=True))
 
     def _plan(self, now: float) -> None:
         sendable = self._outgoing.any_sendable()
--- a/fernweir/peers/lateness.py
+++ b/fernweir/peers/lateness.py
@@ -95,26 +95,26 @@
 
     # --- base.Part ---
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
-        self.stragglers.heard(now, sender, message)
+    def on_message(self, now: float, sender: str, message: Message) -> None:
+        self.stragglers.on_message(now, sender, message)
 
     def tick(self, now: float) -> None:
         self.stragglers.tick(now)
 
-    def next_due(self) -> float | None:
-        return self.stragglers.next_due()
+    def next_deadline(self) -> float | None:
+        return self.stragglers.next_deadline()
 
     def run(self, now: float) -> None:
         """Carries out what was decided since the last call."""
-        while effects := self.stragglers.take():
+        while effects := self.stragglers.take_effects():
             for effect in effects:
                 if isinstance(effect, Event):
                     self._do(now, effect)
                 else:
                     self._out.add(effect)
 
-    def take(self) -> list[Effect]:
-        return self._out.take()
+    def take_effects(self) -> list[Effect]:
+        return self._out.take_effects()
 
     # --- pieces ---
 
--- a/fernweir/peers/recording.py
+++ b/fernweir/peers/recording.py
@@ -102,13 +102,13 @@
 
     # --- base.Part ---
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         if isinstance(message, Keep | Kept):
-            self.copies.heard(now, sender, message)
+            self.copies.on_message(now, sender, message)
         elif isinstance(message, Ping | Pong):
-            self.clocks.heard(now, sender, message)
+            self.clocks.on_message(now, sender, message)
         elif isinstance(message, Ask | Piece):
-            self.questions.heard(now, sender, message)
+            self.questions.on_message(now, sender, message)
 
     def tick(self, now: float) -> None:
         self.chain.wall(now, round(self._wall_ms()), _WALL_DOUBT_MS)
@@ -116,12 +116,17 @@
         self.clocks.tick(now)
         self.questions.tick(now)
 
-    def next_due(self) -> float | None:
-        dues = (self.copies.next_due(), self.clocks.next_due(), self.questions.next_due())
+    def next_deadline(self) -> float | None:
+        dues = (self.copies.next_deadline(), self.clocks.next_deadline(), self.questions.next_deadline())
         return min((due for due in dues if due is not None), default=None)
 
-    def take(self) -> list[Effect]:
-        effects = self.copies.take() + self.clocks.take() + self.questions.take() + self._out.take()
+    def take_effects(self) -> list[Effect]:
+        effects = (
+            self.copies.take_effects()
+            + self.clocks.take_effects()
+            + self.questions.take_effects()
+            + self._out.take_effects()
+        )
         for effect in effects:
             if isinstance(effect, Answered) and effect.id in self._asked:
                 self._asked.pop(effect.id)(effect.answer)
--- a/tests/test_node_peers.py
+++ b/tests/test_node_peers.py
@@ -336,7 +336,7 @@
         """Up to that time, or until `stop` says so."""
         while self.now < until and not stop():
             for name, peer in self.peers.items():
-                for effect in peer.take():
+                for effect in peer.take_effects():
                     if isinstance(effect, base.Send):
                         self.kinds.add(type(effect.message))
                         to = self.there.get(effect.to, str(effect.to))
@@ -346,7 +346,7 @@
                 if to in self.peers and sender in self.peers:
                     self.peers[to].heard(self.now, sender, 1, message)
             for peer in self.peers.values():
-                due = peer.next_due()
+                due = peer.next_deadline()
                 if due is not None and due <= self.now:
                     peer.tick(self.now)
             self.now += 2.0
--- a/tests/test_peers_facts.py
+++ b/tests/test_peers_facts.py
@@ -121,7 +121,7 @@
     # --- the network ---
 
     def effects(self, name: str) -> None:
-        for effect in self.nodes[name].take():
+        for effect in self.nodes[name].take_effects():
             kind = type(effect).__name__
             if kind == "Send":
                 self._send(name, effect)
@@ -137,12 +137,12 @@
     def _send(self, name: str, effect: Any) -> None:
         message, size = self.wire.through(effect.message)
         to = str(effect.to)
-        self.sent[name].append((self.now, size + (0 if effect.whole else 64 + len(name))))
-        if not effect.whole and size > 1_400:
+        self.sent[name].append((self.now, size + (0 if effect.reliable else 64 + len(name))))
+        if not effect.reliable and size > 1_400:
             self.broken.append(f"a datagram of {size} bytes: {type(message).__name__}")
         if (name, to) in self.cut or to not in self.nodes:
             return
-        if effect.whole:
+        if effect.reliable:
             self.later(self.dice.uniform(1.0, 5.0), name, to, message)
             return
         for _ in range(1 + (self.dice.random() < self.doubled)):
@@ -163,10 +163,10 @@
                 if to in self.paused:
                     self.later(200.0, sender, to, message)
                 elif to in self.nodes:
-                    self.nodes[to].heard(self.local(to), sender, message)
+                    self.nodes[to].on_message(self.local(to), sender, message)
                     self.effects(to)
             for name in self.nodes:
-                due = self.nodes[name].next_due()
+                due = self.nodes[name].next_deadline()
                 if name not in self.paused and due is not None and due <= self.local(name):
                     self.nodes[name].tick(self.local(name))
                     self.effects(name)
@@ -594,11 +594,11 @@
         self.under_way = [one for one in self.under_way if name not in one[1:3]]
 
     def effects(self, name: str) -> None:
-        for effect in self.nodes[name].take():
+        for effect in self.nodes[name].take_effects():
             if type(effect).__name__ != "Send":
                 self.events.append((name, effect))
             else:
-                assert effect.whole
+                assert effect.reliable
                 message, size = self.wire.through(effect.message)
                 self.bytes[name] += size
                 if self.spoil_next and isinstance(message, self.lib.messages.Chunk):
@@ -616,10 +616,10 @@
             self.under_way = [one for one in self.under_way if one[0] > self.now]
             for _, sender, to, message in due:
                 if to in self.nodes:
-                    self.nodes[to].heard(self.now, sender, message)
+                    self.nodes[to].on_message(self.now, sender, message)
                     self.effects(to)
             for name, node in self.nodes.items():
-                if (at := node.next_due()) is not None and at <= self.now:
+                if (at := node.next_deadline()) is not None and at <= self.now:
                     node.tick(self.now)
                 self.effects(name)
 
@@ -714,7 +714,7 @@
     lines.run(5_000.0)
     assert len(lines.told("Received")) == 4 and lines.bytes["a"] < 1_300_000
     lines.run(10_000.0)
-    assert lines.nodes["a"].next_due() is None and lines.nodes["b"].next_due() is None
+    assert lines.nodes["a"].next_deadline() is None and lines.nodes["b"].next_deadline() is None
 
 
 def test_a_sender_that_changes_its_data_midway_is_refused_and_leaves_nothing() -> None:
@@ -726,7 +726,7 @@
     lines.run(5_000.0)
     assert lines.told("Received") == []
     assert [(event.to, event.name) for _, event in lines.told("Failed")] == [("b", "list")]
-    assert lines.nodes["b"].next_due() is None
+    assert lines.nodes["b"].next_deadline() is None
 
 
 @pytest.mark.parametrize("lie", ["beyond", "backwards", "silent", "busy", "too much"])
@@ -736,7 +736,7 @@
     node.offer(0.0, "liar", "list", bytes(400_000))
     digest = node._outgoing.named("list")[0].digest
     offset = 0
-    while node.next_due() is not None and lines.now < 120_000.0:
+    while node.next_deadline() is not None and lines.now < 120_000.0:
         lines.run(250.0)
         answers = {
             "beyond": messages.Ready("list", digest, 400_001, 500_000),
@@ -745,7 +745,7 @@
             "busy": messages.Refused("list", digest, "busy", True),
         }
         if lie in answers:
-            node.heard(lines.now, "liar", answers[lie])
+            node.on_message(lines.now, "liar", answers[lie])
             assert len(node._out._effects) < 20
             lines.effects("a")
     assert len(lines.told("Failed")) == 1 and lines.now < 60_000.0
@@ -757,17 +757,17 @@
     messages, node = lines.lib.messages, lines.nodes["b"]
     answers = []
     for number in range(20):
-        node.heard(0.0, "liar", messages.Offer(f"blob-{number}", bytes([number]) * 32, 60_000 + number))
-        answers += [type(effect.message).__name__ for effect in node.take()]
+        node.on_message(0.0, "liar", messages.Offer(f"blob-{number}", bytes([number]) * 32, 60_000 + number))
+        answers += [type(effect.message).__name__ for effect in node.take_effects()]
     assert answers == ["Ready"] * 2 + ["Refused"] * 18
-    node.heard(0.0, "liar", messages.Chunk("blob-0", bytes(32), 0, bytes(60_001)))
-    assert [effect.message.later for effect in node.take()] == [False]
-    node.heard(0.0, "liar", messages.Offer("huge", bytes(32), 120_001))
-    assert [effect.message.why for effect in node.take()] == ["too large"]
-    node.heard(0.0, "other", messages.Offer("blob", bytes(32), 100_000))
-    assert [type(effect.message).__name__ for effect in node.take()] == ["Ready"]
+    node.on_message(0.0, "liar", messages.Chunk("blob-0", bytes(32), 0, bytes(60_001)))
+    assert [effect.message.later for effect in node.take_effects()] == [False]
+    node.on_message(0.0, "liar", messages.Offer("huge", bytes(32), 120_001))
+    assert [effect.message.why for effect in node.take_effects()] == ["too large"]
+    node.on_message(0.0, "other", messages.Offer("blob", bytes(32), 100_000))
+    assert [type(effect.message).__name__ for effect in node.take_effects()] == ["Ready"]
     node.tick(60_000.0)
-    assert node.next_due() is None
+    assert node.next_deadline() is None
 
 
 def test_whatever_a_peer_says_of_blobs_an_honest_transfer_ends_and_little_is_kept() -> None:
@@ -786,7 +786,7 @@
                 message = msgspec.structs.replace(
                     message, digest=digest, name=f"blob{dice.choice(['', 1, 2])}"
                 )
-            lines.nodes["b"].heard(lines.now, "liar", message)
+            lines.nodes["b"].on_message(lines.now, "liar", message)
             lines.run(5.0)
             partial = lines.nodes["b"]._incoming._partial.values()
             assert sum(one.size for one in partial) <= 600_000
