--- a/bench/golden_state_samples.py
+++ b/bench/golden_state_samples.py
@@ -510,7 +510,7 @@
     i.FrontMessage(3, b"\x00\xff"),
 ]
 ACTIONS: list[i.Action] = [
-    i.Place(1, 11, 450.0), i.SetRung(1, 2), i.Move(1), i.Reject(1, 750.5), i.Fail(1), i.SetTimer(9, 250.0),
+    i.Place(1, 11, 450.0), i.SetRung(1, 2), i.Migrate(1), i.Reject(1, 750.5), i.Fail(1), i.SetTimer(9, 250.0),
     i.CheckHealth(11), i.Subscribe(True), i.Subscribe(False), i.Log("server 11 é"),
 ]  # fmt: skip
 
--- a/fernweir/front/session_actions.py
+++ b/fernweir/front/session_actions.py
@@ -18,7 +18,7 @@
     CheckHealth,
     Fail,
     Log,
-    Move,
+    Migrate,
     Place,
     Reject,
     Result,
@@ -53,7 +53,7 @@
         self._handlers: dict[type[Action], Callable[[Any], None]] = {
             Place: self._place,
             SetRung: self._set_rung,
-            Move: self._migrate,
+            Migrate: self._migrate,
             Reject: self._reject,
             Fail: self._reject,
             SetTimer: self._start_timer,
@@ -77,7 +77,7 @@
         if record is not None:
             self._attempts.set_rung(record, action.rung)
 
-    def _migrate(self, action: Move) -> None:
+    def _migrate(self, action: Migrate) -> None:
         record = self._table.by_number.get(action.session)
         if record is None:
             return
--- a/fernweir/front/stored_types.py
+++ b/fernweir/front/stored_types.py
@@ -74,7 +74,7 @@
     StoredType(interface.FrontMessage, "Message", "sender body"),
     StoredType(interface.Place, "Place", "session server timeout_ms"),
     StoredType(interface.SetRung, "SetRung", "session rung"),
-    StoredType(interface.Move, "Move", "session"),
+    StoredType(interface.Migrate, "Move", "session"),
     StoredType(interface.Reject, "Refuse", "session retry_after_ms"),
     StoredType(interface.Fail, "Fail", "session"),
     StoredType(interface.SetTimer, "Timer", "token after_ms"),
--- a/fernweir/interface.py
+++ b/fernweir/interface.py
@@ -408,7 +408,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Move:
+class Migrate:
     """End a playing session by a move: its viewer comes back and is placed again."""
 
     session: int
@@ -458,4 +458,4 @@
     text: str
 
 
-Action = Place | SetRung | Move | Reject | Fail | SetTimer | CheckHealth | Subscribe | Log
+Action = Place | SetRung | Migrate | Reject | Fail | SetTimer | CheckHealth | Subscribe | Log
--- a/fernweir/wire.py
+++ b/fernweir/wire.py
@@ -30,7 +30,7 @@
     HealthCheckEnded,
     Idempotency,
     Log,
-    Move,
+    Migrate,
     NoticeKind,
     Place,
     Reject,
@@ -433,7 +433,7 @@
     return _SET_RUNG.pack(_SET_RUNG_CODE, action.session, action.rung)
 
 
-def _encode_move(action: Move) -> bytes:
+def _encode_migrate(action: Migrate) -> bytes:
     return _CODE_AND_ID.pack(_MOVE_CODE, action.session)
 
 
@@ -446,7 +446,7 @@
     Log: _encode_log,
     Subscribe: _encode_subscribe,
     SetRung: _encode_set_rung,
-    Move: _encode_move,
+    Migrate: _encode_migrate,
 }
 
 
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -87,7 +87,7 @@
     "front-message": interface.FrontMessage,
     "place": interface.Place,
     "set-rung": interface.SetRung,
-    "move": interface.Move,
+    "move": interface.Migrate,
     "refuse": interface.Reject,
     "fail": interface.Fail,
     "timer": interface.SetTimer,
