--- a/bench/golden_state_samples.py
+++ b/bench/golden_state_samples.py
@@ -503,7 +503,7 @@
     i.AttemptSucceeded(1, 11, 2, 120.5),
     *(i.AttemptEnded(1, 11, 2, result, True, 130.5, (0.25, 0.5)) for result in i.Result),
     i.AttemptEnded(1, 11, 2, i.Result.OK, False, 130.5, ()),
-    i.ClientGone(1),
+    i.ClientDisconnected(1),
     *(i.ServerNotice(1, 11, 2, kind, 0.5) for kind in i.NoticeKind),
     i.TimerFired(9),
     *(i.HealthCheckEnded(11, result, 12.5, (0.25,)) for result in i.Result),
--- a/fernweir/controller.py
+++ b/fernweir/controller.py
@@ -355,7 +355,7 @@
             interface.Arrival: self._on_arrival,
             interface.AttemptSucceeded: self._on_attempt_succeeded,
             interface.AttemptEnded: self._on_attempt_ended,
-            interface.ClientGone: self._on_client_gone,
+            interface.ClientDisconnected: self._on_client_disconnected,
             interface.ServerNotice: self._on_server_notice,
             interface.SessionRecovered: self._on_session_recovered,
             interface.TimerFired: self._on_timer,
@@ -758,7 +758,7 @@
             if session.viewer.session in self.sessions and not session.is_in_flight:
                 self._place_session(session)
 
-    def _on_client_gone(self, event: interface.ClientGone) -> None:
+    def _on_client_disconnected(self, event: interface.ClientDisconnected) -> None:
         session = self.sessions.get(event.session)
         if session is not None and session.is_in_flight:
             session.reply_deadline = -inf
--- a/fernweir/front/session_context.py
+++ b/fernweir/front/session_context.py
@@ -5,7 +5,7 @@
 from fernweir.front.commands import Command
 from fernweir.front.session_interfaces import SessionLimits, SessionMetrics, SessionObserver
 from fernweir.front.session_record import SessionRecord
-from fernweir.interface import Arrival, ClientGone, Event, Settings
+from fernweir.interface import Arrival, ClientDisconnected, Event, Settings
 
 
 class SessionContext:
@@ -65,7 +65,7 @@
             for event in events
             if not (isinstance(event, Arrival) and event.viewer.session in abandoned)
         ]
-        return [*map(ClientGone, abandoned), *remaining]
+        return [*map(ClientDisconnected, abandoned), *remaining]
 
     def take_commands(self) -> list[Command]:
         """Returns the commands since the last call, in order."""
--- a/fernweir/front/stored_types.py
+++ b/fernweir/front/stored_types.py
@@ -67,7 +67,7 @@
     StoredType(interface.SessionRecovered, "TakenOver", "viewer server"),
     StoredType(interface.AttemptSucceeded, "Started", "session server attempt took_ms"),
     StoredType(interface.AttemptEnded, "Ended", "session server attempt result closed took_ms report"),
-    StoredType(interface.ClientGone, "Abandoned", "session"),
+    StoredType(interface.ClientDisconnected, "Abandoned", "session"),
     StoredType(interface.ServerNotice, "Note", "session server attempt kind level"),
     StoredType(interface.TimerFired, "TimerFired", "token"),
     StoredType(interface.HealthCheckEnded, "Probed", "server result took_ms report"),
--- a/fernweir/interface.py
+++ b/fernweir/interface.py
@@ -334,7 +334,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClientGone:
+class ClientDisconnected:
     """The client disconnected before its reply."""
 
     session: int
@@ -382,7 +382,7 @@
     | SessionRecovered
     | AttemptSucceeded
     | AttemptEnded
-    | ClientGone
+    | ClientDisconnected
     | ServerNotice
     | TimerFired
     | HealthCheckEnded
--- a/fernweir/wire.py
+++ b/fernweir/wire.py
@@ -20,7 +20,7 @@
     AttemptEnded,
     AttemptSucceeded,
     CheckHealth,
-    ClientGone,
+    ClientDisconnected,
     Endpoint,
     EndpointListKind,
     EndpointListUpdate,
@@ -98,7 +98,7 @@
 _ARRIVAL_CODE = 258
 _ATTEMPT_SUCCEEDED_CODE = 259
 _ATTEMPT_ENDED_CODE = 260
-_CLIENT_GONE_CODE = 261
+_CLIENT_DISCONNECTED_CODE = 261
 _TIMER_FIRED_CODE = 262
 _HEALTH_CHECK_ENDED_CODE = 263
 _FRONT_MESSAGE_CODE = 264
@@ -256,7 +256,7 @@
             _ARRIVAL_CODE: _decode_arrival,
             _ATTEMPT_SUCCEEDED_CODE: _decode_attempt_succeeded,
             _ATTEMPT_ENDED_CODE: _decode_attempt_ended,
-            _CLIENT_GONE_CODE: _decode_client_gone,
+            _CLIENT_DISCONNECTED_CODE: _decode_client_disconnected,
             _TIMER_FIRED_CODE: _decode_timer_fired,
             _HEALTH_CHECK_ENDED_CODE: _decode_health_check_ended,
             _FRONT_MESSAGE_CODE: _decode_front_message,
@@ -373,8 +373,8 @@
     return AttemptEnded(session, server, attempt, result, bool(is_final), duration_ms, report)
 
 
-def _decode_client_gone(reader: _RecordReader) -> ClientGone:
-    return ClientGone(*reader.read(_ID))
+def _decode_client_disconnected(reader: _RecordReader) -> ClientDisconnected:
+    return ClientDisconnected(*reader.read(_ID))
 
 
 def _decode_timer_fired(reader: _RecordReader) -> TimerFired:
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -80,7 +80,7 @@
     "taken-over": interface.SessionRecovered,
     "started": interface.AttemptSucceeded,
     "ended": interface.AttemptEnded,
-    "abandoned": interface.ClientGone,
+    "abandoned": interface.ClientDisconnected,
     "note": interface.ServerNotice,
     "timer-fired": interface.TimerFired,
     "probed": interface.HealthCheckEnded,
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -14,7 +14,7 @@
     AttemptEnded,
     AttemptSucceeded,
     CheckHealth,
-    ClientGone,
+    ClientDisconnected,
     EndpointListKind,
     EndpointListUpdate,
     Event,
@@ -215,7 +215,7 @@
         elif what == 7 and probed:
             event = HealthCheckEnded(probed.pop(0), Result(result), 5.0, (level, level))
         elif what == 8:
-            event = ClientGone(10_000 + pick)
+            event = ClientDisconnected(10_000 + pick)
         check(front.send(event))
     while probed:
         check(front.send(HealthCheckEnded(probed.pop(0), Result.TIMEOUT, 250.0, ())))
