--- a/fernweir/controller.py
+++ b/fernweir/controller.py
@@ -483,7 +483,7 @@
 
     def _choose_server(self, session: Session) -> tuple[Server, int] | None:
         """Returns the first holder that fits the top rung, else the one with the most headroom."""
-        usable = [server for server in self._ranked_holders(session) if self._is_usable(server, session)]
+        usable = [server for server in self._ranked_candidates(session) if self._is_usable(server, session)]
         holders = [server for server in usable if not self._is_full(server)] or usable
         holders = [one for one in holders if one.server_id not in session.attempted_servers] or holders
         for server in holders:
@@ -507,11 +507,11 @@
         has_time = session.reply_deadline - self.now >= session.session_class.latency_objective_ms
         if not (may_check and has_time) or session.attempts > 0 or session.has_awaited_health_check:
             return False
-        holders, oldest = self._ranked_holders(session), self.now - self.decay_ms
+        holders, oldest = self._ranked_candidates(session), self.now - self.decay_ms
         unknown = [one for one in holders if not one.sessions and one.link.reported_at < oldest]
         return server in unknown and 2 * len(unknown) > len(holders)
 
-    def _ranked_holders(self, session: Session) -> list[Server]:
+    def _ranked_candidates(self, session: Session) -> list[Server]:
         """Returns the listed servers with the title by rendezvous hashing, which is alike at all fronts."""
         viewer, zones, removed = session.viewer, self.settings.zone_count, ServerState.REMOVED
         listed = [server for server in self.servers.values() if server.state is not removed]
--- a/fernweir/front/explain.py
+++ b/fernweir/front/explain.py
@@ -49,7 +49,7 @@
             del self.reasons[next(iter(self.reasons))]
 
     def _why_here(self, session: Session, server: Server, rung: int) -> Reason:
-        holders = self._ranked_holders(session)
+        holders = self._ranked_candidates(session)
         passed = []
         for holder in holders:
             if holder is server:
@@ -65,7 +65,7 @@
         return Reason(why, tuple(passed), *_loads(server, self.now))
 
     def _why_nowhere(self, session: Session) -> Reason:
-        kind, holders = session.session_class, self._ranked_holders(session)
+        kind, holders = session.session_class, self._ranked_candidates(session)
         if session.may_have_run and kind.idempotency.value != "repeatable":
             return Reason("its set-up may have run, and must not run twice")
         if kind.seats and self.safety_rules.count_seats(session) >= kind.seats:
