--- a/fernweir/controller.py
+++ b/fernweir/controller.py
@@ -1,8 +1,8 @@
-"""Every decision of a front, as a pure state machine; its events and actions are in fernweir/interface.py.
+"""The decisions of a front as a pure state machine; fernweir/interface.py defines its events and actions.
 
-A front owns one Controller, hands over the events that it saw, in order, and carries out the actions that
-`Controller.handle` returns. Times (`now`, `..._at`, `..._until`) are milliseconds of the front's clock, rates
-and capacities kB a second, and loads ratios of demand to capacity. docs/design.md gives reasons and costs.
+A front owns one Controller, passes its events to `Controller.handle` in order, and executes the actions that
+this method returns. Times (`now`, `..._at`, `..._until`) are milliseconds of the front's clock, rates
+and capacities kB a second, and loads ratios of demand to capacity. docs/design.md explains the design.
 """
 
 from __future__ import annotations
@@ -18,24 +18,24 @@
 from fernweir import interface
 from fernweir.interface import RESULT_LABELS, Idempotency, NoticeKind, Result, ServerState, Settings, Viewer
 
-TARGET_UTILIZATION = 0.80  # load under which a link or uplink accepts more; the rest absorbs bursts
-DOWNSWITCH_STEP = 0.20  # load above the target for which sessions switch down by one rung
-DOWNSWITCH_TARGET = TARGET_UTILIZATION + 0.75 * DOWNSWITCH_STEP  # load after shedding: never too much is shed
-FULL_BACKOFF_MS = 5_000.0  # no new sessions after a refusal as full or a shortfall; a few report intervals
-SHORTFALL_WINDOW_MS = 1_500.0  # shortfalls this close together have one cause: reports differ in their age
+TARGET_UTILIZATION = 0.80  # links and uplinks accept sessions below this load; the rest absorbs bursts
+DOWNSWITCH_STEP = 0.20  # each such excess of load over the target switches sessions down one rung
+DOWNSWITCH_TARGET = TARGET_UTILIZATION + 0.75 * DOWNSWITCH_STEP  # load after shedding, without overshoot
+FULL_BACKOFF_MS = 5_000.0  # no new sessions after a FULL result or a shortfall; a few report intervals
+SHORTFALL_WINDOW_MS = 1_500.0  # shortfalls within it have a common cause: reports differ in age
 SHORTFALL_RATIO = 0.98  # delivered over demanded; above this the difference is measurement noise
-UPSWITCH_INTERVAL_MS = 10_000.0  # between two upswitches of a session: viewers notice each switch
-DOWNSWITCH_HOLD_MS = 5_000.0  # from a downswitch to the next upswitch of a session
-MAINTENANCE_INTERVAL_MS = 250.0  # how often playing sessions and suspected servers are examined
-ATTEMPT_TIMEOUT_IN_OBJECTIVES = 0.5  # in latency objectives: after a timeout a retry can still meet its own
-EJECTION_IN_OBJECTIVES = 1.0  # first ejection, in latency objectives; doubles with each consecutive failure
-MAX_EJECTION_DOUBLINGS = 3  # bounds an ejection at eight times the first
-EWMA_WEIGHT = 0.2  # weight of the newest report in a moving average: about the last five count
-ARRIVAL_WINDOW_MS = 10_000.0  # over which arrivals are counted where no retry budget sets a window
-THUNDERING_HERD_FACTOR = 4.0  # arrivals that a warming server is prepared for, over its equal part of them
-MIN_OWN_RATIO = 0.05  # own demand under this ratio of a capacity tells nothing about other fronts' demand
+UPSWITCH_INTERVAL_MS = 10_000.0  # minimum between two upswitches of a session: viewers notice each one
+DOWNSWITCH_HOLD_MS = 5_000.0  # minimum from a downswitch to the next upswitch of a session
+MAINTENANCE_INTERVAL_MS = 250.0  # between two checks of playing sessions and suspected servers
+ATTEMPT_TIMEOUT_IN_OBJECTIVES = 0.5  # in latency objectives: a retry after a timeout can still meet one
+EJECTION_IN_OBJECTIVES = 1.0  # first ejection, in latency objectives; doubles with each failure in a row
+MAX_EJECTION_DOUBLINGS = 3  # limits an ejection to eight times the first
+EWMA_WEIGHT = 0.2  # weight of the newest report in a moving average over about five reports
+ARRIVAL_WINDOW_MS = 10_000.0  # for counting arrivals if no retry budget sets a window
+THUNDERING_HERD_FACTOR = 4.0  # expected peak of a warming server's arrivals over its equal share
+MIN_OWN_RATIO = 0.05  # of the capacity; own demand below it does not indicate that of other fronts
 FORGET_REMOVED_AFTER_MS = 60_000.0  # longer than a restart of a server takes
-MAX_PLAYED_TITLES = 4096  # bounds the memory for titles that have played
+MAX_PLAYED_TITLES = 4096  # limits the memory for titles that have played
 MAINTENANCE_TOKEN = 1
 NEVER_RAN_RESULTS = (Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT)
 FAILURE_RESULTS = (Result.ERROR, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET)
@@ -43,13 +43,13 @@
 
 
 def exponential_draw(key: int, server_id: int) -> float:
-    """Returns a positive draw from the exponential distribution of mean 1, the same at all fronts."""
+    """Returns a positive exponential variate of mean 1, derived by a hash: equal on all fronts."""
     digest = blake2b(b"%d %d" % (key, server_id), digest_size=8).digest()
     return -log((int.from_bytes(digest, "big") + 0.5) / 2.0**64)
 
 
 def rendezvous_score(title: int, server: Server) -> tuple[float, int]:
-    """Returns a sort key of weighted rendezvous hashing: the lowest score ranks first, equal ones by id."""
+    """Returns the sort key of weighted rendezvous hashing: the lowest ranks first, ties by id."""
     return exponential_draw(title, server.server_id) / server.weight, server.server_id
 
 
@@ -58,19 +58,19 @@
 
 @dataclass(slots=True, eq=False)
 class TypicalLoad:
-    """Moving averages of the reported loads of all links, or all uplinks: the estimate without a report.
+    """Moving averages of the reported loads of all links, or of all uplinks: the estimate without a report.
 
-    A loaded link is reported more often, by every front with a session there: `mean`, for single links, errs
-    to the high side. `harmonic_mean`, for sums of links, weights a report by one over its load, or a rack
-    would count as full for its busiest servers; reports of health checks pull it too low.
+    Loaded links are reported more often, by every front with a session there. Therefore `mean`, used for
+    single links, is biased high. `harmonic_mean`, used for sums of links, weights each report by the inverse
+    of its load; otherwise the busiest servers would make a rack seem full. Health checks bias it low.
     """
 
-    first_weight: float = EWMA_WEIGHT  # of the first report in `mean`
+    first_weight: float = EWMA_WEIGHT  # weight of the first report in `mean`
     mean: float = 0.0
     harmonic_mean: float = 0.0
 
     def observe(self, load: float) -> None:
-        """Takes one reported load into the averages."""
+        """Adds a reported load to the averages."""
         weight = EWMA_WEIGHT if self.mean else self.first_weight
         self.mean += (min(load, 1.0 / TARGET_UTILIZATION) - self.mean) * weight
         observed = 1.0 / max(load, MIN_OWN_RATIO)
@@ -79,7 +79,7 @@
 
 
 class LoadEstimator:
-    """Estimates the load of one link or uplink from its last report and own changes of rate since."""
+    """Estimates the load of a link or uplink from its last report and the own rate changes since then."""
 
     def __init__(
         self, capacity_kbyte_s: float, typical: TypicalLoad, decay_ms: float, front_count: int = 1
@@ -91,18 +91,18 @@
         self.own_kbyte_s = self.total_to_own_ratio = 0.0
         self.reported_load: float | None = None
         self.reported_at = self.shed_at = -inf
-        self.member_links: list[LoadEstimator] = []  # of an uplink without reports of its own
+        self.member_links: list[LoadEstimator] = []  # set for an uplink that is not reported itself
         self._own_changes: deque[tuple[float, float]] = deque()
 
     def add_own_rate(self, now: float, rate_kbyte_s: float) -> None:
-        """Adds a change, positive or negative, to the rate of this front's own sessions."""
+        """Adds a change, positive or negative, to the total rate of this front's sessions."""
         self.own_kbyte_s += rate_kbyte_s
         self._own_changes.append((now, rate_kbyte_s))
-        while self._own_changes[0][0] <= now - 2.0 * self.decay_ms:  # a report as old as this has no weight
+        while self._own_changes[0][0] <= now - 2.0 * self.decay_ms:  # older reports are ignored
             self._own_changes.popleft()
 
     def observe(self, load: float, observed_at: float, is_sample: bool = True) -> None:
-        """Takes a report from `observed_at` unless a newer one is known; a sample is typical load too."""
+        """Records a report of time `observed_at` unless a newer one exists; a sample updates `typical`."""
         if not 0.0 <= load < inf or observed_at < self.reported_at:
             return
         self.reported_load, self.reported_at = load, observed_at
@@ -116,13 +116,13 @@
             self._own_changes.popleft()
 
     def forget_report(self) -> None:
-        """Drops the last report: it describes a process that has ended."""
+        """Discards the last report, because it describes a process that has ended."""
         self.reported_load, self.reported_at = None, -inf
         self._own_changes.clear()
 
     def load(self, now: float) -> float:
-        """Returns the last report plus own changes; as the report gets late it decays into the prior load."""
-        prior = min(self._prior_load(now), DOWNSWITCH_TARGET)  # an overloaded link would have been reported
+        """Returns the last report plus own changes; a stale report is blended into the prior load."""
+        prior = min(self._prior_load(now), DOWNSWITCH_TARGET)  # overload would have been reported
         if self.reported_load is None or now - self.reported_at >= 2.0 * self.decay_ms:
             return prior
         own_change_kbyte_s = sum(rate for _, rate in self._own_changes)
@@ -133,8 +133,9 @@
     def _prior_load(self, now: float) -> float:
         """Estimates the load without the last report.
 
-        A process in slow start began empty and carries what fronts like this one have placed since. Otherwise
-        own load is scaled by the learnt ratio, or, where own sessions are few, the typical load counts.
+        A process in slow start began without sessions; other fronts are assumed to have placed as many on it
+        as this one. Otherwise, the own load is scaled by the observed ratio of total to own load or, if there
+        are few own sessions, the typical load is returned.
         """
         if self.member_links:
             return sum(link.demand_kbyte_s(now) for link in self.member_links) / self.capacity_kbyte_s
@@ -146,18 +147,18 @@
         return max(self.typical.mean, own_load)
 
     def has_recent_report(self, now: float) -> bool:
-        """Whether the last report is too young to have begun to decay."""
+        """Whether the last report is recent enough to count fully."""
         return self.reported_load is not None and now - self.reported_at < self.decay_ms
 
     def demand_kbyte_s(self, now: float) -> float:
-        """Returns what an unreported uplink carries for this link: at most the link's capacity."""
+        """Returns the link's share of the demand on an unreported uplink: at most the link's capacity."""
         if self.has_recent_report(now):
             return min(self.load(now), 1.0) * self.capacity_kbyte_s
         load = max(self.typical.harmonic_mean, self.own_kbyte_s / self.capacity_kbyte_s)
         return min(load, 1.0) * self.capacity_kbyte_s
 
     def load_with(self, now: float, rate_kbyte_s: float) -> float:
-        """Returns the load that there would be with a rate added."""
+        """Returns the load with an additional rate."""
         return self.load(now) + rate_kbyte_s / self.capacity_kbyte_s
 
 
@@ -166,7 +167,7 @@
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """One media server as this front knows it."""
+    """The state of one media server as observed by this front."""
 
     server_id: int
     link: LoadEstimator
@@ -184,7 +185,7 @@
     consecutive_failures: int = 0
     ejected_until: float = -inf
     is_checking_health: bool = False
-    upswitch_report_at: float = -inf  # time of the report that the upswitch budget follows from
+    upswitch_report_at: float = -inf  # time of the report that set the upswitch budget
     upswitch_budget_kbyte_s: float = 0.0
     is_presumed_dead: bool = False
     suspected_at: float = -inf
@@ -193,11 +194,11 @@
     last_attempt_at: float = -inf
 
     def headroom(self, now: float, slow_start_factor: float) -> tuple[float, float]:
-        """Returns a key that orders servers by headroom: the rate under the target, then the lower load.
+        """Returns a sort key by headroom: the unused rate below the target, then the lower load.
 
-        A ratio instead of a rate would put the smallest links first, at all fronts at once. Above the target
-        a wide link ranks no better than a narrow one of the same load. A warming server's capacity counts
-        only by its slow-start factor: otherwise it would have the most headroom and refuse what it gets.
+        Ordering by a ratio would make all fronts prefer the smallest links at once. Above the target,
+        wide and narrow links of the same load rank equally. The capacity of a warming server is scaled by its
+        slow-start factor: otherwise it would have the most headroom and reject the sessions placed on it.
         """
         link, uplink = self.link.load(now) / slow_start_factor, self.uplink.load(now)
         link_kbyte_s = self.link.capacity_kbyte_s * slow_start_factor
@@ -206,17 +207,17 @@
         return max(min(link_headroom, uplink_headroom), 0.0), -max(link, uplink)
 
     def load(self, now: float) -> float:
-        """Returns the load of the busier of its link and uplink."""
+        """Returns the higher of the loads of its link and uplink."""
         return max(self.link.load(now), self.uplink.load(now))
 
     def has_recent_reports(self, now: float) -> bool:
-        """Whether link and uplink were reported lately; an uplink without reports follows its links."""
+        """Whether link and uplink have recent reports; an uplink with member links needs none."""
         return all(one.member_links or one.has_recent_report(now) for one in (self.link, self.uplink))
 
 
 @dataclass(slots=True, eq=False)
 class Session:
-    """A session from its request to its end."""
+    """The state of a session from its request to its end."""
 
     viewer: Viewer
     session_class: interface.SessionClass
@@ -242,23 +243,23 @@
 
 
 class SafetyRules:
-    """The limits that every attempt is checked against once more just before it is sent."""
+    """The limits that every attempt is checked against, again immediately before it is sent."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.seed = settings, seed
         budget = settings.retry_budget
         self.arrival_window_ms = budget.window_ms if budget else ARRIVAL_WINDOW_MS
         self.ready_servers = 1
-        self.seats_in_use: Counter[tuple[int, int]] = Counter()  # by title and class
+        self.seats_in_use: Counter[tuple[int, int]] = Counter()  # by title and class index
         self.arrivals: deque[float] = deque()
         self.retries: deque[float] = deque()
 
     def is_eligible(self, server: Server, session: Session, now: float) -> bool:
-        """Whether a server may take a session."""
+        """Whether a session may be placed on a server."""
         return server.state is ServerState.READY and self.slow_start_admits(server, session, now)
 
     def may_attempt(self, session: Session, now: float) -> bool:
-        """Whether a session may have an attempt: one at a time, within limits, repeated if idempotent."""
+        """Whether a session may be attempted now: one attempt at a time, within limits, retried if safe."""
         limit, session_class = self.settings.max_attempts, session.session_class
         if session.is_in_flight or session.is_playing or (limit is not None and session.attempts >= limit):
             return False
@@ -269,7 +270,7 @@
         return session.attempts == 0 or self.is_within_retry_budget(now)
 
     def is_within_retry_budget(self, now: float) -> bool:
-        """Whether the retry budget, if there is one, permits another retry."""
+        """Whether the retry budget, if one is set, permits another retry."""
         budget = self.settings.retry_budget
         if budget is None:
             return True
@@ -279,13 +280,13 @@
         return len(self.retries) + 1 <= allowed
 
     def count_recent_arrivals(self, now: float) -> int:
-        """Returns how many requests arrived here within the arrival window."""
+        """Returns the number of requests that arrived at this front within the arrival window."""
         while self.arrivals and self.arrivals[0] <= now - self.arrival_window_ms:
             self.arrivals.popleft()
         return len(self.arrivals)
 
     def slow_start_factor(self, server: Server, now: float) -> float:
-        """Returns the part of its capacity, up to 1, that a warming server has reached at least."""
+        """Returns the minimum fraction of its capacity that a warming server has reached, at most 1."""
         slow_start, age_ms = self.settings.slow_start, now - server.warming_since
         if slow_start is None or age_ms >= slow_start.window_ms:
             return 1.0
@@ -293,11 +294,11 @@
         return initial + (1.0 - initial) * max(age_ms, 0.0) / slow_start.window_ms
 
     def slow_start_admits(self, server: Server, session: Session, now: float) -> bool:
-        """Whether a warming server takes this session, by a draw from the front's seed.
+        """Whether a warming server admits this session, decided by a pseudorandom draw seeded per front.
 
-        All fronts together, taken as own arrivals times fronts, stay within the server's rate, and so does
-        each front alone. A server presumed dead is limited before the endpoint list tells that it restarted.
-        A front with more than its part of the arrivals admits too few.
+        The draw keeps the fleet's attempts, estimated as own arrivals times fronts, within the server's rate;
+        no single front exceeds it either. A server presumed dead is limited before the endpoint list reports
+        its restart. A front with more than an equal share of the arrivals admits too few sessions.
         """
         slow_start, factor = self.settings.slow_start, self.slow_start_factor(server, now)
         if slow_start is None or (factor >= 1.0 and not server.is_presumed_dead):
@@ -309,9 +310,9 @@
         fleet_rate = (
             self.settings.front_count * (self.count_recent_arrivals(now) + 1) / self.arrival_window_ms
         )
-        part = min(THUNDERING_HERD_FACTOR / self.ready_servers, 1.0)
+        share = min(THUNDERING_HERD_FACTOR / self.ready_servers, 1.0)
         draw = exponential_draw(session.viewer.session ^ self.seed, server.server_id)
-        return draw * fleet_rate * part < server_rate
+        return draw * fleet_rate * share < server_rate
 
     def record_attempt(self, session: Session, server: Server, now: float) -> None:
         """Counts an attempt against the retry budget and the server's slow start."""
@@ -329,7 +330,7 @@
 
 
 class Controller:
-    """The decisions of one front: `handle` takes what was seen and returns what to do."""
+    """Decides for one front: `handle` processes its events and returns the actions to execute."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
@@ -337,11 +338,11 @@
         self.rng = Random(seed)
         self.servers: dict[int, Server] = {}
         self.sessions: dict[int, Session] = {}
-        self.upswitch_priorities: Counter[float] = Counter()  # how many playing sessions have each priority
+        self.upswitch_priorities: Counter[float] = Counter()  # count of playing sessions by priority
         self.sessions_by_rack: list[dict[int, Session]] = [{} for _ in range(settings.rack_count)]
         self.awaiting_health_check: dict[int, list[Session]] = {}
-        self.played_titles: dict[int, None] = {}  # titles that some server here has set up, oldest first
-        self.watched_servers: dict[int, Server] = {}  # with own sessions, failures or unexamined reports
+        self.played_titles: dict[int, None] = {}  # an ordered set of titles that have played, oldest first
+        self.watched_servers: dict[int, Server] = {}  # with own sessions, failures or new reports
         report_cycle_ms = settings.report_interval_ms + settings.report_delay_ms
         self.decay_ms = 2.0 * max(report_cycle_ms, MAINTENANCE_INTERVAL_MS)
         self.report_age_ms = settings.report_delay_ms + MAINTENANCE_INTERVAL_MS
@@ -364,15 +365,15 @@
         }
         self.now, self.maintained_at, self.resubscribe_at, self.stall_ms = -inf, inf, inf, 0.0
         self.actions: list[interface.Action] = []
-        self.rung_changes: dict[int, None] = {}  # sessions, in order of their first change in this step
+        self.rung_changes: dict[int, None] = {}  # an ordered set of sessions, by first change
 
     def handle(self, now_ms: float, events: list[interface.Event]) -> list[interface.Action]:
-        """Takes the events since the last call, in order, and returns the actions to carry out, in order.
+        """Processes the events since the last call, in order, and returns the actions to execute, in order.
 
-        `now_ms` is the front's clock and never goes back. Events without a handler are ignored.
+        `now_ms` is the front's monotonic clock. Events without a handler are ignored.
         """
         is_first, self.now, self.actions = self.now == -inf, now_ms, []
-        # After a stall of the front's process, events may be older than usual by its length.
+        # After a stall of the front's process, events may be older than usual by the length of the stall.
         self.stall_ms = max(now_ms - self.maintained_at - 2.0 * MAINTENANCE_INTERVAL_MS, 0.0)
         if is_first:
             self.actions.append(interface.SetTimer(MAINTENANCE_TOKEN, MAINTENANCE_INTERVAL_MS))
@@ -405,7 +406,7 @@
         self._divide_uplink_capacity()
 
     def _forget_if_removed(self, server: Server) -> None:
-        """Forgets a server that was removed long ago: else each title is looked for in a replaced fleet."""
+        """Forgets a server that was removed long ago, or replaced servers would slow down each placement."""
         if server.state is not ServerState.REMOVED:
             server.removed_at = inf
             return
@@ -417,14 +418,14 @@
             self.watched_servers.pop(server.server_id, None)
 
     def _divide_uplink_capacity(self) -> None:
-        """Gives each uplink a part of the total by its rack's links, its load too where none is reported."""
+        """Divides the uplink capacity by the racks' links, and assigns links to unreported uplinks."""
         listed = [server for server in self.servers.values() if server.state is not ServerState.REMOVED]
         self.safety_rules.ready_servers = max(sum(one.state is ServerState.READY for one in listed), 1)
         total_kbyte_s = sum(server.link.capacity_kbyte_s for server in listed)
         for rack, uplink in enumerate(self.uplinks if listed else ()):
             links = [server.link for server in listed if server.rack == rack]
-            part = sum(link.capacity_kbyte_s for link in links) / total_kbyte_s
-            uplink.capacity_kbyte_s = max(1.0, part * self.total_uplink_kbyte_s)
+            share = sum(link.capacity_kbyte_s for link in links) / total_kbyte_s
+            uplink.capacity_kbyte_s = max(1.0, share * self.total_uplink_kbyte_s)
             if "x1" not in self.settings.report_fields:
                 uplink.member_links = links
 
@@ -448,7 +449,7 @@
         return Server(endpoint.server, link, self.uplinks[rack], stream_slots, rack)
 
     def _on_process_start(self, server: Server, started_at: float) -> None:
-        """Starts a server's slow start at the time that the list gives; 0 means that it is unknown."""
+        """Begins the slow start of a server at its start time in the endpoint list; 0 means unknown."""
         server.started_at, server.warming_since = started_at, started_at or -inf
         if self.settings.slow_start is not None:
             server.link.slow_start_until = server.warming_since + self.settings.slow_start.window_ms
@@ -467,7 +468,7 @@
         return session
 
     def _place_session(self, session: Session) -> None:
-        """Sends the next attempt of a session, or its final reply if there can be none."""
+        """Sends the next attempt of a session, or its final reply if no attempt is possible."""
         may_attempt = self.safety_rules.may_attempt(session, self.now) and session.reply_deadline > self.now
         choice = self._choose_server(session) if may_attempt else None
         if choice is None:
@@ -482,47 +483,47 @@
         self._send_attempt(session, server, rung)
 
     def _choose_server(self, session: Session) -> tuple[Server, int] | None:
-        """Returns the first holder that fits the top rung, else the one with the most headroom."""
+        """Returns the first candidate that fits the top rung, or else the one with the most headroom."""
         usable = [server for server in self._ranked_candidates(session) if self._is_usable(server, session)]
-        holders = [server for server in usable if not self._is_full(server)] or usable
-        holders = [one for one in holders if one.server_id not in session.attempted_servers] or holders
-        for server in holders:
-            if self._fits(server, session, session.top_rung):
-                return server, self._fair_rung(server, session)
-        if not holders:
+        servers = [server for server in usable if not self._is_full(server)] or usable
+        servers = [one for one in servers if one.server_id not in session.attempted_servers] or servers
+        for candidate in servers:
+            if self._fits(candidate, session, session.top_rung):
+                return candidate, self._fair_rung(candidate, session)
+        if not servers:
             return None
-        roomiest = max(holders, key=self._headroom)
+        fallback = max(servers, key=self._headroom)
         lowest_rung = session.session_class.lowest_rung
         for rung in range(session.top_rung - 1, lowest_rung - 1, -1):
-            if self._fits(roomiest, session, rung):
-                return roomiest, rung
-        return (roomiest, lowest_rung) if self._free_capacity(roomiest, session) else None
+            if self._fits(fallback, session, rung):
+                return fallback, rung
+        return (fallback, lowest_rung) if self._free_capacity(fallback, session) else None
 
     def _headroom(self, server: Server) -> tuple[float, float]:
         return server.headroom(self.now, self.safety_rules.slow_start_factor(server, self.now))
 
     def _needs_health_check(self, session: Session, server: Server) -> bool:
-        """Whether to check first: neither the server nor most other holders are known, as at small fronts."""
+        """Whether to check a server first: it and most candidates have no recent data, as on small fronts."""
         may_check = self.settings.may_check_health and self.settings.front_count > 1
         has_time = session.reply_deadline - self.now >= session.session_class.latency_objective_ms
         if not (may_check and has_time) or session.attempts > 0 or session.has_awaited_health_check:
             return False
-        holders, oldest = self._ranked_candidates(session), self.now - self.decay_ms
-        unknown = [one for one in holders if not one.sessions and one.link.reported_at < oldest]
-        return server in unknown and 2 * len(unknown) > len(holders)
+        candidates, oldest = self._ranked_candidates(session), self.now - self.decay_ms
+        unknown = [one for one in candidates if not one.sessions and one.link.reported_at < oldest]
+        return server in unknown and 2 * len(unknown) > len(candidates)
 
     def _ranked_candidates(self, session: Session) -> list[Server]:
-        """Returns the listed servers with the title by rendezvous hashing, which is alike at all fronts."""
+        """Returns the listed servers that have the title, ordered by rendezvous hashing as on all fronts."""
         viewer, zones, removed = session.viewer, self.settings.zone_count, ServerState.REMOVED
         listed = [server for server in self.servers.values() if server.state is not removed]
         holders = [server for server in listed if (server.zone - viewer.first_zone) % zones < viewer.replicas]
         return sorted(holders, key=partial(rendezvous_score, viewer.title))
 
     def _fair_rung(self, server: Server, session: Session) -> int:
-        """Returns the top rung, or a lower one while most own sessions are held below theirs.
+        """Returns the top rung, or a lower one while most own sessions are below their top rungs.
 
-        Each step must have at least the marginal priority, so that newcomers do not take at the top rung what
-        many could share. One bad rack that holds a front's sessions low starts all of its newcomers low.
+        Each step needs at least the marginal priority, so that a new session at the top rung does not take a
+        rate that many could share. If one overloaded rack keeps most own sessions low, new ones start low.
         """
         rung, marginal_priority = session.top_rung, self._marginal_priority()
         lowest_rung = session.session_class.lowest_rung
@@ -541,14 +542,14 @@
         return 0.0
 
     def _count_priority(self, session: Session, step: int) -> None:
-        """Keeps the counts for the marginal priority, so that an arrival need not visit all sessions."""
+        """Updates the counts for the marginal priority, so that arrivals need not visit all sessions."""
         if session.is_playing:
             is_at_top = session.rung >= session.top_rung
             priority = 0.0 if is_at_top else self._priority_per_rate(session, session.rung + 1)
             self.upswitch_priorities[priority] += step
 
     def _free_capacity(self, server: Server, session: Session) -> bool:
-        """Switches own sessions down until this one fits, rather than reject it while others watch well."""
+        """Switches own sessions down until this one fits, instead of rejecting it to keep their rungs."""
         lowest_rung, limit = session.session_class.lowest_rung, TARGET_UTILIZATION + DOWNSWITCH_STEP
         for _ in range(len(self.sessions)):
             if self._fits(server, session, lowest_rung, limit):
@@ -560,7 +561,7 @@
         return False
 
     def _is_usable(self, server: Server, session: Session) -> bool:
-        """Whether a server may be chosen; after a failure one attempt or health check at a time tests it."""
+        """Whether a server may be chosen; after failures it gets one attempt or health check at a time."""
         is_tested = server.is_checking_health or server.attempts_in_flight
         if server.ejected_until > self.now or (server.consecutive_failures and is_tested):
             return False
@@ -568,7 +569,7 @@
         return has_slot and self.safety_rules.is_eligible(server, session, self.now)
 
     def _is_full(self, server: Server) -> bool:
-        """Whether a server refused as full lately, and no later report shows it under the target."""
+        """Whether a server was full recently and no later report shows it below the target."""
         if server.full_until <= self.now:
             return False
         has_later_report = server.link.reported_at > server.full_until - FULL_BACKOFF_MS
@@ -584,7 +585,7 @@
         return self.settings.rung_rates_kbyte_s[rung] * session.session_class.rate_multiplier
 
     def _send_attempt(self, session: Session, server: Server, rung: int) -> None:
-        """Sends an attempt if the safety rules permit it; all attempts are sent here."""
+        """Sends an attempt if the safety rules permit it; every attempt is sent by this method."""
         now, session_id, rules = self.now, session.viewer.session, self.safety_rules
         if not (rules.may_attempt(session, now) and rules.is_eligible(server, session, now)):
             self._reject_or_fail(session)
@@ -610,7 +611,7 @@
         self._count_rate(session, server, 1)
 
     def _count_rate(self, session: Session, server: Server, step: int) -> None:
-        """Adds (1) or removes (-1) a session's rate and priority at its present rung."""
+        """Adds (1) or removes (-1) a session's rate and priority at its current rung."""
         rate_kbyte_s = step * self._rate_kbyte_s(session, session.rung)
         self._count_priority(session, step)
         server.link.add_own_rate(self.now, rate_kbyte_s)
@@ -626,7 +627,7 @@
             session.server = None
 
     def _reject_or_fail(self, session: Session) -> None:
-        """Sends the final reply: a rejection where no attempt can have run, else a failure."""
+        """Sends the final reply: a failure if a non-idempotent attempt may have run, or else a rejection."""
         session_id = session.viewer.session
         self.sessions.pop(session_id, None)
         if session.may_have_run and session.session_class.idempotency is not Idempotency.IDEMPOTENT:
@@ -639,7 +640,7 @@
         session.is_playing = session.may_have_run = session.has_start_report = True
         session.attempts = 1
         self._remember_title(session)
-        # At a low rung on idle links it may switch up with the first reports, or else after a report cycle.
+        # On idle links it may switch up with the first reports; otherwise, after one report cycle.
         session.is_at_recovered_rung = True
         report_cycle_ms = self.settings.report_interval_ms + self.report_age_ms
         session.upswitched_at = self.now + min(report_cycle_ms - UPSWITCH_INTERVAL_MS, 0.0)
@@ -681,7 +682,7 @@
             self._end_attempt(session, event, is_request_at_fault)
 
     def _end_attempt(self, session: Session, event: interface.AttemptEnded, is_own_fault: bool) -> None:
-        """Releases the attempt's server, then forgets, rejects or places the session."""
+        """Releases the attempt's server, then removes, rejects or places the session."""
         if session.is_in_flight and session.server is not None:
             session.server.attempts_in_flight -= 1
         session.is_in_flight = False
@@ -696,9 +697,9 @@
             self._place_session(session)
 
     def _attribute_error_to_request(self, session: Session, server: Server | None) -> bool:
-        """Whether an error may be the request's own: its title never played here, or two servers err.
+        """Whether the request may be the cause of an error: its title never played, or two servers failed it.
 
-        Requests for titles that no server has must not eject each server they attempt: the first is cleared.
+        A request for a title that no server has must not eject every server in turn: the first is reinstated.
         """
         first, session.last_error_server = session.last_error_server, server
         if first is not None and first is not server and first.consecutive_failures == 1:
@@ -711,7 +712,7 @@
             del self.played_titles[next(iter(self.played_titles))]
 
     def _eject(self, server: Server, result: Result) -> None:
-        """Ejects a server that failed, for longer with every consecutive failure, whatever the list says."""
+        """Ejects a failed server, longer with each consecutive failure, regardless of the endpoint list."""
         self.watched_servers[server.server_id] = server
         if result in CONNECTION_LOST_RESULTS:
             self._presume_dead(server)
@@ -729,12 +730,12 @@
             self.actions.append(interface.Log(text))
 
     def _presume_dead(self, server: Server) -> None:
-        """Presumes that the server's process has ended, so that the next one has a slow start."""
+        """Marks the server's process as presumably ended, so that its successor has a slow start."""
         if not server.is_presumed_dead:
             server.is_presumed_dead, server.suspected_at = True, self.now
 
     def _refute_death(self, server: Server, session: Session) -> None:
-        """Ends the presumption if a session from before it still plays: only a connection was lost."""
+        """Clears the mark if a session that began before it still plays: only a connection was lost."""
         is_older = session.arrived_at < server.suspected_at < self._report_time()
         if session.is_playing and session.server is server and is_older:
             server.is_presumed_dead, server.suspected_at = False, -inf
@@ -769,11 +770,11 @@
     # --- Load reports ---
 
     def _report_time(self) -> float:
-        """Returns the time of a report that arrives now, if it is as late as reports can be."""
+        """Returns the time of a report that arrives now, assuming the maximum delay."""
         return self.now - self.report_age_ms - self.stall_ms
 
     def _observe_report(self, server: Server, report: tuple[float, ...]) -> None:
-        """Takes the report of an attempt or health check; one that ends a playing session is as old as it."""
+        """Records the report of an attempt or health check; that of a session's end dates from its start."""
         self.watched_servers[server.server_id] = server
         observed_at = self._report_time()
         for name, value in zip(self.settings.report_fields, report, strict=False):
@@ -797,7 +798,7 @@
             self._on_delivery_notice(server, notice.level, observed_at)
             return
         if session is not None and not session.has_start_report:
-            # A session's first notices are sent at its set-up, without delay; the uplink's is the last.
+            # The first notices of a session are sent at its set-up, without delay, ending with the uplink's.
             is_last = notice.kind is NoticeKind.UPLINK or "x1" not in self.settings.report_fields
             session.has_start_report = is_last
             observed_at = self.now - self.stall_ms
@@ -812,10 +813,10 @@
             self._count_rate(session, session.server, 1)
 
     def _on_delivery_notice(self, server: Server, delivered_ratio: float, observed_at: float) -> None:
-        """Takes a shortfall: sessions get less than they demand, so the server's link or uplink is full.
+        """Handles a shortfall: sessions receive less than they demand, so the link or uplink is full.
 
-        If the estimate did not show that, one of the two gets a load that does, again after each shedding.
-        Where servers report no loads, shortfalls alone are known: these are not representative: no sample.
+        If the estimated load does not reflect that, one of the two gets a load that does, again after each
+        shedding. It is not a sample if servers report no loads: shortfalls alone are not representative.
         """
         if not 0.0 <= delivered_ratio < SHORTFALL_RATIO:
             return
@@ -833,7 +834,7 @@
         estimator.observe(load, observed_at, is_sample)
 
     def _is_uplink_short(self, server: Server, is_repeated: bool) -> bool:
-        """Whether half of a rack's servers in use are short, or its only one is and the link is not full."""
+        """Whether half of a rack's servers in use are short, or its only one is and that link is not full."""
         now, link, uplink = self.now, server.link, server.uplink
         rack = [one for one in self.watched_servers.values() if one.rack == server.rack and one.sessions]
         short = [one for one in rack if one.shortfall_at > now - SHORTFALL_WINDOW_MS]
@@ -873,10 +874,10 @@
             self.actions.append(interface.CheckHealth(server.server_id))
 
     def _shed_load(self, estimator: LoadEstimator, sessions: dict[int, Session]) -> None:
-        """Switches own sessions down by this front's part of the load above the target, once for a report.
+        """Switches own sessions down by this front's share of the load above the target, once per report.
 
-        Other fronts got the same report and shed their part too. On an unreported uplink, which is shed again
-        while it is short, a draw decides on less than a rung; elsewhere a rung too many is better than that.
+        Other fronts receive the same report and shed their shares. Less than a rung is shed as a whole rung,
+        but at random on an unreported uplink, which sheds again while it is short.
         """
         load = estimator.load(self.now)
         steps = int((load - TARGET_UTILIZATION) / DOWNSWITCH_STEP + 1e-9)
@@ -893,9 +894,9 @@
             excess_kbyte_s -= freed_kbyte_s
 
     def _downswitch(self, sessions: dict[int, Session], floors: dict[int, int], max_kbyte_s: float) -> float:
-        """Switches the session down that loses the least priority for its rate; returns the rate freed, or 0.
+        """Switches down the session with the least priority per rate; returns the rate freed, or 0.
 
-        `floors` are lowest rungs by session. A draw decides where a step frees more than `max_kbyte_s`.
+        `floors` maps sessions to their lowest rungs. A step of more than `max_kbyte_s` is decided at random.
         """
         able = [
             one
@@ -912,11 +913,11 @@
         return freed_kbyte_s
 
     def _step_kbyte_s(self, session: Session, rung: int) -> float:
-        """Returns the difference in rate between a rung and the next lower one."""
+        """Returns the difference in rate between a rung and the one below it."""
         return self._rate_kbyte_s(session, rung) - self._rate_kbyte_s(session, rung - 1)
 
     def _priority_per_rate(self, session: Session, rung: int) -> float:
-        """Returns the weighted utility-seconds that a step down from `rung` loses for each kB/s it frees."""
+        """Returns the weighted utility-seconds lost per kB/s freed by a step down from `rung`."""
         settings = self.settings
         gain = settings.rung_utilities[rung] - settings.rung_utilities[rung - 1]
         utility_s = gain * UPSWITCH_INTERVAL_MS / 1000.0
@@ -924,10 +925,10 @@
         return (utility_s + settings.switch_cost_s) * session.session_class.priority_weight / rate_kbyte_s
 
     def _upswitch(self, server: Server) -> None:
-        """Switches one session up if its server stays under the target, within the upswitch budget.
+        """Switches one session up if its server stays below the target, within the upswitch budget.
 
-        The budget is this front's part of the headroom until the next report; a draw decides on less than a
-        rung. So the upswitches of many fronts after one report add up to the headroom, not to a rung each.
+        The budget is this front's share of the headroom until the next report; a remainder below a rung is
+        rounded at random. Thus the upswitches of many fronts after a report do not exceed the headroom.
         """
         choices = [session for session in server.sessions.values() if self._may_upswitch(session)]
         if not choices or server.load(self.now) >= TARGET_UTILIZATION or self._is_full(server):
@@ -959,7 +960,7 @@
         return all(load < TARGET_UTILIZATION for load in loads)
 
     def _may_upswitch(self, session: Session) -> bool:
-        """Whether a session may switch up now, and the rest of it is worth the cost of a switch."""
+        """Whether a session may switch up now and its remaining time justifies the cost of a switch."""
         server = session.server
         if server is None or not session.is_playing or session.rung >= session.top_rung:
             return False
