--- a/fernweir/__main__.py
+++ b/fernweir/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m fernweir` is the command line. A front node has little memory: it loads nothing but itself."""
+"""Command line of `python -m fernweir`; a front node imports only its own modules, to save memory."""
 
 import sys
 
--- a/fernweir/adapter.py
+++ b/fernweir/adapter.py
@@ -1,4 +1,4 @@
-"""Runs one controller for each front over the simulator's wire on standard input and output."""
+"""Serves the simulator's protocol on standard input and output, with one controller per front."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     encode_reply,
 )
 
-# A header's length field counts what follows it: the rest of the header and the body.
+# The length field of a header covers the rest of the header and the body.
 _LENGTH_FIELD_END_BYTES = 8
 _HEADER_REST_BYTES = HEADER.size - _LENGTH_FIELD_END_BYTES
 _EXIT_OK = 0
@@ -27,18 +27,18 @@
 
 
 class ControllerPool:
-    """The controllers of one process, by front; they share nothing."""
+    """The controllers of one process, by front; they share no state."""
 
     def __init__(self) -> None:
         self._controllers: dict[int, Controller] = {}
 
     def handle_batch(self, batch: Batch) -> bytes:
-        """Hands each front its events and returns the reply frame with their actions.
+        """Passes each front its events and returns the reply frame with the resulting actions.
 
-        A failure of a controller goes into the reply as a fault of its front.
+        An exception in a controller is reported in the reply as a fault of its front.
 
         Raises:
-            WireError: An event is for a front that has not started.
+            WireError: An event refers to a front that has not started.
         """
         pending_events: dict[int, list[Event]] = {}
         for front, event in batch.items:
@@ -51,7 +51,7 @@
             elif front in self._controllers:
                 pending_events.setdefault(front, []).append(event)
             else:
-                raise WireError(f"batch {batch.number}: an event for instance {front}, which has not started")
+                raise WireError(f"batch {batch.number}: an event for front {front}, which has not started")
         parts = [(front, self._run(front, batch.now_ms, events)) for front, events in pending_events.items()]
         return encode_reply(batch.number, iter(parts))
 
@@ -59,22 +59,22 @@
         try:
             actions = self._controllers[front].handle(now_ms, events)
             return b"".join(encode_action(action) for action in actions)
-        except Exception as error:  # noqa: BLE001 - the wire wants every failure of the decision code reported
+        except Exception as error:  # noqa: BLE001 - the protocol reports every failure of the decision code
             return encode_fault(f"{type(error).__name__}: {error}")
 
 
-def _read_exactly(source: BinaryIO, size: int, what: str) -> bytes:
+def _read_exactly(source: BinaryIO, size: int, description: str) -> bytes:
     data = source.read(size)
     if len(data) < size:
-        raise WireError(f"{what}: input ended after {len(data)} of {size} bytes")
+        raise WireError(f"{description}: input ended after {len(data)} of {size} bytes")
     return data
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Replies to frames until the input ends between two of them.
+    """Replies to frames until the input ends at a frame boundary.
 
     Raises:
-        WireError: The input does not follow the wire format or ends within a frame.
+        WireError: The input violates the wire format or ends within a frame.
     """
     pool, decoder = ControllerPool(), Decoder()
     while first_byte := source.read(1):
@@ -88,7 +88,7 @@
 
 
 def main() -> int:
-    """Serves standard input and output; returns the exit status."""
+    """Serves standard input and output and returns the exit status."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/fernweir/interface.py
+++ b/fernweir/interface.py
@@ -1,8 +1,8 @@
-"""The types that go into the controller and come out of it: settings, events and actions.
+"""The input and output types of the controller: settings, events and actions.
 
-Settings describe the deployment, events say what a front has seen, actions say what it should do. Times are
-milliseconds of the front's clock, rates are kB a second, loads are ratios of demand to capacity, and rungs
-count from 0, the lowest. Sessions, servers, titles and timers are identified by numbers.
+Settings describe the deployment, events what happened at a front, and actions what it must do. Times are
+milliseconds of the front's clock, rates are in kB per second, loads are ratios of demand to capacity, and
+rungs count from 0, the lowest. Sessions, servers, titles and timers are identified by numbers.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 
 
 class Idempotency(Enum):
-    """Whether a set-up that may have run already may be attempted again.
+    """Whether a set-up that may already have run may be repeated.
 
     Attributes:
-        IDEMPOTENT: It may be repeated.
-        WITH_KEY: It may be repeated only at servers that share its idempotency keys.
+        IDEMPOTENT: It may be repeated on any server.
+        WITH_KEY: It may be repeated only on servers that share its idempotency keys.
         NOT_IDEMPOTENT: It must not be repeated.
     """
 
@@ -26,7 +26,7 @@
 
 
 class ServerState(IntEnum):
-    """The state of a server on the endpoint list; only a ready one gets new sessions."""
+    """The state of a server on the endpoint list; only ready servers get new sessions."""
 
     REMOVED = 0
     READY = 1
@@ -34,13 +34,13 @@
 
 
 class EndpointListKind(IntEnum):
-    """What an update of the endpoint list is.
+    """The kind of an update of the endpoint list.
 
     Attributes:
-        FAILED: The list could not be read; there are no entries.
-        CACHED: The complete list, from a cache.
+        FAILED: The list could not be read; the update has no entries.
+        CACHED: The complete list, read from a cache.
         FULL: The complete list.
-        DELTA: The entries that changed.
+        DELTA: Only the entries that changed.
     """
 
     FAILED = 0
@@ -50,17 +50,17 @@
 
 
 class Result(IntEnum):
-    """How an attempt or a health check ended.
+    """The result of an attempt or a health check.
 
     Attributes:
         ERROR: The server replied with an error.
         OK: It succeeded.
-        FULL: The server refused for lack of capacity.
-        TIMEOUT: There was no reply in time.
-        CONNECT_FAILED: No connection came up, so that nothing was sent.
+        FULL: The server rejected it for lack of capacity.
+        TIMEOUT: No reply arrived in time.
+        CONNECT_FAILED: No connection could be established, so nothing was sent.
         RESET: The connection broke while the attempt was in flight or the session played.
-        CANCELLED: The front gave it up.
-        NOT_SENT: It had become pointless before it was sent.
+        CANCELLED: The front cancelled it.
+        NOT_SENT: It became unnecessary before it was sent.
     """
 
     ERROR = 0
@@ -73,8 +73,8 @@
     NOT_SENT = 7
 
 
-# The words for results and states in logs, journals and records. They are stored: a renamed member keeps its
-# word.
+# Labels of results and states in logs, journals and records. They are stored, so they must not change when a
+# member is renamed.
 RESULT_LABELS = {
     Result.ERROR: "error",
     Result.OK: "ok",
@@ -93,11 +93,11 @@
 
 
 class NoticeKind(IntEnum):
-    """What a server's notice tells, and the meaning of its level.
+    """The subject of a server notice, which defines the meaning of its level.
 
     Attributes:
-        DELIVERED: The part of their rates that the server's sessions get, smoothed, from 0 to 1.
-        RUNG: The rung that a session has now.
+        DELIVERED: The smoothed ratio of the rate delivered to the server's sessions to their demand, 0 to 1.
+        RUNG: The current rung of a session.
         LINK: The load of the server's link.
         UPLINK: The load of the rack's uplink.
     """
@@ -110,18 +110,18 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionClass:
-    """One class of session.
+    """A class of sessions.
 
     Attributes:
         name: Its name in logs and settings.
-        latency_objective_ms: The time in which a request should be answered.
-        deadline_ms: The time after which an answer is of no use.
-        priority_weight: How much a session counts when load is shed.
-        idempotency: Whether a set-up that may have run may be attempted again.
-        rate_multiplier: Its rate at a rung over the rung's rate.
+        latency_objective_ms: The time within which a request should get its reply.
+        deadline_ms: The time after which a reply is useless to the client.
+        priority_weight: The weight of its sessions when load is shed.
+        idempotency: Whether a set-up that may have run may be repeated.
+        rate_multiplier: The ratio of its rate at a rung to the rung's rate.
         lowest_rung: The lowest rung that its sessions may have.
-        top_rung: The highest.
-        seats: The most sessions of one title at a front; 0 means no limit.
+        top_rung: The highest rung that its sessions may have.
+        seats: The maximum number of sessions per title at a front; 0 means no limit.
     """
 
     name: str
@@ -137,12 +137,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryBudget:
-    """Limit on retries: in any window at most `min_retries` plus `retry_ratio` times the arrivals.
+    """Limits the retries in any window to `min_retries` plus `retry_ratio` times the arrivals.
 
     Attributes:
         window_ms: The length of the window.
-        min_retries: Retries that are allowed without arrivals.
-        retry_ratio: Further retries for each arrival.
+        min_retries: The retries allowed without any arrivals.
+        retry_ratio: The additional retries allowed per arrival.
     """
 
     window_ms: float
@@ -152,15 +152,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStart:
-    """How fast all fronts together may send attempts to a server that has just started.
+    """Limits the rate at which all fronts together send attempts to a recently started server.
 
-    A server takes its stream slots over `window_ms`, times a factor that rises from `initial_factor` to 1.
+    The rate is the server's stream slots per `window_ms` times a factor rising from `initial_factor` to 1.
 
     Attributes:
-        window_ms: The time from its start until a server has its full capacity.
-        initial_factor: The part of its capacity that it has at its start, at least.
-        overload_multiple: The multiple of the rate above at which a warming server collapses.
-        overload_window_ms: The time over which attempts are counted for that.
+        window_ms: The time from the start of a server until it has its full capacity.
+        initial_factor: The minimum fraction of its capacity that it has at its start.
+        overload_multiple: The multiple of the above rate at which a warming server collapses.
+        overload_window_ms: The time over which attempts are counted for `overload_multiple`.
     """
 
     window_ms: float
@@ -171,30 +171,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The deployment as a front is configured with it; None means that a rule or source is not in force.
+    """The configuration of a front; None means that a limit or data source is absent.
 
     Attributes:
-        classes: Classes of session, by `Viewer.class_index`.
-        front_count: Fronts in the deployment.
-        front_index: This front's number among them.
+        classes: The session classes, indexed by `Viewer.class_index`.
+        front_count: The number of fronts in the deployment.
+        front_index: The index of this front among them.
         batch_period_ms: The shortest time between two calls of the controller.
-        zone_count: Zones that servers and titles are spread over.
-        rack_count: Racks, each with one uplink; a server's is its zone modulo this number.
+        zone_count: The number of zones that servers and titles are distributed over.
+        rack_count: The number of racks, each with one uplink; a server's rack is its zone modulo this number.
         rung_rates_kbyte_s: The rate of each rung.
-        rung_utilities: What a second at each rung is worth to a viewer, at most 1.
-        streams_by_server_type: How many sessions a server of each type carries at once.
-        link_rate_per_weight_kbyte_s: The rate of a server's link for a weight of 1.
-        uplink_rate_kbyte_s: The mean rate of an uplink.
-        switch_cost_s: What a change of rung costs a viewer, in seconds at utility 1.
-        report_delay_ms: How late a server's notices arrive.
+        rung_utilities: The utility of a second at each rung to a viewer, at most 1.
+        streams_by_server_type: The maximum number of concurrent sessions on a server of each type.
+        link_rate_per_weight_kbyte_s: The capacity of a server's link per unit of weight.
+        uplink_rate_kbyte_s: The mean capacity of an uplink.
+        switch_cost_s: The cost of a rung change to a viewer, in seconds at utility 1.
+        report_delay_ms: The delay with which server notices arrive.
         report_interval_ms: The time between two notices of a link's load; 0 if there are none.
-        report_fields: The names of the values in a report: `x0` or `cpu` the link's load, `x1` the uplink's.
+        report_fields: The names of a report's values: `x0` or `cpu` is the link's load, `x1` the uplink's.
         must_subscribe: Whether the endpoint list is sent only after a subscription.
         may_check_health: Whether health checks are allowed.
-        max_attempts: The most attempts for one request.
-        max_retry_after_ms: The longest delay that clients respect when a rejection asks for it.
-        reply_slack_ms: The time after a deadline in which a reply is still valid.
-        drain_grace_ms: How long attempts may go to a server after the list shows it draining or removed.
+        max_attempts: The maximum number of attempts per request.
+        max_retry_after_ms: The longest Retry-After delay of a rejection that clients respect.
+        reply_slack_ms: The time after a deadline during which a reply is still valid.
+        drain_grace_ms: How long a server that is listed as draining or removed may still be sent attempts.
         slow_start: The limits on servers that have just started.
         retry_budget: The limit on retries.
     """
@@ -226,15 +226,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One server on the endpoint list.
+    """A server on the endpoint list.
 
     Attributes:
-        server: Its number.
-        state: Its state.
-        started_at: When its process started, in milliseconds; 0 if it is unknown or long ago.
-        zone: Its zone; titles are found on servers by zone.
+        server: The server's number.
+        state: The server's state.
+        started_at: When its process started, in milliseconds; 0 if unknown or long ago.
+        zone: Its zone, which determines the titles that it has.
         server_type: The index of its type in `Settings.streams_by_server_type`.
-        weight: The size of its link.
+        weight: The relative capacity of its link.
     """
 
     server: int
@@ -247,7 +247,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """The endpoint list was read, or could not be."""
+    """The endpoint list was read, or reading it failed."""
 
     kind: EndpointListKind
     version: int
@@ -256,20 +256,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Viewer:
-    """Who wants to watch which title, and what can be played.
+    """A viewer's request for a title, with the limits of its device and its time.
 
     Attributes:
-        session: The session that is requested.
-        class_index: Its class.
-        key: The viewer's key, the same when it comes again.
-        title: The title.
+        session: The requested session.
+        class_index: The index of its class in `Settings.classes`.
+        key: The viewer's key, the same in each of its requests.
+        title: The requested title.
         first_zone: The first zone with servers that have the title.
-        replicas: How many zones in a row, from there on, have it.
+        replicas: The number of consecutive zones, from the first, that have the title.
         top_rung: The highest rung that the viewer's device can play.
-        length_ms: A rough hint of how long it will watch, or None.
-        remaining_ms: The time left to reply.
-        was_moved: Whether this front has ended its session by a move.
-        is_returning: Whether the viewer comes again.
+        length_ms: A rough estimate of the viewing time, or None.
+        remaining_ms: The time left for the reply.
+        was_moved: Whether this front ended the viewer's previous session to migrate it.
+        is_returning: Whether the viewer has made a request before.
     """
 
     session: int
@@ -287,14 +287,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A viewer requests a session; it gets one final reply within `Viewer.remaining_ms`."""
+    """A viewer requested a session; it gets exactly one final reply within `Viewer.remaining_ms`."""
 
     viewer: Viewer
 
 
 @dataclass(frozen=True, slots=True)
 class SessionRecovered:
-    """A session that already played on `server` when this front started."""
+    """A session was already playing on `server` when this front started."""
 
     viewer: Viewer
     server: int
@@ -302,7 +302,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptSucceeded:
-    """A server accepted the session, which plays from now on."""
+    """A server accepted the session, which is now playing."""
 
     session: int
     server: int
@@ -318,9 +318,9 @@
         session: The session.
         server: The server.
         attempt: The number of the attempt within the session, from 0.
-        result: How it ended.
-        is_final: Whether no reply is due any more.
-        duration_ms: How long it took.
+        result: The result of the attempt.
+        is_final: Whether no reply to the client is outstanding.
+        duration_ms: The duration of the attempt.
         report: The server's load report, by `Settings.report_fields`; empty if it sent none.
     """
 
@@ -335,14 +335,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client disconnected before its reply."""
+    """The client disconnected before it got its reply."""
 
     session: int
 
 
 @dataclass(frozen=True, slots=True)
 class ServerNotice:
-    """A server's notice about one of its sessions; the kind tells what the level means."""
+    """A server sent a notice about one of its sessions; the kind defines the meaning of the level."""
 
     session: int
     server: int
@@ -370,7 +370,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FrontMessage:
-    """A message from another front; the controller ignores it."""
+    """Another front sent a message; the controller ignores it."""
 
     sender: int
     body: bytes
@@ -392,7 +392,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Send an attempt to a server."""
+    """Send an attempt to set up a session to a server."""
 
     session: int
     server: int
@@ -401,7 +401,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetRung:
-    """Set the rung of a session, also of one that is about to be attempted."""
+    """Set the rung of a session, or of the attempt that is about to be sent."""
 
     session: int
     rung: int
@@ -409,14 +409,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Migrate:
-    """End a playing session by a move: its viewer comes back and is placed again."""
+    """End a playing session to migrate it: its viewer reconnects and is placed again."""
 
     session: int
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Reject a request of which no attempt can have run; 0 asks for no Retry-After."""
+    """Reject a request that may safely be repeated; a `retry_after_ms` of 0 omits Retry-After."""
 
     session: int
     retry_after_ms: float
@@ -424,14 +424,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Reply that a request failed: an attempt may have run."""
+    """Reply that a request failed; an attempt of it may have run and must not be repeated."""
 
     session: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Report `TimerFired` with this token after a time."""
+    """Report `TimerFired` with this token after a delay."""
 
     token: int
     after_ms: float
@@ -446,7 +446,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Start or end the subscription to the endpoint list."""
+    """Start or stop the subscription to the endpoint list."""
 
     active: bool
 
--- a/fernweir/wire.py
+++ b/fernweir/wire.py
@@ -1,7 +1,7 @@
-"""Codec of the simulator's binary wire: frames, records and the text of settings.
+"""Codec of the simulator's binary protocol: frames, records and the text format of settings.
 
-A frame is a header (`HEADER`) and a body of records. A record is a code of 16 bits and the layout that
-belongs to it; all numbers are little-endian. The codec makes no decisions and has no I/O.
+A frame consists of a header (`HEADER`) and a body of records. A record consists of a 16-bit code and the
+fields of its layout; all numbers are little-endian. The codec makes no decisions and performs no I/O.
 """
 
 from __future__ import annotations
@@ -51,12 +51,12 @@
 
 
 class WireError(ValueError):
-    """Input does not follow the wire format; the message says what is wrong and where."""
+    """Raised when input violates the wire format; the message names the fault and its position."""
 
 
 @dataclass(frozen=True, slots=True)
 class Configure:
-    """A front starts with these settings."""
+    """A front was started with these settings."""
 
     seed: int
     settings: Settings
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FrontTerminated:
-    """A front has been terminated."""
+    """A front was terminated."""
 
 
 WireEvent = Event | Configure | FrontTerminated
@@ -75,9 +75,9 @@
     """The content of one frame.
 
     Attributes:
-        number: The frame's number; its reply bears the same one.
+        number: The number of the frame; its reply has the same number.
         now_ms: The clock of all fronts in the frame, in milliseconds.
-        items: Pairs of a front and an event, in the order in which they were sent.
+        items: Pairs of a front and an event, in the order of their sending.
     """
 
     number: int
@@ -85,14 +85,14 @@
     items: tuple[tuple[int, WireEvent], ...]
 
 
-# Frames. A request's header: records, length of what follows this field in bytes, clock in ms, number.
-# A reply's header: length of what follows this field in bytes, number.
+# Frame headers. Request: number of records, bytes after this field, clock in ms, frame number.
+# Reply: bytes after this field, frame number.
 HEADER = struct.Struct("<IIdI")
 _REPLY_HEADER = struct.Struct("<II")
-_REPLY_NUMBER_BYTES = 4  # the part of a reply's header that counts in its length
-_MAX_TEXT_BYTES = 65_535  # the length of a text is sent in 16 bits
+_REPLY_NUMBER_BYTES = 4  # the part of a reply's header that its length field includes
+_MAX_TEXT_BYTES = 65_535  # the length of a text is a 16-bit field
 
-# Codes of the records in a request.
+# Record codes in a request.
 _CONFIGURE_CODE = 256
 _LIST_UPDATE_CODE = 257
 _ARRIVAL_CODE = 258
@@ -108,7 +108,7 @@
 _LIST_CODE = 268
 _SELECT_FRONT_CODE = 269
 
-# Codes of the records in a reply.
+# Record codes in a reply.
 _PLACE_CODE = 320
 _REJECT_CODE = 321
 _FAIL_CODE = 322
@@ -121,7 +121,7 @@
 _MOVE_CODE = 333
 _FRONT_ACTIONS_CODE = 334
 
-# Layouts of the records in a request, after their code.
+# Record layouts in a request, without the code.
 _CODE = struct.Struct("<H")
 _ID = struct.Struct("<I")  # of a front, a session or a timer
 _CONFIGURE = struct.Struct("<QI")  # seed, bytes of settings
@@ -135,9 +135,9 @@
 _HEALTH_CHECK_ENDED = struct.Struct("<dBI")  # duration in ms, result, server
 _FRONT_MESSAGE = struct.Struct("<HH")  # sender, bytes of content
 _SERVER_NOTICE = struct.Struct("<IIBBf")  # session, server, kind, attempt, level
-_REPORT_COUNT = struct.Struct("<B")  # count of the values that follow
+_REPORT_COUNT = struct.Struct("<B")  # number of values that follow
 
-# Layouts of the records in a reply, their code included.
+# Record layouts in a reply, including the code.
 _CODE_AND_ID = struct.Struct("<HI")  # code, session or server or front
 _CODE_ID_AND_DELAY = struct.Struct("<HId")  # code, session or timer, delay in ms
 _CODE_AND_FLAG = struct.Struct("<HB")
@@ -145,7 +145,7 @@
 _SET_RUNG = struct.Struct("<HIB")  # code, session, rung
 _TEXT = struct.Struct("<HH")  # code, bytes of text
 
-# Flags of a viewer.
+# Bits of the viewer flags.
 _HAS_LENGTH_FLAG = 1
 _WAS_MOVED_FLAG = 8
 _IS_RETURNING_FLAG = 16
@@ -154,7 +154,7 @@
 
 
 class _ArrivalRecord(NamedTuple):
-    """The layout `_ARRIVAL`; whole numbers that are sent as floats are floats here."""
+    """The fields of `_ARRIVAL`; integers that are encoded as floats are floats here."""
 
     session: int
     flags: int
@@ -170,7 +170,7 @@
 
 
 class _RecoveredRecord(NamedTuple):
-    """The layout `_SESSION_RECOVERED`; whole numbers that are sent as floats are floats here."""
+    """The fields of `_SESSION_RECOVERED`; integers that are encoded as floats are floats here."""
 
     session: int
     class_index: int
@@ -192,7 +192,7 @@
 
 
 class _RecordReader:
-    """A cursor over the records of one frame's body."""
+    """Reads the records of a frame's body in sequence."""
 
     def __init__(self, data: bytes, batch: int) -> None:
         self.data = data
@@ -201,17 +201,17 @@
         self.context = f"batch {batch}"
 
     def read_code(self) -> int:
-        """Starts the next record and returns its code.
+        """Begins the next record and returns its code.
 
         Raises:
-            WireError: The body ends before it, as for all reads.
+            WireError: The body ends too early. This applies to all read methods.
         """
         self.record_start = self.position
         code: int = self.read(_CODE)[0]
         return code
 
     def read(self, layout: struct.Struct) -> tuple[Any, ...]:
-        """Returns the values of a layout and moves behind them."""
+        """Reads and returns the values of a layout."""
         end = self.position + layout.size
         if end > len(self.data):
             raise WireError(f"{self.context}: record at byte {self.position} runs past the end of the frame")
@@ -220,33 +220,33 @@
         return values
 
     def read_bytes(self, count: int) -> bytes:
-        """Returns so many bytes and moves behind them."""
+        """Reads and returns a number of bytes."""
         start, end = self.position, self.position + count
         if end > len(self.data):
-            raise WireError(f"{self.context}: content of {count} bytes at byte {start} runs past the frame")
+            raise WireError(f"{self.context}: {count} bytes at byte {start} run past the end of the frame")
         self.position = end
         return self.data[start:end]
 
     def read_report(self) -> tuple[float, ...]:
-        """Returns the values of a load report."""
+        """Reads and returns the values of a load report."""
         (count,) = self.read(_REPORT_COUNT)
         return self.read(_report_layout(count))
 
-    def member(self, kind: type[_AnyEnum], value: int) -> _AnyEnum:
-        """Returns the member of an enum that a value just read stands for.
+    def parse_enum(self, kind: type[_AnyEnum], value: int) -> _AnyEnum:
+        """Returns the enum member for a value that has just been read.
 
         Raises:
-            WireError: There is no such member.
+            WireError: The enum has no such member.
         """
         try:
             return kind(value)
         except ValueError:
-            message = f"{self.context}: {value} is no {kind.__name__} (byte {self.position})"
+            message = f"{self.context}: {value} is not a valid {kind.__name__} (before byte {self.position})"
             raise WireError(message) from None
 
 
 class Decoder:
-    """Turns the bodies of frames into batches; keeps the numbered lists, which outlive a frame."""
+    """Decodes the bodies of frames into batches; stores the numbered lists, which later frames refer to."""
 
     def __init__(self) -> None:
         self._lists: dict[int, tuple[Endpoint, ...]] = {}
@@ -269,17 +269,17 @@
         """Decodes the body of one frame.
 
         Args:
-            record_count: How many records the body has, by the frame's header.
+            record_count: The number of records in the body, from the frame's header.
             now_ms: The clock of the frame in milliseconds.
             number: The number of the frame.
-            body: What follows the header.
+            body: The bytes after the header.
 
         Raises:
-            WireError: A record is unknown, cut off, out of place or has an invalid value.
+            WireError: A record is unknown, truncated, in an invalid position or has an invalid value.
         """
         reader = _RecordReader(body, number)
         if not math.isfinite(now_ms):
-            raise WireError(f"batch {number}: the clock is not a number")
+            raise WireError(f"batch {number}: the clock is not a finite number")
         items: list[tuple[int, WireEvent]] = []
         front: int | None = None
         for _ in range(record_count):
@@ -290,12 +290,12 @@
                 self._decode_list(reader)
             elif front is None:
                 start = reader.record_start
-                raise WireError(f"batch {number}: record {code} at byte {start} comes before any instance")
+                raise WireError(f"batch {number}: record {code} at byte {start} has no selected front")
             else:
                 items.append((front, self._decode_event(code, reader)))
         if reader.position != len(body):
-            left = len(body) - reader.position
-            raise WireError(f"batch {number}: {left} bytes left over after {record_count} records")
+            extra = len(body) - reader.position
+            raise WireError(f"batch {number}: {extra} unexpected bytes after {record_count} records")
         return Batch(number, now_ms, tuple(items))
 
     def _decode_event(self, code: int, reader: _RecordReader) -> WireEvent:
@@ -306,23 +306,23 @@
         return decode_event(reader)
 
     def _decode_list(self, reader: _RecordReader) -> None:
-        """Stores a numbered list; list updates refer to it."""
+        """Stores a numbered list, which list updates refer to."""
         number, count = reader.read(_LIST)
         endpoints = []
         for _ in range(count):
             state, started_at, _, zone, server_type, weight, server = reader.read(_ENDPOINT)
-            server_state = reader.member(ServerState, state)
+            server_state = reader.parse_enum(ServerState, state)
             endpoints.append(Endpoint(server, server_state, started_at, zone, server_type, weight))
         self._lists[number] = tuple(endpoints)
 
     def _decode_list_update(self, reader: _RecordReader) -> EndpointListUpdate:
         kind_value, version, number = reader.read(_LIST_UPDATE)
-        kind = reader.member(EndpointListKind, kind_value)
+        kind = reader.parse_enum(EndpointListKind, kind_value)
         if kind is EndpointListKind.FAILED:
             return EndpointListUpdate(kind, version, ())
         if number not in self._lists:
             start = reader.record_start
-            raise WireError(f"{reader.context}: list {number} at byte {start} was never sent")
+            raise WireError(f"{reader.context}: list {number} at byte {start} is not defined")
         return EndpointListUpdate(kind, version, self._lists[number])
 
 
@@ -332,18 +332,18 @@
 
 
 def _decode_arrival(reader: _RecordReader) -> Arrival:
-    return Arrival(_viewer(_ArrivalRecord(*reader.read(_ARRIVAL))))
+    return Arrival(_build_viewer(_ArrivalRecord(*reader.read(_ARRIVAL))))
 
 
 def _decode_session_recovered(reader: _RecordReader) -> SessionRecovered:
     record = _RecoveredRecord(*reader.read(_SESSION_RECOVERED))
-    return SessionRecovered(_viewer(record), record.server)
+    return SessionRecovered(_build_viewer(record), record.server)
 
 
-def _viewer(record: _ArrivalRecord | _RecoveredRecord) -> Viewer:
-    needed = (record.top_rung, record.remaining_ms, record.first_zone, record.replicas)
-    if not all(map(math.isfinite, needed)):
-        raise WireError(f"session {record.session}: a needed value is not a number")
+def _build_viewer(record: _ArrivalRecord | _RecoveredRecord) -> Viewer:
+    required = (record.top_rung, record.remaining_ms, record.first_zone, record.replicas)
+    if not all(map(math.isfinite, required)):
+        raise WireError(f"session {record.session}: a required field is not a finite number")
     flags, length_ms = record.flags, record.length_ms
     has_length = flags & _HAS_LENGTH_FLAG and math.isfinite(length_ms) and length_ms >= 0
     return Viewer(
@@ -368,7 +368,7 @@
 
 def _decode_attempt_ended(reader: _RecordReader) -> AttemptEnded:
     session, server, result_value, is_final, attempt, duration_ms = reader.read(_ATTEMPT_ENDED)
-    result = reader.member(Result, result_value)
+    result = reader.parse_enum(Result, result_value)
     report = reader.read_report()
     return AttemptEnded(session, server, attempt, result, bool(is_final), duration_ms, report)
 
@@ -383,7 +383,7 @@
 
 def _decode_health_check_ended(reader: _RecordReader) -> HealthCheckEnded:
     duration_ms, result_value, server = reader.read(_HEALTH_CHECK_ENDED)
-    result = reader.member(Result, result_value)
+    result = reader.parse_enum(Result, result_value)
     return HealthCheckEnded(server, result, duration_ms, reader.read_report())
 
 
@@ -398,7 +398,7 @@
 
 def _decode_server_notice(reader: _RecordReader) -> ServerNotice:
     session, server, kind_value, attempt, level = reader.read(_SERVER_NOTICE)
-    return ServerNotice(session, server, attempt, reader.member(NoticeKind, kind_value), level)
+    return ServerNotice(session, server, attempt, reader.parse_enum(NoticeKind, kind_value), level)
 
 
 def _encode_place(action: Place) -> bytes:
@@ -451,7 +451,7 @@
 
 
 def encode_action(action: Action) -> bytes:
-    """Returns the record of an action.
+    """Returns the encoded record of an action.
 
     Raises:
         struct.error: A number does not fit its field.
@@ -460,7 +460,7 @@
 
 
 def encode_text(code: int, text: str) -> bytes:
-    """Returns a record of text in UTF-8, cut after 65,535 bytes."""
+    """Returns a record of UTF-8 text, truncated to 65,535 bytes."""
     encoded = text.encode()[:_MAX_TEXT_BYTES]
     return _TEXT.pack(code, len(encoded)) + encoded
 
@@ -474,8 +474,8 @@
     """Returns one reply frame.
 
     Args:
-        number: The number of the frame that it replies to.
-        parts: Pairs of a front and its encoded actions; a front without actions is left out.
+        number: The number of the request frame.
+        parts: Pairs of a front and its encoded actions; fronts without actions are omitted.
     """
     encoded = (_CODE_AND_ID.pack(_FRONT_ACTIONS_CODE, front) + actions for front, actions in parts if actions)
     body = b"".join(encoded)
@@ -483,26 +483,26 @@
 
 
 class SettingsTable:
-    """The settings as a table of paths and texts."""
+    """Settings as a mapping of dotted keys to texts."""
 
     def __init__(self, table: dict[str, str]) -> None:
         self.table = table
 
     def text(self, key: str) -> str:
-        """Returns the text of a key.
+        """Returns the text of a required key.
 
         Raises:
             WireError: The key is missing.
         """
         if key not in self.table:
-            raise WireError(f"settings: needed key {key} is missing")
+            raise WireError(f"settings: required key {key} is missing")
         return self.table[key]
 
     def number(self, key: str, default: float | None = None) -> float:
-        """Returns the number of a key, or the default if there is one and the key is missing.
+        """Returns the number of a key, or the default if one is given and the key is missing.
 
         Raises:
-            WireError: The key is missing, or its text is no finite number; so for all numbers.
+            WireError: The key is missing, or its text is not a finite number.
         """
         if default is not None and key not in self.table:
             return default
@@ -513,13 +513,13 @@
         return self.number(key) if key in self.table else None
 
     def numbers(self, key: str, default: tuple[float, ...] | None = None) -> tuple[float, ...]:
-        """Returns the comma-separated numbers of a key, or the default as `number` does."""
+        """Returns the comma-separated numbers of a key; the default and errors are as in `number`."""
         if default is not None and key not in self.table:
             return default
         return tuple(self._parse_number(key, part) for part in self.text(key).split(",") if part)
 
     def flag(self, key: str) -> bool:
-        """Whether a key has the text `true`."""
+        """Whether the text of a key is `true`; a missing key is false."""
         return self.table.get(key, "false") == "true"
 
     @staticmethod
@@ -529,20 +529,20 @@
         except ValueError:
             value = math.nan
         if not math.isfinite(value):
-            raise WireError(f"settings: {key} has an unreadable value {text!r}")
+            raise WireError(f"settings: {key} has an invalid value {text!r}")
         return value
 
 
 def parse_settings(raw: bytes) -> Settings:
-    """Reads settings from lines of `key=value`.
+    """Parses settings from lines of `key=value`.
 
     Raises:
-        WireError: The text is not UTF-8, or a key is missing or unreadable.
+        WireError: The text is not UTF-8, a key is missing, or a value is invalid.
     """
     try:
         text = raw.decode()
     except UnicodeDecodeError:
-        raise WireError("settings: not UTF-8 text") from None
+        raise WireError("settings: the text is not valid UTF-8") from None
     pairs = (line.partition("=") for line in text.splitlines() if line)
     return read_settings(SettingsTable({key: value for key, _, value in pairs}))
 
@@ -551,18 +551,18 @@
     """Reads settings from a table; unknown keys are ignored.
 
     Raises:
-        WireError: A key is missing or unreadable.
+        WireError: A key is missing or a value is invalid.
     """
     rung_rates = fields.numbers("Extra.RatesKb")
     class_count = int(fields.number("Categories.count"))
     report_fields = tuple(name for name in fields.table.get("Feedback.Names", "").split(",") if name)
     has_reports = fields.table.get("Feedback.Via", "off") != "off"
-    slow_start, retry_budget = _slow_start(fields), _retry_budget(fields)
+    slow_start, retry_budget = _read_slow_start(fields), _read_retry_budget(fields)
     max_attempts = fields.optional_number("Limits.AttemptsCap")
     sends_retry_after = fields.flag("Limits.RetryAfter")
     return Settings(
         classes=tuple(
-            _session_class(fields, index, class_count, len(rung_rates)) for index in range(class_count)
+            _read_session_class(fields, index, class_count, len(rung_rates)) for index in range(class_count)
         ),
         front_count=max(1, int(fields.number("Instances"))),
         front_index=int(fields.number("Ordinal")),
@@ -589,7 +589,7 @@
     )
 
 
-def _slow_start(fields: SettingsTable) -> SlowStart | None:
+def _read_slow_start(fields: SettingsTable) -> SlowStart | None:
     if "Obligations.WarmUp" not in fields.table or "Obligations.FallMultiple" not in fields.table:
         return None
     return SlowStart(
@@ -600,7 +600,7 @@
     )
 
 
-def _retry_budget(fields: SettingsTable) -> RetryBudget | None:
+def _read_retry_budget(fields: SettingsTable) -> RetryBudget | None:
     if "Obligations.BudgetSpan" not in fields.table:
         return None
     min_retries = fields.number("Obligations.FreeResends", 0.0)
@@ -608,12 +608,12 @@
     return RetryBudget(fields.number("Obligations.BudgetSpan"), min_retries, retry_ratio)
 
 
-def _session_class(fields: SettingsTable, index: int, class_count: int, rung_count: int) -> SessionClass:
+def _read_session_class(fields: SettingsTable, index: int, class_count: int, rung_count: int) -> SessionClass:
     path = f"Categories.{index}"
     try:
         idempotency = Idempotency(fields.text(f"{path}.Idempotency"))
     except ValueError:
-        raise WireError(f"settings: {path}.Idempotency has an unreadable value") from None
+        raise WireError(f"settings: {path}.Idempotency has an invalid value") from None
 
     def class_number(key: str, default: float) -> float:
         values = fields.numbers(f"Extra.{key}", (default,) * class_count)
