--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -66,7 +66,9 @@
     slow_start=None,
     retry_budget=None,
 )
-COLD = SlowStart(window_ms=10_000.0, initial_factor=0.5, overload_multiple=2.5, overload_window_ms=3000.0)
+SLOW_START = SlowStart(
+    window_ms=10_000.0, initial_factor=0.5, overload_multiple=2.5, overload_window_ms=3000.0
+)
 BUDGET = RetryBudget(window_ms=10_000.0, min_retries=1.0, retry_ratio=0.0)
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,7 +22,7 @@
     ServerState,
     TimerFired,
 )
-from tests.helpers import COLD, SETTINGS, Front, entry, viewer
+from tests.helpers import SETTINGS, SLOW_START, Front, entry, viewer
 
 STEP = st.tuples(
     st.integers(0, 9), st.integers(0, 11), st.sampled_from([0, 2, 3, 4, 5]), st.floats(0.0, 900.0)
@@ -33,7 +33,7 @@
     """What is true of the servers, and the rules checked on what both fronts do together."""
 
     def __init__(self) -> None:
-        told = replace(SETTINGS, slow_start=COLD, front_count=2)
+        told = replace(SETTINGS, slow_start=SLOW_START, front_count=2)
         servers = [entry(1), entry(2, cell=1), entry(3, cell=2)]
         self.fronts = [Front(*servers, settings=told, seed=number) for number in range(2)]
         self.now, self.sessions = 0.0, 0
@@ -68,16 +68,18 @@
 
     def keep_to_the_pace(self, server: int) -> None:
         age = self.now - self.started[server]
-        if self.started[server] and age < COLD.window_ms:
-            warmth = COLD.initial_factor + (1.0 - COLD.initial_factor) * age / COLD.window_ms
+        if self.started[server] and age < SLOW_START.window_ms:
+            warmth = (
+                SLOW_START.initial_factor + (1.0 - SLOW_START.initial_factor) * age / SLOW_START.window_ms
+            )
             bears = (
                 SETTINGS.streams_by_server_type[0]
                 * warmth
-                / COLD.window_ms
-                * COLD.overload_window_ms
-                * COLD.overload_multiple
+                / SLOW_START.window_ms
+                * SLOW_START.overload_window_ms
+                * SLOW_START.overload_multiple
             )
-            window = max(self.started[server], self.now - COLD.overload_window_ms)
+            window = max(self.started[server], self.now - SLOW_START.overload_window_ms)
             assert sum(at >= window for at in self.sent[server]) <= bears + 1.0
 
     def end(self, front: int, session: int, result: Result) -> None:
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -19,7 +19,7 @@
     SetRung,
     TimerFired,
 )
-from tests.helpers import COLD, SETTINGS, Front, entry, placed
+from tests.helpers import SETTINGS, SLOW_START, Front, entry, placed
 
 
 def first_for(title: int, seed: int = 7, weight: float = 1.0) -> int:
@@ -228,7 +228,7 @@
 
 
 def test_a_cold_server_without_room_does_not_refuse_for_the_others() -> None:
-    settings = replace(SETTINGS, slow_start=COLD, may_check_health=False)
+    settings = replace(SETTINGS, slow_start=SLOW_START, may_check_health=False)
     front = Front(entry(1, weight=9.0), entry(2, cell=1), settings=settings)
     front.take_over(9, 1, 0)
     front.take_over(8, 2, 0)
@@ -239,7 +239,7 @@
 
 
 def test_a_server_that_has_just_started_is_taken_for_empty_not_for_usual() -> None:
-    settings = replace(SETTINGS, slow_start=COLD, may_check_health=False, front_count=2)
+    settings = replace(SETTINGS, slow_start=SLOW_START, may_check_health=False, front_count=2)
     front = Front(entry(1), settings=settings)
     front.take_over(9, 1, 0)
     front.note(9, 1, NoticeKind.LINK, 0.9)
@@ -249,11 +249,11 @@
     assert link.load(front.now) == 0.0 < front.brain.typical_link_load.mean
     front.take_over(7, 2, 1)
     assert link.load(front.now) == pytest.approx(2 * 200.0 / 2000.0)
-    assert link.load(front.now + COLD.window_ms) == front.brain.typical_link_load.mean
+    assert link.load(front.now + SLOW_START.window_ms) == front.brain.typical_link_load.mean
 
 
 def test_news_of_a_session_from_before_ends_the_doubt_whether_its_server_restarted() -> None:
-    front = Front(settings=replace(SETTINGS, slow_start=COLD))
+    front = Front(settings=replace(SETTINGS, slow_start=SLOW_START))
     place = front.start(1)
     front.send(AttemptEnded(99, place.server, 0, Result.CONNECT_FAILED, True, 10.0, ()))
     server = front.brain.servers[place.server]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -31,7 +31,7 @@
     Subscribe,
     TimerFired,
 )
-from tests.helpers import BUDGET, CLASS, COLD, SETTINGS, Front, entry, placed, viewer
+from tests.helpers import BUDGET, CLASS, SETTINGS, SLOW_START, Front, entry, placed, viewer
 
 
 def answers(actions: list[Action]) -> list[Action]:
@@ -84,15 +84,15 @@
 
 @pytest.mark.parametrize("fronts", [2, 50])
 def test_all_fronts_together_keep_to_a_cold_servers_pace_and_use_it(fronts: int) -> None:
-    settings = replace(SETTINGS, slow_start=COLD, front_count=fronts, may_check_health=False)
+    settings = replace(SETTINGS, slow_start=SLOW_START, front_count=fronts, may_check_health=False)
     cold, sent = entry(1, started_at=1.0), 0
     several = [Front(cold, settings=settings, seed=number << 40) for number in range(fronts)]
     for session in range(40):
         now = 400.0 + 75.0 * session
         actions = several[session % fronts].brain.handle(now, [Arrival(viewer(session, top_rung=0))])
         sent += len(placed(actions))
-    pace = SETTINGS.streams_by_server_type[0] * COLD.initial_factor / COLD.window_ms
-    assert 0 < sent <= COLD.overload_multiple * pace * COLD.overload_window_ms
+    pace = SETTINGS.streams_by_server_type[0] * SLOW_START.initial_factor / SLOW_START.window_ms
+    assert 0 < sent <= SLOW_START.overload_multiple * pace * SLOW_START.overload_window_ms
 
 
 def test_a_time_out_is_probed_at_once_and_an_answer_ends_the_first_suspicion() -> None:
@@ -144,7 +144,7 @@
 @given(STEPS)
 def test_the_rules_hold_on_any_history(steps: list[tuple[int, int, int, float, int]]) -> None:
     classes = (replace(CLASS, seats=4), replace(CLASS, name="course", lowest_rung=1))
-    told = replace(SETTINGS, classes=classes, retry_budget=BUDGET, slow_start=COLD, front_count=2)
+    told = replace(SETTINGS, classes=classes, retry_budget=BUDGET, slow_start=SLOW_START, front_count=2)
     front = Front(entry(1), entry(2, cell=1), entry(3, cell=2), settings=told)
     out: dict[int, Place] = {}
     shots: dict[int, int] = {}
