--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -61,7 +61,7 @@
 from fernweir.peers.wire.frames import Frames, frame
 from fernweir.peers.wire.seal import Opened, Seal, SealRules
 from tests.golden_peers import plain
-from tests.helpers import BUDGET, CLASS, SETTINGS, SLOW_START
+from tests.helpers import CLASS, RETRY_BUDGET, SETTINGS, SLOW_START
 
 KEYS = (bytes(range(32)), bytes(range(64, 128)))
 LIFE = 1_700_000_000_123
@@ -395,7 +395,7 @@
 def _all_settings() -> Settings:
     classes = [replace(CLASS, name=str(effect.value), idempotency=effect) for effect in Idempotency]
     return replace(
-        SETTINGS, classes=tuple(classes), slow_start=SLOW_START, retry_budget=BUDGET, front_index=3
+        SETTINGS, classes=tuple(classes), slow_start=SLOW_START, retry_budget=RETRY_BUDGET, front_index=3
     )
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -69,7 +69,7 @@
 SLOW_START = SlowStart(
     window_ms=10_000.0, initial_factor=0.5, overload_multiple=2.5, overload_window_ms=3000.0
 )
-BUDGET = RetryBudget(window_ms=10_000.0, min_retries=1.0, retry_ratio=0.0)
+RETRY_BUDGET = RetryBudget(window_ms=10_000.0, min_retries=1.0, retry_ratio=0.0)
 
 
 def entry(server: int, cell: int = 0, weight: float = 1.0, **more: object) -> Endpoint:
--- a/tests/test_golden_peers.py
+++ b/tests/test_golden_peers.py
@@ -24,7 +24,7 @@
 from fernweir.peers.wire.codec import Codec
 from tests import golden_peers as golden
 from tests.golden_peers_formats import FORMATS, node_settings, unpacked
-from tests.helpers import BUDGET, CLASS, SETTINGS, SLOW_START
+from tests.helpers import CLASS, RETRY_BUDGET, SETTINGS, SLOW_START
 
 PARTS = sorted({name.partition(".")[0] for name in golden.TYPES})
 SAMPLES = {sample["name"]: sample for part in PARTS for sample in golden.load(part)}
@@ -73,7 +73,9 @@
 
 def _settings_with(name: str, value: object) -> Settings:
     """Settings that are alike but for one value; `name` may be that of a part and of its field."""
-    settings = dataclasses.replace(SETTINGS, classes=(CLASS,), slow_start=SLOW_START, retry_budget=BUDGET)
+    settings = dataclasses.replace(
+        SETTINGS, classes=(CLASS,), slow_start=SLOW_START, retry_budget=RETRY_BUDGET
+    )
     part, _, field = name.partition(".")
     if not field:
         return dataclasses.replace(settings, **{part: value})
@@ -85,7 +87,7 @@
 
 def test_each_setting_that_nodes_share_counts_in_their_digest() -> None:
     """`front_index` alone differs from node to node; one that is added has to be written out as well."""
-    parts = {"classes": CLASS, "slow_start": SLOW_START, "retry_budget": BUDGET}
+    parts = {"classes": CLASS, "slow_start": SLOW_START, "retry_budget": RETRY_BUDGET}
     names = [field.name for field in dataclasses.fields(SETTINGS) if field.name not in parts]
     names += [f"{part}.{field.name}" for part, whole in parts.items() for field in dataclasses.fields(whole)]
     plain = node_settings(_settings_with("front_index", 0))
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -44,7 +44,7 @@
 from fernweir.journal.events import EventKind
 from fernweir.journal.state_projection import StateProjection
 from fernweir.journal.store import Journal, JournalConfig
-from tests.helpers import BUDGET, SETTINGS, SLOW_START, entry
+from tests.helpers import RETRY_BUDGET, SETTINGS, SLOW_START, entry
 from tests.sockets import until
 
 ALONE = replace(SETTINGS, may_check_health=False)
@@ -340,7 +340,7 @@
         self.journal.watchers.append(self.picture.apply)
         kinds = tuple(replace(kind, seats=seats) for kind in SETTINGS.classes)
         base = replace(SETTINGS, classes=kinds, may_check_health=probes, front_count=2, drain_grace_ms=0.0)
-        settings = replace(base, retry_budget=BUDGET, slow_start=SLOW_START) if strict else base
+        settings = replace(base, retry_budget=RETRY_BUDGET, slow_start=SLOW_START) if strict else base
         # The module decides the same whether or not it is asked for its reasons.
         self.silent = Controller(settings, 7)
         self.desk = Desk(settings, boxes=4, journal=self.journal, batch_observer=self.decides_alike)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -31,7 +31,7 @@
     Subscribe,
     TimerFired,
 )
-from tests.helpers import BUDGET, CLASS, SETTINGS, SLOW_START, Front, entry, placed, viewer
+from tests.helpers import CLASS, RETRY_BUDGET, SETTINGS, SLOW_START, Front, entry, placed, viewer
 
 
 def answers(actions: list[Action]) -> list[Action]:
@@ -114,7 +114,7 @@
 
 
 def test_further_attempts_stay_within_the_budget() -> None:
-    front = Front(settings=replace(SETTINGS, retry_budget=BUDGET))
+    front = Front(settings=replace(SETTINGS, retry_budget=RETRY_BUDGET))
     front.ask(1)
     assert len(placed(front.end(1, 1, Result.ERROR))) == 1
     front.ask(2)
@@ -144,7 +144,7 @@
 @given(STEPS)
 def test_the_rules_hold_on_any_history(steps: list[tuple[int, int, int, float, int]]) -> None:
     classes = (replace(CLASS, seats=4), replace(CLASS, name="course", lowest_rung=1))
-    told = replace(SETTINGS, classes=classes, retry_budget=BUDGET, slow_start=SLOW_START, front_count=2)
+    told = replace(SETTINGS, classes=classes, retry_budget=RETRY_BUDGET, slow_start=SLOW_START, front_count=2)
     front = Front(entry(1), entry(2, cell=1), entry(3, cell=2), settings=told)
     out: dict[int, Place] = {}
     shots: dict[int, int] = {}
@@ -165,7 +165,10 @@
                 out[rid] = action
                 if shots[rid] > 0:
                     extra.append(front.now)
-                    assert sum(at > front.now - BUDGET.window_ms for at in extra) <= BUDGET.min_retries
+                    assert (
+                        sum(at > front.now - RETRY_BUDGET.window_ms for at in extra)
+                        <= RETRY_BUDGET.min_retries
+                    )
                 held[rid] = (owed[rid], 5)
                 if owed[rid] == 0:
                     assert sum(seat == held[rid] for seat in held.values()) <= 4
