--- a/tests/fuzzing/host.py
+++ b/tests/fuzzing/host.py
@@ -103,7 +103,7 @@
         self.step()
 
     def tell(self, boxes: tuple[int, ...]) -> None:
-        entries = tuple(entry(box, cell=box, state=self.states[box]) for box in boxes)
+        entries = tuple(entry(box, zone=box, state=self.states[box]) for box in boxes)
         self.host.on_endpoint_list(self.now, EndpointListUpdate(EndpointListKind.DELTA, 2, entries))
 
     # --- commands ---
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -72,8 +72,8 @@
 RETRY_BUDGET = RetryBudget(window_ms=10_000.0, min_retries=1.0, retry_ratio=0.0)
 
 
-def entry(server: int, cell: int = 0, weight: float = 1.0, **more: object) -> Endpoint:
-    base = Endpoint(server, ServerState.READY, 0.0, cell, 0, weight)
+def entry(server: int, zone: int = 0, weight: float = 1.0, **more: object) -> Endpoint:
+    base = Endpoint(server, ServerState.READY, 0.0, zone, 0, weight)
     return replace(base, **more)  # type: ignore[arg-type]
 
 
@@ -83,7 +83,7 @@
     def __init__(self, *entries: Endpoint, settings: Settings = SETTINGS, seed: int = 7) -> None:
         self.brain = Controller(settings, seed)
         self.now = 0.0
-        self.send(EndpointListUpdate(EndpointListKind.FULL, 1, entries or (entry(1), entry(2, cell=1))))
+        self.send(EndpointListUpdate(EndpointListKind.FULL, 1, entries or (entry(1), entry(2, zone=1))))
 
     def send(self, *events: Event, after: float = 10.0) -> list[Action]:
         self.now += after
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -34,7 +34,7 @@
 
     def __init__(self) -> None:
         told = replace(SETTINGS, slow_start=SLOW_START, front_count=2)
-        servers = [entry(1), entry(2, cell=1), entry(3, cell=2)]
+        servers = [entry(1), entry(2, zone=1), entry(3, zone=2)]
         self.fronts = [Front(*servers, settings=told, seed=number) for number in range(2)]
         self.now, self.sessions = 0.0, 0
         self.state = dict.fromkeys((1, 2, 3), ServerState.READY)
@@ -134,7 +134,7 @@
 
     def tell(self, server: int) -> None:
         state, started = self.state[server], self.started[server]
-        news = entry(server, cell=server - 1, state=state, started_at=started)
+        news = entry(server, zone=server - 1, state=state, started_at=started)
         for front in range(2):
             self.play(front, EndpointListUpdate(EndpointListKind.DELTA, 2, (news,)))
 
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -61,7 +61,7 @@
         limits = SessionLimits(reply_margin_ms=40.0, unclaimed_session_ttl_ms=500.0)
         self.host = SessionManager(settings, 7, limits, **more)  # type: ignore[arg-type]
         self.now, self.tickets, self.said = 1000.0, 0, []  # type: ignore[var-annotated]
-        entries = tuple(entry(number, cell=number % 4) for number in range(1, boxes + 1))
+        entries = tuple(entry(number, zone=number % 4) for number in range(1, boxes + 1))
         self.host.on_endpoint_list(self.now, EndpointListUpdate(EndpointListKind.FULL, 1, entries))
         self.step(0)
 
@@ -214,7 +214,7 @@
     desk.step()
     (setup,) = desk.of(SetUp)
     assert desk.host.is_attempt_wanted("a", 0)
-    drained = entry(setup.server, cell=1, state=ServerState.DRAINING)
+    drained = entry(setup.server, zone=1, state=ServerState.DRAINING)
     desk.host.on_endpoint_list(desk.now, EndpointListUpdate(EndpointListKind.DELTA, 2, (drained,)))
     assert not desk.host.is_attempt_wanted("a", 0)
     desk.done(setup, Result.NOT_SENT)
@@ -433,7 +433,7 @@
     @rule(server=st.integers(1, 4), state=st.sampled_from([ServerState.READY, ServerState.DRAINING]))
     def told(self, server: int, state: ServerState) -> None:
         (self.draining.add if state is ServerState.DRAINING else self.draining.discard)(server)
-        update = EndpointListUpdate(EndpointListKind.DELTA, 2, (entry(server, cell=server % 4, state=state),))
+        update = EndpointListUpdate(EndpointListKind.DELTA, 2, (entry(server, zone=server % 4, state=state),))
         self.desk.host.on_endpoint_list(self.desk.now, update)
 
     @rule(server=st.integers(1, 4))
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -313,7 +313,7 @@
         SETTINGS, 11, limits, lambda now, events, actions: seen.append((now, events, list(actions)))
     )
     host.on_endpoint_list(
-        0.0, EndpointListUpdate(EndpointListKind.CACHED, 1, tuple(entry(n, cell=n % 4) for n in range(1, 6)))
+        0.0, EndpointListUpdate(EndpointListKind.CACHED, 1, tuple(entry(n, zone=n % 4) for n in range(1, 6)))
     )
     out, now = host.step(0.0), 0.0
     for number in range(200):
--- a/tests/test_node_settings.py
+++ b/tests/test_node_settings.py
@@ -126,7 +126,7 @@
     """Plays to the module what makes it use all of its settings; a fault in one comes out here."""
     settings, dice = config.settings, Random(3)
     brain, now, rid = Controller(settings, config.seed), 1000.0, 0
-    entries = tuple(entry(n, cell=n, server_type=n % 2, started_at=900.0 * (n % 2)) for n in range(1, 5))
+    entries = tuple(entry(n, zone=n, server_type=n % 2, started_at=900.0 * (n % 2)) for n in range(1, 5))
     report = (0.4,) * len(settings.report_fields)
     events: list[Event] = [EndpointListUpdate(EndpointListKind.CACHED, 1, entries)]
     results = (Result.RESET, Result.TIMEOUT, Result.FULL, Result.ERROR, Result.CONNECT_FAILED)
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -23,7 +23,7 @@
 
 
 def first_for(title: int, seed: int = 7, weight: float = 1.0) -> int:
-    front = Front(entry(1, weight=weight), entry(2, cell=1), seed=seed)
+    front = Front(entry(1, weight=weight), entry(2, zone=1), seed=seed)
     return placed(front.ask(1, title=title))[0].server
 
 
@@ -45,7 +45,7 @@
 
 def test_only_holders_of_the_title_are_asked() -> None:
     for title in range(10):
-        front = Front(entry(1), entry(2, cell=1), entry(3, cell=2))
+        front = Front(entry(1), entry(2, zone=1), entry(3, zone=2))
         assert placed(front.ask(1, title=title, first_zone=1, replicas=1))[0].server == 2
         assert placed(front.ask(2, title=title, first_zone=3, replicas=2))[0].server == 1
 
@@ -58,7 +58,7 @@
 
 
 def test_a_full_uplink_keeps_new_sessions_off_its_whole_rack() -> None:
-    front = Front(entry(1), entry(2, cell=2), entry(3, cell=1))
+    front = Front(entry(1), entry(2, zone=2), entry(3, zone=1))
     front.start(1)
     front.take_over(9, 3, 0)
     front.note(1, 1, NoticeKind.UPLINK, 0.79)
@@ -82,7 +82,7 @@
     settings = replace(SETTINGS, zone_count=6)
     counts = {1: 0, 2: 0, 3: 0, 4: 0}
     for title in range(100):
-        front = Front(entry(1), entry(2, cell=1), entry(3, cell=3), entry(4, cell=5), settings=settings)
+        front = Front(entry(1), entry(2, zone=1), entry(3, zone=3), entry(4, zone=5), settings=settings)
         front.take_over(1, 1, 0)
         front.take_over(2, 2, 0)
         front.note(1, 1, NoticeKind.UPLINK, 0.9)
@@ -129,7 +129,7 @@
 
 
 def test_a_late_report_fades_into_what_was_learnt_beside_own_sessions() -> None:
-    front = Front(entry(1), entry(2, cell=1))
+    front = Front(entry(1), entry(2, zone=1))
     front.take_over(1, 1, 2)
     front.take_over(2, 2, 2)
     for _ in range(20):
@@ -141,7 +141,7 @@
 
 
 def test_a_server_nothing_is_known_of_is_taken_to_carry_what_others_carry() -> None:
-    front = Front(entry(1), entry(2, cell=1))
+    front = Front(entry(1), entry(2, zone=1))
     front.take_over(1, 1, 2)
     for level in 20 * [0.75]:
         front.note(1, 1, NoticeKind.LINK, level)
@@ -152,7 +152,7 @@
 
 def test_the_first_report_of_an_uplink_tells_what_uplinks_carry() -> None:
     """i33c865: the usual grew from 0, so a crowd at the start met racks that all looked empty."""
-    front = Front(entry(1), entry(2, cell=1))
+    front = Front(entry(1), entry(2, zone=1))
     front.take_over(1, 1, 0)
     front.note(1, 1, NoticeKind.UPLINK, 0.9)
     assert front.brain.servers[2].uplink.load(front.now) > 0.8
@@ -197,9 +197,9 @@
 
 def test_a_server_that_is_gone_is_no_holder_whose_silence_asks_for_a_probe() -> None:
     settings = replace(SETTINGS, front_count=50)
-    front = Front(*(entry(server, cell=server - 1) for server in (1, 2, 3)), settings=settings)
+    front = Front(*(entry(server, zone=server - 1) for server in (1, 2, 3)), settings=settings)
     front.take_over(9, 2, 0)
-    front.send(EndpointListUpdate(EndpointListKind.DELTA, 2, (entry(3, cell=2, state=ServerState.REMOVED),)))
+    front.send(EndpointListUpdate(EndpointListKind.DELTA, 2, (entry(3, zone=2, state=ServerState.REMOVED),)))
     actions = front.ask(1)
     assert placed(actions)[0].server == 1 and CheckHealth(1) not in actions
 
@@ -221,7 +221,7 @@
 
 
 def test_newcomers_start_at_what_own_sessions_elsewhere_are_held_to() -> None:
-    front = Front(entry(1), entry(2, cell=1))
+    front = Front(entry(1), entry(2, zone=1))
     for session in range(1, 4):
         front.take_over(session, 2, 0)
     assert SetRung(9, 3) not in front.ask(9, first_zone=0, replicas=1)
@@ -229,7 +229,7 @@
 
 def test_a_cold_server_without_room_does_not_refuse_for_the_others() -> None:
     settings = replace(SETTINGS, slow_start=SLOW_START, may_check_health=False)
-    front = Front(entry(1, weight=9.0), entry(2, cell=1), settings=settings)
+    front = Front(entry(1, weight=9.0), entry(2, zone=1), settings=settings)
     front.take_over(9, 1, 0)
     front.take_over(8, 2, 0)
     front.note(9, 1, NoticeKind.LINK, 0.6)  # under the mark, yet over what it bears while it is cold
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -78,7 +78,7 @@
 
 def test_a_server_missing_from_a_whole_list_is_gone() -> None:
     front = Front()
-    front.send(EndpointListUpdate(EndpointListKind.FULL, 2, (entry(2, cell=1),)))
+    front.send(EndpointListUpdate(EndpointListKind.FULL, 2, (entry(2, zone=1),)))
     assert placed(front.ask(1))[0].server == 2
 
 
@@ -145,7 +145,7 @@
 def test_the_rules_hold_on_any_history(steps: list[tuple[int, int, int, float, int]]) -> None:
     classes = (replace(CLASS, seats=4), replace(CLASS, name="course", lowest_rung=1))
     told = replace(SETTINGS, classes=classes, retry_budget=RETRY_BUDGET, slow_start=SLOW_START, front_count=2)
-    front = Front(entry(1), entry(2, cell=1), entry(3, cell=2), settings=told)
+    front = Front(entry(1), entry(2, zone=1), entry(3, zone=2), settings=told)
     out: dict[int, Place] = {}
     shots: dict[int, int] = {}
     owed: dict[int, int] = {}
@@ -213,7 +213,7 @@
             state = ServerState(result % 3)
             (gone.discard if state is ServerState.READY else gone.add)(server)
             event = EndpointListUpdate(
-                EndpointListKind.DELTA, 9, (entry(server, cell=server - 1, state=state),)
+                EndpointListKind.DELTA, 9, (entry(server, zone=server - 1, state=state),)
             )
         elif what == 7 and probed:
             event = HealthCheckEnded(probed.pop(0), Result(result), 5.0, (level, level))
--- a/tests/test_rungs.py
+++ b/tests/test_rungs.py
@@ -66,7 +66,7 @@
 
 
 def test_one_short_link_is_not_taken_for_a_short_uplink() -> None:
-    front = Front(entry(1), entry(2, cell=2))
+    front = Front(entry(1), entry(2, zone=2))
     front.take_over(1, 1, 2)
     front.take_over(2, 2, 2)
     front.tick(4000.0)
@@ -76,7 +76,7 @@
 
 
 def test_half_the_rack_short_is_taken_for_a_short_uplink() -> None:
-    front = Front(entry(1), entry(2, cell=2), entry(3, cell=4))
+    front = Front(entry(1), entry(2, zone=2), entry(3, zone=4))
     for session in (1, 2, 3):
         front.take_over(session, session, 2)
     front.tick(4000.0)
@@ -89,7 +89,7 @@
 def test_alone_in_a_rack_its_uplink_is_short_where_the_link_was_told_to_have_room(
     told: float, rack_is_short: bool
 ) -> None:
-    front = Front(entry(1), entry(2, cell=2), settings=replace(SETTINGS, report_fields=("x0",)))
+    front = Front(entry(1), entry(2, zone=2), settings=replace(SETTINGS, report_fields=("x0",)))
     front.take_over(1, 1, 2)
     front.note(1, 1, NoticeKind.LINK, told)
     front.tick(1000.0)
@@ -217,7 +217,7 @@
 def test_where_only_short_lines_are_heard_of_one_shortage_holds_no_newcomer_low_for_good() -> None:
     """Servers that tell nothing else: a shortage on one says nothing of the links that no one speaks of."""
     settings = replace(SETTINGS, report_interval_ms=0.0, may_check_health=False, uplink_rate_kbyte_s=None)
-    front = Front(entry(1), entry(2, cell=1), settings=settings)
+    front = Front(entry(1), entry(2, zone=1), settings=settings)
     for session in (1, 2):
         front.take_over(session, 1, 3)
     for _ in range(6):
--- a/tests/test_titles.py
+++ b/tests/test_titles.py
@@ -11,7 +11,7 @@
 
 
 def test_a_title_that_nobody_has_makes_no_server_a_suspect() -> None:
-    front = Front(entry(1), entry(2, cell=1), entry(3, cell=2), settings=ALONE)
+    front = Front(entry(1), entry(2, zone=1), entry(3, zone=2), settings=ALONE)
     front.start(1, title=5)
     first = placed(front.ask(2, title=404))[0]
     second = placed(front.end(2, first.server, Result.ERROR))[0]
@@ -23,7 +23,7 @@
 
 
 def test_an_error_on_a_title_that_played_still_counts_against_its_server() -> None:
-    front = Front(entry(1), entry(2, cell=1), settings=ALONE)
+    front = Front(entry(1), entry(2, zone=1), settings=ALONE)
     front.start(1, title=5)
     first = placed(front.ask(2, title=5))[0]
     front.end(2, first.server, Result.ERROR)
@@ -31,7 +31,7 @@
 
 
 def test_a_request_that_two_servers_fail_alike_clears_both() -> None:
-    front = Front(entry(1), entry(2, cell=1), entry(3, cell=2), settings=ALONE)
+    front = Front(entry(1), entry(2, zone=1), entry(3, zone=2), settings=ALONE)
     front.start(1, title=5)
     first = placed(front.ask(2, title=5))[0]
     second = placed(front.end(2, first.server, Result.ERROR))[0]
@@ -55,10 +55,10 @@
 
 
 def test_servers_long_gone_are_forgotten_but_not_those_with_sessions() -> None:
-    front = Front(entry(1), entry(2, cell=1), settings=ALONE)
+    front = Front(entry(1), entry(2, zone=1), settings=ALONE)
     place = front.start(1, title=5)
     for number in range(3, 300):
-        came, went = entry(number, cell=number % 4), entry(number - 1, state=ServerState.REMOVED)
+        came, went = entry(number, zone=number % 4), entry(number - 1, state=ServerState.REMOVED)
         front.send(EndpointListUpdate(EndpointListKind.DELTA, number, (came, went)), after=5_000.0)
     front.send(
         EndpointListUpdate(EndpointListKind.DELTA, 300, (entry(1, state=ServerState.REMOVED),)),
