--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -31,7 +31,7 @@
 from fernweir.node.logs import NodeLog
 from fernweir.wire import SettingsTable, parse_settings, read_settings
 from tests.helpers import SETTINGS, entry
-from tests.test_wire import TEXT
+from tests.test_wire import SETTINGS_TEXT
 
 ROOT = Path(__file__).parent.parent
 IDS = st.text("0123456789abcdef", min_size=16, max_size=16)
@@ -272,7 +272,9 @@
 
 
 def test_the_settings_read_alike_from_json_and_from_the_simulators_text() -> None:
-    assert read_settings(SettingsTable(flatten_settings(nested(TEXT)))) == parse_settings(TEXT.encode())
+    assert read_settings(SettingsTable(flatten_settings(nested(SETTINGS_TEXT)))) == parse_settings(
+        SETTINGS_TEXT.encode()
+    )
     assert flatten_settings({"a": [1, 2.5], "b": True, "c": None, "d": ["x y"]}) == {
         "a": "1,2.5",
         "b": "true",
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -18,7 +18,7 @@
 from tests.node_scene import FeedServer, MediaServer, Scene
 from tests.sockets import until
 from tests.test_node_parts import ROOT, nested
-from tests.test_wire import TEXT
+from tests.test_wire import SETTINGS_TEXT
 
 MOST_MB = 64.0
 
@@ -36,7 +36,7 @@
     """All that is around a node, which runs as a process of its own."""
 
     def __init__(self, folder: Path) -> None:
-        settings = nested(TEXT.replace("Deadline=3000", "Deadline=600"))
+        settings = nested(SETTINGS_TEXT.replace("Deadline=3000", "Deadline=600"))
         settings |= {"MachineTypes": ["box"], "Limits": {"ConnectTimeout": 250, "ConnIdle": 15000}}
         self.plain, self.file = settings, folder / "config.json"
         self.address = free_address()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -26,7 +26,7 @@
 from tests.helpers import SETTINGS
 
 ROOT = Path(__file__).parent.parent
-TEXT = """Categories.count=1
+SETTINGS_TEXT = """Categories.count=1
 Categories.0.Name=film
 Categories.0.Aim=900
 Categories.0.Deadline=3000
@@ -52,7 +52,7 @@
     return struct.pack("<HI", 269, front)
 
 
-def configure(text: str = TEXT) -> bytes:
+def configure(text: str = SETTINGS_TEXT) -> bytes:
     return struct.pack("<HQI", 256, 42, len(text)) + text.encode()
 
 
@@ -115,7 +115,7 @@
         (frame(1, select(3), knock(1)), "has not started"),
         (frame(1, select(3), knock(1)[:-4]), "runs past the end"),
         (frame(1, select(3), configure("Instances=1\n")), "required key Extra.RatesKb is missing"),
-        (frame(1, select(3), configure(TEXT.replace("Aim=900", "Aim=soon"))), "Categories.0.Aim"),
+        (frame(1, select(3), configure(SETTINGS_TEXT.replace("Aim=900", "Aim=soon"))), "Categories.0.Aim"),
         (frame(1, select(3), configure(), listing(1, 4)), "list 4"),
     ],
 )
@@ -139,7 +139,7 @@
 
 
 def test_absent_rules_are_off_and_unknown_keys_are_skipped() -> None:
-    told = parse_settings(TEXT.encode())
+    told = parse_settings(SETTINGS_TEXT.encode())
     assert told.slow_start is None and told.retry_budget is None and told.max_attempts is None
     assert told.max_retry_after_ms == 1500.0
     assert told.classes[0].top_rung == 2 and told.classes[0].seats == 0
