--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small made-up deployment and shorthand for the events of one front."""
+"""A small test deployment, and a driver that sends events to the controller of one front."""
 
 from __future__ import annotations
 
@@ -72,50 +72,52 @@
 RETRY_BUDGET = RetryBudget(window_ms=10_000.0, min_retries=1.0, retry_ratio=0.0)
 
 
-def entry(server: int, zone: int = 0, weight: float = 1.0, **more: object) -> Endpoint:
-    base = Endpoint(server, ServerState.READY, 0.0, zone, 0, weight)
-    return replace(base, **more)  # type: ignore[arg-type]
+def entry(server: int, zone: int = 0, weight: float = 1.0, **overrides: object) -> Endpoint:
+    defaults = Endpoint(server, ServerState.READY, 0.0, zone, 0, weight)
+    return replace(defaults, **overrides)  # type: ignore[arg-type]
 
 
-class Front:
-    """One controller, a clock, and the events said shortly."""
+class FrontDriver:
+    """Drives one controller: advances its clock and sends it events."""
 
     def __init__(self, *entries: Endpoint, settings: Settings = SETTINGS, seed: int = 7) -> None:
-        self.brain = Controller(settings, seed)
+        self.controller = Controller(settings, seed)
         self.now = 0.0
         self.send(EndpointListUpdate(EndpointListKind.FULL, 1, entries or (entry(1), entry(2, zone=1))))
 
     def send(self, *events: Event, after: float = 10.0) -> list[Action]:
         self.now += after
-        return self.brain.handle(self.now, list(events))
+        return self.controller.handle(self.now, list(events))
 
-    def ask(self, session: int, cls: int = 0, **more: object) -> list[Action]:
-        return self.send(Arrival(viewer(session, cls, **more)))
+    def request_session(self, session: int, class_index: int = 0, **overrides: object) -> list[Action]:
+        return self.send(Arrival(viewer(session, class_index, **overrides)))
 
-    def start(self, session: int, cls: int = 0, **more: object) -> Place:
-        """Asks, and lets the set-up succeed."""
-        place = placed(self.ask(session, cls, **more))[0]
+    def start_session(self, session: int, class_index: int = 0, **overrides: object) -> Place:
+        """Requests a session and reports its set-up as successful."""
+        place = placements(self.request_session(session, class_index, **overrides))[0]
         self.send(AttemptSucceeded(session, place.server, 0, 100.0))
         return place
 
-    def end(
-        self, session: int, server: int, result: Result, attempt: int = 0, closed: bool = False
+    def end_attempt(
+        self, session: int, server: int, result: Result, attempt: int = 0, is_final: bool = False
     ) -> list[Action]:
-        return self.send(AttemptEnded(session, server, attempt, result, closed, 100.0, ()))
+        return self.send(AttemptEnded(session, server, attempt, result, is_final, 100.0, ()))
 
-    def note(self, session: int, server: int, kind: NoticeKind, level: float) -> list[Action]:
+    def notify(self, session: int, server: int, kind: NoticeKind, level: float) -> list[Action]:
         return self.send(ServerNotice(session, server, 0, kind, level))
 
-    def take_over(self, session: int, server: int, rung: int, cls: int = 0, **more: object) -> list[Action]:
-        over = SessionRecovered(viewer(session, cls, **more), server)
-        return self.send(over, ServerNotice(session, server, 0, NoticeKind.RUNG, float(rung)))
+    def recover_session(
+        self, session: int, server: int, rung: int, class_index: int = 0, **overrides: object
+    ) -> list[Action]:
+        event = SessionRecovered(viewer(session, class_index, **overrides), server)
+        return self.send(event, ServerNotice(session, server, 0, NoticeKind.RUNG, float(rung)))
 
-    def tick(self, after: float = 250.0) -> list[Action]:
+    def fire_timer(self, after: float = 250.0) -> list[Action]:
         return self.send(TimerFired(1), after=after)
 
 
-def viewer(session: int, cls: int = 0, **more: object) -> Viewer:
-    base = Viewer(
+def viewer(session: int, cls: int = 0, **overrides: object) -> Viewer:
+    defaults = Viewer(
         session=session,
         class_index=cls,
         key=session,
@@ -128,12 +130,12 @@
         was_moved=False,
         is_returning=False,
     )
-    return replace(base, **more)  # type: ignore[arg-type]
+    return replace(defaults, **overrides)  # type: ignore[arg-type]
 
 
-def placed(actions: list[Action]) -> list[Place]:
+def placements(actions: list[Action]) -> list[Place]:
     return [action for action in actions if isinstance(action, Place)]
 
 
-def rungs(actions: list[Action]) -> list[SetRung]:
+def rung_changes(actions: list[Action]) -> list[SetRung]:
     return [action for action in actions if isinstance(action, SetRung)]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The six rules, one by one, and then on random histories."""
+"""The six safety rules, one by one and on random histories."""
 
 from __future__ import annotations
 
@@ -31,107 +31,107 @@
     Subscribe,
     TimerFired,
 )
-from tests.helpers import CLASS, RETRY_BUDGET, SETTINGS, SLOW_START, Front, entry, placed, viewer
+from tests.helpers import CLASS, RETRY_BUDGET, SETTINGS, SLOW_START, FrontDriver, entry, placements, viewer
 
 
-def answers(actions: list[Action]) -> list[Action]:
+def final_replies(actions: list[Action]) -> list[Action]:
     return [action for action in actions if isinstance(action, Reject | Fail)]
 
 
-def test_a_failed_attempt_is_followed_by_another_elsewhere_then_by_an_answer() -> None:
-    front = Front()
-    front.ask(1)
-    assert placed(front.end(1, 1, Result.TIMEOUT))[0].server == 2
-    last = front.end(1, 2, Result.TIMEOUT, attempt=1)
-    assert placed(last) == [] and answers(last) == [Reject(1, 1000.0)]
+def test_a_failed_attempt_is_retried_on_another_server_before_the_final_reply() -> None:
+    front = FrontDriver()
+    front.request_session(1)
+    assert placements(front.end_attempt(1, 1, Result.TIMEOUT))[0].server == 2
+    final_actions = front.end_attempt(1, 2, Result.TIMEOUT, attempt=1)
+    assert placements(final_actions) == [] and final_replies(final_actions) == [Reject(1, 1000.0)]
 
 
-def test_no_answer_and_no_attempt_after_the_request_is_over() -> None:
-    front = Front()
-    front.ask(1)
-    late = front.send(AttemptEnded(1, 1, 0, Result.TIMEOUT, True, 100.0, ()))
-    assert placed(late) == [] and answers(late) == []
+def test_no_reply_and_no_attempt_after_the_request_has_ended() -> None:
+    front = FrontDriver()
+    front.request_session(1)
+    actions = front.send(AttemptEnded(1, 1, 0, Result.TIMEOUT, True, 100.0, ()))
+    assert placements(actions) == [] and final_replies(actions) == []
 
 
-def test_an_attempt_that_may_have_run_is_not_repeated_where_once_is_told() -> None:
-    once = replace(SETTINGS, classes=(replace(CLASS, idempotency=Idempotency.NOT_IDEMPOTENT),))
-    front = Front(settings=once)
-    front.ask(1)
-    assert answers(front.end(1, 1, Result.TIMEOUT)) == [Fail(1)]
+def test_an_attempt_that_may_have_run_is_not_repeated_if_not_idempotent() -> None:
+    not_idempotent = replace(SETTINGS, classes=(replace(CLASS, idempotency=Idempotency.NOT_IDEMPOTENT),))
+    front = FrontDriver(settings=not_idempotent)
+    front.request_session(1)
+    assert final_replies(front.end_attempt(1, 1, Result.TIMEOUT)) == [Fail(1)]
     front.send(HealthCheckEnded(1, Result.OK, 5.0, ()))
-    place = placed(front.ask(2))[0]
-    assert len(placed(front.end(2, place.server, Result.CONNECT_FAILED))) == 1
+    placement = placements(front.request_session(2))[0]
+    assert len(placements(front.end_attempt(2, placement.server, Result.CONNECT_FAILED))) == 1
 
 
-def test_only_one_attempt_is_out_at_once() -> None:
-    front = Front()
-    front.ask(1)
-    assert placed(front.tick()) == []
+def test_only_one_attempt_is_in_flight_at_a_time() -> None:
+    front = FrontDriver()
+    front.request_session(1)
+    assert placements(front.fire_timer()) == []
 
 
 @pytest.mark.parametrize("state", [ServerState.DRAINING, ServerState.REMOVED])
-def test_nothing_new_goes_to_a_server_that_drains_or_is_gone(state: ServerState) -> None:
-    front = Front()
+def test_no_attempt_is_sent_to_a_draining_or_removed_server(state: ServerState) -> None:
+    front = FrontDriver()
     front.send(EndpointListUpdate(EndpointListKind.DELTA, 2, (entry(1, state=state),)))
-    assert placed(front.ask(1))[0].server == 2
+    assert placements(front.request_session(1))[0].server == 2
 
 
-def test_a_server_missing_from_a_whole_list_is_gone() -> None:
-    front = Front()
+def test_a_server_missing_from_a_complete_list_is_removed() -> None:
+    front = FrontDriver()
     front.send(EndpointListUpdate(EndpointListKind.FULL, 2, (entry(2, zone=1),)))
-    assert placed(front.ask(1))[0].server == 2
+    assert placements(front.request_session(1))[0].server == 2
 
 
 @pytest.mark.parametrize("fronts", [2, 50])
-def test_all_fronts_together_keep_to_a_cold_servers_pace_and_use_it(fronts: int) -> None:
+def test_all_fronts_together_keep_within_a_warming_servers_rate_and_use_it(fronts: int) -> None:
     settings = replace(SETTINGS, slow_start=SLOW_START, front_count=fronts, may_check_health=False)
-    cold, sent = entry(1, started_at=1.0), 0
-    several = [Front(cold, settings=settings, seed=number << 40) for number in range(fronts)]
+    warming_server, attempt_count = entry(1, started_at=1.0), 0
+    drivers = [FrontDriver(warming_server, settings=settings, seed=number << 40) for number in range(fronts)]
     for session in range(40):
         now = 400.0 + 75.0 * session
-        actions = several[session % fronts].brain.handle(now, [Arrival(viewer(session, top_rung=0))])
-        sent += len(placed(actions))
-    pace = SETTINGS.streams_by_server_type[0] * SLOW_START.initial_factor / SLOW_START.window_ms
-    assert 0 < sent <= SLOW_START.overload_multiple * pace * SLOW_START.overload_window_ms
+        actions = drivers[session % fronts].controller.handle(now, [Arrival(viewer(session, top_rung=0))])
+        attempt_count += len(placements(actions))
+    rate_per_ms = SETTINGS.streams_by_server_type[0] * SLOW_START.initial_factor / SLOW_START.window_ms
+    assert 0 < attempt_count <= SLOW_START.overload_multiple * rate_per_ms * SLOW_START.overload_window_ms
 
 
-def test_a_time_out_is_probed_at_once_and_an_answer_ends_the_first_suspicion() -> None:
-    front = Front(entry(1))
-    front.ask(1)
-    assert CheckHealth(1) in front.end(1, 1, Result.TIMEOUT)
-    assert placed(front.ask(2)) == []
+def test_a_timeout_causes_a_health_check_whose_success_ends_the_first_ejection() -> None:
+    front = FrontDriver(entry(1))
+    front.request_session(1)
+    assert CheckHealth(1) in front.end_attempt(1, 1, Result.TIMEOUT)
+    assert placements(front.request_session(2)) == []
     front.send(HealthCheckEnded(1, Result.OK, 5.0, ()))
-    assert len(placed(front.ask(3))) == 1
-    front.end(3, 1, Result.TIMEOUT)
-    assert placed(front.ask(4)) == []
+    assert len(placements(front.request_session(3))) == 1
+    front.end_attempt(3, 1, Result.TIMEOUT)
+    assert placements(front.request_session(4)) == []
 
 
-def test_seats_hold_for_one_title_and_class() -> None:
-    front = Front(settings=replace(SETTINGS, classes=(replace(CLASS, seats=1),)))
-    front.start(1, top_rung=0)
-    assert answers(front.ask(2, top_rung=0)) == [Reject(2, 1000.0)]
-    assert len(placed(front.ask(3, top_rung=0, title=6))) == 1
+def test_seats_are_limited_per_title_and_class() -> None:
+    front = FrontDriver(settings=replace(SETTINGS, classes=(replace(CLASS, seats=1),)))
+    front.start_session(1, top_rung=0)
+    assert final_replies(front.request_session(2, top_rung=0)) == [Reject(2, 1000.0)]
+    assert len(placements(front.request_session(3, top_rung=0, title=6))) == 1
 
 
-def test_further_attempts_stay_within_the_budget() -> None:
-    front = Front(settings=replace(SETTINGS, retry_budget=RETRY_BUDGET))
-    front.ask(1)
-    assert len(placed(front.end(1, 1, Result.ERROR))) == 1
-    front.ask(2)
-    assert placed(front.end(2, 2, Result.ERROR)) == []
+def test_retries_stay_within_the_budget() -> None:
+    front = FrontDriver(settings=replace(SETTINGS, retry_budget=RETRY_BUDGET))
+    front.request_session(1)
+    assert len(placements(front.end_attempt(1, 1, Result.ERROR))) == 1
+    front.request_session(2)
+    assert placements(front.end_attempt(2, 2, Result.ERROR)) == []
 
 
-def test_refuses_at_once_and_does_not_hold_a_request() -> None:
-    front = Front(entry(1, state=ServerState.DRAINING))
-    assert answers(front.ask(1)) == [Reject(1, 1000.0)]
+def test_a_request_without_candidates_is_rejected_immediately() -> None:
+    front = FrontDriver(entry(1, state=ServerState.DRAINING))
+    assert final_replies(front.request_session(1)) == [Reject(1, 1000.0)]
 
 
-def test_a_failed_call_to_the_list_is_made_again_a_while_later() -> None:
-    front = Front(settings=replace(SETTINGS, must_subscribe=True))
+def test_a_failed_subscription_is_retried_after_a_delay() -> None:
+    front = FrontDriver(settings=replace(SETTINGS, must_subscribe=True))
     failed = front.send(EndpointListUpdate(EndpointListKind.FAILED, 0, ()))
     assert Subscribe(True) not in failed
-    assert Subscribe(True) in front.tick(1500.0)
-    assert Subscribe(True) not in front.tick()
+    assert Subscribe(True) in front.fire_timer(1500.0)
+    assert Subscribe(True) not in front.fire_timer()
 
 
 STEPS = st.lists(
@@ -142,104 +142,114 @@
 
 @settings(derandomize=True, deadline=None, max_examples=150)
 @given(STEPS)
-def test_the_rules_hold_on_any_history(steps: list[tuple[int, int, int, float, int]]) -> None:
+def test_the_safety_rules_hold_for_any_history(steps: list[tuple[int, int, int, float, int]]) -> None:
     classes = (replace(CLASS, seats=4), replace(CLASS, name="course", lowest_rung=1))
-    told = replace(SETTINGS, classes=classes, retry_budget=RETRY_BUDGET, slow_start=SLOW_START, front_count=2)
-    front = Front(entry(1), entry(2, zone=1), entry(3, zone=2), settings=told)
-    out: dict[int, Place] = {}
-    shots: dict[int, int] = {}
-    owed: dict[int, int] = {}
+    front_settings = replace(
+        SETTINGS, classes=classes, retry_budget=RETRY_BUDGET, slow_start=SLOW_START, front_count=2
+    )
+    front = FrontDriver(entry(1), entry(2, zone=1), entry(3, zone=2), settings=front_settings)
+    in_flight: dict[int, Place] = {}
+    attempts: dict[int, int] = {}
+    pending: dict[int, int] = {}
     playing: dict[int, int] = {}
-    held: dict[int, tuple[int, int]] = {}
-    gone: set[int] = set()
-    extra: list[float] = []
-    probed: list[int] = []
+    seats: dict[int, tuple[int, int]] = {}
+    unavailable: set[int] = set()
+    retry_times: list[float] = []
+    health_checks: list[int] = []
 
     def check(actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Place):
-                rid = action.session
-                assert rid in owed and rid not in out and rid not in playing
-                assert action.server not in gone
-                shots[rid] = shots.get(rid, -1) + 1
-                out[rid] = action
-                if shots[rid] > 0:
-                    extra.append(front.now)
+                session_id = action.session
+                assert session_id in pending and session_id not in in_flight and session_id not in playing
+                assert action.server not in unavailable
+                attempts[session_id] = attempts.get(session_id, -1) + 1
+                in_flight[session_id] = action
+                if attempts[session_id] > 0:
+                    retry_times.append(front.now)
                     assert (
-                        sum(at > front.now - RETRY_BUDGET.window_ms for at in extra)
+                        sum(at > front.now - RETRY_BUDGET.window_ms for at in retry_times)
                         <= RETRY_BUDGET.min_retries
                     )
-                held[rid] = (owed[rid], 5)
-                if owed[rid] == 0:
-                    assert sum(seat == held[rid] for seat in held.values()) <= 4
+                seats[session_id] = (pending[session_id], 5)
+                if pending[session_id] == 0:
+                    assert sum(seat == seats[session_id] for seat in seats.values()) <= 4
             elif isinstance(action, CheckHealth):
-                assert action.server not in probed
-                probed.append(action.server)
+                assert action.server not in health_checks
+                health_checks.append(action.server)
             elif isinstance(action, Reject | Fail):
-                assert action.session in owed and action.session not in out
-                del owed[action.session]
+                assert action.session in pending and action.session not in in_flight
+                del pending[action.session]
             elif isinstance(action, SetRung):
-                cls = owed.get(action.session, playing.get(action.session))
-                assert cls is not None and classes[cls].lowest_rung <= action.rung <= 3
+                class_index = pending.get(action.session, playing.get(action.session))
+                assert class_index is not None and classes[class_index].lowest_rung <= action.rung <= 3
 
     next_session = 0
-    for what, pick, result, level, wait in steps:
+    for step_kind, choice, result, level, wait in steps:
         front.now += wait
         event: Event = TimerFired(1)
-        rid = sorted(out)[pick % len(out)] if out else None
-        live = sorted(playing)[pick % len(playing)] if playing else None
-        server = pick % 3 + 1
-        if what in (0, 1):
+        session_id = sorted(in_flight)[choice % len(in_flight)] if in_flight else None
+        playing_id = sorted(playing)[choice % len(playing)] if playing else None
+        server = choice % 3 + 1
+        if step_kind in (0, 1):
             next_session += 1
-            owed[next_session] = pick % 2
-            event = Arrival(viewer(next_session, pick % 2))
-        elif what == 2 and rid is not None:
-            place = out.pop(rid)
-            playing[rid] = owed.pop(rid)
-            event = AttemptSucceeded(rid, place.server, shots[rid], 50.0)
-        elif what == 3 and rid is not None and result != Result.OK:
-            place = out.pop(rid)
-            held.pop(rid)
-            event = AttemptEnded(rid, place.server, shots[rid], Result(result), False, 50.0, (level, level))
-        elif what == 4 and live is not None:
-            del playing[live]
-            held.pop(live)
-            event = AttemptEnded(live, server, shots[live], Result.OK, True, 50.0, (level,))
-        elif what == 5:
-            event = ServerNotice(live or 0, server, 0, NoticeKind(result % 4 + 1), level)
+            pending[next_session] = choice % 2
+            event = Arrival(viewer(next_session, choice % 2))
+        elif step_kind == 2 and session_id is not None:
+            placement = in_flight.pop(session_id)
+            playing[session_id] = pending.pop(session_id)
+            event = AttemptSucceeded(session_id, placement.server, attempts[session_id], 50.0)
+        elif step_kind == 3 and session_id is not None and result != Result.OK:
+            placement = in_flight.pop(session_id)
+            seats.pop(session_id)
+            event = AttemptEnded(
+                session_id,
+                placement.server,
+                attempts[session_id],
+                Result(result),
+                False,
+                50.0,
+                (level, level),
+            )
+        elif step_kind == 4 and playing_id is not None:
+            del playing[playing_id]
+            seats.pop(playing_id)
+            event = AttemptEnded(playing_id, server, attempts[playing_id], Result.OK, True, 50.0, (level,))
+        elif step_kind == 5:
+            event = ServerNotice(playing_id or 0, server, 0, NoticeKind(result % 4 + 1), level)
             if event.kind is NoticeKind.RUNG:
-                event = ServerNotice(live or 0, server, 0, NoticeKind.LINK, level)
-        elif what == 6:
+                event = ServerNotice(playing_id or 0, server, 0, NoticeKind.LINK, level)
+        elif step_kind == 6:
             state = ServerState(result % 3)
-            (gone.discard if state is ServerState.READY else gone.add)(server)
+            (unavailable.discard if state is ServerState.READY else unavailable.add)(server)
             event = EndpointListUpdate(
                 EndpointListKind.DELTA, 9, (entry(server, zone=server - 1, state=state),)
             )
-        elif what == 7 and probed:
-            event = HealthCheckEnded(probed.pop(0), Result(result), 5.0, (level, level))
-        elif what == 8:
-            event = ClientDisconnected(10_000 + pick)
+        elif step_kind == 7 and health_checks:
+            event = HealthCheckEnded(health_checks.pop(0), Result(result), 5.0, (level, level))
+        elif step_kind == 8:
+            event = ClientDisconnected(10_000 + choice)
         check(front.send(event))
-    while probed:
-        check(front.send(HealthCheckEnded(probed.pop(0), Result.TIMEOUT, 250.0, ())))
-    assert set(owed) == set(out)
+    while health_checks:
+        check(front.send(HealthCheckEnded(health_checks.pop(0), Result.TIMEOUT, 250.0, ())))
+    assert set(pending) == set(in_flight)
 
 
-def test_a_front_that_stood_still_blames_no_server_for_what_it_then_finds() -> None:
-    front = Front()
-    front.tick()
-    front.ask(1)
+def test_timeouts_during_a_stall_of_the_front_eject_no_server() -> None:
+    front = FrontDriver()
+    front.fire_timer()
+    front.request_session(1)
     front.now += 2000.0
-    found = front.send(AttemptEnded(1, 1, 0, Result.TIMEOUT, False, 500.0, ()), TimerFired(1))
-    assert placed(found)[0].server == 2 and CheckHealth(1) not in found
-    assert front.brain.servers[1].consecutive_failures == 0
+    actions = front.send(AttemptEnded(1, 1, 0, Result.TIMEOUT, False, 500.0, ()), TimerFired(1))
+    assert placements(actions)[0].server == 2 and CheckHealth(1) not in actions
+    assert front.controller.servers[1].consecutive_failures == 0
 
 
-def test_a_note_found_after_a_standstill_does_not_pass_for_new() -> None:
-    front = Front()
-    front.take_over(1, 1, 0)
-    front.tick()
-    front.note(1, 1, NoticeKind.LINK, 0.1)
+def test_a_notice_read_after_a_stall_is_dated_before_the_stall() -> None:
+    front = FrontDriver()
+    front.recover_session(1, 1, 0)
+    front.fire_timer()
+    front.notify(1, 1, NoticeKind.LINK, 0.1)
     front.now += 2000.0
     front.send(ServerNotice(1, 1, 0, NoticeKind.LINK, 0.9), TimerFired(1))
-    assert front.brain.servers[1].link.reported_at <= front.now - 2000.0
+    assert front.controller.servers[1].link.reported_at <= front.now - 2000.0
