--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -116,10 +116,10 @@
         return self.send(TimerFired(1), after=after)
 
 
-def viewer(session: int, cls: int = 0, **overrides: object) -> Viewer:
+def viewer(session: int, class_index: int = 0, **overrides: object) -> Viewer:
     defaults = Viewer(
         session=session,
-        class_index=cls,
+        class_index=class_index,
         key=session,
         title=5,
         first_zone=0,
--- a/tests/test_node_settings.py
+++ b/tests/test_node_settings.py
@@ -133,7 +133,7 @@
     for _ in range(8):
         for cls in range(len(settings.classes)):
             rid += 1
-            wanted = viewer(rid, cls=cls, remaining_ms=settings.classes[cls].deadline_ms)
+            wanted = viewer(rid, class_index=cls, remaining_ms=settings.classes[cls].deadline_ms)
             events.append(Arrival(replace(wanted, top_rung=len(settings.rung_rates_kbyte_s) - 1)))
         placed = [one for one in brain.handle(now, events) if isinstance(one, Place)]
         now += 60.0
