--- a/tests/golden_decisions.py
+++ b/tests/golden_decisions.py
@@ -1,7 +1,7 @@
-"""Plays recorded input to the decision code and gives what it decided in a form that names no Python class.
+"""Replays recorded input to the decision code and returns its actions in a form without Python class names.
 
-An action is written as the bytes that `fernweir.wire.encode_action` gives for it, in hex: a renamed class or
-field doesn't change them, another decision does.
+An action is written as the hex bytes that `fernweir.wire.encode_action` returns for it. Renaming a class or
+field does not change them; a different decision does.
 """
 
 from __future__ import annotations
@@ -33,29 +33,29 @@
 
 
 def read_compressed(name: str) -> bytes:
-    """The content of a stored file that is kept compressed."""
+    """Returns the content of a compressed golden file."""
     return gzip.decompress((FOLDER / name).read_bytes())
 
 
 def digest(data: bytes) -> str:
-    """The digest under which long outputs are stored."""
+    """Returns the digest that stands for a long output in the golden files."""
     return hashlib.sha256(data).hexdigest()
 
 
 def answer_wire_stream(stream: bytes) -> bytes:
-    """Everything that the simulator adapter answers to a stream of frames."""
+    """Returns all replies of the simulator adapter to a stream of frames."""
     sink = io.BytesIO()
     serve(io.BytesIO(stream), sink)
     return sink.getvalue()
 
 
 def action_line(actions: Iterable[Action]) -> str:
-    """The actions of one batch as one line."""
+    """Returns the actions of one batch as one line."""
     return " ".join(encode_action(action).hex() for action in actions)
 
 
 def replay_front_day(lines: Iterable[str]) -> list[str]:
-    """The actions of a fresh controller for each batch of a front's record, one line a batch."""
+    """Returns the actions of a new controller for each batch of a front's record, one line per batch."""
     settings, seed, batches = read_record(lines)
     controller = Controller(settings, seed)
     return [action_line(controller.handle(now, events)) for now, events, _ in batches]
@@ -63,11 +63,11 @@
 
 @contextmanager
 def deterministic_secrets(seed: str) -> Iterator[None]:
-    """Replaces the operating system's random source, from which keys and nonces come, by a seeded one."""
-    source = random.Random(seed)
+    """Replaces the operating system's random source of keys and nonces by a seeded generator."""
+    generator = random.Random(seed)
 
     def token_bytes(count: int | None = None) -> bytes:
-        return source.randbytes(32 if count is None else count)
+        return generator.randbytes(32 if count is None else count)
 
     def token_hex(count: int | None = None) -> str:
         return token_bytes(count).hex()
@@ -81,17 +81,17 @@
 
 
 def play_virtual_day(plan: VirtualPlan) -> tuple[VirtualResult, str]:
-    """A day on virtual time, with a digest over all bytes on its wires and all actions, in their order."""
-    seen = hashlib.sha256()
+    """Runs a virtual day; returns its result and a digest of all network bytes and actions, in order."""
+    outputs = hashlib.sha256()
     write, handle = MemoryTransport.write, Controller.handle
 
     def recorded_write(transport: MemoryTransport, data: bytes) -> None:
-        seen.update(b"wire %d " % len(data) + bytes(data))
+        outputs.update(b"wire %d " % len(data) + bytes(data))
         write(transport, data)
 
     def recorded_handle(controller: Controller, now: float, events: list[Event]) -> list[Action]:
         actions = handle(controller, now, events)
-        seen.update(f"actions {action_line(actions)} ".encode())
+        outputs.update(f"actions {action_line(actions)} ".encode())
         return actions
 
     with (
@@ -100,4 +100,4 @@
         mock.patch.object(Controller, "handle", recorded_handle),
     ):
         result = play(plan)
-    return result, seen.hexdigest()
+    return result, outputs.hexdigest()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec, and the real adapter as a process."""
+"""The wire codec, and the adapter as a process."""
 
 from __future__ import annotations
 
@@ -56,19 +56,19 @@
     return struct.pack("<HQI", 256, 42, len(text)) + text.encode()
 
 
-def page(number: int, *servers: int) -> bytes:
-    lines = (
-        struct.pack("<BdBHBfI", 1, 0.0, 0, place, 0, 1.0, server) for place, server in enumerate(servers)
+def endpoint_list(number: int, *servers: int) -> bytes:
+    encoded = (
+        struct.pack("<BdBHBfI", 1, 0.0, 0, zone, 0, 1.0, server) for zone, server in enumerate(servers)
     )
-    return struct.pack("<HBI", 268, number, len(servers)) + b"".join(lines)
+    return struct.pack("<HBI", 268, number, len(servers)) + b"".join(encoded)
 
 
-def listing(how: int, number: int) -> bytes:
-    return struct.pack("<HBIB", 257, how, 1, number)
+def list_update(kind: int, number: int) -> bytes:
+    return struct.pack("<HBIB", 257, kind, 1, number)
 
 
-def knock(rid: int) -> bytes:
-    return struct.pack("<HIHfdQdQBIff", 258, rid, 0, 2.0, 0.0, 7, 3000.0, 5, 0, 0, 0.0, 4.0)
+def arrival(session: int) -> bytes:
+    return struct.pack("<HIHfdQdQBIff", 258, session, 0, 2.0, 0.0, 7, 3000.0, 5, 0, 0, 0.0, 4.0)
 
 
 def frame(number: int, *records: bytes) -> bytes:
@@ -76,73 +76,82 @@
     return struct.pack("<IIdI", len(records), 12 + len(body), 1000.0 + number, number) + body
 
 
-START = (select(3), configure(), page(0, 11, 12), listing(1, 0))
+START_RECORDS = (select(3), configure(), endpoint_list(0, 11, 12), list_update(1, 0))
 
 
-def run(data: bytes, **env: str) -> subprocess.CompletedProcess[bytes]:
+def run_adapter(data: bytes, **env: str) -> subprocess.CompletedProcess[bytes]:
     command = [sys.executable, "-B", "-m", "fernweir.adapter"]
     return subprocess.run(command, input=data, capture_output=True, cwd=ROOT, env=env, check=False)
 
 
-def test_the_adapter_answers_every_batch_and_ends_cleanly() -> None:
-    done = run(frame(1) + frame(2, *START) + frame(3, select(3), knock(9)))
-    assert done.returncode == 0 and done.stderr == b""
-    assert done.stdout.startswith(struct.pack("<II", 4, 1))
-    wanted = encode_action(SetRung(9, 2)) + encode_action(Place(9, 12, 450.0))
-    assert done.stdout.endswith(encode_reply(3, iter([(3, wanted)])))
+def test_the_adapter_replies_to_every_batch_and_exits_cleanly() -> None:
+    result = run_adapter(frame(1) + frame(2, *START_RECORDS) + frame(3, select(3), arrival(9)))
+    assert result.returncode == 0 and result.stderr == b""
+    assert result.stdout.startswith(struct.pack("<II", 4, 1))
+    expected = encode_action(SetRung(9, 2)) + encode_action(Place(9, 12, 450.0))
+    assert result.stdout.endswith(encode_reply(3, iter([(3, expected)])))
 
 
 def test_the_same_events_give_the_same_bytes_under_any_hash_seed() -> None:
-    data = frame(1, *START) + b"".join(frame(n, select(3), knock(n), knock(n + 500)) for n in range(2, 60))
-    assert run(data, PYTHONHASHSEED="1").stdout == run(data, PYTHONHASHSEED="2").stdout
+    data = frame(1, *START_RECORDS) + b"".join(
+        frame(n, select(3), arrival(n), arrival(n + 500)) for n in range(2, 60)
+    )
+    assert run_adapter(data, PYTHONHASHSEED="1").stdout == run_adapter(data, PYTHONHASHSEED="2").stdout
 
 
-def test_a_front_killed_and_started_in_one_batch_begins_anew() -> None:
-    again = (select(3), knock(1), struct.pack("<H", 265), *START[1:], knock(2))
-    done = run(frame(1, *START) + frame(2, *again))
-    assert done.returncode == 0
-    assert encode_action(Place(2, 12, 450.0)) in done.stdout
-    assert encode_action(Place(1, 12, 450.0)) not in done.stdout
+def test_a_front_terminated_and_started_in_one_batch_has_no_old_state() -> None:
+    restart = (select(3), arrival(1), struct.pack("<H", 265), *START_RECORDS[1:], arrival(2))
+    result = run_adapter(frame(1, *START_RECORDS) + frame(2, *restart))
+    assert result.returncode == 0
+    assert encode_action(Place(2, 12, 450.0)) in result.stdout
+    assert encode_action(Place(1, 12, 450.0)) not in result.stdout
 
 
 @pytest.mark.parametrize(
-    ("data", "said"),
+    ("data", "message"),
     [
         (frame(1)[:-3], "input ended after"),
         (struct.pack("<IIdI", 0, 3, 0.0, 1), "too short"),
         (frame(1, select(3), struct.pack("<H", 999)), "unknown event code 999"),
-        (frame(1, knock(1)), "has no selected front"),
-        (frame(1, select(3), knock(1)), "has not started"),
-        (frame(1, select(3), knock(1)[:-4]), "runs past the end"),
+        (frame(1, arrival(1)), "has no selected front"),
+        (frame(1, select(3), arrival(1)), "has not started"),
+        (frame(1, select(3), arrival(1)[:-4]), "runs past the end"),
         (frame(1, select(3), configure("Instances=1\n")), "required key Extra.RatesKb is missing"),
         (frame(1, select(3), configure(SETTINGS_TEXT.replace("Aim=900", "Aim=soon"))), "Categories.0.Aim"),
-        (frame(1, select(3), configure(), listing(1, 4)), "list 4"),
+        (frame(1, select(3), configure(), list_update(1, 4)), "list 4"),
     ],
 )
-def test_bad_input_ends_with_one_plain_line(data: bytes, said: str) -> None:
-    done = run(data)
-    assert done.returncode == 2 and done.stdout == b""
-    lines = done.stderr.decode().splitlines()
-    assert len(lines) == 1 and said in lines[0]
+def test_invalid_input_ends_with_one_line_on_stderr(data: bytes, message: str) -> None:
+    result = run_adapter(data)
+    assert result.returncode == 2 and result.stdout == b""
+    lines = result.stderr.decode().splitlines()
+    assert len(lines) == 1 and message in lines[0]
 
 
 def test_numbered_lists_are_resolved_in_order_within_a_batch() -> None:
-    records = (select(1), configure(), page(0, 5), listing(2, 0), page(0, 6, 7), listing(3, 0))
+    records = (
+        select(1),
+        configure(),
+        endpoint_list(0, 5),
+        list_update(2, 0),
+        endpoint_list(0, 6, 7),
+        list_update(3, 0),
+    )
     body = b"".join(records)
-    lists = [
+    updates = [
         item
         for _, item in Decoder().decode(len(records), 0.0, 1, body).items
         if isinstance(item, EndpointListUpdate)
     ]
-    assert [[line.server for line in update.entries] for update in lists] == [[5], [6, 7]]
-    assert lists[0].kind is EndpointListKind.FULL and lists[0].entries[0].state is ServerState.READY
+    assert [[endpoint.server for endpoint in update.entries] for update in updates] == [[5], [6, 7]]
+    assert updates[0].kind is EndpointListKind.FULL and updates[0].entries[0].state is ServerState.READY
 
 
-def test_absent_rules_are_off_and_unknown_keys_are_skipped() -> None:
-    told = parse_settings(SETTINGS_TEXT.encode())
-    assert told.slow_start is None and told.retry_budget is None and told.max_attempts is None
-    assert told.max_retry_after_ms == 1500.0
-    assert told.classes[0].top_rung == 2 and told.classes[0].seats == 0
+def test_missing_limits_are_off_and_unknown_keys_are_ignored() -> None:
+    parsed = parse_settings(SETTINGS_TEXT.encode())
+    assert parsed.slow_start is None and parsed.retry_budget is None and parsed.max_attempts is None
+    assert parsed.max_retry_after_ms == 1500.0
+    assert parsed.classes[0].top_rung == 2 and parsed.classes[0].seats == 0
 
 
 @settings(derandomize=True, deadline=None)
@@ -159,24 +168,26 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.integers(0, 2**32 - 1), st.integers(1, 31))
-def test_a_request_keeps_its_values_and_no_cut_of_it_passes(rid: int, cut: int) -> None:
-    body = select(1) + knock(rid)
+def test_an_arrival_keeps_its_values_and_no_truncation_of_it_is_accepted(
+    session: int, byte_count: int
+) -> None:
+    body = select(1) + arrival(session)
     ((_, event),) = Decoder().decode(2, 5.0, 1, body).items
     assert isinstance(event, Arrival)
-    assert (event.viewer.session, event.viewer.remaining_ms, event.viewer.title) == (rid, 3000.0, 5)
+    assert (event.viewer.session, event.viewer.remaining_ms, event.viewer.title) == (session, 3000.0, 5)
     with pytest.raises(WireError):
-        Decoder().decode(2, 5.0, 1, body[:-cut])
+        Decoder().decode(2, 5.0, 1, body[:-byte_count])
 
 
-def test_a_front_starts_from_the_settings_it_is_sent() -> None:
-    ((_, start),) = Decoder().decode(2, 5.0, 1, select(1) + configure()).items
-    assert isinstance(start, Configure) and start.seed == 42
-    assert replace(start.settings, classes=()) != replace(SETTINGS, classes=())
+def test_a_front_is_configured_with_the_settings_of_its_record() -> None:
+    ((_, event),) = Decoder().decode(2, 5.0, 1, select(1) + configure()).items
+    assert isinstance(event, Configure) and event.seed == 42
+    assert replace(event.settings, classes=()) != replace(SETTINGS, classes=())
 
 
 def test_the_readme_example_runs() -> None:
     (code,) = re.findall(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.DOTALL)
-    names: dict[str, object] = {}
-    exec(code, names)
-    actions = names["first_session"](SETTINGS)  # type: ignore[operator]
+    namespace: dict[str, object] = {}
+    exec(code, namespace)
+    actions = namespace["first_session"](SETTINGS)  # type: ignore[operator]
     assert actions == [SetRung(1, 2), Place(1, 1, 500.0)]
