--- a/tests/scene.py
+++ b/tests/scene.py
@@ -88,7 +88,7 @@
         headers += [(name.replace("_", "-"), value) for name, value in fields.items()]
         return await fetch(self.pool, self.fronts[front].address, method, target, 10.0, headers)
 
-    def of(self, kind: str, **fields: object) -> list[Record]:
+    def records_of(self, kind: str, **fields: object) -> list[Record]:
         """Records of a kind, so far."""
         return [
             one
@@ -107,9 +107,9 @@
         """The box that the fronts try first for a lesson, found by trying."""
         wish = self.wish(title)
         assert (await self.ask(wish)).status == 200
-        box = int(self.of("box.setup", session=wish.session)[0]["box"])
+        box = int(self.records_of("box.setup", session=wish.session)[0]["box"])
         await self.http("DELETE", f"/lessons/{title}/session", wish)
-        await until(lambda: self.of("box.end", session=wish.session))
+        await until(lambda: self.records_of("box.end", session=wish.session))
         return box
 
     def behave(self, number: int, **how: Any) -> None:
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -274,7 +274,7 @@
             scene.behave(box, late_ms=150.0)
         wish = scene.wish(wait_s=1)
         asks = [asyncio.ensure_future(scene.ask(wish)) for _ in range(2)]
-        await until(lambda: len(scene.of("box.setup")) == 2)
+        await until(lambda: len(scene.records_of("box.setup")) == 2)
         await asyncio.gather(*asks)
 
     play(story, PLAN, broken=("2",))
@@ -288,7 +288,7 @@
         box = await scene.first_choice()
         scene.site.tell(box, "draining")
         await until(lambda: scene.fronts[0].core.sessions._servers.states[box].name == "DRAINING")
-        said = scene.of("list.told", box=box, state="draining")[0]["t"]
+        said = scene.records_of("list.told", box=box, state="draining")[0]["t"]
         await until(lambda: scene.loop.time() * 1000 > said + 60)
         await scene.ask(scene.wish())
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -129,7 +129,7 @@
         await runner.run("# eight\nwait playing = 8\nshow sessions\nshow boxes sort=playing")
         at = said.index("> show sessions")
         shown = {line.split()[0]: int(line.split()[4]) for line in said[at + 2 : at + 10]}
-        assert shown == {one["session"]: one["box"] for one in scene.of("box.setup")}
+        assert shown == {one["session"]: one["box"] for one in scene.records_of("box.setup")}
         first = int(said[said.index("> show boxes sort=playing") + 2].split()[0])
         await runner.run(f"drain {first} fan is loud\nshow boxes state=draining")
         assert said[-1].split()[:2] == [str(first), "draining"] and said[-1].endswith("ann")
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -319,21 +319,21 @@
         burst = [asyncio.ensure_future(scene.ask(scene.wish())) for _ in range(20)]
         answer = await ann.ask("drain", target=str(first), reason="fan is loud")
         assert answer["outcome"] == "done"
-        begun = len(scene.of("box.setup", box=first))
+        begun = len(scene.records_of("box.setup", box=first))
         scene.site.tell(first, "ready")
         await asyncio.gather(*burst)
         replies = await asyncio.gather(*(scene.ask(scene.wish()) for _ in range(10)))
         assert {reply.status for reply in replies} == {200}
         # What was out when the drain came may arrive within the grace; after it nothing does.
-        assert len(scene.of("box.setup", box=first)) - begun <= 20
-        sent = len(scene.of("box.setup", box=first))
+        assert len(scene.records_of("box.setup", box=first)) - begun <= 20
+        sent = len(scene.records_of("box.setup", box=first))
         await asyncio.gather(*(scene.ask(scene.wish()) for _ in range(10)))
-        assert len(scene.of("box.setup", box=first)) == sent
+        assert len(scene.records_of("box.setup", box=first)) == sent
         bob = await client(scene, "bob")
         assert (await bob.ask("drain", target=str(first)))["outcome"] == "already"
         assert (await bob.ask("undrain", target=str(first)))["outcome"] == "done"
         await asyncio.gather(*(scene.ask(scene.wish()) for _ in range(3)))
-        assert len(scene.of("box.setup", box=first)) > sent
+        assert len(scene.records_of("box.setup", box=first)) > sent
         await until(lambda: the_same(scene, bob) and the_same(scene, ann))
         for one in (ann, bob):
             one.close()
@@ -348,7 +348,7 @@
             assert (await ann.ask(do, target=str(first)))["outcome"] == "done"
         wish = scene.wish()
         assert (await scene.ask(wish)).status == 200
-        assert scene.of("box.setup", session=wish.session)[0]["box"] != first
+        assert scene.records_of("box.setup", session=wish.session)[0]["box"] != first
         scene.site.tell(first, "gone")
         picture = ann.follower.picture
         assert picture is not None
@@ -365,7 +365,7 @@
     async def story(scene: Scene, ann: ControlClient) -> None:
         plays = scene.wish(play_s=10.0)
         watching = asyncio.ensure_future(scene.viewers.watch(plays))
-        await until(lambda: scene.of("box.segment"))
+        await until(lambda: scene.records_of("box.segment"))
         await ann.ask("hold", target="lesson-0", reason="wrong film")
         held = await scene.ask(scene.wish())
         assert held.status == 503 and b"wrong film" in held.body and held.headers.get("retry-after") == "5"
@@ -404,7 +404,7 @@
         assert sum(row[11].startswith("drain ") for row in orders) == 1
         wish = scene.wish()
         assert (await scene.ask(wish)).status == 200
-        assert scene.of("box.setup", session=wish.session)[0]["box"] != first
+        assert scene.records_of("box.setup", session=wish.session)[0]["box"] != first
         await until(lambda: the_same(scene, ann))
         picture = ann.follower.picture
         assert picture is not None and picture.servers[first].drained_by == "ann"
--- a/tests/test_front_sockets.py
+++ b/tests/test_front_sockets.py
@@ -31,13 +31,13 @@
         wish = scene.wish(cls="briefing", play_s=0.5)
         shown = await scene.viewers.watch(wish)
         assert shown.breaks == 0 and shown.played_s >= 0.5
-        (setup,) = scene.of("box.setup")
-        (answer,) = scene.of("viewer.answer")
+        (setup,) = scene.records_of("box.setup")
+        (answer,) = scene.records_of("viewer.answer")
         assert answer["rungs"] == list(range(1, setup["rung"] + 1))
         host = scene.fronts[0].core.sessions
         await until(lambda: host.session_count == 0)  # the box told the front that it ended
         assert host.controller.sessions == {}
-        assert {record["status"] for record in scene.of("box.segment")} == {200}
+        assert {record["status"] for record in scene.records_of("box.segment")} == {200}
 
     play(story, PLAN)
 
@@ -61,7 +61,7 @@
         )
         assert (await scene.http("POST", path, wish)).headers.get("allow") == "GET, HEAD, OPTIONS"
         # The box's token opens this session's segments there, up to the rung, and nothing else.
-        box = scene.site.boxes[int(scene.of("box.setup")[0]["box"])]
+        box = scene.site.boxes[int(scene.records_of("box.setup")[0]["box"])]
         assert player.origin == box.address
         assert (await fetch(scene.pool, box.address, "GET", player.segment(0), 5)).status == 200
         above = player.segment(0).replace(f"/r{player.rung}/", f"/r{player.rung + 1}/")
@@ -69,7 +69,7 @@
         assert refused.status == 403 and "mb=" in refused.headers.get("cmsd-dynamic")
         assert (await scene.http("DELETE", "/lessons/lesson-0/session", wish)).status == 204
         assert (await scene.http("DELETE", "/lessons/lesson-0/session", wish)).status == 404
-        await until(lambda: scene.of("box.end"))
+        await until(lambda: scene.records_of("box.end"))
 
     play(story, PLAN)
 
@@ -99,11 +99,11 @@
         replies = await asyncio.gather(*(scene.ask(wish) for _ in range(4)))
         assert [reply.status for reply in replies] == [200] * 4
         assert (await scene.ask(wish)).status == 200
-        assert len(scene.of("box.setup")) == 1
+        assert len(scene.records_of("box.setup")) == 1
         await scene.http("DELETE", "/lessons/lesson-0/session", wish)
         assert (await scene.ask(wish)).status == 200
-        assert len(scene.of("box.setup")) == 2
-        await until(lambda: len(scene.of("box.end")) == 1)  # the first was given back
+        assert len(scene.records_of("box.setup")) == 2
+        await until(lambda: len(scene.records_of("box.end")) == 1)  # the first was given back
 
     play(story, PLAN)
 
@@ -114,10 +114,10 @@
             scene.behave(box, late_ms=100.0)
         wish = scene.wish()
         first = asyncio.ensure_future(scene.ask(wish))
-        await until(lambda: scene.of("box.setup"))
+        await until(lambda: scene.records_of("box.setup"))
         first.cancel()
         assert (await scene.ask(wish)).status == 200
-        assert len(scene.of("box.setup")) == 1
+        assert len(scene.records_of("box.setup")) == 1
 
     play(story, PLAN)
 
@@ -161,10 +161,10 @@
             scene.behave(box, late_ms=100.0)
         viewer = Leaver(scene, scene.wish())
         viewer.ask()
-        await until(lambda: scene.of("box.setup"))
+        await until(lambda: scene.records_of("box.setup"))
         await viewer.end_side()
         assert (await viewer.read()).startswith(b"HTTP/1.1 200 ")
-        assert len(scene.of("box.setup")) == 1
+        assert len(scene.records_of("box.setup")) == 1
 
     play(story, PLAN)
 
@@ -175,12 +175,12 @@
         scene.behave(bad, late_ms=600.0)  # an attempt's time is half an aim, 400 ms
         viewer = Leaver(scene, scene.wish())
         viewer.ask()
-        await until(lambda: scene.of("box.setup", session=viewer.session))
+        await until(lambda: scene.records_of("box.setup", session=viewer.session))
         await viewer.end_side()
         assert (await viewer.read()).startswith(b"HTTP/1.1 503 ")
         host = scene.fronts[0].core.sessions
         await until(lambda: host.session_count == 0 and host.controller.sessions == {})
-        assert len(scene.of("box.setup", session=viewer.session)) == 1 and len(host.reply_ledger) == 0
+        assert len(scene.records_of("box.setup", session=viewer.session)) == 1 and len(host.reply_ledger) == 0
 
     play(story, PLAN)
 
@@ -192,7 +192,7 @@
         for other in scene.site.boxes:
             scene.behave(other, late_ms=250.0)
         first = asyncio.ensure_future(scene.ask(scene.wish(top=1)))
-        await until(lambda: len(scene.of("box.setup", box=box)) == 2)  # it has the one connection
+        await until(lambda: len(scene.records_of("box.setup", box=box)) == 2)  # it has the one connection
         viewer, host = Leaver(scene, scene.wish(top=1)), scene.fronts[0].core.sessions
         viewer.ask()
         await until(
@@ -209,7 +209,7 @@
             assert (await viewer.read()).startswith(b"HTTP/1.1 503 ")
         assert (await first).status == 200
         await until(lambda: viewer.session not in host.records())
-        assert scene.of("box.setup", session=viewer.session) == []
+        assert scene.records_of("box.setup", session=viewer.session) == []
 
     play(story, PLAN, extra="[boxes]\nconnections = 1\nconnect-time = 2 s")
 
@@ -227,7 +227,7 @@
         viewer.sock.shutdown(socket.SHUT_WR)  # both are there before the front's loop turns
         seen = await viewer.read()
         assert seen.count(b"HTTP/1.1 ") == 1 and seen.startswith(b"HTTP/1.1 200" if plays else b"HTTP/1.1 ")
-        assert len(scene.of("box.setup", session=wish.session)) <= 1
+        assert len(scene.records_of("box.setup", session=wish.session)) <= 1
         assert len(scene.fronts[0].core.sessions.reply_ledger) == 0
 
     play(story, PLAN)
@@ -237,7 +237,7 @@
     async def story(scene: Scene) -> None:
         assert (await scene.ask(scene.wish(play_s=5.0))).status == 200
         host, client = scene.fronts[0].core.sessions, scene.fronts[0].boxes
-        box = int(scene.of("box.setup")[0]["box"])
+        box = int(scene.records_of("box.setup")[0]["box"])
         await until(lambda: client._streams[box].state.greeted)
         with patch.object(scene.loop, "create_connection", side_effect=OSError(errno.EMFILE, "too many")):
             for watcher in list(scene.site.boxes[box]._watchers.values()):
@@ -268,10 +268,10 @@
             scene.behave(box, late_ms=100.0)
         viewer, host = Leaver(scene, scene.wish()), scene.fronts[0].core.sessions
         viewer.ask()
-        await until(lambda: scene.of("box.setup"))
+        await until(lambda: scene.records_of("box.setup"))
         await viewer.end_side()
         viewer.reset()
-        await until(lambda: scene.of("box.end", session=viewer.session, why="released"))
+        await until(lambda: scene.records_of("box.end", session=viewer.session, why="released"))
         assert host.session_count == 0  # after the time that is kept for its return
 
     play(story, PLAN, extra="linger = 200 ms")
@@ -288,12 +288,12 @@
         wish = scene.wish()
         reply = await scene.ask(wish)
         assert reply.status == 200
-        boxes = [record["box"] for record in scene.of("box.setup", session=wish.session)]
+        boxes = [record["box"] for record in scene.records_of("box.setup", session=wish.session)]
         if how != "hang":  # which does not even read
             assert boxes[0] == bad and len(boxes) == 2
         assert boxes[-1] != bad
         if how not in ("hang", "full", "fail"):  # the work was done there: it is taken back
-            await until(lambda: scene.of("box.end", session=wish.session, box=bad, why="released"))
+            await until(lambda: scene.records_of("box.end", session=wish.session, box=bad, why="released"))
 
     play(story, PLAN)
 
@@ -304,8 +304,8 @@
         scene.behave(bad, late_ms=600.0)  # an attempt's time is half an aim, 400 ms
         wish = scene.wish()
         assert (await scene.ask(wish)).status == 200
-        await until(lambda: scene.loop.time() * 1000 > scene.of("box.setup", box=bad)[-1]["t"] + 700)
-        assert not scene.of("box.runs", session=wish.session, box=bad)
+        await until(lambda: scene.loop.time() * 1000 > scene.records_of("box.setup", box=bad)[-1]["t"] + 700)
+        assert not scene.records_of("box.runs", session=wish.session, box=bad)
         assert (wish.session, 0) not in scene.site.boxes[bad].sessions
 
     play(story, PLAN)
@@ -317,11 +317,11 @@
         scene.behave(box, late_ms=250.0)
         wishes = [scene.wish(top=1) for _ in range(4)]
         answers = [asyncio.ensure_future(scene.ask(wish)) for wish in wishes]
-        await until(lambda: len(scene.of("box.setup", box=box)) == 2)  # one before, and one of these
+        await until(lambda: len(scene.records_of("box.setup", box=box)) == 2)  # one before, and one of these
         scene.site.tell(box, "draining")
         replies = await asyncio.gather(*answers)
         assert [reply.status for reply in replies] == [200] * 4
-        assert len(scene.of("box.setup", box=box)) == 2
+        assert len(scene.records_of("box.setup", box=box)) == 2
 
     play(story, replace(PLAN, drain_grace_ms=20.0), extra="[boxes]\nconnections = 1\nconnect-time = 2 s")
 
@@ -330,7 +330,7 @@
     async def story(scene: Scene) -> None:
         box = await scene.first_choice()
         watching = asyncio.ensure_future(scene.viewers.watch(scene.wish(play_s=1.5)))
-        await until(lambda: len(scene.of("box.segment")) > 0)
+        await until(lambda: len(scene.records_of("box.segment")) > 0)
         scene.site.boxes[box].die()
         host = scene.fronts[0].core.sessions
         await until(lambda: not host.sessions_playing_at(box))
@@ -374,8 +374,8 @@
         wishes = [scene.wish(cls="briefing") for _ in range(3)]
         statuses = sorted([reply.status for reply in await asyncio.gather(*map(scene.ask, wishes))])
         assert statuses == [200, 200, 503]
-        refused = [one for one in scene.of("viewer.answer") if one["status"] == 503]
-        assert refused[0]["t"] - scene.of("viewer.ask")[0]["t"] < 1000  # at once, not at a time-out
+        refused = [one for one in scene.records_of("viewer.answer") if one["status"] == 503]
+        assert refused[0]["t"] - scene.records_of("viewer.ask")[0]["t"] < 1000  # at once, not at a time-out
         await scene.http("DELETE", "/lessons/lesson-0/session", wishes[0])
         again = [*wishes[1:], scene.wish(cls="briefing")]
         assert sorted([reply.status for reply in await asyncio.gather(*map(scene.ask, again))])[:2] == [
@@ -449,7 +449,7 @@
             scene.behave(box, late_ms=150.0)
         front = scene.fronts[0]
         answers = [asyncio.ensure_future(scene.ask(scene.wish())) for _ in range(5)]
-        await until(lambda: len(scene.of("box.setup")) == 5)
+        await until(lambda: len(scene.records_of("box.setup")) == 5)
         assert await front.stop(10.0)
         assert [reply.status for reply in await asyncio.gather(*answers)] == [200] * 5
         assert (await scene.ask(scene.wish())).outcome.never_ran
@@ -477,11 +477,11 @@
         box = await scene.first_choice()
         wishes = [scene.wish(cls="briefing", play_s=4.0) for _ in range(3)]
         watching = [asyncio.ensure_future(scene.viewers.watch(wish)) for wish in wishes]
-        await until(lambda: len(scene.of("box.runs", box=box)) >= 3)
+        await until(lambda: len(scene.records_of("box.runs", box=box)) >= 3)
         scene.site.boxes[box].link_kb = 2_500.0
-        await until(lambda: scene.of("box.rung", box=box))
-        lowered = scene.of("box.rung", box=box)[0]
-        assert lowered["rung"] < scene.of("box.setup", session=lowered["session"])[0]["rung"]
+        await until(lambda: scene.records_of("box.rung", box=box))
+        lowered = scene.records_of("box.rung", box=box)[0]
+        assert lowered["rung"] < scene.records_of("box.setup", session=lowered["session"])[0]["rung"]
         await asyncio.gather(*watching)
 
     play(story, PLAN)
@@ -512,12 +512,12 @@
     async def story(scene: Scene) -> None:
         wish = scene.wish(cls="briefing")
         assert (await scene.ask(wish)).status == 200
-        silent = int(scene.of("box.setup")[0]["box"])
+        silent = int(scene.records_of("box.setup")[0]["box"])
         scene.behave(silent, hang=True)
         host = scene.fronts[0].core.sessions
         await until(lambda: silent in host._servers.silent)
         assert (await scene.ask(wish)).status == 200
-        assert int(scene.of("box.setup")[-1]["box"]) != silent
+        assert int(scene.records_of("box.setup")[-1]["box"]) != silent
         assert (await scene.ask(scene.wish(cls="briefing"))).status == 503
         at = scene.loop.time()
         await until(lambda: scene.loop.time() > at + 0.2)  # past the auditor's allowance
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -115,13 +115,13 @@
     async def story(scene: Scene) -> None:
         wish = scene.wish(play_s=10.0)
         watching = asyncio.ensure_future(scene.viewers.watch(wish))
-        await until(lambda: scene.of("box.segment"))
+        await until(lambda: scene.records_of("box.segment"))
         mine.denied.add(f"person-{wish.session}")
         shown = await watching
         assert shown.ended == "entitlement has ended" and 0.0 < shown.played_s < 10.0
-        statuses = [record["status"] for record in scene.of("box.segment")]
+        statuses = [record["status"] for record in scene.records_of("box.segment")]
         assert set(statuses[:-1]) == {200} and statuses[-1] == 410  # no segment was cut off
-        assert scene.of("box.end", session=wish.session, why="revoked")
+        assert scene.records_of("box.end", session=wish.session, why="revoked")
         refused = await scene.ask(wish)
         assert refused.status == 503 and b"not entitled" in refused.body
 
@@ -136,7 +136,7 @@
         assert (await scene.ask(wish)).status == 200
         mine.forget()
         await until(lambda: len(mine.leases) == 1)
-        assert scene.fronts[0].core.sessions.session_count == 1 and not scene.of("box.end")
+        assert scene.fronts[0].core.sessions.session_count == 1 and not scene.records_of("box.end")
 
     play(story, PLAN, desk=mine)
 
@@ -163,8 +163,8 @@
         wish = scene.wish(play_s=6.0, life_s=2.0)
         shown = await scene.viewers.watch(wish)
         assert shown.breaks == 0 and shown.played_s >= 6.0 and shown.answers >= 2
-        assert {record["status"] for record in scene.of("box.segment")} == {200}
-        assert len(scene.of("box.setup")) == 1
+        assert {record["status"] for record in scene.records_of("box.segment")} == {200}
+        assert len(scene.records_of("box.setup")) == 1
         stranger = scene.wish(life_s=-1.0)
         assert (await scene.ask(stranger)).status == 401  # nothing stands in for it
         host = scene.fronts[0].core.sessions
--- a/tests/test_peers_boxes.py
+++ b/tests/test_peers_boxes.py
@@ -109,7 +109,7 @@
         assert not ports[0].let_go(now, wish.session)
         # The heir answers its viewer from what stands, without a second set-up, and ends it at its box.
         again = await scene.http("GET", path, wish, front=1)
-        assert again.status == 200 and len(scene.of("box.setup")) == 1
+        assert again.status == 200 and len(scene.records_of("box.setup")) == 1
         claims.clear()
         ports[0].claim(
             standing.box, "front-0:1/0", 5, 400.0, lambda now, claimed: claims.append(claimed)
@@ -120,8 +120,8 @@
             scene.fronts[1].core.sessions.session_count == 1
         )  # its stream of notes did not take it for lost
         assert (await scene.http("DELETE", "/lessons/lesson-0/session", wish, front=1)).status == 204
-        await until(lambda: scene.of("box.end"))
-        (end,) = scene.of("box.end")
+        await until(lambda: scene.records_of("box.end"))
+        (end,) = scene.records_of("box.end")
         assert end["front"] == "front-1" and end["why"] == "released"
         assert told[1].ends == [wish.session]
         assert all(front.core.sessions.session_count == 0 for front in scene.fronts)
@@ -137,7 +137,7 @@
         owner = front.core.channel_ownership = _Owner("front-0:1/0", 5)
         wish = scene.wish(play_s=30.0)
         assert (await scene.http("GET", "/lessons/lesson-0/manifest.mpd", wish)).status == 200
-        (setup,) = scene.of("box.setup")
+        (setup,) = scene.records_of("box.setup")
         box = scene.site.boxes[int(setup["box"])]
         claims: list[object] = []
         heir = scene.fronts[1].core.server_transport
@@ -149,7 +149,7 @@
         host = front.core.sessions
         assert host.release_session(front.core.now(), wish.session)  # past its bound: refused at the box
         front.core.schedule_step()
-        await until(lambda: [one for one in scene.of("box.steer") if not one["accepted"]])
+        await until(lambda: [one for one in scene.records_of("box.steer") if not one["accepted"]])
         assert (wish.session, 0) in box.sessions
         owner.under = None  # steering without a fence is refused as well
         host.on_session_ended(front.core.now(), wish.session, 0, Result.OK)
--- a/tests/test_peers_fleet.py
+++ b/tests/test_peers_fleet.py
@@ -77,7 +77,7 @@
         # At a front that does not hold it: carried to its owner, and no second set-up.
         assert (await scene.http("GET", path, first, front=1)).status == 200
         assert (await scene.http("HEAD", path, first, front=2)).status == 200
-        assert len(scene.of("box.setup", session=first.session)) == 1
+        assert len(scene.records_of("box.setup", session=first.session)) == 1
         hosts = [front.core.sessions for front in scene.fronts]
         assert [host.session_count for host in hosts] == [9, 0, 0]
         await until(lambda: all(copied(one) >= 9 for one in peers[1:]))
@@ -87,11 +87,11 @@
         for wish in wishes:
             at = 1 if hosts[1].session(wish.session) is None else 2
             await reach(scene, wish, at)
-        assert len(scene.of("box.setup")) == 9 and not scene.of("box.end")
+        assert len(scene.records_of("box.setup")) == 9 and not scene.records_of("box.end")
         # The heir steers: its viewer's end reaches the box.
         await reach(scene, first, 1, "DELETE")
-        await until(lambda: bool(scene.of("box.end", session=first.session)))
-        assert all(one["accepted"] for one in scene.of("box.steer"))
+        await until(lambda: bool(scene.records_of("box.end", session=first.session)))
+        assert all(one["accepted"] for one in scene.records_of("box.steer"))
 
     play(story, PLAN, fronts=0)
 
@@ -111,8 +111,8 @@
         for wish in wishes:
             await reach(scene, wish, 1)
             await reach(scene, wish, 2)
-        assert len(scene.of("box.setup")) == 9 and not scene.of("box.end")
-        claims = scene.of("box.claim")
+        assert len(scene.records_of("box.setup")) == 9 and not scene.records_of("box.end")
+        claims = scene.records_of("box.claim")
         assert claims and all(one["accepted"] for one in claims)
         await until(lambda: all("front-0" not in one.peer.members.alive() for one in peers[1:]))
 
@@ -131,7 +131,7 @@
         assert await scene.fronts[0].stop(10.0)
         hosts = [front.core.sessions for front in scene.fronts[1:]]
         await until(lambda: sum(len(scene.desk.held_by(name)) for name in ("front-1", "front-2")) == 4)
-        assert sum(host.session_count for host in hosts) == 4 and not scene.of("box.end")
+        assert sum(host.session_count for host in hosts) == 4 and not scene.records_of("box.end")
         report = scene.desk.report
         assert report.most_over == 0 and report.most_by_session == 1
         # Four seats changed hands: fenced by the heirs, or, on a slow machine, run out just before.
@@ -186,7 +186,7 @@
         assert told[0]["ok"] is False and told[0]["error"]
         answer = told[1]
         (row,) = answer["rows"]
-        assert (row["front"], row["box"]) == ("front-0", scene.of("box.setup")[0]["box"])
+        assert (row["front"], row["box"]) == ("front-0", scene.records_of("box.setup")[0]["box"])
         # A copy answered for the dead: what it did last may be missing, and that is said.
         assert answer["whole"] is False and {gap["front"] for gap in answer["gaps"]} == {"front-0"}
         # What it would touch was told before it was put; one over its budget is not put at all.
@@ -246,7 +246,7 @@
             scene.behave(box, fail_share=1.0)
         wish = scene.wish(play_s=60.0)
         assert (await scene.ask(wish, front=0)).status == 503
-        assert scene.of("box.setup")  # it was tried, in a channel of this front's
+        assert scene.records_of("box.setup")  # it was tried, in a channel of this front's
         peer = peers[0].peer
         assert not peer.owning.in_channel(wish.session)
         peer.directory.find(scene.fronts[0].core.now(), wish.session)
@@ -279,7 +279,7 @@
         scene.fronts[0].kill()
         hosts = [one.core.sessions for one in scene.fronts[1:]]
         await until(lambda: any(host.session(wish.session) is not None for host in hosts))
-        assert len(scene.of("box.setup")) == 1 and not scene.of("box.end")
+        assert len(scene.records_of("box.setup")) == 1 and not scene.records_of("box.end")
 
     play(story, replace(PLAN, fronts=4), fronts=0)
 
