--- a/tests/scene.py
+++ b/tests/scene.py
@@ -78,7 +78,7 @@
         self._wishes += 1
         return self.site.wish(f"w{self._wishes}", title, cls, **more)
 
-    async def ask(self, wish: Wish, front: int = 0) -> Reply:
+    async def request_session(self, wish: Wish, front: int = 0) -> Reply:
         return await self.viewers.ask(f"front-{front}", wish)
 
     async def http(
@@ -106,7 +106,7 @@
     async def first_choice(self, title: str = "lesson-0") -> int:
         """The box that the fronts try first for a lesson, found by trying."""
         wish = self.wish(title)
-        assert (await self.ask(wish)).status == 200
+        assert (await self.request_session(wish)).status == 200
         box = int(self.records_of("box.setup", session=wish.session)[0]["box"])
         await self.http("DELETE", f"/lessons/{title}/session", wish)
         await until(lambda: self.records_of("box.end", session=wish.session))
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -234,7 +234,7 @@
 
 
 async def crowd(scene: Scene) -> None:
-    await asyncio.gather(*(scene.ask(scene.wish(cls="briefing")) for _ in range(6)))
+    await asyncio.gather(*(scene.request_session(scene.wish(cls="briefing")) for _ in range(6)))
 
 
 def test_a_front_that_holds_answers_back(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -273,7 +273,7 @@
         for box in scene.site.boxes:
             scene.behave(box, late_ms=150.0)
         wish = scene.wish(wait_s=1)
-        asks = [asyncio.ensure_future(scene.ask(wish)) for _ in range(2)]
+        asks = [asyncio.ensure_future(scene.request_session(wish)) for _ in range(2)]
         await until(lambda: len(scene.records_of("box.setup")) == 2)
         await asyncio.gather(*asks)
 
@@ -290,7 +290,7 @@
         await until(lambda: scene.fronts[0].core.sessions._servers.states[box].name == "DRAINING")
         said = scene.records_of("list.told", box=box, state="draining")[0]["t"]
         await until(lambda: scene.loop.time() * 1000 > said + 60)
-        await scene.ask(scene.wish())
+        await scene.request_session(scene.wish())
 
     play(story, replace(PLAN, drain_grace_ms=50.0), broken=("3",))
 
@@ -305,7 +305,7 @@
         scene.site.boxes[box].die()
         await scene.site.restart(box)
         scene.site.tell(box)
-        await asyncio.gather(*(scene.ask(scene.wish(top=0)) for _ in range(12)))
+        await asyncio.gather(*(scene.request_session(scene.wish(top=0)) for _ in range(12)))
         assert scene.site.boxes[box].toppled
 
     play(story, replace(PLAN, cold=cold, streams=10, link_kb=60_000.0), broken=("4",))
@@ -343,6 +343,6 @@
     async def story(scene: Scene) -> None:
         for box in scene.site.boxes:
             scene.behave(box, fail_share=1.0)
-        await asyncio.gather(*(scene.ask(scene.wish(), front=0) for _ in range(6)))
+        await asyncio.gather(*(scene.request_session(scene.wish(), front=0) for _ in range(6)))
 
     play(story, replace(PLAN, budget=(10_000.0, 1.0, 0.1)), broken=("6",))
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -125,7 +125,7 @@
 def test_a_script_prints_what_the_boxes_say() -> None:
     async def story(scene: Scene, runner: Runner, said: list[str]) -> None:
         wishes = [scene.wish(title=f"lesson-{n % 2}") for n in range(8)]
-        await asyncio.gather(*map(scene.ask, wishes))
+        await asyncio.gather(*map(scene.request_session, wishes))
         await runner.run("# eight\nwait playing = 8\nshow sessions\nshow boxes sort=playing")
         at = said.index("> show sessions")
         shown = {line.split()[0]: int(line.split()[4]) for line in said[at + 2 : at + 10]}
@@ -155,9 +155,9 @@
         assert "without a holder" in said[-2] and said[-1].startswith("repeat with")
         await runner.run("confirm")
         assert said[-1].startswith("done")
-        assert (await scene.ask(scene.wish())).status == 503
+        assert (await scene.request_session(scene.wish())).status == 503
         await runner.run(f"undrain {holders[0]}")
-        assert (await scene.ask(scene.wish())).status == 200
+        assert (await scene.request_session(scene.wish())).status == 200
 
     runner_scene(story, drains_at_once="9")
 
@@ -198,7 +198,7 @@
 def test_keys_lead_through_views_and_a_drain() -> None:
     async def story(scene: Scene, app: ConsoleApp, pilot: Any) -> None:
         wishes = [scene.wish(title=f"lesson-{n % 3}") for n in range(30)]
-        await asyncio.gather(*map(scene.ask, wishes))
+        await asyncio.gather(*map(scene.request_session, wishes))
         shown = await until_shown(app, pilot, "30 playing")
         assert "live" in shown.splitlines()[0] and len(shown.splitlines()) == 24
         await pilot.press("2")
@@ -231,7 +231,7 @@
 
 def test_a_front_that_restarts_under_the_console_is_found_again() -> None:
     async def story(scene: Scene, app: ConsoleApp, pilot: Any) -> None:
-        await asyncio.gather(*(scene.ask(scene.wish()) for _ in range(3)))
+        await asyncio.gather(*(scene.request_session(scene.wish()) for _ in range(3)))
         await until_shown(app, pilot, "3 playing")
         scene.trace.write("front.down", front="front-0")
         scene.fronts.pop().kill()
@@ -246,11 +246,11 @@
 
 def test_the_cursor_stays_with_its_session_when_others_come() -> None:
     async def story(scene: Scene, app: ConsoleApp, pilot: Any) -> None:
-        await asyncio.gather(*(scene.ask(replace_session(scene, f"m{n}")) for n in range(3)))
+        await asyncio.gather(*(scene.request_session(replace_session(scene, f"m{n}")) for n in range(3)))
         await until_shown(app, pilot, "3 playing")
         await pilot.press("2", "down")
         assert app._at_cursor() == "m1"
-        await asyncio.gather(*(scene.ask(replace_session(scene, f"a{n}")) for n in range(4)))
+        await asyncio.gather(*(scene.request_session(replace_session(scene, f"a{n}")) for n in range(4)))
         await until_shown(app, pilot, "a3")
         assert app._at_cursor() == "m1" and app.cursor == 5
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -292,7 +292,7 @@
 def test_a_watcher_shows_what_the_front_holds_and_why() -> None:
     async def story(scene: Scene, ann: ControlClient) -> None:
         wishes = [scene.wish(title=f"lesson-{number % 3}") for number in range(12)]
-        await asyncio.gather(*map(scene.ask, wishes))
+        await asyncio.gather(*map(scene.request_session, wishes))
         await until(lambda: the_same(scene, ann))
         picture = ann.follower.picture
         assert picture is not None and len(picture.sessions) == 12 and picture.answers["plays"] == 12
@@ -316,23 +316,23 @@
 def test_nothing_new_reaches_a_drained_box_though_the_list_says_ready() -> None:
     async def story(scene: Scene, ann: ControlClient) -> None:
         first = await scene.first_choice()
-        burst = [asyncio.ensure_future(scene.ask(scene.wish())) for _ in range(20)]
+        burst = [asyncio.ensure_future(scene.request_session(scene.wish())) for _ in range(20)]
         answer = await ann.ask("drain", target=str(first), reason="fan is loud")
         assert answer["outcome"] == "done"
         begun = len(scene.records_of("box.setup", box=first))
         scene.site.tell(first, "ready")
         await asyncio.gather(*burst)
-        replies = await asyncio.gather(*(scene.ask(scene.wish()) for _ in range(10)))
+        replies = await asyncio.gather(*(scene.request_session(scene.wish()) for _ in range(10)))
         assert {reply.status for reply in replies} == {200}
         # What was out when the drain came may arrive within the grace; after it nothing does.
         assert len(scene.records_of("box.setup", box=first)) - begun <= 20
         sent = len(scene.records_of("box.setup", box=first))
-        await asyncio.gather(*(scene.ask(scene.wish()) for _ in range(10)))
+        await asyncio.gather(*(scene.request_session(scene.wish()) for _ in range(10)))
         assert len(scene.records_of("box.setup", box=first)) == sent
         bob = await client(scene, "bob")
         assert (await bob.ask("drain", target=str(first)))["outcome"] == "already"
         assert (await bob.ask("undrain", target=str(first)))["outcome"] == "done"
-        await asyncio.gather(*(scene.ask(scene.wish()) for _ in range(3)))
+        await asyncio.gather(*(scene.request_session(scene.wish()) for _ in range(3)))
         assert len(scene.records_of("box.setup", box=first)) > sent
         await until(lambda: the_same(scene, bob) and the_same(scene, ann))
         for one in (ann, bob):
@@ -347,7 +347,7 @@
         for do in ("drain", "undrain", "drain"):
             assert (await ann.ask(do, target=str(first)))["outcome"] == "done"
         wish = scene.wish()
-        assert (await scene.ask(wish)).status == 200
+        assert (await scene.request_session(wish)).status == 200
         assert scene.records_of("box.setup", session=wish.session)[0]["box"] != first
         scene.site.tell(first, "gone")
         picture = ann.follower.picture
@@ -367,14 +367,14 @@
         watching = asyncio.ensure_future(scene.viewers.watch(plays))
         await until(lambda: scene.records_of("box.segment"))
         await ann.ask("hold", target="lesson-0", reason="wrong film")
-        held = await scene.ask(scene.wish())
+        held = await scene.request_session(scene.wish())
         assert held.status == 503 and b"wrong film" in held.body and held.headers.get("retry-after") == "5"
-        assert (await scene.ask(plays)).status == 200  # who plays, plays on
+        assert (await scene.request_session(plays)).status == 200  # who plays, plays on
         await ann.ask("end", target=plays.session, reason="asked to leave")
         assert (await watching).ended == "asked to leave"
         await ann.ask("unhold", target="lesson-0")
         await ann.ask("cap", target="lesson:lesson-0", most=2)
-        replies = await asyncio.gather(*(scene.ask(scene.wish()) for _ in range(4)))
+        replies = await asyncio.gather(*(scene.request_session(scene.wish()) for _ in range(4)))
         assert Counter(reply.status for reply in replies) == {200: 2, 503: 2}
         overview = await ann.ask("overview")
         assert overview["refusals"] == {
@@ -403,7 +403,7 @@
         orders = (await ann.ask("events", what="order", limit=500))["rows"]
         assert sum(row[11].startswith("drain ") for row in orders) == 1
         wish = scene.wish()
-        assert (await scene.ask(wish)).status == 200
+        assert (await scene.request_session(wish)).status == 200
         assert scene.records_of("box.setup", session=wish.session)[0]["box"] != first
         await until(lambda: the_same(scene, ann))
         picture = ann.follower.picture
@@ -427,7 +427,7 @@
             journal.add(number, EventKind.ASKED, session=f"x{number % 50}", why="w" * 400)
             if number % 2_000 == 0:
                 await until(lambda: channel._timer is None)
-        assert (await scene.ask(scene.wish())).status == 200
+        assert (await scene.request_session(scene.wish())).status == 200
         pending = [len(one.pending) for one in channel.clients]
         assert max(pending) <= 5_000
         ann._transport.resume_reading()
@@ -543,10 +543,10 @@
         file.mkdir()  # no file can take its place
         with pytest.raises(ControlError, match="can't be written down"):
             await ann.ask("hold", target="lesson-0")
-        assert (await scene.ask(scene.wish())).status == 200
+        assert (await scene.request_session(scene.wish())).status == 200
         file.rmdir()
         assert (await ann.ask("hold", target="lesson-0"))["outcome"] == "done"
-        assert (await scene.ask(scene.wish())).status == 503
+        assert (await scene.request_session(scene.wish())).status == 503
         ann.close()
 
     control_scene(story)
--- a/tests/test_front_sockets.py
+++ b/tests/test_front_sockets.py
@@ -96,12 +96,12 @@
 def test_one_token_twice_in_an_instant_while_it_plays_and_after() -> None:
     async def story(scene: Scene) -> None:
         wish = scene.wish()
-        replies = await asyncio.gather(*(scene.ask(wish) for _ in range(4)))
+        replies = await asyncio.gather(*(scene.request_session(wish) for _ in range(4)))
         assert [reply.status for reply in replies] == [200] * 4
-        assert (await scene.ask(wish)).status == 200
+        assert (await scene.request_session(wish)).status == 200
         assert len(scene.records_of("box.setup")) == 1
         await scene.http("DELETE", "/lessons/lesson-0/session", wish)
-        assert (await scene.ask(wish)).status == 200
+        assert (await scene.request_session(wish)).status == 200
         assert len(scene.records_of("box.setup")) == 2
         await until(lambda: len(scene.records_of("box.end")) == 1)  # the first was given back
 
@@ -113,10 +113,10 @@
         for box in scene.site.boxes:
             scene.behave(box, late_ms=100.0)
         wish = scene.wish()
-        first = asyncio.ensure_future(scene.ask(wish))
+        first = asyncio.ensure_future(scene.request_session(wish))
         await until(lambda: scene.records_of("box.setup"))
         first.cancel()
-        assert (await scene.ask(wish)).status == 200
+        assert (await scene.request_session(wish)).status == 200
         assert len(scene.records_of("box.setup")) == 1
 
     play(story, PLAN)
@@ -191,7 +191,7 @@
         box = await scene.first_choice()
         for other in scene.site.boxes:
             scene.behave(other, late_ms=250.0)
-        first = asyncio.ensure_future(scene.ask(scene.wish(top=1)))
+        first = asyncio.ensure_future(scene.request_session(scene.wish(top=1)))
         await until(lambda: len(scene.records_of("box.setup", box=box)) == 2)  # it has the one connection
         viewer, host = Leaver(scene, scene.wish(top=1)), scene.fronts[0].core.sessions
         viewer.ask()
@@ -221,7 +221,7 @@
     async def story(scene: Scene) -> None:
         wish = scene.wish()
         if plays:
-            assert (await scene.ask(wish)).status == 200
+            assert (await scene.request_session(wish)).status == 200
         viewer = Leaver(scene, wish)
         viewer.ask()
         viewer.sock.shutdown(socket.SHUT_WR)  # both are there before the front's loop turns
@@ -235,7 +235,7 @@
 
 def test_a_front_that_is_out_of_descriptors_takes_no_box_for_dead() -> None:
     async def story(scene: Scene) -> None:
-        assert (await scene.ask(scene.wish(play_s=5.0))).status == 200
+        assert (await scene.request_session(scene.wish(play_s=5.0))).status == 200
         host, client = scene.fronts[0].core.sessions, scene.fronts[0].boxes
         box = int(scene.records_of("box.setup")[0]["box"])
         await until(lambda: client._streams[box].state.greeted)
@@ -286,7 +286,7 @@
         shares = {"fail": {"fail_share": 1.0}, "lost": {"lost_share": 1.0}}
         scene.behave(bad, **shares.get(how, {how: True}))
         wish = scene.wish()
-        reply = await scene.ask(wish)
+        reply = await scene.request_session(wish)
         assert reply.status == 200
         boxes = [record["box"] for record in scene.records_of("box.setup", session=wish.session)]
         if how != "hang":  # which does not even read
@@ -303,7 +303,7 @@
         bad = await scene.first_choice()
         scene.behave(bad, late_ms=600.0)  # an attempt's time is half an aim, 400 ms
         wish = scene.wish()
-        assert (await scene.ask(wish)).status == 200
+        assert (await scene.request_session(wish)).status == 200
         await until(lambda: scene.loop.time() * 1000 > scene.records_of("box.setup", box=bad)[-1]["t"] + 700)
         assert not scene.records_of("box.runs", session=wish.session, box=bad)
         assert (wish.session, 0) not in scene.site.boxes[bad].sessions
@@ -316,7 +316,7 @@
         box = await scene.first_choice()
         scene.behave(box, late_ms=250.0)
         wishes = [scene.wish(top=1) for _ in range(4)]
-        answers = [asyncio.ensure_future(scene.ask(wish)) for wish in wishes]
+        answers = [asyncio.ensure_future(scene.request_session(wish)) for wish in wishes]
         await until(lambda: len(scene.records_of("box.setup", box=box)) == 2)  # one before, and one of these
         scene.site.tell(box, "draining")
         replies = await asyncio.gather(*answers)
@@ -358,7 +358,7 @@
         for number in scene.site.boxes:
             await scene.site.restart(number)
             scene.site.tell(number)
-        burst = [scene.ask(scene.wish(play_s=1.0, top=1), front=n % 2) for n in range(80)]
+        burst = [scene.request_session(scene.wish(play_s=1.0, top=1), front=n % 2) for n in range(80)]
         replies = await asyncio.gather(*burst)
         assert {reply.status for reply in replies} <= {200, 503}
         assert not any(box.toppled for box in scene.site.boxes.values())
@@ -372,13 +372,17 @@
 
     async def story(scene: Scene) -> None:
         wishes = [scene.wish(cls="briefing") for _ in range(3)]
-        statuses = sorted([reply.status for reply in await asyncio.gather(*map(scene.ask, wishes))])
+        statuses = sorted(
+            [reply.status for reply in await asyncio.gather(*map(scene.request_session, wishes))]
+        )
         assert statuses == [200, 200, 503]
         refused = [one for one in scene.records_of("viewer.answer") if one["status"] == 503]
         assert refused[0]["t"] - scene.records_of("viewer.ask")[0]["t"] < 1000  # at once, not at a time-out
         await scene.http("DELETE", "/lessons/lesson-0/session", wishes[0])
         again = [*wishes[1:], scene.wish(cls="briefing")]
-        assert sorted([reply.status for reply in await asyncio.gather(*map(scene.ask, again))])[:2] == [
+        assert sorted([reply.status for reply in await asyncio.gather(*map(scene.request_session, again))])[
+            :2
+        ] == [
             200,
             200,
         ]
@@ -391,21 +395,21 @@
         front = scene.fronts[0]
         assert len(front.core.sessions._servers.states) == 200
         playing = scene.wish()
-        assert (await scene.ask(playing)).status == 200
+        assert (await scene.request_session(playing)).status == 200
         lines = list(scene.site.list.lines.values())
         version = scene.site.list.version
         scene.site.list.replace([])
         await until(lambda: not front.core.sessions._servers.states)
         late = scene.wish()
-        assert (await scene.ask(late)).status == 503
+        assert (await scene.request_session(late)).status == 503
         assert front.core.sessions.session_count == 1  # what plays goes on
         scene.site.list.lines = {line.box: line for line in lines}
         scene.site.list.rewind(version)  # goes back to the full list, by an older version
-        assert (await scene.ask(scene.wish())).status == 503
+        assert (await scene.request_session(scene.wish())).status == 503
         scene.site.list.version += 5
         scene.site.list.tell_whole()
         await until(lambda: len(front.core.sessions._servers.states) == 200)
-        assert (await scene.ask(scene.wish())).status == 200
+        assert (await scene.request_session(scene.wish())).status == 200
 
     play(story, replace(PLAN, boxes=200, racks=10, lessons=20))
 
@@ -417,7 +421,7 @@
         await front.stop(5.0)
         scene.site.list.stop()
         again = await scene.start_front(0)
-        assert (await scene.ask(scene.wish())).status == 200
+        assert (await scene.request_session(scene.wish())).status == 200
         await scene.site.list.start()
         box = next(iter(scene.site.boxes))
         await until(lambda: len(scene.site.list._streams) == 1)
@@ -431,7 +435,7 @@
     async def story(scene: Scene) -> None:
         counts = HostileCounts()
         origin = scene.fronts[0].address
-        asks = [scene.ask(scene.wish()) for _ in range(10)]
+        asks = [scene.request_session(scene.wish()) for _ in range(10)]
         replies, *_ = await asyncio.gather(
             asyncio.gather(*asks), *(attack(origin, name, counts, 5.0) for name in PAYLOADS)
         )
@@ -448,11 +452,11 @@
         for box in scene.site.boxes:
             scene.behave(box, late_ms=150.0)
         front = scene.fronts[0]
-        answers = [asyncio.ensure_future(scene.ask(scene.wish())) for _ in range(5)]
+        answers = [asyncio.ensure_future(scene.request_session(scene.wish())) for _ in range(5)]
         await until(lambda: len(scene.records_of("box.setup")) == 5)
         assert await front.stop(10.0)
         assert [reply.status for reply in await asyncio.gather(*answers)] == [200] * 5
-        assert (await scene.ask(scene.wish())).outcome.never_ran
+        assert (await scene.request_session(scene.wish())).outcome.never_ran
 
     play(story, PLAN)
 
@@ -511,14 +515,14 @@
 
     async def story(scene: Scene) -> None:
         wish = scene.wish(cls="briefing")
-        assert (await scene.ask(wish)).status == 200
+        assert (await scene.request_session(wish)).status == 200
         silent = int(scene.records_of("box.setup")[0]["box"])
         scene.behave(silent, hang=True)
         host = scene.fronts[0].core.sessions
         await until(lambda: silent in host._servers.silent)
-        assert (await scene.ask(wish)).status == 200
+        assert (await scene.request_session(wish)).status == 200
         assert int(scene.records_of("box.setup")[-1]["box"]) != silent
-        assert (await scene.ask(scene.wish(cls="briefing"))).status == 503
+        assert (await scene.request_session(scene.wish(cls="briefing"))).status == 503
         at = scene.loop.time()
         await until(lambda: scene.loop.time() > at + 0.2)  # past the auditor's allowance
 
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -41,7 +41,7 @@
     async def story(scene: Scene) -> None:
         wishes = [scene.wish(cls="briefing") for _ in range(3)]
         # Each token twice at once: a seat is one session's, however often it asks.
-        replies = await asyncio.gather(*(scene.ask(wish) for wish in [*wishes, *wishes]))
+        replies = await asyncio.gather(*(scene.request_session(wish) for wish in [*wishes, *wishes]))
         assert sorted(reply.status for reply in replies) == [200] * 4 + [503] * 2
         refused = next(reply for reply in replies if reply.status == 503)
         assert b"no seat is free" in refused.body and int(refused.headers.get("retry-after")) >= 1
@@ -50,7 +50,7 @@
         for wish in wishes:
             await scene.http("DELETE", "/lessons/lesson-0/session", wish)
         await until(lambda: not mine.leases)
-        assert (await scene.ask(wishes[2])).status == 200
+        assert (await scene.request_session(wishes[2])).status == 200
 
     play(story, PLAN, desk=mine)
     assert (mine.report.most_over, mine.report.most_by_session, mine.report.most) == (0, 1, 2)
@@ -63,7 +63,8 @@
         assert scene.entitlement is not None
         scene.entitlement.silent = True
         strict, lenient = await asyncio.gather(
-            scene.ask(scene.wish(cls="briefing")), scene.ask(scene.wish(cls="training"))
+            scene.request_session(scene.wish(cls="briefing")),
+            scene.request_session(scene.wish(cls="training")),
         )
         assert (strict.status, lenient.status) == (503, 200) and b"did not answer" in strict.body
         scene.entitlement.silent = False
@@ -93,14 +94,14 @@
 
     async def story(scene: Scene) -> None:
         wishes = [scene.wish() for _ in range(4)]
-        await asyncio.gather(*map(scene.ask, wishes))
+        await asyncio.gather(*map(scene.request_session, wishes))
         assert len(mine.leases) == 4
         scene.trace.write("front.down", front="front-0")
         scene.fronts.pop().kill()
         await scene.start_front(0)
         gate = scene.fronts[0].gate
         assert gate is not None and len(gate.seat_manager.seats) == 4
-        assert (await scene.ask(wishes[0])).status == 200  # comes back to its seat
+        assert (await scene.request_session(wishes[0])).status == 200  # comes back to its seat
         await until(lambda: len(mine.leases) == 1)  # those nobody came back for are given back
         await scene.http("DELETE", "/lessons/lesson-0/session", wishes[0])
         await until(lambda: not mine.leases)
@@ -122,7 +123,7 @@
         statuses = [record["status"] for record in scene.records_of("box.segment")]
         assert set(statuses[:-1]) == {200} and statuses[-1] == 410  # no segment was cut off
         assert scene.records_of("box.end", session=wish.session, why="revoked")
-        refused = await scene.ask(wish)
+        refused = await scene.request_session(wish)
         assert refused.status == 503 and b"not entitled" in refused.body
 
     play(story, PLAN, desk=mine)
@@ -133,7 +134,7 @@
 
     async def story(scene: Scene) -> None:
         wish = scene.wish()
-        assert (await scene.ask(wish)).status == 200
+        assert (await scene.request_session(wish)).status == 200
         mine.forget()
         await until(lambda: len(mine.leases) == 1)
         assert scene.fronts[0].core.sessions.session_count == 1 and not scene.records_of("box.end")
@@ -166,10 +167,10 @@
         assert {record["status"] for record in scene.records_of("box.segment")} == {200}
         assert len(scene.records_of("box.setup")) == 1
         stranger = scene.wish(life_s=-1.0)
-        assert (await scene.ask(stranger)).status == 401  # nothing stands in for it
+        assert (await scene.request_session(stranger)).status == 401  # nothing stands in for it
         host = scene.fronts[0].core.sessions
         await until(lambda: host.session_count == 0)
-        assert (await scene.ask(wish)).status == 401  # nor for one whose session is over
+        assert (await scene.request_session(wish)).status == 401  # nor for one whose session is over
 
     play(story, replace(PLAN, token_lines="skew = 0 ms\nbox-life = 4 s"), desk=mine)
     assert mine.report.granted == 1
@@ -192,7 +193,7 @@
             return replace(wish, token=Keyring.from_json(keys).sign(claims))
 
         async def status(wish: Wish) -> int:
-            return (await scene.ask(wish)).status
+            return (await scene.request_session(wish)).status
 
         early = wish_by(old)
         keyring = front.keyring
@@ -260,7 +261,7 @@
 def test_no_gate_without_its_section() -> None:
     async def story(scene: Scene) -> None:
         assert scene.fronts[0].gate is None
-        assert (await scene.ask(scene.wish())).status == 200
+        assert (await scene.request_session(scene.wish())).status == 200
         assert not (Path(scene.site.folder) / "seats-0").exists()
 
     play(story, replace(PLAN, boxes=3))
--- a/tests/test_introspect.py
+++ b/tests/test_introspect.py
@@ -202,9 +202,9 @@
     async def story(scene: Scene) -> None:
         assert scene.entitlement is not None
         wish = scene.wish()
-        assert (await scene.ask(wish)).status == 200
+        assert (await scene.request_session(wish)).status == 200
         scene.entitlement.inactive.add(f"person-{wish.session}")
-        refused = await scene.ask(wish)
+        refused = await scene.request_session(wish)
         assert refused.status == 401 and b"not-active" in refused.body
         assert "invalid_token" in refused.headers.get("www-authenticate")
         ended = await scene.http("DELETE", "/lessons/lesson-0/session", wish)
@@ -228,9 +228,13 @@
         base = scene.wish()
         answers = {}
         for token in [*server.opaque, "made-up"]:
-            answers[token] = (await scene.ask(replace(base, session="opaque-1", token=token))).status
+            answers[token] = (
+                await scene.request_session(replace(base, session="opaque-1", token=token))
+            ).status
         assert answers == {**dict.fromkeys(answers, 401), "good": 200}
-        assert (await scene.ask(replace(base, token="a.b.c"))).status == 401  # looks signed, and isn't
+        assert (
+            await scene.request_session(replace(base, token="a.b.c"))
+        ).status == 401  # looks signed, and isn't
 
     scene_with(story, tokens="opaque")
 
@@ -239,11 +243,13 @@
     async def story(scene: Scene) -> None:
         assert scene.entitlement is not None
         known = scene.wish(cls="briefing")
-        assert (await scene.ask(known)).status == 200
+        assert (await scene.request_session(known)).status == 200
         await asyncio.sleep(0)
         scene.entitlement.silent = True
         strict, lenient, seen = await asyncio.gather(
-            scene.ask(scene.wish(cls="briefing")), scene.ask(scene.wish(cls="training")), scene.ask(known)
+            scene.request_session(scene.wish(cls="briefing")),
+            scene.request_session(scene.wish(cls="training")),
+            scene.request_session(known),
         )
         assert (strict.status, lenient.status, seen.status) == (503, 200, 200)
         assert b"issuer did not answer" in strict.body and strict.headers.get("retry-after") == "1"
@@ -256,7 +262,7 @@
         assert scene.entitlement is not None
         scene.entitlement.silent = True
         front = scene.fronts[0]
-        waiting = asyncio.ensure_future(scene.ask(scene.wish(cls="briefing")))
+        waiting = asyncio.ensure_future(scene.request_session(scene.wish(cls="briefing")))
         await until(lambda: front.desk is not None and len(front.desk) == 1)
         stopping = asyncio.ensure_future(front.stop(5.0))
         assert (await waiting).status == 503
@@ -269,7 +275,7 @@
     async def story(scene: Scene) -> None:
         assert scene.entitlement is not None
         wish = scene.wish()
-        replies = await asyncio.gather(*(scene.ask(wish) for _ in range(8)))
+        replies = await asyncio.gather(*(scene.request_session(wish) for _ in range(8)))
         assert {reply.status for reply in replies} == {200}
         assert scene.entitlement.introspected <= 2
         stranger = await scene.http("GET", "/lessons/lesson-0/manifest.mpd")
@@ -281,6 +287,6 @@
 def test_without_a_section_nobody_is_asked() -> None:
     async def story(scene: Scene) -> None:
         assert scene.fronts[0].desk is None
-        assert (await scene.ask(replace(scene.wish(), token="opaque"))).status == 401
+        assert (await scene.request_session(replace(scene.wish(), token="opaque"))).status == 401
 
     play(story, replace(SitePlan(), boxes=3))
--- a/tests/test_peers_fleet.py
+++ b/tests/test_peers_fleet.py
@@ -71,7 +71,7 @@
         peers = await fleet(scene)
         wishes = [scene.wish(f"lesson-{number % 3}", play_s=60.0) for number in range(9)]
         for wish in wishes:
-            assert (await scene.ask(wish, front=0)).status == 200
+            assert (await scene.request_session(wish, front=0)).status == 200
         path = "/lessons/lesson-0/manifest.mpd"
         first = wishes[0]
         # At a front that does not hold it: carried to its owner, and no second set-up.
@@ -101,7 +101,7 @@
         peers = await fleet(scene)
         wishes = [scene.wish(f"lesson-{number % 3}", play_s=60.0) for number in range(9)]
         for wish in wishes:
-            assert (await scene.ask(wish, front=0)).status == 200
+            assert (await scene.request_session(wish, front=0)).status == 200
         hosts = [front.core.sessions for front in scene.fronts]
         leaving = peers[0]
         scene.trace.write("front.down", front="front-0")
@@ -124,7 +124,7 @@
         peers = await fleet(scene)
         wishes = [scene.wish("lesson-0", "briefing", play_s=60.0) for _ in range(4)]
         for wish in wishes:
-            assert (await scene.ask(wish, front=0)).status == 200
+            assert (await scene.request_session(wish, front=0)).status == 200
         assert scene.desk is not None and len(scene.desk.held_by("front-0")) == 4  # every seat there is
         await until(lambda: all(copied(one) >= 4 for one in peers[1:]))
         scene.trace.write("front.down", front="front-0")
@@ -137,7 +137,7 @@
         # Four seats changed hands: fenced by the heirs, or, on a slow machine, run out just before.
         assert report.granted == 8 and report.fenced + report.expired == 4
         # The seats are full: nobody else gets in at the heirs, and each seat is free once its session ends.
-        assert (await scene.ask(scene.wish("lesson-0", "briefing"), front=1)).status == 503
+        assert (await scene.request_session(scene.wish("lesson-0", "briefing"), front=1)).status == 503
         for wish in wishes:
             await reach(scene, wish, 2, "DELETE")
         await until(lambda: not scene.desk.leases)
@@ -172,7 +172,7 @@
     async def story(scene: Scene) -> None:
         peers = await fleet(scene)
         wish = scene.wish(play_s=60.0)
-        assert (await scene.ask(wish, front=0)).status == 200
+        assert (await scene.request_session(wish, front=0)).status == 200
         life = peers[0].peer.me.life
         await until(lambda: any(one.peer.recording.store.shelf("front-0", life) for one in peers[1:]))
         await until(lambda: "front-0" in peers[1].peer.foresight.catalogue.owners())
@@ -213,7 +213,7 @@
         peers = await fleet(scene)
         wishes = [scene.wish(f"lesson-{number % 3}", play_s=60.0) for number in range(12)]
         for number, wish in enumerate(wishes):
-            assert (await scene.ask(wish, front=number % 3)).status == 200
+            assert (await scene.request_session(wish, front=number % 3)).status == 200
         asker = peers[0]
         loads = asker.peer.weighing._loads
         await until(lambda: sum(load.sessions for load, _ in loads.values()) == 12)
@@ -245,7 +245,7 @@
         for box in scene.site.boxes:
             scene.behave(box, fail_share=1.0)
         wish = scene.wish(play_s=60.0)
-        assert (await scene.ask(wish, front=0)).status == 503
+        assert (await scene.request_session(wish, front=0)).status == 503
         assert scene.records_of("box.setup")  # it was tried, in a channel of this front's
         peer = peers[0].peer
         assert not peer.owning.in_channel(wish.session)
@@ -260,7 +260,7 @@
     async def story(scene: Scene) -> None:
         peers = await fleet(scene, 4)
         wish = scene.wish(play_s=60.0)
-        assert (await scene.ask(wish, front=0)).status == 200
+        assert (await scene.request_session(wish, front=0)).status == 200
         held = {one.peer.me.name: set(one.peer.owning.owned()) for one in peers[:3]}
         scene.trace.write("front.down", front="front-3")
         assert await scene.fronts[3].stop(10.0)
--- a/tests/test_reconcile.py
+++ b/tests/test_reconcile.py
@@ -151,7 +151,7 @@
         front = scene.fronts[0]
         scene.entitlement.page = 1  # many pages
         wishes = [scene.wish() for _ in range(3)]
-        await asyncio.gather(*map(scene.ask, wishes))
+        await asyncio.gather(*map(scene.request_session, wishes))
         loop = asyncio.get_running_loop()
         place = ("", "lesson-0", "training")
         mine.ask(loop.time() * 1000.0, "front-0.lost.7", "front-0", "lost", "p", place)
@@ -182,12 +182,12 @@
         use = scene.fronts[0].use
         assert use is not None
         scene.entitlement.doctor = doctor
-        await asyncio.gather(*(scene.ask(scene.wish()) for _ in range(4)))
+        await asyncio.gather(*(scene.request_session(scene.wish()) for _ in range(4)))
         judged = use.judged
         await until(lambda: use.judged > judged + 3)
         assert use.last.contradiction and "lists 1" in use.last.contradiction
         assert len(mine.leases) == 4 and scene.fronts[0].core.sessions.session_count == 4
         scene.entitlement.doctor = lambda page: page.update(fence="many")
-        assert (await scene.ask(scene.wish())).status == 200
+        assert (await scene.request_session(scene.wish())).status == 200
 
     play(story, PLAN, desk=mine)
