--- a/tests/scene.py
+++ b/tests/scene.py
@@ -112,7 +112,7 @@
         await until(lambda: self.records_of("box.end", session=wish.session))
         return box
 
-    def behave(self, number: int, **how: Any) -> None:
+    def set_behaviour(self, number: int, **how: Any) -> None:
         self.site.boxes[number].behaviour = Behaviour(**how)
 
 
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -271,7 +271,7 @@
 
     async def story(scene: Scene) -> None:
         for box in scene.site.boxes:
-            scene.behave(box, late_ms=150.0)
+            scene.set_behaviour(box, late_ms=150.0)
         wish = scene.wish(wait_s=1)
         asks = [asyncio.ensure_future(scene.request_session(wish)) for _ in range(2)]
         await until(lambda: len(scene.records_of("box.setup")) == 2)
@@ -342,7 +342,7 @@
 
     async def story(scene: Scene) -> None:
         for box in scene.site.boxes:
-            scene.behave(box, fail_share=1.0)
+            scene.set_behaviour(box, fail_share=1.0)
         await asyncio.gather(*(scene.request_session(scene.wish(), front=0) for _ in range(6)))
 
     play(story, replace(PLAN, budget=(10_000.0, 1.0, 0.1)), broken=("6",))
--- a/tests/test_front_sockets.py
+++ b/tests/test_front_sockets.py
@@ -111,7 +111,7 @@
 def test_a_viewer_that_drops_and_comes_back_gets_the_set_up_that_was_out() -> None:
     async def story(scene: Scene) -> None:
         for box in scene.site.boxes:
-            scene.behave(box, late_ms=100.0)
+            scene.set_behaviour(box, late_ms=100.0)
         wish = scene.wish()
         first = asyncio.ensure_future(scene.request_session(wish))
         await until(lambda: scene.records_of("box.setup"))
@@ -158,7 +158,7 @@
 def test_a_viewer_that_ends_its_side_is_answered_by_the_attempt_that_is_out() -> None:
     async def story(scene: Scene) -> None:
         for box in scene.site.boxes:
-            scene.behave(box, late_ms=100.0)
+            scene.set_behaviour(box, late_ms=100.0)
         viewer = Leaver(scene, scene.wish())
         viewer.ask()
         await until(lambda: scene.records_of("box.setup"))
@@ -172,7 +172,7 @@
 def test_after_a_viewer_ended_its_side_a_failed_attempt_is_its_last() -> None:
     async def story(scene: Scene) -> None:
         bad = await scene.first_choice()
-        scene.behave(bad, late_ms=600.0)  # an attempt's time is half an aim, 400 ms
+        scene.set_behaviour(bad, late_ms=600.0)  # an attempt's time is half an aim, 400 ms
         viewer = Leaver(scene, scene.wish())
         viewer.ask()
         await until(lambda: scene.records_of("box.setup", session=viewer.session))
@@ -190,7 +190,7 @@
     async def story(scene: Scene) -> None:
         box = await scene.first_choice()
         for other in scene.site.boxes:
-            scene.behave(other, late_ms=250.0)
+            scene.set_behaviour(other, late_ms=250.0)
         first = asyncio.ensure_future(scene.request_session(scene.wish(top=1)))
         await until(lambda: len(scene.records_of("box.setup", box=box)) == 2)  # it has the one connection
         viewer, host = Leaver(scene, scene.wish(top=1)), scene.fronts[0].core.sessions
@@ -265,7 +265,7 @@
 def test_a_session_whose_viewer_broke_after_it_ended_its_side_does_not_stand_for_nobody() -> None:
     async def story(scene: Scene) -> None:
         for box in scene.site.boxes:
-            scene.behave(box, late_ms=100.0)
+            scene.set_behaviour(box, late_ms=100.0)
         viewer, host = Leaver(scene, scene.wish()), scene.fronts[0].core.sessions
         viewer.ask()
         await until(lambda: scene.records_of("box.setup"))
@@ -284,7 +284,7 @@
     async def story(scene: Scene) -> None:
         bad = await scene.first_choice()
         shares = {"fail": {"fail_share": 1.0}, "lost": {"lost_share": 1.0}}
-        scene.behave(bad, **shares.get(how, {how: True}))
+        scene.set_behaviour(bad, **shares.get(how, {how: True}))
         wish = scene.wish()
         reply = await scene.request_session(wish)
         assert reply.status == 200
@@ -301,7 +301,7 @@
 def test_an_answer_after_the_time_out_leaves_nothing_behind() -> None:
     async def story(scene: Scene) -> None:
         bad = await scene.first_choice()
-        scene.behave(bad, late_ms=600.0)  # an attempt's time is half an aim, 400 ms
+        scene.set_behaviour(bad, late_ms=600.0)  # an attempt's time is half an aim, 400 ms
         wish = scene.wish()
         assert (await scene.request_session(wish)).status == 200
         await until(lambda: scene.loop.time() * 1000 > scene.records_of("box.setup", box=bad)[-1]["t"] + 700)
@@ -314,7 +314,7 @@
 def test_a_drain_stops_set_ups_that_wait_for_a_connection() -> None:
     async def story(scene: Scene) -> None:
         box = await scene.first_choice()
-        scene.behave(box, late_ms=250.0)
+        scene.set_behaviour(box, late_ms=250.0)
         wishes = [scene.wish(top=1) for _ in range(4)]
         answers = [asyncio.ensure_future(scene.request_session(wish)) for wish in wishes]
         await until(lambda: len(scene.records_of("box.setup", box=box)) == 2)  # one before, and one of these
@@ -450,7 +450,7 @@
 def test_a_front_told_to_stop_answers_all_it_took() -> None:
     async def story(scene: Scene) -> None:
         for box in scene.site.boxes:
-            scene.behave(box, late_ms=150.0)
+            scene.set_behaviour(box, late_ms=150.0)
         front = scene.fronts[0]
         answers = [asyncio.ensure_future(scene.request_session(scene.wish())) for _ in range(5)]
         await until(lambda: len(scene.records_of("box.setup")) == 5)
@@ -494,7 +494,7 @@
 def test_a_recorded_front_is_replayed_by_a_fresh_module() -> None:
     async def story(scene: Scene) -> None:
         bad = await scene.first_choice()
-        scene.behave(bad, fail_share=0.5)
+        scene.set_behaviour(bad, fail_share=0.5)
         await asyncio.gather(*(scene.viewers.watch(scene.wish(play_s=0.3)) for _ in range(12)))
         front = scene.fronts[0]
         assert front.record is not None
@@ -517,7 +517,7 @@
         wish = scene.wish(cls="briefing")
         assert (await scene.request_session(wish)).status == 200
         silent = int(scene.records_of("box.setup")[0]["box"])
-        scene.behave(silent, hang=True)
+        scene.set_behaviour(silent, hang=True)
         host = scene.fronts[0].core.sessions
         await until(lambda: silent in host._servers.silent)
         assert (await scene.request_session(wish)).status == 200
--- a/tests/test_peers_fleet.py
+++ b/tests/test_peers_fleet.py
@@ -243,7 +243,7 @@
     async def story(scene: Scene) -> None:
         peers = await fleet(scene)
         for box in scene.site.boxes:
-            scene.behave(box, fail_share=1.0)
+            scene.set_behaviour(box, fail_share=1.0)
         wish = scene.wish(play_s=60.0)
         assert (await scene.request_session(wish, front=0)).status == 503
         assert scene.records_of("box.setup")  # it was tried, in a channel of this front's
