--- a/tests/scene.py
+++ b/tests/scene.py
@@ -1,4 +1,4 @@
-"""A site and fronts in one process, played by a test's story and judged by the auditor at its end."""
+"""A test deployment in one process: a test runs a scenario on it, and the auditor then checks its trace."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Scene:
-    """What a story gets: the site, its fronts, viewers, and the trace so far."""
+    """The site, its fronts and viewers, and the trace, which a scenario works on."""
 
     def __init__(self, plan: SitePlan, folder: Path, extra: str) -> None:
         self.loop = asyncio.get_running_loop()
@@ -37,7 +37,7 @@
         self.fronts: list[Front] = []
         self.pool = Pool()
         self.viewers = Viewers({}, self.trace, 1, wall_offset_s=self.site.wall_offset_s)
-        self._wishes = 0
+        self._wish_count = 0
 
     async def start(self, fronts: int) -> None:
         await self.site.start()
@@ -74,9 +74,9 @@
         self.pool.close()
         self.site.close()
 
-    def wish(self, title: str = "lesson-0", cls: str = "training", **more: Any) -> Wish:
-        self._wishes += 1
-        return self.site.wish(f"w{self._wishes}", title, cls, **more)
+    def wish(self, title: str = "lesson-0", cls: str = "training", **options: Any) -> Wish:
+        self._wish_count += 1
+        return self.site.wish(f"w{self._wish_count}", title, cls, **options)
 
     async def request_session(self, wish: Wish, front: int = 0) -> Reply:
         return await self.viewers.ask(f"front-{front}", wish)
@@ -89,22 +89,22 @@
         return await fetch(self.pool, self.fronts[front].address, method, target, 10.0, headers)
 
     def records_of(self, kind: str, **fields: object) -> list[Record]:
-        """Records of a kind, so far."""
+        """Returns the trace records of a kind with the given fields."""
         return [
-            one
-            for one in self.records
-            if one["kind"] == kind and all(one.get(name) == value for name, value in fields.items())
+            record
+            for record in self.records
+            if record["kind"] == kind and all(record.get(name) == value for name, value in fields.items())
         ]
 
     def holders(self, title: str = "lesson-0") -> list[int]:
-        """The boxes that hold a lesson."""
+        """Returns the numbers of the servers that have a title."""
         boxes = len(self.site.boxes)
         lesson = next(one for one in self.site.lessons if one["title"] == title)
         first, copies = int(str(lesson["cell"])), int(str(lesson["copies"]))
         return [(first + step) % boxes + 1 for step in range(copies)]
 
     async def first_choice(self, title: str = "lesson-0") -> int:
-        """The box that the fronts try first for a lesson, found by trying."""
+        """Returns the server that fronts attempt first for a title, found by setting up a session."""
         wish = self.wish(title)
         assert (await self.request_session(wish)).status == 200
         box = int(self.records_of("box.setup", session=wish.session)[0]["box"])
@@ -112,8 +112,8 @@
         await until(lambda: self.records_of("box.end", session=wish.session))
         return box
 
-    def set_behaviour(self, number: int, **how: Any) -> None:
-        self.site.boxes[number].behaviour = Behaviour(**how)
+    def set_behaviour(self, number: int, **options: Any) -> None:
+        self.site.boxes[number].behaviour = Behaviour(**options)
 
 
 def play(
@@ -125,9 +125,9 @@
     broken: tuple[str, ...] = (),
     desk: LeaseDesk | None = None,
 ) -> Auditor:
-    """Plays a story; all six rules must have held on the wire, or just those named must be broken."""
+    """Runs a scenario; exactly the safety rules named in `broken` must be violated, by default none."""
 
-    async def run(folder: Path) -> list[Record]:
+    async def run_scenario(folder: Path) -> list[Record]:
         scene = Scene(plan or SitePlan(), folder, extra)
         scene.desk = desk
         try:
@@ -138,7 +138,7 @@
         return scene.records
 
     with tempfile.TemporaryDirectory() as folder:
-        records = asyncio.run(run(Path(folder)))
+        records = asyncio.run(run_scenario(Path(folder)))
     auditor = audit_lines(json.dumps(record) for record in records)
     assert {finding.rule for finding in auditor.findings} == set(broken), auditor.findings[:5]
     return auditor
