--- a/fernweir/controller.py
+++ b/fernweir/controller.py
@@ -876,8 +876,8 @@
     def _shed_load(self, estimator: LoadEstimator, sessions: dict[int, Session]) -> None:
         """Switches own sessions down by this front's share of the load above the target, once per report.
 
-        Other fronts receive the same report and shed their shares. Less than a rung is shed as a whole rung,
-        but at random on an unreported uplink, which sheds again while it is short.
+        Other fronts receive the same report and shed theirs. A remainder below a rung is shed as a whole
+        rung, since too much is better than too little; on an unreported uplink, which sheds again, at random.
         """
         load = estimator.load(self.now)
         steps = int((load - TARGET_UTILIZATION) / DOWNSWITCH_STEP + 1e-9)
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -98,19 +98,19 @@
 
     def holders(self, title: str = "lesson-0") -> list[int]:
         """Returns the numbers of the servers that have a title."""
-        boxes = len(self.site.boxes)
-        lesson = next(one for one in self.site.lessons if one["title"] == title)
-        first, copies = int(str(lesson["cell"])), int(str(lesson["copies"]))
-        return [(first + step) % boxes + 1 for step in range(copies)]
+        server_count = len(self.site.boxes)
+        entry = next(one for one in self.site.lessons if one["title"] == title)
+        first_zone, replicas = int(str(entry["cell"])), int(str(entry["copies"]))
+        return [(first_zone + offset) % server_count + 1 for offset in range(replicas)]
 
     async def first_choice(self, title: str = "lesson-0") -> int:
         """Returns the server that fronts attempt first for a title, found by setting up a session."""
         wish = self.wish(title)
         assert (await self.request_session(wish)).status == 200
-        box = int(self.records_of("box.setup", session=wish.session)[0]["box"])
+        server = int(self.records_of("box.setup", session=wish.session)[0]["box"])
         await self.http("DELETE", f"/lessons/{title}/session", wish)
         await until(lambda: self.records_of("box.end", session=wish.session))
-        return box
+        return server
 
     def set_behaviour(self, number: int, **options: Any) -> None:
         self.site.boxes[number].behaviour = Behaviour(**options)
