--- a/bench/late_day.py
+++ b/bench/late_day.py
@@ -238,7 +238,7 @@
             self.membership(front)
             self.facts(front)
             self.act(front)
-            at = front.machine.next_due()
+            at = front.machine.next_deadline()
             if at is not None and at <= self.time(front):
                 front.machine.tick(self.time(front))
             self.carry(front)
@@ -318,11 +318,11 @@
         return msgspec.structs.replace(self.versions(front, true=True), boxes=content("boxes", 1))
 
     def carry(self, front: Front) -> None:
-        for effect in front.machine.take():
+        for effect in front.machine.take_effects():
             if hasattr(effect, "message"):
                 self.sent += 1
-                times = 0 if self.dice.random() < self.loss and not effect.whole else 1
-                times += self.dice.random() < 0.05 and not effect.whole
+                times = 0 if self.dice.random() < self.loss and not effect.reliable else 1
+                times += self.dice.random() < 0.05 and not effect.reliable
                 for _ in range(times):
                     late = 2_000.0 if self.dice.random() < 0.05 else 0.0
                     self.after(self.dice.uniform(1.0, 100.0) + late, self.hearing(front, effect))
@@ -335,7 +335,7 @@
             to = self.fronts[effect.to]
             blocked = (front.name, to.name) in self.blocked
             if not blocked and self.linked(front, to) and self.fronts[front.name].life == front.life:
-                to.machine.heard(self.time(to), front.name, effect.message)
+                to.machine.on_message(self.time(to), front.name, effect.message)
 
         return arrive
 
--- a/bench/peers_acts.py
+++ b/bench/peers_acts.py
@@ -61,13 +61,13 @@
     for act, versions in acts:
         if act.at >= due:
             copies.tick(act.at)
-            for effect in copies.take():
+            for effect in copies.take_effects():
                 if isinstance(effect, Send):  # as if acknowledged at once
                     blocks += 1
                     assert isinstance(effect.message, Keep)
                     copies._own.lines[str(effect.to)].kept((effect.message.number,), (), 1, chain.number)
         chain.add(act, versions)
-        due = chain.next_due() or float("inf")
+        due = chain.next_deadline() or float("inf")
     took = (time.process_time() - began) / len(acts) * 1e6
     began = time.process_time()
     plain = Chain("front-00", 1_800_000_000_000, RULES)
@@ -113,9 +113,9 @@
         while True:
             for name, part in self.parts.items():
                 began = time.process_time()
-                while (due := part.next_due()) is not None and due <= now:
+                while (due := part.next_deadline()) is not None and due <= now:
                     part.tick(now)
-                effects = part.take()
+                effects = part.take_effects()
                 self.spent[name] += time.process_time() - began
                 for effect in effects:
                     if isinstance(effect, Answered):
@@ -123,7 +123,7 @@
                     assert isinstance(effect, Send)
                     to = str(effect.to)
                     began = time.process_time()
-                    self.parts[to].heard(now, name, effect.message)
+                    self.parts[to].on_message(now, name, effect.message)
                     self.spent[to] += time.process_time() - began
 
 
@@ -177,7 +177,7 @@
         before = tracemalloc.get_traced_memory()[0]
         copies = fleet.copies[name]
         for act, versions in drawn:
-            due = copies.chain.next_due()
+            due = copies.chain.next_deadline()
             if due is not None and act.at >= due:
                 copies.tick(act.at)
             copies.chain.add(act, versions)
--- a/bench/peers_late.py
+++ b/bench/peers_late.py
@@ -82,11 +82,11 @@
         began = time.process_time()
         for name in names[turn % 10 :: 10]:
             machine.versions(now, name, versions)
-        due = machine.next_due()
+        due = machine.next_deadline()
         if due is not None and due <= now:
             machine.tick(now)
             looks += 1
-        machine.take()
+        machine.take_effects()
         used += time.process_time() - began
     click.echo(
         f"{fronts} fronts: {used / span * 100.0:.2f}% of a core while the list changes each second "
--- a/bench/peers_lease.py
+++ b/bench/peers_lease.py
@@ -61,11 +61,11 @@
                 if machine is None:
                     continue
                 if message is None:
-                    due = machine.next_due()
+                    due = machine.next_deadline()
                     if due is not None and due <= self.at:
                         machine.tick(self.at)
                 else:
-                    machine.heard(self.at, sender, message)  # type: ignore[arg-type]
+                    machine.on_message(self.at, sender, message)  # type: ignore[arg-type]
             self._settle(to)
         self.at = until
 
@@ -74,12 +74,12 @@
         for machine in (self.holders[name], self.keepers.get(name)):
             if machine is None:
                 continue
-            for effect in machine.take():
+            for effect in machine.take_effects():
                 if isinstance(effect, Send):
                     self._send(name, effect)
                 else:
                     self.events[type(effect)] += 1
-            if (when := machine.next_due()) is not None:
+            if (when := machine.next_deadline()) is not None:
                 due.append(when)
         wake = max(self.at + 0.1, min(due, default=float("inf")))
         if wake < self._wakes.get(name, float("inf")):
--- a/fernweir/peers/base.py
+++ b/fernweir/peers/base.py
@@ -28,13 +28,13 @@
 class Send:
     """One message to one peer, by name, or by address while its name is not known.
 
-    `whole` goes over the connection between the two (in order, no size limit but the frame's), anything
+    `reliable` goes over the connection between the two (in order, no size limit but the frame's), anything
     else in a datagram, which may be lost, doubled, late, or overtaken.
     """
 
     to: str | Address
     message: Message
-    whole: bool = False
+    reliable: bool = False
 
 
 class Event:
@@ -49,16 +49,16 @@
 class Part(Protocol):
     """One state machine of a peer."""
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         """A message of one of this part's kinds, from a peer whose word is authenticated."""
 
     def tick(self, now: float) -> None:
-        """Time has come to `next_due`; being early or late must do no harm."""
+        """Time has come to `next_deadline`; being early or late must do no harm."""
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         """When `tick` is wanted at the latest; None for never."""
 
-    def take(self) -> list[Effect]:
+    def take_effects(self) -> list[Effect]:
         """All effects since the last take, in order."""
 
 
@@ -73,7 +73,7 @@
     def add(self, effect: Effect) -> None:
         self._effects.append(effect)
 
-    def take(self) -> list[Effect]:
+    def take_effects(self) -> list[Effect]:
         effects, self._effects = self._effects, []
         return effects
 
--- a/fernweir/peers/channel/copies.py
+++ b/fernweir/peers/channel/copies.py
@@ -12,7 +12,7 @@
 from fernweir.peers.channel.payloads import Payloads
 from fernweir.peers.channel.rules import ReplicaRules
 from fernweir.peers.channel.standby import Copy, Standby
-from fernweir.peers.port import Standing
+from fernweir.peers.port import SessionStatus
 
 _FETCHED = 256  # payloads that no copy names, fetched for hand-offs
 
@@ -43,7 +43,7 @@
 
     # --- the owner's side ---
 
-    def own(self, now: float, channel: str, fence: int, standings: Iterable[Standing]) -> bool:
+    def own(self, now: float, channel: str, fence: int, standings: Iterable[SessionStatus]) -> bool:
         """This front owns the channel under this fence, and this stands in it. False if a higher is known."""
         owned = self._owned.get(channel)
         if fence < max(self._standby.fence(channel), owned.fence if owned is not None else 0):
@@ -59,7 +59,7 @@
             fresh.standbys(now, owned.names())
         return True
 
-    def change(self, now: float, channel: str, standing: Standing) -> None:
+    def change(self, now: float, channel: str, standing: SessionStatus) -> None:
         """A session is new in an owned channel, or changed."""
         if (owned := self._owned.get(channel)) is not None:
             owned.change(now, standing)
@@ -126,7 +126,7 @@
 
     # --- the part ---
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         if isinstance(message, Have):
             self._have(now, sender, message)
         elif isinstance(message, Hail | Deltas | Piece | Dropped):
@@ -145,15 +145,15 @@
             self._next_digests = now + self.rules.beat_ms
             self._keep_named(now)
 
-    def next_due(self) -> float | None:
-        dues = [owned.next_due() for owned in self._owned.values()]
-        dues += [self._standby.next_due(), self._payloads.next_due()]
+    def next_deadline(self) -> float | None:
+        dues = [owned.next_deadline() for owned in self._owned.values()]
+        dues += [self._standby.next_deadline(), self._payloads.next_deadline()]
         if self._standby.channels() or self._fetched or self._payloads.size():
             dues.append(self._next_digests)
         return min((due for due in dues if due is not None), default=None)
 
-    def take(self) -> list[Effect]:
-        return self._out.take()
+    def take_effects(self) -> list[Effect]:
+        return self._out.take_effects()
 
     # --- pieces ---
 
@@ -173,7 +173,7 @@
                 self._out.add(Send(sender, Have(message.channel, owned.fence, -1, -1, 0, 0)))
                 return
             self._outdated(now, message.channel, message.fence)
-        self._standby.heard(now, sender, message)
+        self._standby.on_message(now, sender, message)
         # What a new session is answered from is of use only if it is here before the owner is gone.
         self._next_digests = min(self._next_digests, now + self.rules.flush_ms)
 
--- a/fernweir/peers/channel/handoff.py
+++ b/fernweir/peers/channel/handoff.py
@@ -21,7 +21,7 @@
 from fernweir.peers.channel.rules import HandoffRules
 from fernweir.peers.channel.takeover import Inherited, Outdone, Settled, Takeover
 from fernweir.peers.channel.taking import Taker
-from fernweir.peers.port import Claimed, Standing
+from fernweir.peers.port import Claimed, SessionStatus
 
 
 class Handoff:
@@ -29,7 +29,7 @@
 
     `listed` gives the numbers of all boxes that are listed and believed up, `known` the highest fence that
     is known of a channel (`Replica.fence`): what somebody offers under a lower one is not taken.
-    `takeover` is shared by the planned and the unplanned way; its events come out of `take` here.
+    `takeover` is shared by the planned and the unplanned way; its events come out of `take_effects` here.
     """
 
     def __init__(
@@ -50,7 +50,12 @@
     # --- the old owner's end ---
 
     def offer(
-        self, now: float, channel: str, fence: int, standings: Mapping[str, Standing], heirs: Sequence[str]
+        self,
+        now: float,
+        channel: str,
+        fence: int,
+        standings: Mapping[str, SessionStatus],
+        heirs: Sequence[str],
     ) -> bool:
         """Hands a channel on, whose lease this front holds under `fence`. False if it is on its way already.
 
@@ -60,7 +65,7 @@
         known = {**self.takeover.undecided(channel), **standings}
         return self._giver.offer(now, channel, fence, known, [name for name in heirs if name != self.me])
 
-    def change(self, now: float, channel: str, standing: Standing) -> None:
+    def change(self, now: float, channel: str, standing: SessionStatus) -> None:
         """A session of a channel on its way is new or changed; in the overlap, an attempt's good end."""
         self._giver.change(now, channel, standing.session, standing)
 
@@ -130,9 +135,9 @@
 
     # --- the part ---
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
-        self._giver.heard(now, sender, message)
-        self._taker.heard(now, sender, message)
+    def on_message(self, now: float, sender: str, message: Message) -> None:
+        self._giver.on_message(now, sender, message)
+        self._taker.on_message(now, sender, message)
         self._drain()
 
     def tick(self, now: float) -> None:
@@ -141,16 +146,16 @@
         self.takeover.tick(now)
         self._drain()
 
-    def next_due(self) -> float | None:
-        dues = (self._giver.next_due(), self._taker.next_due(), self.takeover.next_due())
+    def next_deadline(self) -> float | None:
+        dues = (self._giver.next_deadline(), self._taker.next_deadline(), self.takeover.next_deadline())
         return min((due for due in dues if due is not None), default=None)
 
-    def take(self) -> list[Effect]:
+    def take_effects(self) -> list[Effect]:
         self._drain()
-        return self._out.take()
+        return self._out.take_effects()
 
     def _drain(self) -> None:
-        for effect in self.takeover.take():
+        for effect in self.takeover.take_effects():
             self._out.add(effect)
             if isinstance(effect, Settled):
                 self._giver.settled(effect.channel, effect.take, effect.over)
--- a/fernweir/peers/program.py
+++ b/fernweir/peers/program.py
@@ -190,16 +190,16 @@
 
     def _look(self) -> None:
         now = self._looked_at = self._core.now()
-        due = self.peer.next_due()
+        due = self.peer.next_deadline()
         if due is not None and due <= now:
             self.peer.tick(now)
             self._send()
-            due = self.peer.next_due()
+            due = self.peer.next_deadline()
         if due is not None:
             self._wake_by(max(due, now + _LOOK_MS))
 
     def _send(self) -> None:
-        for effect in self.peer.take():
+        for effect in self.peer.take_effects():
             if isinstance(effect, Send):
                 self.links.send(effect)
             elif isinstance(effect, Told):
--- a/fernweir/rehearsal/leases.py
+++ b/fernweir/rehearsal/leases.py
@@ -137,7 +137,7 @@
                         name, 1, self._rules, -self._rules.silence_ms, self._sets
                     )
                     machine.tick(0.0)
-                    machine.take()
+                    machine.take_effects()
                 else:
                     machine = self._holder(name)
                     machine.want(self._begins_at(number) * self._rates[rates][number], CHANNEL)
@@ -271,18 +271,18 @@
         machine = self._machines.copy(local)
         match what:
             case ("tick",):
-                due = machine.next_due()
+                due = machine.next_deadline()
                 if due is not None and due <= now:
                     machine.tick(now)
             case ("heard", int(message)):
                 under = self._messages[message]
-                machine.heard(now, self._names[under.sender], under.message)
+                machine.on_message(now, self._names[under.sender], under.message)
             case ("release",):
                 machine.release(now, CHANNEL)
             case ("hand", str(other)):
                 machine.hand(now, CHANNEL, other)
         sent = []
-        for effect in machine.take():
+        for effect in machine.take_effects():
             if isinstance(effect, Send) and isinstance(effect.to, str):
                 sent.append(self._number(Under(number, self._numbers[effect.to], effect.message)))
             elif isinstance(effect, Lost):
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -54,7 +54,7 @@
 from fernweir.peers.members.messages import Nack, Record, State
 from fernweir.peers.members.table import Roster, part_of
 from fernweir.peers.peer import KINDS
-from fernweir.peers.port import Act, Deed, Standing, Terms
+from fernweir.peers.port import Act, Deed, SessionStatus, Terms
 from fernweir.peers.wire import keys
 from fernweir.peers.wire.codec import Codec
 from fernweir.peers.wire.conversation import Conversation
@@ -219,7 +219,11 @@
     for act, rested in ACTS:
         copies.chain.add(act, rested)
     copies.flush(1_500.0)
-    sent = [one.message for one in copies.take() if isinstance(one, Send) and isinstance(one.message, Keep)]
+    sent = [
+        one.message
+        for one in copies.take_effects()
+        if isinstance(one, Send) and isinstance(one.message, Keep)
+    ]
     assert len(sent) == 1 and sent[0].packed
     return msgspec.msgpack.encode(sent[0])
 
@@ -228,7 +232,7 @@
     """What a holder has after it came."""
     copies = _copies("front-b", ActRules())
     copies.members(0.0, {"front-a": LIFE, "front-b": LIFE})
-    copies.heard(0.0, "front-a", msgspec.msgpack.decode(data, type=Keep))
+    copies.on_message(0.0, "front-a", msgspec.msgpack.decode(data, type=Keep))
     shelf = copies.store.shelf("front-a", LIFE)
     kept = shelf.block(1) if shelf is not None else None
     return _read_block(kept.data) if kept is not None else None
@@ -305,8 +309,8 @@
     return [plain(part.sets), plain(facts.kept)]
 
 
-def _standing(number: int) -> Standing:
-    return Standing(
+def _standing(number: int) -> SessionStatus:
+    return SessionStatus(
         f"session-{number}", "dash", f"viewer-{number}", f"title-{number}", "live", 4, "tenant", number,
         number % 2, number, number, b"p" * 16, 2, 1,
     )  # fmt: skip
--- a/tests/test_peers_acts.py
+++ b/tests/test_peers_acts.py
@@ -185,17 +185,17 @@
     def turn(self, node: Node) -> None:
         now = node.now(self.at)
         for part in node.parts():
-            due = part.next_due()
+            due = part.next_deadline()
             if due is not None and due <= now:
                 part.tick(now)
-                again = part.next_due()
+                again = part.next_deadline()
                 if again is not None and again <= now and part is not node.questions:
                     self.wrong.append(f"{type(part).__name__} wants to be called at once, for ever")
         self.collect(node)
 
     def collect(self, node: Node) -> None:
         for part in node.parts():
-            for effect in part.take():
+            for effect in part.take_effects():
                 if isinstance(effect, Send):
                     self.post(node.name, str(effect.to), effect.message)
                 elif type(effect).__name__ == "Answered":
@@ -236,7 +236,7 @@
         message, now = self.mods.decoder.decode(data), node.now(self.at)
         part = {"Ping": node.clocks, "Pong": node.clocks, "Keep": node.copies, "Kept": node.copies}.get(
             type(message).__name__, node.questions)  # fmt: skip
-        part.heard(now, sender, message)
+        part.on_message(now, sender, message)
         self.collect(node)
 
     def spread(self) -> None:
