--- a/bench/golden_state_samples.py
+++ b/bench/golden_state_samples.py
@@ -503,14 +503,14 @@
     i.AttemptSucceeded(1, 11, 2, 120.5),
     *(i.AttemptEnded(1, 11, 2, result, True, 130.5, (0.25, 0.5)) for result in i.Result),
     i.AttemptEnded(1, 11, 2, i.Result.OK, False, 130.5, ()),
-    i.ClientGone(1),
+    i.ClientDisconnected(1),
     *(i.ServerNotice(1, 11, 2, kind, 0.5) for kind in i.NoticeKind),
     i.TimerFired(9),
     *(i.HealthCheckEnded(11, result, 12.5, (0.25,)) for result in i.Result),
     i.FrontMessage(3, b"\x00\xff"),
 ]
 ACTIONS: list[i.Action] = [
-    i.Place(1, 11, 450.0), i.SetRung(1, 2), i.Move(1), i.Reject(1, 750.5), i.Fail(1), i.SetTimer(9, 250.0),
+    i.Place(1, 11, 450.0), i.SetRung(1, 2), i.Migrate(1), i.Reject(1, 750.5), i.Fail(1), i.SetTimer(9, 250.0),
     i.CheckHealth(11), i.Subscribe(True), i.Subscribe(False), i.Log("server 11 é"),
 ]  # fmt: skip
 
--- a/fernweir/front/explain.py
+++ b/fernweir/front/explain.py
@@ -62,7 +62,7 @@
             del self.reasons[next(iter(self.reasons))]
 
     def _placement_reason(self, session: Session, server: Server, rung: int) -> Reason:
-        holders = self._ranked_holders(session)
+        holders = self._ranked_candidates(session)
         passed_over = []
         for holder in holders:
             if holder is server:
@@ -78,7 +78,7 @@
         return Reason(text, tuple(passed_over), *_loads(server, self.now))
 
     def _rejection_reason(self, session: Session) -> Reason:
-        session_class, holders = session.session_class, self._ranked_holders(session)
+        session_class, holders = session.session_class, self._ranked_candidates(session)
         if session.may_have_run and session_class.idempotency.value != "repeatable":
             return Reason("its set-up may have run, and must not run twice")
         if session_class.seats and self.safety_rules.count_seats(session) >= session_class.seats:
--- a/tests/test_front_sockets.py
+++ b/tests/test_front_sockets.py
@@ -31,13 +31,13 @@
         wish = scene.wish(cls="briefing", play_s=0.5)
         shown = await scene.viewers.watch(wish)
         assert shown.breaks == 0 and shown.played_s >= 0.5
-        (setup,) = scene.of("box.setup")
-        (answer,) = scene.of("viewer.answer")
+        (setup,) = scene.records_of("box.setup")
+        (answer,) = scene.records_of("viewer.answer")
         assert answer["rungs"] == list(range(1, setup["rung"] + 1))
         host = scene.fronts[0].core.sessions
         await until(lambda: host.session_count == 0)  # the server reported that the session ended
         assert host.controller.sessions == {}
-        assert {record["status"] for record in scene.of("box.segment")} == {200}
+        assert {record["status"] for record in scene.records_of("box.segment")} == {200}
 
     play(story, PLAN)
 
@@ -61,7 +61,7 @@
         )
         assert (await scene.http("POST", path, wish)).headers.get("allow") == "GET, HEAD, OPTIONS"
         # The server's token authorizes this session's segments there, up to its rung, and nothing else.
-        box = scene.site.boxes[int(scene.of("box.setup")[0]["box"])]
+        box = scene.site.boxes[int(scene.records_of("box.setup")[0]["box"])]
         assert player.origin == box.address
         assert (await fetch(scene.pool, box.address, "GET", player.segment(0), 5)).status == 200
         above = player.segment(0).replace(f"/r{player.rung}/", f"/r{player.rung + 1}/")
@@ -69,7 +69,7 @@
         assert refused.status == 403 and "mb=" in refused.headers.get("cmsd-dynamic")
         assert (await scene.http("DELETE", "/lessons/lesson-0/session", wish)).status == 204
         assert (await scene.http("DELETE", "/lessons/lesson-0/session", wish)).status == 404
-        await until(lambda: scene.of("box.end"))
+        await until(lambda: scene.records_of("box.end"))
 
     play(story, PLAN)
 
@@ -96,14 +96,14 @@
 def test_one_token_used_concurrently_while_playing_and_after_the_end() -> None:
     async def story(scene: Scene) -> None:
         wish = scene.wish()
-        replies = await asyncio.gather(*(scene.ask(wish) for _ in range(4)))
+        replies = await asyncio.gather(*(scene.request_session(wish) for _ in range(4)))
         assert [reply.status for reply in replies] == [200] * 4
-        assert (await scene.ask(wish)).status == 200
-        assert len(scene.of("box.setup")) == 1
+        assert (await scene.request_session(wish)).status == 200
+        assert len(scene.records_of("box.setup")) == 1
         await scene.http("DELETE", "/lessons/lesson-0/session", wish)
-        assert (await scene.ask(wish)).status == 200
-        assert len(scene.of("box.setup")) == 2
-        await until(lambda: len(scene.of("box.end")) == 1)  # the first session was released
+        assert (await scene.request_session(wish)).status == 200
+        assert len(scene.records_of("box.setup")) == 2
+        await until(lambda: len(scene.records_of("box.end")) == 1)  # the first session was released
 
     play(story, PLAN)
 
@@ -111,13 +111,13 @@
 def test_a_viewer_that_reconnects_gets_the_set_up_in_flight() -> None:
     async def story(scene: Scene) -> None:
         for box in scene.site.boxes:
-            scene.behave(box, late_ms=100.0)
+            scene.set_behaviour(box, late_ms=100.0)
         wish = scene.wish()
-        first = asyncio.ensure_future(scene.ask(wish))
-        await until(lambda: scene.of("box.setup"))
+        first = asyncio.ensure_future(scene.request_session(wish))
+        await until(lambda: scene.records_of("box.setup"))
         first.cancel()
-        assert (await scene.ask(wish)).status == 200
-        assert len(scene.of("box.setup")) == 1
+        assert (await scene.request_session(wish)).status == 200
+        assert len(scene.records_of("box.setup")) == 1
 
     play(story, PLAN)
 
@@ -158,13 +158,13 @@
 def test_a_half_closed_viewer_is_answered_by_the_attempt_in_flight() -> None:
     async def story(scene: Scene) -> None:
         for box in scene.site.boxes:
-            scene.behave(box, late_ms=100.0)
+            scene.set_behaviour(box, late_ms=100.0)
         viewer = SocketViewer(scene, scene.wish())
         viewer.send_request()
-        await until(lambda: scene.of("box.setup"))
+        await until(lambda: scene.records_of("box.setup"))
         await viewer.half_close()
         assert (await viewer.read()).startswith(b"HTTP/1.1 200 ")
-        assert len(scene.of("box.setup")) == 1
+        assert len(scene.records_of("box.setup")) == 1
 
     play(story, PLAN)
 
@@ -172,15 +172,17 @@
 def test_a_half_closed_viewer_gets_no_attempt_after_a_failed_one() -> None:
     async def story(scene: Scene) -> None:
         bad = await scene.first_choice()
-        scene.behave(bad, late_ms=600.0)  # an attempt times out after half the latency objective, 400 ms
+        scene.set_behaviour(
+            bad, late_ms=600.0
+        )  # an attempt times out after half the latency objective, 400 ms
         viewer = SocketViewer(scene, scene.wish())
         viewer.send_request()
-        await until(lambda: scene.of("box.setup", session=viewer.session))
+        await until(lambda: scene.records_of("box.setup", session=viewer.session))
         await viewer.half_close()
         assert (await viewer.read()).startswith(b"HTTP/1.1 503 ")
         host = scene.fronts[0].core.sessions
         await until(lambda: host.session_count == 0 and host.controller.sessions == {})
-        assert len(scene.of("box.setup", session=viewer.session)) == 1 and len(host.reply_ledger) == 0
+        assert len(scene.records_of("box.setup", session=viewer.session)) == 1 and len(host.reply_ledger) == 0
 
     play(story, PLAN)
 
@@ -190,9 +192,9 @@
     async def story(scene: Scene) -> None:
         box = await scene.first_choice()
         for other in scene.site.boxes:
-            scene.behave(other, late_ms=250.0)
-        first = asyncio.ensure_future(scene.ask(scene.wish(top=1)))
-        await until(lambda: len(scene.of("box.setup", box=box)) == 2)  # it uses the only connection
+            scene.set_behaviour(other, late_ms=250.0)
+        first = asyncio.ensure_future(scene.request_session(scene.wish(top=1)))
+        await until(lambda: len(scene.records_of("box.setup", box=box)) == 2)  # it uses the only connection
         viewer, host = SocketViewer(scene, scene.wish(top=1)), scene.fronts[0].core.sessions
         viewer.send_request()
         await until(
@@ -209,7 +211,7 @@
             assert (await viewer.read()).startswith(b"HTTP/1.1 503 ")
         assert (await first).status == 200
         await until(lambda: viewer.session not in host.records())
-        assert scene.of("box.setup", session=viewer.session) == []
+        assert scene.records_of("box.setup", session=viewer.session) == []
 
     play(story, PLAN, extra="[boxes]\nconnections = 1\nconnect-time = 2 s")
 
@@ -221,7 +223,7 @@
     async def story(scene: Scene) -> None:
         wish = scene.wish()
         if plays:
-            assert (await scene.ask(wish)).status == 200
+            assert (await scene.request_session(wish)).status == 200
         viewer = SocketViewer(scene, wish)
         viewer.send_request()
         # The front's loop finds the request and the half-close in the same iteration.
@@ -230,7 +232,7 @@
         assert received.count(b"HTTP/1.1 ") == 1 and received.startswith(
             b"HTTP/1.1 200" if plays else b"HTTP/1.1 "
         )
-        assert len(scene.of("box.setup", session=wish.session)) <= 1
+        assert len(scene.records_of("box.setup", session=wish.session)) <= 1
         assert len(scene.fronts[0].core.sessions.reply_ledger) == 0
 
     play(story, PLAN)
@@ -238,9 +240,9 @@
 
 def test_a_front_that_is_out_of_descriptors_takes_no_box_for_dead() -> None:
     async def story(scene: Scene) -> None:
-        assert (await scene.ask(scene.wish(play_s=5.0))).status == 200
+        assert (await scene.request_session(scene.wish(play_s=5.0))).status == 200
         host, client = scene.fronts[0].core.sessions, scene.fronts[0].server_client
-        box = int(scene.of("box.setup")[0]["box"])
+        box = int(scene.records_of("box.setup")[0]["box"])
         await until(lambda: client._streams[box].state.hello_received)
         with patch.object(scene.loop, "create_connection", side_effect=OSError(errno.EMFILE, "too many")):
             for watcher in list(scene.site.boxes[box]._watchers.values()):
@@ -268,13 +270,13 @@
 def test_a_session_is_released_if_its_half_closed_viewer_resets_the_connection() -> None:
     async def story(scene: Scene) -> None:
         for box in scene.site.boxes:
-            scene.behave(box, late_ms=100.0)
+            scene.set_behaviour(box, late_ms=100.0)
         viewer, host = SocketViewer(scene, scene.wish()), scene.fronts[0].core.sessions
         viewer.send_request()
-        await until(lambda: scene.of("box.setup"))
+        await until(lambda: scene.records_of("box.setup"))
         await viewer.half_close()
         viewer.reset()
-        await until(lambda: scene.of("box.end", session=viewer.session, why="released"))
+        await until(lambda: scene.records_of("box.end", session=viewer.session, why="released"))
         assert host.session_count == 0  # after the time in which the viewer could return
 
     play(story, PLAN, extra="linger = 200 ms")
@@ -287,16 +289,16 @@
     async def story(scene: Scene) -> None:
         bad = await scene.first_choice()
         shares = {"fail": {"fail_share": 1.0}, "lost": {"lost_share": 1.0}}
-        scene.behave(bad, **shares.get(how, {how: True}))
+        scene.set_behaviour(bad, **shares.get(how, {how: True}))
         wish = scene.wish()
-        reply = await scene.ask(wish)
+        reply = await scene.request_session(wish)
         assert reply.status == 200
-        boxes = [record["box"] for record in scene.of("box.setup", session=wish.session)]
+        boxes = [record["box"] for record in scene.records_of("box.setup", session=wish.session)]
         if how != "hang":  # a hung server reads nothing
             assert boxes[0] == bad and len(boxes) == 2
         assert boxes[-1] != bad
         if how not in ("hang", "full", "fail"):  # the set-up ran there, so it is released
-            await until(lambda: scene.of("box.end", session=wish.session, box=bad, why="released"))
+            await until(lambda: scene.records_of("box.end", session=wish.session, box=bad, why="released"))
 
     play(story, PLAN)
 
@@ -304,11 +306,13 @@
 def test_a_reply_after_the_timeout_leaves_no_session() -> None:
     async def story(scene: Scene) -> None:
         bad = await scene.first_choice()
-        scene.behave(bad, late_ms=600.0)  # an attempt times out after half the latency objective, 400 ms
+        scene.set_behaviour(
+            bad, late_ms=600.0
+        )  # an attempt times out after half the latency objective, 400 ms
         wish = scene.wish()
-        assert (await scene.ask(wish)).status == 200
-        await until(lambda: scene.loop.time() * 1000 > scene.of("box.setup", box=bad)[-1]["t"] + 700)
-        assert not scene.of("box.runs", session=wish.session, box=bad)
+        assert (await scene.request_session(wish)).status == 200
+        await until(lambda: scene.loop.time() * 1000 > scene.records_of("box.setup", box=bad)[-1]["t"] + 700)
+        assert not scene.records_of("box.runs", session=wish.session, box=bad)
         assert (wish.session, 0) not in scene.site.boxes[bad].sessions
 
     play(story, PLAN)
@@ -317,15 +321,15 @@
 def test_a_drain_stops_set_ups_that_wait_for_a_connection() -> None:
     async def story(scene: Scene) -> None:
         box = await scene.first_choice()
-        scene.behave(box, late_ms=250.0)
+        scene.set_behaviour(box, late_ms=250.0)
         wishes = [scene.wish(top=1) for _ in range(4)]
-        answers = [asyncio.ensure_future(scene.ask(wish)) for wish in wishes]
+        answers = [asyncio.ensure_future(scene.request_session(wish)) for wish in wishes]
         # The set-up of first_choice, and one of these.
-        await until(lambda: len(scene.of("box.setup", box=box)) == 2)
+        await until(lambda: len(scene.records_of("box.setup", box=box)) == 2)
         scene.site.tell(box, "draining")
         replies = await asyncio.gather(*answers)
         assert [reply.status for reply in replies] == [200] * 4
-        assert len(scene.of("box.setup", box=box)) == 2
+        assert len(scene.records_of("box.setup", box=box)) == 2
 
     play(story, replace(PLAN, drain_grace_ms=20.0), extra="[boxes]\nconnections = 1\nconnect-time = 2 s")
 
@@ -334,7 +338,7 @@
     async def story(scene: Scene) -> None:
         box = await scene.first_choice()
         watching = asyncio.ensure_future(scene.viewers.watch(scene.wish(play_s=1.5)))
-        await until(lambda: len(scene.of("box.segment")) > 0)
+        await until(lambda: len(scene.records_of("box.segment")) > 0)
         scene.site.boxes[box].die()
         host = scene.fronts[0].core.sessions
         await until(lambda: not host.sessions_playing_at(box))
@@ -362,7 +366,7 @@
         for number in scene.site.boxes:
             await scene.site.restart(number)
             scene.site.tell(number)
-        burst = [scene.ask(scene.wish(play_s=1.0, top=1), front=n % 2) for n in range(80)]
+        burst = [scene.request_session(scene.wish(play_s=1.0, top=1), front=n % 2) for n in range(80)]
         replies = await asyncio.gather(*burst)
         assert {reply.status for reply in replies} <= {200, 503}
         assert not any(box.toppled for box in scene.site.boxes.values())
@@ -376,13 +380,19 @@
 
     async def story(scene: Scene) -> None:
         wishes = [scene.wish(cls="briefing") for _ in range(3)]
-        statuses = sorted([reply.status for reply in await asyncio.gather(*map(scene.ask, wishes))])
+        statuses = sorted(
+            [reply.status for reply in await asyncio.gather(*map(scene.request_session, wishes))]
+        )
         assert statuses == [200, 200, 503]
-        refused = [one for one in scene.of("viewer.answer") if one["status"] == 503]
-        assert refused[0]["t"] - scene.of("viewer.ask")[0]["t"] < 1000  # immediately, not after a timeout
+        refused = [one for one in scene.records_of("viewer.answer") if one["status"] == 503]
+        assert (
+            refused[0]["t"] - scene.records_of("viewer.ask")[0]["t"] < 1000
+        )  # immediately, not after a timeout
         await scene.http("DELETE", "/lessons/lesson-0/session", wishes[0])
         again = [*wishes[1:], scene.wish(cls="briefing")]
-        assert sorted([reply.status for reply in await asyncio.gather(*map(scene.ask, again))])[:2] == [
+        assert sorted([reply.status for reply in await asyncio.gather(*map(scene.request_session, again))])[
+            :2
+        ] == [
             200,
             200,
         ]
@@ -395,21 +405,21 @@
         front = scene.fronts[0]
         assert len(front.core.sessions._servers.states) == 200
         playing = scene.wish()
-        assert (await scene.ask(playing)).status == 200
+        assert (await scene.request_session(playing)).status == 200
         lines = list(scene.site.list.lines.values())
         version = scene.site.list.version
         scene.site.list.replace([])
         await until(lambda: not front.core.sessions._servers.states)
         late = scene.wish()
-        assert (await scene.ask(late)).status == 503
+        assert (await scene.request_session(late)).status == 503
         assert front.core.sessions.session_count == 1  # a playing session continues
         scene.site.list.lines = {line.box: line for line in lines}
         scene.site.list.rewind(version)  # the full list again, but with an older version
-        assert (await scene.ask(scene.wish())).status == 503
+        assert (await scene.request_session(scene.wish())).status == 503
         scene.site.list.version += 5
         scene.site.list.tell_whole()
         await until(lambda: len(front.core.sessions._servers.states) == 200)
-        assert (await scene.ask(scene.wish())).status == 200
+        assert (await scene.request_session(scene.wish())).status == 200
 
     play(story, replace(PLAN, boxes=200, racks=10, lessons=20))
 
@@ -421,7 +431,7 @@
         await front.stop(5.0)
         scene.site.list.stop()
         again = await scene.start_front(0)
-        assert (await scene.ask(scene.wish())).status == 200
+        assert (await scene.request_session(scene.wish())).status == 200
         await scene.site.list.start()
         box = next(iter(scene.site.boxes))
         await until(lambda: len(scene.site.list._streams) == 1)
@@ -435,7 +445,7 @@
     async def story(scene: Scene) -> None:
         counts = HostileCounts()
         origin = scene.fronts[0].address
-        asks = [scene.ask(scene.wish()) for _ in range(10)]
+        asks = [scene.request_session(scene.wish()) for _ in range(10)]
         replies, *_ = await asyncio.gather(
             asyncio.gather(*asks), *(attack(origin, name, counts, 5.0) for name in PAYLOADS)
         )
@@ -451,13 +461,13 @@
 def test_a_front_that_shuts_down_answers_all_accepted_requests() -> None:
     async def story(scene: Scene) -> None:
         for box in scene.site.boxes:
-            scene.behave(box, late_ms=150.0)
+            scene.set_behaviour(box, late_ms=150.0)
         front = scene.fronts[0]
-        answers = [asyncio.ensure_future(scene.ask(scene.wish())) for _ in range(5)]
-        await until(lambda: len(scene.of("box.setup")) == 5)
+        answers = [asyncio.ensure_future(scene.request_session(scene.wish())) for _ in range(5)]
+        await until(lambda: len(scene.records_of("box.setup")) == 5)
         assert await front.stop(10.0)
         assert [reply.status for reply in await asyncio.gather(*answers)] == [200] * 5
-        assert (await scene.ask(scene.wish())).outcome.never_ran
+        assert (await scene.request_session(scene.wish())).outcome.never_ran
 
     play(story, PLAN)
 
@@ -482,11 +492,11 @@
         box = await scene.first_choice()
         wishes = [scene.wish(cls="briefing", play_s=4.0) for _ in range(3)]
         watching = [asyncio.ensure_future(scene.viewers.watch(wish)) for wish in wishes]
-        await until(lambda: len(scene.of("box.runs", box=box)) >= 3)
+        await until(lambda: len(scene.records_of("box.runs", box=box)) >= 3)
         scene.site.boxes[box].link_kb = 2_500.0
-        await until(lambda: scene.of("box.rung", box=box))
-        lowered = scene.of("box.rung", box=box)[0]
-        assert lowered["rung"] < scene.of("box.setup", session=lowered["session"])[0]["rung"]
+        await until(lambda: scene.records_of("box.rung", box=box))
+        lowered = scene.records_of("box.rung", box=box)[0]
+        assert lowered["rung"] < scene.records_of("box.setup", session=lowered["session"])[0]["rung"]
         await asyncio.gather(*watching)
 
     play(story, PLAN)
@@ -495,7 +505,7 @@
 def test_a_recording_is_replayed_by_a_new_controller() -> None:
     async def story(scene: Scene) -> None:
         bad = await scene.first_choice()
-        scene.behave(bad, fail_share=0.5)
+        scene.set_behaviour(bad, fail_share=0.5)
         await asyncio.gather(*(scene.viewers.watch(scene.wish(play_s=0.3)) for _ in range(12)))
         front = scene.fronts[0]
         assert front.record is not None
@@ -516,14 +526,14 @@
 
     async def story(scene: Scene) -> None:
         wish = scene.wish(cls="briefing")
-        assert (await scene.ask(wish)).status == 200
-        silent = int(scene.of("box.setup")[0]["box"])
-        scene.behave(silent, hang=True)
+        assert (await scene.request_session(wish)).status == 200
+        silent = int(scene.records_of("box.setup")[0]["box"])
+        scene.set_behaviour(silent, hang=True)
         host = scene.fronts[0].core.sessions
         await until(lambda: silent in host._servers.silent)
-        assert (await scene.ask(wish)).status == 200
-        assert int(scene.of("box.setup")[-1]["box"]) != silent
-        assert (await scene.ask(scene.wish(cls="briefing"))).status == 503
+        assert (await scene.request_session(wish)).status == 200
+        assert int(scene.records_of("box.setup")[-1]["box"]) != silent
+        assert (await scene.request_session(scene.wish(cls="briefing"))).status == 503
         at = scene.loop.time()
         await until(lambda: scene.loop.time() > at + 0.2)  # longer than the auditor tolerates
 
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -44,7 +44,7 @@
     async def story(scene: Scene) -> None:
         wishes = [scene.wish(cls="briefing") for _ in range(3)]
         # Each token twice at once: a session has one seat, however many requests it sends.
-        replies = await asyncio.gather(*(scene.ask(wish) for wish in [*wishes, *wishes]))
+        replies = await asyncio.gather(*(scene.request_session(wish) for wish in [*wishes, *wishes]))
         assert sorted(reply.status for reply in replies) == [200] * 4 + [503] * 2
         refused = next(reply for reply in replies if reply.status == 503)
         assert b"no seat is free" in refused.body and int(refused.headers.get("retry-after")) >= 1
@@ -53,7 +53,7 @@
         for wish in wishes:
             await scene.http("DELETE", "/lessons/lesson-0/session", wish)
         await until(lambda: not lease_server.leases)
-        assert (await scene.ask(wishes[2])).status == 200
+        assert (await scene.request_session(wishes[2])).status == 200
 
     play(story, PLAN, desk=lease_server)
     assert (lease_server.report.most_over, lease_server.report.most_by_session, lease_server.report.most) == (
@@ -70,7 +70,8 @@
         assert scene.entitlement is not None
         scene.entitlement.silent = True
         strict, lenient = await asyncio.gather(
-            scene.ask(scene.wish(cls="briefing")), scene.ask(scene.wish(cls="training"))
+            scene.request_session(scene.wish(cls="briefing")),
+            scene.request_session(scene.wish(cls="training")),
         )
         assert (strict.status, lenient.status) == (503, 200) and b"did not answer" in strict.body
         scene.entitlement.silent = False
@@ -102,14 +103,14 @@
 
     async def story(scene: Scene) -> None:
         wishes = [scene.wish() for _ in range(4)]
-        await asyncio.gather(*map(scene.ask, wishes))
+        await asyncio.gather(*map(scene.request_session, wishes))
         assert len(lease_server.leases) == 4
         scene.trace.write("front.down", front="front-0")
         scene.fronts.pop().kill()
         await scene.start_front(0)
         gate = scene.fronts[0].gate
         assert gate is not None and len(gate.seat_manager.seats) == 4
-        assert (await scene.ask(wishes[0])).status == 200  # the viewer returns to its seat
+        assert (await scene.request_session(wishes[0])).status == 200  # the viewer returns to its seat
         await until(lambda: len(lease_server.leases) == 1)  # those whose viewers did not return are released
         await scene.http("DELETE", "/lessons/lesson-0/session", wishes[0])
         await until(lambda: not lease_server.leases)
@@ -124,14 +125,14 @@
     async def story(scene: Scene) -> None:
         wish = scene.wish(play_s=10.0)
         watching = asyncio.ensure_future(scene.viewers.watch(wish))
-        await until(lambda: scene.of("box.segment"))
+        await until(lambda: scene.records_of("box.segment"))
         lease_server.denied.add(f"person-{wish.session}")
         shown = await watching
         assert shown.ended == "entitlement has ended" and 0.0 < shown.played_s < 10.0
-        statuses = [record["status"] for record in scene.of("box.segment")]
+        statuses = [record["status"] for record in scene.records_of("box.segment")]
         assert set(statuses[:-1]) == {200} and statuses[-1] == 410  # no segment was interrupted
-        assert scene.of("box.end", session=wish.session, why="revoked")
-        refused = await scene.ask(wish)
+        assert scene.records_of("box.end", session=wish.session, why="revoked")
+        refused = await scene.request_session(wish)
         assert refused.status == 503 and b"not entitled" in refused.body
 
     play(story, PLAN, desk=lease_server)
@@ -142,10 +143,10 @@
 
     async def story(scene: Scene) -> None:
         wish = scene.wish()
-        assert (await scene.ask(wish)).status == 200
+        assert (await scene.request_session(wish)).status == 200
         lease_server.forget()
         await until(lambda: len(lease_server.leases) == 1)
-        assert scene.fronts[0].core.sessions.session_count == 1 and not scene.of("box.end")
+        assert scene.fronts[0].core.sessions.session_count == 1 and not scene.records_of("box.end")
 
     play(story, PLAN, desk=lease_server)
 
@@ -172,13 +173,13 @@
         wish = scene.wish(play_s=6.0, life_s=2.0)
         shown = await scene.viewers.watch(wish)
         assert shown.breaks == 0 and shown.played_s >= 6.0 and shown.answers >= 2
-        assert {record["status"] for record in scene.of("box.segment")} == {200}
-        assert len(scene.of("box.setup")) == 1
+        assert {record["status"] for record in scene.records_of("box.segment")} == {200}
+        assert len(scene.records_of("box.setup")) == 1
         stranger = scene.wish(life_s=-1.0)
-        assert (await scene.ask(stranger)).status == 401  # no lease replaces its token
+        assert (await scene.request_session(stranger)).status == 401  # no lease replaces its token
         manager = scene.fronts[0].core.sessions
         await until(lambda: manager.session_count == 0)
-        assert (await scene.ask(wish)).status == 401  # nor that of a session that is over
+        assert (await scene.request_session(wish)).status == 401  # nor that of a session that is over
 
     play(story, replace(PLAN, token_lines="skew = 0 ms\nbox-life = 4 s"), desk=lease_server)
     assert lease_server.report.granted == 1
@@ -201,7 +202,7 @@
             return replace(wish, token=Keyring.from_json(keys).sign(claims))
 
         async def status(wish: Wish) -> int:
-            return (await scene.ask(wish)).status
+            return (await scene.request_session(wish)).status
 
         early = wish_by(old)
         keyring = front.keyring
@@ -269,7 +270,7 @@
 def test_no_entitlement_gate_without_its_section() -> None:
     async def story(scene: Scene) -> None:
         assert scene.fronts[0].gate is None
-        assert (await scene.ask(scene.wish())).status == 200
+        assert (await scene.request_session(scene.wish())).status == 200
         assert not (Path(scene.site.folder) / "seats-0").exists()
 
     play(story, replace(PLAN, boxes=3))
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -47,7 +47,7 @@
 from fernweir.journal.events import EventKind
 from fernweir.journal.state_projection import StateProjection
 from fernweir.journal.store import Journal, JournalConfig
-from tests.helpers import BUDGET, COLD, SETTINGS, entry
+from tests.helpers import RETRY_BUDGET, SETTINGS, SLOW_START, entry
 from tests.sockets import until
 
 ALONE = replace(SETTINGS, may_check_health=False)
@@ -64,7 +64,7 @@
         limits = SessionLimits(reply_margin_ms=40.0, unclaimed_session_ttl_ms=500.0)
         self.manager = SessionManager(settings, 7, limits, **more)  # type: ignore[arg-type]
         self.now, self.tickets, self.commands = 1000.0, 0, []  # type: ignore[var-annotated]
-        entries = tuple(entry(number, cell=number % 4) for number in range(1, server_count + 1))
+        entries = tuple(entry(number, zone=number % 4) for number in range(1, server_count + 1))
         self.manager.on_endpoint_list(self.now, EndpointListUpdate(EndpointListKind.FULL, 1, entries))
         self.step(0)
 
@@ -217,7 +217,7 @@
     harness.step()
     (set_up,) = harness.commands_of(SetUp)
     assert harness.manager.is_attempt_wanted("a", 0)
-    drained = entry(set_up.server, cell=1, state=ServerState.DRAINING)
+    drained = entry(set_up.server, zone=1, state=ServerState.DRAINING)
     harness.manager.on_endpoint_list(harness.now, EndpointListUpdate(EndpointListKind.DELTA, 2, (drained,)))
     assert not harness.manager.is_attempt_wanted("a", 0)
     harness.finish_attempt(set_up, Result.NOT_SENT)
@@ -352,7 +352,7 @@
         self.journal.watchers.append(self.projection.apply)
         kinds = tuple(replace(kind, seats=seats) for kind in SETTINGS.classes)
         base = replace(SETTINGS, classes=kinds, may_check_health=probes, front_count=2, drain_grace_ms=0.0)
-        settings = replace(base, retry_budget=BUDGET, slow_start=COLD) if strict else base
+        settings = replace(base, retry_budget=RETRY_BUDGET, slow_start=SLOW_START) if strict else base
         # The controller makes the same decisions whether or not it records its reasons.
         self.plain_controller = Controller(settings, 7)
         self.harness = Harness(
@@ -452,7 +452,7 @@
     @rule(server=st.integers(1, 4), state=st.sampled_from([ServerState.READY, ServerState.DRAINING]))
     def endpoint_list_changes(self, server: int, state: ServerState) -> None:
         (self.draining.add if state is ServerState.DRAINING else self.draining.discard)(server)
-        update = EndpointListUpdate(EndpointListKind.DELTA, 2, (entry(server, cell=server % 4, state=state),))
+        update = EndpointListUpdate(EndpointListKind.DELTA, 2, (entry(server, zone=server % 4, state=state),))
         self.harness.manager.on_endpoint_list(self.harness.now, update)
 
     @rule(server=st.integers(1, 4))
--- a/tests/test_introspect.py
+++ b/tests/test_introspect.py
@@ -209,9 +209,9 @@
     async def story(scene: Scene) -> None:
         assert scene.entitlement is not None
         wish = scene.wish()
-        assert (await scene.ask(wish)).status == 200
+        assert (await scene.request_session(wish)).status == 200
         scene.entitlement.inactive.add(f"person-{wish.session}")
-        refused = await scene.ask(wish)
+        refused = await scene.request_session(wish)
         assert refused.status == 401 and b"not-active" in refused.body
         assert "invalid_token" in refused.headers.get("www-authenticate")
         ended = await scene.http("DELETE", "/lessons/lesson-0/session", wish)
@@ -235,9 +235,13 @@
         base = scene.wish()
         statuses = {}
         for token in [*server.opaque, "made-up"]:
-            statuses[token] = (await scene.ask(replace(base, session="opaque-1", token=token))).status
+            statuses[token] = (
+                await scene.request_session(replace(base, session="opaque-1", token=token))
+            ).status
         assert statuses == {**dict.fromkeys(statuses, 401), "good": 200}
-        assert (await scene.ask(replace(base, token="a.b.c"))).status == 401  # has the form of a signed token
+        assert (
+            await scene.request_session(replace(base, token="a.b.c"))
+        ).status == 401  # has the form of a signed token
 
     scene_with(story, tokens="opaque")
 
@@ -246,11 +250,13 @@
     async def story(scene: Scene) -> None:
         assert scene.entitlement is not None
         known = scene.wish(cls="briefing")
-        assert (await scene.ask(known)).status == 200
+        assert (await scene.request_session(known)).status == 200
         await asyncio.sleep(0)
         scene.entitlement.silent = True
         strict, lenient, seen = await asyncio.gather(
-            scene.ask(scene.wish(cls="briefing")), scene.ask(scene.wish(cls="training")), scene.ask(known)
+            scene.request_session(scene.wish(cls="briefing")),
+            scene.request_session(scene.wish(cls="training")),
+            scene.request_session(known),
         )
         assert (strict.status, lenient.status, seen.status) == (503, 200, 200)
         assert b"issuer did not answer" in strict.body and strict.headers.get("retry-after") == "1"
@@ -263,7 +269,7 @@
         assert scene.entitlement is not None
         scene.entitlement.silent = True
         front = scene.fronts[0]
-        waiting = asyncio.ensure_future(scene.ask(scene.wish(cls="briefing")))
+        waiting = asyncio.ensure_future(scene.request_session(scene.wish(cls="briefing")))
         await until(lambda: front.introspection is not None and len(front.introspection) == 1)
         stopping = asyncio.ensure_future(front.stop(5.0))
         assert (await waiting).status == 503
@@ -276,7 +282,7 @@
     async def story(scene: Scene) -> None:
         assert scene.entitlement is not None
         wish = scene.wish()
-        replies = await asyncio.gather(*(scene.ask(wish) for _ in range(8)))
+        replies = await asyncio.gather(*(scene.request_session(wish) for _ in range(8)))
         assert {reply.status for reply in replies} == {200}
         assert scene.entitlement.introspected <= 2
         stranger = await scene.http("GET", "/lessons/lesson-0/manifest.mpd")
@@ -288,6 +294,6 @@
 def test_without_a_section_no_token_is_introspected() -> None:
     async def story(scene: Scene) -> None:
         assert scene.fronts[0].introspection is None
-        assert (await scene.ask(replace(scene.wish(), token="opaque"))).status == 401
+        assert (await scene.request_session(replace(scene.wish(), token="opaque"))).status == 401
 
     play(story, replace(SitePlan(), boxes=3))
--- a/tests/test_node_settings.py
+++ b/tests/test_node_settings.py
@@ -126,14 +126,14 @@
     """Plays to the module what makes it use all of its settings; a fault in one comes out here."""
     settings, dice = config.settings, Random(3)
     brain, now, rid = Controller(settings, config.seed), 1000.0, 0
-    entries = tuple(entry(n, cell=n, server_type=n % 2, started_at=900.0 * (n % 2)) for n in range(1, 5))
+    entries = tuple(entry(n, zone=n, server_type=n % 2, started_at=900.0 * (n % 2)) for n in range(1, 5))
     report = (0.4,) * len(settings.report_fields)
     events: list[Event] = [EndpointListUpdate(EndpointListKind.CACHED, 1, entries)]
     results = (Result.RESET, Result.TIMEOUT, Result.FULL, Result.ERROR, Result.CONNECT_FAILED)
     for _ in range(8):
         for cls in range(len(settings.classes)):
             rid += 1
-            wanted = viewer(rid, cls=cls, remaining_ms=settings.classes[cls].deadline_ms)
+            wanted = viewer(rid, class_index=cls, remaining_ms=settings.classes[cls].deadline_ms)
             events.append(Arrival(replace(wanted, top_rung=len(settings.rung_rates_kbyte_s) - 1)))
         placed = [one for one in brain.handle(now, events) if isinstance(one, Place)]
         now += 60.0
--- a/tests/test_peers_servers.py
+++ b/tests/test_peers_servers.py
@@ -112,7 +112,7 @@
         assert not ports[0].let_go(now, wish.session)
         # The successor replies to the viewer without a second set-up, and ends the session at its server.
         again = await scene.http("GET", path, wish, front=1)
-        assert again.status == 200 and len(scene.of("box.setup")) == 1
+        assert again.status == 200 and len(scene.records_of("box.setup")) == 1
         claims.clear()
         # The previous owner resumes without having noticed the takeover.
         ports[0].claim(standing.box, "front-0:1/0", 5, 400.0, lambda now, claimed: claims.append(claimed))
@@ -121,8 +121,8 @@
         # The successor's notice stream did not report the session as lost.
         assert scene.fronts[1].core.sessions.session_count == 1
         assert (await scene.http("DELETE", "/lessons/lesson-0/session", wish, front=1)).status == 204
-        await until(lambda: scene.of("box.end"))
-        (end,) = scene.of("box.end")
+        await until(lambda: scene.records_of("box.end"))
+        (end,) = scene.records_of("box.end")
         assert end["front"] == "front-1" and end["why"] == "released"
         assert listeners[1].ends == [wish.session]
         assert all(front.core.sessions.session_count == 0 for front in scene.fronts)
@@ -138,7 +138,7 @@
         owner = front.core.channel_ownership = _Owner("front-0:1/0", 5)
         wish = scene.wish(play_s=30.0)
         assert (await scene.http("GET", "/lessons/lesson-0/manifest.mpd", wish)).status == 200
-        (setup,) = scene.of("box.setup")
+        (setup,) = scene.records_of("box.setup")
         box = scene.site.boxes[int(setup["box"])]
         claims: list[object] = []
         successor = scene.fronts[1].core.server_transport
@@ -151,7 +151,7 @@
         # The overlap is over, so the server rejects the release.
         assert host.release_session(front.core.now(), wish.session)
         front.core.schedule_step()
-        await until(lambda: [one for one in scene.of("box.steer") if not one["accepted"]])
+        await until(lambda: [one for one in scene.records_of("box.steer") if not one["accepted"]])
         assert (wish.session, 0) in box.sessions
         owner.channel_fence = None  # control without a fence is rejected too
         host.on_session_ended(front.core.now(), wish.session, 0, Result.OK)
--- a/tests/test_reconcile.py
+++ b/tests/test_reconcile.py
@@ -164,7 +164,7 @@
         front = scene.fronts[0]
         scene.entitlement.page = 1  # many pages
         wishes = [scene.wish() for _ in range(3)]
-        await asyncio.gather(*map(scene.ask, wishes))
+        await asyncio.gather(*map(scene.request_session, wishes))
         loop = asyncio.get_running_loop()
         place = ("", "lesson-0", "training")
         lease_server.ask(loop.time() * 1000.0, "front-0.lost.7", "front-0", "lost", "p", place)
@@ -197,7 +197,7 @@
         reconciliation = scene.fronts[0].use_check
         assert reconciliation is not None
         scene.entitlement.doctor = truncate
-        await asyncio.gather(*(scene.ask(scene.wish()) for _ in range(4)))
+        await asyncio.gather(*(scene.request_session(scene.wish()) for _ in range(4)))
         report_count = reconciliation.report_count
         await until(lambda: reconciliation.report_count > report_count + 3)
         assert (
@@ -205,6 +205,6 @@
         )
         assert len(lease_server.leases) == 4 and scene.fronts[0].core.sessions.session_count == 4
         scene.entitlement.doctor = lambda page: page.update(fence="many")
-        assert (await scene.ask(scene.wish())).status == 200
+        assert (await scene.request_session(scene.wish())).status == 200
 
     play(story, PLAN, desk=lease_server)
