--- a/fernweir/rehearsal/fleet/virtual.py
+++ b/fernweir/rehearsal/fleet/virtual.py
@@ -88,7 +88,7 @@
         for number in self.lives:
             await self._start(number)
         for front in self.fronts.values():
-            await front.list.listed.wait()
+            await front.list_follower.list_received.wait()
         await self._until_all_own()
         origins = {f"front-{number}": ("127.0.0.1", port) for number, port in self.ports.items()}
         habits = Habits(doubled=0.1, dropped=0.05, asks_while_playing=plan.asks_while_playing)
@@ -149,7 +149,10 @@
         nonces = Random(f"nonce {plan.seed} {node}")
         starting = self.loop.create_task(
             start_front(
-                config, wall_offset_s=self.site.wall_offset_s, nonce=nonces.randbytes, peers_apart_s=apart
+                config,
+                wall_offset_s=self.site.wall_offset_s,
+                nonce=nonces.randbytes,
+                peer_clock_offset_s=apart,
             ),
             context=context,
         )
--- a/tests/fuzzing/boxlist.py
+++ b/tests/fuzzing/boxlist.py
@@ -6,7 +6,7 @@
 from random import Random
 from typing import Any
 
-from fernweir.front.boxlist import BoxList, ListError, ListGapError, read_document
+from fernweir.front.endpoint_list import EndpointList, ListError, ListGapError, read_document
 from fernweir.interface import EndpointListKind
 from tests.fuzzing import Target, mutate, same
 from tests.helpers import SETTINGS
@@ -67,18 +67,18 @@
 _STATES = {0: "gone", 1: "ready", 2: "draining"}
 
 
-def _same_held(ours: BoxList, model: Model, what: object) -> None:
-    held = {box: line.model_dump() for box, line in ours.boxes.items()}
+def _same_held(ours: EndpointList, model: Model, what: object) -> None:
+    held = {box: line.model_dump() for box, line in ours.servers.items()}
     fields = set(DEFAULTS) | {"box", "host", "port", "state", "cell"}
     slow = {box: {name: line[name] for name in fields} for box, line in model.boxes.items()}
     same(held, slow, what)
-    same({title: (one.first_cell, one.copies) for title, one in ours.lessons.items()}, model.lessons, what)
+    same({title: (one.first_zone, one.replicas) for title, one in ours.titles.items()}, model.lessons, what)
     same((ours.epoch, ours.version), (model.epoch, model.version), what)
 
 
 def check(data: bytes) -> None:
     """Documents, one a line; between two of them a second passes."""
-    ours, model, now = BoxList(SETTINGS), Model(), 10_000.0
+    ours, model, now = EndpointList(SETTINGS), Model(), 10_000.0
     for line in data.split(b"\n"):
         now += 1_000.0
         try:
@@ -87,7 +87,7 @@
             continue
         slow = model.take(now, json.loads(document.model_dump_json(exclude_unset=True)))
         try:
-            take = ours.take_whole if document.base is None else ours.take_changes
+            take = ours.apply_full if document.base is None else ours.apply_delta
             update = take(now, document)
             said: Any = update and [
                 (one.server, _STATES[one.state], one.started_at, one.zone, one.weight)
@@ -103,13 +103,13 @@
         same(said, slow, line)
         _same_held(ours, model, line)
         if model.epoch:  # what is kept is what was held
-            again = BoxList(SETTINGS)
-            again.take_whole(0.0, read_document(ours.to_cache()), cached=True)
+            again = EndpointList(SETTINGS)
+            again.apply_full(0.0, read_document(ours.to_cache()), cached=True)
             same(
-                {box: line.model_copy(update={"age_s": None}) for box, line in ours.boxes.items()},
-                again.boxes, line,
+                {box: line.model_copy(update={"age_s": None}) for box, line in ours.servers.items()},
+                again.servers, line,
             )  # fmt: skip
-            same((again.lessons, again.last_id), (ours.lessons, ours.last_id), line)
+            same((again.titles, again.last_id), (ours.titles, ours.last_id), line)
 
 
 _WORDS = [
--- a/tests/peers_mutants/fuzz.py
+++ b/tests/peers_mutants/fuzz.py
@@ -9,7 +9,7 @@
 _CODEC = "fernweir/peers/wire/codec.py"
 _LEDGER, _BOXES, _DISK = (
     "fernweir/front/reply_ledger.py",
-    "fernweir/front/boxlist.py",
+    "fernweir/front/endpoint_list.py",
     "fernweir/journal/disk.py",
 )
 _STORE = "fernweir/journal/store.py"
@@ -134,18 +134,18 @@
         Mutant(
             "a whole list leaves old boxes",
             _BOXES,
-            "        self.boxes = {}\n        self._lesson",
-            "        self._lesson",
+            "        self.servers = {}\n        self._title",
+            "        self._title",
             60,
         ),
         Mutant(
-            "an age told again restarts", _BOXES, "if not line.boot or boot != line.boot:", "if True:", 60
+            "an age told again restarts", _BOXES, "if not entry.boot or boot != entry.boot:", "if True:", 60
         ),
         Mutant(
             "checked after it was taken",
             _BOXES,
-            "        self._check(document)\n        self.boxes = {}\n",
-            "        self.boxes = {}\n        self._check(document)\n",
+            "        self._check(document)\n        self.servers = {}\n",
+            "        self.servers = {}\n        self._check(document)\n",
             60,
         ),
     ],
