--- a/fernweir/node/attempts.py
+++ b/fernweir/node/attempts.py
@@ -1,7 +1,8 @@
 """The set-ups in flight to media servers: their connections, timeouts and results.
 
-An attempt that was not written yet can change its connection, since it surely never ran. One that was written
-on a connection that broke waits until a new connection shows whether its server lives.
+An attempt that has not been written yet can be assigned to another connection, since the server cannot have
+received it. An attempt that was written on a connection that broke waits until a new connection shows whether
+the server is alive.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 from fernweir.node.server_pool import ServerPool
 
 MAX_CONNECTS = 3
-"""How many connections may break before the one thing that waits for them is written."""
+"""How many connections may break before a request that waits for one of them is given up."""
 
 
 @dataclass(slots=True, eq=False)
@@ -31,12 +32,14 @@
     Attributes:
         endpoint: The server.
         command: What to set up there.
-        sent_at: When the command came: monotonic, in milliseconds.
-        timer: Fires when its time is over.
-        connection: Carries it, or will once established. None after that ended.
-        is_written: Whether its server may have received it.
-        break_reason: Why its connection ended after it was written, until the server is known to live or not.
-        connect_count: How many connections it was assigned to.
+        sent_at: When the command was received: monotonic, in milliseconds.
+        timer: Fires when the timeout of the attempt has passed.
+        connection: The connection that carries the attempt, or will once it is established. None after that
+            connection has ended.
+        is_written: Whether the server may have received the set-up.
+        break_reason: Why the connection ended after the set-up was written; empty in all other cases. Set
+            until it is known whether the server is alive.
+        connect_count: How many connections the attempt was assigned to.
     """
 
     endpoint: ServerEndpoint
@@ -50,7 +53,7 @@
 
     @property
     def session_id(self) -> str:
-        """The identifier of its session."""
+        """The identifier of the session that is set up."""
         return self.command.request.session_id
 
 
@@ -68,9 +71,9 @@
 
         Args:
             dispatcher: Receives the results.
-            settings: Names the classes of sessions.
+            settings: Defines the session classes.
             pool: Provides the connections.
-            read_client_input: Reads what the client of a session has sent by now.
+            read_client_input: Reads all input that the client of a session has sent so far.
         """
         self._dispatcher = dispatcher
         self._pool = pool
@@ -105,7 +108,7 @@
         endpoint.attempts.clear()
 
     def finish_unwanted(self) -> None:
-        """Ends the attempts that wait for a connection and are not wanted any more."""
+        """Ends the attempts that still wait for a connection but are no longer wanted."""
         for endpoint in self._pool.endpoints.values():
             for attempt in list(endpoint.attempts.values()):
                 if not attempt.is_written:
@@ -124,22 +127,22 @@
             self._write(attempt, connection)
 
     def _check_before_write(self, attempt: Attempt) -> bool:
-        """Ends an attempt whose client has left, or whose time is over, since the event loop last looked.
+        """Ends an attempt whose client has disconnected or whose timeout has passed since the last poll.
 
         Returns:
-            Whether it may be written.
+            Whether the attempt may be written.
         """
         self._read_client_input(attempt.session_id)
         if self._dispatcher.now() - attempt.sent_at > attempt.command.timeout_ms:
-            self._on_timeout(attempt)  # its timer is due, but the event loop is late
+            self._on_timeout(attempt)  # the timer is due, but the event loop has not run it yet
             return False
         return self._check_wanted(attempt)
 
     def _check_wanted(self, attempt: Attempt) -> bool:
-        """Ends an attempt that is not wanted any more, and returns whether it still is."""
+        """Ends an attempt that is no longer wanted. Returns whether it is still wanted."""
         if self._dispatcher.sessions.is_attempt_wanted(attempt.session_id, attempt.command.attempt):
             return True
-        self.fail(attempt, Result.NOT_SENT, "not wanted any more")
+        self.fail(attempt, Result.NOT_SENT, "no longer wanted")
         return False
 
     def _write(self, attempt: Attempt, connection: ServerConnection) -> None:
@@ -152,7 +155,8 @@
         releases += [release for release in lost_releases if release.session == session_id]
         for release in releases:
             connection.send(release)
-        # One that did not leave never ran: it gets a new connection when the end of this one is reported.
+        # If the write fails, the server never received the set-up. The attempt is then assigned to a new
+        # connection when the end of this one is reported.
         attempt.is_written = connection.write(encode_frame(set_up))
         if attempt.is_written:
             endpoint.placed_sessions[session_id] = PlacedSession(connection, now)
@@ -174,18 +178,18 @@
     # --- events ---
 
     def on_connected(self, connection: ServerConnection) -> None:
-        """Writes the attempts that waited for a connection."""
+        """Writes the attempts that waited for this connection."""
         for attempt in list(connection.attempts.values()):
             if self._check_before_write(attempt):
                 self._write(attempt, connection)
 
     def on_connect_failed(self, connection: ServerConnection, reason: str) -> None:
-        """Ends the attempts that waited for a connection."""
+        """Ends the attempts that waited for this connection."""
         for attempt in list(connection.attempts.values()):
             self.fail(attempt, Result.CONNECT_FAILED, reason)
 
     def on_connection_lost(self, connection: ServerConnection, reason: str) -> None:
-        """Assigns the attempts of an ended connection to others, unless they were written."""
+        """Assigns the unwritten attempts of a connection that ended to other connections."""
         attempts = list(connection.attempts.values())
         connection.attempts = {}
         for attempt in attempts:
@@ -200,8 +204,8 @@
     def on_liveness_known(self, endpoint: ServerEndpoint, is_alive: bool) -> None:
         """Ends the attempts whose connection broke after they were written.
 
-        A server that lives may have written a reply that was lost: the session manager has the session
-        released there.
+        A server that is alive may have carried out the set-up and sent a reply that was lost, so the session
+        manager releases the session there.
         """
         for attempt in endpoint.broken_attempts:
             self.fail(attempt, result_of_broken_attempt(is_alive), attempt.break_reason)
@@ -214,7 +218,7 @@
 
     def _on_timeout(self, attempt: Attempt) -> None:
         if attempt.connection is not None and attempt.is_written:
-            attempt.connection.state.drain()  # its server is late or stuck: nothing new goes there
+            attempt.connection.state.drain()  # the server is slow or stuck: no new request is sent on it
         self.fail(attempt, Result.TIMEOUT if attempt.is_written else Result.CONNECT_FAILED)
 
     # --- results ---
@@ -226,12 +230,12 @@
         reason: str = "",
         report: dict[str, float] | None = None,
     ) -> None:
-        """Ends an attempt without success, unless it has ended.
+        """Ends an attempt as failed, unless it has ended already.
 
         Args:
             attempt: The attempt.
-            result: Anything but OK.
-            reason: Why, for the log.
+            result: Any result except OK.
+            reason: Why it failed, for the log.
             report: The load report that came with the result.
         """
         if self._remove(attempt, has_failed=True):
@@ -241,12 +245,12 @@
             self._report(attempt.command, SetUpResult(result, duration_ms, report or {}, reason=reason))
 
     def succeed(self, attempt: Attempt, description: str, report: dict[str, float]) -> None:
-        """Ends an attempt with its server's answer, unless it has ended.
+        """Ends an attempt with the server's answer, unless it has ended already.
 
         Args:
             attempt: The attempt.
-            description: The description of the session.
-            report: The load report that came with it.
+            description: The session description in the answer.
+            report: The load report that came with the answer.
         """
         if self._remove(attempt, has_failed=False):
             duration_ms = self._dispatcher.now() - attempt.sent_at
@@ -261,7 +265,7 @@
         return True
 
     def _detach(self, attempt: Attempt, *, has_failed: bool) -> None:
-        """Stops the timer of an attempt and takes it off its connection."""
+        """Stops the timer of an attempt and removes the attempt from its connection."""
         if attempt.timer is not None:
             attempt.timer.cancel()
         connection = attempt.connection
--- a/fernweir/node/client_connection.py
+++ b/fernweir/node/client_connection.py
@@ -1,7 +1,7 @@
 """One client connection: reads lines from its socket, writes messages, and reports both to its owner.
 
-`ClientConnectionState` decides what may be read, accepted and written; this module carries it out. Clients
-are viewers and the platform's distributor.
+`ClientConnectionState` decides what may be read, accepted and written; this module performs the I/O. The
+clients are viewers and the platform's distributor.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from fernweir.node.limits import ConnectionAdmission, ErrorTolerance
 from fernweir.node.shared_buffer import SharedBufferProtocol
 
-# Causes of a release, of Q.850 as far as the platform gives them a meaning of their own.
+# The cause codes of a release: those of Q.850 that the platform's protocol defines for releases.
 CAUSE_NORMAL = 16
 CAUSE_REJECTED = 34
 CAUSE_FAILED = 41
@@ -29,38 +29,38 @@
 
 
 class ConnectionOwner(Protocol):
-    """The part that a connection reports its lifetime to."""
+    """Receives the lifecycle events of a connection."""
 
     def on_connection_made(self, connection: ClientConnection) -> None:
-        """The connection can be read and written from now on."""
+        """Called when the connection is ready to be read and written."""
 
     def on_data_received(self) -> None:
-        """A connection received bytes."""
+        """Called when a connection has received bytes."""
 
     def on_client_disconnected(self, connection: ClientConnection, reason: str, is_broken: bool) -> None:
-        """The connection is of no more use. May be reported several times."""
+        """Called when the connection can no longer be used; possibly several times."""
 
     def on_connection_lost(self, connection: ClientConnection, reason: str, is_broken: bool) -> None:
-        """The transport of the connection is closed, which is reported once."""
+        """Called once, when the transport of the connection is closed."""
 
 
 class MessageHandler(Protocol):
-    """The part that answers the messages of a connection."""
+    """Handles the messages that arrive on a connection."""
 
     def handle_message(self, connection: ClientConnection, message: Message) -> None:
         """Handles one message. Raises LineError if the message is invalid."""
 
     def on_client_half_closed(self, connection: ClientConnection) -> None:
-        """The client ended its side, though it may still read."""
+        """Called when the client has shut down its sending side; it may still read."""
 
 
 class ClientConnection(SharedBufferProtocol):
     """One connection of a viewer, or of the platform's distributor.
 
     Attributes:
-        state: How far the connection has got.
-        error_tolerance: How many more invalid messages it may send.
-        has_received_data: Whether any bytes came.
+        state: The state machine of the connection.
+        error_tolerance: Counts invalid messages and decides when there were too many.
+        has_received_data: Whether any bytes have arrived.
     """
 
     def __init__(
@@ -82,10 +82,10 @@
         self.has_received_data = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begins to serve the connection, unless it was evicted meanwhile."""
+        """Starts serving the connection, unless it was evicted in the meantime."""
         super().connection_made(transport)
         assert self.transport is not None
-        # So that `resume_writing` is called when all that was written is with the kernel.
+        # With a limit of 0, `resume_writing` is called when the kernel has accepted all written bytes.
         self.transport.set_write_buffer_limits(high=0)
         if self.state.on_connection_made():
             self._owner.on_connection_made(self)
@@ -95,30 +95,31 @@
     # --- reading ---
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Reads ahead of the transport, then returns the shared buffer.
+        """Reads what is available before the transport does, then returns the shared buffer.
 
-        Called as data or an end arrived. A transport reports a reset one turn of the loop later, after the
-        node's next batch, which might forward a request whose client has disconnected.
+        The event loop calls this when data or an end of stream has arrived. The transport reports a reset one
+        iteration of the event loop later. That is after the dispatcher's next step, which could forward a
+        request whose client has already disconnected.
         """
         self.read_while_requests_open()
         return super().get_buffer(sizehint)
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Handles the bytes, then looks for the client's end behind them.
+        """Handles the bytes, then checks whether the client's end of stream follows them.
 
-        The loop would find that end only in its next turn, which is too late.
+        The event loop would detect it only in its next iteration, which is too late.
         """
         super().buffer_updated(nbytes)
         self.read_while_requests_open()
 
     def read_available(self) -> None:
-        """Reads what has arrived by now, whether or not the loop has noticed it."""
+        """Reads what has arrived so far, even if the event loop has not polled the socket yet."""
         if self.state.may_read and self.is_usable:
             self._read_once()
             self.read_while_requests_open()
 
     def read_while_requests_open(self) -> None:
-        """Reads until nothing is left, as long as a request is open."""
+        """Reads until no data is left, as long as the connection has open requests."""
         for _ in range(_MAX_READS_PER_CALL):
             is_readable = self.state.open_requests and self.state.may_read and self.is_usable
             if not (is_readable and self._read_once()):
@@ -126,7 +127,7 @@
         self.close_if_drained()
 
     def _read_once(self) -> bool:
-        """Returns whether there were bytes to read."""
+        """Reads from the socket once. Returns whether there were any bytes."""
         try:
             nbytes = self._socket.recv_into(super().get_buffer(-1))
         except BlockingIOError:
@@ -141,7 +142,7 @@
         return nbytes > 0
 
     def data_received(self, data: memoryview) -> None:
-        """Handles each complete line, and rejects bytes that cannot become one."""
+        """Handles each complete line, and rejects bytes that cannot become a valid line."""
         now = self._dispatcher.now()
         self._owner.on_data_received()
         self.has_received_data = True
@@ -160,7 +161,7 @@
             self.reject_message(line_error)
             self._stop_accepting_requests()
             return
-        if lines:  # a partial line that is left now began after them
+        if lines:  # any remaining partial line began after these lines
             self._admission.set_partial_line(self, now, False)
         self._admission.set_partial_line(self, now, self._lines.has_partial_line)
 
@@ -185,7 +186,7 @@
             self._stop_accepting_requests()
 
     def eof_received(self) -> bool:
-        """The client ended its side. Returns True: the node closes its own side later."""
+        """Records that the client has half-closed. Returns True, as the node closes its own side later."""
         if self.state.on_client_half_closed():
             self._message_handler.on_client_half_closed(self)
             self.check_last_delivery()
@@ -196,30 +197,30 @@
 
     @property
     def may_carry_session_ends(self) -> bool:
-        """Whether the end of any session may be sent here."""
+        """Whether session ends, including those of other connections, may be sent on this one."""
         return self.state.may_read and self.is_usable
 
     def reject_message(self, error: LineError) -> None:
-        """Sends a release that says that a message is invalid."""
-        self._dispatcher.log.info("request refused", why=str(error), id=error.session_id)
+        """Sends a release that rejects an invalid message."""
+        self._dispatcher.log.info("request rejected", why=str(error), id=error.session_id)
         cause = CAUSE_MALFORMED if error.session_id == NO_SESSION_ID else CAUSE_UNKNOWN_SESSION
         self.send_message(Message("release", error.session_id, cause=cause))
 
     def send_message(self, message: Message) -> None:
-        """Sends a message whose delivery need not be confirmed."""
+        """Sends a message whose delivery is not tracked."""
         self.write(encode_message(message))
 
     def send_session_reply(self, message: Message) -> None:
-        """Sends the reply that a session is established, and keeps track of its delivery."""
+        """Sends the reply that a session is established, and tracks its delivery."""
         is_written = self.write(encode_message(message))
         is_flushed = is_written and not self.unsent_bytes
         self.state.on_message_written(message.id, self._dispatcher.now(), None, is_flushed)
 
     def send_session_end(self, session_id: str, session_end: bytes) -> bool:
-        """Sends the encoded end of a session, and keeps track of its delivery.
+        """Sends the encoded end of a session, and tracks its delivery.
 
         Returns:
-            False if it cannot be sent here.
+            False if the connection cannot send it.
         """
         is_written = self.write(session_end)
         if is_written:
@@ -228,10 +229,10 @@
         return is_written
 
     def write(self, data: bytes) -> bool:
-        """Writes bytes.
+        """Writes bytes to the transport.
 
         Returns:
-            False if they cannot be sent: the connection broke, or its client does not read.
+            False if they cannot be sent because the connection broke or its client does not read.
         """
         if not (self.state.may_write and self.is_usable):
             return False
@@ -242,13 +243,13 @@
         return self.is_usable
 
     def resume_writing(self) -> None:
-        """The kernel has accepted all that was written."""
+        """Records that the kernel has accepted all written bytes."""
         self.state.on_write_buffer_flushed(self._dispatcher.now())
 
     # --- closing ---
 
     def drain(self) -> None:
-        """Accepts no new requests; closes once the open ones are answered and all bytes are sent."""
+        """Stops accepting requests, and closes once the open ones are answered and all bytes are sent."""
         self._stop_accepting_requests()
         self.close_if_drained()
 
@@ -257,18 +258,18 @@
         self._admission.set_partial_line(self, 0.0, False)
 
     def on_idle_timeout(self) -> None:
-        """The time to send a complete message, or to read the last replies, has passed."""
+        """Handles the timeout for sending a complete message, or for reading the last replies."""
         if not self.state.may_write:
             self.abort()
             return
-        if self.has_received_data:  # a silent client gets no message: its request may be on its way
-            self.reject_message(LineError("nothing whole in time"))
+        if self.has_received_data:  # a silent client gets no message, as its request may be in flight
+            self.reject_message(LineError("no complete message in time"))
         self.drain()
 
     def evict(self) -> None:
-        """Gives up the connection, as its descriptor is needed for another."""
+        """Ends the connection because its descriptor is needed for another one."""
         if self.state.phase is ClientConnectionPhase.NEW:
-            self._owner.on_client_disconnected(self, "let go", is_broken=False)
+            self._owner.on_client_disconnected(self, "evicted", is_broken=False)
             return
         self.drain()
         self.check_last_delivery()
@@ -276,12 +277,12 @@
             self.abort()
 
     def close_if_drained(self) -> None:
-        """Closes if the connection accepts no requests and has none open."""
+        """Closes the connection if it accepts no requests and has none open."""
         if self.state.is_drained:
             self.close()
 
     def close(self) -> None:
-        """Writes nothing more. If the client has ended its side, lingers until the delivery is confirmed."""
+        """Closes in order. If the client has half-closed, lingers until all deliveries are confirmed."""
         if self.transport is None or not self.state.may_write:
             return
         now = self._dispatcher.now()
@@ -299,7 +300,8 @@
     def check_last_delivery(self) -> None:
         """Ends the connection if it broke, or if it lingers and all deliveries are confirmed.
 
-        A transport that has received the client's end reports no error that follows.
+        This reads the socket's pending error, since a transport that has received the client's end of stream
+        does not report errors that occur later.
         """
         if not self.is_usable:
             return
@@ -316,11 +318,11 @@
         self.abort()
 
     def abort(self) -> None:
-        """Closes at once, which loses what is unsent."""
+        """Closes at once; unsent bytes are lost."""
         if self.transport is not None:
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The transport is closed."""
+        """Reports that the transport is closed."""
         reason = str(exc) if exc is not None else "closed"
         self._owner.on_connection_lost(self, reason, is_broken=exc is not None)
--- a/fernweir/node/client_connection_state.py
+++ b/fernweir/node/client_connection_state.py
@@ -1,9 +1,9 @@
-"""State of one client connection: its phase, and which messages may not have reached the client. No I/O.
+"""The state machine of one client connection: its phase and its unconfirmed messages. No I/O.
 
-All callbacks of a connection consult this one record. The client's side and the node's side of a connection
-end one after the other, and between the two the open requests are still answered. That a message was written
-does not prove its delivery: the kernel may still hold a part of it, or the client may have closed its end
-before it arrived, which only a later connection error reveals.
+All callbacks of a connection use this state. The client and the node close their sides of a connection
+independently. After the client has half-closed, its open requests are still answered. A successful write
+does not prove delivery: the kernel may still buffer a part of the message, or the client may have closed its
+socket before the message arrived, which only a later connection error reveals.
 
 All times are monotonic and in milliseconds.
 """
@@ -13,19 +13,19 @@
 from dataclasses import dataclass
 from enum import Enum
 
-# A reset answers data that was sent to a closed socket within a round trip or two.
+# Data that is sent to a closed socket is answered by a reset within one or two round trips.
 DELIVERY_CONFIRMATION_MS = 1_000.0
 
 
 class ClientConnectionPhase(Enum):
-    """How far a client connection has got. It only moves onward."""
+    """The phases of a client connection, which only moves forward through them."""
 
-    NEW = "new"  # accepted, its transport does not exist yet
+    NEW = "new"  # accepted; the transport does not exist yet
     OPEN = "open"
-    DRAINING = "ending"  # the node accepts no new requests on it, and closes once the open ones are answered
-    HALF_CLOSED = "left"  # the client ended its side; open requests are still answered
-    LINGERING = "parted"  # both sides have ended; the delivery of the last messages is not confirmed yet
-    CLOSING = "closing"  # nothing is read or written any more, what was written is being sent
+    DRAINING = "ending"  # accepts no new requests and closes once the open ones are answered
+    HALF_CLOSED = "left"  # the client shut down its side; open requests are still answered
+    LINGERING = "parted"  # both sides are shut down; the last messages are not confirmed yet
+    CLOSING = "closing"  # nothing more is read or written; written bytes are still being sent
     CLOSED = "over"
 
 
@@ -36,13 +36,13 @@
 
 @dataclass(slots=True)
 class UnconfirmedMessage:
-    """The last message of a session that was written: its successful reply, or the end of the session.
+    """The last message that was written for a session: its successful reply, or the end of the session.
 
     Attributes:
-        written_at_ms: When it was written, then when the kernel had accepted all of it.
-        session_end: The encoded end, which may be sent again on another connection. None for a reply, which
-            is of no use once its client has disconnected.
-        is_flushed: Whether the kernel has accepted all of it.
+        written_at_ms: When the message was written, or, once it is flushed, when the kernel had accepted it.
+        session_end: The encoded end of the session, which may be sent again on another connection. None for a
+            reply, which is useless once its client has disconnected.
+        is_flushed: Whether the kernel has accepted the complete message.
     """
 
     written_at_ms: float
@@ -54,9 +54,9 @@
     """The state machine of one client connection.
 
     Attributes:
-        phase: How far the connection has got.
-        open_requests: Session ids of its set-ups that have no reply yet.
-        sessions: Ids of the established sessions whose set-ups came on it.
+        phase: The phase of the connection.
+        open_requests: Session ids of the set-ups on this connection that have no reply yet.
+        sessions: Ids of the established sessions that were set up on this connection.
     """
 
     def __init__(self) -> None:
@@ -65,7 +65,7 @@
         self.sessions: set[str] = set()
         self._unconfirmed_messages: dict[str, UnconfirmedMessage] = {}
 
-    # --- its phase ---
+    # --- phase ---
 
     @property
     def may_accept_requests(self) -> bool:
@@ -74,7 +74,7 @@
 
     @property
     def may_read(self) -> bool:
-        """Whether its lines are read: until the node closes it a client may withdraw its requests."""
+        """Whether input is read: a client may withdraw its requests until the node closes."""
         return self.phase in _READABLE_PHASES
 
     @property
@@ -84,29 +84,29 @@
 
     @property
     def is_drained(self) -> bool:
-        """Whether it accepts no requests and has none open, so that it should be closed now."""
+        """Whether it accepts no requests and has none open, and should therefore be closed."""
         return self.phase in _DRAINING_PHASES and not self.open_requests
 
     def on_connection_made(self) -> bool:
-        """Records that its transport exists.
+        """Records that the transport exists.
 
         Returns:
-            False if the connection was evicted before.
+            False if the connection was evicted before that.
         """
         if self.phase is ClientConnectionPhase.NEW:
             self.phase = ClientConnectionPhase.OPEN
         return self.phase is ClientConnectionPhase.OPEN
 
     def stop_accepting_requests(self) -> None:
-        """Starts draining: no new set-ups are accepted from now on."""
+        """Starts draining: no new set-ups are accepted any more."""
         if self.phase is ClientConnectionPhase.OPEN:
             self.phase = ClientConnectionPhase.DRAINING
 
     def on_client_half_closed(self) -> bool:
-        """Records that the client ended its side.
+        """Records that the client has shut down its sending side.
 
         Returns:
-            False if that is known already, or the node has closed the connection.
+            False if this was recorded before, or if the node has closed the connection.
         """
         if not self.may_read:
             return False
@@ -114,7 +114,7 @@
         return True
 
     def close(self, now: float) -> bool:
-        """Ends the node's side.
+        """Closes the node's side.
 
         Returns:
             Whether the connection lingers until the delivery of its last messages is confirmed.
@@ -126,16 +126,16 @@
     def on_connection_ended(self, now: float, is_broken: bool) -> dict[str, UnconfirmedMessage] | None:
         """Records the end of the connection.
 
-        What the kernel had not accepted was certainly not delivered. A client that had ended its side before
-        the connection broke had closed its socket, so it did not read the most recent messages. A client
-        whose connection breaks for another reason may have read them; its sessions go on without it.
+        Messages that the kernel had not accepted were certainly not delivered. A client that half-closed
+        before the connection broke had closed its socket, so it did not read the most recent messages. A
+        client whose connection breaks for another reason may have read them, and its sessions continue.
 
         Args:
             now: Monotonic time in milliseconds.
-            is_broken: Whether the connection ended by an error.
+            is_broken: Whether the connection ended with an error.
 
         Returns:
-            The messages that were not delivered, by session id, or None if the end was recorded before.
+            The undelivered messages by session id, or None if the end was recorded before.
         """
         if self.phase is ClientConnectionPhase.CLOSED:
             return None
@@ -150,7 +150,7 @@
         self._unconfirmed_messages.clear()
         return undelivered
 
-    # --- its last messages ---
+    # --- last messages ---
 
     def on_message_written(
         self, session_id: str, now: float, session_end: bytes | None, is_flushed: bool
@@ -174,18 +174,18 @@
         self._unconfirmed_messages[session_id] = UnconfirmedMessage(now, session_end, is_flushed)
 
     def on_write_buffer_flushed(self, now: float) -> None:
-        """Records that the kernel has accepted all that was written."""
+        """Records that the kernel has accepted all written bytes."""
         for message in self._unconfirmed_messages.values():
             if not message.is_flushed:
                 message.written_at_ms = now
                 message.is_flushed = True
 
     def forget_session(self, session_id: str) -> None:
-        """Drops the reply of a session that has ended: whether it was delivered matters no more."""
+        """Drops the reply of a session that has ended, since its delivery no longer matters."""
         self._unconfirmed_messages.pop(session_id, None)
 
     def has_unconfirmed_messages(self, now: float) -> bool:
-        """Whether a message may still turn out not to be delivered."""
+        """Whether any message may still turn out to be undelivered."""
         return any(
             not message.is_flushed or _is_recent(message, now)
             for message in self._unconfirmed_messages.values()
--- a/fernweir/node/client_listener.py
+++ b/fernweir/node/client_listener.py
@@ -1,4 +1,4 @@
-"""The listener for clients: accepts and admits connections, evicts others for them, ends idle ones."""
+"""The listener for clients: accepts and admits connections, evicts others if need be, and ends idle ones."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
     """Owns the listening socket and all client connections.
 
     Attributes:
-        admission: Which connections may stay.
-        connections: Those whose transport exists, closing ones included.
-        activity_count: Reads and accepted connections so far.
+        admission: Decides which connections may stay open.
+        connections: The connections whose transport exists, including closing ones.
+        activity_count: The number of reads and accepted connections so far.
     """
 
     def __init__(
@@ -44,12 +44,12 @@
         self._attach_tasks: set[asyncio.Task[None]] = set()
 
     def listen(self, address: Address) -> None:
-        """Begins to accept connections.
+        """Starts to accept connections.
 
         Raises:
             OSError: The address is not available.
         """
-        # With its protocol number, which accepted sockets inherit: by it asyncio knows to set TCP_NODELAY.
+        # Accepted sockets inherit the explicit protocol number, without which asyncio sets no TCP_NODELAY.
         listening_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
         listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listening_socket.setblocking(False)
@@ -65,23 +65,23 @@
 
     @property
     def address(self) -> Address:
-        """The address that it listens at, with the port that the kernel chose."""
+        """The address of the listening socket, with the port that the kernel chose."""
         assert self._listening_socket is not None
         host, port = self._listening_socket.getsockname()
         return host, port
 
     @property
     def has_pending_connections(self) -> bool:
-        """Whether a connection was accepted and cannot be read yet."""
+        """Whether an accepted connection has no transport yet and cannot be read."""
         return bool(self._attach_tasks)
 
     @property
     def has_unsent_data(self) -> bool:
-        """Whether bytes were written that the kernel has not accepted yet."""
+        """Whether the kernel has not yet accepted some written bytes."""
         return any(connection.unsent_bytes for connection in self.connections)
 
     def shutdown(self) -> None:
-        """Stops listening and closes all connections. What is unsent by now counts as not delivered."""
+        """Stops listening and closes all connections. Messages still unsent count as undelivered."""
         if self._listening_socket is not None:
             self._dispatcher.loop.remove_reader(self._listening_socket.fileno())
             self._listening_socket.close()
@@ -94,9 +94,10 @@
     # --- accepting ---
 
     def accept_connections(self) -> None:
-        """Accepts the connections of the backlog, up to a bound.
+        """Accepts connections from the backlog, up to `_MAX_ACCEPTS_PER_CALL`.
 
-        The node accepts by itself, so that a new connection is counted before it costs a second descriptor.
+        The node calls `accept` itself instead of using an asyncio server, so that a new connection is counted
+        before a second descriptor is in use.
         """
         assert self._listening_socket is not None
         for _ in range(_MAX_ACCEPTS_PER_CALL):
@@ -121,7 +122,7 @@
         task.add_done_callback(self._attach_tasks.discard)
 
     def _read_before_eviction(self) -> None:
-        """Reads the connection that would be evicted next, whose unread request would be lost."""
+        """Reads the connection that would be evicted next, so that no unread request is lost with it."""
         for _ in range(len(self.admission)):
             candidate = self.admission.eviction_candidate() if self.admission.is_full else None
             if candidate is None:
@@ -137,33 +138,33 @@
             self.on_client_disconnected(connection, str(error), is_broken=True)
             accepted_socket.close()
 
-    # --- what connections report ---
+    # --- events of connections ---
 
     def on_connection_made(self, connection: ClientConnection) -> None:
-        """The transport of an admitted connection exists."""
+        """Registers an admitted connection whose transport exists."""
         self.connections.add(connection)
         self.admission.on_connection_made(connection, self._dispatcher.now())
         if self._listening_socket is None:
             connection.close()
 
     def on_data_received(self) -> None:
-        """A connection received bytes."""
+        """Counts a read on a connection."""
         self.activity_count += 1
 
     def on_connection_lost(self, connection: ClientConnection, reason: str, is_broken: bool) -> None:
-        """The transport of a connection is closed."""
+        """Removes a connection whose transport is closed."""
         self.connections.discard(connection)
         self.on_client_disconnected(connection, reason, is_broken)
 
     def on_client_disconnected(self, connection: ClientConnection, reason: str, is_broken: bool) -> None:
-        """A connection is of no more use; only the first report has an effect.
+        """Cleans up after a connection that can no longer be used; only the first call has an effect.
 
-        Its open requests are withdrawn. Sessions whose replies were delivered go on.
+        The open requests of the connection are withdrawn. Sessions whose replies were delivered continue.
 
         Args:
             connection: The connection.
             reason: Why it ended, for the log.
-            is_broken: Whether it ended by an error.
+            is_broken: Whether it ended with an error.
         """
         now = self._dispatcher.now()
         undelivered = connection.state.on_connection_ended(now, is_broken)
@@ -181,7 +182,7 @@
             return
         now = self._dispatcher.now()
         for connection in self.admission.timed_out_connections(now):
-            connection.read_available()  # a late loop may not have read what arrived in time
+            connection.read_available()  # a delayed event loop may not have read what arrived in time
         for connection in self.admission.timed_out_connections(now):
             connection.on_idle_timeout()
         for connection in self.admission.closing_connections():
