--- a/fernweir/node/client_requests.py
+++ b/fernweir/node/client_requests.py
@@ -1,7 +1,7 @@
-"""The messages of clients: set-ups, releases and pings, and the replies to them.
+"""Handles the messages of clients, which are set-ups, releases and pings, and sends the replies.
 
-A set-up is parsed, checked against the sessions that exist, and submitted to the session manager, whose reply
-goes out on the connection that the set-up came on.
+A set-up is parsed, checked against the existing sessions and submitted to the session manager. The reply is
+sent on the connection on which the set-up arrived.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
     """A set-up that has no reply yet.
 
     Attributes:
-        ticket: The number of its request at the session manager.
-        connection: The connection that it came on.
+        ticket: The number of the request in the session manager.
+        connection: The connection on which the set-up arrived.
     """
 
     ticket: int
@@ -40,8 +40,9 @@
     """Handles the messages of clients and sends the replies.
 
     Attributes:
-        is_ready: Whether the node accepts sessions, as a ping asks.
-        recent_ids: Session ids that were answered or ended, whose further messages are no errors.
+        is_ready: Whether the node accepts sessions, which is the reply to a ping.
+        recent_ids: Ids of sessions that were answered or ended recently. Further messages for them are not
+            errors.
         open_requests: The set-ups that have no reply yet, by session id.
     """
 
@@ -68,7 +69,7 @@
         """Handles one message of a connection.
 
         Raises:
-            LineError: The message is not for a front node, or not valid now.
+            LineError: The message is not meant for a front node, or is not valid in the current state.
         """
         if message.type == "ping":
             self._send_pong(connection, message.id)
@@ -96,7 +97,7 @@
             return
         is_known = self._dispatcher.sessions.session(session_id) is not None
         if is_known or session_id in self.recent_ids:
-            raise LineError("an id that is in use")
+            raise LineError(f"session id {session_id} is already in use")
         if not connection.state.may_accept_requests:
             self._send_reply(session_id, connection, SessionReply(ticket, ReplyKind.REJECTED))
             return
@@ -108,20 +109,22 @@
     def _reject_duplicate_set_up(self, connection: ClientConnection, session_id: str) -> None:
         open_request = self.open_requests.get(session_id)
         if open_request is not None and open_request.connection is connection:
-            # The client could not tell which description a reply is for, so both set-ups end without one.
+            # The client could not match a reply to one of the two descriptions, so both set-ups end without
+            # a session.
             self._withdraw_request(session_id)
             self.recent_ids.add(session_id)
-            raise LineError("an id that is open", session_id)
+            raise LineError("a set-up with this id is already open", session_id)
 
     def _take_over_session(
         self, connection: ClientConnection, request: SessionRequest, server_name: str
     ) -> None:
-        """Adopts a session that plays at a server already, else tells the client that it has ended."""
+        """Adopts a session that a server already plays, or notifies the client that it has ended."""
         session_id = request.session_id
         if self._server_transport.adopt_session(request, server_name):
             self._session_ends.on_session_established(session_id, connection)
         elif self._dispatcher.sessions.session(session_id) is None:
-            # If the client releases it meanwhile, that is no error: it gets one end, not two.
+            # The id is recent, so a release from the client in the meantime is not an error and does not
+            # cause a second end message.
             self.recent_ids.add(session_id)
             connection.send_message(Message("release", session_id, cause=CAUSE_FAILED))
 
@@ -155,54 +158,55 @@
         elif self._dispatcher.sessions.release_session(self._dispatcher.now(), session_id):
             self._dispatcher.schedule_step()
         elif session_id not in self.recent_ids and not self._is_end_pending(session_id):
-            # Its set-up may still be unread on another connection; the error below is then its reply.
+            # The set-up may still be unread on another connection. The error below is then its reply.
             self.recent_ids.add(session_id)
             raise LineError("no such session", session_id)
 
     def _is_end_pending(self, session_id: str) -> bool:
-        """Whether a session that has ended is still known here: its end is about to be sent."""
+        """Whether the session has ended but its end has not been sent yet."""
         return session_id in self._session_ends.connection_by_session
 
     def _withdraw_request(self, session_id: str) -> None:
-        """Withdraws an open set-up, which its client does not want any more."""
+        """Withdraws an open set-up that its client no longer wants."""
         open_request = self.open_requests.pop(session_id)
         connection = open_request.connection
         connection.state.open_requests.discard(session_id)
         self._admission.on_request_finished(connection, self._dispatcher.now())
         self._dispatcher.withdraw_request(open_request.ticket)
-        if connection.state.is_drained:  # closes after the rest of what is being read
+        if connection.state.is_drained:  # closes after the remaining input has been handled
             self._dispatcher.loop.call_soon(connection.close_if_drained)
 
-    # --- what other parts report ---
+    # --- events of other parts ---
 
     def on_session_ended(self, session_over: SessionOver) -> None:
-        """An established session ended: its client is notified."""
+        """Notifies the client that an established session has ended."""
         self.recent_ids.add(session_over.request.session_id)
         self._session_ends.on_session_ended(session_over)
 
     def read_client_input(self, session_id: str) -> None:
-        """Reads what the client of an open set-up has sent by now.
+        """Reads all input that the client of an open set-up has sent so far.
 
-        Called just before the set-up goes to a server: its client may have left since the loop last looked.
+        Called just before the set-up is sent to a server, because its client may have disconnected since the
+        event loop last polled the socket.
         """
         open_request = self.open_requests.get(session_id)
         if open_request is not None:
             open_request.connection.read_while_requests_open()
 
     def on_client_half_closed(self, connection: ClientConnection) -> None:
-        """A client ended its side, though it may still read.
+        """Handles a client that has shut down its sending side but may still read.
 
-        Its open requests are answered, but no attempt begins for them any more.
+        Its open requests are answered, but no new attempt is started for them.
         """
         for session_id in connection.state.open_requests:
             self._dispatcher.on_client_half_closed(self.open_requests[session_id].ticket)
-        # A set-up that waits for a connection to its server must not go out when that is made.
+        # A set-up that waits for a connection to its server must not be sent once that is established.
         self._server_transport.drop_unwanted_attempts()
 
     def withdraw_requests(self, connection: ClientConnection, reason: str) -> None:
         """Withdraws all open set-ups of a connection that ended.
 
-        Their ids are not added to the recent ones: a viewer may send them again on a new connection.
+        Their ids are not added to `recent_ids`, because a viewer may send them again on a new connection.
         """
         session_ids = list(connection.state.open_requests)
         if session_ids:
--- a/fernweir/node/config.py
+++ b/fernweir/node/config.py
@@ -17,26 +17,26 @@
 Address = tuple[str, int]  # IPv4 address and port
 _MAX_PORT = 65535
 _MAX_QUOTED = 60  # characters of a value that an error shows
-_SEED_LIMIT = 2**64  # as wide as the wire's
+_SEED_LIMIT = 2**64  # the wire protocol's seed has 64 bits
 
 
 class ConfigError(ValueError):
-    """The configuration cannot be used; the text says what is wrong, one line for each mistake."""
+    """Raised when the configuration cannot be used. The message has one line for each mistake."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeConfig:
-    """What a node is told at its start.
+    """The configuration of a node at its start.
 
     Attributes:
         name: The node's name.
-        listen_address: Where it accepts client connections.
+        listen_address: The address on which it accepts client connections.
         seed: Seeds its random decisions.
         max_descriptors: How many file descriptors it may use.
-        feed_address: Where the control feed is.
+        feed_address: The address of the control feed.
         known_sequence_number: The feed's last sequence number when the file was written.
-        known_events: Events as the feed sends them, up to that number.
-        settings: The settings of the decisions.
+        known_events: Events in the format of the feed, up to that number.
+        settings: The settings of the session manager.
         server_types: The names of the server types, in the order of their numbers.
         connect_timeout_ms: How long to wait for a connection to a server.
         idle_timeout_ms: How long a connection to a server may be unused; infinite if there is no limit.
@@ -56,14 +56,16 @@
 
 
 def load_config(environment: Mapping[str, str]) -> NodeConfig:
-    """Reads the file that the environment names; name and address in the environment override the file's.
+    """Reads the file that `ROUTER_CONFIG` names.
+
+    `ROUTER_NAME` and `ROUTER_LISTEN` override the name and the listen address of the file.
 
     Raises:
-        ConfigError: There is no usable file.
+        ConfigError: The environment names no file, or the file cannot be used.
     """
     path = environment.get("ROUTER_CONFIG")
     if not path:
-        raise ConfigError("ROUTER_CONFIG names no file")
+        raise ConfigError("ROUTER_CONFIG is not set")
     body = _read_object(path)
     for key, variable in (("name", "ROUTER_NAME"), ("listen", "ROUTER_LISTEN")):
         if environment.get(variable):
@@ -78,34 +80,36 @@
     """Parses an address as in `10.0.0.1:4000`.
 
     Args:
-        text: The value; anything but text is refused.
-        what: What the error calls the value.
+        text: The value; anything but a string is rejected.
+        what: The name of the value in the error message.
 
     Raises:
-        ConfigError: It is no IPv4 address with a port.
+        ConfigError: The value is not an IPv4 address with a port.
     """
     host, _, port_text = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     try:
-        IPv4Address(host)  # there is no DNS; resolving a name would block the node
+        IPv4Address(host)  # no host names: there is no DNS, and resolving would block the event loop
         port = int(port_text) if port_text.isascii() and port_text.isdigit() else 0
     except ValueError:
         port = 0
     if not 0 < port <= _MAX_PORT:
-        raise ConfigError(f"{what} is no address with a port: {_quoted(text)}")
+        raise ConfigError(f"{what} is not an IPv4 address with a port: {_quoted(text)}")
     return host, port
 
 
 def flatten_settings(settings: dict[str, Any]) -> dict[str, str]:
-    """Returns nested settings as the paths and texts of the simulator's wire, so that one parser reads both.
+    """Converts nested settings to the path and text pairs of the simulator's wire protocol.
+
+    One parser can thus read both forms.
 
     Raises:
-        ConfigError: The settings are nested too deep.
+        ConfigError: The settings are nested too deeply.
     """
     table: dict[str, str] = {}
     try:
         _flatten_into(table, "", settings)
     except RecursionError:
-        raise ConfigError("settings are nested too deep") from None
+        raise ConfigError("settings are nested too deeply") from None
     return table
 
 
@@ -127,12 +131,12 @@
     known = _parse_known(body.get("known"))
     name = body.get("name", "")
     if not isinstance(name, str):
-        raise ConfigError(f"name is no text: {_quoted(name)}")
+        raise ConfigError(f"name is not a string: {_quoted(name)}")
     listen_address = parse_address(body.get("listen"), "listen")
     feed_address = parse_address(body.get("feed"), "feed")
     raw_settings = body.get("settings")
     if not isinstance(raw_settings, dict):
-        raise ConfigError("settings are no object")
+        raise ConfigError("settings is not a JSON object")
     fields = SettingsTable(flatten_settings(raw_settings))
     settings, server_types = _parse_settings(raw_settings, fields)
     longest_deadline_ms = max(session_class.deadline_ms for session_class in settings.classes)
@@ -146,8 +150,8 @@
         known_events=known.events,
         settings=settings,
         server_types=server_types,
-        # Zero stands for an absent limit: a connection is then waited for as long as an answer, and none
-        # idles out.
+        # Zero means that there is no limit: the node then waits for a connection as long as for an answer,
+        # and connections do not time out when idle.
         connect_timeout_ms=fields.number("Limits.ConnectTimeout", 0.0) or longest_deadline_ms,
         idle_timeout_ms=fields.number("Limits.ConnIdle", 0.0) or math.inf,
     )
@@ -159,19 +163,19 @@
     except ValueError:
         seed = -1
     if seed < 0:
-        raise ConfigError(f"seed is no hex number: {_quoted(value)}")
+        raise ConfigError(f"seed is not a hexadecimal number: {_quoted(value)}")
     return seed % _SEED_LIMIT
 
 
 def _parse_max_descriptors(limits: object) -> int:
     sockets = limits.get("sockets") if isinstance(limits, dict) else None
     if not isinstance(sockets, int) or isinstance(sockets, bool) or sockets < 1:
-        raise ConfigError("limits.sockets is no number of descriptors")
+        raise ConfigError("limits.sockets is not a positive integer")
     return sockets
 
 
 class _Known(NamedTuple):
-    """The feed's events when the file was written."""
+    """The events of the feed at the time when the file was written."""
 
     last_sequence_number: int
     events: tuple[object, ...]
@@ -180,10 +184,10 @@
 def _parse_known(known: object) -> _Known:
     last = known.get("n") if isinstance(known, dict) else None
     if not isinstance(known, dict) or not isinstance(last, int) or isinstance(last, bool):
-        raise ConfigError("known has no last number")
+        raise ConfigError("known.n is not an integer")
     events = known.get("events")
     if not isinstance(events, list):
-        raise ConfigError("known has no list of events")
+        raise ConfigError("known.events is not a list")
     return _Known(last, tuple(events))
 
 
@@ -218,7 +222,7 @@
 
 
 def _scalar_text(value: object) -> str:
-    """The text of a single value. Names stay as they are: clients and servers know a class by its name."""
+    """Returns the text of a single value. Names are not changed, since clients and servers use them too."""
     if isinstance(value, bool):
         return "true" if value else "false"
     return str(value)
