--- a/fernweir/node/connection_state.py
+++ b/fernweir/node/connection_state.py
@@ -1,6 +1,6 @@
-"""The state of one connection to a media server. Pure: no I/O and no clock.
+"""The state machine of one connection to a media server. Pure: no I/O and no clock.
 
-The connection and everybody who uses it ask this one record.
+The connection and all its users share this state.
 """
 
 from __future__ import annotations
@@ -9,20 +9,20 @@
 
 
 class ConnectionPhase(IntEnum):
-    """The phases of a connection, in the order in which it goes through them. It may skip some."""
+    """The phases of a connection, in order. A connection may skip phases."""
 
     CONNECTING = 0
     OPEN = 1
-    DRAINING = 2  # accepts no new request and finishes those that it has
-    CLOSING = 3  # this side has closed; what the server still sends is read
+    DRAINING = 2  # accepts no new requests and finishes those in flight
+    CLOSING = 3  # this side has closed; remaining input from the server is read
     CLOSED = 4
 
 
 class ConnectionState:
     """The phase of a connection, which only moves forward.
 
-    Each method that changes the phase does so once: where two events race for the same step, as a connect
-    timeout and an established connection, the first one takes it and the second one is told so.
+    Each method changes the phase at most once. When two events race for the same transition, such as a
+    connect timeout and an established connection, the first one makes it and the second one gets False.
     """
 
     def __init__(self) -> None:
@@ -47,7 +47,7 @@
         """Records that the connection is established.
 
         Returns:
-            False if it was cancelled before: nothing may be written then, and it has to be aborted.
+            False if the connection was cancelled before. It must then be aborted, and nothing may be written.
         """
         if self.phase is not ConnectionPhase.CONNECTING:
             return False
@@ -55,15 +55,16 @@
         return True
 
     def drain(self) -> None:
-        """Accepts no new requests from now on. Does nothing unless the connection is open."""
+        """Stops accepting new requests. Does nothing unless the connection is open."""
         if self.phase is ConnectionPhase.OPEN:
             self.phase = ConnectionPhase.DRAINING
 
     def begin_close(self) -> bool:
-        """Records that this side closes.
+        """Records that this side is closing the connection.
 
         Returns:
-            False if there is nothing to close: it isn't established, or this side closed before.
+            False if there is nothing to close: the connection is not established, or this side closed it
+            before.
         """
         if not self.may_write:
             return False
@@ -74,7 +75,7 @@
         """Records that the connection ended.
 
         Returns:
-            False if that was known already.
+            False if the end was recorded before.
         """
         was_closed = self.phase is ConnectionPhase.CLOSED
         self.phase = ConnectionPhase.CLOSED
--- a/fernweir/node/endpoint_feed.py
+++ b/fernweir/node/endpoint_feed.py
@@ -1,12 +1,12 @@
-"""Decodes the control feed: numbered events into updates of the endpoint list. No I/O.
+"""Decodes the control feed: turns numbered events into updates of the endpoint list. No I/O.
 
-An event is applied once and in order. Events that were applied before are skipped. After a gap, where the
-feed's last sequence number shows that an event is missing, or where a line cannot be read, the node has to
+Each event is applied once and in order; events that were applied before are skipped. After a gap, or when the
+feed's last sequence number shows that an event is missing, or when a line cannot be parsed, the node has to
 subscribe again from its last sequence number.
 
-An event that arrives twice with the same bytes, or that the configuration holds, was not damaged on its way.
-What can be read of it is applied and the rest is left out: otherwise no later event would ever be applied,
-and no node would start.
+An event that arrives twice with the same bytes, or that is in the configuration, was not damaged in transit.
+Its valid part is applied and the rest is skipped. Otherwise no later event could ever be applied, and no node
+could start.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from fernweir.interface import Endpoint, EndpointListKind, EndpointListUpdate, ServerState
 from fernweir.node.config import Address, ConfigError, parse_address
 
-MAX_EVENT_BYTES = 256 * 1024  # the first event holds the whole list
+MAX_EVENT_BYTES = 256 * 1024  # the first event holds the complete list
 _VERSION_MASK = 0xFFFFFFFF
 _STATES_BY_STATUS = {
     "up": ServerState.READY,
@@ -31,12 +31,12 @@
 
 
 class FeedError(ValueError):
-    """The feed sent something that cannot be used: subscribe again from the last sequence number."""
+    """Raised for input that cannot be used. The node has to subscribe again from its last sequence number."""
 
 
 @dataclass(frozen=True, slots=True)
 class _ListedEndpoint:
-    """One endpoint of an event, with what only the node needs of it."""
+    """One endpoint of an event, with the details that only the node needs."""
 
     endpoint: Endpoint
     name: str
@@ -45,26 +45,27 @@
 
 
 class EndpointFeed:
-    """The endpoint list as the feed has announced it so far.
+    """Decodes the feed and holds the details of the servers that it has announced so far.
 
     Args:
         server_types: The names of the server types, in the order of their numbers.
-        offset_ms: Unix time less the node's own clock, in ms.
+        offset_ms: Unix time minus the node's monotonic clock, in ms.
 
     Attributes:
-        last_sequence_number: Number of the last event that was applied.
-        in_sequence_lines: Counts the lines that were the next event, or confirmed that the last one applied
-            is the feed's last.
-        partially_applied_events: Counts the events of which something was left out.
-        addresses: Address of each server, by its number.
-        names: Name of each server, by its number.
-        status_since_ms: Unix time in ms since when each server has its status, as the feed gives it.
+        last_sequence_number: The number of the last event that was applied.
+        in_sequence_lines: Counts the lines that were the next event, or that confirmed that the last applied
+            event is the feed's last one.
+        partially_applied_events: Counts the events of which a part was skipped.
+        addresses: The address of each server, by server number.
+        names: The name of each server, by server number.
+        status_since_ms: The Unix time in ms since which each server has had its status, according to the
+            feed.
     """
 
     def __init__(self, server_types: tuple[str, ...], offset_ms: float) -> None:
         self._server_types = server_types
         self._offset_ms = offset_ms
-        self._last_rejected_line = b""  # an event that could not be read
+        self._last_rejected_line = b""  # the last event that could not be parsed
         self.last_sequence_number = 0
         self.in_sequence_lines = 0
         self.partially_applied_events = 0
@@ -75,14 +76,14 @@
     def apply_known_events(
         self, events: tuple[object, ...], last_sequence_number: int
     ) -> Iterator[EndpointListUpdate]:
-        """Applies the events of the configuration, the first of which holds the whole list.
+        """Applies the events of the configuration, the first of which holds the complete list.
 
-        As on the feed, each update has to be used before the next event is read: the end of a server forgets
-        it, and a later event may bring it back.
+        As with the feed, the caller has to apply each update before it requests the next one, because the
+        removal of a server drops its details here, and a later event may add the server again.
 
         Args:
-            events: The events in order. Their numbers may begin anywhere.
-            last_sequence_number: The number from which to subscribe, if no event has a higher one.
+            events: The events in order. Their numbers may start anywhere.
+            last_sequence_number: The number from which to subscribe, unless an event has a higher one.
 
         Yields:
             The update of each event that changes the list.
@@ -97,7 +98,7 @@
                 continue
             try:
                 update = self._apply_event(event, EndpointListKind.CACHED)
-            except FeedError:  # the feed would bring the same, and running nodes have left it out
+            except FeedError:  # the feed would send the same event, and running nodes have skipped this part
                 update = self._apply_readable_part(event, EndpointListKind.CACHED)
             if update is not None:
                 yield update
@@ -107,7 +108,7 @@
         """Applies one line of the feed.
 
         Returns:
-            The update of the list; None if the line changes nothing.
+            The update of the list, or None if the line does not change the list.
 
         Raises:
             FeedError: The node has to subscribe again.
@@ -115,7 +116,7 @@
         try:
             body = json.loads(line)
         except (ValueError, RecursionError):
-            raise FeedError("a line that is not JSON") from None
+            raise FeedError("a line is not JSON") from None
         if isinstance(body, int) and not isinstance(body, bool):
             self._check_last_number(body)
             return None
@@ -130,7 +131,7 @@
         return self._apply_readable_part(body, EndpointListKind.FULL)
 
     def forget_server(self, server: int) -> None:
-        """Forgets a server that was removed from the list and that the node no longer uses."""
+        """Drops the details of a server that was removed from the list and is no longer in use."""
         self.addresses.pop(server, None)
         self.names.pop(server, None)
         self.status_since_ms.pop(server, None)
@@ -138,27 +139,27 @@
     def _check_last_number(self, feed_last: int) -> None:
         if feed_last > self.last_sequence_number:
             raise FeedError(
-                f"events up to {feed_last} are missing, {self.last_sequence_number} is the last held"
+                f"events up to {feed_last} are missing, the last applied one is {self.last_sequence_number}"
             )
         self.in_sequence_lines += feed_last == self.last_sequence_number
 
     def _is_next_event(self, body: object) -> TypeGuard[dict[str, Any]]:
-        """Whether the event follows the last one; False if it was applied before.
+        """Returns whether the event is the next one; False if it was applied before.
 
         Raises:
-            FeedError: It has no number, or events before it are missing.
+            FeedError: The event has no number, or events before it are missing.
         """
         sequence_number = body.get("n") if isinstance(body, dict) else None
         if not isinstance(sequence_number, int) or isinstance(sequence_number, bool):
-            raise FeedError("an event without a number")
+            raise FeedError("an event has no number")
         if sequence_number > self.last_sequence_number + 1:
-            raise FeedError(f"event {sequence_number} comes after {self.last_sequence_number}")
+            raise FeedError(f"event {sequence_number} was received after {self.last_sequence_number}")
         return sequence_number > self.last_sequence_number
 
     def _apply_readable_part(
         self, body: dict[str, Any], snapshot_kind: EndpointListKind
     ) -> EndpointListUpdate | None:
-        """Applies what can be read of an event that was not damaged on its way."""
+        """Applies the valid part of an event that was not damaged in transit."""
         self.partially_applied_events += 1
         return self._apply_event(body, snapshot_kind, is_partial_allowed=True)
 
@@ -174,14 +175,14 @@
         self, members: object, snapshot_kind: EndpointListKind, is_partial_allowed: bool
     ) -> EndpointListUpdate | None:
         if not isinstance(members, dict):
-            return None  # an event of another kind
+            return None  # an event that does not concern the endpoint list
         lines, version = members.get("endpoints"), members.get("index")
         if not isinstance(lines, list) or not isinstance(version, int):
             if is_partial_allowed:
                 return None
-            raise FeedError("an event without endpoints")
+            raise FeedError("an event has no list of endpoints or no index")
         listed = self._parse_endpoints(lines, is_partial_allowed)
-        # Endpoints that an incomplete list does not name stay as they are, so it is no snapshot.
+        # An incomplete list is not applied as a snapshot, so that endpoints missing from it are kept.
         is_complete = len(listed) == len(lines)
         is_snapshot = members.get("snapshot") is True and (is_complete or not self.names)
         for one in listed:
@@ -193,7 +194,7 @@
         return EndpointListUpdate(kind, version & _VERSION_MASK, tuple(one.endpoint for one in listed))
 
     def _parse_endpoints(self, lines: list[object], is_partial_allowed: bool) -> list[_ListedEndpoint]:
-        """Parses all endpoints of an event before any of them changes the list."""
+        """Parses all endpoints of an event, before any of them is applied to the list."""
         listed = []
         for line in lines:
             try:
@@ -205,7 +206,7 @@
 
     def _parse_endpoint(self, line: object) -> _ListedEndpoint:
         if not isinstance(line, dict):
-            raise FeedError("an endpoint that can't be read")
+            raise FeedError("an endpoint is not a JSON object")
         try:
             name = line["name"]
             state = _STATES_BY_STATUS[line["status"]]
@@ -216,16 +217,16 @@
             address = parse_address(line["address"], "address")
             server = number_of(name)
         except (AttributeError, KeyError, TypeError, ValueError, OverflowError, ConfigError):
-            raise FeedError("an endpoint that can't be read") from None
+            raise FeedError("an endpoint has a missing or invalid field") from None
         if not (math.isfinite(weight) and math.isfinite(status_since_ms)):
-            raise FeedError("an endpoint that can't be read")
+            raise FeedError("an endpoint has a number that is not finite")
         started_at = max(status_since_ms - self._offset_ms, 0.0) if status_since_ms > 0.0 else 0.0
         endpoint = Endpoint(server, state, started_at, zone, server_type, weight)
         return _ListedEndpoint(endpoint, name, address, status_since_ms)
 
 
 def _number_before(event: object) -> int:
-    """The sequence number before the first known event; 0 if the event has no number."""
+    """Returns the sequence number before the first known event, or 0 if the event has no number."""
     if not isinstance(event, dict) or not isinstance(event.get("n"), int):
         return 0
     return max(int(event["n"]) - 1, 0)
--- a/fernweir/node/endpoint_watcher.py
+++ b/fernweir/node/endpoint_watcher.py
@@ -1,7 +1,7 @@
-"""Follows the control feed: owns its connection and the timer that reconnects.
+"""Follows the control feed: owns the connection to it and the reconnect timer.
 
-A thin shell. `reconnect.ReconnectPolicy` decides when to connect, and `endpoint_feed.EndpointFeed` decodes
-what the feed sends.
+This module only performs the I/O. `reconnect.ReconnectPolicy` decides when to connect, and
+`endpoint_feed.EndpointFeed` decodes the events.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 class EndpointWatcher:
     """Follows the feed at one address at a time and applies its updates.
 
-    Every connection subscribes from the last sequence number that was applied. Only the policy knows which
-    connection is the current one; the watcher holds its timer and the newest connection.
+    Every connection subscribes from the last sequence number that was applied. The policy determines which
+    connection is the current one; the watcher owns the timer and the newest connection.
 
     Args:
-        dispatcher: Gets the updates of the endpoint list.
+        dispatcher: Receives the updates of the endpoint list.
         feed: Decodes the lines of the feed.
-        server_transport: Follows the endpoint list with its connections to media servers.
-        address: Where the feed is.
+        server_transport: Adapts its connections to media servers to the endpoint list.
+        address: The address of the feed.
         seed: Seeds the random backoff.
     """
 
@@ -53,30 +53,30 @@
         self._connect()
 
     def stop(self) -> None:
-        """Closes the connection; none is opened after this."""
+        """Closes the connection for good: no other one is opened after this."""
         self._reconnect_policy.stop()
         self._abort_connection()
 
     def change_address(self, address: Address) -> None:
-        """Follows the feed at another address from now on."""
+        """Switches to the feed at another address."""
         self.address = address
         if self._reconnect_policy.on_address_changed():
             self._connect()
 
     def apply_update(self, update: EndpointListUpdate) -> None:
-        """Gives an update of the endpoint list to the decisions, then to the connections to servers."""
+        """Applies an update of the endpoint list to the session manager, then to the server transport."""
         self._dispatcher.sessions.on_endpoint_list(self._dispatcher.now(), update)
         self._server_transport.on_endpoint_list(update)
         self._dispatcher.schedule_step()
 
-    # --- reports of the connections ---
+    # --- events of connections ---
 
     def on_connected(self, connection_number: int) -> int | None:
-        """A connection was made.
+        """Handles an established connection.
 
         Returns:
-            The sequence number to subscribe from. None if another connection has taken the place of this one:
-            it has to close without subscribing.
+            The sequence number to subscribe from. None if another connection has replaced this one, which
+            then has to close without subscribing.
         """
         is_current = self._reconnect_policy.on_connected(connection_number, self._now_s())
         self._restart_timer()
@@ -86,7 +86,7 @@
         """Applies lines of the feed.
 
         Raises:
-            FeedError: A line cannot be used. Those before it are applied.
+            FeedError: A line cannot be used. The lines before it have been applied.
         """
         if not self._reconnect_policy.is_current(connection_number):
             return
@@ -95,9 +95,11 @@
         self._restart_timer()
 
     def on_connection_ended(self, connection_number: int, reason: str) -> None:
-        """A connection failed, ended, or brought something that cannot be used."""
+        """Handles a connection that failed, ended, or delivered input that cannot be used."""
         if self._reconnect_policy.on_connection_ended(connection_number, self._now_s()):
-            self._dispatcher.log.info("feed away", why=reason, last=self._feed.last_sequence_number)
+            self._dispatcher.log.info(
+                "feed connection ended", why=reason, last=self._feed.last_sequence_number
+            )
             self._abort_connection()
 
     # --- steps ---
@@ -109,7 +111,7 @@
         partially_applied_events = feed.partially_applied_events
         update = feed.apply_line(line)
         if feed.partially_applied_events != partially_applied_events:
-            self._dispatcher.log.warning("feed event not all of use", n=feed.last_sequence_number)
+            self._dispatcher.log.warning("feed event partially applied", n=feed.last_sequence_number)
         if feed.in_sequence_lines != in_sequence_lines:
             applied_event = feed.last_sequence_number != last_sequence_number
             self._reconnect_policy.on_data_received(self._now_s(), applied_event)
@@ -147,7 +149,7 @@
 
 
 class _FeedConnection(SharedBufferProtocol):
-    """One connection to the feed. It reports every event; the watcher decides whether it still counts."""
+    """One connection to the feed. It reports all its events; the watcher ignores those of old connections."""
 
     def __init__(self, watcher: EndpointWatcher, number: int) -> None:
         self._watcher = watcher
--- a/fernweir/node/program.py
+++ b/fernweir/node/program.py
@@ -1,6 +1,6 @@
-"""A front node as a program: its start, the reload on SIGHUP, and the shutdown after SIGTERM.
+"""The front node program: startup, reload on SIGHUP, and graceful shutdown on SIGTERM.
 
-It is configured by the platform's environment variables.
+It is configured through the platform's environment variables.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
 from fernweir.node.session_end_delivery import SessionEndDelivery
 from fernweir.node.set_up_parser import SetUpParser
 
-if TYPE_CHECKING:  # needs packages, which a node alone does not have
+if TYPE_CHECKING:  # these need packages that a node without peers does not have
     from fernweir.node.peering import PeersFile
     from fernweir.peers.program import Peers
 
 _FINAL_CHECK_INTERVAL_S = 0.005
-# A SIGHUP must never end a node, which it does while there is no handler.
+# Blocked while no handler is installed, since the default action of SIGHUP would end the node.
 BLOCKED_SIGNALS = (signal.SIGHUP,)
 
 
@@ -52,7 +52,9 @@
         self.config = config
         self.log = log
         self._environment = environment
-        # No client returns to a session here, and a reply after its client's deadline is a failure in time.
+        # Clients of this protocol never return to a session, so an unclaimed session need not be kept. No
+        # reply margin is needed either: a reply after the client's deadline counts as a failure reported in
+        # time.
         limits = SessionLimits(reply_margin_ms=0.0, unclaimed_session_ttl_ms=0.0)
         self.dispatcher = Dispatcher(SessionManager(config.settings, config.seed, limits), log=log)
         wall_clock_offset_ms = (time.time() - loop.time()) * 1000.0
@@ -86,7 +88,7 @@
 
         Raises:
             ConfigError: An event of the configured list is not valid.
-            OSError: The address to listen at is not available.
+            OSError: The listen address is not available.
         """
         try:
             for update in self.feed.apply_known_events(
@@ -96,7 +98,7 @@
         except FeedError as error:
             raise ConfigError(f"known: {error}") from None
         if self.feed.partially_applied_events:
-            self.log.warning("known events not all of use", events=self.feed.partially_applied_events)
+            self.log.warning("known events partially applied", events=self.feed.partially_applied_events)
         self.client_listener.listen(self.config.listen_address)
         self.endpoint_watcher.start()
         self.dispatcher.after_step(self._on_first_step)
@@ -106,20 +108,20 @@
         self.log.info("ready", listen=self.client_listener.address, servers=len(self.feed.names))
 
     def reload(self) -> None:
-        """Handles SIGHUP: reads the configuration again, of which only the feed's address may change."""
+        """Handles SIGHUP: reads the configuration again. Only a new feed address takes effect."""
         try:
             config = load_config(self._environment)
         except ConfigError as error:
             self._log_unusable_configuration(error)
             return
-        self.log.info("feed moved", feed=config.feed_address, last=self.feed.last_sequence_number)
+        self.log.info("feed address reloaded", feed=config.feed_address, last=self.feed.last_sequence_number)
         self.endpoint_watcher.change_address(config.feed_address)
 
     def _log_unusable_configuration(self, error: ConfigError) -> None:
         self.log.error("new configuration not used", why=str(error))
 
     def terminate(self) -> None:
-        """Handles SIGTERM: new requests are rejected, established sessions play on until the timeout."""
+        """Handles SIGTERM: rejects new requests; established sessions continue until the drain timeout."""
         if not self.graceful_shutdown.start_draining():
             return
         self.dispatcher.sessions.stop_accepting()
@@ -133,17 +135,17 @@
         )
 
     def _on_drain_timeout(self) -> None:
-        """Abandons the requests that are still open, and lets `finish_draining` begin."""
+        """Abandons the requests that are still open, and lets `finish_draining` start."""
         self.dispatcher.sessions.abandon_open_requests(self.dispatcher.now())
         self.dispatcher.schedule_step()
         self.drained.set()
 
     async def finish_draining(self) -> None:
-        """Reads what has still arrived, then shuts down once all replies are sent or their time is over."""
+        """Reads remaining input, then shuts down once all replies are sent or the final check times out."""
         self.graceful_shutdown.start_final_check(self.dispatcher.now())
         while True:
             activity_before = self.client_listener.activity_count
-            # Two turns of the loop: what the first one selects is read before the second is over.
+            # Two iterations of the event loop: input that the first one selects is read during the second.
             await asyncio.sleep(0)
             await asyncio.sleep(0)
             has_new_input = (
@@ -171,7 +173,8 @@
             self._drain_timer.cancel()
         self.endpoint_watcher.stop()
         self.client_listener.shutdown()
-        # For what that caused, as the release of a session whose reply was not delivered.
+        # Carries out the commands that this caused, such as the release of a session whose reply was not
+        # delivered.
         self.dispatcher.run_last_step()
         self.dispatcher.stop()
         self.server_transport.shutdown()
@@ -181,7 +184,7 @@
     """Reads the settings of the node's peers.
 
     Returns:
-        The settings, or None if the environment names no file of them.
+        The settings, or None if `FERNWEIR_PEERS` is not set.
 
     Raises:
         ConfigError: The settings cannot be used, or a package that they need is not installed.
@@ -205,42 +208,43 @@
 async def run(
     config: NodeConfig, log: NodeLog, environment: Mapping[str, str], file: PeersFile | None = None
 ) -> None:
-    """Runs a node until a SIGTERM has ended it.
+    """Runs a node until it has shut down after a SIGTERM.
 
     Args:
         config: The configuration.
-        log: Where the node logs.
-        environment: The environment variables, for reloads.
-        file: The settings of its peers, if it has any.
+        log: The log of the node.
+        environment: The environment variables, which reloads use.
+        file: The settings of the node's peers, if it has any.
     """
     node = Node(config, log, environment)
     loop = asyncio.get_running_loop()
     peers = None if file is None else await _start_peers(node, file)
     node.start()
-    # In the turn of the loop that begins to listen and to follow the feed, so that no signal meets a node
-    # that is half started. An earlier SIGTERM ends the process, which has accepted nothing by then; an
-    # earlier SIGHUP waits (`BLOCKED_SIGNALS`).
+    # The handlers are installed in the same iteration of the event loop in which the node starts to listen
+    # and to follow the feed, so that no signal is handled by a partially started node. An earlier SIGTERM
+    # ends the process, which has not accepted anything yet; an earlier SIGHUP stays pending
+    # (`BLOCKED_SIGNALS`).
     loop.add_signal_handler(signal.SIGHUP, node.reload)
     loop.add_signal_handler(signal.SIGTERM, node.terminate)
     signal.pthread_sigmask(signal.SIG_UNBLOCK, BLOCKED_SIGNALS)
-    # The objects made so far stay for good: the collector need not look at them again.
+    # The objects created so far are permanent, so the garbage collector need not scan them again.
     gc.collect()
     gc.freeze()
     await node.drained.wait()
     if peers is not None:
-        await peers.leave(0.0)  # hands nothing over, but announces its end and completes its record
+        await peers.leave(0.0)  # hands off no sessions; announces the exit and completes the audit log
         await peers.stop()
     await node.finish_draining()
-    signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS)  # the end of the loop removes the handlers
+    signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS)  # closing the loop removes the handlers
 
 
 def main() -> int:
     """Runs `python -m fernweir node`.
 
     Returns:
-        The exit code: 2 if the configuration cannot be used or the address is not available, else 0.
+        The exit code: 2 if the configuration cannot be used or the address is not available, otherwise 0.
     """
-    # Before the configuration is read: its file may be replaced, and a SIGHUP sent, at any time.
+    # Blocked before the configuration is read, as its file may be replaced and a SIGHUP sent at any time.
     signal.pthread_sigmask(signal.SIG_BLOCK, BLOCKED_SIGNALS)
     try:
         config = load_config(os.environ)
--- a/tests/test_node_crossing_feed.py
+++ b/tests/test_node_crossing_feed.py
@@ -35,7 +35,7 @@
     """The feed's connection breaks and the next one has just been begun."""
     stage.loop.settle()
     stage.feed.look()[-1].reset()
-    stage.loop.until(lambda: "feed away" in stage.log.getvalue())
+    stage.loop.until(lambda: "feed connection ended" in stage.log.getvalue())
     stage.loop.jump(80.0)  # the first pause is 75 ms at most
     stage.loop.until(lambda: connecting(stage))
 
@@ -146,7 +146,7 @@
     with staged() as stage:
         stage.loop.settle()
         stage.feed.look()[-1].end()
-        stage.loop.until(lambda: "feed away" in stage.log.getvalue())
+        stage.loop.until(lambda: "feed connection ended" in stage.log.getvalue())
         (retry,) = [one for one in stage.loop.due() if "EndpointWatcher" in repr(one)]
         other = FarFeed()
         stage.loop.call_at(retry.when() + after, stage.node.endpoint_watcher.change_address, other.address)
@@ -363,7 +363,7 @@
             assert stage.node.feed.last_sequence_number == n
             listed[number_of("s-0")] = ServerState.DRAINING
         assert stage.node.dispatcher.sessions.endpoint_states == listed
-        assert stage.log.getvalue().count("not all of use") == 2
+        assert stage.log.getvalue().count("partially applied") == 2
         line.write(said(change(stage, 4)))
         stage.loop.until(lambda: stage.node.feed.last_sequence_number == 4)
 
@@ -423,7 +423,7 @@
     assert stage.node.dispatcher.sessions.endpoint_states == {number_of("s-0"): ServerState.DRAINING}
     assert (
         stage.node.feed.last_sequence_number == 3
-        and stage.log.getvalue().count("known events not all of use") == 1
+        and stage.log.getvalue().count("known events partially applied") == 1
     )
     stage.tally()
     stage.finish()
