--- a/fernweir/node/jsonl.py
+++ b/fernweir/node/jsonl.py
@@ -1,7 +1,7 @@
-"""The JSON lines between clients and a front node: a strict, bounded codec without I/O.
+"""The JSON lines protocol between clients and a front node: a strict, bounded codec without I/O.
 
-`LineReader` takes bytes in any pieces and returns complete lines; `decode_message` turns a line into a
-`Message`. Only `LineError` leaves this module.
+`LineReader` accepts the stream in chunks of any size and returns complete lines; `decode_message` decodes a
+line into a `Message`. `LineError` is the only exception that this module raises.
 """
 
 from __future__ import annotations
@@ -11,9 +11,9 @@
 import re
 from dataclasses import dataclass, field
 
-MAX_LINE_BYTES = 16 * 1024  # with the line feed
+MAX_LINE_BYTES = 16 * 1024  # including the line feed
 MESSAGE_TYPES = frozenset(("setup", "progress", "answer", "release", "released", "ping", "pong", "move"))
-NO_SESSION_ID = "0" * 16  # stands in an answer to a line whose session could not be read
+NO_SESSION_ID = "0" * 16  # the id in the reply to a line whose session id could not be read
 _SESSION_ID = re.compile(r"[0-9a-f]{16}")
 _MAX_INTEGER_DIGITS = 20
 _MAX_FIELDS = 32
@@ -23,10 +23,10 @@
 
 
 class LineError(ValueError):
-    """A line that is no message.
+    """Raised for a line that is not a valid message.
 
     Attributes:
-        session_id: The session that the line names; `NO_SESSION_ID` if that much could not be read.
+        session_id: The session that the line names, or `NO_SESSION_ID` if that could not be read.
     """
 
     def __init__(self, reason: str, session_id: str = NO_SESSION_ID) -> None:
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One message. The attributes have the names of the line's keys.
+    """One message. The attributes are named like the keys of the line.
 
     Attributes:
         type: One of `MESSAGE_TYPES`.
-        id: The session, as 16 lower-case hex digits.
-        fields: What the type of the message needs.
-        cause: A cause of Q.850 from 0 to 255, where there is one.
-        sdp: The session description, where there is one.
+        id: The session id, as 16 lower-case hex digits.
+        fields: The fields that depend on the type of the message.
+        cause: A cause of Q.850 from 0 to 255, if the message has one.
+        sdp: The session description, if the message has one.
     """
 
     type: str
@@ -54,13 +54,13 @@
 
 
 class LineReader:
-    """Splits a stream into lines. A line without its line feed is kept, up to the limit.
+    """Splits a stream into lines. An incomplete line is buffered, up to the limit.
 
     Args:
-        max_line_bytes: The longest line that is accepted, with its line feed.
+        max_line_bytes: The length of the longest accepted line, including its line feed.
 
     Attributes:
-        complete_lines: The lines that the last call of `feed` completed, also if it raised.
+        complete_lines: The lines that the last call of `feed` completed, even if it raised.
     """
 
     def __init__(self, max_line_bytes: int = MAX_LINE_BYTES) -> None:
@@ -70,18 +70,18 @@
 
     @property
     def has_partial_line(self) -> bool:
-        """Whether a line has begun that has not ended."""
+        """Whether an incomplete line is buffered."""
         return bool(self._pending)
 
     def feed(self, data: bytes | memoryview) -> list[bytes]:
-        """Takes bytes of the stream.
+        """Processes the next bytes of the stream.
 
         Returns:
             The complete lines, without their line feeds.
 
         Raises:
-            LineError: A line is too long. The lines before it are in `complete_lines`, so that what is read
-                does not depend on how the stream was split.
+            LineError: A line is too long. The lines before it are in `complete_lines`, so that the result
+                does not depend on how the stream was split into chunks.
         """
         self._pending += data
         self.complete_lines = []
@@ -99,22 +99,22 @@
     def _check_length(self, size_bytes: int) -> None:
         if size_bytes > self._max_line_bytes:
             self._pending.clear()
-            raise LineError(f"a line of over {self._max_line_bytes} bytes")
+            raise LineError(f"a line is longer than {self._max_line_bytes} bytes")
 
 
 def decode_message(line: bytes) -> Message:
     """Decodes one line.
 
     Raises:
-        LineError: It is no message; the text says why.
+        LineError: The line is not a valid message; the text says why.
     """
     body = _decode_object(line)
     session_id = body.get("id")
     if not isinstance(session_id, str) or not _SESSION_ID.fullmatch(session_id):
-        raise LineError("no id of 16 hex digits")
+        raise LineError("id is not 16 hex digits")
     message_type = body.get("type")
     if not isinstance(message_type, str) or message_type not in MESSAGE_TYPES:
-        raise LineError("no known type", session_id)
+        raise LineError("type is missing or unknown", session_id)
     return Message(
         message_type,
         session_id,
@@ -125,7 +125,7 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Encodes a message as one line, with its line feed."""
+    """Encodes a message as one line, including its line feed."""
     body: dict[str, object] = {"type": message.type, "id": message.id, "fields": message.fields}
     if message.cause is not None:
         body["cause"] = message.cause
@@ -153,9 +153,9 @@
 
 def _check_fields(fields: object, session_id: str) -> dict[str, FieldValue]:
     if not isinstance(fields, dict) or len(fields) > _MAX_FIELDS:
-        raise LineError("fields are no object, or too many", session_id)
+        raise LineError(f"fields is not an object of at most {_MAX_FIELDS} entries", session_id)
     if not all(map(_is_encodable, fields)) or not all(map(_is_field_value, fields.values())):
-        raise LineError("fields are no object of strings and numbers", session_id)
+        raise LineError("fields is not an object of strings and finite numbers", session_id)
     return fields
 
 
@@ -163,7 +163,7 @@
     if cause is None:
         return None
     if isinstance(cause, bool) or not isinstance(cause, int) or not 0 <= cause <= _MAX_CAUSE:
-        raise LineError("cause is no number under 256", session_id)
+        raise LineError(f"cause is not an integer from 0 to {_MAX_CAUSE}", session_id)
     return cause
 
 
@@ -171,24 +171,24 @@
     if sdp is None:
         return None
     if not isinstance(sdp, str) or not _is_encodable(sdp):
-        raise LineError("description is no text", session_id)
+        raise LineError("sdp is not valid text", session_id)
     return sdp
 
 
 def _object_without_duplicate_keys(pairs: list[tuple[str, object]]) -> dict[str, object]:
     found = dict(pairs)
     if len(found) != len(pairs):
-        raise LineError("a key comes twice")
+        raise LineError("a key occurs twice")
     return found
 
 
 def _reject_constant(text: str) -> object:
-    raise LineError(f"{text} is no number")
+    raise LineError(f"{text} is not a valid number")
 
 
 def _bounded_integer(text: str) -> int:
     if len(text) > _MAX_INTEGER_DIGITS:
-        raise LineError("a number of too many digits")
+        raise LineError(f"an integer has more than {_MAX_INTEGER_DIGITS} digits")
     return int(text)
 
 
@@ -199,7 +199,7 @@
 
 
 def _is_encodable(text: str) -> bool:
-    """Whether UTF-8 has bytes for the text: JSON can escape lone surrogates, which have none."""
+    """Whether the text can be encoded as UTF-8, unlike lone surrogates, which JSON can escape."""
     try:
         text.encode()
     except UnicodeEncodeError:
