--- a/fernweir/node/logs.py
+++ b/fernweir/node/logs.py
@@ -1,4 +1,4 @@
-"""The log of a node: one JSON object a line on standard error, with a limit on the lines in a second."""
+"""The log of a node: one JSON object per line on standard error, with a limit on lines per second."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 class NodeLog:
-    """The methods of a structured logger that the front uses, without its packages.
+    """Implements the methods of a structured logger that the front uses, without third-party packages.
 
-    Of more than 50 lines in a second only errors are written; the next line that is written counts those
-    left out, in `lines_left_out`.
+    After 50 lines within a second only errors are written. The next line contains the number of omitted lines
+    in `lines_left_out`.
 
     Args:
-        node_name: Stands in every line.
-        stream: Where the lines go; standard error if none is given.
-        wall_clock: Returns Unix time in seconds.
+        node_name: The node name that every line contains.
+        stream: The stream to write to; standard error by default.
+        wall_clock: Returns the Unix time in seconds.
     """
 
     def __init__(
@@ -39,11 +39,11 @@
         self._write("info", event, fields)
 
     def warning(self, event: str, **fields: object) -> None:
-        """Writes a line about something unexpected that the node copes with."""
+        """Writes a line about an unexpected condition that the node can handle."""
         self._write("warning", event, fields)
 
     def error(self, event: str, **fields: object) -> None:
-        """Writes a line about a fault, whatever the limit."""
+        """Writes a line about a fault, regardless of the limit."""
         self._write("error", event, fields)
 
     def _write(self, level: str, event: str, fields: dict[str, object]) -> None:
@@ -57,7 +57,7 @@
             return
         self._lines_this_second += 1
         line = {"at": round(now_s, 3), "node": self._node_name, "level": level, "event": event, **fields}
-        # The reader may be gone, or its disk full: no request may fail for that.
+        # A failed write, such as to a closed pipe or a full disk, must not fail any request.
         with suppress(OSError):
             print(json.dumps(line, default=str), file=self._stream, flush=True)
 
--- a/fernweir/node/peering.py
+++ b/fernweir/node/peering.py
@@ -1,7 +1,7 @@
-"""A node among its peers; loaded only where `FERNWEIR_PEERS` names a settings file. A thin shell.
+"""Connects a node to its peers. This module is imported only if `FERNWEIR_PEERS` names a settings file.
 
-The platform's media servers know no fences, so nodes have no channels: a session stays with the node that
-placed it. Peers see what a node does and its versions, and replicate its audit log.
+The platform's media servers do not support fences, so nodes have no channels: a session stays with the node
+that placed it. Peers receive a node's activity and settings versions, and replicate its audit log.
 """
 
 from __future__ import annotations
@@ -31,20 +31,21 @@
 _DRAINING = "draining"
 _STATUS_BY_STATE = {ServerState.READY: "up", ServerState.DRAINING: _DRAINING}
 _NODE_SPECIFIC_SETTINGS = ("ordinal",)
-# One descriptor in so many may be a connection to a peer, and as many more one from a peer.
+# One in this many descriptors may be used by connections to peers, and the same number by connections from
+# peers.
 _DESCRIPTORS_PER_PEER_CONNECTION = 24
 _MIN_PEER_CONNECTIONS = 2
 _MAX_QUOTED_NAME = 80
-_SHORT_NUMBER_SHIFT = 33  # of 64 bits, 31 are left
+_SHORT_NUMBER_SHIFT = 33  # keeps 31 of 64 bits
 
 
 @dataclass(frozen=True, slots=True)
 class PeersFile:
-    """What the settings file of the peers says.
+    """The content of the peers' settings file.
 
     Attributes:
-        section: The section as it was read.
-        section_text: The section's values as they stand in the file.
+        section: The parsed section.
+        section_text: The unparsed values of the section, as in the file.
         keys: The keys of the fleet.
     """
 
@@ -58,10 +59,10 @@
 
     Args:
         path: The file.
-        node_name: The node's name, which has to be the name of a peer, too.
+        node_name: The name of the node, which has to be a valid peer name, too.
 
     Raises:
-        ConfigError: The file cannot be used; the text says what is wrong, one line for each mistake.
+        ConfigError: The file cannot be used. The message has one line for each mistake.
     """
     try:
         file = ini.read_file(path)
@@ -71,7 +72,7 @@
             check_peers(reader, section, path.parent)
         if not _is_peer_name(node_name):
             quoted = repr(node_name[:_MAX_QUOTED_NAME])
-            reader.add_problem("peers", "", f"the node's name is none for a peer: {quoted}")
+            reader.add_problem("peers", "", f"the node's name is not a valid peer name: {quoted}")
         reader.raise_problems()
         assert section is not None
         return PeersFile(section, file.sections["peers"], read_keys(section, path.parent))
@@ -90,7 +91,7 @@
 async def start_peers(
     dispatcher: Dispatcher, feed: EndpointFeed, config: NodeConfig, file: PeersFile
 ) -> Peers:
-    """Listens for peers and joins them; to be called before the node applies its endpoint list.
+    """Listens for peers and joins them. Must be called before the node applies its endpoint list.
 
     Raises:
         OSError: The address cannot be listened on.
@@ -116,7 +117,7 @@
 
 
 def short_server_number(server: int) -> int:
-    """A server's number in audit records: the first 31 bits of its 64."""
+    """Returns the number of a server in audit records: the first 31 of its 64 bits."""
     return server >> _SHORT_NUMBER_SHIFT
 
 
@@ -124,7 +125,7 @@
     """The servers on the endpoint list, as the feed describes them. No I/O.
 
     Args:
-        feed: Knows addresses, names, and since when a server has its status.
+        feed: Provides the addresses and names of servers, and since when each has had its status.
     """
 
     def __init__(self, feed: EndpointFeed) -> None:
@@ -150,76 +151,76 @@
             ]
 
     def server_numbers(self) -> list[int]:
-        """The numbers of all servers on the list."""
+        """Returns the numbers of all servers on the list."""
         return list(self._rows_by_server)
 
     def list_rows(self) -> list[tuple[int, Any]]:
-        """The content of the list: each server's number, and its row."""
+        """Returns the content of the list: the number and the row of each server."""
         return list(self._rows_by_server.items())
 
     def draining(self) -> set[int]:
-        """The numbers of the servers that are draining."""
+        """Returns the numbers of the servers that are draining."""
         return {server for server, row in self._rows_by_server.items() if row[0] == _DRAINING}
 
     def named(self, server: int) -> tuple[int, str]:
-        """A server's number in audit records, and what they add to say which server it is."""
+        """Returns the number of a server in audit records, and a suffix with its name."""
         return short_server_number(server), f" at {self._feed.names.get(server, '')}"
 
 
 class NodePort(Acting):
-    """Implements `peers.port.Port` without channels: no session is handed over, taken over or claimed."""
+    """Implements `peers.port.Port` without channels: no session is handed off, taken over or claimed."""
 
     def __init__(self, dispatcher: Dispatcher, feed: EndpointFeed, wall_ms: Callable[[], float]) -> None:
         self._listed_servers = ListedServers(feed)
         super().__init__(dispatcher, self._listed_servers, wall_ms)
 
     def on_endpoint_list(self, now: float, update: EndpointListUpdate) -> None:
-        """Applies the update, then tells the peers."""
+        """Applies the update, then notifies the peers."""
         self._listed_servers.on_endpoint_list(update)
         super().on_endpoint_list(now, update)
 
     def standing(self) -> list[Standing]:
-        """Nothing: no session can be handed over."""
+        """Returns an empty list, since no session can be handed off."""
         return []
 
     def racks(self) -> list[tuple[str, frozenset[int], float]]:
-        """Nothing: nodes report no racks to their peers."""
+        """Returns an empty list, since nodes report no racks to their peers."""
         return []
 
     def boxes(self) -> list[int]:
-        """The numbers of all servers on the list."""
+        """Returns the numbers of all servers on the list."""
         return self._listed_servers.server_numbers()
 
     def payload(self, digest: bytes) -> bytes | None:
-        """Nothing: no session can be handed over."""
+        """Returns None, since no session can be handed off."""
         return None
 
     def list_document(self) -> bytes:
-        """Nothing: the control feed is the only source of the list."""
+        """Returns an empty document, since the control feed is the only source of the list."""
         return b""
 
     def take_list(self, now: float, data: bytes, digest: bytes) -> bool:
-        """Refuses a peer's list: the control feed is the only source of it."""
+        """Rejects the list of a peer, since the control feed is the only source of the list."""
         return False
 
     def take_over(self, now: float, standing: Standing, payload: bytes | None) -> bool:
-        """Refuses a peer's session."""
+        """Rejects the session of a peer."""
         return False
 
     def ended(self, now: float, session: str, attempt: int) -> None:
-        """Does nothing: no session was taken over."""
+        """Does nothing, since no session was taken over."""
 
     def let_go(self, now: float, session: str) -> bool:
-        """Refuses to hand a session over."""
+        """Refuses to hand off a session."""
         return False
 
     def release(
         self, now: float, box: int, session: str, attempt: int, why: str, under: tuple[str, int]
     ) -> None:
-        """Does nothing: servers know no fence to release a peer's session by."""
+        """Does nothing, since releasing a peer's session needs fences, which servers do not support."""
 
     def carry(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
-        """Answers a peer's request for a session at once: there is none."""
+        """Reports at once that the session that a peer requests does not exist here."""
         then(self._core.now(), Carried(request.number, "none"))
 
     def claim(
@@ -231,12 +232,12 @@
         then: Callable[[float, Claimed], None],
         adopt: Sequence[tuple[str, int]] = (),
     ) -> None:
-        """Reports that the server was not reached: it knows no channels."""
+        """Reports that the server was not reached, since servers do not support channels."""
         asyncio.get_running_loop().call_soon(lambda: then(self._core.now(), Claimed(box, reached=False)))
 
 
 def _platform_settings(config: NodeConfig) -> dict[str, str]:
-    """The platform's settings that all nodes have alike, as text by their stored names."""
+    """Returns the platform settings that all nodes share, as text by their stored names."""
     stored = BY_CLASS[type(config.settings)]
     pairs = zip(stored.names, stored.attributes, strict=True)
     texts = {name: stored_text(getattr(config.settings, attribute)) for name, attribute in pairs}
--- a/fernweir/node/placed_sessions.py
+++ b/fernweir/node/placed_sessions.py
@@ -1,4 +1,4 @@
-"""The sessions that media servers carry: what is sent to servers about them, and their end."""
+"""The sessions that media servers carry: the messages that are sent about them, and their ends."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 
 class PlacedSessionManager:
-    """Sends messages about placed sessions and reports their ends to the session manager."""
+    """Sends messages about placed sessions, and reports the ends of sessions to the session manager."""
 
     def __init__(self, dispatcher: Dispatcher, pool: ServerPool) -> None:
         self._dispatcher = dispatcher
         self._pool = pool
 
     def adopt(self, endpoint: ServerEndpoint, session_id: str) -> None:
-        """Adds a session that its server carries already."""
+        """Adds a session that its server already carries."""
         if not endpoint.placed_sessions:
-            # What was seen of a server without sessions says nothing of one that carries some by now.
+            # Observations of a server from when it had no sessions do not apply once it carries some.
             endpoint.liveness = self._pool.new_liveness_monitor()
         endpoint.placed_sessions[session_id] = PlacedSession(None, self._dispatcher.now())
 
@@ -37,27 +37,27 @@
     def release(self, endpoint: ServerEndpoint, session_id: str) -> None:
         """Releases a session that its server may carry."""
         if session_id not in endpoint.placed_sessions:
-            return  # never written there, or ended by its server
+            return  # never written to this server, or ended by it
         self.send_release(endpoint, session_id)
         session = endpoint.placed_sessions.pop(session_id, None)
         if session is not None and session.connection is not None:
             session.connection.close_if_drained()
 
     def send_release(self, endpoint: ServerEndpoint, session_id: str) -> None:
-        """Sends a release."""
+        """Sends a release of a session to its server."""
         self._send_or_queue(endpoint, release_frame(session_id))
 
     def send_pending(self, connection: ServerConnection) -> None:
-        """Sends what found no connection.
+        """Sends the messages that were queued without a connection.
 
-        What concerns a session with an attempt in flight stays until just before its set-up is written.
+        Messages for a session with an attempt in flight stay queued until just before its set-up is written.
         """
         endpoint = connection.endpoint
         for frame in endpoint.release_queue.take_except(endpoint.attempts):
             connection.send(frame)
 
     def end(self, endpoint: ServerEndpoint, session_id: str, result: Result) -> None:
-        """Ends a session that its server does not carry any more, by its own message or by proof."""
+        """Ends a session that its server no longer carries, according to a message or to proof."""
         record = self._dispatcher.sessions.session(session_id)
         endpoint.placed_sessions.pop(session_id, None)
         if record is None or record.server != endpoint.server or record.phase is not SessionPhase.PLAYING:
@@ -67,10 +67,10 @@
         self._dispatcher.schedule_step()
 
     def on_connection_lost(self, connection: ServerConnection) -> None:
-        """Queues the releases that the end of a connection may have lost.
+        """Queues the releases that may have been lost with the connection.
 
-        They go out again before any set-up that is assigned to another connection, but not where their
-        session has been set up anew.
+        They are sent again before any set-up that is assigned to another connection, except for sessions that
+        have been set up again since.
         """
         endpoint = connection.endpoint
         for session in endpoint.placed_sessions.values():
@@ -82,17 +82,18 @@
         )
 
     def on_process_ended(self, endpoint: ServerEndpoint) -> None:
-        """Forgets what a server carried whose process ended: nothing needs to be released there."""
+        """Drops the state of a server whose process ended, where nothing needs to be released."""
         endpoint.release_queue.clear()
         endpoint.drain_connections()
         for attempt in endpoint.broken_attempts:
             endpoint.placed_sessions.pop(attempt.session_id, None)
 
     def on_server_lost(self, endpoint: ServerEndpoint, is_process_ended: bool) -> None:
-        """Forgets the sessions of a lost server.
+        """Removes the sessions of a lost server.
 
-        If it is only unreachable they are released when it returns; no connection is made for that. Sessions
-        with an attempt in flight stay: their server may still read it, so the session manager releases them.
+        If the server is only unreachable, its sessions are released when it returns; no connection is opened
+        just for that. Sessions with an attempt in flight are kept: the server may still read the set-up, so
+        the session manager releases them.
         """
         attempts, placed = endpoint.attempts, endpoint.placed_sessions
         endpoint.placed_sessions = {
@@ -104,7 +105,7 @@
         endpoint.drain_connections()
 
     def _send_or_queue(self, endpoint: ServerEndpoint, frame: Frame) -> None:
-        """Sends on the connection of the session's set-up, else on any, else on the next one."""
+        """Sends on the connection of the set-up, else on any other, else queues for the next one."""
         session = endpoint.placed_sessions.get(frame.session)
         if session is not None and session.is_connected:
             connection = session.connection
--- a/fernweir/node/reconnect.py
+++ b/fernweir/node/reconnect.py
@@ -1,8 +1,8 @@
-"""When a node connects to its control feed: at most one connection or one backoff at a time. No I/O.
+"""Decides when a node connects to its control feed: one connection or one backoff at a time. No I/O.
 
-Each connection has a number, and only the newest one counts. Reports of older connections, in whatever order
-and however late they arrive, are recognised by their number, so a connection ends exactly once. All times are
-monotonic and in seconds.
+Each connection has a number, and only the newest one is current. Events of older connections are recognised
+by their number, in whatever order and however late they arrive, so each connection ends exactly once. All
+times are monotonic and in seconds.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 CONNECT_TIMEOUT_S = 1.0
 # The feed sends its last sequence number once a second (PROTOCOL, The control feed).
 IDLE_TIMEOUT_S = 1.8
-# A connection that lasted longer than this is no failure, whatever it brought.
+# A connection that lasted longer than this does not count as failed, whatever it delivered.
 STABLE_AFTER_S = 1.0
 # Each backoff is multiplied by a random factor from 0.5 to 1.5.
 INITIAL_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 0.8
-_MAX_BACKOFF_EXPONENT = 16  # far beyond the longest backoff; keeps the power small
+_MAX_BACKOFF_EXPONENT = 16  # far beyond the longest backoff; limits the exponentiation
 
 
 class ReconnectPhase(Enum):
-    """What is under way."""
+    """The phases of the connection to the feed."""
 
-    IDLE = auto()  # before the first connection, and after the stop
+    IDLE = auto()  # before the first connection, and after `stop`
     CONNECTING = auto()
     CONNECTED = auto()
     BACKING_OFF = auto()
@@ -43,9 +43,9 @@
         seed: Seeds the random factor of the backoff.
 
     Attributes:
-        phase: What is under way.
-        connection_number: Number of the newest connection; 0 before the first.
-        deadline: When to ask for `timeout_reason`, if nothing is reported before. None if there is no timer.
+        phase: The current phase.
+        connection_number: The number of the newest connection; 0 before the first one.
+        deadline: When to call `timeout_reason`, if no event is reported before. None if there is no timer.
     """
 
     def __init__(self, seed: int) -> None:
@@ -53,15 +53,15 @@
         self.connection_number = 0
         self.deadline: float | None = None
         self._rng = Random(seed)
-        self._failed_connects = 0  # connections in a row that brought nothing
+        self._failed_connects = 0  # consecutive connections that delivered nothing of use
         self._connected_at = 0.0
         self._is_stopped = False
 
     def begin_connection(self, now: float) -> int | None:
-        """Replaces whatever is under way by a new connection.
+        """Replaces the current connection or backoff with a new connection.
 
         Returns:
-            The number of the connection to open; None after the stop.
+            The number of the connection to open, or None after `stop`.
         """
         if self._is_stopped:
             return None
@@ -71,10 +71,10 @@
         return self.connection_number
 
     def on_connected(self, connection_number: int, now: float) -> bool:
-        """A connection was made.
+        """Records that a connection was established.
 
         Returns:
-            Whether it is still wanted. If not, it must not subscribe and has to be closed.
+            Whether it is the current connection. If not, it must not subscribe and has to be closed.
         """
         if connection_number != self.connection_number or self.phase is not ReconnectPhase.CONNECTING:
             return False
@@ -84,7 +84,7 @@
         return True
 
     def is_current(self, connection_number: int) -> bool:
-        """Whether data of this connection may be used."""
+        """Returns whether data received on this connection may be used."""
         return connection_number == self.connection_number and self.phase is ReconnectPhase.CONNECTED
 
     def on_data_received(self, now: float, applied_event: bool) -> None:
@@ -92,8 +92,8 @@
 
         Args:
             now: Monotonic time in seconds.
-            applied_event: Whether an event was applied. A sequence number alone also arrives from a feed
-                whose next event cannot be used, so it does not reset the backoff of a young connection.
+            applied_event: Whether an event was applied. A feed whose next event cannot be used still sends
+                sequence numbers, so they alone do not reset the backoff of a connection that is not stable.
         """
         self.deadline = now + IDLE_TIMEOUT_S
         is_stable = now - self._connected_at >= STABLE_AFTER_S
@@ -101,17 +101,18 @@
             self._failed_connects = 0
 
     def on_connection_ended(self, connection_number: int, now: float) -> bool:
-        """A connection failed or ended, for whatever reason; starts the backoff.
+        """Records that a connection failed or ended for any reason, and starts the backoff.
 
         Returns:
-            Whether it was the current one. False if it had ended or had been replaced before.
+            Whether it was the current connection. False if it had ended or had been replaced before.
         """
         is_open = self.phase in (ReconnectPhase.CONNECTING, ReconnectPhase.CONNECTED)
         if connection_number != self.connection_number or not is_open:
             return False
         if self.phase is ReconnectPhase.CONNECTED and now - self._connected_at >= STABLE_AFTER_S:
-            # The feed can be reached. While a node backs off it learns of no drain, and a grown backoff may
-            # be longer than the grace after one: a feed that is silent between events must not make it grow.
+            # The feed can be reached. A node receives no drain events during a backoff, and a long backoff
+            # may exceed the grace period of a drain. So a feed that is silent between events must not
+            # increase the backoff.
             self._failed_connects = 0
         backoff_s = min(INITIAL_BACKOFF_S * 2.0**self._failed_connects, MAX_BACKOFF_S)
         random_factor = 0.5 + self._rng.random()
@@ -121,20 +122,20 @@
         return True
 
     def timeout_reason(self) -> str | None:
-        """Why the connection whose deadline has passed failed; None if a backoff is over: time to connect."""
+        """Returns why the connection timed out at its deadline, or None if a backoff is over."""
         return _TIMEOUT_REASONS.get(self.phase)
 
     def on_address_changed(self) -> bool:
-        """The feed is at another address.
+        """Records that the feed has another address, and resets the backoff.
 
         Returns:
-            Whether to connect there now. False before the first connection and after the stop.
+            Whether to connect there now. False before the first connection and after `stop`.
         """
         self._failed_connects = 0
         return self.phase is not ReconnectPhase.IDLE
 
     def stop(self) -> None:
-        """Ends whatever is under way; nothing is begun after this."""
+        """Ends the current connection or backoff; no other one is started after this."""
         self.phase = ReconnectPhase.IDLE
         self.deadline = None
         self._is_stopped = True
--- a/fernweir/node/release_queue.py
+++ b/fernweir/node/release_queue.py
@@ -1,4 +1,4 @@
-"""The messages that wait for a connection to their media server. Pure: no I/O and no clock."""
+"""The queue of messages that wait for a connection to their media server. Pure: no I/O and no clock."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 
 class ReleaseQueue:
-    """The releases, and changes of rungs, that one server has not got yet, oldest first.
+    """Releases and rung changes that have not been sent to one server yet, oldest first.
 
     Attributes:
-        pending_releases: Go out on the next connection, and one is made for them.
-        deferred_releases: Those of a server that was lost. They wait for it to return: no connection is made
-            for them.
+        pending_releases: Messages to send on the next connection, which is opened for them.
+        deferred_releases: Messages for a server that was lost. They wait for it to return; no connection is
+            opened for them.
     """
 
     def __init__(self) -> None:
@@ -28,29 +28,29 @@
         self.deferred_releases: list[Frame] = []
 
     def add(self, frames: Iterable[Frame]) -> None:
-        """Appends to the pending messages."""
+        """Appends frames to the pending messages."""
         self.pending_releases += frames
 
     def take_for_session(self, session_id: str) -> list[Frame]:
-        """Removes the pending messages of one session and returns them."""
+        """Removes and returns the pending messages of one session."""
         taken = [frame for frame in self.pending_releases if frame.session == session_id]
         self.pending_releases = [frame for frame in self.pending_releases if frame.session != session_id]
         return taken
 
     def take_except(self, session_ids: Container[str]) -> list[Frame]:
-        """Removes the pending messages of all sessions but these and returns them."""
+        """Removes and returns the pending messages of all sessions except the given ones."""
         taken = [frame for frame in self.pending_releases if frame.session not in session_ids]
         self.pending_releases = [frame for frame in self.pending_releases if frame.session in session_ids]
         return taken
 
     def defer(self, session_ids: Iterable[str]) -> None:
-        """Defers all pending messages, then the releases of these sessions: their server was lost."""
+        """Defers all pending messages and releases of the given sessions, since their server was lost."""
         self.deferred_releases += self.pending_releases
         self.deferred_releases += [release_frame(session_id) for session_id in session_ids]
         self.clear_pending()
 
     def resume_deferred(self) -> None:
-        """Puts the deferred messages before the pending ones: their server has returned."""
+        """Moves the deferred messages before the pending ones, since their server has returned."""
         self.pending_releases = self.deferred_releases + self.pending_releases
         self.deferred_releases = []
 
@@ -59,6 +59,6 @@
         self.pending_releases.clear()
 
     def clear(self) -> None:
-        """Drops all messages: the process that they were for has ended."""
+        """Drops all messages, since the server process that they were for has ended."""
         self.clear_pending()
         self.deferred_releases.clear()
--- a/fernweir/node/server_connection.py
+++ b/fernweir/node/server_connection.py
@@ -1,6 +1,6 @@
-"""One connection to a media server: the callbacks of its transport, and what was written on it.
+"""One connection to a media server: the callbacks of its transport, and the releases written on it.
 
-What a connection means for attempts, health checks and sessions is up to its `ConnectionEvents`.
+The effects on attempts, health checks and sessions are handled by the connection's `ConnectionEvents`.
 """
 
 from __future__ import annotations
@@ -25,27 +25,27 @@
 _MAX_UNSENT_BYTES = 256 * 1024
 _MAX_SENT_RELEASES = 64
 _UNCONFIRMED_MS = 1_000.0  # a break of the connection may have lost what was written within this time
-_REUSE_RATIO = 0.8  # part of the idle timeout after which the server may have closed a connection
-_CLOSE_RATIO = 0.5  # part of the idle timeout after which an unused connection is closed
+_REUSE_RATIO = 0.8  # fraction of the idle timeout; the server may close an idle connection after it
+_CLOSE_RATIO = 0.5  # fraction of the idle timeout after which an unused connection is closed
 
 
 class ConnectionEvents(Protocol):
-    """Receives what happens on the connections to media servers."""
+    """Receives the events of connections to media servers."""
 
     def on_connected(self, connection: ServerConnection) -> None:
         """Called when a connection is established."""
 
     def on_connect_failed(self, connection: ServerConnection, error: OSError) -> None:
-        """Called when a connection was not established: nothing was written on it."""
+        """Called when a connection was not established, so that nothing was written on it."""
 
     def on_reset_while_connecting(self, connection: ServerConnection) -> None:
-        """Called when a connection was established and reset before the event loop noticed."""
+        """Called when a connection was established but reset before the event loop processed it."""
 
     def on_message(self, connection: ServerConnection, frame: Frame) -> None:
         """Called for each message.
 
         Raises:
-            FrameError: The message lacks what it needs, so the connection can't be trusted.
+            FrameError: The message lacks a required parameter, so the connection can't be trusted.
         """
 
     def on_connection_lost(
@@ -65,8 +65,8 @@
     """The timeouts of a connection.
 
     Attributes:
-        connect_s: How long it may take until it is established, in seconds.
-        idle_ms: After which time without use its server may close it, in milliseconds.
+        connect_s: How long it may take to establish the connection, in seconds.
+        idle_ms: The idle time after which the server may close the connection, in milliseconds.
     """
 
     connect_s: float
@@ -75,26 +75,26 @@
 
 @dataclass(frozen=True, slots=True)
 class SentRelease:
-    """A release that was written, and when: monotonic, in milliseconds."""
+    """A release that was written, and when it was: monotonic, in milliseconds."""
 
     sent_at: float
     frame: Frame
 
 
 class ServerConnection(SharedBufferProtocol):
-    """One connection to a media server. Only its `state` knows its phase.
+    """One connection to a media server. Its phase is held in `state`.
 
     Times are monotonic, in milliseconds.
 
     Attributes:
         endpoint: The server.
         state: The phase of the connection.
-        attempts: The attempts that it carries, or that wait for it, by session.
-        failed_attempts: Sessions whose attempts failed here lately.
-        has_received_eof: Whether the server closed in order, so that all it wrote was read.
+        attempts: The attempts that the connection carries, or that wait for it, by session.
+        failed_attempts: Sessions whose attempts failed on this connection recently.
+        has_received_eof: Whether the server closed in order, so that all data it sent was read.
         connect_started_at: When the connect started.
         connected_at: When it was established.
-        last_used_at: When something was last written, or an attempt ended.
+        last_used_at: When data was last written, or an attempt last ended.
     """
 
     def __init__(
@@ -122,7 +122,7 @@
     # --- connecting ---
 
     def start_connect(self) -> asyncio.Task[None]:
-        """Starts to connect and returns the task, to which the caller has to hold a reference."""
+        """Starts to connect. Returns the task, of which the caller has to keep a reference."""
         self._connect_task = self._dispatcher.loop.create_task(self._connect())
         return self._connect_task
 
@@ -130,7 +130,8 @@
         try:
             await self._dispatcher.loop.create_connection(lambda: self, *self.endpoint.address)
         except ConnectionResetError:
-            # Established and reset before the event loop noticed, as can happen to any: the server listens.
+            # The connection was established and then reset before the event loop processed it. This can
+            # happen to any connection; the server does listen.
             if self.finish():
                 self._events.on_reset_while_connecting(self)
         except OSError as error:
@@ -138,7 +139,7 @@
                 self._events.on_connect_failed(self, error)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Takes the transport, or aborts it if the connect was cancelled before."""
+        """Stores the transport, or aborts it if the connect was cancelled before."""
         super().connection_made(transport)
         if not self.state.open():
             assert self.transport is not None
@@ -153,14 +154,14 @@
             self._events.on_connect_failed(self, TimeoutError("no connection in time"))
 
     def cancel_connect(self) -> bool:
-        """Ends the connection while it is being made; returns False if it is established or has ended."""
+        """Cancels the connect. Returns False if the connection is already established or has ended."""
         if not self.state.is_connecting:
             return False
         self._connect_task.cancel()
         return self.finish()
 
     def finish(self) -> bool:
-        """Records the end of the connection, whatever shows it; returns True the first time."""
+        """Records the end of the connection, for any cause. Returns True only the first time."""
         if not self.state.finish():
             return False
         self._timer.cancel()
@@ -170,7 +171,7 @@
     # --- receiving ---
 
     def data_received(self, data: memoryview) -> None:
-        """Handles all complete messages, and aborts the connection at the first that can't be read."""
+        """Handles all complete messages, and aborts the connection at the first invalid one."""
         self.endpoint.liveness.on_data_received(self._dispatcher.now())
         error: FrameError | None = None
         try:
@@ -183,7 +184,7 @@
         except FrameError as message_error:
             error = message_error
         if error is not None:
-            self._close_reason = f"spoilt: {error}"
+            self._close_reason = f"invalid data: {error}"
             self.state.drain()
             self.abort()
 
@@ -195,12 +196,12 @@
         return self.state.may_write and super().is_usable
 
     def may_start_request(self, now: float) -> bool:
-        """Whether a new request may be sent: after a long idle time the server may have closed."""
+        """Whether a new request may be sent; not after a long idle time, as the server may have closed."""
         is_fresh = now - self.last_used_at < _REUSE_RATIO * self._idle_timeout_ms
         return self.state.may_start_request and self.is_usable and is_fresh
 
     def is_unused(self) -> bool:
-        """Whether nothing needs it. Of a server with sessions the last connection is needed to receive on."""
+        """Whether nothing needs it. A server with sessions needs its last connection to send messages on."""
         if not self.state.may_write or self.attempts:
             return False
         if any(check.connection is self for check in self.endpoint.health_checks.values()):
@@ -208,7 +209,7 @@
         return not (self.endpoint.placed_sessions and self.endpoint.is_only_usable(self))
 
     def may_close(self, now: float) -> bool:
-        """Whether it is unused, and has been so for long enough or takes nothing new."""
+        """Whether it is unused, and either has been so for long enough or accepts no new requests."""
         is_expired = now - self.last_used_at > _CLOSE_RATIO * self._idle_timeout_ms
         return self.is_unused() and (is_expired or not self.state.may_start_request)
 
@@ -216,7 +217,8 @@
         """Writes bytes.
 
         Returns:
-            Whether they left, or will unless the connection breaks. If not, their last byte never will.
+            Whether they were sent, or will be unless the connection breaks. If False, the last byte of the
+            data is never sent.
         """
         if not self.is_usable:
             return False
@@ -228,30 +230,30 @@
         return self.is_usable
 
     def send(self, frame: Frame) -> None:
-        """Writes a message, and remembers it for a while if it is a release."""
+        """Writes a message. A release is also recorded as unconfirmed for a while."""
         if frame.type is FrameType.RELEASE:
             self._sent_releases.append(SentRelease(self._dispatcher.now(), frame))
         self.write(encode_frame(frame))
 
     def unconfirmed_releases(self, now: float) -> list[Frame]:
-        """Returns the releases that the end of the connection may have lost.
+        """Returns the releases that may be lost when the connection ends.
 
-        One that arrives twice does no harm; one that is lost leaves a session at its server. If the server
-        never answered this side's close, nothing shows what it read before that, so the time is counted from
-        the close.
+        A duplicate release is harmless, but a lost one leaves a session on its server. If the server never
+        answered the close of this side, it is unknown what it read before the close, so the time window is
+        measured from the close.
         """
         until = min(now, self._close_started_at)
         return [sent.frame for sent in self._sent_releases if until - sent.sent_at < _UNCONFIRMED_MS]
 
-    # --- the end ---
+    # --- closing ---
 
     def close_if_drained(self) -> None:
-        """Closes if it is draining and its last attempt has ended."""
+        """Closes the connection if it is draining and its last attempt has ended."""
         if self.state.phase is ConnectionPhase.DRAINING and not self.attempts:
             self.close()
 
     def close(self) -> None:
-        """Closes this side. What the server has under way, as the end of a session, is still read."""
+        """Closes this side. Messages that the server has in flight, such as session ends, are still read."""
         if not self.is_usable:
             return
         assert self.transport is not None
@@ -259,7 +261,7 @@
         self._close_started_at = self._dispatcher.now()
         try:
             self.transport.write_eof()
-        except OSError:  # broken already, though the event loop has not noticed yet
+        except OSError:  # already broken, though the event loop has not processed it yet
             self.transport.abort()
             return
         self._timer = self._dispatcher.loop.call_later(_CLOSE_TIMEOUT_S, self.abort)
@@ -272,17 +274,17 @@
             self.cancel_connect()
 
     def eof_received(self) -> bool:
-        """Records the server's orderly end; the transport closes itself."""
+        """Records the server's orderly close; the transport then closes itself."""
         self.has_received_eof = True
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Reports the end of the connection, unless it is known."""
+        """Reports the end of the connection, unless it was reported before."""
         is_closing = self.state.phase is ConnectionPhase.CLOSING
         if is_closing and self.has_received_eof:
             self._sent_releases.clear()  # both sides closed in order, so all of them arrived
-        # A server that answers this side's close with a reset has closed, too: it sends what follows on
-        # another connection, and what it sent before has arrived.
+        # A server that answers this side's close with a reset has closed, too. It sends later messages on
+        # another connection, and its earlier messages have arrived.
         is_answered = self.has_received_eof or (is_closing and exc is not None)
         if self.finish():
             reason = self._close_reason if exc is None else f"connection reset: {exc}"
--- a/fernweir/node/server_endpoint.py
+++ b/fernweir/node/server_endpoint.py
@@ -1,4 +1,4 @@
-"""What a node has with one media server: its address, connections, attempts and sessions."""
+"""The state of one media server at a node: its address, connections, attempts and sessions."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     from fernweir.node.server_connection import ServerConnection
 
 MAX_FAILED_ATTEMPTS = 32
-"""How many failed attempts of a connection, or of a server, are remembered to recognise late messages."""
+"""How many failed attempts per connection, and per server, are kept to recognise late messages."""
 
 
 @dataclass(slots=True)
@@ -25,8 +25,8 @@
     """A session that a server may carry.
 
     Attributes:
-        connection: The connection of its set-up, until that ends. None for an adopted session.
-        placed_at: When its set-up was written, or it was adopted: monotonic, in milliseconds.
+        connection: The connection of the set-up, until it ends. None for an adopted session.
+        placed_at: When the set-up was written or the session was adopted: monotonic, in milliseconds.
     """
 
     connection: ServerConnection | None
@@ -34,24 +34,24 @@
 
     @property
     def is_connected(self) -> bool:
-        """Whether the connection of its set-up is still there for its server to send on."""
+        """Whether the server can still send on the connection of the set-up."""
         return self.connection is not None and self.connection.is_usable
 
 
 @dataclass(eq=False)
 class ServerEndpoint:
-    """All that this node has with one media server.
+    """The state that this node holds for one media server.
 
     Attributes:
         server: The number of the server.
-        address: Where the endpoint list says that it listens.
-        liveness: Whether the server still lives.
-        connections: Those that have not ended, oldest first.
+        address: The address of the server on the endpoint list.
+        liveness: Monitors whether the server is alive.
+        connections: The connections that have not ended, oldest first.
         attempts: The set-ups in flight, by session.
         placed_sessions: The sessions that the server may carry, by session.
         health_checks: The health checks in flight, by their identifier.
-        failed_attempts: Sessions whose attempts failed here lately.
-        release_queue: The messages that found no connection.
+        failed_attempts: Sessions whose attempts failed at this server recently.
+        release_queue: The messages that wait for a connection.
     """
 
     server: int
@@ -66,7 +66,7 @@
 
     @property
     def is_connecting(self) -> bool:
-        """Whether a connection is being made."""
+        """Whether a connection is being established."""
         return any(connection.state.is_connecting for connection in self.connections)
 
     @property
@@ -76,20 +76,20 @@
 
     @property
     def broken_attempts(self) -> list[Attempt]:
-        """Attempts whose connection broke, which wait to learn whether the server lives."""
+        """The attempts whose connection broke and that wait until it is known whether the server is alive."""
         return [attempt for attempt in self.attempts.values() if attempt.break_reason]
 
     def is_only_usable(self, connection: ServerConnection) -> bool:
-        """Whether no other connection is there for the server to send on."""
+        """Whether the server has no other connection to send on."""
         return not any(other.is_usable for other in self.connections if other is not connection)
 
     def drain_connections(self) -> None:
-        """Sends nothing new on the connections: the server has dropped them, though it may never say so."""
+        """Drains all connections, as the server has dropped them, possibly without closing them."""
         for connection in self.connections:
             connection.state.drain()
 
     def releases_on_broken_connections(self, now: float) -> list[Frame]:
-        """Returns releases that were written on connections that have broken since, so may be lost."""
+        """Returns the releases that may be lost because their connections have broken since."""
         return [
             frame
             for connection in self.connections
--- a/fernweir/node/server_messages.py
+++ b/fernweir/node/server_messages.py
@@ -14,11 +14,11 @@
 
 _CAUSE_HEALTHY = 1  # in the reply to a health check
 
-# The results of an attempt, by the cause in the release that comes instead of an answer. Other causes are an
-# error: their server lives, and may refer to an earlier attempt.
+# The result of an attempt, by the cause in the release that is sent instead of an answer. Other causes are an
+# error: the server is alive, and the release may belong to an earlier attempt.
 _RESULTS_BEFORE_ANSWER = {34: Result.FULL, 41: Result.RESET, 47: Result.ERROR, 102: Result.NOT_SENT}
 
-# The results of a session, by the cause in the release that ends it. Other causes are a reset.
+# The result of a session, by the cause in the release that ends it. Other causes are a reset.
 _RESULTS_AFTER_ANSWER = {16: Result.OK, 31: Result.CANCELLED}
 
 _NOTICE_KINDS = {
@@ -30,7 +30,7 @@
 
 
 class ServerMessageHandler:
-    """Takes each message to the attempt, health check or session that it concerns."""
+    """Dispatches each message to the attempt, health check or session that it concerns."""
 
     def __init__(
         self,
@@ -47,11 +47,10 @@
     def handle(self, connection: ServerConnection, frame: Frame) -> None:
         """Handles one message.
 
-        Nothing follows from a duplicate, from an answer that nobody waits for, or from the confirmation of a
-        release.
+        Duplicates, answers without an attempt in flight, and confirmations of releases are ignored.
 
         Raises:
-            FrameError: The message lacks what it needs.
+            FrameError: The message lacks a required parameter.
         """
         if frame.type is FrameType.PONG:
             result = Result.OK if frame.cause == _CAUSE_HEALTHY else Result.ERROR
@@ -68,7 +67,7 @@
         if attempt is None:
             return
         if ParameterCode.DESCRIPTION not in frame.parameters:
-            raise FrameError("an answer without a description")
+            raise FrameError("answer has no description")
         report = frame.load_report()
         description = frame.text_parameter(ParameterCode.DESCRIPTION)
         self._attempts.succeed(attempt, description, report)
@@ -94,13 +93,13 @@
         endpoint = connection.endpoint
         session = endpoint.placed_sessions.get(session_id)
         if session is None or session_id in endpoint.attempts:
-            return  # a duplicate, or it ends an earlier attempt
+            return  # a duplicate, or the end of an earlier attempt
         is_own_connection = session.connection is connection
         may_be_earlier_attempt = session_id in connection.failed_attempts and session.is_connected
         if not is_own_connection and may_be_earlier_attempt:
             return
         if not is_own_connection and session_id in endpoint.failed_attempts:
-            # Nobody can tell which attempt it ends, so the other one is released, too.
+            # The message may end either attempt, so the other one is released, too.
             self._sessions.send_release(endpoint, session_id)
         result = Result.RESET if cause is None else _RESULTS_AFTER_ANSWER.get(cause, Result.RESET)
         self._sessions.end(endpoint, session_id, result)
@@ -118,9 +117,9 @@
     def _find_attempt(self, connection: ServerConnection, session_id: str) -> Attempt | None:
         """Returns the attempt that a message concerns, if one is in flight.
 
-        A server sends on the connection of the set-up while that is there, and all attempts of a session at
-        one server have one identifier. So a message on a connection that carried an earlier attempt may be a
-        late one of that.
+        A server replies on the connection of the set-up as long as it exists, and all attempts of a session
+        at one server have the same identifier. So a message on a connection that carried an earlier attempt
+        may be a late message of that attempt.
         """
         attempt = connection.endpoint.attempts.get(session_id)
         if attempt is None or not attempt.is_written:
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -227,7 +227,10 @@
     assert watch.check(quiet, True, True, False) is LivenessStatus.CHECK
     watch.on_connect_timeout(quiet + 9, quiet + 18)
     assert watch.check(quiet - 1, True, True, False) is LivenessStatus.HEALTHY  # an open connection speaks
-    assert watch.check(quiet, True, True, False) is LivenessStatus.UNREACHABLE and "comes up" in watch.reason
+    assert (
+        watch.check(quiet, True, True, False) is LivenessStatus.UNREACHABLE
+        and "established in time" in watch.reason
+    )
     assert watch.check(quiet, True, False, False) is LivenessStatus.CHECK  # told once
     watch.on_connected(quiet)
     assert (
