--- a/fernweir/node/__init__.py
+++ b/fernweir/node/__init__.py
@@ -1,1 +1,1 @@
-"""A front node on the platform's own protocol: its connections, codecs and process (docs/node.md)."""
+"""A front node that uses the platform's own protocol: connections, codecs and process (docs/node.md)."""
--- a/fernweir/node/server_pool.py
+++ b/fernweir/node/server_pool.py
@@ -1,7 +1,7 @@
-"""The media servers of a node and the connections to them: which there are, and which one to use.
+"""The pool of media servers and of the connections to them, from which connections are selected for use.
 
-Where the descriptors allow it a set-up has a connection of its own, so that one that breaks or becomes
-unreadable affects no other set-up. A server may report on any of its connections.
+If the descriptor quota allows it, each set-up has a connection of its own. A connection that breaks or
+receives invalid data then affects no other set-up. A server may send messages on any of its connections.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 
 
 class ServerPool:
-    """Creates endpoints and connections, selects connections and keeps to the node's limits.
+    """Creates endpoints and connections, selects connections and enforces the node's limits.
 
     Attributes:
-        events: Receives what happens on the connections. Set before the first one is made.
-        endpoints: The servers that this node has anything with, by number.
-        descriptor_quota: How many connections there may be.
+        events: Receives the events of the connections. Must be set before the first one is opened.
+        endpoints: The servers that this node has any state for, by number.
+        descriptor_quota: Limits the number of connections.
         connect_timeout_s: How long a connect may take, in seconds.
-        idle_timeout_ms: After which time servers close idle connections, in milliseconds.
-        is_stopped: Whether the node has stopped, so that nothing is sent again.
+        idle_timeout_ms: The idle time after which servers close connections, in milliseconds.
+        is_stopped: Whether the node has stopped and sends nothing more.
     """
 
     events: ConnectionEvents
@@ -58,17 +58,17 @@
         return endpoint
 
     def new_liveness_monitor(self) -> LivenessMonitor:
-        """Returns a monitor for a server that nothing is known of yet."""
+        """Returns a monitor for a server without any observations yet."""
         return LivenessMonitor(self._settings, self.connect_timeout_s * 1000.0, self._dispatcher.now())
 
     def is_removed(self, endpoint: ServerEndpoint) -> bool:
-        """Whether the server is off the endpoint list: another one may listen at its address by now."""
+        """Whether the server is no longer listed, so that another one may listen at its address now."""
         states = self._dispatcher.sessions.endpoint_states
         return states.get(endpoint.server, ServerState.REMOVED) is ServerState.REMOVED
 
     @property
     def has_unsent_messages(self) -> bool:
-        """Whether a message to a server, as a release, has not left yet."""
+        """Whether a message to a server, such as a release, has not been sent yet."""
         return any(
             endpoint.release_queue.pending_releases
             or any(connection.unsent_bytes for connection in endpoint.connections)
@@ -86,7 +86,7 @@
 
         Args:
             endpoint: The server.
-            timeout_s: How long it may take, in seconds; None for `connect_timeout_s`.
+            timeout_s: How long the connect may take, in seconds; `connect_timeout_s` by default.
         """
         connect_s = self.connect_timeout_s if timeout_s is None else timeout_s
         timeouts = ConnectionTimeouts(connect_s, self.idle_timeout_ms)
@@ -98,20 +98,21 @@
         return connection
 
     def connect_unless_connecting(self, endpoint: ServerEndpoint) -> None:
-        """Starts a new connection if none is being made."""
+        """Starts a new connection unless one is already being established."""
         if not endpoint.is_connecting:
             self.connect(endpoint)
 
     def select_or_connect(self, endpoint: ServerEndpoint, session_id: str = "") -> ServerConnection:
-        """Returns a connection for a new request, which is not established yet if none is free."""
+        """Returns a free connection for a new request, or starts a new one."""
         return self.select_free(endpoint, session_id) or self.connect(endpoint)
 
     def select_free(self, endpoint: ServerEndpoint, session_id: str = "") -> ServerConnection | None:
-        """Returns a connection without requests or, where there may be no more, the one with the fewest.
+        """Returns a connection without requests or, at the connection limit, the one with the fewest.
 
-        Never one that carried a failed attempt of the same session, whose late messages could be mistaken
-        for the new one's. One on which a release of the session may be under way comes first, since its
-        server surely reads that before the new set-up on this connection alone.
+        Connections that carried a failed attempt of the same session are excluded, since late messages of
+        that attempt could be attributed to the new one. A connection on which a release of the session may be
+        in flight is preferred, since only there the server is certain to read the release before the new
+        set-up.
         """
         now = self._dispatcher.now()
         usable = [
@@ -122,7 +123,7 @@
         for connection in usable:
             if any(frame.session == session_id for frame in connection.unconfirmed_releases(now)):
                 return connection
-        for connection in reversed(usable):  # the last used one: the others can become idle
+        for connection in reversed(usable):  # the newest one, so that the others can become idle
             if not connection.attempts:
                 return connection
         limit = self.descriptor_quota.connections_per_server(len(self.endpoints))
@@ -131,7 +132,7 @@
         return None
 
     def select_any(self, endpoint: ServerEndpoint, session_id: str = "") -> ServerConnection | None:
-        """Returns a connection to send a message on that has no reply, or None if there is none."""
+        """Returns a connection for a message that has no reply, or None if there is none."""
         free = self.select_free(endpoint, session_id)
         if free is not None:
             return free
@@ -141,7 +142,7 @@
         return None
 
     def close_surplus(self) -> None:
-        """Closes unused connections, the longest unused first, until the node's limit is kept."""
+        """Closes unused connections, those unused longest first, until the node is within its limit."""
         connections = [
             connection
             for endpoint in self.endpoints.values()
@@ -157,13 +158,13 @@
                 surplus -= 1
 
     def close_idle(self, endpoint: ServerEndpoint, now: float) -> None:
-        """Closes the connections of a server that have been unused for long, by `now` in milliseconds."""
+        """Closes the connections of a server that have been unused for too long at `now` (milliseconds)."""
         for connection in list(endpoint.connections):
             if connection.may_close(now):
                 connection.close()
 
     def forget_if_idle(self, endpoint: ServerEndpoint) -> None:
-        """Closes the connections of a removed server that carries nothing, and forgets it after the last."""
+        """Closes the connections of a removed, idle server, and drops its state after the last has ended."""
         if not (self.is_removed(endpoint) and endpoint.is_idle):
             return
         for connection in list(endpoint.connections):
--- a/fernweir/node/server_transport.py
+++ b/fernweir/node/server_transport.py
@@ -1,6 +1,6 @@
-"""The node's transport to media servers: carries out the dispatcher's commands, and reacts to connections.
+"""The node's transport to media servers: executes the dispatcher's commands and handles connection events.
 
-A thin layer over the parts that own the state: the pool, the attempts, the health checks and the placed
+It delegates to the parts that own the state: the pool, the attempts, the health checks and the placed
 sessions.
 """
 
@@ -28,7 +28,8 @@
     """Implements the dispatcher's `ServerTransport` and the pool's `ConnectionEvents`.
 
     Attributes:
-        read_client_input: Reads what the client of a session has sent by now; set by the client side.
+        read_client_input: Reads all input that the client of a session has sent so far. `ClientRequests` sets
+            it.
     """
 
     def __init__(
@@ -65,7 +66,7 @@
         self._sessions.change_rung(command)
 
     def release(self, command: ReleaseSession) -> None:
-        """Ends a session's attempt, and releases the session where its server may carry it."""
+        """Ends the attempt of a session, and releases the session if the server may carry it."""
         endpoint = self._pool.endpoints.get(command.server)
         if endpoint is not None:
             self._attempts.cancel(endpoint, command.session_id)
@@ -75,10 +76,10 @@
         """Starts a health check."""
         self._health_checks.start(command)
 
-    # --- requests of the node's other parts ---
+    # --- calls of other parts ---
 
     def adopt_session(self, request: SessionRequest, server_name: str) -> bool:
-        """Adds a session that a server carries already; returns False if it was not accepted."""
+        """Adds a session that a server already carries. Returns False if it was not accepted."""
         server = number_of(server_name)
         sessions = self._dispatcher.sessions
         is_listed = server in self._feed.addresses
@@ -91,16 +92,16 @@
         return True
 
     def drop_unwanted_attempts(self) -> None:
-        """Ends attempts that wait for a connection and are not wanted any more, before it is established."""
+        """Ends the attempts that still wait for a connection but are no longer wanted."""
         self._attempts.finish_unwanted()
 
     @property
     def has_unsent_messages(self) -> bool:
-        """Whether a message to a server, as a release, has not left yet."""
+        """Whether a message to a server, such as a release, has not been sent yet."""
         return self._pool.has_unsent_messages
 
     def shutdown(self) -> None:
-        """Ends everything at once and reports nothing more."""
+        """Ends all attempts, health checks and connections at once, without reporting results."""
         self._pool.is_stopped = True
         for endpoint in self._pool.endpoints.values():
             self._attempts.cancel_all(endpoint)
@@ -120,7 +121,7 @@
         self._dispatcher.schedule_step()
 
     def _apply_entry(self, entry: Endpoint) -> None:
-        """Records when a server's process started: a new one carries nothing of what the one before did."""
+        """Records when a server's process started, as a new process carries no earlier sessions."""
         endpoint = self._pool.endpoints.get(entry.server)
         last_started_at = self._started_at.get(entry.server, 0.0)
         if entry.state is ServerState.REMOVED:
@@ -141,7 +142,7 @@
                 self._sessions.end(endpoint, session_id, Result.RESET)
 
     def _apply_address(self, endpoint: ServerEndpoint) -> None:
-        """Sends nothing new to an address that is not the server's any more: another may listen there."""
+        """Stops sending requests to an address that a server no longer has, as another may listen there."""
         address = self._feed.addresses.get(endpoint.server, endpoint.address)
         is_removed = self._pool.is_removed(endpoint)
         if address == endpoint.address and not is_removed:
@@ -149,7 +150,7 @@
         endpoint.address = address
         for connection in list(endpoint.connections):
             if connection.cancel_connect():
-                self._reassign(connection, "listed elsewhere")
+                self._reassign(connection, "address changed or removed")
             elif not is_removed:
                 connection.state.drain()
         if is_removed:
@@ -162,7 +163,7 @@
     # --- events of connections ---
 
     def on_connected(self, connection: ServerConnection) -> None:
-        """Sends what waited for a connection."""
+        """Sends the messages and requests that waited for a connection."""
         endpoint = connection.endpoint
         endpoint.liveness.on_connected(self._dispatcher.now())
         self._attempts.on_liveness_known(endpoint, is_alive=True)
@@ -172,7 +173,7 @@
         self._attempts.on_connected(connection)
 
     def on_connect_failed(self, connection: ServerConnection, error: OSError) -> None:
-        """Ends what waited for a connection that was not established: nothing was written on it."""
+        """Ends the requests that waited for a connection that was not established."""
         endpoint = connection.endpoint
         reason = str(error.strerror or error)
         if isinstance(error, TimeoutError):
@@ -186,27 +187,27 @@
         self._health_checks.on_connect_failed(connection)
 
     def on_reset_while_connecting(self, connection: ServerConnection) -> None:
-        """Records that the server lives, and assigns what waited for a connection to others."""
+        """Records that the server is alive, and reassigns the requests that waited for the connection."""
         endpoint = connection.endpoint
         endpoint.liveness.on_data_received(self._dispatcher.now())
         self._attempts.on_liveness_known(endpoint, is_alive=True)
-        self.on_connection_lost(connection, "connection reset while new", may_have_lost_messages=True)
+        self.on_connection_lost(connection, "connection reset while connecting", may_have_lost_messages=True)
 
     def on_message(self, connection: ServerConnection, frame: Frame) -> None:
         """Handles one message of a server.
 
         Raises:
-            FrameError: The message lacks what it needs.
+            FrameError: The message lacks a required parameter.
         """
         self._messages.handle(connection, frame)
 
     def on_connection_lost(
         self, connection: ServerConnection, reason: str, *, may_have_lost_messages: bool
     ) -> None:
-        """Assigns what was on an ended connection to others, unless it was written.
+        """Assigns the unwritten requests of a connection that ended to other connections.
 
-        The result of an attempt that was written depends on whether its server lives, which a new connection
-        shows at once.
+        The result of an attempt that was written depends on whether the server is alive, which a new
+        connection shows at once.
         """
         endpoint = connection.endpoint
         self._sessions.on_connection_lost(connection)
@@ -216,7 +217,7 @@
         if endpoint.placed_sessions and may_have_lost_messages:
             endpoint.liveness.on_connection_broken()
         if self._pool.is_removed(endpoint):
-            # A new connection would show nothing: another server may listen at the address by now.
+            # A new connection would prove nothing, since another server may listen at the address now.
             self._attempts.on_liveness_known(endpoint, is_alive=False)
         elif endpoint.broken_attempts:
             self._pool.connect_unless_connecting(endpoint)
--- a/fernweir/node/server_upkeep.py
+++ b/fernweir/node/server_upkeep.py
@@ -1,4 +1,4 @@
-"""Periodic work on the media servers of a node: checks their liveness and closes unused connections."""
+"""Periodic maintenance of media servers: checks their liveness and closes unused connections."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ServerUpkeep:
-    """Looks after the servers at intervals, and after one of them whenever something happened to it."""
+    """Maintains all servers at regular intervals, and a single server after events that concern it."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         self._sessions = sessions
 
     def start(self) -> None:
-        """Starts the periodic work. It ends when the pool is stopped."""
+        """Starts the periodic maintenance, which ends when the pool is stopped."""
         self._dispatcher.loop.call_later(_INTERVAL_S, self._run)
 
     def _run(self) -> None:
@@ -44,12 +44,12 @@
             self._pool.forget_if_idle(endpoint)
 
     def check(self, endpoint: ServerEndpoint) -> None:
-        """Sends what waits for a server, and checks whether the server lives."""
+        """Sends the messages that wait for a server, and checks whether the server is alive."""
         connection = self._pool.select_any(endpoint)
         if endpoint.release_queue.pending_releases and connection is not None:
             self._sessions.send_pending(connection)
         elif self._pool.is_removed(endpoint):
-            endpoint.release_queue.clear_pending()  # another server may listen at its address by now
+            endpoint.release_queue.clear_pending()  # another server may listen at its address now
         self._check_liveness(endpoint, is_connected=connection is not None)
 
     def _check_liveness(self, endpoint: ServerEndpoint, is_connected: bool) -> None:
@@ -59,16 +59,16 @@
         status = monitor.check(now, has_sessions, is_connected, self._is_check_connecting(endpoint, now))
         reason = monitor.reason
         if has_sessions and not is_connected and self._pool.is_removed(endpoint):
-            status, reason = LivenessStatus.TERMINATED, "gone from the list, its connections ended"
+            status, reason = LivenessStatus.TERMINATED, "removed from the list, all connections ended"
         if status is LivenessStatus.CHECK:
             self._pool.connect(endpoint, monitor.check_timeout_ms / 1000.0)
         elif status is not LivenessStatus.HEALTHY:
             self._on_server_lost(endpoint, now, status, reason)
 
     def _is_check_connecting(self, endpoint: ServerEndpoint, now: float) -> bool:
-        """Whether a connect is under way that can stand for a check.
+        """Whether a connect is in progress that can replace a check.
 
-        One that an attempt waits for may take far longer than a check, so only a recent one counts.
+        A connect that an attempt waits for may take far longer than a check, so only a recent one counts.
         """
         return any(
             connection.state.is_connecting
--- a/fernweir/node/session_end_delivery.py
+++ b/fernweir/node/session_end_delivery.py
@@ -1,4 +1,4 @@
-"""Delivery of the ends of sessions to clients, also after the connection of their set-up has gone."""
+"""Delivers the ends of sessions to clients, even after the connection of the set-up has ended."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from fernweir.node.client_connection_state import UnconfirmedMessage
 from fernweir.node.jsonl import Message, encode_message
 
-# PROTOCOL: a release that no connection could carry comes within 8 s of the end.
+# PROTOCOL: a release that no connection could carry is sent within 8 s of the end of the session.
 _SESSION_END_TTL_MS = 8_000.0
 
 _CAUSE_BY_RESULT = {Result.OK: CAUSE_NORMAL}
@@ -21,12 +21,12 @@
 
 @dataclass(frozen=True, slots=True)
 class _UndeliveredEnd:
-    """The end of a session that found no connection.
+    """The end of a session that could not be sent on any connection.
 
     Attributes:
-        expires_at_ms: Monotonic time after which the client is not notified any more.
+        expires_at_ms: Monotonic time after which the client is no longer notified.
         session_id: The session.
-        encoded: The message.
+        encoded: The encoded message.
     """
 
     expires_at_ms: float
@@ -38,9 +38,9 @@
     """Notifies clients that their sessions ended.
 
     Attributes:
-        connection_by_session: Established sessions, each with the connection its set-up came on, or None if
-            that has gone.
-        serving_connections: The connections that established sessions, the most recent last.
+        connection_by_session: The connection of the set-up of each established session, or None if that
+            connection has ended.
+        serving_connections: The connections on which sessions were established, the most recent last.
     """
 
     def __init__(self, dispatcher: Dispatcher) -> None:
@@ -50,7 +50,7 @@
         self._undelivered_ends: deque[_UndeliveredEnd] = deque()
 
     def on_session_established(self, session_id: str, connection: ClientConnection) -> None:
-        """Assigns a session to its connection, which also gets the ends that no other could carry."""
+        """Assigns a session to its connection, on which undelivered session ends are then sent, too."""
         self.connection_by_session[session_id] = connection
         connection.state.sessions.add(session_id)
         connection.error_tolerance.record_success()
@@ -63,7 +63,7 @@
             self._send_session_end(undelivered.session_id, undelivered.encoded)
 
     def on_session_ended(self, session_over: SessionOver) -> None:
-        """Sends the end of a session on its connection, else on any that established sessions."""
+        """Sends the end of a session on its connection, else on any serving connection."""
         session_id = session_over.request.session_id
         connection = self.connection_by_session.pop(session_id, None)
         if connection is not None:
@@ -79,7 +79,7 @@
         self._send_session_end(session_id, encode_message(message), connection)
 
     def remove_connection(self, connection: ClientConnection) -> None:
-        """Forgets a connection that has ended. Its sessions go on."""
+        """Removes a connection that has ended. Its sessions continue."""
         for session_id in connection.state.sessions:
             self.connection_by_session[session_id] = None
         self.serving_connections.pop(connection, None)
@@ -98,13 +98,14 @@
             if message.session_end is not None:
                 self._send_session_end(session_id, message.session_end)
                 continue
-            # No client knows of the session. Its end is sent all the same, wherever its viewer may read it.
-            self._dispatcher.log.info("answer not heard", session=session_id, why=reason)
+            # The client has not learned of the session. The end is sent nevertheless, on any connection where
+            # the viewer may read it.
+            self._dispatcher.log.info("reply not delivered", session=session_id, why=reason)
             self._dispatcher.sessions.revoke_session(now, session_id, "its viewer left")
             self._dispatcher.schedule_step()
 
     def discard_expired(self, now: float) -> None:
-        """Drops the ends whose time to be sent has passed."""
+        """Drops the undelivered ends that have expired."""
         while self._undelivered_ends and self._undelivered_ends[0].expires_at_ms <= now:
             self._undelivered_ends.popleft()
 
--- a/fernweir/node/set_up_parser.py
+++ b/fernweir/node/set_up_parser.py
@@ -1,4 +1,4 @@
-"""Parses set-ups of clients and checks them against the settings. No I/O."""
+"""Parses the set-ups of clients and validates them against the settings. No I/O."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 _KEY = re.compile(r"[0-9a-f]{16}")
 _COUNT = re.compile(r"[0-9]{1,9}")
 _NO_VIEWER = "0" * 16
-# A client may wait a little longer than the deadline of its class; this many times as long is a mistake.
+# A client may wait a little longer than the deadline of its class, but at most this many times as long.
 _MAX_WAIT_IN_DEADLINES = 2.0
 
 
@@ -24,8 +24,8 @@
     """A set-up that passed all checks.
 
     Attributes:
-        request: What the client asks for.
-        current_server: Name of the server that already plays the session; empty for a new session.
+        request: The session request of the client.
+        current_server: The name of the server that already plays the session; empty for a new session.
     """
 
     request: SessionRequest
@@ -33,7 +33,7 @@
 
 
 class _Placement(NamedTuple):
-    """Which zones hold the title, and the highest rung."""
+    """The zones that hold the title, and the highest rung."""
 
     first_zone: int
     replicas: int
@@ -41,10 +41,10 @@
 
 
 class SetUpParser:
-    """Turns messages of the type `setup` into session requests.
+    """Converts messages of the type `setup` to session requests.
 
     Args:
-        settings: Classes, zones and rungs that a set-up may name.
+        settings: Defines the classes, zones and rungs that a set-up may refer to.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -58,7 +58,7 @@
 
         Args:
             message: A message of the type `setup`.
-            ticket: The dispatcher's number for the request.
+            ticket: The number that the dispatcher assigned to the request.
 
         Raises:
             LineError: The set-up cannot be used; the text says why.
@@ -70,11 +70,11 @@
         title_name = _parse_title(message)
         max_wait_ms = _parse_max_wait(message, session_class, is_playing=bool(current_server))
         if message.sdp is None and not current_server:
-            raise LineError("a set-up without a description", message.id)
+            raise LineError("set-up has no description", message.id)
         placement = self._parse_placement(extras)
         viewer = extras.values.get("viewer", _NO_VIEWER)
         if not _KEY.fullmatch(viewer):
-            raise LineError("viewer is no key", message.id)
+            raise LineError("viewer is not a key of 16 hex digits", message.id)
         request = SessionRequest(
             ticket=ticket,
             protocol=PROTOCOL_NAME,
@@ -96,7 +96,7 @@
     def _parse_class(self, message: Message) -> int:
         class_index = self._class_indexes.get(_text_or_empty(message.fields.get("class")))
         if class_index is None:
-            raise LineError("no known class", message.id)
+            raise LineError("class is missing or unknown", message.id)
         return class_index
 
     def _parse_placement(self, extras: _Extras) -> _Placement:
@@ -109,13 +109,13 @@
         )
         has_valid_zones = placement.first_zone < zone_count and 1 <= placement.replicas <= zone_count
         if not has_valid_zones or placement.top_rung >= rung_count:
-            raise LineError("extras are out of range", extras.session_id)
+            raise LineError("home, copies or top of extras is out of range", extras.session_id)
         return placement
 
 
 @dataclass(frozen=True, slots=True)
 class _Extras:
-    """The field `extras`, as in `home:0;copies:4`, by name."""
+    """The values of the field `extras`, such as `home:0;copies:4`, by name."""
 
     session_id: str
     values: dict[str, str]
@@ -128,7 +128,7 @@
                 continue
             name, colon, value = part.partition(":")
             if not colon or name in values:
-                raise LineError("extras can't be read", message.id)
+                raise LineError("extras has an entry without a value or with a duplicate name", message.id)
             values[name] = value
         return cls(message.id, values)
 
@@ -137,19 +137,19 @@
         if text is None and default is not None:
             return default
         if text is None or not _COUNT.fullmatch(text):
-            raise LineError(f"{name} is no count", self.session_id)
+            raise LineError(f"{name} is not a number of at most 9 digits", self.session_id)
         return int(text)
 
 
 def _parse_title(message: Message) -> str:
     title_name = _text_or_empty(message.fields.get("key"))
     if not _KEY.fullmatch(title_name):
-        raise LineError("key is no title", message.id)
+        raise LineError("key is not a title of 16 hex digits", message.id)
     return title_name
 
 
 def _parse_max_wait(message: Message, session_class: SessionClass, is_playing: bool) -> float:
-    """How long the client waits for its answer, in ms; nobody waits for that of a session that plays."""
+    """Returns how long the client waits for its answer, in ms. Not checked for a session that plays."""
     field = message.fields.get("left")
     max_wait_ms = _number_or_nan(field)
     longest_ms = _MAX_WAIT_IN_DEADLINES * session_class.deadline_ms
--- a/fernweir/node/settings.py
+++ b/fernweir/node/settings.py
@@ -1,7 +1,8 @@
-"""Checks which settings a node can use, and gives zero its meaning. No I/O.
+"""Validates the settings of a node, and replaces zero limits by absent ones. No I/O.
 
-The parser of the simulator's wire reads what the simulator wrote. A node's configuration is a file: a value
-that cannot be used has to end the start with the name of its setting, and must not fail a request later.
+The parser of the simulator's wire protocol trusts what the simulator wrote. A node's configuration is a file:
+an invalid value has to stop the startup with an error that names the setting, and must not fail a request
+later.
 """
 
 from __future__ import annotations
@@ -13,7 +14,8 @@
 
 from fernweir.interface import SessionClass, Settings
 
-# The largest value of a number: as wide as the wire carries it, otherwise what a float counts exactly.
+# The largest values: the width of the field on the wire, otherwise the largest integers that a float holds
+# exactly.
 _MAX_EXACT_FLOAT = 2.0**53
 _MAX_UINT32 = 2.0**32 - 1.0
 _MAX_ZONES = 2.0**16
@@ -67,14 +69,14 @@
 
 
 class SettingError(ValueError):
-    """A setting cannot be used; the text names it."""
+    """Raised when a setting cannot be used. The message names the setting."""
 
 
 def check_settings(raw_settings: dict[str, Any]) -> None:
-    """Checks each setting by itself, as the file gives it.
+    """Checks each setting by itself, in the form in which the file has it.
 
     Raises:
-        SettingError: A setting has another type, or is out of range; the first one is named.
+        SettingError: A setting has the wrong type or is out of range. The message names the first one.
     """
     _check_numbers(raw_settings)
     _check_number_lists(raw_settings)
@@ -87,30 +89,30 @@
 
 
 def check_consistency(settings: Settings) -> None:
-    """Checks the settings that were read against one another.
+    """Checks that the parsed settings are consistent with each other.
 
     Raises:
-        SettingError: No session could be served under them.
+        SettingError: No session could be served with these settings.
     """
     rung_count = len(settings.rung_rates_kbyte_s)
     utility_count = len(settings.rung_utilities)
     if not 0 < rung_count <= _MAX_RUNGS:
-        raise SettingError("Extra.RatesKb is no ladder of rates")
+        raise SettingError(f"Extra.RatesKb has {rung_count} rates instead of 1 to {_MAX_RUNGS}")
     if utility_count < rung_count:
         raise SettingError(f"Extra.LevelWorth has {utility_count} values for {rung_count} rungs")
     for index, session_class in enumerate(settings.classes):
         if session_class.deadline_ms <= 0.0:
-            raise SettingError(f"Categories.{index}.Deadline leaves no time for an answer")
+            raise SettingError(f"Categories.{index}.Deadline is not positive")
         if session_class.lowest_rung > session_class.top_rung:
-            raise SettingError(f"Extra.LowestRung of class {index} is over its highest rung")
+            raise SettingError(f"Extra.LowestRung of class {index} is higher than its top rung")
 
 
 def replace_zero_limits(settings: Settings) -> Settings:
-    """Returns the settings with a zero taken as absent, where nothing could be served under it.
+    """Returns the settings with zero limits replaced by absent ones, as nothing could be served otherwise.
 
-    On the wire zero stands for an absent value. A slow start or a retry budget over a window of no time is
-    none, and neither is a limit of no attempts. Without a latency objective the deadline of its class bounds
-    a set-up.
+    On the wire, zero represents an absent value. A slow start or retry budget with an empty window is
+    disabled, and a limit of zero attempts is no limit. A class without a latency objective gets its deadline
+    as the objective.
     """
     slow_start, retry_budget = settings.slow_start, settings.retry_budget
     has_slow_start = slow_start is not None and slow_start.window_ms > 0.0
@@ -139,7 +141,7 @@
 def _check_number_lists(raw_settings: dict[str, Any]) -> None:
     for path, limit in _LIST_LIMITS.items():
         for value in _present_values(raw_settings, path):
-            # The simulator's text gives a list of one item as its value alone.
+            # In the simulator's text a list of one item is a single value.
             for item in value if isinstance(value, list) else [value]:
                 _check_number(path, item, limit)
 
@@ -155,27 +157,27 @@
     for path in _NAME_LISTS:
         for value in _present_values(raw_settings, path):
             if not isinstance(value, list):
-                raise SettingError(f"{path} is no list of names: {_quoted(value)}")
+                raise SettingError(f"{path} is not a list of names: {_quoted(value)}")
             for name in value:
                 _check_text(path, name)
 
 
 def _check_classes(raw_classes: object) -> None:
     if not isinstance(raw_classes, list) or not 0 < len(raw_classes) <= _MAX_CLASSES:
-        raise SettingError(f"Categories is no list of classes: {_quoted(raw_classes)}")
+        raise SettingError(f"Categories is not a list of 1 to {_MAX_CLASSES} classes: {_quoted(raw_classes)}")
     names: set[str] = set()
     for index, raw_class in enumerate(raw_classes):
         path = f"Categories.{index}"
         name = _check_class(path, raw_class)
         if not name or name in names:
-            raise SettingError(f"{path}.Name is no name of its own: {_quoted(name)}")
+            raise SettingError(f"{path}.Name is not a unique name: {_quoted(name)}")
         names.add(name)
 
 
 def _check_class(path: str, raw_class: object) -> str:
     """Checks one class and returns its name."""
     if not isinstance(raw_class, dict):
-        raise SettingError(f"{path} is no class: {_quoted(raw_class)}")
+        raise SettingError(f"{path} is not an object: {_quoted(raw_class)}")
     for key, limit in _CLASS_NUMBER_LIMITS.items():
         for value in _present_values(raw_class, key):
             _check_number(f"{path}.{key}", value, limit)
@@ -188,13 +190,13 @@
     """Yields the value at a path, unless it is absent or null.
 
     Raises:
-        SettingError: A part of the path leads to something that is no object.
+        SettingError: A part of the path refers to a value that is not an object.
     """
     value: Any = raw_settings
     parent_path = ""
     for key in path.split("."):
         if not isinstance(value, dict):
-            raise SettingError(f"{parent_path} is no object: {_quoted(value)}")
+            raise SettingError(f"{parent_path} is not an object: {_quoted(value)}")
         value = value.get(key)
         parent_path = f"{parent_path}.{key}" if parent_path else key
         if value is None:
@@ -205,7 +207,7 @@
 def _check_number(path: str, value: object, limit: float) -> None:
     number = _number_or_nan(value)
     if not 0.0 <= number <= limit:
-        raise SettingError(f"{path} is no number from 0 to {limit:.0f}: {_quoted(value)}")
+        raise SettingError(f"{path} is not a number from 0 to {limit:.0f}: {_quoted(value)}")
 
 
 def _number_or_nan(value: object) -> float:
@@ -218,10 +220,10 @@
 
 
 def _check_text(path: str, value: object) -> str:
-    """Returns the value, which has to be text that UTF-8 has bytes for; empty text is none."""
+    """Returns the value, which has to be a non-empty string that can be encoded as UTF-8."""
     if isinstance(value, str) and value and _is_encodable(value):
         return value
-    raise SettingError(f"{path} is no text: {_quoted(value)}")
+    raise SettingError(f"{path} is not a non-empty string: {_quoted(value)}")
 
 
 def _is_encodable(text: str) -> bool:
@@ -233,8 +235,8 @@
 
 
 def _quoted(value: object) -> str:
-    """The beginning of a value, for one line of the log."""
+    """Returns the beginning of a value, which fits in one line of the log."""
     try:
         return ascii(value)[:_MAX_QUOTED]
-    except (ValueError, RecursionError):  # more digits, or deeper, than can be shown
+    except (ValueError, RecursionError):  # too many digits, or nested too deeply
         return type(value).__name__
--- a/fernweir/node/shared_buffer.py
+++ b/fernweir/node/shared_buffer.py
@@ -1,4 +1,4 @@
-"""One receive buffer for all connections, which holds no data once a callback has returned."""
+"""A receive buffer that all connections share. Its content is valid only during a callback."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 
 class SharedBufferProtocol(asyncio.BufferedProtocol):
-    """A protocol that reads into the shared buffer. `data_received` must use its data before it returns."""
+    """A protocol that reads into the shared buffer. `data_received` must not keep its data."""
 
     transport: asyncio.Transport | None = None
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Returns the shared buffer, as the event loop reads next."""
+        """Returns the shared buffer, into which the event loop reads next."""
         return _SHARED_BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Passes on the bytes that were read."""
+        """Passes the bytes that were read to `data_received`."""
         self.data_received(_SHARED_BUFFER[:nbytes])
 
     def data_received(self, data: memoryview) -> None:
-        """Handles received bytes, which are overwritten after it returns."""
+        """Handles received bytes, which are overwritten after this method returns."""
         raise NotImplementedError
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport."""
+        """Stores the transport."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
@@ -37,5 +37,5 @@
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes written that the kernel has not accepted yet."""
+        """The number of written bytes that the kernel has not accepted yet."""
         return self.transport.get_write_buffer_size() if self.transport is not None else 0
