--- a/bench/left.py
+++ b/bench/left.py
@@ -68,7 +68,7 @@
 
     def warm(self) -> None:
         """A connection to a server is free, so that what is placed is written at once."""
-        self.stage.stands(self.stage.far_viewer())
+        self.stage.establish_session(self.stage.far_viewer())
 
     def hold(self, *fds: int) -> None:
         self.loop.selected.held.update(fds)
@@ -119,8 +119,8 @@
     pings: list[Frame] = []
 
     def tested() -> bool:
-        far.look()
-        pings[:] = [one for line in far.lines for one in line.heard if one.type is FrameType.PING]
+        far.poll()
+        pings[:] = [one for line in far.lines for one in line.received if one.type is FrameType.PING]
         return bool(pings)
 
     case.loop.until(tested)
@@ -129,7 +129,7 @@
     there = case.loop.near(line.sock)
     case.hold(case.fd, there)
     case.leave()
-    line.say(
+    line.send_frame(
         Frame(
             FrameType.PONG,
             pings[0].session,
@@ -146,7 +146,7 @@
         wish = case.stage.setup(key=f"{len(standing):016x}")
         other.send(wish)
         case.loop.settle()
-        other.look()
+        other.poll()
         if wish.id in case.stage.answers:
             break
         line = case.stage.far["s-0"].line_of(wish.id)
@@ -166,7 +166,7 @@
 
 def unlisted(case: Case) -> None:
     """No server is listed: its set-up, its end, and word of a server are found in one turn."""
-    feed = case.stage.feed.look()[0]
+    feed = case.stage.feed.poll()[0]
     there = case.loop.near(feed.sock)
 
     def tell(n: int, status: str) -> None:
@@ -185,7 +185,7 @@
 def connection(case: Case) -> None:
     """The connection to its server comes up in the turn in which its end is seen."""
     case.asked(case.draw.randrange(1, 4))
-    there = case.stage.connecting()
+    there = case.stage.hold_next_connect()
     case.loop.settle()
     case.hold(case.fd)
     case.leave()
@@ -226,11 +226,11 @@
     if not case.gone and case.way != "time":
         stands, line = stage.set_up(viewer)
         line.answer(stands)
-        case.loop.until(lambda: viewer.look() is not None and stands in stage.answers)
+        case.loop.until(lambda: viewer.poll() is not None and stands in stage.answers)
     (out,) = case.asked()
     case.loop.until(lambda: stage.sent_to(out))
     case.asked(case.draw.randrange(2, 6))
-    case.stage.connecting()
+    case.stage.hold_next_connect()
     others = stage.far_viewer()
     theirs = stage.setup()
     others.send(theirs)
@@ -272,7 +272,7 @@
 def stopping(case: Case) -> None:
     """After SIGTERM, its connection not up."""
     case.asked(case.draw.randrange(1, 3))
-    there = case.stage.connecting()
+    there = case.stage.hold_next_connect()
     first = case.draw.random() < 0.5
     if first:
         case.stage.node.terminate()
@@ -330,7 +330,7 @@
 def behind(case: Case) -> None:
     """Its connection is up, and the loop stands still before it is told so; any of the turns until then."""
     case.asked()
-    there = case.stage.connecting()
+    there = case.stage.hold_next_connect()
     case.loop.settle()
     case.loop.selected.held.discard(there)
     case.loop.turn(case.draw.randrange(1, 4))
@@ -385,16 +385,16 @@
     for _ in range(4):
         case.loop.settle()
         for server in case.stage.far.values():
-            server.look()
+            server.poll()
             for line in server.lines:
-                for id in line.setups - server.released - server.stood:
+                for id in line.setups - server.released - server.answered_sessions:
                     if not line.over:
                         line.answer(id)
     case.loop.settle()
     if not case.gone:
-        case.viewer.look()
+        case.viewer.poll()
     case.loop.advance(6_000)
-    case.stage.look()
+    case.stage.poll()
     case.viewer.close()
     case.loop.advance(2_000)
 
@@ -404,9 +404,9 @@
     heard = {id for id in case.ids if id in stage.answers}
     plays = {id for id in heard if stage.answers[id].type == "answer"}
     owed = set(case.ids) - heard if case.way in ("half-close", "time") else set()
-    standing = {id for server in stage.far.values() for id in server.standing()} & set(case.ids)
+    standing = {id for server in stage.far.values() for id in server.active_sessions()} & set(case.ids)
     lines = [line for server in stage.far.values() for line in server.lines]
-    released = {one.session for line in lines for one in line.heard if one.type is FrameType.RELEASE}
+    released = {one.session for line in lines for one in line.received if one.type is FrameType.RELEASE}
     return Outcome(
         len(case.ids),
         sum(max(len(stage.sent_to(id)) - case.before[id], 0) for id in case.ids),
--- a/tests/node_scene.py
+++ b/tests/node_scene.py
@@ -27,7 +27,7 @@
 PLAIN = replace(SETTINGS, may_check_health=False)
 
 
-class Told(AssertionError):
+class ProtocolViolation(AssertionError):
     """A viewer was told something that it may not be told."""
 
 
@@ -40,11 +40,11 @@
         self.releases: list[tuple[str, int | None]] = []
         self.rungs: list[tuple[str, str]] = []
         self.pings = self.pings_to_break = 0
-        self.out: dict[str, asyncio.StreamWriter] = {}  # set-ups without an end
-        self.refused: list[tuple[Frame, asyncio.StreamWriter]] = []  # refusals said, and where
-        self.stands: set[str] = set()  # what it answered, heard whole or not, until it is released
-        self.unheard: list[Frame] = []  # said on the next connection that opens, and said when one closes
-        self.parting: list[Frame] = []
+        self.open_set_ups: dict[str, asyncio.StreamWriter] = {}  # set-ups without an end
+        self.refusals: list[tuple[Frame, asyncio.StreamWriter]] = []  # refusals said, and where
+        self.active_sessions: set[str] = set()  # what it answered, heard whole or not, until it is released
+        self.frames_on_connect: list[Frame] = []  # said on the next connection, and as one closes
+        self.frames_on_eof: list[Frame] = []
         self.writers: list[asyncio.StreamWriter] = []
         self._server: asyncio.Server | None = None
 
@@ -68,20 +68,20 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.append(writer)
         frames = FrameReader()
-        for frame in self.unheard:
-            self.say(frame, writer)
+        for frame in self.frames_on_connect:
+            self.send_frame(frame, writer)
         try:
             while data := await reader.read(65536):
                 for frame in frames.feed(data):
                     if not writer.transport.is_closing():  # what lay unread in one that broke is lost
                         self._take(frame, writer)
-            for frame in self.parting:
-                self.say(frame, writer)
+            for frame in self.frames_on_eof:
+                self.send_frame(frame, writer)
         except ConnectionError:
             pass
         finally:
-            for id in [id for id, there in self.out.items() if there is writer]:
-                del self.out[id]  # a closed connection gives up the set-ups open on it
+            for id in [id for id, there in self.open_set_ups.items() if there is writer]:
+                del self.open_set_ups[id]  # a closed connection gives up the set-ups open on it
             if writer in self.writers:
                 self.writers.remove(writer)
             writer.close()
@@ -89,13 +89,13 @@
     def _take(self, frame: Frame, writer: asyncio.StreamWriter) -> None:
         if frame.type is FrameType.SETUP:
             self.setups.append(frame)
-            assert frame.session not in self.out, "two attempts out at one server"
-            self.out[frame.session] = writer
-            self.play(self.script.pop(0) if self.script else "answer", frame.session, writer)
+            assert frame.session not in self.open_set_ups, "two attempts out at one server"
+            self.open_set_ups[frame.session] = writer
+            self.perform(self.script.pop(0) if self.script else "answer", frame.session, writer)
         elif frame.type is FrameType.RELEASE:
             self.releases.append((frame.session, frame.cause))
-            self.out.pop(frame.session, None)
-            self.stands.discard(frame.session)
+            self.open_set_ups.pop(frame.session, None)
+            self.active_sessions.discard(frame.session)
         elif frame.type is FrameType.RATE:
             self.rungs.append((frame.session, frame.text_parameter(ParameterCode.RUNG)))
         elif frame.type is FrameType.PING:
@@ -103,42 +103,42 @@
             if self.pings <= self.pings_to_break:
                 writer.transport.abort()
                 return
-            self.say(Frame(FrameType.PONG, frame.session, {ParameterCode.CAUSE: b"\1"}), writer)
+            self.send_frame(Frame(FrameType.PONG, frame.session, {ParameterCode.CAUSE: b"\1"}), writer)
 
-    def play(self, move: str, id: str, writer: asyncio.StreamWriter) -> None:
+    def perform(self, move: str, id: str, writer: asyncio.StreamWriter) -> None:
         answer = Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: f"{self.name} {id}\r\n".encode()})
         if move in ("answer", "twice", "empty", "noise", "binary", "half"):
-            self.stands.add(id)
+            self.active_sessions.add(id)
         if move == "answer":
-            self.say(answer, writer)
+            self.send_frame(answer, writer)
         elif move == "twice":
             unknown = replace(answer, session="f" * 16)
             writer.write(encode_frame(unknown) + encode_frame(answer) + encode_frame(answer))
         elif move == "empty":
-            self.say(Frame(FrameType.ANSWER, id), writer)
+            self.send_frame(Frame(FrameType.ANSWER, id), writer)
         elif move == "noise":
             writer.write(b"\0\2\xff\xff")
         elif move == "binary":
-            self.say(Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: b"\xff\xfe"}), writer)
+            self.send_frame(Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: b"\xff\xfe"}), writer)
         elif move == "reset":
             writer.transport.abort()
         elif move == "half":
             writer.write(encode_frame(answer)[:-5])
         elif move.isdigit():
-            self.refused.append(
+            self.refusals.append(
                 (Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((int(move),))}), writer)
             )
-            self.say(*self.refused[-1])
+            self.send_frame(*self.refusals[-1])
         else:
             assert move == "silent", move
             return
-        self.out.pop(id, None)
+        self.open_set_ups.pop(id, None)
 
     def finish(self, id: str) -> None:
         """Answers a set-up that was met with silence."""
-        self.play("answer", id, self.out[id])
+        self.perform("answer", id, self.open_set_ups[id])
 
-    def say(self, frame: Frame, writer: asyncio.StreamWriter | None = None) -> None:
+    def send_frame(self, frame: Frame, writer: asyncio.StreamWriter | None = None) -> None:
         (writer or self.writers[-1]).write(encode_frame(frame))
 
 
@@ -168,7 +168,7 @@
             self.writers.append(writer)
             for event in self.events:
                 if event["n"] > int(last):
-                    self.tell(event, writer)
+                    self.send_event(event, writer)
             await reader.read()
         except ConnectionError:
             pass
@@ -180,9 +180,9 @@
     def add(self, members: dict[str, Any]) -> None:
         self.events.append({"n": len(self.events) + 2, "members": members})
         for writer in self.writers:
-            self.tell(self.events[-1], writer)
+            self.send_event(self.events[-1], writer)
 
-    def tell(self, event: object, writer: asyncio.StreamWriter | None = None) -> None:
+    def send_event(self, event: object, writer: asyncio.StreamWriter | None = None) -> None:
         (writer or self.writers[-1]).write(json.dumps(event).encode() + b"\n")
 
 
@@ -190,7 +190,7 @@
     """One connection. A second answer to one id, or word of an id that never stood, is an error at once."""
 
     def __init__(self, scene: Scene) -> None:
-        self.scene, self.raw, self.closed = scene, list[Message](), False
+        self.scene, self.messages, self.closed = scene, list[Message](), False
         self.wrong: list[str] = []
 
     async def open(self) -> ViewerConnection:
@@ -202,8 +202,8 @@
         try:
             while line := await self._reader.readline():
                 message = decode_message(line.rstrip(b"\n"))
-                self.raw.append(message)
-                self.scene.told(message)
+                self.messages.append(message)
+                self.scene.on_message(message)
         except ConnectionError:
             pass
         self.closed = True
@@ -272,7 +272,7 @@
     async def viewer(self) -> ViewerConnection:
         return await ViewerConnection(self).open()
 
-    def told(self, message: Message) -> None:
+    def on_message(self, message: Message) -> None:
         if message.type == "answer" or (message.type == "release" and message.id not in self.answers):
             if message.id in self.answers:
                 self.faults.append(f"{message.id} was answered twice")
@@ -293,7 +293,7 @@
     def setups(self) -> list[tuple[str, Frame]]:
         return [(name, frame) for name, server in self.servers.items() for frame in server.setups]
 
-    def brain_server(self, name: str) -> Any:
+    def controller_server(self, name: str) -> Any:
         return self.node.dispatcher.sessions.controller.servers[number_of(name)]
 
     def stop(self) -> None:
@@ -302,8 +302,8 @@
             server.die()
 
 
-def play(
-    story: Callable[[Scene], Awaitable[None]],
+def run_scenario(
+    scenario: Callable[[Scene], Awaitable[None]],
     servers: int = 3,
     settings: Settings = PLAIN,
     sockets: int = 256,
@@ -314,11 +314,11 @@
         scene = Scene(settings, sockets)
         await scene.start(servers)
         try:
-            await story(scene)
+            await scenario(scene)
         finally:
             scene.stop()
         if scene.faults:
-            raise Told("; ".join(scene.faults))
+            raise ProtocolViolation("; ".join(scene.faults))
 
     asyncio.run(whole())
 
@@ -346,37 +346,37 @@
         self.lines.append(FarLine(self, sock))
         return self.lines[-1]
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Takes all that has come, connections and messages."""
         while self.accept() is not None:
             pass
         for line in self.lines:
-            line.look()
+            line.poll()
 
     def setups(self) -> list[str]:
         """Ids of all set-ups that came whole, in order on each connection."""
-        self.look()
-        return [one.session for line in self.lines for one in line.heard if one.type is FrameType.SETUP]
+        self.poll()
+        return [one.session for line in self.lines for one in line.received if one.type is FrameType.SETUP]
 
     def line_of(self, id: str) -> FarLine:
         """The connection that a set-up came on, the newest if it came on several."""
-        self.look()
+        self.poll()
         there = [line for line in self.lines if id in line.setups]
         return there[-1]
 
-    def standing(self) -> set[str]:
+    def active_sessions(self) -> set[str]:
         """Sessions that it answered, heard whole or not, and that nothing has released or ended since."""
-        self.look()
-        return {id for id in self.stood if id not in self.released}
+        self.poll()
+        return {id for id in self.answered_sessions if id not in self.released}
 
     @property
-    def stood(self) -> set[str]:
+    def answered_sessions(self) -> set[str]:
         return {id for line in self.lines for id in line.answered}
 
     @property
     def released(self) -> set[str]:
-        self.look()
-        said = {one.session for line in self.lines for one in line.heard if one.type is FrameType.RELEASE}
+        self.poll()
+        said = {one.session for line in self.lines for one in line.received if one.type is FrameType.RELEASE}
         return said | {id for line in self.lines for id in line.ended}
 
     def kill(self) -> None:
@@ -397,21 +397,21 @@
 
     def __init__(self, server: FarServer, sock: socket.socket) -> None:
         super().__init__(sock)
-        self.server, self.heard = server, list[Frame]()
+        self.server, self.received = server, list[Frame]()
         self.answered, self.ended = set[str](), set[str]()
         self._frames = FrameReader()
 
-    def look(self) -> list[Frame]:
+    def poll(self) -> list[Frame]:
         """What came since the last look; also kept in `heard`."""
         came = list(self._frames.feed(self.take()))
-        self.heard += came
+        self.received += came
         return came
 
     @property
     def setups(self) -> set[str]:
-        return {one.session for one in self.heard if one.type is FrameType.SETUP}
+        return {one.session for one in self.received if one.type is FrameType.SETUP}
 
-    def say(self, frame: Frame) -> None:
+    def send_frame(self, frame: Frame) -> None:
         self.write(encode_frame(frame))
 
     def answer(self, id: str, part: slice = slice(None)) -> bytes:
@@ -425,7 +425,7 @@
 
     def release(self, id: str, cause: int) -> None:
         self.ended.add(id)
-        self.say(Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((cause,))}))
+        self.send_frame(Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((cause,))}))
 
 
 class FarFeed:
@@ -442,7 +442,7 @@
         host, port = self.listener.getsockname()
         return host, port
 
-    def look(self) -> list[Far]:
+    def poll(self) -> list[Far]:
         """Takes all that has come; the connections accepted so far."""
         try:
             while True:
@@ -467,20 +467,20 @@
     def __init__(self, stage: Stage) -> None:
         sock = socket.create_connection(stage.node.client_listener.address)
         super().__init__(sock)
-        self.stage, self.raw = stage, list[Message]()
+        self.stage, self.messages = stage, list[Message]()
         self._rest = b""
 
     def send(self, *messages: Message) -> None:
         self.write(b"".join(map(encode_message, messages)))
 
-    def look(self) -> list[Message]:
+    def poll(self) -> list[Message]:
         """What came since the last look; also kept in `raw`."""
         *lines, self._rest = (self._rest + self.take()).split(b"\n")
         came = [decode_message(line) for line in lines]
         for message in came:
-            self.raw.append(message)
+            self.messages.append(message)
             if message.id != NO_SESSION_ID:
-                self.stage.told(message)
+                self.stage.on_message(message)
         return came
 
 
@@ -504,7 +504,7 @@
             self.node.start()
 
         self.loop.run_until_complete(begin())
-        self.loop.until(lambda: self.node.client_requests.is_ready and self.feed.look())
+        self.loop.until(lambda: self.node.client_requests.is_ready and self.feed.poll())
 
     def far_viewer(self) -> FarViewer:
         """A viewer whose connection the node has accepted."""
@@ -515,12 +515,12 @@
         self.loop.settle()
         return viewer
 
-    def look(self) -> None:
-        self.feed.look()
+    def poll(self) -> None:
+        self.feed.poll()
         for server in self.far.values():
-            server.look()
+            server.poll()
         for viewer in self.viewers:
-            viewer.look()
+            viewer.poll()
 
     def sent_to(self, id: str) -> list[str]:
         """Names of the servers that a set-up came to, one for each time."""
@@ -533,14 +533,14 @@
         self.loop.until(lambda: self.sent_to(message.id))
         return message.id, self.far[self.sent_to(message.id)[-1]].line_of(message.id)
 
-    def stands(self, viewer: FarViewer, **fields: object) -> tuple[str, FarLine]:
+    def establish_session(self, viewer: FarViewer, **fields: object) -> tuple[str, FarLine]:
         """A session that stands, answered and heard."""
         id, line = self.set_up(viewer, **fields)
         line.answer(id)
-        self.loop.until(lambda: viewer.look() is not None and id in self.answers)
+        self.loop.until(lambda: viewer.poll() is not None and id in self.answers)
         return id, line
 
-    def connecting(self, step_ms: float = 0.0) -> int:
+    def hold_next_connect(self, step_ms: float = 0.0) -> int:
         """Turns until the node is making a connection, and holds it there: its descriptor.
 
         The clock goes on by `step_ms` before each turn.
@@ -559,10 +559,10 @@
         self.loop.arrived(making[0], events=select.POLLOUT)
         return making[0]
 
-    def tally(self) -> None:
+    def check_settled(self) -> None:
         """Nothing is owed or left: ledger, servers against the host, attempts, tests, tasks, faults."""
         self.loop.settle()
-        self.look()
+        self.poll()
         core, servers = self.node.dispatcher, self.node.server_pool
         assert self.faults == [] and self.loop.faults == [], (self.faults, self.loop.faults)
         assert (
@@ -572,7 +572,9 @@
         )
         for name, server in self.far.items():
             held = set(core.sessions.sessions_playing_at(number_of(name)))
-            assert server.standing() <= held, f"{name} holds {server.standing() - held}, which nobody holds"
+            assert server.active_sessions() <= held, (
+                f"{name} holds {server.active_sessions() - held}, which nobody holds"
+            )
         for endpoint in servers.endpoints.values():
             assert not endpoint.attempts and not endpoint.health_checks and not endpoint.broken_attempts, (
                 endpoint
@@ -621,5 +623,5 @@
     """A stage whose ledger is checked at its end, then its node stopped and searched for what it left."""
     stage = Stage(servers, settings, sockets)
     yield stage
-    stage.tally()
+    stage.check_settled()
     stage.finish()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -17,40 +17,48 @@
 from fernweir.node.client_requests import ClientRequests
 from fernweir.node.frames import Frame, FrameType, ParameterCode
 from fernweir.node.jsonl import Message, encode_message
-from tests.node_scene import OFFER, PLAIN, MediaServer, Scene, Told, ViewerConnection, play
+from tests.node_scene import (
+    OFFER,
+    PLAIN,
+    MediaServer,
+    ProtocolViolation,
+    Scene,
+    ViewerConnection,
+    run_scenario,
+)
 from tests.sockets import until
 
 
 async def one_that_stands(scene: Scene) -> tuple[ViewerConnection, Message, str]:
     """A viewer, its set-up, and the server on which its session stands."""
-    viewer, wish = await scene.viewer(), scene.setup()
-    viewer.send(wish)
-    assert (await viewer.answer(wish.id)).type == "answer"
+    viewer, request = await scene.viewer(), scene.setup()
+    viewer.send(request)
+    assert (await viewer.answer(request.id)).type == "answer"
     ((name, _),) = scene.setups()
-    return viewer, wish, name
+    return viewer, request, name
 
 
 async def one_under_way(scene: Scene) -> tuple[ViewerConnection, Message, MediaServer]:
     """A viewer, its set-up, and the server that has it and says nothing yet."""
-    viewer, wish = await scene.viewer(), scene.setup()
+    viewer, request = await scene.viewer(), scene.setup()
     for server in scene.servers.values():
         server.script = ["silent"]
-    viewer.send(wish)
+    viewer.send(request)
     await until(lambda: scene.setups())
     ((name, _),) = scene.setups()
-    return viewer, wish, scene.servers[name]
+    return viewer, request, scene.servers[name]
 
 
 def test_a_session_from_its_set_up_to_its_end_on_another_connection() -> None:
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         first, second = await scene.viewer(), await scene.viewer()
         offer = OFFER + '\u00e9\U0001f3ac \\ "\t'
-        wish = scene.setup(sdp=offer)
-        first.write(encode_message(wish)[:40])
-        first.write(encode_message(wish)[40:])
-        answer = await first.answer(wish.id)
+        request = scene.setup(sdp=offer)
+        first.write(encode_message(request)[:40])
+        first.write(encode_message(request)[40:])
+        answer = await first.answer(request.id)
         ((name, frame),) = scene.setups()
-        assert answer.sdp == f"{name} {wish.id}\r\n"
+        assert answer.sdp == f"{name} {request.id}\r\n"
         assert (
             frame.text_parameter(ParameterCode.DESCRIPTION) == offer
             and frame.text_parameter(ParameterCode.TITLE) == "7f3a9c21e0b4d655"
@@ -63,39 +71,39 @@
         second.send(other)
         await second.answer(other.id)
         first.close()
-        await until(lambda: scene.node.session_ends.connection_by_session.get(wish.id) is None)
+        await until(lambda: scene.node.session_ends.connection_by_session.get(request.id) is None)
         server = scene.servers[name]
-        server.say(Frame(FrameType.RELEASE, wish.id, {ParameterCode.CAUSE: bytes((16,))}))
-        await until(lambda: wish.id in scene.ends)  # on the other's connection
-        assert scene.ends[wish.id].cause == 16 and second.raw[-1].id == wish.id
+        server.send_frame(Frame(FrameType.RELEASE, request.id, {ParameterCode.CAUSE: bytes((16,))}))
+        await until(lambda: request.id in scene.ends)  # on the other's connection
+        assert scene.ends[request.id].cause == 16 and second.messages[-1].id == request.id
         second.send(Message("release", other.id, cause=16))  # its viewer ends the other
         await until(lambda: any(one == (other.id, 16) for one in scene.servers[name].releases))
         await until(lambda: not scene.node.dispatcher.sessions.session_count)
         assert other.id not in scene.ends
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_what_played_at_the_start_is_held_steered_and_ended() -> None:
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         viewer = await scene.viewer()
         extras = "home:0;copies:4;top:3;viewer:00000000b4d65521;at:s-1"
-        wish, strange = scene.setup(left="4294967", extras=extras), scene.setup(extras=extras[:-1] + "9")
-        viewer.send(wish, wish, strange)
+        request, strange = scene.setup(left="4294967", extras=extras), scene.setup(extras=extras[:-1] + "9")
+        viewer.send(request, request, strange)
         await until(lambda: strange.id in scene.answers)  # no such server: it is over
         server = scene.servers["s-1"]
         await until(lambda: server.writers)  # the node comes to hear of its session
         note = {ParameterCode.NOTE: b"level", ParameterCode.LEVEL: b"3"}
-        server.say(Frame(FrameType.NOTE, wish.id, note))
-        held = scene.node.dispatcher.sessions.session(wish.id)
+        server.send_frame(Frame(FrameType.NOTE, request.id, note))
+        held = scene.node.dispatcher.sessions.session(request.id)
         assert held is not None
         await until(lambda: held.rung == 3)
-        scene.answers[wish.id] = Message("answer", wish.id)
-        server.say(Frame(FrameType.RELEASE, wish.id, {ParameterCode.CAUSE: bytes((41,))}))
-        await until(lambda: wish.id in scene.ends)
-        assert not scene.setups() and scene.ends[wish.id].cause == 41
+        scene.answers[request.id] = Message("answer", request.id)
+        server.send_frame(Frame(FrameType.RELEASE, request.id, {ParameterCode.CAUSE: bytes((41,))}))
+        await until(lambda: request.id in scene.ends)
+        assert not scene.setups() and scene.ends[request.id].cause == 41
 
-    play(story)
+    run_scenario(scenario)
 
 
 FAILS = ["noise", "empty", "binary", "reset", "47", "34", "102", "half"]
@@ -103,29 +111,31 @@
 
 @pytest.mark.parametrize("move", [*FAILS, "41"])
 def test_a_set_up_that_fails_is_tried_elsewhere_and_answered_once(move: str) -> None:
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         viewer = await scene.viewer()
         known = scene.setup()
         viewer.send(known)  # its title is known to play from now on
         await viewer.answer(known.id)
         ((head, _),) = scene.setups()
         scene.servers[head].script = [move]
-        wish = scene.setup()
-        viewer.send(wish)
-        assert (await viewer.answer(wish.id)).type == "answer"
-        there = [name for name, frame in scene.setups() if frame.session == wish.id]
+        request = scene.setup()
+        viewer.send(request)
+        assert (await viewer.answer(request.id)).type == "answer"
+        there = [name for name, frame in scene.setups() if frame.session == request.id]
         assert len(there) == 2 and there[0] != there[1]
         assert (await viewer.answer(known.id)).type == "answer" and known.id not in scene.ends
-        await until(lambda: wish.id not in scene.servers[head].stands)  # an answer may have been spoilt
+        await until(
+            lambda: request.id not in scene.servers[head].active_sessions
+        )  # an answer may have been spoilt
         # Its process lived all the while, so nothing may make the module think that it comes back cold.
-        assert scene.brain_server(head).is_presumed_dead is (move == "41")
+        assert scene.controller_server(head).is_presumed_dead is (move == "41")
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_connection_reset_while_new_says_nothing_of_its_server() -> None:
-    async def story(scene: Scene) -> None:
-        viewer, wish = await scene.viewer(), scene.setup()
+    async def scenario(scene: Scene) -> None:
+        viewer, request = await scene.viewer(), scene.setup()
         loop, resets = scene.node.dispatcher.loop, [2]
         connect = loop.create_connection
 
@@ -136,43 +146,43 @@
             return await connect(*args, **more)
 
         loop.create_connection = reset_first  # type: ignore[method-assign]
-        viewer.send(wish)
-        assert (await viewer.answer(wish.id)).type == "answer" and not resets[0]
-        assert not any(scene.brain_server(name).is_presumed_dead for name in scene.servers)
+        viewer.send(request)
+        assert (await viewer.answer(request.id)).type == "answer" and not resets[0]
+        assert not any(scene.controller_server(name).is_presumed_dead for name in scene.servers)
 
-    play(story)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(("broken", "lives"), [(2, True), (9, False)])
 def test_a_probe_whose_connection_breaks_is_sent_again(broken: int, lives: bool) -> None:
-    async def story(scene: Scene) -> None:
-        server, known = scene.servers["s-1"], scene.brain_server("s-1")
+    async def scenario(scene: Scene) -> None:
+        server, known = scene.servers["s-1"], scene.controller_server("s-1")
         server.pings_to_break = broken
         known.is_checking_health = True
         scene.node.server_transport.check_health(SendHealthCheck(number_of("s-1")))
         await until(lambda: not known.is_checking_health)
         assert server.pings == 3 and bool(known.consecutive_failures) is not lives
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_more_than_was_asked_for_changes_nothing() -> None:
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         viewer = await scene.viewer()
         for server in scene.servers.values():
             server.script = ["twice"] * 4
-        wishes = [scene.setup() for _ in range(4)]
-        viewer.send(*wishes)
-        for wish in wishes:
-            assert (await viewer.answer(wish.id)).type == "answer"
+        requests = [scene.setup() for _ in range(4)]
+        viewer.send(*requests)
+        for request in requests:
+            assert (await viewer.answer(request.id)).type == "answer"
         assert len(scene.setups()) == 4 and scene.node.dispatcher.sessions.session_count == 4
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_server_whose_process_ends_ends_its_sessions_and_one_that_reconnects_does_not() -> None:
-    async def story(scene: Scene) -> None:
-        _viewer, wish, name = await one_that_stands(scene)
+    async def scenario(scene: Scene) -> None:
+        _viewer, request, name = await one_that_stands(scene)
         server = scene.servers[name]
         for writer in server.writers:
             writer.transport.abort()
@@ -180,15 +190,18 @@
         await until(lambda: server.writers)  # the node comes back to hear
         assert scene.node.dispatcher.sessions.session_count == 1
         server.die()
-        await until(lambda: wish.id in scene.ends)
-        assert scene.brain_server(name).is_presumed_dead and not scene.node.dispatcher.sessions.session_count
+        await until(lambda: request.id in scene.ends)
+        assert (
+            scene.controller_server(name).is_presumed_dead
+            and not scene.node.dispatcher.sessions.session_count
+        )
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_machine_that_says_nothing_any_more_is_lost_and_its_viewers_hear() -> None:
-    async def story(scene: Scene) -> None:
-        viewer, wish, name = await one_that_stands(scene)
+    async def scenario(scene: Scene) -> None:
+        viewer, request, name = await one_that_stands(scene)
         silent, loop = scene.servers[name], scene.node.dispatcher.loop
         silent.script = ["34"]
         viewer.send(other := scene.setup())
@@ -199,83 +212,89 @@
             return await (asyncio.Event().wait() if there == silent.address else connect(made, *there))
 
         loop.create_connection = cut_off  # type: ignore[method-assign,assignment]
-        await until(lambda: wish.id in scene.ends)
-        assert scene.ends[wish.id].cause == 41 and scene.brain_server(name).is_presumed_dead
+        await until(lambda: request.id in scene.ends)
+        assert scene.ends[request.id].cause == 41 and scene.controller_server(name).is_presumed_dead
         assert other.id not in scene.ends and scene.node.dispatcher.sessions.session_count == 1
         viewer.send(third := scene.setup())
         assert (await viewer.answer(third.id)).type == "answer"
         assert len(silent.setups) == 2
 
-    play(story, settings=replace(PLAIN, report_interval_ms=200.0, report_delay_ms=100.0))
+    run_scenario(scenario, settings=replace(PLAIN, report_interval_ms=200.0, report_delay_ms=100.0))
 
 
 @pytest.mark.parametrize("late_s", [0.6, 5.0])  # past the attempt's time-out; past the viewer's deadline
 def test_an_answer_and_the_end_of_its_time_in_one_tick_make_one_answer(late_s: float) -> None:
-    async def story(scene: Scene) -> None:
-        viewer, wish, server = await one_under_way(scene)
+    async def scenario(scene: Scene) -> None:
+        viewer, request, server = await one_under_way(scene)
         loop = scene.node.dispatcher.loop
         time = loop.time
-        server.finish(wish.id)  # lies in the node's socket while all its timers come due
+        server.finish(request.id)  # lies in the node's socket while all its timers come due
         loop.time = lambda: time() + late_s  # type: ignore[method-assign]
-        assert (await viewer.answer(wish.id)).type == "answer"
+        assert (await viewer.answer(request.id)).type == "answer"
         assert len(scene.setups()) == 1 and not server.releases
         assert (
             scene.node.dispatcher.sessions.session_count == 1 and not scene.node.client_requests.open_requests
         )
 
-    play(story)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("first", ["viewer", "server"])
 def test_a_give_up_that_crosses_the_answer_leaves_nothing_at_the_server(first: str) -> None:
-    async def story(scene: Scene) -> None:
-        viewer, wish, server = await one_under_way(scene)
-        says = [lambda: viewer.send(Message("release", wish.id, cause=16)), lambda: server.finish(wish.id)]
+    async def scenario(scene: Scene) -> None:
+        viewer, request, server = await one_under_way(scene)
+        says = [
+            lambda: viewer.send(Message("release", request.id, cause=16)),
+            lambda: server.finish(request.id),
+        ]
         for say in says if first == "viewer" else reversed(says):
             say()
-        await until(lambda: (wish.id, 16) in server.releases)
-        assert not scene.node.dispatcher.sessions.session_count and wish.id not in scene.ends
+        await until(lambda: (request.id, 16) in server.releases)
+        assert not scene.node.dispatcher.sessions.session_count and request.id not in scene.ends
         assert len(scene.setups()) == 1 and not scene.node.client_requests.open_requests
 
-    play(story)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("first", ["viewer", "server"])
 def test_an_end_by_both_sides_in_one_tick_is_no_mistake_of_the_viewer(first: str) -> None:
-    async def story(scene: Scene) -> None:
-        viewer, wish, name = await one_that_stands(scene)
+    async def scenario(scene: Scene) -> None:
+        viewer, request, name = await one_that_stands(scene)
         server = scene.servers[name]
-        end = Frame(FrameType.RELEASE, wish.id, {ParameterCode.CAUSE: bytes((16,))})
-        says = [lambda: viewer.send(Message("release", wish.id, cause=16)), lambda: server.say(end)]
+        end = Frame(FrameType.RELEASE, request.id, {ParameterCode.CAUSE: bytes((16,))})
+        says = [lambda: viewer.send(Message("release", request.id, cause=16)), lambda: server.send_frame(end)]
         for say in says if first == "viewer" else reversed(says):
             say()
         await until(lambda: not scene.node.dispatcher.sessions.session_count)
         viewer.send(Message("ping", "0" * 15 + "1", cause=0))
-        await until(lambda: any(one.type == "pong" for one in viewer.raw))
-        assert all(one.cause == 16 for one in viewer.raw if one.type == "release")
+        await until(lambda: any(one.type == "pong" for one in viewer.messages))
+        assert all(one.cause == 16 for one in viewer.messages if one.type == "release")
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_an_answer_after_its_time_out_and_the_end_behind_it_change_nothing() -> None:
-    async def story(scene: Scene) -> None:
-        viewer, wish, server = await one_under_way(scene)
-        answer = Frame(FrameType.ANSWER, wish.id, {ParameterCode.DESCRIPTION: b"late\r\n"})
-        server.parting = [answer, Frame(FrameType.RELEASE, wish.id, {ParameterCode.CAUSE: bytes((16,))})]
+    async def scenario(scene: Scene) -> None:
+        viewer, request, server = await one_under_way(scene)
+        answer = Frame(FrameType.ANSWER, request.id, {ParameterCode.DESCRIPTION: b"late\r\n"})
+        server.frames_on_eof = [
+            answer,
+            Frame(FrameType.RELEASE, request.id, {ParameterCode.CAUSE: bytes((16,))}),
+        ]
         await until(lambda: len(scene.setups()) == 2)  # elsewhere
-        second = next(one for one in scene.servers.values() if one.out)
+        second = next(one for one in scene.servers.values() if one.open_set_ups)
         await until(lambda: not server.writers)  # the late words were written before its connection ended
-        second.finish(wish.id)
-        assert (await viewer.answer(wish.id)).sdp == f"{second.name} {wish.id}\r\n"
+        second.finish(request.id)
+        assert (await viewer.answer(request.id)).sdp == f"{second.name} {request.id}\r\n"
         await until(lambda: not scene.node.server_pool.endpoints[number_of(server.name)].connections)
-        assert scene.node.dispatcher.sessions.session_count == 1 and wish.id not in scene.ends
+        assert scene.node.dispatcher.sessions.session_count == 1 and request.id not in scene.ends
 
-    play(story)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("how", ["parting", "reset"])
 def test_an_end_that_crosses_the_close_of_its_connection_is_heard(how: str) -> None:
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         viewer = await scene.viewer()
         stands, late = scene.setup(), scene.setup()
         viewer.send(stands)
@@ -285,60 +304,60 @@
         end = Frame(FrameType.RELEASE, stands.id, {ParameterCode.CAUSE: bytes((16,))})
         server.script = ["silent"]
         viewer.send(late)  # on the same connection: it times out, which closes that
-        await until(lambda: late.id in server.out)
+        await until(lambda: late.id in server.open_set_ups)
         if how == "parting":
-            server.parting = [end]
+            server.frames_on_eof = [end]
         else:
-            server.out.clear()
-            server.unheard = [end]
+            server.open_set_ups.clear()
+            server.frames_on_connect = [end]
             server.writers[0].transport.abort()
         await until(lambda: stands.id in scene.ends)
         assert (await viewer.answer(late.id)).type == "answer"
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_viewer_who_gives_up_is_owed_nothing_and_its_attempt_is_released() -> None:
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         viewer = await scene.viewer()
         for server in scene.servers.values():
             server.script = ["silent"] * 200
-        wishes = [scene.setup() for _ in range(40)]
-        viewer.send(*wishes)
+        requests = [scene.setup() for _ in range(40)]
+        viewer.send(*requests)
         await until(lambda: scene.setups())
-        viewer.send(*(Message("release", wish.id, cause=16) for wish in wishes))  # in one read
+        viewer.send(*(Message("release", request.id, cause=16) for request in requests))  # in one read
         await until(lambda: not scene.node.dispatcher.sessions.session_count)
-        await until(lambda: not any(server.out for server in scene.servers.values()))
+        await until(lambda: not any(server.open_set_ups for server in scene.servers.values()))
         assert not scene.answers and not scene.node.client_requests.open_requests
 
-    play(story)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("end", ["answer", "34", "47"])
 def test_a_viewer_that_only_ends_its_side_is_answered_by_what_is_out_and_nothing_begins(end: str) -> None:
-    async def story(scene: Scene) -> None:
-        viewer, wish, server = await one_under_way(scene)
+    async def scenario(scene: Scene) -> None:
+        viewer, request, server = await one_under_way(scene)
         viewer._writer.write_eof()
         (near,) = scene.node.client_listener.connections
         await until(lambda: near.state.phase is ClientConnectionPhase.HALF_CLOSED)
-        server.play(end, wish.id, server.out[wish.id])
-        assert (await viewer.answer(wish.id)).type == ("answer" if end == "answer" else "release")
+        server.perform(end, request.id, server.open_set_ups[request.id])
+        assert (await viewer.answer(request.id)).type == ("answer" if end == "answer" else "release")
         await until(lambda: viewer.closed)  # told at once that this was all
         assert scene.node.dispatcher.sessions.session_count == (end == "answer") and len(scene.setups()) == 1
-        assert end == "answer" or viewer.raw[0].cause == 34
+        assert end == "answer" or viewer.messages[0].cause == 34
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_viewer_whose_connection_breaks_takes_its_open_set_ups_along() -> None:
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         viewer, _wish, _server = await one_under_way(scene)
         reset(viewer._writer.transport)  # type: ignore[arg-type]
         await until(lambda: not scene.node.dispatcher.sessions.session_count)
         assert len(scene.setups()) == 1
-        await until(lambda: not any(server.out for server in scene.servers.values()))
+        await until(lambda: not any(server.open_set_ups for server in scene.servers.values()))
 
-    play(story)
+    run_scenario(scenario)
 
 
 BAD = [
@@ -375,27 +394,27 @@
 
 
 def test_bad_requests_are_answered_or_closed_and_touch_nobody_else() -> None:
-    async def story(scene: Scene) -> None:
-        honest, wish, server = await one_under_way(scene)
+    async def scenario(scene: Scene) -> None:
+        honest, request, server = await one_under_way(scene)
         for data in BAD:
             bad = await scene.viewer()
             bad.write(data)
-            await until(lambda bad=bad: bad.raw or bad.closed)
-            assert all(message.type == "release" for message in bad.raw)
+            await until(lambda bad=bad: bad.messages or bad.closed)
+            assert all(message.type == "release" for message in bad.messages)
             scene.answers.clear()
         for fields in FIELDS:
             bad, wrong = await scene.viewer(), scene.setup(**fields)
             bad.send(wrong)
-            await until(lambda bad=bad: bad.raw or bad.closed)
-            assert [(message.type, message.id) for message in bad.raw] == [("release", wrong.id)]
-        server.finish(wish.id)
-        assert (await honest.answer(wish.id)).type == "answer"
+            await until(lambda bad=bad: bad.messages or bad.closed)
+            assert [(message.type, message.id) for message in bad.messages] == [("release", wrong.id)]
+        server.finish(request.id)
+        assert (await honest.answer(request.id)).type == "answer"
 
-    play(story, settings=PLAIN)
+    run_scenario(scenario, settings=PLAIN)
 
 
 def test_the_id_of_an_open_request_gets_one_answer_and_never_a_mixed_one() -> None:
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         viewer, thief = await scene.viewer(), await scene.viewer()
         for server in scene.servers.values():
             server.script = ["silent"] * 2
@@ -408,22 +427,24 @@
         liar = await scene.viewer()
         liar.send(doubled, scene.setup(doubled.id, sdp="other"))
         assert (await liar.answer(doubled.id)).type == "release"
-        await until(lambda: doubled.id not in [id for server in scene.servers.values() for id in server.out])
-        ((server, writer),) = [(s, w) for s in scene.servers.values() for w in s.out.values()]
-        server.play("answer", stolen.id, writer)
+        await until(
+            lambda: doubled.id not in [id for server in scene.servers.values() for id in server.open_set_ups]
+        )
+        ((server, writer),) = [(s, w) for s in scene.servers.values() for w in s.open_set_ups.values()]
+        server.perform("answer", stolen.id, writer)
         assert (await viewer.answer(stolen.id)).type == "answer"
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_an_honest_connection_survives_its_rare_mistakes() -> None:
-    async def story(scene: Scene) -> None:
-        viewer, wish, server = await one_under_way(scene)
+    async def scenario(scene: Scene) -> None:
+        viewer, request, server = await one_under_way(scene)
         for _ in range(5):  # with a request open none of them ends it
             viewer.send(wrong := scene.setup(left="0"))
             assert (await viewer.answer(wrong.id)).type == "release"
-        server.finish(wish.id)
-        assert (await viewer.answer(wish.id)).type == "answer" and not viewer.closed
+        server.finish(request.id)
+        assert (await viewer.answer(request.id)).type == "answer" and not viewer.closed
         for number in range(3):  # nor do some of them, far apart
             viewer.send(wrong := scene.setup(left="0"))
             assert (await viewer.answer(wrong.id)).type == "release"
@@ -432,16 +453,16 @@
         viewer.send(*(scene.setup(left="0") for _ in range(3)))
         await until(lambda: viewer.closed)
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_silent_connections_leave_room_for_those_who_speak() -> None:
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         crowd = [await scene.viewer() for _ in range(60)]
         honest = await scene.viewer()
-        wish = scene.setup()
-        honest.send(wish)
-        assert (await honest.answer(wish.id)).type == "answer"
+        request = scene.setup()
+        honest.send(request)
+        assert (await honest.answer(request.id)).type == "answer"
         more = [await scene.viewer() for _ in range(60)]
         await until(lambda: sum(one.closed for one in crowd) >= 29)
         other = scene.setup()
@@ -451,13 +472,13 @@
         for one in crowd + more:
             one.close()
 
-    play(story, sockets=64)
+    run_scenario(scenario, sockets=64)
 
 
 def test_a_drain_is_obeyed_and_a_feed_that_breaks_is_asked_again_from_its_last() -> None:
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         await until(lambda: scene.feed.asked == [1])
-        viewer, wish, name = await one_that_stands(scene)
+        viewer, request, name = await one_that_stands(scene)
         members = {"index": 2, "snapshot": False, "endpoints": [scene.line(name, "draining")]}
         half = json.dumps({"n": 2, "members": members}).encode()
         scene.feed.events.append({"n": 2, "members": members})
@@ -465,22 +486,22 @@
         scene.feed.writers[-1].close()
         await until(lambda: scene.node.feed.last_sequence_number == 2)
         assert scene.feed.asked == [1, 1]
-        scene.feed.tell(scene.feed.events[0])  # told twice
-        scene.feed.tell(2)
-        scene.feed.tell(9)  # something is missing
+        scene.feed.send_event(scene.feed.events[0])  # told twice
+        scene.feed.send_event(2)
+        scene.feed.send_event(9)  # something is missing
         await until(lambda: len(scene.feed.asked) == 3)
         assert scene.feed.asked[-1] == 2
         for _ in range(5):
-            wish = scene.setup()
-            viewer.send(wish)
-            assert (await viewer.answer(wish.id)).type == "answer"
+            request = scene.setup()
+            viewer.send(request)
+            assert (await viewer.answer(request.id)).type == "answer"
         assert len(scene.servers[name].setups) == 1
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_new_feed_address_is_used_and_an_unreadable_file_is_not() -> None:
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         await until(lambda: scene.feed.asked == [1])
         scene.node._environment = {"ROUTER_CONFIG": "/nowhere/config.json"}
         scene.node.reload()
@@ -497,34 +518,34 @@
         await until(lambda: scene.node.feed.last_sequence_number >= 2)
         assert other.asked[-1] == 1
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_after_sigterm_what_comes_is_refused_at_once_and_what_was_taken_is_answered() -> None:
-    async def story(scene: Scene) -> None:
-        viewer, wish, server = await one_under_way(scene)
+    async def scenario(scene: Scene) -> None:
+        viewer, request, server = await one_under_way(scene)
         scene.node.terminate()
         late = scene.setup()
         other = await scene.viewer()  # new connections keep coming
         other.send(Message("ping", "0" * 15 + "1", cause=0), late)
         assert (await other.answer(late.id)).cause == 34
-        assert other.raw[0].type == "pong" and other.raw[0].cause == 0
-        server.finish(wish.id)
-        assert (await viewer.answer(wish.id)).type == "answer"
+        assert other.messages[0].type == "pong" and other.messages[0].cause == 0
+        server.finish(request.id)
+        assert (await viewer.answer(request.id)).type == "answer"
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_a_server_at_the_address_of_a_gone_one_takes_nothing_of_its_sessions() -> None:
-    async def story(scene: Scene) -> None:
-        _viewer, wish, name = await one_that_stands(scene)
+    async def scenario(scene: Scene) -> None:
+        _viewer, request, name = await one_that_stands(scene)
         old = scene.servers[name]
         successor = scene.line(name) | {"name": "s-new"}
         scene.feed.add({"index": 2, "snapshot": False, "endpoints": [scene.line(name, "removed"), successor]})
         await until(lambda: scene.node.feed.last_sequence_number == 2)
         for writer in old.writers:
             writer.transport.abort()
-        await until(lambda: wish.id in scene.ends)
+        await until(lambda: request.id in scene.ends)
         await until(lambda: number_of(name) not in scene.node.server_pool.endpoints)
         unused = next(one for one in scene.servers if number_of(one) not in scene.node.server_pool.endpoints)
         scene.feed.add({"index": 3, "snapshot": False, "endpoints": [scene.line(unused, "removed")]})
@@ -536,13 +557,13 @@
                 and number not in scene.node.dispatcher.sessions.endpoint_states
             )
 
-    play(story)
+    run_scenario(scenario)
 
 
 def test_two_nodes_with_other_seeds_and_histories_place_a_title_alike() -> None:
     heads: list[list[str]] = []
 
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         if heads:  # the second has another seed, and heard of its servers in another order
             scene.node.shutdown()
             names = dict(reversed(scene.servers.items()))
@@ -554,15 +575,15 @@
             await until(lambda: scene.node.client_requests.is_ready)
         viewer, found = await scene.viewer(), []
         for title in range(12):
-            wish = scene.setup(key=f"{title:016x}")
-            viewer.send(wish)
-            await viewer.answer(wish.id)
-            (name,) = [name for name, frame in scene.setups() if frame.session == wish.id]
+            request = scene.setup(key=f"{title:016x}")
+            viewer.send(request)
+            await viewer.answer(request.id)
+            (name,) = [name for name, frame in scene.setups() if frame.session == request.id]
             found.append(name)
         heads.append(found)
 
-    play(story, servers=4)
-    play(story, servers=4)
+    run_scenario(scenario, servers=4)
+    run_scenario(scenario, servers=4)
     assert heads[0] == heads[1] and len(set(heads[0])) > 1
 
 
@@ -576,13 +597,13 @@
 
     monkeypatch.setattr(ClientRequests, "_on_reply", twice)
 
-    async def story(scene: Scene) -> None:
-        viewer, wish = await scene.viewer(), scene.setup()
-        viewer.send(wish)
-        await until(lambda: len(viewer.raw) == 2)
+    async def scenario(scene: Scene) -> None:
+        viewer, request = await scene.viewer(), scene.setup()
+        viewer.send(request)
+        await until(lambda: len(viewer.messages) == 2)
 
-    with pytest.raises(Told):
-        play(story)
+    with pytest.raises(ProtocolViolation):
+        run_scenario(scenario)
 
 
 @pytest.mark.parametrize("seed", range(16))
@@ -591,7 +612,7 @@
     draw = Random(seed)
     moves = ["answer"] * 4 + ["silent", "twice", *FAILS]
 
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         viewers = [await scene.viewer() for _ in range(3)]
         waits: dict[str, ViewerConnection] = {}  # requests that are owed an answer
         given_up: set[str] = set()
@@ -599,12 +620,12 @@
 
         async def step() -> None:
             server, what = draw.choice(servers), draw.randrange(12)
-            out, stands = sorted(server.out), sorted(server.stands)
+            out, stands = sorted(server.open_set_ups), sorted(server.active_sessions)
             if what < 5:
                 server.script.append(draw.choice(moves))
-                viewer, wish = draw.choice(viewers), scene.setup(key=f"{draw.randrange(9):016x}")
-                waits[wish.id] = viewer
-                viewer.send(wish)
+                viewer, request = draw.choice(viewers), scene.setup(key=f"{draw.randrange(9):016x}")
+                waits[request.id] = viewer
+                viewer.send(request)
             elif what == 5 and waits:
                 given_up.add(tired := draw.choice(sorted(waits)))
                 waits.pop(tired).send(Message("release", tired, cause=16))
@@ -612,11 +633,11 @@
                 server.finish(draw.choice(out))
             elif what == 7 and stands:
                 over = draw.choice(stands)
-                server.stands.remove(over)
+                server.active_sessions.remove(over)
                 end = Frame(FrameType.RELEASE, over, {ParameterCode.CAUSE: bytes((16,))})
-                server.unheard.append(end)
+                server.frames_on_connect.append(end)
                 for writer in server.writers[-1:]:
-                    server.say(end, writer)
+                    server.send_frame(end, writer)
             elif what == 8 and server.writers:
                 draw.choice(server.writers).transport.abort()
             elif what == 9 and (both := [id for id in out if id in waits]):
@@ -629,10 +650,10 @@
                 for id in [id for id, viewer in waits.items() if viewer is gone]:
                     del waits[id]
                 viewers.append(await scene.viewer())
-            elif what == 11 and server.refused:  # a second copy, late: its session may be tried again here
-                again, writer = server.refused[-1]
+            elif what == 11 and server.refusals:  # a second copy, late: its session may be tried again here
+                again, writer = server.refusals[-1]
                 if not writer.transport.is_closing():
-                    server.say(again, writer)
+                    server.send_frame(again, writer)
             for _ in range(draw.randrange(3)):
                 await asyncio.sleep(0)
 
@@ -644,15 +665,15 @@
             lambda: waits.keys() <= scene.answers.keys() and not scene.node.client_requests.open_requests
         )
         held = scene.node.dispatcher.sessions.records
-        await until(lambda: {*held()} == {id for server in servers for id in server.stands})
+        await until(lambda: {*held()} == {id for server in servers for id in server.active_sessions})
         await until(lambda: not given_up & held().keys())
-        assert not any(server.out for server in servers)
+        assert not any(server.open_set_ups for server in servers)
 
-    play(story, servers=1 + seed % 3)  # few: a session's next attempt may go to the same one
+    run_scenario(scenario, servers=1 + seed % 3)  # few: a session's next attempt may go to the same one
 
 
 def test_a_reader_who_does_not_read_is_let_go() -> None:
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         _, writer = await asyncio.open_connection(*scene.node.client_listener.address)
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         ping = encode_message(Message("ping", "0" * 15 + "1", cause=0)) * 2000
@@ -665,4 +686,4 @@
         await until(lambda: not len(scene.node.client_listener.admission))
         writer.close()
 
-    play(story)
+    run_scenario(scenario)
--- a/tests/test_node_crossing.py
+++ b/tests/test_node_crossing.py
@@ -11,30 +11,30 @@
 def test_a_stage_plays_a_session_from_its_set_up_to_its_end() -> None:
     with staged() as stage:
         viewer = stage.far_viewer()
-        id, line = stage.stands(viewer)
+        id, line = stage.establish_session(viewer)
         assert stage.answers[id].type == "answer"
         line.release(id, 16)
-        stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
+        stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
 
 
 def test_a_set_up_out_at_a_server_taken_for_lost_is_given_up_there_before_the_next() -> None:
     """It may only be cut off, and run what it was sent: two would be out at once."""
     with staged(2) as stage:
         loop, viewer = stage.loop, stage.far_viewer()
-        first, home = stage.stands(viewer)
+        first, home = stage.establish_session(viewer)
         loop.advance(2_400)  # short of the silence that a server is given
         for _ in range(2):  # each look's connection is not seen to come up
-            stage.connecting(step_ms=10.0)
+            stage.hold_next_connect(step_ms=10.0)
         id, out = stage.set_up(viewer)
         assert out.server is home.server and not stage.ends
         while "server lost" not in stage.log.getvalue():
             loop.jump(10.0)
             loop.turn()
         loop.until(lambda: len(stage.sent_to(id)) == 2)
-        out.look()
-        assert [one.type for one in out.heard if one.session == id] == [FrameType.SETUP, FrameType.RELEASE]
+        out.poll()
+        assert [one.type for one in out.received if one.session == id] == [FrameType.SETUP, FrameType.RELEASE]
         stage.far[stage.sent_to(id)[0]].line_of(id).answer(id)
-        loop.until(lambda: viewer.look() is not None and id in stage.answers and first in stage.ends)
+        loop.until(lambda: viewer.poll() is not None and id in stage.answers and first in stage.ends)
         home.ended.add(first)  # its machine is gone, and what played there
 
 
@@ -43,9 +43,9 @@
     with staged() as stage:
         loop, viewer, message = stage.loop, stage.far_viewer(), stage.setup()
         viewer.send(message)
-        fd = stage.connecting()
+        fd = stage.hold_next_connect()
         viewer.end()
-        loop.until(lambda: viewer.look() is not None and message.id in stage.answers)
+        loop.until(lambda: viewer.poll() is not None and message.id in stage.answers)
         assert (stage.answers[message.id].type, stage.answers[message.id].cause) == ("release", 34)
         loop.selected.held.discard(fd)
         loop.settle()
@@ -69,7 +69,7 @@
         stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
         (again,) = {stage.far[name].line_of(id) for name in stage.sent_to(id)} - {line}
         again.answer(id)
-        stage.loop.until(lambda: viewer.look() is not None and id in stage.answers)
+        stage.loop.until(lambda: viewer.poll() is not None and id in stage.answers)
         assert stage.answers[id].type == "answer"
         stage.node.reload()  # of a configuration that can't be read
         stage.node.terminate()
--- a/tests/test_node_crossing_feed.py
+++ b/tests/test_node_crossing_feed.py
@@ -34,7 +34,7 @@
 def opening(stage: Stage) -> None:
     """The feed's connection breaks and the next one has just been begun."""
     stage.loop.settle()
-    stage.feed.look()[-1].reset()
+    stage.feed.poll()[-1].reset()
     stage.loop.until(lambda: "feed connection ended" in stage.log.getvalue())
     stage.loop.jump(80.0)  # the first pause is 75 ms at most
     stage.loop.until(lambda: connecting(stage))
@@ -43,7 +43,7 @@
 def live(*feeds: FarFeed) -> list[tuple[Far, bytes]]:
     """Connections that are open at both ends, with what was asked on them."""
     for feed in feeds:
-        feed.look()
+        feed.poll()
     return [
         (line, asked)
         for feed in feeds
@@ -74,7 +74,7 @@
     with staged() as stage:
         opening(stage)
         stage.loop.turn(turns)
-        stage.feed.look()[-1].reset()
+        stage.feed.poll()[-1].reset()
         stage.loop.advance(1_000)
         follows(stage, stage.feed)
 
@@ -107,7 +107,7 @@
         other = FarFeed()
         for _ in range(times):  # in one turn
             stage.node.endpoint_watcher.change_address(other.address)
-        for line in stage.feed.look():  # what the old one still says
+        for line in stage.feed.poll():  # what the old one still says
             if not line.over:
                 line.write(said(change(stage, 2, "removed")))
         stage.loop.settle()
@@ -122,7 +122,7 @@
     with staged() as stage:
         stage.loop.settle()
         other, (ours, theirs) = FarFeed(), socket.socketpair()
-        old = stage.feed.look()[-1]
+        old = stage.feed.poll()[-1]
         stage.loop.add_reader(
             ours,
             lambda: (
@@ -145,7 +145,7 @@
 def test_a_feed_that_moves_in_the_turn_in_which_a_retry_is_due_is_asked_once(after: float) -> None:
     with staged() as stage:
         stage.loop.settle()
-        stage.feed.look()[-1].end()
+        stage.feed.poll()[-1].end()
         stage.loop.until(lambda: "feed connection ended" in stage.log.getvalue())
         (retry,) = [one for one in stage.loop.due() if "EndpointWatcher" in repr(one)]
         other = FarFeed()
@@ -153,7 +153,7 @@
         stage.loop.jump(80.0)  # both are due, and run in one turn
         stage.loop.advance(3_000)
         for feed in (stage.feed, other):
-            assert not [line for line in feed.look()[:-1] if not line.over]
+            assert not [line for line in feed.poll()[:-1] if not line.over]
         follows(stage, other)
         other.close()
 
@@ -192,7 +192,7 @@
         )
         fresh.change_address(other.address)
         stage.loop.advance(1_000)
-        assert other.look() == []
+        assert other.poll() == []
         fresh.start()
         stage.loop.settle()
         assert len(live(other)) == 1
@@ -210,28 +210,28 @@
 ) -> None:
     with staged() as stage:
         stage.loop.settle()
-        line = stage.feed.look()[-1]
+        line = stage.feed.poll()[-1]
         line.write(b"1\n" + start)
         for _ in range(4):
             stage.loop.advance(490)
             if not line.over:
                 line.write(word)
-            stage.feed.look()
+            stage.feed.poll()
         stage.loop.settle()
-        assert len(stage.feed.look()) == 2
+        assert len(stage.feed.poll()) == 2
         follows(stage, stage.feed)
 
 
 def test_the_last_number_each_second_is_enough_even_in_two_pieces() -> None:
     with staged() as stage:
         stage.loop.settle()
-        line = stage.feed.look()[-1]
+        line = stage.feed.poll()[-1]
         for _ in range(20):
             line.write(b"1")
             stage.loop.advance(500)
             line.write(b"\n")
             stage.loop.advance(500)
-        assert len(stage.feed.look()) == 1
+        assert len(stage.feed.poll()) == 1
         follows(stage, stage.feed)
 
 
@@ -243,7 +243,7 @@
         watcher = stage.node.endpoint_watcher
         apply = watcher.apply_update
         watcher.apply_update = lambda update: (told.append(update.version), apply(update))[1]  # type: ignore
-        line, event = stage.feed.look()[-1], said(change(stage, 2))
+        line, event = stage.feed.poll()[-1], said(change(stage, 2))
         line.write(event[:40])
         stage.loop.settle()
         if end != "silence":
@@ -274,7 +274,7 @@
         for tries in (1, 2, 3):
             stage.loop.until(lambda: connecting(stage))
             stage.loop.selected.held = set(connecting(stage))
-            other.look()
+            other.poll()
             assert len(other.lines) == tries and len(live(stage.feed, other)) == 1
             stage.loop.advance(1_000)
             stage.loop.selected.held = set()
@@ -411,9 +411,9 @@
 def test_a_server_that_went_and_came_back_before_a_start_can_be_reached() -> None:
     stage = Knowing({"status": "removed"}, {"since_ms": 1_000})
     assert stage.node.dispatcher.sessions.endpoint_states.keys() == stage.node.feed.addresses.keys() != set()
-    stage.stands(stage.far_viewer())
-    assert len(stage.feed.look()) == 1 and stage.feed.asked == [b"SUB 3\n"]
-    stage.tally()
+    stage.establish_session(stage.far_viewer())
+    assert len(stage.feed.poll()) == 1 and stage.feed.asked == [b"SUB 3\n"]
+    stage.check_settled()
     stage.finish()
 
 
@@ -425,7 +425,7 @@
         stage.node.feed.last_sequence_number == 3
         and stage.log.getvalue().count("known events partially applied") == 1
     )
-    stage.tally()
+    stage.check_settled()
     stage.finish()
     with pytest.raises(FeedError):  # what is missing can't be known of
         list(EndpointFeed(("box",), 0.0).apply_known_events(({"n": 1}, {"n": 3}), 3))
@@ -457,7 +457,7 @@
     def open(self) -> list[tuple[int, Far, bytes]]:
         """Connections of the newest address that have asked and are told what comes."""
         feed = self.feeds[-1]
-        feed.look()
+        feed.poll()
         pairs = zip(feed.lines, feed.asked, strict=True)
         return [
             (id(line), line, asked)
@@ -531,7 +531,7 @@
             if connecting(self.stage):
                 break
         loop.turn(self.dice.randrange(4))
-        if self.dice.random() < 0.7 and (lines := [one for one in feed.look() if not one.over]):
+        if self.dice.random() < 0.7 and (lines := [one for one in feed.poll() if not one.over]):
             lines[-1].reset()
         elif self.dice.random() < 0.5:
             self.stage.node.endpoint_watcher.change_address(feed.address)
--- a/tests/test_node_crossing_lost.py
+++ b/tests/test_node_crossing_lost.py
@@ -34,7 +34,7 @@
     with staged(servers=2 if who == "node" else 1) as stage:
         viewer = stage.far_viewer()
         id, line = half_answered(stage, viewer)
-        stage.connecting()  # to hear whether its server lives
+        stage.hold_next_connect()  # to hear whether its server lives
         if who == "viewer":
             viewer.send(Message("release", id, cause=16))
             stage.loop.until(lambda: not stage.node.dispatcher.sessions.session_count)
@@ -44,14 +44,14 @@
             new = next(one for one in stage.far.values() if one is not line.server).line_of(id)
             new.answer(id)
             answered(stage, viewer, id)
-        assert id in line.server.stood
+        assert id in line.server.answered_sessions
         stage.loop.advance(1_000.0)
         stage.loop.until(lambda: id in line.server.released)
 
 
 def reset_while_new(stage: Stage, line: FarLine) -> None:
     """The next connection to that server comes up and breaks before the node sees it: somebody listens."""
-    fd = stage.connecting()
+    fd = stage.hold_next_connect()
     new = line.server.accept()
     assert new is not None
     new.reset()
@@ -67,7 +67,10 @@
         reset_while_new(stage, line)
         (endpoint,) = stage.node.server_pool.endpoints.values()
         stage.loop.until(lambda: endpoint.release_queue.pending_releases)
-        first, _ = stage.connecting(), stage.connecting()  # for the release, and the set-up that follows it
+        first, _ = (
+            stage.hold_next_connect(),
+            stage.hold_next_connect(),
+        )  # for the release, and the set-up that follows it
         assert (
             not endpoint.attempts[id].is_written
             and endpoint.attempts[id].connection is endpoint.connections[1]
@@ -84,7 +87,7 @@
         viewer = stage.far_viewer()
         (tired, idle), (other, busy) = stage.set_up(viewer), stage.set_up(viewer)
         id, line = half_answered(stage, viewer)
-        fd = stage.connecting()
+        fd = stage.hold_next_connect()
         viewer.send(Message("release", tired, cause=16))
         stage.loop.until(lambda: tired in line.server.released)
         (endpoint,) = stage.node.server_pool.endpoints.values()
@@ -98,7 +101,10 @@
         stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
         let_go(stage, fd)
         stage.loop.settle()
-        assert [one.type for one in idle.heard if one.session == id] == [FrameType.RELEASE, FrameType.SETUP]
+        assert [one.type for one in idle.received if one.session == id] == [
+            FrameType.RELEASE,
+            FrameType.SETUP,
+        ]
         idle.answer(id)
         answered(stage, viewer, id)
         busy.answer(other)
@@ -109,7 +115,7 @@
     """Two looks' connections never come up, the clock going on; the open ones are silent."""
     stage.loop.advance(2_400.0)  # short of the silence that a server is given
     for _ in range(2):
-        stage.connecting(step_ms=10.0)
+        stage.hold_next_connect(step_ms=10.0)
     while "server lost" not in stage.log.getvalue():
         stage.loop.jump(10.0)
         stage.loop.turn()
@@ -119,46 +125,46 @@
     """It may have been cut off only, and its sessions were told over."""
     with staged() as stage:
         viewer = stage.far_viewer()
-        id, line = stage.stands(viewer)
+        id, line = stage.establish_session(viewer)
         lost(stage)
-        stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
+        stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         stage.loop.advance(1_000.0)
-        assert len(line.server.lines) == 1 and id in line.server.standing()  # nothing is made for it
-        wish, new = stage.set_up(viewer)
-        assert id in {one.session for one in new.heard if one.type is FrameType.RELEASE}
-        new.answer(wish)
-        answered(stage, viewer, wish)
+        assert len(line.server.lines) == 1 and id in line.server.active_sessions()  # nothing is made for it
+        request, new = stage.set_up(viewer)
+        assert id in {one.session for one in new.received if one.type is FrameType.RELEASE}
+        new.answer(request)
+        answered(stage, viewer, request)
 
 
 def test_nothing_new_goes_on_the_connections_of_a_server_taken_for_lost() -> None:
     """Its machine may be another by now; a connection of before tells that by a set-up's time-out."""
     with staged() as stage:
         viewer = stage.far_viewer()
-        id, line = stage.stands(viewer)
+        id, line = stage.establish_session(viewer)
         lost(stage)
-        stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
+        stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         line.ended.add(id)
         stage.loop.advance(1_000.0)
-        wish, new = stage.set_up(viewer)
+        request, new = stage.set_up(viewer)
         assert new is not line
-        new.answer(wish)
-        answered(stage, viewer, wish)
+        new.answer(request)
+        answered(stage, viewer, request)
 
 
 def test_nothing_new_goes_on_connections_from_before_a_servers_start() -> None:
     with staged() as stage:
         viewer = stage.far_viewer()
-        id, line = stage.stands(viewer)
+        id, line = stage.establish_session(viewer)
         line.ended.add(id)
         stage.loop.advance(100.0)
         started = stage.loop.clock * 1000.0 + stage.node.feed._offset_ms
         tell(stage, stage.line("s-0", since_ms=started))
-        stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
+        stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         stage.loop.advance(1_000.0)
-        wish, new = stage.set_up(viewer)
+        request, new = stage.set_up(viewer)
         assert new is not line
-        new.answer(wish)
-        answered(stage, viewer, wish)
+        new.answer(request)
+        answered(stage, viewer, request)
         other, again = stage.set_up(viewer)
         assert again is new
         again.answer(other)
@@ -168,12 +174,12 @@
 def test_connections_that_are_late_at_once_are_one_failed_look() -> None:
     with staged() as stage:
         viewer = stage.far_viewer()
-        id, line = stage.stands(viewer)
+        id, line = stage.establish_session(viewer)
         first, _ = stage.set_up(viewer)  # on that connection
-        wishes = [stage.setup() for _ in range(2)]
-        viewer.send(*wishes)
-        for _ in wishes:
-            stage.connecting()
+        requests = [stage.setup() for _ in range(2)]
+        viewer.send(*requests)
+        for _ in requests:
+            stage.hold_next_connect()
         stage.loop.advance(1_000.0)
         assert "server lost" not in stage.log.getvalue() and id not in stage.ends
         line.answer(first)
@@ -191,10 +197,10 @@
         new = next(one for one in stage.far.values() if one is not line.server).line_of(id)
         new.answer(id)
         answered(stage, viewer, id)
-        assert not endpoint.attempts and FrameType.RELEASE in [one.type for one in line.heard]
+        assert not endpoint.attempts and FrameType.RELEASE in [one.type for one in line.received]
         stage.loop.advance(2_000.0)  # this side's end is not answered
-        line.server.look()
-        assert [[one.type for one in other.heard] for other in line.server.lines if other is not line] == [
+        line.server.poll()
+        assert [[one.type for one in other.received] for other in line.server.lines if other is not line] == [
             [FrameType.RELEASE]
         ]
 
@@ -210,11 +216,11 @@
         answered(stage, viewer, id)
         (first, _), (second, new) = stage.set_up(viewer), stage.set_up(viewer)
         assert new is not again
-        new.say(Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((16,))}))
-        stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
+        new.send_frame(Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((16,))}))
+        stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         stage.loop.settle()
-        again.look()
-        assert [one.type for one in again.heard if one.session == id][-1] is FrameType.RELEASE
+        again.poll()
+        assert [one.type for one in again.received if one.session == id][-1] is FrameType.RELEASE
         again.answer(first)
         new.answer(second)
         for one in (first, second):
@@ -259,12 +265,12 @@
 
     def __init__(self, far: FarServer, draw: Random) -> None:
         self.far, self.draw, self.cut = far, draw, False
-        self.out: dict[str, FarLine] = {}
-        self.stands: set[str] = set()
+        self.open_set_ups: dict[str, FarLine] = {}
+        self.active_sessions: set[str] = set()
         self.ends: list[Frame] = []  # also said on each next connection that opens
         self.rests: list[tuple[FarLine, bytes]] = []  # second pieces of answers
 
-    def look(self, calm: bool) -> None:
+    def poll(self, calm: bool) -> None:
         """Reads and acts, unless it is cut off: then all waits, in both directions."""
         if self.cut:
             return
@@ -275,26 +281,26 @@
             self.write(line, rest)
         self.rests.clear()
         for line in self.far.lines:
-            for frame in line.look():
+            for frame in line.poll():
                 if frame.type is FrameType.SETUP:
-                    assert frame.session not in self.out, "two attempts out at one server"
-                    self.out[frame.session] = line
+                    assert frame.session not in self.open_set_ups, "two attempts out at one server"
+                    self.open_set_ups[frame.session] = line
                 elif frame.type is FrameType.RELEASE:
-                    self.out.pop(frame.session, None)
-                    self.stands.discard(frame.session)
+                    self.open_set_ups.pop(frame.session, None)
+                    self.active_sessions.discard(frame.session)
             if line.over:
                 self.give_up(line)
-        for id, line in list(self.out.items()):
-            if id in self.out and (calm or self.draw.random() < 0.4):
+        for id, line in list(self.open_set_ups.items()):
+            if id in self.open_set_ups and (calm or self.draw.random() < 0.4):
                 self.act(id, line, "answer" if calm else self.draw.choice(ACTS))
-        if not calm and self.stands and self.draw.random() < 0.05:
-            self.end(self.draw.choice(sorted(self.stands)))
+        if not calm and self.active_sessions and self.draw.random() < 0.05:
+            self.end(self.draw.choice(sorted(self.active_sessions)))
 
     def act(self, id: str, line: FarLine, what: str) -> None:
         data = encode_frame(Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: b"one\r\n"}))
         if what == "silent":
             return
-        del self.out[id]
+        del self.open_set_ups[id]
         if what in ("34", "47"):
             self.write(
                 line, encode_frame(Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((int(what),))}))
@@ -306,7 +312,7 @@
             cut = self.draw.randrange(1, len(data)) if what in ("pieces", "broken", "half") else len(data)
             if not self.write(line, data[:cut]):
                 return
-            self.stands.add(id)
+            self.active_sessions.add(id)
             if what == "pieces":
                 self.rests.append((line, data[cut:]))
             elif what != "answer":  # a break, or an end, behind it: seen in one turn
@@ -314,7 +320,7 @@
                 self.give_up(line)
 
     def end(self, id: str) -> None:
-        self.stands.remove(id)
+        self.active_sessions.remove(id)
         self.ends.append(Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((16,))}))
         for line in [one for one in self.far.lines if not one.over][-1:]:
             self.write(line, encode_frame(self.ends[-1]))
@@ -331,8 +337,8 @@
 
     def give_up(self, line: FarLine) -> None:
         """A closed connection gives up the set-ups open on it."""
-        for id in [id for id, there in self.out.items() if there is line]:
-            del self.out[id]
+        for id in [id for id, there in self.open_set_ups.items() if there is line]:
+            del self.open_set_ups[id]
 
 
 ACTS = (
@@ -373,7 +379,7 @@
             self.hold()
             self.stage.loop.turn()
         for server in self.servers.values():
-            server.look(self.calm)
+            server.poll(self.calm)
 
 
 @pytest.mark.parametrize("seed", range(16))
@@ -387,8 +393,8 @@
         for _ in range(300):
             what, server = draw.random(), draw.choice(list(mess.servers.values()))
             if what < 0.3:
-                viewer.send(wish := stage.setup(key=f"{draw.randrange(9):016x}"))
-                asked.append(wish.id)
+                viewer.send(request := stage.setup(key=f"{draw.randrange(9):016x}"))
+                asked.append(request.id)
             elif what < 0.36 and (open_ := [id for id in asked if id not in stage.answers]):
                 given_up.add(tired := draw.choice(open_))
                 viewer.send(Message("release", tired, cause=16))
@@ -402,7 +408,7 @@
                 (line := draw.choice(there)).reset()
                 server.give_up(line)
             mess.step(draw.choice([1.0, 10.0, 60.0]))
-            viewer.look()
+            viewer.poll()
         mess.calm = True
         for server in mess.servers.values():
             server.cut = False
@@ -413,7 +419,7 @@
 
         def settled() -> bool:
             mess.step(20.0)
-            viewer.look()
+            viewer.poll()
             if any(id not in stage.answers and id not in given_up for id in asked):
                 return False
             for number, there in names.items():
@@ -423,7 +429,7 @@
                     if number in endpoints
                     else set()
                 )
-                if server.out or not held <= server.stands <= held | kept:
+                if server.open_set_ups or not held <= server.active_sessions <= held | kept:
                     return False
             return True
 
--- a/tests/test_node_crossing_servers.py
+++ b/tests/test_node_crossing_servers.py
@@ -25,7 +25,7 @@
 
 def answered(stage: Stage, viewer: FarViewer, id: str) -> str:
     """Turns until the viewer has its answer: what it says."""
-    stage.loop.until(lambda: viewer.look() is not None and id in stage.answers)
+    stage.loop.until(lambda: viewer.poll() is not None and id in stage.answers)
     return stage.answers[id].sdp or str(stage.answers[id].cause)
 
 
@@ -45,7 +45,7 @@
 
 def tell(stage: Stage, *lines: dict[str, Any]) -> None:
     """One event of the feed, taken by the node."""
-    (feed,) = stage.feed.look()
+    (feed,) = stage.feed.poll()
     last = stage.node.feed.last_sequence_number + 1
     members = {"index": last, "snapshot": False, "endpoints": list(lines)}
     feed.write(json.dumps({"n": last, "members": members}).encode() + b"\n")
@@ -72,55 +72,55 @@
     """It is up before its time ends, and carries its set-up; or it is given up, and carries nothing."""
     with staged(servers=2) as stage:
         viewer = stage.far_viewer()
-        viewer.send(wish := stage.setup())
-        let_go(stage, stage.connecting())
+        viewer.send(request := stage.setup())
+        let_go(stage, stage.hold_next_connect())
         stage.loop.turn(turns)
         stage.loop.jump(stage.node.server_pool.connect_timeout_s * 1000.0)
         stage.loop.turn(2)
-        line = line_of(stage, wish.id)
+        line = line_of(stage, request.id)
         stage.loop.settle()
-        assert len(stage.sent_to(wish.id)) == 1
-        line.answer(wish.id)
-        assert answered(stage, viewer, wish.id) == f"{line.server.name} {wish.id}\r\n"
+        assert len(stage.sent_to(request.id)) == 1
+        line.answer(request.id)
+        assert answered(stage, viewer, request.id) == f"{line.server.name} {request.id}\r\n"
         lines = [line for far in stage.far.values() for line in far.lines]
         given_up = "connect_failed" in stage.log.getvalue()
         assert given_up is (len(lines) == 2) and given_up is (turns < 2)
-        assert not [one for one in lines if one is not line and one.heard]
+        assert not [one for one in lines if one is not line and one.received]
 
 
 @pytest.mark.parametrize("how", ["release", "reset"])
 def test_a_viewer_who_leaves_while_the_connection_comes_up_leaves_nothing_behind(how: str) -> None:
     with staged() as stage:
         viewer = stage.far_viewer()
-        viewer.send(wish := stage.setup())
-        fd = stage.connecting()
-        viewer.send(Message("release", wish.id, cause=16)) if how == "release" else viewer.reset()
+        viewer.send(request := stage.setup())
+        fd = stage.hold_next_connect()
+        viewer.send(Message("release", request.id, cause=16)) if how == "release" else viewer.reset()
         stage.loop.until(lambda: not stage.node.dispatcher.sessions.session_count)
-        stage.tally()  # no attempt and no timer of it waits for the connection
+        stage.check_settled()  # no attempt and no timer of it waits for the connection
         let_go(stage, fd)
         stage.loop.advance(2_000.0)
-        assert stage.sent_to(wish.id) == []
+        assert stage.sent_to(request.id) == []
 
 
 @pytest.mark.parametrize("status", ["draining", "removed"])
 def test_a_server_taken_off_the_list_while_its_connection_comes_up_is_not_waited_for(status: str) -> None:
     with staged(servers=2) as stage:
         viewer = stage.far_viewer()
-        viewer.send(wish := stage.setup())
-        fd = stage.connecting()
+        viewer.send(request := stage.setup())
+        fd = stage.hold_next_connect()
         ((server, endpoint),) = stage.node.server_pool.endpoints.items()
         name = stage.node.feed.names[server]
         tell(stage, stage.line(name, status))
         if status == "removed":
             let_go(stage, fd)  # it is given up, and its descriptor the next one's
-        assert wish.id not in endpoint.attempts  # ended though the connection is still on its way
-        line = line_of(stage, wish.id)  # elsewhere, with the first one held
+        assert request.id not in endpoint.attempts  # ended though the connection is still on its way
+        line = line_of(stage, request.id)  # elsewhere, with the first one held
         assert line.server.name != name
         let_go(stage, fd)
         stage.loop.settle()
-        line.answer(wish.id)
-        assert answered(stage, viewer, wish.id).startswith(line.server.name)
-        assert len(stage.sent_to(wish.id)) == 1
+        line.answer(request.id)
+        assert answered(stage, viewer, request.id).startswith(line.server.name)
+        assert len(stage.sent_to(request.id)) == 1
 
 
 @pytest.mark.parametrize("first", ["stop", "up"])
@@ -128,14 +128,14 @@
     stage = Stage()
     viewer = stage.far_viewer()
     viewer.send(stage.setup())
-    let_go(stage, stage.connecting())
+    let_go(stage, stage.hold_next_connect())
     stage.loop.turn({"stop": 2, "up": 3}[first])
     stage.node.shutdown()
     stage.loop.settle()
     line = stage.far["s-0"].accept()
     assert line is not None
-    stage.loop.until(lambda: line.look() is not None and line.over)
-    assert len(line.heard) == (0 if first == "stop" else 1)
+    stage.loop.until(lambda: line.poll() is not None and line.over)
+    assert len(line.received) == (0 if first == "stop" else 1)
     for endpoint in stage.node.server_pool.endpoints.values():
         assert not endpoint.attempts and not endpoint.connections and not endpoint.broken_attempts
     stage.finish()
@@ -147,9 +147,9 @@
     """What the kernel refused never ran, and nobody is blamed; what it took may have run."""
     with staged(servers=2) as stage:
         viewer = stage.far_viewer()
-        id, line = stage.stands(viewer)
+        id, line = stage.establish_session(viewer)
         line.release(id, 16)
-        stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
+        stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         fd = stage.loop.near(line.sock)
         stage.loop.selected.held.add(fd)
         line.close() if how == "end" else line.reset()
@@ -157,14 +157,14 @@
         if first == "end":
             let_go(stage, fd)
             stage.loop.settle()
-        viewer.send(wish := stage.setup())
+        viewer.send(request := stage.setup())
         if first == "set-up":
             stage.loop.until(lambda: stage.node.dispatcher.sessions.metrics.set_ups == 2)
             let_go(stage, fd)
-        new = line_of(stage, wish.id)
-        new.answer(wish.id)
-        assert answered(stage, viewer, wish.id) == f"{new.server.name} {wish.id}\r\n"
-        assert len(stage.sent_to(wish.id)) == 1
+        new = line_of(stage, request.id)
+        new.answer(request.id)
+        assert answered(stage, viewer, request.id) == f"{new.server.name} {request.id}\r\n"
+        assert len(stage.sent_to(request.id)) == 1
         unknown = (how, first) == ("end", "set-up")  # it may have run: as an error, and tried elsewhere
         assert ("set-up failed" in stage.log.getvalue()) is unknown
         assert (new.server is line.server) is not unknown
@@ -173,10 +173,10 @@
 def test_a_set_up_whose_every_connection_breaks_before_it_is_written_never_ran() -> None:
     with staged(servers=2) as stage:
         viewer = stage.far_viewer()
-        viewer.send(wish := stage.setup())
+        viewer.send(request := stage.setup())
         breaks = 0
         while "set-up failed" not in stage.log.getvalue():
-            fd = stage.connecting()
+            fd = stage.hold_next_connect()
             (server,) = stage.node.server_pool.endpoints
             line = stage.far[stage.node.feed.names[server]].accept()
             assert line is not None and breaks < 9
@@ -186,10 +186,10 @@
             stage.loop.turn(4)
             breaks += 1
         assert '"result": "connect_failed"' in stage.log.getvalue() and breaks == 3
-        new = line_of(stage, wish.id)
-        new.answer(wish.id)
-        assert answered(stage, viewer, wish.id) == f"{new.server.name} {wish.id}\r\n"
-        assert len(stage.sent_to(wish.id)) == 1 and new.server is not line.server
+        new = line_of(stage, request.id)
+        new.answer(request.id)
+        assert answered(stage, viewer, request.id) == f"{new.server.name} {request.id}\r\n"
+        assert len(stage.sent_to(request.id)) == 1 and new.server is not line.server
 
 
 @pytest.mark.parametrize("cause", [34, 47])
@@ -218,7 +218,7 @@
             heard(stage, line, late)
         assert stage.node.dispatcher.sessions.session_count == 1
         new.release(id, 16)  # its own connection's word counts
-        stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
+        stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
 
 
 def test_a_release_goes_where_the_set_up_that_follows_it_is_read_after_it() -> None:
@@ -229,7 +229,7 @@
         line.reset()  # it may stand there, for all that anybody knows
         stage.loop.until(lambda: len(stage.far["s-0"].setups()) == 3)
         new = stage.far["s-0"].line_of(id)
-        assert [one.type for one in new.heard] == [FrameType.RELEASE, FrameType.SETUP]
+        assert [one.type for one in new.received] == [FrameType.RELEASE, FrameType.SETUP]
         new.answer(id)
         answered(stage, viewer, id)
         busy.answer(other)
@@ -251,7 +251,7 @@
         stage.loop.settle()
         (endpoint,) = stage.node.server_pool.endpoints.values()
         assert [connection.is_usable for connection in endpoint.connections].count(True) == 1
-        stage.loop.until(lambda: [line.look() for line in (one, other)] and one.over != other.over)
+        stage.loop.until(lambda: [line.poll() for line in (one, other)] and one.over != other.over)
         (one if one.over else other).close() if how == "order" else (one if one.over else other).reset()
         stage.loop.until(lambda: len(endpoint.connections) == 1)
         stage.loop.settle()
@@ -265,9 +265,9 @@
         servers.idle_timeout_ms = inf
         most = 0
         for title in range(8):
-            wishes = [stage.setup(key=f"{title:016x}") for _ in range(3)]
-            viewer.send(*wishes)  # a connection to itself for each
-            for id in [one.id for one in wishes]:
+            requests = [stage.setup(key=f"{title:016x}") for _ in range(3)]
+            viewer.send(*requests)  # a connection to itself for each
+            for id in [one.id for one in requests]:
                 line = line_of(stage, id)
                 line.answer(id)
                 answered(stage, viewer, id)
@@ -279,7 +279,7 @@
         stage.loop.advance(2.5 * CHECK_INTERVAL_MS)
         for far in stage.far.values():
             for line in far.lines:
-                if line.look() is not None and line.over:
+                if line.poll() is not None and line.over:
                     line.close()
         stage.loop.settle()
         endpoints = servers.endpoints.values()
@@ -307,7 +307,7 @@
     with staged(settings=replace(PLAIN, report_interval_ms=tell_ms)) as stage:
         stage.node.server_pool.connect_timeout_s = connect_ms / 1000.0
         loop, viewer = stage.loop, stage.far_viewer()
-        id, line = stage.stands(viewer)
+        id, line = stage.establish_session(viewer)
         line.ended.add(id)
         last = loop.clock
         while stage.node.dispatcher.sessions.session(id) is not None:
@@ -320,7 +320,7 @@
                 asked = False
                 viewer.send(stage.setup(), stage.setup())  # the second finds no connection free
                 loop.until(lambda: len(stage.node.client_requests.open_requests) == 2)
-        loop.until(lambda: viewer.look() is not None and id in stage.ends)
+        loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         assert stage.ends[id].cause == 41
         loop.advance(4_000.0)  # what was asked has its answer
 
@@ -330,40 +330,40 @@
     with staged() as stage:
         viewer, old, new = stage.far_viewer(), stage.far["s-0"], FarServer("s-0")
         if before == "connecting":
-            viewer.send(wish := stage.setup())
-            fd = stage.connecting()
+            viewer.send(request := stage.setup())
+            fd = stage.hold_next_connect()
         else:
-            id, line = stage.stands(viewer)
+            id, line = stage.establish_session(viewer)
             line.release(id, 16)
-            stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
+            stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         stage.far["s-0"] = stage.servers["s-0"] = new
         tell(stage, stage.line("s-0"))
         if before == "connecting":
             let_go(stage, fd)
         else:
-            viewer.send(wish := stage.setup())
-        line_of(stage, wish.id).answer(wish.id)
-        answered(stage, viewer, wish.id)
-        assert wish.id in new.setups() and wish.id not in old.setups()
+            viewer.send(request := stage.setup())
+        line_of(stage, request.id).answer(request.id)
+        answered(stage, viewer, request.id)
+        assert request.id in new.setups() and request.id not in old.setups()
         old.close()
 
 
 def test_a_session_of_a_gone_server_isnt_kept_by_a_connection_that_reaches_its_successor() -> None:
     with staged() as stage:
         viewer = stage.far_viewer()
-        id, line = stage.stands(viewer)
+        id, line = stage.establish_session(viewer)
         line.ended.add(id)  # its process ends
         line.reset()
-        fd = stage.connecting()  # to hear of its session: whoever listens there takes it
+        fd = stage.hold_next_connect()  # to hear of its session: whoever listens there takes it
         tell(stage, stage.line("s-0", "removed"), stage.line("s-0") | {"name": "s-new"})
         let_go(stage, fd)
-        stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
+        stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         assert stage.ends[id].cause == 41
-        assert not [one for one in stage.far["s-0"].lines if one is not line and one.heard]
+        assert not [one for one in stage.far["s-0"].lines if one is not line and one.received]
 
 
 def kinds(line: FarLine) -> list[FrameType]:
-    return [one.type for one in line.heard]
+    return [one.type for one in line.received]
 
 
 def elsewhere(stage: Stage, id: str, line: FarLine) -> FarLine:
@@ -421,21 +421,21 @@
         heard(stage, line, *(words if first == "answer" else words[::-1]))
         if first == "answer":  # it stood, and is over
             assert answered(stage, viewer, id) == "one\r\n"
-            stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
+            stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
             assert stage.ends[id].cause == (16 if cause == 16 else 41)
             return
         new = elsewhere(stage, id, line)  # it ended, and the word behind it is nobody's
         new.answer(id)
         assert answered(stage, viewer, id) == f"{new.server.name} {id}\r\n"
         if cause in (16, 31, 99):  # no word of a set-up's end: what may run is released
-            stage.loop.until(lambda: line.look() is not None and FrameType.RELEASE in kinds(line))
+            stage.loop.until(lambda: line.poll() is not None and FrameType.RELEASE in kinds(line))
 
 
 @pytest.mark.parametrize("first", ["viewer", "server"])
 def test_a_release_by_the_viewer_and_one_by_the_server_in_one_turn_end_it_once(first: str) -> None:
     with staged() as stage:
         viewer = stage.far_viewer()
-        id, line = stage.stands(viewer)
+        id, line = stage.establish_session(viewer)
         fds = [stage.loop.near(viewer.sock), stage.loop.near(line.sock)]
         stage.loop.selected.held.update(fds)
         viewer.send(Message("release", id, cause=16))
@@ -444,8 +444,8 @@
         stage.loop.settle()
         assert not stage.node.dispatcher.sessions.session_count and FrameType.RELEASE not in kinds(line)
         viewer.send(Message("ping", "0" * 16, cause=0))
-        stage.loop.until(lambda: viewer.look() is not None and viewer.raw[-1].type == "pong")
-        assert not [one for one in viewer.raw if one.type == "release" and one.cause != 16]
+        stage.loop.until(lambda: viewer.poll() is not None and viewer.messages[-1].type == "pong")
+        assert not [one for one in viewer.messages if one.type == "release" and one.cause != 16]
 
 
 @pytest.mark.parametrize("meets", ["set-up", "answer"])
@@ -463,14 +463,14 @@
         stage.loop.arrived(fd, events=select.POLLHUP)
         both(stage, fd)
         if meets == "answer":  # whether it is still read after the reset is the kernel's
-            stage.loop.until(lambda: viewer.look() or len(stage.sent_to(id)) == 2)
+            stage.loop.until(lambda: viewer.poll() or len(stage.sent_to(id)) == 2)
         if id not in stage.answers:
             new = elsewhere(stage, id, line)
             new.answer(id)
             assert answered(stage, viewer, id) == f"{new.server.name} {id}\r\n"
             return
         stage.loop.advance(250.0)  # a refused connection is proof, read at the next upkeep
-        stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
+        stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         assert stage.ends[id].cause == 41 and len(stage.sent_to(id)) == 1
 
 
@@ -490,8 +490,8 @@
         stage.loop.arrived(fd)
         stage.loop.settle()
         heard(stage, line, Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((34,))}))
-        stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
-        stage.loop.until(lambda: not stage.far["s-0"].standing())
+        stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
+        stage.loop.until(lambda: not stage.far["s-0"].active_sessions())
 
 
 @pytest.mark.parametrize("first", ["the refusal", "the session"])
--- a/tests/test_node_crossing_stop.py
+++ b/tests/test_node_crossing_stop.py
@@ -48,7 +48,7 @@
 
 
 def told(stage: Stage, viewer: FarViewer, id: str) -> int | None:
-    stage.loop.until(lambda: viewer.look() is not None and id in stage.answers)
+    stage.loop.until(lambda: viewer.poll() is not None and id in stage.answers)
     return stage.answers[id].cause
 
 
@@ -77,7 +77,7 @@
         stage.loop.settle()
         stage.node.terminate()
         stage.loop.advance(stage.node.graceful_shutdown.drain_timeout_ms - 1.0)
-        assert viewer.look() == [] and not viewer.over
+        assert viewer.poll() == [] and not viewer.over
         stage.loop.advance(1.0)
         over(stage)
         assert told(stage, viewer, id) == cause
@@ -88,17 +88,17 @@
 
 def test_a_set_up_whose_connection_is_not_up_when_the_time_is_over_is_never_sent() -> None:
     with staged(settings=LONG) as stage:
-        viewer, wish = stage.far_viewer(), stage.setup(left="60000")
-        viewer.send(wish)
+        viewer, request = stage.far_viewer(), stage.setup(left="60000")
+        viewer.send(request)
         making = not_up(stage)
         stage.node.terminate()
         # Its connect time is longer than what is left: the attempt began just before the end.
         stage.node._on_drain_timeout()
         over(stage)
-        assert told(stage, viewer, wish.id) == REFUSED
+        assert told(stage, viewer, request.id) == REFUSED
         stage.loop.selected.held.discard(making)
         stage.loop.advance(5.0)
-        assert stage.sent_to(wish.id) == []
+        assert stage.sent_to(request.id) == []
 
 
 @pytest.mark.parametrize("first", ["the end of the attempt", "SIGTERM"])
@@ -151,8 +151,8 @@
         stage.loop.settle()
         stage.loop.advance(5.0)
         assert task.done()
-        for viewer, wish in ((open_one, on_open), (half, in_half), (newcomer, on_new)):
-            assert told(stage, viewer, wish.id) == REFUSED
+        for viewer, request in ((open_one, on_open), (half, in_half), (newcomer, on_new)):
+            assert told(stage, viewer, request.id) == REFUSED
             assert viewer.take() == b"" and viewer.over
         assert stage.far["s-0"].setups() == []
 
@@ -169,7 +169,7 @@
     for _ in range(14):
         id, line = stage.set_up(viewer)
         line.answered.add(id)
-        line.say(Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: b"v" * 12_000}))
+        line.send_frame(Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: b"v" * 12_000}))
         ids.append(id)
     stage.loop.until(lambda: not stage.node.client_requests.open_requests)
     assert any(one.unsent_bytes for one in stage.node.client_listener.connections)
@@ -207,17 +207,17 @@
 def test_set_ups_on_open_and_new_connections_after_the_word_are_refused_at_once() -> None:
     with staged(settings=SHORT) as stage:
         viewer = stage.far_viewer()
-        stands, line = stage.stands(viewer, left="250")
+        stands, line = stage.establish_session(viewer, left="250")
         stage.node.terminate()
         for _ in range(6):
             stage.loop.advance(100.0)
             for one in (viewer, stage.far_viewer()):
-                wish = stage.setup(left="250")
-                one.send(wish)
+                request = stage.setup(left="250")
+                one.send(request)
                 stage.loop.settle()
-                assert told(stage, one, wish.id) == REFUSED
+                assert told(stage, one, request.id) == REFUSED
         line.release(stands, 16)  # what stands is still heard of
-        stage.loop.until(lambda: viewer.look() is not None and stands in stage.ends)
+        stage.loop.until(lambda: viewer.poll() is not None and stands in stage.ends)
         assert stage.far["s-0"].setups() == [stands]
         see_out(stage)
 
@@ -230,7 +230,7 @@
         viewer.send(plays)
         stage.loop.until(lambda: stage.node.dispatcher.sessions.session_count)
         viewer.send(Message("release", plays.id, cause=16))
-        stage.loop.until(lambda: plays.id in stage.far["s-0"].released or stage.far["s-0"].look())
+        stage.loop.until(lambda: plays.id in stage.far["s-0"].released or stage.far["s-0"].poll())
         assert stage.answers == {} and stage.far["s-0"].setups() == []
         see_out(stage)
 
@@ -303,7 +303,7 @@
             stage.loop.turn()
             stage.node.terminate()
         other = "s-1" if name == "s-0" else "s-0"
-        stage.loop.until(lambda: stage.far[other].look() or id in stage.far[other].setups())
+        stage.loop.until(lambda: stage.far[other].poll() or id in stage.far[other].setups())
         stage.far[other].line_of(id).answer(id)
         told(stage, viewer, id)
         assert stage.answers[id].type == "answer"
--- a/tests/test_node_crossing_viewers.py
+++ b/tests/test_node_crossing_viewers.py
@@ -50,20 +50,20 @@
 
 
 def hears(stage: Stage, viewer: FarViewer, id: str) -> Message:
-    stage.loop.until(lambda: viewer.look() is not None and id in stage.answers)
+    stage.loop.until(lambda: viewer.poll() is not None and id in stage.answers)
     return stage.answers[id]
 
 
-def ask_and_hold(stage: Stage, viewer: FarViewer, *wishes: Message) -> int:
+def ask_and_hold(stage: Stage, viewer: FarViewer, *requests: Message) -> int:
     """Asks, and keeps the connection to a server that is made for it from coming up."""
-    viewer.send(*wishes)
-    making = stage.connecting()
+    viewer.send(*requests)
+    making = stage.hold_next_connect()
     stage.loop.settle()
     return making
 
 
 def released(stage: Stage, id: str) -> bool:
-    stage.look()
+    stage.poll()
     return any(id in server.released for server in stage.far.values())
 
 
@@ -73,39 +73,41 @@
 def test_what_is_asked_in_the_read_before_a_viewers_end_is_refused_and_not_sent_on() -> None:
     with staged() as stage:
         first = stage.far_viewer()
-        stage.stands(first)  # a connection to the server is free: what is placed is written at once
+        stage.establish_session(
+            first
+        )  # a connection to the server is free: what is placed is written at once
         viewer = stage.far_viewer()
-        fd, wish = near(stage, viewer), stage.setup()
+        fd, request = near(stage, viewer), stage.setup()
         stage.loop.selected.held.add(fd)
-        viewer.send(wish)
+        viewer.send(request)
         viewer.end()
         stage.loop.arrived(fd, events=select.POLLRDHUP)
         stage.loop.selected.held.clear()
-        answer = hears(stage, viewer, wish.id)
+        answer = hears(stage, viewer, request.id)
         assert (answer.type, answer.cause) == ("release", 34)
         stage.loop.settle()
-        assert stage.sent_to(wish.id) == []
-        stage.loop.until(lambda: viewer.look() is not None and viewer.over)
+        assert stage.sent_to(request.id) == []
+        stage.loop.until(lambda: viewer.poll() is not None and viewer.over)
 
 
 @pytest.mark.parametrize("size", [1, 300])  # more than one read holds: the end lies behind the last of them
 def test_what_is_asked_and_ended_or_reset_in_one_turn_is_not_sent_on(size: int) -> None:
     for how in WAYS:
         with staged() as stage:
-            stage.stands(stage.far_viewer())
+            stage.establish_session(stage.far_viewer())
             viewer = stage.far_viewer()
-            fd, wishes = near(stage, viewer), [stage.setup() for _ in range(size)]
+            fd, requests = near(stage, viewer), [stage.setup() for _ in range(size)]
             stage.loop.selected.held.add(fd)
-            viewer.send(*wishes)
-            leave(viewer, how, *(wish.id for wish in wishes))
+            viewer.send(*requests)
+            leave(viewer, how, *(request.id for request in requests))
             stage.loop.arrived(fd)
             stage.loop.selected.held.clear()
             stage.loop.settle()
-            sent = [wish.id for wish in wishes if stage.sent_to(wish.id)]
+            sent = [request.id for request in requests if stage.sent_to(request.id)]
             assert sent == [], how
             if how == "orderly":
-                stage.loop.until(lambda v=viewer: v.look() is not None and v.over)
-                assert all(stage.answers[wish.id].cause == 34 for wish in wishes)
+                stage.loop.until(lambda v=viewer: v.poll() is not None and v.over)
+                assert all(stage.answers[request.id].cause == 34 for request in requests)
 
 
 @pytest.mark.parametrize("how", WAYS)
@@ -113,21 +115,21 @@
 def test_who_leaves_while_its_connection_comes_up_is_not_sent_on(how: str, first: str) -> None:
     with staged() as stage:
         viewer = stage.far_viewer()
-        fd, wish = near(stage, viewer), stage.setup()
-        there = ask_and_hold(stage, viewer, wish)
+        fd, request = near(stage, viewer), stage.setup()
+        there = ask_and_hold(stage, viewer, request)
         stage.loop.selected.held.add(fd)
-        leave(viewer, how, wish.id)
+        leave(viewer, how, request.id)
         stage.loop.arrived(fd)
         if first == "viewer":
             stage.loop.selected.held.discard(fd)
             stage.loop.settle()
-            assert stage.sent_to(wish.id) == []
+            assert stage.sent_to(request.id) == []
         stage.loop.selected.first = [fd, there] if first == "viewer" else [there, fd]
         stage.loop.selected.held.clear()  # for the server: it is up in the very turn, and seen so before
         stage.loop.advance(300)
-        assert stage.sent_to(wish.id) == []
+        assert stage.sent_to(request.id) == []
         if how == "orderly":
-            assert hears(stage, viewer, wish.id).cause == 34
+            assert hears(stage, viewer, request.id).cause == 34
 
 
 @pytest.mark.parametrize("how", WAYS)
@@ -138,47 +140,51 @@
     """What is run next in the same turn, as late as it may be, sends nothing on for who has left by then."""
     with staged() as stage:
         if where == "before its batch":
-            stage.stands(stage.far_viewer())  # a connection is free: it would be written in that turn
-        viewer, wish = stage.far_viewer(), stage.setup()
+            stage.establish_session(
+                stage.far_viewer()
+            )  # a connection is free: it would be written in that turn
+        viewer, request = stage.far_viewer(), stage.setup()
         fd = near(stage, viewer)
         if where == "before its batch":
-            viewer.send(wish)
+            viewer.send(request)
             stage.loop.arrived(fd)
-            while wish.id not in stage.node.client_requests.open_requests:
+            while request.id not in stage.node.client_requests.open_requests:
                 stage.loop.turn()
         else:
-            there = ask_and_hold(stage, viewer, wish)
+            there = ask_and_hold(stage, viewer, request)
             stage.loop.selected.held.discard(there)
             stage.loop.turn(2)  # it is up, and is told so at the beginning of the next turn
-        leave(viewer, how, wish.id)
+        leave(viewer, how, request.id)
         stage.loop.arrived(fd)
         stage.loop.jump(400)
         stage.loop.settle()
-        assert stage.sent_to(wish.id) == []
+        assert stage.sent_to(request.id) == []
         if how == "orderly":
-            assert hears(stage, viewer, wish.id).cause == 34
+            assert hears(stage, viewer, request.id).cause == 34
 
 
 def test_what_waits_beyond_its_time_while_the_loop_stands_still_is_not_sent_on() -> None:
     """The connection to its server is up, and told so before timers are looked at."""
     with staged() as stage:
-        viewer, wish = stage.far_viewer(), stage.setup(left="1000")
-        there = ask_and_hold(stage, viewer, wish)
+        viewer, request = stage.far_viewer(), stage.setup(left="1000")
+        there = ask_and_hold(stage, viewer, request)
         stage.loop.selected.held.discard(there)
         stage.loop.turn(2)
         stage.loop.jump(1_001)
-        assert hears(stage, viewer, wish.id).cause == 41  # not in time
-        assert stage.sent_to(wish.id) == []
+        assert hears(stage, viewer, request.id).cause == 41  # not in time
+        assert stage.sent_to(request.id) == []
 
 
 def test_who_takes_back_what_is_open_before_its_mistakes_is_closed() -> None:
     """All in one read while something is open, so that nothing is left for the transport's own read."""
     with staged() as stage:
-        viewer, wish = stage.far_viewer(), stage.setup()
-        ask_and_hold(stage, viewer, wish)
-        viewer.write(encode_message(Message("release", wish.id, cause=16)) + b"nothing\n")
-        stage.loop.until(lambda: viewer.look() is not None and viewer.over)
-        assert [one.cause for one in viewer.raw] == [111] and len(stage.node.client_listener.admission) == 0
+        viewer, request = stage.far_viewer(), stage.setup()
+        ask_and_hold(stage, viewer, request)
+        viewer.write(encode_message(Message("release", request.id, cause=16)) + b"nothing\n")
+        stage.loop.until(lambda: viewer.poll() is not None and viewer.over)
+        assert [one.cause for one in viewer.messages] == [111] and len(
+            stage.node.client_listener.admission
+        ) == 0
 
 
 @pytest.mark.parametrize("how", WAYS)
@@ -223,7 +229,7 @@
         their_line.answer(others)
         line.answer(out)
         assert hears(stage, viewer, out).type == hears(stage, other, others).type == "answer"
-        stage.loop.until(lambda: viewer.look() is not None and viewer.over)
+        stage.loop.until(lambda: viewer.poll() is not None and viewer.over)
         assert stage.node.dispatcher.sessions.session_count == 2
 
 
@@ -234,22 +240,24 @@
     with staged(settings=replace(SETTINGS, front_count=2)) as stage:
         stage.loop.advance(60_000)
         viewer = stage.far_viewer()
-        viewer.send(wish := stage.setup())
+        viewer.send(request := stage.setup())
         pings: list[Frame] = []
 
         def asked() -> bool:
-            stage.look()
+            stage.poll()
             lines = stage.far["s-0"].lines
-            pings[:] = [one for line in lines for one in line.heard if one.type is FrameType.PING]
+            pings[:] = [one for line in lines for one in line.received if one.type is FrameType.PING]
             return bool(pings)
 
         stage.loop.until(asked)
-        assert stage.node.dispatcher.sessions.session(wish.id) is not None and stage.sent_to(wish.id) == []
+        assert (
+            stage.node.dispatcher.sessions.session(request.id) is not None and stage.sent_to(request.id) == []
+        )
         (line,) = stage.far["s-0"].lines
         fd, there = near(stage, viewer), stage.loop.near(line.sock)
         stage.loop.selected.held |= {fd, there}
-        leave(viewer, how, wish.id)
-        line.say(
+        leave(viewer, how, request.id)
+        line.send_frame(
             Frame(
                 FrameType.PONG,
                 pings[0].session,
@@ -260,9 +268,9 @@
         stage.loop.selected.first = [fd, there] if first == "viewer" else [there, fd]
         stage.loop.selected.held.clear()
         stage.loop.advance(500)
-        assert stage.sent_to(wish.id) == []
+        assert stage.sent_to(request.id) == []
         if how == "orderly":
-            assert hears(stage, viewer, wish.id).cause == 34
+            assert hears(stage, viewer, request.id).cause == 34
 
 
 @pytest.mark.parametrize("seen", ["before the answer", "after the answer", "a sweep after the answer"])
@@ -270,7 +278,7 @@
     """The write succeeds, and the reset that says nobody was there comes back behind it."""
     with staged() as stage:
         viewer, other = stage.far_viewer(), stage.far_viewer()
-        stage.stands(other)
+        stage.establish_session(other)
         id, line = stage.set_up(viewer)
         fd = near(stage, viewer)
         if seen != "before the answer":
@@ -315,30 +323,30 @@
 def test_a_viewer_that_half_closed_and_read_its_answer_keeps_its_session() -> None:
     with staged() as stage:
         viewer, other = stage.far_viewer(), stage.far_viewer()
-        stage.stands(other)
+        stage.establish_session(other)
         id, line = stage.set_up(viewer)
         viewer.end()
         stage.loop.settle()
         line.answer(id)
         assert hears(stage, viewer, id).type == "answer"
-        stage.loop.until(lambda: viewer.look() is not None and viewer.over)  # told at once that this is all
+        stage.loop.until(lambda: viewer.poll() is not None and viewer.over)  # told at once that this is all
         stage.loop.advance(DELIVERY_CONFIRMATION_MS + 2 * SWEEP_MS)
         viewer.close()
         assert len(ours(stage)) == 1 and stage.node.dispatcher.sessions.session_count == 2
         line.release(id, 16)  # its end comes on another connection
-        stage.loop.until(lambda: other.look() is not None and id in stage.ends)
+        stage.loop.until(lambda: other.poll() is not None and id in stage.ends)
 
 
 def test_a_session_heard_before_a_reset_stays() -> None:
     with staged() as stage:
         viewer, other = stage.far_viewer(), stage.far_viewer()
-        stage.stands(other)
-        id, line = stage.stands(viewer)
+        stage.establish_session(other)
+        id, line = stage.establish_session(viewer)
         viewer.reset()
         stage.loop.advance(DELIVERY_CONFIRMATION_MS)
         assert stage.node.dispatcher.sessions.session_count == 2 and not released(stage, id)
         line.release(id, 16)
-        stage.loop.until(lambda: other.look() is not None and id in stage.ends)
+        stage.loop.until(lambda: other.poll() is not None and id in stage.ends)
 
 
 @pytest.mark.parametrize("up", [True, False])
@@ -348,9 +356,9 @@
         if up:
             id, line = stage.set_up(viewer)
         else:
-            wish = stage.setup()
-            id = wish.id
-            ask_and_hold(stage, viewer, wish)
+            request = stage.setup()
+            id = request.id
+            ask_and_hold(stage, viewer, request)
         stage.node.dispatcher.sessions.stop_accepting()
         viewer.end()
         stage.loop.settle()
@@ -372,7 +380,7 @@
         stage.loop.settle()
         turned_away = FarViewer(stage)
         stage.viewers.append(turned_away)
-        stage.loop.until(lambda: turned_away.look() is not None and turned_away.over)
+        stage.loop.until(lambda: turned_away.poll() is not None and turned_away.over)
         line.answer(id)
         assert hears(stage, one, id).type == "answer"
         stage.loop.settle()
@@ -402,16 +410,16 @@
         how, moment = draw.choice(WAYS), draw.choice(["read", "coming up", "failing", "in a crowd"])
         with staged(3) as stage:
             if moment != "coming up" and draw.random() < 0.5:
-                stage.stands(stage.far_viewer())  # a connection is free
+                stage.establish_session(stage.far_viewer())  # a connection is free
             viewer = stage.far_viewer()
             fd = near(stage, viewer)
             crowd = draw.randrange(1, 6) if moment == "in a crowd" else 1
-            wishes = [stage.setup(key=f"{draw.randrange(99):016x}") for _ in range(crowd)]
-            ids = [wish.id for wish in wishes]
+            requests = [stage.setup(key=f"{draw.randrange(99):016x}") for _ in range(crowd)]
+            ids = [request.id for request in requests]
             before = 0
             if moment == "failing":
                 stage.loop.selected.held.discard(fd)
-                viewer.send(*wishes)
+                viewer.send(*requests)
                 stage.loop.until(lambda s=stage, i=ids: s.sent_to(i[0]))
                 before = 1
                 line = stage.far[stage.sent_to(ids[0])[0]].line_of(ids[0])
@@ -422,14 +430,14 @@
                 stage.loop.arrived(fd, there)
                 stage.loop.selected.first = draw.sample([fd, there], 2)
             elif moment == "coming up":
-                there = ask_and_hold(stage, viewer, *wishes)
+                there = ask_and_hold(stage, viewer, *requests)
                 stage.loop.selected.held.add(fd)
                 leave(viewer, how, *ids)
                 stage.loop.arrived(fd)
                 stage.loop.selected.first = [fd, there]
             else:
                 stage.loop.selected.held.add(fd)
-                viewer.send(*wishes)
+                viewer.send(*requests)
                 leave(viewer, how, *ids)
                 stage.loop.arrived(fd)
             stage.loop.selected.held.clear()
@@ -451,14 +459,14 @@
         listening = stage.node.client_listener._listening_socket
         assert listening is not None
         stage.loop.arrived(listening.fileno())
-        first.send(wish := stage.setup())
+        first.send(request := stage.setup())
         # Both are in the backlog: the second is let in for the first.
         stage.node.client_listener.accept_connections()
         assert len(door) == 1 and not ours(stage)
-        stage.loop.until(lambda: first.look() is not None and first.over)
-        assert stage.sent_to(wish.id) == [] and len(door) == 1 and len(ours(stage)) == 1
+        stage.loop.until(lambda: first.poll() is not None and first.over)
+        assert stage.sent_to(request.id) == [] and len(door) == 1 and len(ours(stage)) == 1
         assert stage.answers == {}
-        stage.stands(second)
+        stage.establish_session(second)
 
 
 @pytest.mark.parametrize("spoke", [False, True])
@@ -471,37 +479,41 @@
             for one in (viewer, silent):
                 one.send(Message("ping", "0" * 15 + "1", cause=0))
                 stage.loop.settle()
-        fd, wish, listening = near(stage, viewer), stage.setup(), stage.node.client_listener._listening_socket
+        fd, request, listening = (
+            near(stage, viewer),
+            stage.setup(),
+            stage.node.client_listener._listening_socket,
+        )
         assert listening is not None
         stage.loop.selected.held |= {fd, listening.fileno()}
-        viewer.send(wish)
+        viewer.send(request)
         newcomer = FarViewer(stage)
         stage.viewers.append(newcomer)
         stage.loop.arrived(fd, listening.fileno())
         order = [listening.fileno(), fd]
         stage.loop.selected.first = order if first == "newcomer" else order[::-1]
         stage.loop.selected.held.clear()
-        stage.loop.until(lambda: silent.look() is not None and silent.over)
-        stage.loop.until(lambda: stage.sent_to(wish.id))
-        stage.far[stage.sent_to(wish.id)[0]].line_of(wish.id).answer(wish.id)
-        assert hears(stage, viewer, wish.id).type == "answer"
-        stage.stands(newcomer)
+        stage.loop.until(lambda: silent.poll() is not None and silent.over)
+        stage.loop.until(lambda: stage.sent_to(request.id))
+        stage.far[stage.sent_to(request.id)[0]].line_of(request.id).answer(request.id)
+        assert hears(stage, viewer, request.id).type == "answer"
+        stage.establish_session(newcomer)
 
 
 def test_a_line_that_ends_in_time_is_heard_before_a_late_loop_calls_it_overdue() -> None:
     with staged() as stage:
-        viewer, wish = stage.far_viewer(), stage.setup()
-        fd, data = near(stage, viewer), encode_message(wish)
+        viewer, request = stage.far_viewer(), stage.setup()
+        fd, data = near(stage, viewer), encode_message(request)
         viewer.write(data[:40])
         stage.loop.settle()
         stage.loop.selected.held.add(fd)  # the loop doesn't look before its sweep is due
         viewer.write(data[40:])
         stage.loop.arrived(fd)
         stage.loop.jump(2 * IDLE_TIMEOUT_MS)
-        stage.loop.until(lambda: stage.sent_to(wish.id))
+        stage.loop.until(lambda: stage.sent_to(request.id))
         stage.loop.selected.held.clear()
-        stage.far["s-0"].line_of(wish.id).answer(wish.id)
-        assert hears(stage, viewer, wish.id).type == "answer"
+        stage.far["s-0"].line_of(request.id).answer(request.id)
+        assert hears(stage, viewer, request.id).type == "answer"
 
 
 def test_a_connection_whose_transport_can_not_be_made_leaves_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -514,9 +526,9 @@
             patch.setattr(stage.loop, "connect_accepted_socket", fails)
             viewer = FarViewer(stage)
             stage.viewers.append(viewer)
-            stage.loop.until(lambda: viewer.look() is not None and viewer.over)
+            stage.loop.until(lambda: viewer.poll() is not None and viewer.over)
         assert len(stage.node.client_listener.admission) == 0 and not ours(stage)
-        stage.stands(stage.far_viewer())
+        stage.establish_session(stage.far_viewer())
 
 
 @pytest.mark.parametrize("how", ["half", "endless", "mistakes"])
@@ -535,14 +547,14 @@
         else:
             viewer.write(b"nothing\n" * 64 + encode_message(late))
         stage.loop.settle()
-        viewer.look()
+        viewer.poll()
         assert not viewer.over and id in stage.node.client_requests.open_requests
         viewer.send(late) if how != "mistakes" else None
         assert hears(stage, viewer, late.id).cause == 34  # nothing new is taken here
         if stage.sent_to(id) == [line.server.name]:
             line.answer(id)
         assert hears(stage, viewer, id).type == "answer"
-        stage.loop.until(lambda: viewer.look() is not None and viewer.over)
+        stage.loop.until(lambda: viewer.poll() is not None and viewer.over)
         assert stage.sent_to(late.id) == [] and stage.node.dispatcher.sessions.session_count == 1
         assert len(stage.node.client_listener.admission) == 0
 
@@ -551,17 +563,17 @@
 def test_who_leaves_a_connection_that_the_node_is_ending_is_heard(how: str) -> None:
     with staged() as stage:
         viewer = stage.far_viewer()
-        wish = stage.setup()
-        ask_and_hold(stage, viewer, wish)
+        request = stage.setup()
+        ask_and_hold(stage, viewer, request)
         viewer.write(b"x" * 20_000 + b"\n")
         stage.loop.settle()
-        leave(viewer, how, wish.id)
+        leave(viewer, how, request.id)
         stage.loop.settle()
         stage.loop.selected.held.clear()
         stage.loop.advance(300)
-        assert stage.sent_to(wish.id) == []
+        assert stage.sent_to(request.id) == []
         if how in ("orderly", "release"):
-            stage.loop.until(lambda: viewer.look() is not None and viewer.over)
+            stage.loop.until(lambda: viewer.poll() is not None and viewer.over)
 
 
 def test_a_line_has_its_time_from_its_own_beginning() -> None:
@@ -573,9 +585,9 @@
             stage.loop.advance(0.4 * IDLE_TIMEOUT_MS)
             viewer.write(data[10:] + data[:10])
         stage.loop.settle()
-        assert [one.type for one in viewer.look()] == ["pong"] * 4 and not viewer.over
+        assert [one.type for one in viewer.poll()] == ["pong"] * 4 and not viewer.over
         stage.loop.advance(IDLE_TIMEOUT_MS + 2 * SWEEP_MS)  # but the last one never ends
-        stage.loop.until(lambda: viewer.look() is not None and viewer.over)
+        stage.loop.until(lambda: viewer.poll() is not None and viewer.over)
 
 
 def test_a_closed_connection_that_is_not_read_keeps_its_place_and_is_dropped() -> None:
@@ -619,25 +631,25 @@
         stage.loop.selected.held.clear()
         stage.loop.until(lambda: released(stage, id))
         stage.loop.settle()
-        viewer.look()
+        viewer.poll()
         assert id not in stage.answers and stage.node.dispatcher.sessions.session_count == 0
 
 
 @pytest.mark.parametrize("first", ["set-up", "release"])
 def test_a_set_up_and_its_release_on_two_connections_in_one_turn_leave_nothing(first: str) -> None:
     with staged() as stage:
-        stage.stands(stage.far_viewer())
+        stage.establish_session(stage.far_viewer())
         viewer, other = stage.far_viewer(), stage.far_viewer()
-        fd, fd_other, wish = near(stage, viewer), near(stage, other), stage.setup()
+        fd, fd_other, request = near(stage, viewer), near(stage, other), stage.setup()
         stage.loop.selected.held |= {fd, fd_other}
-        viewer.send(wish)
-        other.send(Message("release", wish.id, cause=16))
+        viewer.send(request)
+        other.send(Message("release", request.id, cause=16))
         stage.loop.arrived(fd, fd_other)
         stage.loop.selected.first = [fd, fd_other] if first == "set-up" else [fd_other, fd]
         stage.loop.selected.held.clear()
         stage.loop.settle()
-        assert stage.sent_to(wish.id) == []
-        told = [one.cause for one in (*viewer.look(), *other.look()) if one.id == wish.id]
+        assert stage.sent_to(request.id) == []
+        told = [one.cause for one in (*viewer.poll(), *other.poll()) if one.id == request.id]
         assert told == ([] if first == "set-up" else [81])  # once at the most
 
 
@@ -655,7 +667,7 @@
         stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
         line = stage.far["s-0"].line_of(id)
         line.answer(id)
-        stage.loop.until(lambda: again.look() is not None and id in stage.answers)
+        stage.loop.until(lambda: again.poll() is not None and id in stage.answers)
         assert stage.node.dispatcher.sessions.session_count == 1
         stage.far["s-0"].lines[0].ended.discard(id)
 
@@ -664,13 +676,13 @@
     """Not on a connection whose viewer ended its side, nor on one that the kernel shows broken."""
     with staged() as stage:
         home, other = stage.far_viewer(), stage.far_viewer()
-        stage.stands(other)
-        id, line = stage.stands(home)
+        stage.establish_session(other)
+        id, line = stage.establish_session(home)
         waits, line_waits = stage.set_up(home)
         home.end()
         stage.loop.settle()
         line.release(id, 16)
-        stage.loop.until(lambda: other.look() is not None and id in stage.ends)
+        stage.loop.until(lambda: other.poll() is not None and id in stage.ends)
         line_waits.answer(waits)
         assert hears(stage, home, waits).type == "answer"
 
@@ -681,8 +693,8 @@
     """Whether the connection that it came on is still there or not."""
     with staged() as stage:
         viewer, other = stage.far_viewer(), stage.far_viewer()
-        stage.stands(other)
-        id, line = stage.stands(viewer)
+        stage.establish_session(other)
+        id, line = stage.establish_session(viewer)
         if not home:
             viewer.reset()
             stage.loop.settle()
@@ -704,23 +716,23 @@
 def test_an_end_that_nobody_can_hear_waits_for_the_next_connection_with_a_session() -> None:
     with staged() as stage:
         viewer = stage.far_viewer()
-        id, line = stage.stands(viewer)
+        id, line = stage.establish_session(viewer)
         viewer.close()
         stage.loop.settle()
         line.release(id, 16)
         stage.loop.settle()
         assert len(stage.node.session_ends._undelivered_ends) == 1
         later = stage.far_viewer()
-        stage.stands(later)
-        stage.loop.until(lambda: later.look() is not None and id in stage.ends)
+        stage.establish_session(later)
+        stage.loop.until(lambda: later.poll() is not None and id in stage.ends)
         assert not stage.node.session_ends._undelivered_ends
 
 
 def test_an_end_half_written_to_a_reader_that_breaks_is_said_elsewhere() -> None:
     with staged() as stage:
         home, other = stage.far_viewer(), stage.far_viewer()
-        id, line = stage.stands(home)
-        stage.stands(other)
+        id, line = stage.establish_session(home)
+        stage.establish_session(other)
         (one,) = (one for one in ours(stage) if id in one.state.sessions)
         while not one.unsent_bytes:
             one.write(encode_message(Message("pong", "0" * 16, cause=1)) * 100)
@@ -729,7 +741,7 @@
         stage.loop.settle()
         assert id not in stage.ends
         home.reset()
-        stage.loop.until(lambda: other.look() is not None and id in stage.ends)
+        stage.loop.until(lambda: other.poll() is not None and id in stage.ends)
 
 
 def test_at_an_unknown_server_and_a_test_before_the_start_are_answered_in_kind() -> None:
@@ -738,31 +750,31 @@
         stage.node.client_requests.is_ready = False
         lost = stage.setup(extras="home:0;copies:4;top:0;viewer:00000000b4d65521;at:s-none", left="0")
         viewer.send(lost, Message("ping", "0" * 15 + "1", cause=0))
-        stage.loop.until(lambda: viewer.look() is not None and len(viewer.raw) == 2)
-        assert [(one.type, one.cause) for one in viewer.raw] == [("release", 41), ("pong", 0)]
+        stage.loop.until(lambda: viewer.poll() is not None and len(viewer.messages) == 2)
+        assert [(one.type, one.cause) for one in viewer.messages] == [("release", 41), ("pong", 0)]
         assert stage.node.dispatcher.sessions.session_count == 0 and stage.sent_to(lost.id) == []
         viewer.send(
             Message("release", lost.id, cause=16)
         )  # crossed the word of its end, or is written beside it
         stage.loop.settle()
-        assert len(viewer.look()) == 0 and viewer.raw[-1].type == "pong"
+        assert len(viewer.poll()) == 0 and viewer.messages[-1].type == "pong"
 
 
 @pytest.mark.parametrize("turns", range(5))
 def test_who_asked_as_the_process_began_to_stand_still_is_not_taken_for_silent(turns: int) -> None:
     """Accepted, and not read yet: the time in which it is to say something passes meanwhile."""
     with staged() as stage:
-        viewer, wish = FarViewer(stage), stage.setup()
+        viewer, request = FarViewer(stage), stage.setup()
         stage.viewers.append(viewer)
-        viewer.send(wish)
+        viewer.send(request)
         stage.loop.until(lambda: len(stage.node.client_listener.admission))
         stage.loop.turn(turns)
         stage.loop.jump(IDLE_TIMEOUT_MS + 1.0)
-        stage.loop.until(lambda: viewer.look() or viewer.over or stage.sent_to(wish.id))
+        stage.loop.until(lambda: viewer.poll() or viewer.over or stage.sent_to(request.id))
         assert not viewer.over
-        if wish.id not in stage.answers:
-            stage.far["s-0"].line_of(wish.id).answer(wish.id)
-        stage.loop.until(lambda: viewer.look() is not None and wish.id in stage.answers)
+        if request.id not in stage.answers:
+            stage.far["s-0"].line_of(request.id).answer(request.id)
+        stage.loop.until(lambda: viewer.poll() is not None and request.id in stage.answers)
 
 
 # --- the records ---
--- a/tests/test_node_peers.py
+++ b/tests/test_node_peers.py
@@ -87,17 +87,17 @@
             self.node = before
         else:
             await viewer.open()
-        wish = self.setup(left="600", extras=EXTRAS)
-        viewer.send(wish)
-        return await viewer.answer(wish.id)
+        request = self.setup(left="600", extras=EXTRAS)
+        viewer.send(request)
+        return await viewer.answer(request.id)
 
 
-def play(story: Callable[[Fleet, Node, Peers], Awaitable[None]], folder: Path) -> None:
+def run_scenario(scenario: Callable[[Fleet, Node, Peers], Awaitable[None]], folder: Path) -> None:
     async def whole() -> None:
         fleet = Fleet(folder)
         node, peers = await fleet.here()
         try:
-            await story(fleet, node, peers)
+            await scenario(fleet, node, peers)
             assert not fleet.faults
         finally:
             peers.cut()
@@ -113,13 +113,13 @@
 
 
 def test_a_killed_node_s_acts_are_asked_of_its_peer(tmp_path: Path) -> None:
-    async def story(fleet: Fleet, node: Node, peers: Peers) -> None:
+    async def scenario(fleet: Fleet, node: Node, peers: Peers) -> None:
         # It can reach nobody: there is nothing that would begin here a second time, so it takes sessions.
         assert (await fleet.ask(node)).type == "answer"
         file = fleet.peers_file("n7", peers.peer.me.address)
         process = await fleet.run(FERNWEIR_PEERS=str(file))
         try:
-            await fleet.said(process, "peer joined")
+            await fleet.wait_for_log_event(process, "peer joined")
             await until(lambda: (told := versions(peers, "n7")) is not None and told.boxes)
             mine, theirs = peers.peer.recording.versions, versions(peers, "n7")
             assert theirs is not None and theirs.boxes == mine.boxes and theirs.settings == mine.settings
@@ -145,15 +145,15 @@
         # A copy answered for the dead: what it did last may be missing, and that is said.
         assert told[0]["whole"] is False and {gap["front"] for gap in told[0]["gaps"]} == {"n7"}
 
-    play(story, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_a_node_that_is_told_to_stop_takes_its_leave(tmp_path: Path) -> None:
-    async def story(fleet: Fleet, node: Node, peers: Peers) -> None:
+    async def scenario(fleet: Fleet, node: Node, peers: Peers) -> None:
         process = await fleet.run(FERNWEIR_PEERS=str(fleet.peers_file("n7", peers.peer.me.address)))
         try:
             await until(lambda: len(peers.peer.members.alive()) == 2)
-            await fleet.said(process, "ready")
+            await fleet.wait_for_log_event(process, "ready")
             process.send_signal(signal.SIGTERM)
             async with asyncio.timeout(20.0):
                 assert await process.wait() == 0
@@ -189,11 +189,11 @@
         assert (await fleet.ask(node)).type == "answer"
         assert not port.take_list(0.0, b"{}", before) and port.list_document() == b""
 
-    play(story, tmp_path)
+    run_scenario(scenario, tmp_path)
 
 
 def test_a_wrong_settings_file_ends_the_node_with_2_and_all_that_is_wrong(tmp_path: Path) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         outside = Outside(tmp_path)
         file = tmp_path / "peers.ini"
         file.write_text(
@@ -216,7 +216,7 @@
         _, said = await process.communicate()
         assert process.returncode == 2 and said.count(b"\n") == 1 and b"is not installed" in said
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_without_the_variable_a_node_from_start_to_end_loads_nothing_of_its_peers(tmp_path: Path) -> None:
@@ -230,15 +230,15 @@
         "print('loaded', code, sorted(other), file=sys.stderr)\n"
     )
 
-    async def story() -> None:
+    async def scenario() -> None:
         outside = Outside(tmp_path)
         process = await outside.run(("-S", "-B", "-c", script))
         try:
-            await outside.said(process, "ready")
+            await outside.wait_for_log_event(process, "ready")
             viewer = await outside.viewer()
-            wish = outside.setup(left="600", extras=EXTRAS)
-            viewer.send(wish)
-            assert (await viewer.answer(wish.id)).type == "answer"
+            request = outside.setup(left="600", extras=EXTRAS)
+            viewer.send(request)
+            assert (await viewer.answer(request.id)).type == "answer"
             process.send_signal(signal.SIGTERM)
             async with asyncio.timeout(20.0):
                 _, said = await process.communicate()
@@ -248,7 +248,7 @@
                 process.kill()
                 await process.wait()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_one_list_has_one_digest_whatever_a_node_s_clock_and_whichever_way_it_was_told() -> None:
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -69,7 +69,7 @@
             sys.executable, *command, cwd=ROOT, env=variables | more, stderr=asyncio.subprocess.PIPE
         )
 
-    async def said(self, process: Process, event: str) -> dict[str, Any]:
+    async def wait_for_log_event(self, process: Process, event: str) -> dict[str, Any]:
         """Reads the log up to a line on this event."""
         assert process.stderr is not None
         async with asyncio.timeout(20.0):
@@ -103,17 +103,17 @@
 
 
 def test_a_node_from_its_start_to_its_end(tmp_path: Path) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         outside = Outside(tmp_path)
         process = await outside.run()
         try:
-            ready = await outside.said(process, "ready")
+            ready = await outside.wait_for_log_event(process, "ready")
             assert ready["node"] == "n7" and ready["listen"] == list(outside.address)
             viewer = await outside.viewer()
             extras = "home:0;copies:4;top:1;viewer:00000000b4d65521"
-            wish = outside.setup(left="600", extras=extras)
-            viewer.send(wish)
-            assert (await viewer.answer(wish.id)).type == "answer"  # though no feed answers yet
+            request = outside.setup(left="600", extras=extras)
+            viewer.send(request)
+            assert (await viewer.answer(request.id)).type == "answer"  # though no feed answers yet
 
             await asyncio.gather(*(tell_without_end(outside.address) for _ in range(3)))
             half = await outside.viewer()
@@ -131,13 +131,13 @@
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGHUP)  # twice in a row, and the end right after
             process.send_signal(signal.SIGTERM)
-            await outside.said(process, "stopping")
+            await outside.wait_for_log_event(process, "stopping")
             late = outside.setup(left="600", extras=extras)
             viewer.send(late, Message("ping", "0" * 15 + "1", cause=0))
             assert (await viewer.answer(late.id)).type == "release"
-            await until(lambda: any((one.type, one.cause) == ("pong", 0) for one in viewer.raw))
+            await until(lambda: any((one.type, one.cause) == ("pong", 0) for one in viewer.messages))
             await until(lambda: second.asked)
-            assert set(second.asked) == {1} and wish.id not in outside.ends
+            assert set(second.asked) == {1} and request.id not in outside.ends
             async with asyncio.timeout(20.0):
                 assert await process.wait() == 0
             assert not outside.faults
@@ -146,19 +146,19 @@
                 process.kill()
                 await process.wait()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_a_node_that_is_killed_starts_again_at_its_address_and_takes_over(tmp_path: Path) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         outside = Outside(tmp_path)
         process = await outside.run()
-        await outside.said(process, "ready")
+        await outside.wait_for_log_event(process, "ready")
         os.kill(process.pid, signal.SIGKILL)
         await process.wait()
         again = await outside.run()
         try:
-            await outside.said(again, "ready")
+            await outside.wait_for_log_event(again, "ready")
             viewer = await outside.viewer()
             extras = "home:0;copies:4;top:1;viewer:00000000b4d65521"
             plays = outside.setup(extras=f"{extras};at:s-0")
@@ -172,13 +172,13 @@
             again.kill()
             await again.wait()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_a_sighup_before_a_node_is_ready_waits_for_it_and_moves_the_feed(tmp_path: Path) -> None:
     """The file is a pipe, so the process is known to be reading it when the signal comes."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         outside = Outside(tmp_path)
         pipe = tmp_path / "pipe"
         os.mkfifo(pipe)
@@ -188,7 +188,7 @@
             process.send_signal(signal.SIGHUP)
             os.write(there, outside.file.read_bytes())
             os.close(there)
-            await outside.said(process, "ready")
+            await outside.wait_for_log_event(process, "ready")
             feed = FeedServer()
             await feed.listen()
             outside.configure(feed.address)
@@ -202,18 +202,18 @@
                 process.kill()
                 await process.wait()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_a_node_that_stood_still_over_the_word_of_its_end_answers_what_it_finds(tmp_path: Path) -> None:
     def state(pid: int) -> str:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0]
 
-    async def story() -> None:
+    async def scenario() -> None:
         outside = Outside(tmp_path)
         process = await outside.run()
         try:
-            await outside.said(process, "ready")
+            await outside.wait_for_log_event(process, "ready")
             extras = "home:0;copies:4;top:1;viewer:00000000b4d65521"
             viewer, server = await outside.viewer(), outside.servers["s-0"]
             stands, half, on_open, on_new, left = (outside.setup(left="600", extras=extras) for _ in range(5))
@@ -238,14 +238,18 @@
 
             async with asyncio.timeout(20.0):
                 assert await process.wait() == 0
-            for connection, wish in ((late, half), (viewer, on_open), (newcomer, on_new)):
-                assert (await connection.answer(wish.id)).type == "release"
+            for connection, request in ((late, half), (viewer, on_open), (newcomer, on_new)):
+                assert (await connection.answer(request.id)).type == "release"
             await until(lambda: not server.writers)
-            assert (stands.id, 16) in server.releases and server.stands == set() and server.out == {}
+            assert (
+                (stands.id, 16) in server.releases
+                and server.active_sessions == set()
+                and server.open_set_ups == {}
+            )
             assert not outside.faults
         finally:
             if process.returncode is None:
                 process.kill()
                 await process.wait()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/test_node_settings.py
+++ b/tests/test_node_settings.py
@@ -34,7 +34,7 @@
 from fernweir.node.config import ConfigError, NodeConfig, load_config
 from fernweir.node.endpoint_feed import EndpointFeed
 from tests.helpers import entry, viewer
-from tests.node_scene import PLAIN, Scene, play
+from tests.node_scene import PLAIN, Scene, run_scenario
 
 ROOT = Path(__file__).parent.parent
 # Every setting that a node reads, as the platform tells them: names with what the simulator's text replaces.
@@ -166,15 +166,15 @@
 
 @pytest.mark.parametrize("name", ["film, long", "2026", "true", "null", "nächte 720p-2", "x" * 300])
 def test_a_class_is_called_by_its_name_as_told_in_set_ups_and_at_servers(name: str) -> None:
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         viewer = await scene.viewer()
-        wish = scene.setup(**{"class": name})
-        viewer.send(wish)
-        assert (await viewer.answer(wish.id)).type == "answer"
+        request = scene.setup(**{"class": name})
+        viewer.send(request)
+        assert (await viewer.answer(request.id)).type == "answer"
         ((_, frame),) = scene.setups()
         assert frame.parameters[3].decode() == name
 
-    play(story, settings=replace(PLAIN, classes=(replace(PLAIN.classes[0], name=name),)))
+    run_scenario(scenario, settings=replace(PLAIN, classes=(replace(PLAIN.classes[0], name=name),)))
 
 
 def test_what_is_absent_or_zero_has_its_documented_meaning(tmp_path: Path) -> None:
