--- a/tests/node_scene.py
+++ b/tests/node_scene.py
@@ -1,4 +1,4 @@
-"""A front node on loopback; scripted media servers, a feed and viewers count what they are told."""
+"""A front node on loopback, with scripted media servers, a feed and viewers that record all messages."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 
 
 class ProtocolViolation(AssertionError):
-    """A viewer was told something that it may not be told."""
+    """A viewer received a message that the protocol does not allow."""
 
 
 class MediaServer:
-    """Answers by its script: a list of moves for set-ups to come, then `answer` for ever."""
+    """A media server. `script` lists its actions for the next set-ups; after that it answers all of them."""
 
     def __init__(self, name: str) -> None:
         self.name, self.script = name, list[str]()
@@ -40,11 +40,11 @@
         self.releases: list[tuple[str, int | None]] = []
         self.rungs: list[tuple[str, str]] = []
         self.pings = self.pings_to_break = 0
-        self.open_set_ups: dict[str, asyncio.StreamWriter] = {}  # set-ups without an end
-        self.refusals: list[tuple[Frame, asyncio.StreamWriter]] = []  # refusals said, and where
-        self.active_sessions: set[str] = set()  # what it answered, heard whole or not, until it is released
-        self.frames_on_connect: list[Frame] = []  # said on the next connection, and as one closes
-        self.frames_on_eof: list[Frame] = []
+        self.open_set_ups: dict[str, asyncio.StreamWriter] = {}  # set-ups without a result
+        self.refusals: list[tuple[Frame, asyncio.StreamWriter]] = []  # rejections sent, and the connections
+        self.active_sessions: set[str] = set()  # answered, completely received or not, and not released
+        self.frames_on_connect: list[Frame] = []  # sent on each new connection
+        self.frames_on_eof: list[Frame] = []  # sent when the node closes a connection
         self.writers: list[asyncio.StreamWriter] = []
         self._server: asyncio.Server | None = None
 
@@ -58,7 +58,7 @@
         return host, port
 
     def die(self) -> None:
-        """Like a process that ends: nothing listens, connections are reset."""
+        """Simulates the end of the process: nothing listens, and all connections are reset."""
         assert self._server is not None
         self._server.close()
         for writer in self.writers:
@@ -73,7 +73,7 @@
         try:
             while data := await reader.read(65536):
                 for frame in frames.feed(data):
-                    if not writer.transport.is_closing():  # what lay unread in one that broke is lost
+                    if not writer.transport.is_closing():  # unread data of a broken connection is lost
                         self._take(frame, writer)
             for frame in self.frames_on_eof:
                 self.send_frame(frame, writer)
@@ -81,7 +81,7 @@
             pass
         finally:
             for id in [id for id, there in self.open_set_ups.items() if there is writer]:
-                del self.open_set_ups[id]  # a closed connection gives up the set-ups open on it
+                del self.open_set_ups[id]  # a closed connection ends the set-ups that are open on it
             if writer in self.writers:
                 self.writers.remove(writer)
             writer.close()
@@ -89,7 +89,7 @@
     def _take(self, frame: Frame, writer: asyncio.StreamWriter) -> None:
         if frame.type is FrameType.SETUP:
             self.setups.append(frame)
-            assert frame.session not in self.open_set_ups, "two attempts out at one server"
+            assert frame.session not in self.open_set_ups, "two attempts in flight at one server"
             self.open_set_ups[frame.session] = writer
             self.perform(self.script.pop(0) if self.script else "answer", frame.session, writer)
         elif frame.type is FrameType.RELEASE:
@@ -135,7 +135,7 @@
         self.open_set_ups.pop(id, None)
 
     def finish(self, id: str) -> None:
-        """Answers a set-up that was met with silence."""
+        """Answers a set-up that was left open."""
         self.perform("answer", id, self.open_set_ups[id])
 
     def send_frame(self, frame: Frame, writer: asyncio.StreamWriter | None = None) -> None:
@@ -143,7 +143,7 @@
 
 
 class FeedServer:
-    """Events by number; remembers from where it was asked."""
+    """A control feed that sends numbered events, and records the subscriptions."""
 
     def __init__(self) -> None:
         self.asked: list[int] = []
@@ -187,7 +187,7 @@
 
 
 class ViewerConnection:
-    """One connection. A second answer to one id, or word of an id that never stood, is an error at once."""
+    """A viewer connection. A second answer to an id, or the end of a session never set up, is a fault."""
 
     def __init__(self, scene: Scene) -> None:
         self.scene, self.messages, self.closed = scene, list[Message](), False
@@ -279,7 +279,7 @@
             self.answers[message.id] = message
         elif message.type == "release":
             if self.answers[message.id].type != "answer" or message.id in self.ends:
-                self.faults.append(f"{message.id} was ended though it does not stand")
+                self.faults.append(f"{message.id} was ended although it is not established")
             self.ends[message.id] = message
 
     def setup(self, id: str = "", sdp: str | None = OFFER, **fields: object) -> Message:
@@ -308,9 +308,9 @@
     settings: Settings = PLAIN,
     sockets: int = 256,
 ) -> None:
-    """Plays a story, and holds at its end that no viewer was told what it may not be told."""
+    """Runs a scenario, then checks that no viewer received a message that it must not receive."""
 
-    async def whole() -> None:
+    async def run() -> None:
         scene = Scene(settings, sockets)
         await scene.start(servers)
         try:
@@ -320,11 +320,11 @@
         if scene.faults:
             raise ProtocolViolation("; ".join(scene.faults))
 
-    asyncio.run(whole())
+    asyncio.run(run())
 
 
 class FarServer:
-    """A media server whose every act is a test's: it accepts, reads and answers when told to."""
+    """A media server that a test controls step by step: it accepts, reads and answers only when called."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -338,34 +338,34 @@
         return host, port
 
     def accept(self) -> FarLine | None:
-        """The next connection of the backlog, if there is one."""
+        """Accepts the next connection of the backlog, if there is one."""
         try:
             sock, _ = self.listener.accept()
-        except OSError:  # none is there, or it listens no more
+        except OSError:  # the backlog is empty, or the listener is closed
             return None
         self.lines.append(FarLine(self, sock))
         return self.lines[-1]
 
     def poll(self) -> None:
-        """Takes all that has come, connections and messages."""
+        """Accepts all pending connections and reads all pending messages."""
         while self.accept() is not None:
             pass
         for line in self.lines:
             line.poll()
 
     def setups(self) -> list[str]:
-        """Ids of all set-ups that came whole, in order on each connection."""
+        """Returns the ids of all complete set-ups, in order on each connection."""
         self.poll()
         return [one.session for line in self.lines for one in line.received if one.type is FrameType.SETUP]
 
     def line_of(self, id: str) -> FarLine:
-        """The connection that a set-up came on, the newest if it came on several."""
+        """Returns the newest connection on which a set-up arrived."""
         self.poll()
         there = [line for line in self.lines if id in line.setups]
         return there[-1]
 
     def active_sessions(self) -> set[str]:
-        """Sessions that it answered, heard whole or not, and that nothing has released or ended since."""
+        """Returns the sessions that were answered, even in part, and not released or ended since."""
         self.poll()
         return {id for id in self.answered_sessions if id not in self.released}
 
@@ -380,7 +380,7 @@
         return said | {id for line in self.lines for id in line.ended}
 
     def kill(self) -> None:
-        """Its process ends: nothing listens, connections are reset, nothing stands any more."""
+        """Simulates the end of the process: connections are reset, and all sessions have ended."""
         self.listener.close()
         for line in self.lines:
             line.ended |= line.answered
@@ -393,7 +393,7 @@
 
 
 class FarLine(Far):
-    """One connection at a media server."""
+    """One connection of a media server."""
 
     def __init__(self, server: FarServer, sock: socket.socket) -> None:
         super().__init__(sock)
@@ -402,7 +402,7 @@
         self._frames = FrameReader()
 
     def poll(self) -> list[Frame]:
-        """What came since the last look; also kept in `heard`."""
+        """Returns the frames that arrived since the last call, and adds them to `received`."""
         came = list(self._frames.feed(self.take()))
         self.received += came
         return came
@@ -415,7 +415,7 @@
         self.write(encode_frame(frame))
 
     def answer(self, id: str, part: slice = slice(None)) -> bytes:
-        """Writes the answer to a set-up, or a part of its bytes; it stands from the first on."""
+        """Writes the answer to a set-up, or a part of it, after which the session counts as answered."""
         data = encode_frame(
             Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: f"{self.server.name} {id}\r\n".encode()})
         )
@@ -429,11 +429,11 @@
 
 
 class FarFeed:
-    """A control feed whose every act is a test's."""
+    """A control feed that a test controls step by step."""
 
     def __init__(self) -> None:
         self.lines: list[Far] = []
-        self.asked: list[bytes] = []  # what each accepted connection has written, `SUB N`
+        self.asked: list[bytes] = []  # the bytes that each accepted connection has sent, `SUB N`
         self.listener = socket.create_server((HOST, 0))
         self.listener.setblocking(False)
 
@@ -443,7 +443,7 @@
         return host, port
 
     def poll(self) -> list[Far]:
-        """Takes all that has come; the connections accepted so far."""
+        """Accepts and reads all that is pending. Returns the connections accepted so far."""
         try:
             while True:
                 sock, _ = self.listener.accept()
@@ -462,7 +462,7 @@
 
 
 class FarViewer(Far):
-    """A viewer's connection. What it may not be told is an error of its scene, as for any viewer."""
+    """A viewer connection that a test controls. Messages it must not receive are faults of its scene."""
 
     def __init__(self, stage: Stage) -> None:
         sock = socket.create_connection(stage.node.client_listener.address)
@@ -474,7 +474,7 @@
         self.write(b"".join(map(encode_message, messages)))
 
     def poll(self) -> list[Message]:
-        """What came since the last look; also kept in `raw`."""
+        """Returns the messages that arrived since the last call, and adds them to `messages`."""
         *lines, self._rest = (self._rest + self.take()).split(b"\n")
         came = [decode_message(line) for line in lines]
         for message in came:
@@ -485,10 +485,10 @@
 
 
 class Stage(Scene):
-    """A scene without tasks of its own: each turn of the node's loop, each byte and the clock are a test's.
+    """A scene without tasks of its own: the test controls every loop iteration, every byte and the clock.
 
-    So two things can be made ready before the node's loop turns, in either order (`Selected.first`), and
-    what is on its way can be held (`Selected.held`). All sockets are real.
+    A test can make two events ready before the event loop polls, in either order (`Selected.first`), and can
+    hold back readiness (`Selected.held`). All sockets are real.
     """
 
     def __init__(self, servers: int = 1, settings: Settings = PLAIN, sockets: int = 256) -> None:
@@ -507,7 +507,7 @@
         self.loop.until(lambda: self.node.client_requests.is_ready and self.feed.poll())
 
     def far_viewer(self) -> FarViewer:
-        """A viewer whose connection the node has accepted."""
+        """Returns a viewer whose connection the node has accepted."""
         viewer = FarViewer(self)
         self.viewers.append(viewer)
         before = len(self.node.client_listener.admission)
@@ -523,27 +523,27 @@
             viewer.poll()
 
     def sent_to(self, id: str) -> list[str]:
-        """Names of the servers that a set-up came to, one for each time."""
+        """Returns the names of the servers that received a set-up, once for each time."""
         return [name for name, server in self.far.items() for one in server.setups() if one == id]
 
     def set_up(self, viewer: FarViewer, **fields: object) -> tuple[str, FarLine]:
-        """Asks, and waits until the set-up is at a media server: its id and its connection there."""
+        """Sends a set-up and waits until a media server has it. Returns its id and its connection there."""
         message = self.setup(**fields)
         viewer.send(message)
         self.loop.until(lambda: self.sent_to(message.id))
         return message.id, self.far[self.sent_to(message.id)[-1]].line_of(message.id)
 
     def establish_session(self, viewer: FarViewer, **fields: object) -> tuple[str, FarLine]:
-        """A session that stands, answered and heard."""
+        """Sets up a session and waits until the viewer has its answer."""
         id, line = self.set_up(viewer, **fields)
         line.answer(id)
         self.loop.until(lambda: viewer.poll() is not None and id in self.answers)
         return id, line
 
     def hold_next_connect(self, step_ms: float = 0.0) -> int:
-        """Turns until the node is making a connection, and holds it there: its descriptor.
+        """Runs the loop until the node connects to a server, holds that connect, and returns its descriptor.
 
-        The clock goes on by `step_ms` before each turn.
+        The clock advances by `step_ms` before each iteration.
         """
         making: list[int] = []
 
@@ -560,7 +560,7 @@
         return making[0]
 
     def check_settled(self) -> None:
-        """Nothing is owed or left: ledger, servers against the host, attempts, tests, tasks, faults."""
+        """Checks that no reply, session, attempt, health check or fault is left over."""
         self.loop.settle()
         self.poll()
         core, servers = self.node.dispatcher, self.node.server_pool
@@ -573,7 +573,7 @@
         for name, server in self.far.items():
             held = set(core.sessions.sessions_playing_at(number_of(name)))
             assert server.active_sessions() <= held, (
-                f"{name} holds {server.active_sessions() - held}, which nobody holds"
+                f"{name} carries {server.active_sessions() - held}, which the node does not"
             )
         for endpoint in servers.endpoints.values():
             assert not endpoint.attempts and not endpoint.health_checks and not endpoint.broken_attempts, (
@@ -599,10 +599,10 @@
             (one.state.may_accept_requests for one in viewers.connections),
             (not one.over for one in self.viewers),
         )
-        assert sum(taking) <= sum(there), "connections of viewers that are gone"
+        assert sum(taking) <= sum(there), "connections of viewers that have disconnected"
 
     def finish(self) -> None:
-        """The node stops: what is left of it is nothing, descriptor, timer or task."""
+        """Stops the node, and checks that no descriptor, timer or task is left over."""
         self.node.shutdown()
         for end in (*self.viewers, self.feed, *self.far.values()):
             end.close()
@@ -620,7 +620,7 @@
 
 @contextmanager
 def staged(servers: int = 1, settings: Settings = PLAIN, sockets: int = 256) -> Iterator[Stage]:
-    """A stage whose ledger is checked at its end, then its node stopped and searched for what it left."""
+    """Yields a stage; then checks that it is settled, stops its node and checks for leftovers."""
     stage = Stage(servers, settings, sockets)
     yield stage
     stage.check_settled()
--- a/tests/test_bench_left.py
+++ b/tests/test_bench_left.py
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize("way", WAYS)
-def test_nothing_is_sent_on_for_who_has_left_wherever_it_waits(way: str) -> None:
+def test_no_request_of_a_disconnected_client_is_forwarded(way: str) -> None:
     for place in PLACES:
         if place.name != "behind a long burst" and not (way == "time" and place.unread):
             found = one(place, way, f"1 {place.name} {way} 0")
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -29,7 +29,7 @@
 from tests.sockets import until
 
 
-async def one_that_stands(scene: Scene) -> tuple[ViewerConnection, Message, str]:
+async def establish_session(scene: Scene) -> tuple[ViewerConnection, Message, str]:
     """A viewer, its set-up, and the server on which its session stands."""
     viewer, request = await scene.viewer(), scene.setup()
     viewer.send(request)
@@ -38,7 +38,7 @@
     return viewer, request, name
 
 
-async def one_under_way(scene: Scene) -> tuple[ViewerConnection, Message, MediaServer]:
+async def send_open_set_up(scene: Scene) -> tuple[ViewerConnection, Message, MediaServer]:
     """A viewer, its set-up, and the server that has it and says nothing yet."""
     viewer, request = await scene.viewer(), scene.setup()
     for server in scene.servers.values():
@@ -133,7 +133,7 @@
     run_scenario(scenario)
 
 
-def test_a_connection_reset_while_new_says_nothing_of_its_server() -> None:
+def test_a_reset_while_connecting_does_not_mark_the_server_as_failed() -> None:
     async def scenario(scene: Scene) -> None:
         viewer, request = await scene.viewer(), scene.setup()
         loop, resets = scene.node.dispatcher.loop, [2]
@@ -166,7 +166,7 @@
     run_scenario(scenario)
 
 
-def test_more_than_was_asked_for_changes_nothing() -> None:
+def test_duplicate_and_unknown_answers_are_ignored() -> None:
     async def scenario(scene: Scene) -> None:
         viewer = await scene.viewer()
         for server in scene.servers.values():
@@ -182,7 +182,7 @@
 
 def test_a_server_whose_process_ends_ends_its_sessions_and_one_that_reconnects_does_not() -> None:
     async def scenario(scene: Scene) -> None:
-        _viewer, request, name = await one_that_stands(scene)
+        _viewer, request, name = await establish_session(scene)
         server = scene.servers[name]
         for writer in server.writers:
             writer.transport.abort()
@@ -199,9 +199,9 @@
     run_scenario(scenario)
 
 
-def test_a_machine_that_says_nothing_any_more_is_lost_and_its_viewers_hear() -> None:
+def test_sessions_of_an_unreachable_machine_end_and_viewers_are_notified() -> None:
     async def scenario(scene: Scene) -> None:
-        viewer, request, name = await one_that_stands(scene)
+        viewer, request, name = await establish_session(scene)
         silent, loop = scene.servers[name], scene.node.dispatcher.loop
         silent.script = ["34"]
         viewer.send(other := scene.setup())
@@ -223,9 +223,9 @@
 
 
 @pytest.mark.parametrize("late_s", [0.6, 5.0])  # past the attempt's time-out; past the viewer's deadline
-def test_an_answer_and_the_end_of_its_time_in_one_tick_make_one_answer(late_s: float) -> None:
+def test_an_answer_and_its_timeout_in_one_iteration_give_one_answer(late_s: float) -> None:
     async def scenario(scene: Scene) -> None:
-        viewer, request, server = await one_under_way(scene)
+        viewer, request, server = await send_open_set_up(scene)
         loop = scene.node.dispatcher.loop
         time = loop.time
         server.finish(request.id)  # lies in the node's socket while all its timers come due
@@ -240,15 +240,15 @@
 
 
 @pytest.mark.parametrize("first", ["viewer", "server"])
-def test_a_give_up_that_crosses_the_answer_leaves_nothing_at_the_server(first: str) -> None:
+def test_a_release_that_crosses_the_answer_leaves_no_session_at_the_server(first: str) -> None:
     async def scenario(scene: Scene) -> None:
-        viewer, request, server = await one_under_way(scene)
-        says = [
+        viewer, request, server = await send_open_set_up(scene)
+        actions = [
             lambda: viewer.send(Message("release", request.id, cause=16)),
             lambda: server.finish(request.id),
         ]
-        for say in says if first == "viewer" else reversed(says):
-            say()
+        for action in actions if first == "viewer" else reversed(actions):
+            action()
         await until(lambda: (request.id, 16) in server.releases)
         assert not scene.node.dispatcher.sessions.session_count and request.id not in scene.ends
         assert len(scene.setups()) == 1 and not scene.node.client_requests.open_requests
@@ -257,14 +257,17 @@
 
 
 @pytest.mark.parametrize("first", ["viewer", "server"])
-def test_an_end_by_both_sides_in_one_tick_is_no_mistake_of_the_viewer(first: str) -> None:
+def test_releases_by_both_sides_in_one_iteration_are_no_error_of_the_viewer(first: str) -> None:
     async def scenario(scene: Scene) -> None:
-        viewer, request, name = await one_that_stands(scene)
+        viewer, request, name = await establish_session(scene)
         server = scene.servers[name]
         end = Frame(FrameType.RELEASE, request.id, {ParameterCode.CAUSE: bytes((16,))})
-        says = [lambda: viewer.send(Message("release", request.id, cause=16)), lambda: server.send_frame(end)]
-        for say in says if first == "viewer" else reversed(says):
-            say()
+        actions = [
+            lambda: viewer.send(Message("release", request.id, cause=16)),
+            lambda: server.send_frame(end),
+        ]
+        for action in actions if first == "viewer" else reversed(actions):
+            action()
         await until(lambda: not scene.node.dispatcher.sessions.session_count)
         viewer.send(Message("ping", "0" * 15 + "1", cause=0))
         await until(lambda: any(one.type == "pong" for one in viewer.messages))
@@ -275,7 +278,7 @@
 
 def test_an_answer_after_its_time_out_and_the_end_behind_it_change_nothing() -> None:
     async def scenario(scene: Scene) -> None:
-        viewer, request, server = await one_under_way(scene)
+        viewer, request, server = await send_open_set_up(scene)
         answer = Frame(FrameType.ANSWER, request.id, {ParameterCode.DESCRIPTION: b"late\r\n"})
         server.frames_on_eof = [
             answer,
@@ -293,7 +296,7 @@
 
 
 @pytest.mark.parametrize("how", ["parting", "reset"])
-def test_an_end_that_crosses_the_close_of_its_connection_is_heard(how: str) -> None:
+def test_a_session_end_that_crosses_the_close_is_received(how: str) -> None:
     async def scenario(scene: Scene) -> None:
         viewer = await scene.viewer()
         stands, late = scene.setup(), scene.setup()
@@ -317,7 +320,7 @@
     run_scenario(scenario)
 
 
-def test_a_viewer_who_gives_up_is_owed_nothing_and_its_attempt_is_released() -> None:
+def test_a_withdrawn_request_gets_no_answer_and_its_attempt_is_released() -> None:
     async def scenario(scene: Scene) -> None:
         viewer = await scene.viewer()
         for server in scene.servers.values():
@@ -334,9 +337,9 @@
 
 
 @pytest.mark.parametrize("end", ["answer", "34", "47"])
-def test_a_viewer_that_only_ends_its_side_is_answered_by_what_is_out_and_nothing_begins(end: str) -> None:
+def test_a_half_closed_viewer_is_answered_by_the_open_attempt_and_no_other_starts(end: str) -> None:
     async def scenario(scene: Scene) -> None:
-        viewer, request, server = await one_under_way(scene)
+        viewer, request, server = await send_open_set_up(scene)
         viewer._writer.write_eof()
         (near,) = scene.node.client_listener.connections
         await until(lambda: near.state.phase is ClientConnectionPhase.HALF_CLOSED)
@@ -349,9 +352,9 @@
     run_scenario(scenario)
 
 
-def test_a_viewer_whose_connection_breaks_takes_its_open_set_ups_along() -> None:
+def test_a_broken_viewer_connection_withdraws_its_open_set_ups() -> None:
     async def scenario(scene: Scene) -> None:
-        viewer, _wish, _server = await one_under_way(scene)
+        viewer, _wish, _server = await send_open_set_up(scene)
         reset(viewer._writer.transport)  # type: ignore[arg-type]
         await until(lambda: not scene.node.dispatcher.sessions.session_count)
         assert len(scene.setups()) == 1
@@ -395,7 +398,7 @@
 
 def test_bad_requests_are_answered_or_closed_and_touch_nobody_else() -> None:
     async def scenario(scene: Scene) -> None:
-        honest, request, server = await one_under_way(scene)
+        good_viewer, request, server = await send_open_set_up(scene)
         for data in BAD:
             bad = await scene.viewer()
             bad.write(data)
@@ -408,38 +411,38 @@
             await until(lambda bad=bad: bad.messages or bad.closed)
             assert [(message.type, message.id) for message in bad.messages] == [("release", wrong.id)]
         server.finish(request.id)
-        assert (await honest.answer(request.id)).type == "answer"
+        assert (await good_viewer.answer(request.id)).type == "answer"
 
     run_scenario(scenario, settings=PLAIN)
 
 
 def test_the_id_of_an_open_request_gets_one_answer_and_never_a_mixed_one() -> None:
     async def scenario(scene: Scene) -> None:
-        viewer, thief = await scene.viewer(), await scene.viewer()
+        viewer, second_viewer = await scene.viewer(), await scene.viewer()
         for server in scene.servers.values():
             server.script = ["silent"] * 2
-        stolen, doubled = scene.setup(), scene.setup()
-        viewer.send(stolen)
+        reused, doubled = scene.setup(), scene.setup()
+        viewer.send(reused)
         await until(lambda: scene.setups())
-        thief.send(scene.setup(stolen.id, sdp="other"))
-        await until(lambda: thief.closed)
-        assert stolen.id in scene.node.client_requests.open_requests and stolen.id not in scene.answers
-        liar = await scene.viewer()
-        liar.send(doubled, scene.setup(doubled.id, sdp="other"))
-        assert (await liar.answer(doubled.id)).type == "release"
+        second_viewer.send(scene.setup(reused.id, sdp="other"))
+        await until(lambda: second_viewer.closed)
+        assert reused.id in scene.node.client_requests.open_requests and reused.id not in scene.answers
+        third_viewer = await scene.viewer()
+        third_viewer.send(doubled, scene.setup(doubled.id, sdp="other"))
+        assert (await third_viewer.answer(doubled.id)).type == "release"
         await until(
             lambda: doubled.id not in [id for server in scene.servers.values() for id in server.open_set_ups]
         )
         ((server, writer),) = [(s, w) for s in scene.servers.values() for w in s.open_set_ups.values()]
-        server.perform("answer", stolen.id, writer)
-        assert (await viewer.answer(stolen.id)).type == "answer"
+        server.perform("answer", reused.id, writer)
+        assert (await viewer.answer(reused.id)).type == "answer"
 
     run_scenario(scenario)
 
 
 def test_an_honest_connection_survives_its_rare_mistakes() -> None:
     async def scenario(scene: Scene) -> None:
-        viewer, request, server = await one_under_way(scene)
+        viewer, request, server = await send_open_set_up(scene)
         for _ in range(5):  # with a request open none of them ends it
             viewer.send(wrong := scene.setup(left="0"))
             assert (await viewer.answer(wrong.id)).type == "release"
@@ -456,29 +459,29 @@
     run_scenario(scenario)
 
 
-def test_silent_connections_leave_room_for_those_who_speak() -> None:
+def test_silent_connections_are_evicted_for_active_ones() -> None:
     async def scenario(scene: Scene) -> None:
-        crowd = [await scene.viewer() for _ in range(60)]
-        honest = await scene.viewer()
+        silent_viewers = [await scene.viewer() for _ in range(60)]
+        good_viewer = await scene.viewer()
         request = scene.setup()
-        honest.send(request)
-        assert (await honest.answer(request.id)).type == "answer"
+        good_viewer.send(request)
+        assert (await good_viewer.answer(request.id)).type == "answer"
         more = [await scene.viewer() for _ in range(60)]
-        await until(lambda: sum(one.closed for one in crowd) >= 29)
+        await until(lambda: sum(one.closed for one in silent_viewers) >= 29)
         other = scene.setup()
-        honest.send(other)
-        assert (await honest.answer(other.id)).type == "answer"
-        assert len(scene.node.client_listener.admission) <= 32 and not honest.closed
-        for one in crowd + more:
+        good_viewer.send(other)
+        assert (await good_viewer.answer(other.id)).type == "answer"
+        assert len(scene.node.client_listener.admission) <= 32 and not good_viewer.closed
+        for one in silent_viewers + more:
             one.close()
 
     run_scenario(scenario, sockets=64)
 
 
-def test_a_drain_is_obeyed_and_a_feed_that_breaks_is_asked_again_from_its_last() -> None:
+def test_a_drain_is_obeyed_and_a_broken_feed_is_resubscribed_from_the_last_event() -> None:
     async def scenario(scene: Scene) -> None:
         await until(lambda: scene.feed.asked == [1])
-        viewer, request, name = await one_that_stands(scene)
+        viewer, request, name = await establish_session(scene)
         members = {"index": 2, "snapshot": False, "endpoints": [scene.line(name, "draining")]}
         half = json.dumps({"n": 2, "members": members}).encode()
         scene.feed.events.append({"n": 2, "members": members})
@@ -521,9 +524,9 @@
     run_scenario(scenario)
 
 
-def test_after_sigterm_what_comes_is_refused_at_once_and_what_was_taken_is_answered() -> None:
+def test_after_sigterm_new_requests_are_rejected_and_open_ones_answered() -> None:
     async def scenario(scene: Scene) -> None:
-        viewer, request, server = await one_under_way(scene)
+        viewer, request, server = await send_open_set_up(scene)
         scene.node.terminate()
         late = scene.setup()
         other = await scene.viewer()  # new connections keep coming
@@ -538,7 +541,7 @@
 
 def test_a_server_at_the_address_of_a_gone_one_takes_nothing_of_its_sessions() -> None:
     async def scenario(scene: Scene) -> None:
-        _viewer, request, name = await one_that_stands(scene)
+        _viewer, request, name = await establish_session(scene)
         old = scene.servers[name]
         successor = scene.line(name) | {"name": "s-new"}
         scene.feed.add({"index": 2, "snapshot": False, "endpoints": [scene.line(name, "removed"), successor]})
@@ -607,54 +610,54 @@
 
 
 @pytest.mark.parametrize("seed", range(16))
-def test_after_a_drawn_mess_each_request_has_one_answer_and_nothing_is_left_over(seed: int) -> None:
+def test_after_random_faults_each_request_has_one_answer_and_nothing_is_left_over(seed: int) -> None:
     """Whatever meets in one turn: what the node holds is what stands at the servers, to the last session."""
-    draw = Random(seed)
+    rng = Random(seed)
     moves = ["answer"] * 4 + ["silent", "twice", *FAILS]
 
     async def scenario(scene: Scene) -> None:
         viewers = [await scene.viewer() for _ in range(3)]
-        waits: dict[str, ViewerConnection] = {}  # requests that are owed an answer
+        unanswered: dict[str, ViewerConnection] = {}  # requests that are owed an answer
         given_up: set[str] = set()
         servers = list(scene.servers.values())
 
         async def step() -> None:
-            server, what = draw.choice(servers), draw.randrange(12)
+            server, what = rng.choice(servers), rng.randrange(12)
             out, stands = sorted(server.open_set_ups), sorted(server.active_sessions)
             if what < 5:
-                server.script.append(draw.choice(moves))
-                viewer, request = draw.choice(viewers), scene.setup(key=f"{draw.randrange(9):016x}")
-                waits[request.id] = viewer
+                server.script.append(rng.choice(moves))
+                viewer, request = rng.choice(viewers), scene.setup(key=f"{rng.randrange(9):016x}")
+                unanswered[request.id] = viewer
                 viewer.send(request)
-            elif what == 5 and waits:
-                given_up.add(tired := draw.choice(sorted(waits)))
-                waits.pop(tired).send(Message("release", tired, cause=16))
+            elif what == 5 and unanswered:
+                given_up.add(withdrawn := rng.choice(sorted(unanswered)))
+                unanswered.pop(withdrawn).send(Message("release", withdrawn, cause=16))
             elif what == 6 and out:
-                server.finish(draw.choice(out))
+                server.finish(rng.choice(out))
             elif what == 7 and stands:
-                over = draw.choice(stands)
+                over = rng.choice(stands)
                 server.active_sessions.remove(over)
                 end = Frame(FrameType.RELEASE, over, {ParameterCode.CAUSE: bytes((16,))})
                 server.frames_on_connect.append(end)
                 for writer in server.writers[-1:]:
                     server.send_frame(end, writer)
             elif what == 8 and server.writers:
-                draw.choice(server.writers).transport.abort()
-            elif what == 9 and (both := [id for id in out if id in waits]):
-                given_up.add(crossed := draw.choice(both))
+                rng.choice(server.writers).transport.abort()
+            elif what == 9 and (both := [id for id in out if id in unanswered]):
+                given_up.add(crossed := rng.choice(both))
                 server.finish(crossed)
-                waits.pop(crossed).send(Message("release", crossed, cause=16))
-            elif what == 10 and draw.random() < 0.3:
-                gone = viewers.pop(draw.randrange(3))
+                unanswered.pop(crossed).send(Message("release", crossed, cause=16))
+            elif what == 10 and rng.random() < 0.3:
+                gone = viewers.pop(rng.randrange(3))
                 reset(gone._writer.transport)  # type: ignore[arg-type]
-                for id in [id for id, viewer in waits.items() if viewer is gone]:
-                    del waits[id]
+                for id in [id for id, viewer in unanswered.items() if viewer is gone]:
+                    del unanswered[id]
                 viewers.append(await scene.viewer())
             elif what == 11 and server.refusals:  # a second copy, late: its session may be tried again here
                 again, writer = server.refusals[-1]
                 if not writer.transport.is_closing():
                     server.send_frame(again, writer)
-            for _ in range(draw.randrange(3)):
+            for _ in range(rng.randrange(3)):
                 await asyncio.sleep(0)
 
         for _ in range(240):
@@ -662,7 +665,7 @@
         for server in servers:
             server.script.clear()
         await until(
-            lambda: waits.keys() <= scene.answers.keys() and not scene.node.client_requests.open_requests
+            lambda: unanswered.keys() <= scene.answers.keys() and not scene.node.client_requests.open_requests
         )
         held = scene.node.dispatcher.sessions.records
         await until(lambda: {*held()} == {id for server in servers for id in server.active_sessions})
@@ -672,7 +675,7 @@
     run_scenario(scenario, servers=1 + seed % 3)  # few: a session's next attempt may go to the same one
 
 
-def test_a_reader_who_does_not_read_is_let_go() -> None:
+def test_a_client_that_does_not_read_is_disconnected() -> None:
     async def scenario(scene: Scene) -> None:
         _, writer = await asyncio.open_connection(*scene.node.client_listener.address)
         writer.transport.pause_reading()  # type: ignore[attr-defined]
--- a/tests/test_node_crossing.py
+++ b/tests/test_node_crossing.py
@@ -17,7 +17,7 @@
         stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
 
 
-def test_a_set_up_out_at_a_server_taken_for_lost_is_given_up_there_before_the_next() -> None:
+def test_an_open_set_up_at_a_lost_server_is_released_before_the_next_attempt() -> None:
     """It may only be cut off, and run what it was sent: two would be out at once."""
     with staged(2) as stage:
         loop, viewer = stage.loop, stage.far_viewer()
@@ -38,7 +38,7 @@
         home.ended.add(first)  # its machine is gone, and what played there
 
 
-def test_who_ends_its_side_while_its_connection_comes_up_is_refused_at_once() -> None:
+def test_a_client_that_half_closes_during_a_connect_is_rejected_at_once() -> None:
     """The clock stands: neither the connection's coming up nor a look every so often is waited for."""
     with staged() as stage:
         loop, viewer, message = stage.loop, stage.far_viewer(), stage.setup()
--- a/tests/test_node_crossing_feed.py
+++ b/tests/test_node_crossing_feed.py
@@ -31,7 +31,7 @@
     return [key.fd for key in keys if key.events & selectors.EVENT_WRITE]
 
 
-def opening(stage: Stage) -> None:
+def begin_reconnect(stage: Stage) -> None:
     """The feed's connection breaks and the next one has just been begun."""
     stage.loop.settle()
     stage.feed.poll()[-1].reset()
@@ -40,7 +40,7 @@
     stage.loop.until(lambda: connecting(stage))
 
 
-def live(*feeds: FarFeed) -> list[tuple[Far, bytes]]:
+def open_connections(*feeds: FarFeed) -> list[tuple[Far, bytes]]:
     """Connections that are open at both ends, with what was asked on them."""
     for feed in feeds:
         feed.poll()
@@ -57,26 +57,28 @@
     return {"n": n, "members": {"index": n, "snapshot": False, "endpoints": [line]}}
 
 
-def said(event: object) -> bytes:
+def encode_event(event: object) -> bytes:
     return json.dumps(event).encode() + b"\n"
 
 
-def follows(stage: Stage, feed: FarFeed, last: int = 1) -> None:
+def check_followed(stage: Stage, feed: FarFeed, last: int = 1) -> None:
     """One connection there is, it asked from the last number held, and the next event comes in on it."""
-    ((line, asked),) = live(stage.feed, feed) if feed is not stage.feed else live(feed)
+    ((line, asked),) = (
+        open_connections(stage.feed, feed) if feed is not stage.feed else open_connections(feed)
+    )
     assert line in feed.lines and asked == b"SUB %d\n" % last
-    line.write(said(change(stage, last + 1)))
+    line.write(encode_event(change(stage, last + 1)))
     stage.loop.until(lambda: stage.node.feed.last_sequence_number == last + 1)
 
 
 @pytest.mark.parametrize("turns", TURNS)
 def test_a_feed_that_resets_at_any_turn_of_an_opening_is_asked_again(turns: int) -> None:
     with staged() as stage:
-        opening(stage)
+        begin_reconnect(stage)
         stage.loop.turn(turns)
         stage.feed.poll()[-1].reset()
         stage.loop.advance(1_000)
-        follows(stage, stage.feed)
+        check_followed(stage, stage.feed)
 
 
 @pytest.mark.parametrize("late", [True, False])
@@ -85,7 +87,7 @@
     turns: int, late: bool
 ) -> None:
     with staged() as stage:
-        opening(stage)
+        begin_reconnect(stage)
         stage.loop.turn(turns)
         if not late:  # the far end of the race: the time ends while the connection is still held
             stage.loop.selected.held.update(connecting(stage))
@@ -93,7 +95,7 @@
         stage.loop.turn()
         stage.loop.selected.held.clear()
         stage.loop.advance(200)
-        follows(stage, stage.feed)
+        check_followed(stage, stage.feed)
 
 
 @pytest.mark.parametrize("times", [1, 2])
@@ -102,17 +104,17 @@
     turns: int, times: int
 ) -> None:
     with staged() as stage:
-        opening(stage)
+        begin_reconnect(stage)
         stage.loop.turn(turns)
         other = FarFeed()
         for _ in range(times):  # in one turn
             stage.node.endpoint_watcher.change_address(other.address)
         for line in stage.feed.poll():  # what the old one still says
             if not line.over:
-                line.write(said(change(stage, 2, "removed")))
+                line.write(encode_event(change(stage, 2, "removed")))
         stage.loop.settle()
         assert stage.node.feed.last_sequence_number == 1
-        follows(stage, other)
+        check_followed(stage, other)
         assert stage.node.dispatcher.sessions.endpoint_states == {number_of("s-0"): ServerState.DRAINING}
         other.close()
 
@@ -132,11 +134,11 @@
         )
         fds = [ours.fileno(), stage.loop.near(old.sock)]
         stage.loop.selected.first = fds if first == "move" else fds[::-1]
-        old.write(said(change(stage, 2)))
+        old.write(encode_event(change(stage, 2)))
         theirs.send(b"!")
         stage.loop.arrived(*fds)
         stage.loop.settle()
-        follows(stage, other, 1 if first == "move" else 2)
+        check_followed(stage, other, 1 if first == "move" else 2)
         for end in (ours, theirs, other):
             end.close()
 
@@ -154,7 +156,7 @@
         stage.loop.advance(3_000)
         for feed in (stage.feed, other):
             assert not [line for line in feed.poll()[:-1] if not line.over]
-        follows(stage, other)
+        check_followed(stage, other)
         other.close()
 
 
@@ -163,12 +165,12 @@
     with staged() as stage:
         other = FarFeed()
         stage.node.terminate()
-        opening(stage)
+        begin_reconnect(stage)
         stage.loop.turn(turns)
         stage.node.endpoint_watcher.stop()
         stage.node.endpoint_watcher.change_address(other.address)
         stage.loop.advance(5_000)
-        assert live(stage.feed, other) == [] and not other.lines
+        assert open_connections(stage.feed, other) == [] and not other.lines
         other.close()
 
 
@@ -178,13 +180,13 @@
         stage.node.terminate()
         stage.node.endpoint_watcher.change_address(other.address)
         stage.loop.settle()
-        follows(stage, other)
+        check_followed(stage, other)
         stage.loop.advance(4_000)
         assert stage.node.drained.is_set()
         other.close()
 
 
-def test_a_feed_that_moves_before_the_node_follows_is_not_asked_from_a_list_it_has_not_taken() -> None:
+def test_an_address_change_before_the_start_opens_no_connection() -> None:
     with staged() as stage:
         other = FarFeed()
         fresh = type(stage.node.endpoint_watcher)(
@@ -195,7 +197,7 @@
         assert other.poll() == []
         fresh.start()
         stage.loop.settle()
-        assert len(live(other)) == 1
+        assert len(open_connections(other)) == 1
         fresh.stop()
         other.close()
 
@@ -219,7 +221,7 @@
             stage.feed.poll()
         stage.loop.settle()
         assert len(stage.feed.poll()) == 2
-        follows(stage, stage.feed)
+        check_followed(stage, stage.feed)
 
 
 def test_the_last_number_each_second_is_enough_even_in_two_pieces() -> None:
@@ -232,36 +234,38 @@
             line.write(b"\n")
             stage.loop.advance(500)
         assert len(stage.feed.poll()) == 1
-        follows(stage, stage.feed)
+        check_followed(stage, stage.feed)
 
 
 @pytest.mark.parametrize("end", ["reset", "end", "silence"])
-def test_an_event_broken_off_is_taken_whole_from_the_next_connection_and_once(end: str) -> None:
+def test_an_interrupted_event_is_applied_once_from_the_next_connection(end: str) -> None:
     with staged() as stage:
         stage.loop.settle()
         told: list[int] = []
         watcher = stage.node.endpoint_watcher
         apply = watcher.apply_update
         watcher.apply_update = lambda update: (told.append(update.version), apply(update))[1]  # type: ignore
-        line, event = stage.feed.poll()[-1], said(change(stage, 2))
+        line, event = stage.feed.poll()[-1], encode_event(change(stage, 2))
         line.write(event[:40])
         stage.loop.settle()
         if end != "silence":
             getattr(line, end)()
         stage.loop.advance(1_900 if end == "silence" else 100)
-        ((line, asked),) = live(stage.feed)
+        ((line, asked),) = open_connections(stage.feed)
         assert asked == b"SUB 1\n"
         line.write(event[40:90])  # goes on where it broke off: no line of ours
         line.write(b"\n")
         stage.loop.advance(400)
-        ((line, asked),) = live(stage.feed)
+        ((line, asked),) = open_connections(stage.feed)
         assert asked == b"SUB 1\n"
-        line.write(event + event + said(change(stage, 2, "removed")) + said(change(stage, 3, "up")))
+        line.write(
+            event + event + encode_event(change(stage, 2, "removed")) + encode_event(change(stage, 3, "up"))
+        )
         stage.loop.settle()
         assert told == [2, 3] and stage.node.feed.last_sequence_number == 3
-        line.write(said(change(stage, 5)))  # a gap
+        line.write(encode_event(change(stage, 5)))  # a gap
         stage.loop.advance(100)
-        follows(stage, stage.feed, 3)
+        check_followed(stage, stage.feed, 3)
 
 
 def test_a_moved_feed_whose_first_connections_hang_is_tried_every_second_until_one_comes_up() -> None:
@@ -275,7 +279,7 @@
             stage.loop.until(lambda: connecting(stage))
             stage.loop.selected.held = set(connecting(stage))
             other.poll()
-            assert len(other.lines) == tries and len(live(stage.feed, other)) == 1
+            assert len(other.lines) == tries and len(open_connections(stage.feed, other)) == 1
             stage.loop.advance(1_000)
             stage.loop.selected.held = set()
             while not connecting(stage):
@@ -284,7 +288,7 @@
                 stage.loop.until(lambda: connecting(stage) or not stage.loop._ready)
         assert stage.loop.clock - began < 3.6  # 3 x 1.0 s, and 1.5 x (50 + 100 + 200) ms at most
         stage.loop.settle()
-        follows(stage, other)
+        check_followed(stage, other)
         other.close()
 
 
@@ -301,8 +305,8 @@
         now = policy.deadline
 
 
-def test_an_opening_ends_once_and_a_feed_that_is_of_no_use_is_asked_ever_more_slowly() -> None:
-    policy, now, pauses = ReconnectPolicy(1), 0.0, []
+def test_a_connection_ends_once_and_the_backoff_grows_for_a_useless_feed() -> None:
+    policy, now, backoffs = ReconnectPolicy(1), 0.0, []
     for _ in range(40):
         first = policy.begin_connection(now)
         opening = policy.begin_connection(now)  # takes the place of the first
@@ -323,9 +327,9 @@
             and not policy.is_current(opening)
         )
         assert policy.deadline is not None and policy.timeout_reason() is None
-        pauses.append(policy.deadline - now)
+        backoffs.append(policy.deadline - now)
         now = policy.deadline
-    assert pauses[0] < 0.075 and min(pauses[5:]) >= 0.4 and max(pauses) <= 1.2
+    assert backoffs[0] < 0.075 and min(backoffs[5:]) >= 0.4 and max(backoffs) <= 1.2
     for told, stood_s in ((True, 0.0), (False, 1.0)):  # an event taken, or a while in use: as at first
         opening = policy.begin_connection(now)
         assert opening is not None and policy.on_connected(opening, now)
@@ -345,7 +349,7 @@
     )
 
 
-def test_an_event_that_comes_the_same_again_is_taken_as_far_as_it_can_be_read() -> None:
+def test_a_repeated_unreadable_event_is_applied_in_part() -> None:
     with staged(servers=2) as stage:
         stage.loop.settle()
         odd = change(stage, 2)
@@ -355,16 +359,16 @@
         listed = {number_of("s-0"): ServerState.READY, number_of("s-1"): ServerState.READY}
         for n, event in ((2, odd), (3, no_list)):
             for tries, told in enumerate(({**event, "spoilt": 1}, event, event)):  # the first is another
-                ((line, asked),) = live(stage.feed)
+                ((line, asked),) = open_connections(stage.feed)
                 assert stage.node.dispatcher.sessions.endpoint_states == listed
                 assert not tries or asked == b"SUB %d\n" % (n - 1)
-                line.write(b"%d\n" % (n - 1) + said(told))
+                line.write(b"%d\n" % (n - 1) + encode_event(told))
                 stage.loop.advance(500)
             assert stage.node.feed.last_sequence_number == n
             listed[number_of("s-0")] = ServerState.DRAINING
         assert stage.node.dispatcher.sessions.endpoint_states == listed
         assert stage.log.getvalue().count("partially applied") == 2
-        line.write(said(change(stage, 4)))
+        line.write(encode_event(change(stage, 4)))
         stage.loop.until(lambda: stage.node.feed.last_sequence_number == 4)
 
 
@@ -389,7 +393,7 @@
     assert list(known.apply_known_events(({"n": 7}, {"n": 8}), 8)) == [] and known.last_sequence_number == 8
 
 
-class Knowing(Stage):
+class StageWithKnownEvents(Stage):
     """A node that starts with a list on which something has happened already."""
 
     def __init__(self, *later: dict[str, Any]) -> None:
@@ -409,7 +413,7 @@
 
 
 def test_a_server_that_went_and_came_back_before_a_start_can_be_reached() -> None:
-    stage = Knowing({"status": "removed"}, {"since_ms": 1_000})
+    stage = StageWithKnownEvents({"status": "removed"}, {"since_ms": 1_000})
     assert stage.node.dispatcher.sessions.endpoint_states.keys() == stage.node.feed.addresses.keys() != set()
     stage.establish_session(stage.far_viewer())
     assert len(stage.feed.poll()) == 1 and stage.feed.asked == [b"SUB 3\n"]
@@ -419,7 +423,7 @@
 
 def test_a_known_event_that_can_not_be_read_keeps_no_node_from_starting() -> None:
     """A node that runs has left it out; one that starts again beside it must not end over it."""
-    stage = Knowing({"status": "removed", "type": "odd"}, {"status": "draining"})
+    stage = StageWithKnownEvents({"status": "removed", "type": "odd"}, {"status": "draining"})
     assert stage.node.dispatcher.sessions.endpoint_states == {number_of("s-0"): ServerState.DRAINING}
     assert (
         stage.node.feed.last_sequence_number == 3
@@ -431,28 +435,30 @@
         list(EndpointFeed(("box",), 0.0).apply_known_events(({"n": 1}, {"n": 3}), 3))
 
 
-DEEDS = (
+ACTIONS = (
     *("event", "event", "event", "twice", "old", "gap", "number", "half", "silent", "reset", "end"),
     *("move", "move", "hold", "free", "turn", "jump", "advance", "cross", "cross"),
 )
 
 
-class Mess:
+class FaultInjector:
     """Feeds at addresses old and new tell one story; what a seed draws happens to their connections."""
 
-    def __init__(self, stage: Stage, dice: Random) -> None:
-        self.stage, self.dice = stage, dice
+    def __init__(self, stage: Stage, rng: Random) -> None:
+        self.stage, self.rng = stage, rng
         self.feeds: list[FarFeed] = [stage.feed]
-        self.story = [change(stage, 1, "up")]
-        self.told: dict[int, int] = {}  # a connection, by its feed's place and its own: the last event told
+        self.events = [change(stage, 1, "up")]
+        self.last_sent: dict[
+            int, int
+        ] = {}  # a connection, by its feed's place and its own: the last event told
         self.broken: set[int] = set()  # connections that say nothing more
         self.applied: list[int] = []
-        self.tell = stage.node.endpoint_watcher.apply_update
-        stage.node.endpoint_watcher.apply_update = self.took  # type: ignore[method-assign]
+        self.apply_update = stage.node.endpoint_watcher.apply_update
+        stage.node.endpoint_watcher.apply_update = self.on_update  # type: ignore[method-assign]
 
-    def took(self, update: EndpointListUpdate) -> None:
+    def on_update(self, update: EndpointListUpdate) -> None:
         self.applied.append(update.version)
-        self.tell(update)
+        self.apply_update(update)
 
     def open(self) -> list[tuple[int, Far, bytes]]:
         """Connections of the newest address that have asked and are told what comes."""
@@ -472,94 +478,95 @@
     def serve(self) -> None:
         for key, line, asked in self.open():
             assert asked.count(b"\n") == 1
-            for event in self.story[self.told.get(key, int(asked[4:])) :]:
-                self.write(line, said(event))
-            self.told[key] = len(self.story)
+            for event in self.events[self.last_sent.get(key, int(asked[4:])) :]:
+                self.write(line, encode_event(event))
+            self.last_sent[key] = len(self.events)
 
     def number(self) -> None:
         for _, line, _ in self.open():
-            self.write(line, b"%d\n" % len(self.story))
+            self.write(line, b"%d\n" % len(self.events))
 
     def act(self) -> None:
-        dice, loop = self.dice, self.stage.loop
-        deed = dice.choice(DEEDS)
+        rng, loop = self.rng, self.stage.loop
+        action = rng.choice(ACTIONS)
         lines = self.open()
-        if deed == "event":
-            status = dice.choice(["up", "draining"])
-            self.story.append(change(self.stage, len(self.story) + 1, status, weight=len(self.story)))
-        elif deed == "move":
-            self.feeds += [FarFeed()] * (dice.random() < 0.7)
-            for _ in range(dice.choice([1, 1, 2])):
+        if action == "event":
+            status = rng.choice(["up", "draining"])
+            self.events.append(change(self.stage, len(self.events) + 1, status, weight=len(self.events)))
+        elif action == "move":
+            self.feeds += [FarFeed()] * (rng.random() < 0.7)
+            for _ in range(rng.choice([1, 1, 2])):
                 self.stage.node.endpoint_watcher.change_address(self.feeds[-1].address)
-        elif deed == "hold":
+        elif action == "hold":
             loop.selected.held.update(connecting(self.stage))
-        elif deed == "free":
+        elif action == "free":
             loop.selected.held.clear()
-        elif deed == "cross":
+        elif action == "cross":
             self.cross()
-        elif deed == "turn":
-            loop.turn(dice.randrange(1, 6))
-        elif deed == "jump":
-            loop.jump(dice.choice([20.0, 80.0, 900.0, 2_000.0]))
-        elif deed == "advance":
-            loop.advance(dice.choice([10.0, 100.0, 500.0, 1_000.0]))
+        elif action == "turn":
+            loop.turn(rng.randrange(1, 6))
+        elif action == "jump":
+            loop.jump(rng.choice([20.0, 80.0, 900.0, 2_000.0]))
+        elif action == "advance":
+            loop.advance(rng.choice([10.0, 100.0, 500.0, 1_000.0]))
         elif lines:
-            key, line, _ = dice.choice(lines)
-            if deed in ("reset", "end"):
-                getattr(line, deed)()
-            elif deed == "number":
+            key, line, _ = rng.choice(lines)
+            if action in ("reset", "end"):
+                getattr(line, action)()
+            elif action == "number":
                 self.number()
-            elif deed == "gap":
-                self.write(line, said(change(self.stage, len(self.story) + 2, "removed")))
-            elif deed in ("twice", "old"):
-                self.write(line, said(dice.choice(self.story[: self.told.get(key, 0)] or [0])))
-            elif deed == "half":
+            elif action == "gap":
+                self.write(line, encode_event(change(self.stage, len(self.events) + 2, "removed")))
+            elif action in ("twice", "old"):
+                self.write(line, encode_event(rng.choice(self.events[: self.last_sent.get(key, 0)] or [0])))
+            elif action == "half":
                 self.write(
-                    line, said(change(self.stage, len(self.story) + 1, "removed"))[: dice.randrange(60)]
+                    line,
+                    encode_event(change(self.stage, len(self.events) + 1, "removed"))[: rng.randrange(60)],
                 )
-            if deed in ("silent", "half", "end"):
+            if action in ("silent", "half", "end"):
                 self.broken.add(key)
-        if dice.random() < 0.6:
+        if rng.random() < 0.6:
             self.serve()
 
     def cross(self) -> None:
         """Something happens between two turns of an opening, if there is one or is to be one."""
         loop, feed = self.stage.loop, self.feeds[-1]
         loop.jump(80.0)
-        for _ in range(self.dice.randrange(12)):
+        for _ in range(self.rng.randrange(12)):
             loop.turn()
             if connecting(self.stage):
                 break
-        loop.turn(self.dice.randrange(4))
-        if self.dice.random() < 0.7 and (lines := [one for one in feed.poll() if not one.over]):
+        loop.turn(self.rng.randrange(4))
+        if self.rng.random() < 0.7 and (lines := [one for one in feed.poll() if not one.over]):
             lines[-1].reset()
-        elif self.dice.random() < 0.5:
+        elif self.rng.random() < 0.5:
             self.stage.node.endpoint_watcher.change_address(feed.address)
 
-    def whole(self) -> None:
+    def run(self) -> None:
         for _ in range(80):
             self.act()
-            if self.dice.random() < 0.2:
-                self.calm()
+            if self.rng.random() < 0.2:
+                self.check_settled()
         self.stage.loop.selected.held.clear()
-        self.story.append(change(self.stage, len(self.story) + 1))
+        self.events.append(change(self.stage, len(self.events) + 1))
         for _ in range(50):  # 5 s with no fault more
             self.serve()
             self.number()
             self.stage.loop.advance(100)
-        self.calm()
-        assert len(self.open()) == 1 and self.applied == list(range(2, len(self.story) + 1))
+        self.check_settled()
+        assert len(self.open()) == 1 and self.applied == list(range(2, len(self.events) + 1))
         assert self.stage.node.dispatcher.sessions.endpoint_states == {number_of("s-0"): ServerState.DRAINING}
         for feed in self.feeds[1:]:
             feed.close()
 
-    def calm(self) -> None:
+    def check_settled(self) -> None:
         self.stage.loop.settle()
-        assert len(live(*self.feeds)) <= 1, "two connections to the feed"
+        assert len(open_connections(*self.feeds)) <= 1, "two connections to the feed"
         assert self.applied == list(range(2, len(self.applied) + 2)), "twice, or out of order"
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_whatever_befalls_the_feed_its_list_is_held_once_it_is_well_again(seed: int) -> None:
+def test_the_list_is_complete_after_random_feed_faults(seed: int) -> None:
     with staged() as stage:
-        Mess(stage, Random(seed)).whole()
+        FaultInjector(stage, Random(seed)).run()
--- a/tests/test_node_crossing_lost.py
+++ b/tests/test_node_crossing_lost.py
@@ -15,7 +15,7 @@
 from fernweir.node.jsonl import Message
 from fernweir.node.liveness import CHECK_INTERVAL_MS
 from tests.node_scene import FarLine, FarServer, FarViewer, Stage, staged
-from tests.test_node_crossing_servers import answered, let_go, tell
+from tests.test_node_crossing_servers import release_descriptor, send_feed_event, wait_for_answer
 
 HALF = slice(0, -5)
 
@@ -43,20 +43,20 @@
             stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
             new = next(one for one in stage.far.values() if one is not line.server).line_of(id)
             new.answer(id)
-            answered(stage, viewer, id)
+            wait_for_answer(stage, viewer, id)
         assert id in line.server.answered_sessions
         stage.loop.advance(1_000.0)
         stage.loop.until(lambda: id in line.server.released)
 
 
-def reset_while_new(stage: Stage, line: FarLine) -> None:
+def reset_while_connecting(stage: Stage, line: FarLine) -> None:
     """The next connection to that server comes up and breaks before the node sees it: somebody listens."""
     fd = stage.hold_next_connect()
     new = line.server.accept()
     assert new is not None
     new.reset()
     stage.loop.arrived(fd)
-    let_go(stage, fd)
+    release_descriptor(stage, fd)
 
 
 def test_a_release_held_back_for_a_set_up_that_never_left_goes_out_all_the_same() -> None:
@@ -64,7 +64,7 @@
     with staged() as stage:
         viewer = stage.far_viewer()
         id, line = half_answered(stage, viewer)
-        reset_while_new(stage, line)
+        reset_while_connecting(stage, line)
         (endpoint,) = stage.node.server_pool.endpoints.values()
         stage.loop.until(lambda: endpoint.release_queue.pending_releases)
         first, _ = (
@@ -75,7 +75,7 @@
             not endpoint.attempts[id].is_written
             and endpoint.attempts[id].connection is endpoint.connections[1]
         )
-        let_go(stage, first)
+        release_descriptor(stage, first)
         stage.loop.settle()
         viewer.send(Message("release", id, cause=16))
         stage.loop.advance(1_000.0)
@@ -91,7 +91,7 @@
         viewer.send(Message("release", tired, cause=16))
         stage.loop.until(lambda: tired in line.server.released)
         (endpoint,) = stage.node.server_pool.endpoints.values()
-        let_go(stage, fd)
+        release_descriptor(stage, fd)
         while not endpoint.connections[-1].is_usable:
             stage.loop.turn()
         new = line.server.lines[-1]
@@ -99,19 +99,19 @@
         new.reset()
         stage.loop.arrived(fd)
         stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
-        let_go(stage, fd)
+        release_descriptor(stage, fd)
         stage.loop.settle()
         assert [one.type for one in idle.received if one.session == id] == [
             FrameType.RELEASE,
             FrameType.SETUP,
         ]
         idle.answer(id)
-        answered(stage, viewer, id)
+        wait_for_answer(stage, viewer, id)
         busy.answer(other)
-        answered(stage, viewer, other)
+        wait_for_answer(stage, viewer, other)
 
 
-def lost(stage: Stage) -> None:
+def wait_until_lost(stage: Stage) -> None:
     """Two looks' connections never come up, the clock going on; the open ones are silent."""
     stage.loop.advance(2_400.0)  # short of the silence that a server is given
     for _ in range(2):
@@ -121,57 +121,57 @@
         stage.loop.turn()
 
 
-def test_what_stands_at_a_server_taken_for_lost_is_released_there_once_it_is_back() -> None:
+def test_sessions_of_a_lost_server_are_released_once_it_returns() -> None:
     """It may have been cut off only, and its sessions were told over."""
     with staged() as stage:
         viewer = stage.far_viewer()
         id, line = stage.establish_session(viewer)
-        lost(stage)
+        wait_until_lost(stage)
         stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         stage.loop.advance(1_000.0)
         assert len(line.server.lines) == 1 and id in line.server.active_sessions()  # nothing is made for it
         request, new = stage.set_up(viewer)
         assert id in {one.session for one in new.received if one.type is FrameType.RELEASE}
         new.answer(request)
-        answered(stage, viewer, request)
+        wait_for_answer(stage, viewer, request)
 
 
-def test_nothing_new_goes_on_the_connections_of_a_server_taken_for_lost() -> None:
+def test_no_request_is_sent_on_old_connections_of_a_lost_server() -> None:
     """Its machine may be another by now; a connection of before tells that by a set-up's time-out."""
     with staged() as stage:
         viewer = stage.far_viewer()
         id, line = stage.establish_session(viewer)
-        lost(stage)
+        wait_until_lost(stage)
         stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         line.ended.add(id)
         stage.loop.advance(1_000.0)
         request, new = stage.set_up(viewer)
         assert new is not line
         new.answer(request)
-        answered(stage, viewer, request)
+        wait_for_answer(stage, viewer, request)
 
 
-def test_nothing_new_goes_on_connections_from_before_a_servers_start() -> None:
+def test_no_request_is_sent_on_connections_from_before_a_server_restart() -> None:
     with staged() as stage:
         viewer = stage.far_viewer()
         id, line = stage.establish_session(viewer)
         line.ended.add(id)
         stage.loop.advance(100.0)
         started = stage.loop.clock * 1000.0 + stage.node.feed._offset_ms
-        tell(stage, stage.line("s-0", since_ms=started))
+        send_feed_event(stage, stage.line("s-0", since_ms=started))
         stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         stage.loop.advance(1_000.0)
         request, new = stage.set_up(viewer)
         assert new is not line
         new.answer(request)
-        answered(stage, viewer, request)
+        wait_for_answer(stage, viewer, request)
         other, again = stage.set_up(viewer)
         assert again is new
         again.answer(other)
-        answered(stage, viewer, other)
+        wait_for_answer(stage, viewer, other)
 
 
-def test_connections_that_are_late_at_once_are_one_failed_look() -> None:
+def test_concurrent_connect_timeouts_count_as_one_failed_check() -> None:
     with staged() as stage:
         viewer = stage.far_viewer()
         id, line = stage.establish_session(viewer)
@@ -183,10 +183,10 @@
         stage.loop.advance(1_000.0)
         assert "server lost" not in stage.log.getvalue() and id not in stage.ends
         line.answer(first)
-        answered(stage, viewer, first)
+        wait_for_answer(stage, viewer, first)
 
 
-def test_a_release_on_a_connection_whose_other_end_never_ends_is_said_again() -> None:
+def test_a_release_on_a_connection_never_closed_by_the_server_is_sent_again() -> None:
     """A cut may hold it, and the end of this side beside an answer that comes late drops it."""
     with staged(servers=2) as stage:
         viewer = stage.far_viewer()
@@ -196,7 +196,7 @@
         stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
         new = next(one for one in stage.far.values() if one is not line.server).line_of(id)
         new.answer(id)
-        answered(stage, viewer, id)
+        wait_for_answer(stage, viewer, id)
         assert not endpoint.attempts and FrameType.RELEASE in [one.type for one in line.received]
         stage.loop.advance(2_000.0)  # this side's end is not answered
         line.server.poll()
@@ -205,7 +205,7 @@
         ]
 
 
-def test_the_end_of_a_failed_attempt_said_on_a_new_connection_leaves_nothing_of_the_next() -> None:
+def test_an_ambiguous_release_on_a_new_connection_ends_and_releases_the_session() -> None:
     """Whose end it is can't be told, though the connection of the session that stands is there."""
     with staged() as stage:
         viewer = stage.far_viewer()
@@ -213,7 +213,7 @@
         stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
         (_, again) = line.server.lines
         again.answer(id)
-        answered(stage, viewer, id)
+        wait_for_answer(stage, viewer, id)
         (first, _), (second, new) = stage.set_up(viewer), stage.set_up(viewer)
         assert new is not again
         new.send_frame(Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((16,))}))
@@ -224,11 +224,11 @@
         again.answer(first)
         new.answer(second)
         for one in (first, second):
-            answered(stage, viewer, one)
+            wait_for_answer(stage, viewer, one)
 
 
 @pytest.mark.parametrize("speaks", [True, False])
-def test_a_server_that_breaks_each_new_connection_is_not_looked_at_without_a_pause(speaks: bool) -> None:
+def test_checks_of_a_server_that_breaks_each_connection_are_paced(speaks: bool) -> None:
     """Each such look is over within a turn or two: without a pause they took all of the node's time."""
     with staged() as stage:
         viewer = stage.far_viewer()
@@ -236,7 +236,7 @@
         line.answer(id)
         there.answer(other)
         for one in (id, other):
-            answered(stage, viewer, one)
+            wait_for_answer(stage, viewer, one)
         if not speaks:
             viewer.send(Message("release", other, cause=16))
             stage.loop.until(lambda: other in there.server.released)
@@ -260,26 +260,26 @@
         assert {id} <= set(stage.node.dispatcher.sessions.records())
 
 
-class Drawn:
+class RandomServer:
     """One media server of a drawn mess: what it holds, in the order in which it read what it was told."""
 
-    def __init__(self, far: FarServer, draw: Random) -> None:
-        self.far, self.draw, self.cut = far, draw, False
+    def __init__(self, far: FarServer, rng: Random) -> None:
+        self.far, self.rng, self.is_partitioned = far, rng, False
         self.open_set_ups: dict[str, FarLine] = {}
         self.active_sessions: set[str] = set()
         self.ends: list[Frame] = []  # also said on each next connection that opens
-        self.rests: list[tuple[FarLine, bytes]] = []  # second pieces of answers
+        self.answer_remainders: list[tuple[FarLine, bytes]] = []  # second pieces of answers
 
     def poll(self, calm: bool) -> None:
         """Reads and acts, unless it is cut off: then all waits, in both directions."""
-        if self.cut:
+        if self.is_partitioned:
             return
         while (line := self.far.accept()) is not None:
             for end in self.ends:
                 self.write(line, encode_frame(end))
-        for line, rest in self.rests:
+        for line, rest in self.answer_remainders:
             self.write(line, rest)
-        self.rests.clear()
+        self.answer_remainders.clear()
         for line in self.far.lines:
             for frame in line.poll():
                 if frame.type is FrameType.SETUP:
@@ -291,10 +291,10 @@
             if line.over:
                 self.give_up(line)
         for id, line in list(self.open_set_ups.items()):
-            if id in self.open_set_ups and (calm or self.draw.random() < 0.4):
-                self.act(id, line, "answer" if calm else self.draw.choice(ACTS))
-        if not calm and self.active_sessions and self.draw.random() < 0.05:
-            self.end(self.draw.choice(sorted(self.active_sessions)))
+            if id in self.open_set_ups and (calm or self.rng.random() < 0.4):
+                self.act(id, line, "answer" if calm else self.rng.choice(ACTS))
+        if not calm and self.active_sessions and self.rng.random() < 0.05:
+            self.end(self.rng.choice(sorted(self.active_sessions)))
 
     def act(self, id: str, line: FarLine, what: str) -> None:
         data = encode_frame(Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: b"one\r\n"}))
@@ -309,12 +309,12 @@
             line.reset()
             self.give_up(line)
         else:
-            cut = self.draw.randrange(1, len(data)) if what in ("pieces", "broken", "half") else len(data)
+            cut = self.rng.randrange(1, len(data)) if what in ("pieces", "broken", "half") else len(data)
             if not self.write(line, data[:cut]):
                 return
             self.active_sessions.add(id)
             if what == "pieces":
-                self.rests.append((line, data[cut:]))
+                self.answer_remainders.append((line, data[cut:]))
             elif what != "answer":  # a break, or an end, behind it: seen in one turn
                 line.reset() if what in ("broken", "reset") else line.end()
                 self.give_up(line)
@@ -348,13 +348,13 @@
 )
 
 
-class Mess:
+class FaultInjector:
     """A stage whose servers are cut off and heal, and some of whose connections come up late or never."""
 
-    def __init__(self, stage: Stage, draw: Random) -> None:
-        self.stage, self.draw, self.calm = stage, draw, False
-        self.servers = {far.address: Drawn(far, draw) for far in stage.far.values()}
-        self.late: dict[tuple[int, Any], float] = {}  # a connection being made: until when it is held
+    def __init__(self, stage: Stage, rng: Random) -> None:
+        self.stage, self.rng, self.is_calm = stage, rng, False
+        self.servers = {far.address: RandomServer(far, rng) for far in stage.far.values()}
+        self.held_until: dict[tuple[int, Any], float] = {}  # a connection being made: until when it is held
 
     def hold(self) -> None:
         loop = self.stage.loop
@@ -367,10 +367,10 @@
                 continue
             if server is None:
                 continue
-            if key.events & selectors.EVENT_WRITE and name not in self.late:
-                late = 0.0 if self.calm or self.draw.random() < 0.75 else self.draw.choice([0.1, 0.24, 9.0])
-                self.late[name] = loop.clock + late
-            if server.cut or self.late.get(name, 0.0) > loop.clock:
+            if key.events & selectors.EVENT_WRITE and name not in self.held_until:
+                late = 0.0 if self.is_calm or self.rng.random() < 0.75 else self.rng.choice([0.1, 0.24, 9.0])
+                self.held_until[name] = loop.clock + late
+            if server.is_partitioned or self.held_until.get(name, 0.0) > loop.clock:
                 loop.selected.held.add(key.fd)
 
     def step(self, ms: float) -> None:
@@ -379,51 +379,51 @@
             self.hold()
             self.stage.loop.turn()
         for server in self.servers.values():
-            server.poll(self.calm)
+            server.poll(self.is_calm)
 
 
 @pytest.mark.parametrize("seed", range(16))
-def test_after_cuts_that_heal_and_connections_that_are_late_nothing_stands_that_nobody_holds(
+def test_no_orphaned_session_remains_after_partitions_and_slow_connects(
     seed: int,
 ) -> None:
-    draw = Random(seed)
+    rng = Random(seed)
     with staged(servers=1 + seed % 3) as stage:
-        mess, viewer = Mess(stage, draw), stage.far_viewer()
+        injector, viewer = FaultInjector(stage, rng), stage.far_viewer()
         asked, given_up, host = list[str](), set[str](), stage.node.dispatcher.sessions
         for _ in range(300):
-            what, server = draw.random(), draw.choice(list(mess.servers.values()))
+            what, server = rng.random(), rng.choice(list(injector.servers.values()))
             if what < 0.3:
-                viewer.send(request := stage.setup(key=f"{draw.randrange(9):016x}"))
+                viewer.send(request := stage.setup(key=f"{rng.randrange(9):016x}"))
                 asked.append(request.id)
             elif what < 0.36 and (open_ := [id for id in asked if id not in stage.answers]):
-                given_up.add(tired := draw.choice(open_))
+                given_up.add(tired := rng.choice(open_))
                 viewer.send(Message("release", tired, cause=16))
             elif what < 0.4:
-                server.cut = not server.cut
+                server.is_partitioned = not server.is_partitioned
             elif (
                 what < 0.43
-                and not server.cut
+                and not server.is_partitioned
                 and (there := [one for one in server.far.lines if not one.over])
             ):
-                (line := draw.choice(there)).reset()
+                (line := rng.choice(there)).reset()
                 server.give_up(line)
-            mess.step(draw.choice([1.0, 10.0, 60.0]))
+            injector.step(rng.choice([1.0, 10.0, 60.0]))
             viewer.poll()
-        mess.calm = True
-        for server in mess.servers.values():
-            server.cut = False
+        injector.is_calm = True
+        for server in injector.servers.values():
+            server.is_partitioned = False
         endpoints, names = (
             stage.node.server_pool.endpoints,
             {number_of(far.name): far.address for far in stage.far.values()},
         )
 
         def settled() -> bool:
-            mess.step(20.0)
+            injector.step(20.0)
             viewer.poll()
             if any(id not in stage.answers and id not in given_up for id in asked):
                 return False
             for number, there in names.items():
-                server, held = mess.servers[there], set(host.sessions_playing_at(number))
+                server, held = injector.servers[there], set(host.sessions_playing_at(number))
                 kept = (
                     {one.session for one in endpoints[number].release_queue.deferred_releases}
                     if number in endpoints
--- a/tests/test_node_crossing_servers.py
+++ b/tests/test_node_crossing_servers.py
@@ -19,11 +19,11 @@
 from tests.node_scene import PLAIN, FarLine, FarServer, FarViewer, Stage, staged
 
 
-def let_go(stage: Stage, fd: int) -> None:
+def release_descriptor(stage: Stage, fd: int) -> None:
     stage.loop.selected.held.discard(fd)
 
 
-def answered(stage: Stage, viewer: FarViewer, id: str) -> str:
+def wait_for_answer(stage: Stage, viewer: FarViewer, id: str) -> str:
     """Turns until the viewer has its answer: what it says."""
     stage.loop.until(lambda: viewer.poll() is not None and id in stage.answers)
     return stage.answers[id].sdp or str(stage.answers[id].cause)
@@ -35,7 +35,7 @@
     return stage.far[stage.sent_to(id)[-1]].line_of(id)
 
 
-def heard(stage: Stage, line: FarLine, *frames: Frame) -> None:
+def deliver_frames(stage: Stage, line: FarLine, *frames: Frame) -> None:
     """A media server says this in one piece, and the node takes it."""
     fd = stage.loop.near(line.sock)
     line.write(b"".join(map(encode_frame, frames)))
@@ -43,7 +43,7 @@
     stage.loop.settle()
 
 
-def tell(stage: Stage, *lines: dict[str, Any]) -> None:
+def send_feed_event(stage: Stage, *lines: dict[str, Any]) -> None:
     """One event of the feed, taken by the node."""
     (feed,) = stage.feed.poll()
     last = stage.node.feed.last_sequence_number + 1
@@ -73,7 +73,7 @@
     with staged(servers=2) as stage:
         viewer = stage.far_viewer()
         viewer.send(request := stage.setup())
-        let_go(stage, stage.hold_next_connect())
+        release_descriptor(stage, stage.hold_next_connect())
         stage.loop.turn(turns)
         stage.loop.jump(stage.node.server_pool.connect_timeout_s * 1000.0)
         stage.loop.turn(2)
@@ -81,7 +81,7 @@
         stage.loop.settle()
         assert len(stage.sent_to(request.id)) == 1
         line.answer(request.id)
-        assert answered(stage, viewer, request.id) == f"{line.server.name} {request.id}\r\n"
+        assert wait_for_answer(stage, viewer, request.id) == f"{line.server.name} {request.id}\r\n"
         lines = [line for far in stage.far.values() for line in far.lines]
         given_up = "connect_failed" in stage.log.getvalue()
         assert given_up is (len(lines) == 2) and given_up is (turns < 2)
@@ -97,7 +97,7 @@
         viewer.send(Message("release", request.id, cause=16)) if how == "release" else viewer.reset()
         stage.loop.until(lambda: not stage.node.dispatcher.sessions.session_count)
         stage.check_settled()  # no attempt and no timer of it waits for the connection
-        let_go(stage, fd)
+        release_descriptor(stage, fd)
         stage.loop.advance(2_000.0)
         assert stage.sent_to(request.id) == []
 
@@ -110,16 +110,16 @@
         fd = stage.hold_next_connect()
         ((server, endpoint),) = stage.node.server_pool.endpoints.items()
         name = stage.node.feed.names[server]
-        tell(stage, stage.line(name, status))
+        send_feed_event(stage, stage.line(name, status))
         if status == "removed":
-            let_go(stage, fd)  # it is given up, and its descriptor the next one's
+            release_descriptor(stage, fd)  # it is given up, and its descriptor the next one's
         assert request.id not in endpoint.attempts  # ended though the connection is still on its way
         line = line_of(stage, request.id)  # elsewhere, with the first one held
         assert line.server.name != name
-        let_go(stage, fd)
+        release_descriptor(stage, fd)
         stage.loop.settle()
         line.answer(request.id)
-        assert answered(stage, viewer, request.id).startswith(line.server.name)
+        assert wait_for_answer(stage, viewer, request.id).startswith(line.server.name)
         assert len(stage.sent_to(request.id)) == 1
 
 
@@ -128,7 +128,7 @@
     stage = Stage()
     viewer = stage.far_viewer()
     viewer.send(stage.setup())
-    let_go(stage, stage.hold_next_connect())
+    release_descriptor(stage, stage.hold_next_connect())
     stage.loop.turn({"stop": 2, "up": 3}[first])
     stage.node.shutdown()
     stage.loop.settle()
@@ -155,15 +155,15 @@
         line.close() if how == "end" else line.reset()
         stage.loop.arrived(fd)
         if first == "end":
-            let_go(stage, fd)
+            release_descriptor(stage, fd)
             stage.loop.settle()
         viewer.send(request := stage.setup())
         if first == "set-up":
             stage.loop.until(lambda: stage.node.dispatcher.sessions.metrics.set_ups == 2)
-            let_go(stage, fd)
+            release_descriptor(stage, fd)
         new = line_of(stage, request.id)
         new.answer(request.id)
-        assert answered(stage, viewer, request.id) == f"{new.server.name} {request.id}\r\n"
+        assert wait_for_answer(stage, viewer, request.id) == f"{new.server.name} {request.id}\r\n"
         assert len(stage.sent_to(request.id)) == 1
         unknown = (how, first) == ("end", "set-up")  # it may have run: as an error, and tried elsewhere
         assert ("set-up failed" in stage.log.getvalue()) is unknown
@@ -182,20 +182,20 @@
             assert line is not None and breaks < 9
             line.reset()
             stage.loop.arrived(fd, events=select.POLLERR)
-            let_go(stage, fd)
+            release_descriptor(stage, fd)
             stage.loop.turn(4)
             breaks += 1
         assert '"result": "connect_failed"' in stage.log.getvalue() and breaks == 3
         new = line_of(stage, request.id)
         new.answer(request.id)
-        assert answered(stage, viewer, request.id) == f"{new.server.name} {request.id}\r\n"
+        assert wait_for_answer(stage, viewer, request.id) == f"{new.server.name} {request.id}\r\n"
         assert len(stage.sent_to(request.id)) == 1 and new.server is not line.server
 
 
 @pytest.mark.parametrize("cause", [34, 47])
 @pytest.mark.parametrize("word", ["release", "answer"])
 @pytest.mark.parametrize("second", ["out", "stands"])
-def test_a_late_word_on_an_attempt_isnt_taken_for_the_next_at_the_same_server(
+def test_a_late_message_of_an_attempt_is_not_attributed_to_the_next_attempt(
     cause: int, word: str, second: str
 ) -> None:
     """Both have one id; they differ by their connections."""
@@ -210,12 +210,12 @@
         if word == "answer":
             late = Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: b"late\r\n"})
         if second == "out":
-            heard(stage, line, late)
+            deliver_frames(stage, line, late)
             assert id in stage.node.client_requests.open_requests and len(stage.sent_to(id)) == 2
         new.answer(id)
-        assert answered(stage, viewer, id) == f"s-0 {id}\r\n"
+        assert wait_for_answer(stage, viewer, id) == f"s-0 {id}\r\n"
         if second == "stands":
-            heard(stage, line, late)
+            deliver_frames(stage, line, late)
         assert stage.node.dispatcher.sessions.session_count == 1
         new.release(id, 16)  # its own connection's word counts
         stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
@@ -231,13 +231,13 @@
         new = stage.far["s-0"].line_of(id)
         assert [one.type for one in new.received] == [FrameType.RELEASE, FrameType.SETUP]
         new.answer(id)
-        answered(stage, viewer, id)
+        wait_for_answer(stage, viewer, id)
         busy.answer(other)
-        answered(stage, viewer, other)
+        wait_for_answer(stage, viewer, other)
 
 
 @pytest.mark.parametrize("how", ["order", "reset"])
-def test_of_connections_idle_at_once_the_last_one_stays_to_hear_a_session_by(how: str) -> None:
+def test_the_last_idle_connection_of_a_server_with_sessions_stays_open(how: str) -> None:
     """However its server answers the end of the other: it hears on the last, and another isn't made."""
     with staged(settings=replace(PLAIN, report_interval_ms=60_000.0)) as stage:
         stage.node.server_pool.idle_timeout_ms = 8_000.0  # idle before silence is looked into
@@ -246,7 +246,7 @@
         one.answer(first)
         other.answer(second)
         for id in (first, second):
-            answered(stage, viewer, id)
+            wait_for_answer(stage, viewer, id)
         stage.loop.jump(stage.node.server_pool.idle_timeout_ms * 0.6)
         stage.loop.settle()
         (endpoint,) = stage.node.server_pool.endpoints.values()
@@ -270,7 +270,7 @@
             for id in [one.id for one in requests]:
                 line = line_of(stage, id)
                 line.answer(id)
-                answered(stage, viewer, id)
+                wait_for_answer(stage, viewer, id)
                 if title:  # the first ones go on
                     line.release(id, 16)
             most = max(most, sum(len(one.connections) for one in servers.endpoints.values()))
@@ -337,13 +337,13 @@
             line.release(id, 16)
             stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         stage.far["s-0"] = stage.servers["s-0"] = new
-        tell(stage, stage.line("s-0"))
+        send_feed_event(stage, stage.line("s-0"))
         if before == "connecting":
-            let_go(stage, fd)
+            release_descriptor(stage, fd)
         else:
             viewer.send(request := stage.setup())
         line_of(stage, request.id).answer(request.id)
-        answered(stage, viewer, request.id)
+        wait_for_answer(stage, viewer, request.id)
         assert request.id in new.setups() and request.id not in old.setups()
         old.close()
 
@@ -355,25 +355,25 @@
         line.ended.add(id)  # its process ends
         line.reset()
         fd = stage.hold_next_connect()  # to hear of its session: whoever listens there takes it
-        tell(stage, stage.line("s-0", "removed"), stage.line("s-0") | {"name": "s-new"})
-        let_go(stage, fd)
+        send_feed_event(stage, stage.line("s-0", "removed"), stage.line("s-0") | {"name": "s-new"})
+        release_descriptor(stage, fd)
         stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         assert stage.ends[id].cause == 41
         assert not [one for one in stage.far["s-0"].lines if one is not line and one.received]
 
 
-def kinds(line: FarLine) -> list[FrameType]:
+def received_types(line: FarLine) -> list[FrameType]:
     return [one.type for one in line.received]
 
 
-def elsewhere(stage: Stage, id: str, line: FarLine) -> FarLine:
+def wait_for_second_attempt(stage: Stage, id: str, line: FarLine) -> FarLine:
     """Turns until a set-up is out a second time: the connection of that."""
     stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
     (new,) = [one for far in stage.far.values() for one in far.lines if one is not line and id in one.setups]
     return new
 
 
-def both(stage: Stage, *fds: int) -> None:
+def poll_together(stage: Stage, *fds: int) -> None:
     """All of these are ready in the kernel; then the loop sees them in this order, in one turn."""
     stage.loop.arrived(*fds)
     stage.loop.selected.first = list(fds)
@@ -382,7 +382,7 @@
 
 
 @pytest.mark.parametrize("first", ["answer", "time"])
-def test_an_answer_its_copy_and_the_end_of_its_time_make_one_end(first: str) -> None:
+def test_a_duplicated_answer_and_its_timeout_give_one_result(first: str) -> None:
     with staged(servers=2) as stage:
         viewer = stage.far_viewer()
         id, line = stage.set_up(viewer)
@@ -398,10 +398,10 @@
         if first == "time":
             stage.loop.turn()
             assert id not in endpoint.attempts
-        both(stage, fd)
+        poll_together(stage, fd)
         if first == "time":
-            elsewhere(stage, id, line).answer(id)
-        answered(stage, viewer, id)
+            wait_for_second_attempt(stage, id, line).answer(id)
+        wait_for_answer(stage, viewer, id)
         stage.loop.settle()
         assert stage.node.dispatcher.sessions.session_count == 1 and len(stage.sent_to(id)) == (
             1 if first == "answer" else 2
@@ -418,17 +418,17 @@
             Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: b"one\r\n"}),
             Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((cause,))}),
         ]
-        heard(stage, line, *(words if first == "answer" else words[::-1]))
+        deliver_frames(stage, line, *(words if first == "answer" else words[::-1]))
         if first == "answer":  # it stood, and is over
-            assert answered(stage, viewer, id) == "one\r\n"
+            assert wait_for_answer(stage, viewer, id) == "one\r\n"
             stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
             assert stage.ends[id].cause == (16 if cause == 16 else 41)
             return
-        new = elsewhere(stage, id, line)  # it ended, and the word behind it is nobody's
+        new = wait_for_second_attempt(stage, id, line)  # it ended, and the word behind it is nobody's
         new.answer(id)
-        assert answered(stage, viewer, id) == f"{new.server.name} {id}\r\n"
+        assert wait_for_answer(stage, viewer, id) == f"{new.server.name} {id}\r\n"
         if cause in (16, 31, 99):  # no word of a set-up's end: what may run is released
-            stage.loop.until(lambda: line.poll() is not None and FrameType.RELEASE in kinds(line))
+            stage.loop.until(lambda: line.poll() is not None and FrameType.RELEASE in received_types(line))
 
 
 @pytest.mark.parametrize("first", ["viewer", "server"])
@@ -440,9 +440,11 @@
         stage.loop.selected.held.update(fds)
         viewer.send(Message("release", id, cause=16))
         line.release(id, 16)
-        both(stage, *(fds if first == "viewer" else fds[::-1]))
+        poll_together(stage, *(fds if first == "viewer" else fds[::-1]))
         stage.loop.settle()
-        assert not stage.node.dispatcher.sessions.session_count and FrameType.RELEASE not in kinds(line)
+        assert not stage.node.dispatcher.sessions.session_count and FrameType.RELEASE not in received_types(
+            line
+        )
         viewer.send(Message("ping", "0" * 16, cause=0))
         stage.loop.until(lambda: viewer.poll() is not None and viewer.messages[-1].type == "pong")
         assert not [one for one in viewer.messages if one.type == "release" and one.cause != 16]
@@ -461,20 +463,20 @@
             stage.loop.arrived(fd)
         line.server.kill()
         stage.loop.arrived(fd, events=select.POLLHUP)
-        both(stage, fd)
+        poll_together(stage, fd)
         if meets == "answer":  # whether it is still read after the reset is the kernel's
             stage.loop.until(lambda: viewer.poll() or len(stage.sent_to(id)) == 2)
         if id not in stage.answers:
-            new = elsewhere(stage, id, line)
+            new = wait_for_second_attempt(stage, id, line)
             new.answer(id)
-            assert answered(stage, viewer, id) == f"{new.server.name} {id}\r\n"
+            assert wait_for_answer(stage, viewer, id) == f"{new.server.name} {id}\r\n"
             return
         stage.loop.advance(250.0)  # a refused connection is proof, read at the next upkeep
         stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         assert stage.ends[id].cause == 41 and len(stage.sent_to(id)) == 1
 
 
-def test_a_late_word_after_the_connection_of_what_stands_broke_leaves_nothing_at_the_server() -> None:
+def test_a_late_release_after_the_session_connection_broke_leaves_no_session() -> None:
     """Nobody can tell whose word it is then: the session is over for both."""
     with staged() as stage:
         viewer = stage.far_viewer()
@@ -484,12 +486,12 @@
         (new,) = [one for one in stage.far["s-0"].lines if one is not line]
         line.ended.clear()
         new.answer(id)
-        answered(stage, viewer, id)
+        wait_for_answer(stage, viewer, id)
         fd = stage.loop.near(new.sock)
         new.reset()
         stage.loop.arrived(fd)
         stage.loop.settle()
-        heard(stage, line, Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((34,))}))
+        deliver_frames(stage, line, Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((34,))}))
         stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         stage.loop.until(lambda: not stage.far["s-0"].active_sessions())
 
--- a/tests/test_node_crossing_stop.py
+++ b/tests/test_node_crossing_stop.py
@@ -31,7 +31,7 @@
 SHORT = replace(PLAIN, classes=tuple(replace(one, deadline_ms=250.0) for one in PLAIN.classes))
 
 
-def over(stage: Stage) -> asyncio.Task[None]:
+def start_final_check(stage: Stage) -> asyncio.Task[None]:
     """The node's last look, from the moment in which its time is over: seen through as far as it goes."""
     assert stage.node.drained.is_set()
     task = stage.loop.create_task(stage.node.finish_draining())
@@ -39,20 +39,20 @@
     return task
 
 
-def see_out(stage: Stage) -> None:
+def run_to_exit(stage: Stage) -> None:
     """From the moment of SIGTERM to the end of the process, all its sockets closed in order."""
     stage.loop.advance(stage.node.graceful_shutdown.drain_timeout_ms)
-    task = over(stage)
+    task = start_final_check(stage)
     stage.loop.advance(5.0)
     assert task.done()
 
 
-def told(stage: Stage, viewer: FarViewer, id: str) -> int | None:
+def wait_for_cause(stage: Stage, viewer: FarViewer, id: str) -> int | None:
     stage.loop.until(lambda: viewer.poll() is not None and id in stage.answers)
     return stage.answers[id].cause
 
 
-def not_up(stage: Stage) -> int:
+def hold_next_connect(stage: Stage) -> int:
     """Turns until the node makes a connection, and holds that one back from coming up."""
     making: list[int] = []
 
@@ -67,9 +67,7 @@
 
 
 @pytest.mark.parametrize(("kind", "cause"), [("film", REFUSED), ("course", FAILED)])
-def test_an_attempt_still_out_when_the_time_is_over_is_let_go_and_its_viewer_told(
-    kind: str, cause: int
-) -> None:
+def test_an_attempt_open_at_the_drain_timeout_is_abandoned_and_answered(kind: str, cause: int) -> None:
     with staged(settings=LONG) as stage:
         viewer = stage.far_viewer()
         id, line = stage.set_up(viewer, **{"class": kind, "left": "60000"})
@@ -79,8 +77,8 @@
         stage.loop.advance(stage.node.graceful_shutdown.drain_timeout_ms - 1.0)
         assert viewer.poll() == [] and not viewer.over
         stage.loop.advance(1.0)
-        over(stage)
-        assert told(stage, viewer, id) == cause
+        start_final_check(stage)
+        assert wait_for_cause(stage, viewer, id) == cause
         stage.loop.advance(5.0)
         assert viewer.take() == b"" and viewer.over
         assert id in stage.far["s-0"].released
@@ -90,12 +88,12 @@
     with staged(settings=LONG) as stage:
         viewer, request = stage.far_viewer(), stage.setup(left="60000")
         viewer.send(request)
-        making = not_up(stage)
+        making = hold_next_connect(stage)
         stage.node.terminate()
         # Its connect time is longer than what is left: the attempt began just before the end.
         stage.node._on_drain_timeout()
-        over(stage)
-        assert told(stage, viewer, request.id) == REFUSED
+        start_final_check(stage)
+        assert wait_for_cause(stage, viewer, request.id) == REFUSED
         stage.loop.selected.held.discard(making)
         stage.loop.advance(5.0)
         assert stage.sent_to(request.id) == []
@@ -119,13 +117,13 @@
             one for one in (stage.far[name].line_of(id) for name in set(stage.sent_to(id))) if one is not line
         )
         again.answer(id)
-        told(stage, viewer, id)
+        wait_for_cause(stage, viewer, id)
         assert stage.answers[id].type == "answer"
-        see_out(stage)
+        run_to_exit(stage)
 
 
 @pytest.mark.parametrize("held", [False, True])
-def test_what_lay_in_the_kernel_when_the_time_was_over_is_read_and_refused(held: bool) -> None:
+def test_unread_requests_at_the_drain_timeout_are_read_and_rejected(held: bool) -> None:
     """The process stood still: what came, and the end of its time, are seen in one turn, or the end first."""
     with staged() as stage:
         stage.node.terminate()
@@ -152,12 +150,12 @@
         stage.loop.advance(5.0)
         assert task.done()
         for viewer, request in ((open_one, on_open), (half, in_half), (newcomer, on_new)):
-            assert told(stage, viewer, request.id) == REFUSED
+            assert wait_for_cause(stage, viewer, request.id) == REFUSED
             assert viewer.take() == b"" and viewer.over
         assert stage.far["s-0"].setups() == []
 
 
-def slow(stage: Stage) -> tuple[FarViewer, list[str]]:
+def viewer_with_unread_answers(stage: Stage) -> tuple[FarViewer, list[str]]:
     """A reader who doesn't, with answers of which a part is neither with it nor with the kernel."""
     viewer = stage.far_viewer()
     viewer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -178,24 +176,24 @@
 
 def test_an_answer_half_written_to_a_slow_reader_is_written_out_before_the_end() -> None:
     with staged() as stage:
-        viewer, ids = slow(stage)
+        viewer, ids = viewer_with_unread_answers(stage)
         stage.node.terminate()
         stage.loop.advance(stage.node.graceful_shutdown.drain_timeout_ms)
-        task = over(stage)
+        task = start_final_check(stage)
         stage.loop.advance(5.0)
         assert not task.done()  # it is SIGKILL that may end it now
         for id in ids:
-            assert told(stage, viewer, id) is None and stage.answers[id].type == "answer"
+            assert wait_for_cause(stage, viewer, id) is None and stage.answers[id].type == "answer"
         stage.loop.advance(5.0)
         assert task.done() and viewer.take() == b"" and viewer.over
 
 
-def test_who_never_reads_does_not_keep_a_node_for_ever() -> None:
+def test_a_client_that_never_reads_does_not_block_the_exit() -> None:
     with staged() as stage:
-        viewer, _ = slow(stage)
+        viewer, _ = viewer_with_unread_answers(stage)
         stage.node.terminate()
         stage.loop.advance(stage.node.graceful_shutdown.drain_timeout_ms)
-        task = over(stage)
+        task = start_final_check(stage)
         stage.loop.advance(490.0)
         assert not task.done()
         stage.loop.advance(20.0)
@@ -204,7 +202,7 @@
         stage.loop.until(lambda: not stage.node.client_listener.connections)
 
 
-def test_set_ups_on_open_and_new_connections_after_the_word_are_refused_at_once() -> None:
+def test_set_ups_on_open_and_new_connections_after_sigterm_are_rejected_at_once() -> None:
     with staged(settings=SHORT) as stage:
         viewer = stage.far_viewer()
         stands, line = stage.establish_session(viewer, left="250")
@@ -215,14 +213,14 @@
                 request = stage.setup(left="250")
                 one.send(request)
                 stage.loop.settle()
-                assert told(stage, one, request.id) == REFUSED
+                assert wait_for_cause(stage, one, request.id) == REFUSED
         line.release(stands, 16)  # what stands is still heard of
         stage.loop.until(lambda: viewer.poll() is not None and stands in stage.ends)
         assert stage.far["s-0"].setups() == [stands]
-        see_out(stage)
+        run_to_exit(stage)
 
 
-def test_a_session_told_with_at_after_the_word_stands_and_can_be_released() -> None:
+def test_a_session_adopted_after_sigterm_can_be_released() -> None:
     with staged() as stage:
         viewer = stage.far_viewer()
         stage.node.terminate()
@@ -232,7 +230,7 @@
         viewer.send(Message("release", plays.id, cause=16))
         stage.loop.until(lambda: plays.id in stage.far["s-0"].released or stage.far["s-0"].poll())
         assert stage.answers == {} and stage.far["s-0"].setups() == []
-        see_out(stage)
+        run_to_exit(stage)
 
 
 def test_a_release_whose_connection_is_not_up_yet_leaves_before_the_end() -> None:
@@ -243,9 +241,9 @@
         stage.loop.until(lambda: stage.node.dispatcher.sessions.session_count)
         stage.node.terminate()
         viewer.send(Message("release", plays.id, cause=16))
-        making = not_up(stage)
+        making = hold_next_connect(stage)
         stage.node._on_drain_timeout()
-        task = over(stage)
+        task = start_final_check(stage)
         stage.loop.advance(5.0)
         assert not task.done()
         stage.loop.selected.held.discard(making)
@@ -267,25 +265,25 @@
         (endpoint,) = stage.node.server_pool.endpoints.values()
         stage.loop.until(lambda: not endpoint.connections)  # the one made for it was refused
         stage.loop.advance(20.0)
-        task = over(stage)
+        task = start_final_check(stage)
         stage.loop.advance(5.0)
         assert task.done()
 
 
-def test_a_second_word_of_the_end_changes_nothing() -> None:
+def test_a_second_sigterm_has_no_effect() -> None:
     with staged() as stage:
         stage.node.terminate()
         stage.loop.advance(stage.node.graceful_shutdown.drain_timeout_ms - 1.0)
         stage.node.terminate()
         assert stage.log.getvalue().count('"stopping"') == 1
         stage.loop.advance(1.0)
-        over(stage)
+        start_final_check(stage)
         stage.node.terminate()  # as it looks round for the last time
         stage.loop.advance(5.0)
 
 
 @pytest.mark.parametrize("first", ["the server's end", "SIGTERM"])
-def test_a_server_killed_as_the_word_comes_costs_its_sessions_but_no_answer(first: str) -> None:
+def test_a_server_killed_at_sigterm_costs_its_sessions_but_no_answer(first: str) -> None:
     with staged(servers=2) as stage:
         viewer = stage.far_viewer()
         id, line = stage.set_up(viewer)
@@ -305,9 +303,9 @@
         other = "s-1" if name == "s-0" else "s-0"
         stage.loop.until(lambda: stage.far[other].poll() or id in stage.far[other].setups())
         stage.far[other].line_of(id).answer(id)
-        told(stage, viewer, id)
+        wait_for_cause(stage, viewer, id)
         assert stage.answers[id].type == "answer"
-        see_out(stage)
+        run_to_exit(stage)
 
 
 def test_the_time_until_the_end_follows_the_settings() -> None:
@@ -318,7 +316,7 @@
     ]
 
 
-def test_the_end_waits_for_what_is_owed_and_for_nothing_else() -> None:
+def test_the_exit_waits_only_for_new_input_and_unsent_output() -> None:
     ending = GracefulShutdown(SHORT)
     assert ending.start_draining() and not ending.start_draining()
     ending.start_final_check(1_000.0)
--- a/tests/test_node_crossing_viewers.py
+++ b/tests/test_node_crossing_viewers.py
@@ -28,7 +28,7 @@
 WAYS = ["orderly", "full", "reset", "release"]
 
 
-def leave(viewer: FarViewer, how: str, *ids: str) -> None:
+def disconnect(viewer: FarViewer, how: str, *ids: str) -> None:
     """`orderly` may still read, `full` reads no more."""
     if how == "orderly":
         viewer.end()
@@ -40,21 +40,21 @@
         viewer.send(*(Message("release", id, cause=16) for id in ids))
 
 
-def near(stage: Stage, viewer: FarViewer) -> int:
+def node_descriptor(stage: Stage, viewer: FarViewer) -> int:
     return stage.loop.near(viewer.sock)
 
 
-def ours(stage: Stage) -> list[ClientConnection]:
+def node_connections(stage: Stage) -> list[ClientConnection]:
     """The node's ends of viewers' connections."""
     return list(stage.node.client_listener.connections)
 
 
-def hears(stage: Stage, viewer: FarViewer, id: str) -> Message:
+def wait_for_answer(stage: Stage, viewer: FarViewer, id: str) -> Message:
     stage.loop.until(lambda: viewer.poll() is not None and id in stage.answers)
     return stage.answers[id]
 
 
-def ask_and_hold(stage: Stage, viewer: FarViewer, *requests: Message) -> int:
+def send_and_hold_connect(stage: Stage, viewer: FarViewer, *requests: Message) -> int:
     """Asks, and keeps the connection to a server that is made for it from coming up."""
     viewer.send(*requests)
     making = stage.hold_next_connect()
@@ -77,13 +77,13 @@
             first
         )  # a connection to the server is free: what is placed is written at once
         viewer = stage.far_viewer()
-        fd, request = near(stage, viewer), stage.setup()
+        fd, request = node_descriptor(stage, viewer), stage.setup()
         stage.loop.selected.held.add(fd)
         viewer.send(request)
         viewer.end()
         stage.loop.arrived(fd, events=select.POLLRDHUP)
         stage.loop.selected.held.clear()
-        answer = hears(stage, viewer, request.id)
+        answer = wait_for_answer(stage, viewer, request.id)
         assert (answer.type, answer.cause) == ("release", 34)
         stage.loop.settle()
         assert stage.sent_to(request.id) == []
@@ -96,10 +96,10 @@
         with staged() as stage:
             stage.establish_session(stage.far_viewer())
             viewer = stage.far_viewer()
-            fd, requests = near(stage, viewer), [stage.setup() for _ in range(size)]
+            fd, requests = node_descriptor(stage, viewer), [stage.setup() for _ in range(size)]
             stage.loop.selected.held.add(fd)
             viewer.send(*requests)
-            leave(viewer, how, *(request.id for request in requests))
+            disconnect(viewer, how, *(request.id for request in requests))
             stage.loop.arrived(fd)
             stage.loop.selected.held.clear()
             stage.loop.settle()
@@ -115,10 +115,10 @@
 def test_who_leaves_while_its_connection_comes_up_is_not_sent_on(how: str, first: str) -> None:
     with staged() as stage:
         viewer = stage.far_viewer()
-        fd, request = near(stage, viewer), stage.setup()
-        there = ask_and_hold(stage, viewer, request)
+        fd, request = node_descriptor(stage, viewer), stage.setup()
+        there = send_and_hold_connect(stage, viewer, request)
         stage.loop.selected.held.add(fd)
-        leave(viewer, how, request.id)
+        disconnect(viewer, how, request.id)
         stage.loop.arrived(fd)
         if first == "viewer":
             stage.loop.selected.held.discard(fd)
@@ -129,7 +129,7 @@
         stage.loop.advance(300)
         assert stage.sent_to(request.id) == []
         if how == "orderly":
-            assert hears(stage, viewer, request.id).cause == 34
+            assert wait_for_answer(stage, viewer, request.id).cause == 34
 
 
 @pytest.mark.parametrize("how", WAYS)
@@ -144,42 +144,42 @@
                 stage.far_viewer()
             )  # a connection is free: it would be written in that turn
         viewer, request = stage.far_viewer(), stage.setup()
-        fd = near(stage, viewer)
+        fd = node_descriptor(stage, viewer)
         if where == "before its batch":
             viewer.send(request)
             stage.loop.arrived(fd)
             while request.id not in stage.node.client_requests.open_requests:
                 stage.loop.turn()
         else:
-            there = ask_and_hold(stage, viewer, request)
+            there = send_and_hold_connect(stage, viewer, request)
             stage.loop.selected.held.discard(there)
             stage.loop.turn(2)  # it is up, and is told so at the beginning of the next turn
-        leave(viewer, how, request.id)
+        disconnect(viewer, how, request.id)
         stage.loop.arrived(fd)
         stage.loop.jump(400)
         stage.loop.settle()
         assert stage.sent_to(request.id) == []
         if how == "orderly":
-            assert hears(stage, viewer, request.id).cause == 34
+            assert wait_for_answer(stage, viewer, request.id).cause == 34
 
 
 def test_what_waits_beyond_its_time_while_the_loop_stands_still_is_not_sent_on() -> None:
     """The connection to its server is up, and told so before timers are looked at."""
     with staged() as stage:
         viewer, request = stage.far_viewer(), stage.setup(left="1000")
-        there = ask_and_hold(stage, viewer, request)
+        there = send_and_hold_connect(stage, viewer, request)
         stage.loop.selected.held.discard(there)
         stage.loop.turn(2)
         stage.loop.jump(1_001)
-        assert hears(stage, viewer, request.id).cause == 41  # not in time
+        assert wait_for_answer(stage, viewer, request.id).cause == 41  # not in time
         assert stage.sent_to(request.id) == []
 
 
-def test_who_takes_back_what_is_open_before_its_mistakes_is_closed() -> None:
+def test_a_client_that_withdraws_its_request_before_an_invalid_line_is_closed() -> None:
     """All in one read while something is open, so that nothing is left for the transport's own read."""
     with staged() as stage:
         viewer, request = stage.far_viewer(), stage.setup()
-        ask_and_hold(stage, viewer, request)
+        send_and_hold_connect(stage, viewer, request)
         viewer.write(encode_message(Message("release", request.id, cause=16)) + b"nothing\n")
         stage.loop.until(lambda: viewer.poll() is not None and viewer.over)
         assert [one.cause for one in viewer.messages] == [111] and len(
@@ -197,9 +197,9 @@
     with staged(3, settings) as stage:
         viewer = stage.far_viewer()
         id, line = stage.set_up(viewer)
-        fd, there = near(stage, viewer), stage.loop.near(line.sock)
+        fd, there = node_descriptor(stage, viewer), stage.loop.near(line.sock)
         stage.loop.selected.held |= {fd, there}
-        leave(viewer, how, id)
+        disconnect(viewer, how, id)
         line.release(id, 34)  # full: it never ran, so elsewhere it would be tried at once
         stage.loop.arrived(fd, there)
         stage.loop.selected.first = [fd, there] if first == "viewer" else [there, fd]
@@ -207,7 +207,7 @@
         stage.loop.advance(500)
         assert len(stage.sent_to(id)) == 1
         if how == "orderly":
-            assert hears(stage, viewer, id).cause == 34
+            assert wait_for_answer(stage, viewer, id).cause == 34
         else:
             assert id not in stage.answers
 
@@ -219,23 +219,27 @@
         out, line = stage.set_up(viewer)
         others, their_line = stage.set_up(other)
         waits = stage.setup()
-        ask_and_hold(stage, viewer, waits)
+        send_and_hold_connect(stage, viewer, waits)
         viewer.end()
         stage.loop.settle()
         stage.loop.selected.held.clear()
         stage.loop.advance(300)
-        assert stage.sent_to(waits.id) == [] and hears(stage, viewer, waits.id).cause == 34
+        assert stage.sent_to(waits.id) == [] and wait_for_answer(stage, viewer, waits.id).cause == 34
         assert not viewer.over  # what is out is still answered here
         their_line.answer(others)
         line.answer(out)
-        assert hears(stage, viewer, out).type == hears(stage, other, others).type == "answer"
+        assert (
+            wait_for_answer(stage, viewer, out).type == wait_for_answer(stage, other, others).type == "answer"
+        )
         stage.loop.until(lambda: viewer.poll() is not None and viewer.over)
         assert stage.node.dispatcher.sessions.session_count == 2
 
 
 @pytest.mark.parametrize("how", WAYS)
 @pytest.mark.parametrize("first", ["viewer", "server"])
-def test_who_leaves_while_the_module_holds_it_is_not_placed(how: str, first: str) -> None:
+def test_a_client_that_leaves_while_the_controller_holds_its_request_is_not_placed(
+    how: str, first: str
+) -> None:
     """It waits for word of a server of which nothing is known; that comes in the turn in which it leaves."""
     with staged(settings=replace(SETTINGS, front_count=2)) as stage:
         stage.loop.advance(60_000)
@@ -254,9 +258,9 @@
             stage.node.dispatcher.sessions.session(request.id) is not None and stage.sent_to(request.id) == []
         )
         (line,) = stage.far["s-0"].lines
-        fd, there = near(stage, viewer), stage.loop.near(line.sock)
+        fd, there = node_descriptor(stage, viewer), stage.loop.near(line.sock)
         stage.loop.selected.held |= {fd, there}
-        leave(viewer, how, request.id)
+        disconnect(viewer, how, request.id)
         line.send_frame(
             Frame(
                 FrameType.PONG,
@@ -270,7 +274,7 @@
         stage.loop.advance(500)
         assert stage.sent_to(request.id) == []
         if how == "orderly":
-            assert hears(stage, viewer, request.id).cause == 34
+            assert wait_for_answer(stage, viewer, request.id).cause == 34
 
 
 @pytest.mark.parametrize("seen", ["before the answer", "after the answer", "a sweep after the answer"])
@@ -280,7 +284,7 @@
         viewer, other = stage.far_viewer(), stage.far_viewer()
         stage.establish_session(other)
         id, line = stage.set_up(viewer)
-        fd = near(stage, viewer)
+        fd = node_descriptor(stage, viewer)
         if seen != "before the answer":
             stage.loop.selected.held.add(fd)
         viewer.close()
@@ -303,18 +307,18 @@
 def test_an_answer_half_written_to_a_reader_that_breaks_ends_its_session() -> None:
     with staged() as stage:
         viewer = stage.far_viewer()
-        (ours_,) = ours(stage)
+        (node_connection,) = node_connections(stage)
         id, line = stage.set_up(viewer)
         # Fill what the kernel takes, so that the answer stays in the node.
-        while not ours_.unsent_bytes:
-            ours_.write(encode_message(Message("pong", "0" * 16, cause=1)) * 100)
+        while not node_connection.unsent_bytes:
+            node_connection.write(encode_message(Message("pong", "0" * 16, cause=1)) * 100)
         line.answer(id)
         stage.loop.until(
             lambda: stage.node.dispatcher.sessions.sessions_playing_at(
                 stage.node.dispatcher.sessions.session(id).server
             )
         )  # type: ignore[union-attr]
-        assert ours_.unsent_bytes
+        assert node_connection.unsent_bytes
         viewer.reset()
         stage.loop.until(lambda: released(stage, id))
         assert stage.node.dispatcher.sessions.session_count == 0
@@ -328,11 +332,11 @@
         viewer.end()
         stage.loop.settle()
         line.answer(id)
-        assert hears(stage, viewer, id).type == "answer"
+        assert wait_for_answer(stage, viewer, id).type == "answer"
         stage.loop.until(lambda: viewer.poll() is not None and viewer.over)  # told at once that this is all
         stage.loop.advance(DELIVERY_CONFIRMATION_MS + 2 * SWEEP_MS)
         viewer.close()
-        assert len(ours(stage)) == 1 and stage.node.dispatcher.sessions.session_count == 2
+        assert len(node_connections(stage)) == 1 and stage.node.dispatcher.sessions.session_count == 2
         line.release(id, 16)  # its end comes on another connection
         stage.loop.until(lambda: other.poll() is not None and id in stage.ends)
 
@@ -358,33 +362,33 @@
         else:
             request = stage.setup()
             id = request.id
-            ask_and_hold(stage, viewer, request)
+            send_and_hold_connect(stage, viewer, request)
         stage.node.dispatcher.sessions.stop_accepting()
         viewer.end()
         stage.loop.settle()
         stage.loop.selected.held.clear()
         if up:
             line.answer(id)
-            assert hears(stage, viewer, id).type == "answer"
+            assert wait_for_answer(stage, viewer, id).type == "answer"
         else:
             stage.loop.advance(300)
-            assert stage.sent_to(id) == [] and hears(stage, viewer, id).cause == 34
+            assert stage.sent_to(id) == [] and wait_for_answer(stage, viewer, id).cause == 34
 
 
-def test_who_left_goes_first_for_a_newcomer_and_an_open_request_of_its_never() -> None:
+def test_a_lingering_connection_is_evicted_first_and_one_with_open_requests_never() -> None:
     with staged(sockets=4) as stage:  # two viewers
         one, two = stage.far_viewer(), stage.far_viewer()
         id, line = stage.set_up(one)
         wait, line_two = stage.set_up(two)
         one.end()
         stage.loop.settle()
-        turned_away = FarViewer(stage)
-        stage.viewers.append(turned_away)
-        stage.loop.until(lambda: turned_away.poll() is not None and turned_away.over)
+        rejected = FarViewer(stage)
+        stage.viewers.append(rejected)
+        stage.loop.until(lambda: rejected.poll() is not None and rejected.over)
         line.answer(id)
-        assert hears(stage, one, id).type == "answer"
+        assert wait_for_answer(stage, one, id).type == "answer"
         stage.loop.settle()
-        sides = {side.state.phase for side in ours(stage)}
+        sides = {side.state.phase for side in node_connections(stage)}
         assert (
             sides == {ClientConnectionPhase.OPEN, ClientConnectionPhase.LINGERING}
             and len(stage.node.client_listener.admission) == 2
@@ -393,28 +397,31 @@
         stage.viewers.append(third)
         stage.loop.until(
             lambda: (
-                len(ours(stage)) == 2
-                and ClientConnectionPhase.LINGERING not in {o.state.phase for o in ours(stage)}
+                len(node_connections(stage)) == 2
+                and ClientConnectionPhase.LINGERING not in {o.state.phase for o in node_connections(stage)}
             )
         )
         line_two.answer(wait)
-        assert hears(stage, two, wait).type == "answer" and stage.node.dispatcher.sessions.session_count == 2
+        assert (
+            wait_for_answer(stage, two, wait).type == "answer"
+            and stage.node.dispatcher.sessions.session_count == 2
+        )
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_of_drawn_viewers_that_left_none_is_sent_on(seed: int) -> None:
+def test_no_request_of_a_random_disconnected_viewer_is_forwarded(seed: int) -> None:
     """25 forced leavings each, over ways and moments; counted at the servers that would have got it."""
-    draw = Random(seed)
+    rng = Random(seed)
     cases = 0
     for _ in range(25):
-        how, moment = draw.choice(WAYS), draw.choice(["read", "coming up", "failing", "in a crowd"])
+        how, moment = rng.choice(WAYS), rng.choice(["read", "coming up", "failing", "in a crowd"])
         with staged(3) as stage:
-            if moment != "coming up" and draw.random() < 0.5:
+            if moment != "coming up" and rng.random() < 0.5:
                 stage.establish_session(stage.far_viewer())  # a connection is free
             viewer = stage.far_viewer()
-            fd = near(stage, viewer)
-            crowd = draw.randrange(1, 6) if moment == "in a crowd" else 1
-            requests = [stage.setup(key=f"{draw.randrange(99):016x}") for _ in range(crowd)]
+            fd = node_descriptor(stage, viewer)
+            crowd = rng.randrange(1, 6) if moment == "in a crowd" else 1
+            requests = [stage.setup(key=f"{rng.randrange(99):016x}") for _ in range(crowd)]
             ids = [request.id for request in requests]
             before = 0
             if moment == "failing":
@@ -423,22 +430,22 @@
                 stage.loop.until(lambda s=stage, i=ids: s.sent_to(i[0]))
                 before = 1
                 line = stage.far[stage.sent_to(ids[0])[0]].line_of(ids[0])
-                line.release(ids[0], draw.choice([34, 102]))
+                line.release(ids[0], rng.choice([34, 102]))
                 there = stage.loop.near(line.sock)
                 stage.loop.selected.held |= {fd, there}
-                leave(viewer, how, *ids)
+                disconnect(viewer, how, *ids)
                 stage.loop.arrived(fd, there)
-                stage.loop.selected.first = draw.sample([fd, there], 2)
+                stage.loop.selected.first = rng.sample([fd, there], 2)
             elif moment == "coming up":
-                there = ask_and_hold(stage, viewer, *requests)
+                there = send_and_hold_connect(stage, viewer, *requests)
                 stage.loop.selected.held.add(fd)
-                leave(viewer, how, *ids)
+                disconnect(viewer, how, *ids)
                 stage.loop.arrived(fd)
                 stage.loop.selected.first = [fd, there]
             else:
                 stage.loop.selected.held.add(fd)
                 viewer.send(*requests)
-                leave(viewer, how, *ids)
+                disconnect(viewer, how, *ids)
                 stage.loop.arrived(fd)
             stage.loop.selected.held.clear()
             stage.loop.settle()
@@ -451,9 +458,9 @@
 # --- who is let go ---
 
 
-def test_a_newcomer_let_go_before_its_transport_is_there_is_not_served() -> None:
+def test_a_connection_evicted_before_its_transport_exists_is_not_served() -> None:
     with staged(sockets=2) as stage:  # one viewer
-        door = stage.node.client_listener.admission
+        admission = stage.node.client_listener.admission
         first, second = FarViewer(stage), FarViewer(stage)
         stage.viewers += [first, second]
         listening = stage.node.client_listener._listening_socket
@@ -462,9 +469,9 @@
         first.send(request := stage.setup())
         # Both are in the backlog: the second is let in for the first.
         stage.node.client_listener.accept_connections()
-        assert len(door) == 1 and not ours(stage)
+        assert len(admission) == 1 and not node_connections(stage)
         stage.loop.until(lambda: first.poll() is not None and first.over)
-        assert stage.sent_to(request.id) == [] and len(door) == 1 and len(ours(stage)) == 1
+        assert stage.sent_to(request.id) == [] and len(admission) == 1 and len(node_connections(stage)) == 1
         assert stage.answers == {}
         stage.establish_session(second)
 
@@ -480,7 +487,7 @@
                 one.send(Message("ping", "0" * 15 + "1", cause=0))
                 stage.loop.settle()
         fd, request, listening = (
-            near(stage, viewer),
+            node_descriptor(stage, viewer),
             stage.setup(),
             stage.node.client_listener._listening_socket,
         )
@@ -496,14 +503,14 @@
         stage.loop.until(lambda: silent.poll() is not None and silent.over)
         stage.loop.until(lambda: stage.sent_to(request.id))
         stage.far[stage.sent_to(request.id)[0]].line_of(request.id).answer(request.id)
-        assert hears(stage, viewer, request.id).type == "answer"
+        assert wait_for_answer(stage, viewer, request.id).type == "answer"
         stage.establish_session(newcomer)
 
 
 def test_a_line_that_ends_in_time_is_heard_before_a_late_loop_calls_it_overdue() -> None:
     with staged() as stage:
         viewer, request = stage.far_viewer(), stage.setup()
-        fd, data = near(stage, viewer), encode_message(request)
+        fd, data = node_descriptor(stage, viewer), encode_message(request)
         viewer.write(data[:40])
         stage.loop.settle()
         stage.loop.selected.held.add(fd)  # the loop doesn't look before its sweep is due
@@ -513,7 +520,7 @@
         stage.loop.until(lambda: stage.sent_to(request.id))
         stage.loop.selected.held.clear()
         stage.far["s-0"].line_of(request.id).answer(request.id)
-        assert hears(stage, viewer, request.id).type == "answer"
+        assert wait_for_answer(stage, viewer, request.id).type == "answer"
 
 
 def test_a_connection_whose_transport_can_not_be_made_leaves_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -527,7 +534,7 @@
             viewer = FarViewer(stage)
             stage.viewers.append(viewer)
             stage.loop.until(lambda: viewer.poll() is not None and viewer.over)
-        assert len(stage.node.client_listener.admission) == 0 and not ours(stage)
+        assert len(stage.node.client_listener.admission) == 0 and not node_connections(stage)
         stage.establish_session(stage.far_viewer())
 
 
@@ -550,10 +557,10 @@
         viewer.poll()
         assert not viewer.over and id in stage.node.client_requests.open_requests
         viewer.send(late) if how != "mistakes" else None
-        assert hears(stage, viewer, late.id).cause == 34  # nothing new is taken here
+        assert wait_for_answer(stage, viewer, late.id).cause == 34  # nothing new is taken here
         if stage.sent_to(id) == [line.server.name]:
             line.answer(id)
-        assert hears(stage, viewer, id).type == "answer"
+        assert wait_for_answer(stage, viewer, id).type == "answer"
         stage.loop.until(lambda: viewer.poll() is not None and viewer.over)
         assert stage.sent_to(late.id) == [] and stage.node.dispatcher.sessions.session_count == 1
         assert len(stage.node.client_listener.admission) == 0
@@ -564,10 +571,10 @@
     with staged() as stage:
         viewer = stage.far_viewer()
         request = stage.setup()
-        ask_and_hold(stage, viewer, request)
+        send_and_hold_connect(stage, viewer, request)
         viewer.write(b"x" * 20_000 + b"\n")
         stage.loop.settle()
-        leave(viewer, how, request.id)
+        disconnect(viewer, how, request.id)
         stage.loop.settle()
         stage.loop.selected.held.clear()
         stage.loop.advance(300)
@@ -593,7 +600,7 @@
 def test_a_closed_connection_that_is_not_read_keeps_its_place_and_is_dropped() -> None:
     with staged(sockets=4) as stage:
         viewer = stage.far_viewer()
-        (one,) = ours(stage)
+        (one,) = node_connections(stage)
         while not one.unsent_bytes:
             one.write(encode_message(Message("pong", "0" * 16, cause=1)) * 100)
         one.drain()
@@ -603,16 +610,16 @@
             and one.state.phase is ClientConnectionPhase.CLOSING
         )
         stage.loop.advance(IDLE_TIMEOUT_MS + 2 * SWEEP_MS)
-        assert len(stage.node.client_listener.admission) == 0 and not ours(stage)
+        assert len(stage.node.client_listener.admission) == 0 and not node_connections(stage)
         viewer.close()
 
 
 # --- what is said of sessions ---
 
 
-def test_what_is_said_leaves_at_once_though_the_last_word_is_not_acknowledged_yet() -> None:
+def test_accepted_connections_set_tcp_nodelay() -> None:
     with staged() as stage:
-        fd = near(stage, stage.far_viewer())
+        fd = node_descriptor(stage, stage.far_viewer())
         with socket.socket(fileno=os.dup(fd)) as own:
             assert own.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
@@ -622,7 +629,7 @@
     with staged() as stage:
         viewer = stage.far_viewer()
         id, line = stage.set_up(viewer)
-        fd, there = near(stage, viewer), stage.loop.near(line.sock)
+        fd, there = node_descriptor(stage, viewer), stage.loop.near(line.sock)
         stage.loop.selected.held |= {fd, there}
         viewer.send(Message("release", id, cause=16))
         line.answer(id)
@@ -640,7 +647,7 @@
     with staged() as stage:
         stage.establish_session(stage.far_viewer())
         viewer, other = stage.far_viewer(), stage.far_viewer()
-        fd, fd_other, request = near(stage, viewer), near(stage, other), stage.setup()
+        fd, fd_other, request = node_descriptor(stage, viewer), node_descriptor(stage, other), stage.setup()
         stage.loop.selected.held |= {fd, fd_other}
         viewer.send(request)
         other.send(Message("release", request.id, cause=16))
@@ -657,7 +664,7 @@
     with staged() as stage:
         viewer, again = stage.far_viewer(), stage.far_viewer()
         id, _ = stage.set_up(viewer)
-        fd, fd_again = near(stage, viewer), near(stage, again)
+        fd, fd_again = node_descriptor(stage, viewer), node_descriptor(stage, again)
         stage.loop.selected.held |= {fd, fd_again}
         viewer.reset()
         again.send(stage.setup(id))
@@ -684,7 +691,7 @@
         line.release(id, 16)
         stage.loop.until(lambda: other.poll() is not None and id in stage.ends)
         line_waits.answer(waits)
-        assert hears(stage, home, waits).type == "answer"
+        assert wait_for_answer(stage, home, waits).type == "answer"
 
 
 @pytest.mark.parametrize("first", ["viewer", "server"])
@@ -698,7 +705,7 @@
         if not home:
             viewer.reset()
             stage.loop.settle()
-        fd, there = near(stage, other), stage.loop.near(line.sock)
+        fd, there = node_descriptor(stage, other), stage.loop.near(line.sock)
         stage.loop.selected.held |= {fd, there}
         other.send(Message("release", id, cause=16))
         line.release(id, 16)
@@ -713,7 +720,7 @@
         )
 
 
-def test_an_end_that_nobody_can_hear_waits_for_the_next_connection_with_a_session() -> None:
+def test_an_undeliverable_session_end_waits_for_the_next_serving_connection() -> None:
     with staged() as stage:
         viewer = stage.far_viewer()
         id, line = stage.establish_session(viewer)
@@ -728,12 +735,12 @@
         assert not stage.node.session_ends._undelivered_ends
 
 
-def test_an_end_half_written_to_a_reader_that_breaks_is_said_elsewhere() -> None:
+def test_a_session_end_lost_on_a_broken_connection_is_sent_on_another() -> None:
     with staged() as stage:
         home, other = stage.far_viewer(), stage.far_viewer()
         id, line = stage.establish_session(home)
         stage.establish_session(other)
-        (one,) = (one for one in ours(stage) if id in one.state.sessions)
+        (one,) = (one for one in node_connections(stage) if id in one.state.sessions)
         while not one.unsent_bytes:
             one.write(encode_message(Message("pong", "0" * 16, cause=1)) * 100)
         line.release(id, 16)
@@ -744,7 +751,7 @@
         stage.loop.until(lambda: other.poll() is not None and id in stage.ends)
 
 
-def test_at_an_unknown_server_and_a_test_before_the_start_are_answered_in_kind() -> None:
+def test_a_session_at_an_unknown_server_and_an_early_ping_are_answered() -> None:
     with staged() as stage:
         viewer = stage.far_viewer()
         stage.node.client_requests.is_ready = False
@@ -761,7 +768,7 @@
 
 
 @pytest.mark.parametrize("turns", range(5))
-def test_who_asked_as_the_process_began_to_stand_still_is_not_taken_for_silent(turns: int) -> None:
+def test_a_client_whose_request_arrived_before_a_process_stall_is_not_timed_out(turns: int) -> None:
     """Accepted, and not read yet: the time in which it is to say something passes meanwhile."""
     with staged() as stage:
         viewer, request = FarViewer(stage), stage.setup()
@@ -780,7 +787,7 @@
 # --- the records ---
 
 
-def test_a_visit_denies_only_what_was_said_last_to_one_that_had_closed() -> None:
+def test_only_recent_messages_to_a_closed_client_are_undelivered() -> None:
     def said(*, left: bool) -> ClientConnectionState:
         visit = ClientConnectionState()
         assert visit.on_connection_made()
@@ -808,14 +815,14 @@
     assert gone.on_connection_ended(0.0, False) == {} and not gone.on_connection_made()
 
 
-def test_a_door_counts_what_was_closed_until_it_is_over_and_lets_it_go_first() -> None:
-    door: ConnectionAdmission[str] = ConnectionAdmission(2)
-    door.admit("a", 0.0)
-    door.on_message_received("a", 0.0)
-    door.on_connection_closing("a", 1.0)
-    door.admit("b", 1.0)
-    assert len(door) == 2 and door.closing_connections() == ["a"]
-    assert door.timed_out_connections(IDLE_TIMEOUT_MS + 1.0) == ["b", "a"]
-    assert door.admit("c", 2.0) == "a" and len(door) == 2
-    door.on_connection_closing("a", 2.0)  # let go before: not known any more
-    assert len(door) == 2 and not door.closing_connections()
+def test_admission_counts_closing_connections_and_evicts_them_first() -> None:
+    admission: ConnectionAdmission[str] = ConnectionAdmission(2)
+    admission.admit("a", 0.0)
+    admission.on_message_received("a", 0.0)
+    admission.on_connection_closing("a", 1.0)
+    admission.admit("b", 1.0)
+    assert len(admission) == 2 and admission.closing_connections() == ["a"]
+    assert admission.timed_out_connections(IDLE_TIMEOUT_MS + 1.0) == ["b", "a"]
+    assert admission.admit("c", 2.0) == "a" and len(admission) == 2
+    admission.on_connection_closing("a", 2.0)  # let go before: not known any more
+    assert len(admission) == 2 and not admission.closing_connections()
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -97,7 +97,7 @@
     assert len(lines._pending) <= jsonl.MAX_LINE_BYTES
 
 
-def test_a_line_that_never_ends_is_let_go_and_a_long_one_just_passes() -> None:
+def test_an_endless_line_is_rejected_and_the_longest_line_accepted() -> None:
     lines = LineReader()
     assert lines.feed(b"x" * (jsonl.MAX_LINE_BYTES - 1) + b"\n") == [b"x" * (jsonl.MAX_LINE_BYTES - 1)]
     with pytest.raises(LineError):
@@ -106,7 +106,7 @@
     assert not lines._pending
 
 
-def test_whole_lines_before_one_too_long_are_heard_however_they_are_cut() -> None:
+def test_complete_lines_before_an_overlong_one_are_kept_for_any_split() -> None:
     data = b"first\n" + b"x" * jsonl.MAX_LINE_BYTES + b"\nlast\n"
     for cuts in ([], [6], [3, 9000], list(range(0, len(data), 100))):
         lines, found = LineReader(), list[bytes]()
@@ -135,7 +135,7 @@
 
 
 @pytest.mark.parametrize("report", [b"x0", b"x0:nan", b"x0:1e999", b"x0:\xff", b";".join([b"a:1"] * 40)])
-def test_a_report_that_is_none_is_refused(report: bytes) -> None:
+def test_an_invalid_load_report_is_rejected(report: bytes) -> None:
     with pytest.raises(FrameError):
         Frame(FrameType.PONG, "0" * 16, {ParameterCode.REPORT: report}).load_report()
 
@@ -154,16 +154,16 @@
     (whole,) = feed.apply_known_events((event(1, endpoint("a"), endpoint("b"), snapshot=True),), 1)
     assert (whole.kind, len(whole.entries)) == (EndpointListKind.CACHED, 2)
 
-    def tell(body: object) -> EndpointListUpdate | None:
+    def apply_line(body: object) -> EndpointListUpdate | None:
         return feed.apply_line(json.dumps(body).encode())
 
-    started = tell(event(2, endpoint("c", since_ms=5000)))
+    started = apply_line(event(2, endpoint("c", since_ms=5000)))
     assert (
         started is not None
         and started.kind is EndpointListKind.DELTA
         and started.entries[0].started_at == 4000.0
     )
-    assert tell(event(2, endpoint("c"))) is None and tell(2) is None
+    assert apply_line(event(2, endpoint("c"))) is None and apply_line(2) is None
     for bad in (
         event(4, endpoint("a")),
         5,
@@ -173,37 +173,37 @@
         {"n": True},
     ):
         with pytest.raises(FeedError):
-            tell(bad)
+            apply_line(bad)
         assert feed.last_sequence_number == 2
     with pytest.raises(FeedError):
         feed.apply_line(b'{"n":3,"mem')
-    gone = tell(event(3, endpoint("a", status="removed")))
+    gone = apply_line(event(3, endpoint("a", status="removed")))
     assert (
         gone is not None and gone.entries[0].state is ServerState.REMOVED and feed.last_sequence_number == 3
     )
 
 
-def test_the_door_prefers_those_who_speak_and_forgets_who_left() -> None:
-    door: ConnectionAdmission[str] = ConnectionAdmission(3)
-    assert [door.admit(key, 0.0) for key in "abc"] == [None] * 3
+def test_admission_prefers_active_connections_and_removes_ended_ones() -> None:
+    admission: ConnectionAdmission[str] = ConnectionAdmission(3)
+    assert [admission.admit(key, 0.0) for key in "abc"] == [None] * 3
     for key in "ab":
-        door.on_message_received(key, 1.0)
-    door.on_request_opened("a")
-    door.on_request_opened("a")
-    assert door.admit("d", 2.0) == "c"  # has said nothing
-    door.on_message_received("d", 2.0)
-    assert door.admit("e", 3.0) == "b"  # has nothing open, and spoke longest ago
-    assert door.timed_out_connections(IDLE_TIMEOUT_MS + 2.0) == [] and door.timed_out_connections(
+        admission.on_message_received(key, 1.0)
+    admission.on_request_opened("a")
+    admission.on_request_opened("a")
+    assert admission.admit("d", 2.0) == "c"  # has said nothing
+    admission.on_message_received("d", 2.0)
+    assert admission.admit("e", 3.0) == "b"  # has nothing open, and spoke longest ago
+    assert admission.timed_out_connections(IDLE_TIMEOUT_MS + 2.0) == [] and admission.timed_out_connections(
         IDLE_TIMEOUT_MS + 3.0
     ) == ["e"]
-    door.set_partial_line("a", 10.0, True)
-    door.set_partial_line("a", 20.0, True)  # the same line goes on
-    assert door.timed_out_connections(IDLE_TIMEOUT_MS + 10.0) == ["e", "a"]
-    door.on_request_finished("a", 30.0)
-    door.on_request_finished("a", 31.0)
+    admission.set_partial_line("a", 10.0, True)
+    admission.set_partial_line("a", 20.0, True)  # the same line goes on
+    assert admission.timed_out_connections(IDLE_TIMEOUT_MS + 10.0) == ["e", "a"]
+    admission.on_request_finished("a", 30.0)
+    admission.on_request_finished("a", 31.0)
     for key in "ade":
-        door.remove(key)
-    assert len(door) == 0 and not door.timed_out_connections(1e9)
+        admission.remove(key)
+    assert len(admission) == 0 and not admission.timed_out_connections(1e9)
     remembered = RecentIds(2)
     for id in "xyz":
         remembered.add(id)
@@ -211,46 +211,48 @@
 
 
 def test_a_server_is_lost_by_proof_only() -> None:
-    watch = LivenessMonitor(SETTINGS, 250.0, 0.0)
+    monitor = LivenessMonitor(SETTINGS, 250.0, 0.0)
     quiet = SETTINGS.report_interval_ms + SETTINGS.report_delay_ms + SETTINGS.batch_period_ms
     assert (
-        watch.check(1e6, has_sessions=False, is_connected=False, is_connecting=False)
+        monitor.check(1e6, has_sessions=False, is_connected=False, is_connecting=False)
         is LivenessStatus.HEALTHY
     )
-    watch.on_data_received(0.0)
-    assert watch.check(quiet - 1, True, True, False) is LivenessStatus.HEALTHY
-    assert watch.check(quiet, True, True, False) is LivenessStatus.CHECK  # silence is looked into
-    assert watch.check(quiet, True, True, True) is LivenessStatus.HEALTHY
-    watch.on_connect_timeout(quiet, quiet + 9)
-    assert watch.check(quiet, True, True, False) is LivenessStatus.CHECK  # one packet can be lost
-    watch.on_connect_timeout(quiet + 5, quiet + 14)  # and another of the same moment
-    assert watch.check(quiet, True, True, False) is LivenessStatus.CHECK
-    watch.on_connect_timeout(quiet + 9, quiet + 18)
-    assert watch.check(quiet - 1, True, True, False) is LivenessStatus.HEALTHY  # an open connection speaks
+    monitor.on_data_received(0.0)
+    assert monitor.check(quiet - 1, True, True, False) is LivenessStatus.HEALTHY
+    assert monitor.check(quiet, True, True, False) is LivenessStatus.CHECK  # silence is looked into
+    assert monitor.check(quiet, True, True, True) is LivenessStatus.HEALTHY
+    monitor.on_connect_timeout(quiet, quiet + 9)
+    assert monitor.check(quiet, True, True, False) is LivenessStatus.CHECK  # one packet can be lost
+    monitor.on_connect_timeout(quiet + 5, quiet + 14)  # and another of the same moment
+    assert monitor.check(quiet, True, True, False) is LivenessStatus.CHECK
+    monitor.on_connect_timeout(quiet + 9, quiet + 18)
+    assert monitor.check(quiet - 1, True, True, False) is LivenessStatus.HEALTHY  # an open connection speaks
     assert (
-        watch.check(quiet, True, True, False) is LivenessStatus.UNREACHABLE
-        and "established in time" in watch.reason
+        monitor.check(quiet, True, True, False) is LivenessStatus.UNREACHABLE
+        and "established in time" in monitor.reason
     )
-    assert watch.check(quiet, True, False, False) is LivenessStatus.CHECK  # told once
-    watch.on_connected(quiet)
+    assert monitor.check(quiet, True, False, False) is LivenessStatus.CHECK  # told once
+    monitor.on_connected(quiet)
     assert (
-        watch.check(quiet, True, False, False) is LivenessStatus.HEALTHY
+        monitor.check(quiet, True, False, False) is LivenessStatus.HEALTHY
     )  # it has broken again, a look was just made
     assert (
-        watch.check(quiet + CHECK_INTERVAL_MS, True, False, False) is LivenessStatus.CHECK
+        monitor.check(quiet + CHECK_INTERVAL_MS, True, False, False) is LivenessStatus.CHECK
     )  # a break proves nothing
-    watch.on_data_received(quiet + CHECK_INTERVAL_MS)
-    watch.on_connection_broken()
+    monitor.on_data_received(quiet + CHECK_INTERVAL_MS)
+    monitor.on_connection_broken()
     assert (
-        watch.check(quiet + 2 * CHECK_INTERVAL_MS, True, True, True) is LivenessStatus.HEALTHY
+        monitor.check(quiet + 2 * CHECK_INTERVAL_MS, True, True, True) is LivenessStatus.HEALTHY
     )  # what was missed comes there
-    assert watch.check(quiet + 2 * CHECK_INTERVAL_MS, True, True, False) is LivenessStatus.CHECK
-    watch.on_connected(quiet + 2 * CHECK_INTERVAL_MS)
+    assert monitor.check(quiet + 2 * CHECK_INTERVAL_MS, True, True, False) is LivenessStatus.CHECK
+    monitor.on_connected(quiet + 2 * CHECK_INTERVAL_MS)
     assert (
-        watch.check(quiet + 3 * CHECK_INTERVAL_MS, True, True, False) is LivenessStatus.HEALTHY
+        monitor.check(quiet + 3 * CHECK_INTERVAL_MS, True, True, False) is LivenessStatus.HEALTHY
     )  # it has come
-    watch.on_connection_refused()
-    assert watch.check(quiet, True, False, False) is LivenessStatus.TERMINATED and "refused" in watch.reason
+    monitor.on_connection_refused()
+    assert (
+        monitor.check(quiet, True, False, False) is LivenessStatus.TERMINATED and "refused" in monitor.reason
+    )
 
 
 def nested(text: str) -> dict[str, Any]:
@@ -355,14 +357,14 @@
         assert other.handle(at, events) == actions
 
 
-def test_a_connection_with_a_request_open_is_never_let_go_for_another() -> None:
-    door: ConnectionAdmission[str] = ConnectionAdmission(2)
-    door.admit("a", 0.0)
-    door.on_request_opened("a")  # its first message is a set-up
-    door.on_message_received("a", 0.0)
-    door.admit("b", 0.0)
-    door.on_request_opened("b")
-    assert len(door) == 2 and door.admit("c", 1.0) == "c"
+def test_a_connection_with_an_open_request_is_never_evicted() -> None:
+    admission: ConnectionAdmission[str] = ConnectionAdmission(2)
+    admission.admit("a", 0.0)
+    admission.on_request_opened("a")  # its first message is a set-up
+    admission.on_message_received("a", 0.0)
+    admission.admit("b", 0.0)
+    admission.on_request_opened("b")
+    assert len(admission) == 2 and admission.admit("c", 1.0) == "c"
 
 
 def test_the_node_loads_the_standard_library_and_itself_alone() -> None:
--- a/tests/test_node_peers.py
+++ b/tests/test_node_peers.py
@@ -112,7 +112,7 @@
     return None if fact is None else msgspec.msgpack.decode(fact.value, type=Versions)
 
 
-def test_a_killed_node_s_acts_are_asked_of_its_peer(tmp_path: Path) -> None:
+def test_audit_records_of_a_killed_node_are_served_by_its_peer(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet, node: Node, peers: Peers) -> None:
         # It can reach nobody: there is nothing that would begin here a second time, so it takes sessions.
         assert (await fleet.ask(node)).type == "answer"
@@ -148,7 +148,7 @@
     run_scenario(scenario, tmp_path)
 
 
-def test_a_node_that_is_told_to_stop_takes_its_leave(tmp_path: Path) -> None:
+def test_a_stopped_node_leaves_its_peers_in_order(tmp_path: Path) -> None:
     async def scenario(fleet: Fleet, node: Node, peers: Peers) -> None:
         process = await fleet.run(FERNWEIR_PEERS=str(fleet.peers_file("n7", peers.peer.me.address)))
         try:
@@ -275,7 +275,7 @@
     assert len({one, *(digest(0.0, (True, lines)) for lines in others)}) == 5
 
 
-class Alone:
+class StandalonePort:
     """A port of a front without channels: what it is asked for beyond that is an error at once."""
 
     def __init__(self) -> None:
@@ -307,7 +307,7 @@
         self.why = why
 
 
-class Three:
+class ThreePeers:
     """Three peers without channels, each a message's 2 ms from the others. Pure, on a time of its own."""
 
     def __init__(self, folder: Path) -> None:
@@ -318,7 +318,7 @@
         file = read_peers_file(folder / "peers.ini", "n0")
         self.now, self._sent = 0.0, list[tuple[float, int, str, str, base.Message]]()
         self.kinds: set[type[base.Message]] = set()
-        self.ports = {f"n{place}": Alone() for place in range(3)}
+        self.ports = {f"n{place}": StandalonePort() for place in range(3)}
         self.there: dict[Any, str] = {("127.0.0.1", 7000 + place): f"n{place}" for place in range(3)}
         self.peers: dict[str, Peer] = {}
         for place, (name, port) in enumerate(self.ports.items()):
@@ -356,7 +356,7 @@
 def test_without_channels_a_late_node_is_shut_out_and_comes_back_and_one_left_alone_goes_on(
     tmp_path: Path,
 ) -> None:
-    three = Three(tmp_path)
+    three = ThreePeers(tmp_path)
     whys = [port.why for port in three.ports.values()]
     assert whys == ["", "", ""]  # though they have not joined yet
     for name in three.peers:
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -81,7 +81,7 @@
         raise AssertionError(f"the node ended without a word on {event!r}")
 
 
-async def tell_without_end(address: Address) -> None:
+async def send_endless_line(address: Address) -> None:
     """60 MB in one line, as fast as it is taken; returns once the node has closed."""
     reader, writer = await asyncio.open_connection(*address)
     try:
@@ -115,7 +115,7 @@
             viewer.send(request)
             assert (await viewer.answer(request.id)).type == "answer"  # though no feed answers yet
 
-            await asyncio.gather(*(tell_without_end(outside.address) for _ in range(3)))
+            await asyncio.gather(*(send_endless_line(outside.address) for _ in range(3)))
             half = await outside.viewer()
             half.write(b'{"type":"setup","id":"00000')
             half.close()
--- a/tests/test_node_settings.py
+++ b/tests/test_node_settings.py
@@ -110,7 +110,7 @@
     return load_config({"ROUTER_CONFIG": str(file)})
 
 
-def told(**more: dict[str, Any]) -> dict[str, Any]:
+def body_with(**more: dict[str, Any]) -> dict[str, Any]:
     """The body with some settings of some groups changed, or taken out."""
     body = deepcopy(BODY)
     for group, values in more.items():
@@ -122,9 +122,9 @@
     return body
 
 
-def live(config: NodeConfig) -> None:
+def use_all_settings(config: NodeConfig) -> None:
     """Plays to the module what makes it use all of its settings; a fault in one comes out here."""
-    settings, dice = config.settings, Random(3)
+    settings, rng = config.settings, Random(3)
     brain, now, rid = Controller(settings, config.seed), 1000.0, 0
     entries = tuple(entry(n, cell=n, server_type=n % 2, started_at=900.0 * (n % 2)) for n in range(1, 5))
     report = (0.4,) * len(settings.report_fields)
@@ -139,7 +139,7 @@
         now += 60.0
         events = [TimerFired(1)]
         events += [
-            AttemptEnded(one.session, one.server, 0, dice.choice(results), False, 9.0, report)
+            AttemptEnded(one.session, one.server, 0, rng.choice(results), False, 9.0, report)
             for one in placed
         ]
 
@@ -180,19 +180,19 @@
 def test_what_is_absent_or_zero_has_its_documented_meaning(tmp_path: Path) -> None:
     longest = 6500.0  # no connection is waited for longer than an answer
     for none in (0, ABSENT, None):
-        config = loaded(tmp_path, told(Limits={"ConnectTimeout": none, "ConnIdle": none}))
+        config = loaded(tmp_path, body_with(Limits={"ConnectTimeout": none, "ConnIdle": none}))
         assert (config.connect_timeout_ms, config.idle_timeout_ms) == (longest, math.inf)
-        assert loaded(tmp_path, told(Limits={"AttemptsCap": none})).settings.max_attempts is None
-        assert loaded(tmp_path, told(Obligations={"BudgetSpan": none})).settings.retry_budget is None
-        assert loaded(tmp_path, told(Obligations={"WarmUp": none})).settings.slow_start is None
-        assert loaded(tmp_path, told(Extra={"Tell": none})).settings.report_interval_ms == 0.0
-        assert not loaded(tmp_path, told(Limits={"MaxRetryAfter": none})).settings.max_retry_after_ms
-        assert not loaded(tmp_path, told(Obligations={"DrainGrace": none})).settings.drain_grace_ms
+        assert loaded(tmp_path, body_with(Limits={"AttemptsCap": none})).settings.max_attempts is None
+        assert loaded(tmp_path, body_with(Obligations={"BudgetSpan": none})).settings.retry_budget is None
+        assert loaded(tmp_path, body_with(Obligations={"WarmUp": none})).settings.slow_start is None
+        assert loaded(tmp_path, body_with(Extra={"Tell": none})).settings.report_interval_ms == 0.0
+        assert not loaded(tmp_path, body_with(Limits={"MaxRetryAfter": none})).settings.max_retry_after_ms
+        assert not loaded(tmp_path, body_with(Obligations={"DrainGrace": none})).settings.drain_grace_ms
         seats = [0, 0, 0] if none == 0 else none
-        classes = loaded(tmp_path, told(Extra={"Seats": seats})).settings.classes
+        classes = loaded(tmp_path, body_with(Extra={"Seats": seats})).settings.classes
         assert [one.seats for one in classes] == [0, 0, 0]
     first = BODY["settings"]["Categories"][0]
-    aimless = told()
+    aimless = body_with()
     aimless["settings"]["Categories"][0] = {**first, "Aim": 0}
     assert loaded(tmp_path, aimless).settings.classes[0].latency_objective_ms == first["Deadline"]
     kept = loaded(tmp_path, BODY).settings
@@ -213,7 +213,7 @@
                 assert "\n" not in str(error) and len(str(error)) < 250
                 named += 1
                 continue
-            live(config)
+            use_all_settings(config)
             used += 1
     assert used > 100 and named > 1000
 
