--- a/tests/test_bench_left.py
+++ b/tests/test_bench_left.py
@@ -1,4 +1,4 @@
-"""Clients that leave while their request waits: each way at each place once, as `bench.left` plays them."""
+"""Clients that disconnect while their request waits: each way at each place of `bench.left` once."""
 
 from __future__ import annotations
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The front node over loopback: one answer a request counted at viewers, one attempt out at servers."""
+"""The front node over loopback: viewers get one answer per request, servers one attempt at a time."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 async def establish_session(scene: Scene) -> tuple[ViewerConnection, Message, str]:
-    """A viewer, its set-up, and the server on which its session stands."""
+    """Returns a viewer, its set-up, and the server that carries its session."""
     viewer, request = await scene.viewer(), scene.setup()
     viewer.send(request)
     assert (await viewer.answer(request.id)).type == "answer"
@@ -39,7 +39,7 @@
 
 
 async def send_open_set_up(scene: Scene) -> tuple[ViewerConnection, Message, MediaServer]:
-    """A viewer, its set-up, and the server that has it and says nothing yet."""
+    """Returns a viewer, its set-up, and the server that has received it but has not answered."""
     viewer, request = await scene.viewer(), scene.setup()
     for server in scene.servers.values():
         server.script = ["silent"]
@@ -67,16 +67,16 @@
             frame.text_parameter(ParameterCode.CLASS) == "film"
             and 0 < int(frame.text_parameter(ParameterCode.WAIT)) <= 500
         )
-        other = scene.setup(left="4060")  # a little over its class's deadline
+        other = scene.setup(left="4060")  # slightly more than the deadline of its class
         second.send(other)
         await second.answer(other.id)
         first.close()
         await until(lambda: scene.node.session_ends.connection_by_session.get(request.id) is None)
         server = scene.servers[name]
         server.send_frame(Frame(FrameType.RELEASE, request.id, {ParameterCode.CAUSE: bytes((16,))}))
-        await until(lambda: request.id in scene.ends)  # on the other's connection
+        await until(lambda: request.id in scene.ends)  # on the connection of the other viewer
         assert scene.ends[request.id].cause == 16 and second.messages[-1].id == request.id
-        second.send(Message("release", other.id, cause=16))  # its viewer ends the other
+        second.send(Message("release", other.id, cause=16))  # the viewer ends the other session
         await until(lambda: any(one == (other.id, 16) for one in scene.servers[name].releases))
         await until(lambda: not scene.node.dispatcher.sessions.session_count)
         assert other.id not in scene.ends
@@ -90,9 +90,9 @@
         extras = "home:0;copies:4;top:3;viewer:00000000b4d65521;at:s-1"
         request, strange = scene.setup(left="4294967", extras=extras), scene.setup(extras=extras[:-1] + "9")
         viewer.send(request, request, strange)
-        await until(lambda: strange.id in scene.answers)  # no such server: it is over
+        await until(lambda: strange.id in scene.answers)  # an unknown server: the session has ended
         server = scene.servers["s-1"]
-        await until(lambda: server.writers)  # the node comes to hear of its session
+        await until(lambda: server.writers)  # the node connects to receive messages of the session
         note = {ParameterCode.NOTE: b"level", ParameterCode.LEVEL: b"3"}
         server.send_frame(Frame(FrameType.NOTE, request.id, note))
         held = scene.node.dispatcher.sessions.session(request.id)
@@ -114,7 +114,7 @@
     async def scenario(scene: Scene) -> None:
         viewer = await scene.viewer()
         known = scene.setup()
-        viewer.send(known)  # its title is known to play from now on
+        viewer.send(known)  # the title is known to be playing from now on
         await viewer.answer(known.id)
         ((head, _),) = scene.setups()
         scene.servers[head].script = [move]
@@ -126,8 +126,8 @@
         assert (await viewer.answer(known.id)).type == "answer" and known.id not in scene.ends
         await until(
             lambda: request.id not in scene.servers[head].active_sessions
-        )  # an answer may have been spoilt
-        # Its process lived all the while, so nothing may make the module think that it comes back cold.
+        )  # an answer may have been damaged
+        # The process was alive throughout, so the controller must not presume that it restarted cold.
         assert scene.controller_server(head).is_presumed_dead is (move == "41")
 
     run_scenario(scenario)
@@ -187,7 +187,7 @@
         for writer in server.writers:
             writer.transport.abort()
         server.writers.clear()
-        await until(lambda: server.writers)  # the node comes back to hear
+        await until(lambda: server.writers)  # the node reconnects to receive messages
         assert scene.node.dispatcher.sessions.session_count == 1
         server.die()
         await until(lambda: request.id in scene.ends)
@@ -208,7 +208,9 @@
         assert (await viewer.answer(other.id)).type == "answer"  # at another server
         connect = loop.create_connection
 
-        async def cut_off(made: Any, *there: Any) -> Any:  # its connections stay, new ones never come up
+        async def cut_off(
+            made: Any, *there: Any
+        ) -> Any:  # existing connections stay, new connects stay pending
             return await (asyncio.Event().wait() if there == silent.address else connect(made, *there))
 
         loop.create_connection = cut_off  # type: ignore[method-assign,assignment]
@@ -222,13 +224,13 @@
     run_scenario(scenario, settings=replace(PLAIN, report_interval_ms=200.0, report_delay_ms=100.0))
 
 
-@pytest.mark.parametrize("late_s", [0.6, 5.0])  # past the attempt's time-out; past the viewer's deadline
+@pytest.mark.parametrize("late_s", [0.6, 5.0])  # past the attempt timeout; past the viewer deadline
 def test_an_answer_and_its_timeout_in_one_iteration_give_one_answer(late_s: float) -> None:
     async def scenario(scene: Scene) -> None:
         viewer, request, server = await send_open_set_up(scene)
         loop = scene.node.dispatcher.loop
         time = loop.time
-        server.finish(request.id)  # lies in the node's socket while all its timers come due
+        server.finish(request.id)  # unread in the node's socket while all timers expire
         loop.time = lambda: time() + late_s  # type: ignore[method-assign]
         assert (await viewer.answer(request.id)).type == "answer"
         assert len(scene.setups()) == 1 and not server.releases
@@ -286,7 +288,7 @@
         ]
         await until(lambda: len(scene.setups()) == 2)  # elsewhere
         second = next(one for one in scene.servers.values() if one.open_set_ups)
-        await until(lambda: not server.writers)  # the late words were written before its connection ended
+        await until(lambda: not server.writers)  # the late messages were written before the connection ended
         second.finish(request.id)
         assert (await viewer.answer(request.id)).sdp == f"{second.name} {request.id}\r\n"
         await until(lambda: not scene.node.server_pool.endpoints[number_of(server.name)].connections)
@@ -306,7 +308,7 @@
         server = scene.servers[name]
         end = Frame(FrameType.RELEASE, stands.id, {ParameterCode.CAUSE: bytes((16,))})
         server.script = ["silent"]
-        viewer.send(late)  # on the same connection: it times out, which closes that
+        viewer.send(late)  # on the same connection, which is closed by the timeout
         await until(lambda: late.id in server.open_set_ups)
         if how == "parting":
             server.frames_on_eof = [end]
@@ -345,7 +347,7 @@
         await until(lambda: near.state.phase is ClientConnectionPhase.HALF_CLOSED)
         server.perform(end, request.id, server.open_set_ups[request.id])
         assert (await viewer.answer(request.id)).type == ("answer" if end == "answer" else "release")
-        await until(lambda: viewer.closed)  # told at once that this was all
+        await until(lambda: viewer.closed)  # the node closes at once after the last reply
         assert scene.node.dispatcher.sessions.session_count == (end == "answer") and len(scene.setups()) == 1
         assert end == "answer" or viewer.messages[0].cause == 34
 
@@ -443,12 +445,12 @@
 def test_an_honest_connection_survives_its_rare_mistakes() -> None:
     async def scenario(scene: Scene) -> None:
         viewer, request, server = await send_open_set_up(scene)
-        for _ in range(5):  # with a request open none of them ends it
+        for _ in range(5):  # with an open request none of them ends the connection
             viewer.send(wrong := scene.setup(left="0"))
             assert (await viewer.answer(wrong.id)).type == "release"
         server.finish(request.id)
         assert (await viewer.answer(request.id)).type == "answer" and not viewer.closed
-        for number in range(3):  # nor do some of them, far apart
+        for number in range(3):  # nor do occasional ones
             viewer.send(wrong := scene.setup(left="0"))
             assert (await viewer.answer(wrong.id)).type == "release"
             viewer.send(good := scene.setup())
@@ -489,9 +491,9 @@
         scene.feed.writers[-1].close()
         await until(lambda: scene.node.feed.last_sequence_number == 2)
         assert scene.feed.asked == [1, 1]
-        scene.feed.send_event(scene.feed.events[0])  # told twice
+        scene.feed.send_event(scene.feed.events[0])  # sent twice
         scene.feed.send_event(2)
-        scene.feed.send_event(9)  # something is missing
+        scene.feed.send_event(9)  # an event is missing
         await until(lambda: len(scene.feed.asked) == 3)
         assert scene.feed.asked[-1] == 2
         for _ in range(5):
@@ -529,7 +531,7 @@
         viewer, request, server = await send_open_set_up(scene)
         scene.node.terminate()
         late = scene.setup()
-        other = await scene.viewer()  # new connections keep coming
+        other = await scene.viewer()  # new connections are still accepted
         other.send(Message("ping", "0" * 15 + "1", cause=0), late)
         assert (await other.answer(late.id)).cause == 34
         assert other.messages[0].type == "pong" and other.messages[0].cause == 0
@@ -567,7 +569,7 @@
     heads: list[list[str]] = []
 
     async def scenario(scene: Scene) -> None:
-        if heads:  # the second has another seed, and heard of its servers in another order
+        if heads:  # the second node has another seed, and its servers were listed in another order
             scene.node.shutdown()
             names = dict(reversed(scene.servers.items()))
             cells = {name: scene.line(name) for name in scene.servers}
@@ -611,13 +613,13 @@
 
 @pytest.mark.parametrize("seed", range(16))
 def test_after_random_faults_each_request_has_one_answer_and_nothing_is_left_over(seed: int) -> None:
-    """Whatever meets in one turn: what the node holds is what stands at the servers, to the last session."""
+    """Random events in one iteration: the sessions of the node and of the servers stay identical."""
     rng = Random(seed)
     moves = ["answer"] * 4 + ["silent", "twice", *FAILS]
 
     async def scenario(scene: Scene) -> None:
         viewers = [await scene.viewer() for _ in range(3)]
-        unanswered: dict[str, ViewerConnection] = {}  # requests that are owed an answer
+        unanswered: dict[str, ViewerConnection] = {}  # requests that have no answer yet
         given_up: set[str] = set()
         servers = list(scene.servers.values())
 
@@ -653,7 +655,7 @@
                 for id in [id for id, viewer in unanswered.items() if viewer is gone]:
                     del unanswered[id]
                 viewers.append(await scene.viewer())
-            elif what == 11 and server.refusals:  # a second copy, late: its session may be tried again here
+            elif what == 11 and server.refusals:  # a late duplicate, when the session may be tried here again
                 again, writer = server.refusals[-1]
                 if not writer.transport.is_closing():
                     server.send_frame(again, writer)
@@ -672,7 +674,7 @@
         await until(lambda: not given_up & held().keys())
         assert not any(server.open_set_ups for server in servers)
 
-    run_scenario(scenario, servers=1 + seed % 3)  # few: a session's next attempt may go to the same one
+    run_scenario(scenario, servers=1 + seed % 3)  # few servers, so that attempts may repeat
 
 
 def test_a_client_that_does_not_read_is_disconnected() -> None:
--- a/tests/test_node_crossing_feed.py
+++ b/tests/test_node_crossing_feed.py
@@ -1,4 +1,4 @@
-"""Crossings of a node's connection to its control feed, each forced in all orders, and a drawn mess."""
+"""Races on a node's connection to its control feed, forced in all orders, and random feed faults."""
 
 from __future__ import annotations
 
@@ -20,28 +20,29 @@
 from tests.node_scene import FarFeed, Stage, staged
 from tests.sockets import Far
 
-# Turns between the start of a connection and its `SUB`: the descriptor is ready, its future is set, the
-# transport is made, `connection_made`, the opening coroutine resumes. One more, so that the end is passed.
+# Loop iterations between the start of a connect and its `SUB`: the descriptor is ready, its future is set,
+# the transport is created, `connection_made` is called, the connecting coroutine resumes. One more is after
+# that.
 TURNS = range(7)
 
 
 def connecting(stage: Stage) -> list[int]:
-    """Descriptors of connections that the node is making."""
+    """Returns the descriptors of the connects in progress."""
     keys = stage.loop.selected.get_map().values()
     return [key.fd for key in keys if key.events & selectors.EVENT_WRITE]
 
 
 def begin_reconnect(stage: Stage) -> None:
-    """The feed's connection breaks and the next one has just been begun."""
+    """Breaks the connection to the feed, and runs until the next connect has started."""
     stage.loop.settle()
     stage.feed.poll()[-1].reset()
     stage.loop.until(lambda: "feed connection ended" in stage.log.getvalue())
-    stage.loop.jump(80.0)  # the first pause is 75 ms at most
+    stage.loop.jump(80.0)  # the first backoff is 75 ms at most
     stage.loop.until(lambda: connecting(stage))
 
 
 def open_connections(*feeds: FarFeed) -> list[tuple[Far, bytes]]:
-    """Connections that are open at both ends, with what was asked on them."""
+    """Returns the connections that are open at both ends, with what the node has sent on them."""
     for feed in feeds:
         feed.poll()
     return [
@@ -62,7 +63,7 @@
 
 
 def check_followed(stage: Stage, feed: FarFeed, last: int = 1) -> None:
-    """One connection there is, it asked from the last number held, and the next event comes in on it."""
+    """Checks that one connection exists, is subscribed from the last event, and delivers the next one."""
     ((line, asked),) = (
         open_connections(stage.feed, feed) if feed is not stage.feed else open_connections(feed)
     )
@@ -89,7 +90,7 @@
     with staged() as stage:
         begin_reconnect(stage)
         stage.loop.turn(turns)
-        if not late:  # the far end of the race: the time ends while the connection is still held
+        if not late:  # the other end of the race: the timeout passes while the connect is held
             stage.loop.selected.held.update(connecting(stage))
         stage.loop.jump(1_001.0)
         stage.loop.turn()
@@ -109,7 +110,7 @@
         other = FarFeed()
         for _ in range(times):  # in one turn
             stage.node.endpoint_watcher.change_address(other.address)
-        for line in stage.feed.poll():  # what the old one still says
+        for line in stage.feed.poll():  # events that the old feed still sends
             if not line.over:
                 line.write(encode_event(change(stage, 2, "removed")))
         stage.loop.settle()
@@ -202,7 +203,7 @@
         other.close()
 
 
-# What a feed may go on writing that tells nothing: more of a line, old events, numbers below the last.
+# Input that conveys nothing new: more bytes of a line, old events, numbers below the last.
 @pytest.mark.parametrize(
     ("start", "word"),
     [(b"", b""), (b'{"n":2,', b""), (b'{"n":2,', b" "), (b"", b'{"n":1}\n'), (b"", b"0\n"), (b"", b"-7\n")],
@@ -253,7 +254,7 @@
         stage.loop.advance(1_900 if end == "silence" else 100)
         ((line, asked),) = open_connections(stage.feed)
         assert asked == b"SUB 1\n"
-        line.write(event[40:90])  # goes on where it broke off: no line of ours
+        line.write(event[40:90])  # the rest of the interrupted line, which is not a valid line by itself
         line.write(b"\n")
         stage.loop.advance(400)
         ((line, asked),) = open_connections(stage.feed)
@@ -271,7 +272,7 @@
 def test_a_moved_feed_whose_first_connections_hang_is_tried_every_second_until_one_comes_up() -> None:
     with staged() as stage:
         stage.loop.settle()
-        stage.loop.advance(1_700)  # silent, and about to be left
+        stage.loop.advance(1_700)  # silent, and just before the idle timeout
         other = FarFeed()
         began = stage.loop.clock
         stage.node.endpoint_watcher.change_address(other.address)
@@ -293,7 +294,7 @@
 
 
 def test_a_feed_that_is_silent_between_its_events_is_asked_again_within_a_drain_s_grace() -> None:
-    """While a node backs off it learns of no drain: the shortest grace of a deployment of ours is 400 ms."""
+    """A node gets no drain events during a backoff; the shortest grace period of a deployment is 400 ms."""
     policy, now = ReconnectPolicy(1), 0.0
     for _ in range(40):
         opening = policy.begin_connection(now)
@@ -309,7 +310,7 @@
     policy, now, backoffs = ReconnectPolicy(1), 0.0, []
     for _ in range(40):
         first = policy.begin_connection(now)
-        opening = policy.begin_connection(now)  # takes the place of the first
+        opening = policy.begin_connection(now)  # replaces the first one
         assert (
             first is not None and opening is not None and policy.timeout_reason() == "no connection in time"
         )
@@ -319,7 +320,7 @@
             and policy.is_current(opening)
             and policy.timeout_reason() == "silent"
         )
-        # The last number, at once; then an event that can't be used.
+        # The last sequence number at once, then an event that cannot be used.
         policy.on_data_received(now, applied_event=False)
         assert (
             policy.on_connection_ended(opening, now)
@@ -330,7 +331,7 @@
         backoffs.append(policy.deadline - now)
         now = policy.deadline
     assert backoffs[0] < 0.075 and min(backoffs[5:]) >= 0.4 and max(backoffs) <= 1.2
-    for told, stood_s in ((True, 0.0), (False, 1.0)):  # an event taken, or a while in use: as at first
+    for told, stood_s in ((True, 0.0), (False, 1.0)):  # both reset the backoff
         opening = policy.begin_connection(now)
         assert opening is not None and policy.on_connected(opening, now)
         policy.on_data_received(now + stood_s, told)
@@ -354,11 +355,11 @@
         stage.loop.settle()
         odd = change(stage, 2)
         odd["members"]["endpoints"] += [{**stage.line("s-1"), "type": "odd"}, 7]
-        odd["members"]["snapshot"] = True  # of a list that isn't all there, what it doesn't name stays
+        odd["members"]["snapshot"] = True  # endpoints missing from an incomplete list are kept
         no_list = {"n": 3, "members": {"index": "1"}}
         listed = {number_of("s-0"): ServerState.READY, number_of("s-1"): ServerState.READY}
         for n, event in ((2, odd), (3, no_list)):
-            for tries, told in enumerate(({**event, "spoilt": 1}, event, event)):  # the first is another
+            for tries, told in enumerate(({**event, "spoilt": 1}, event, event)):  # the first one differs
                 ((line, asked),) = open_connections(stage.feed)
                 assert stage.node.dispatcher.sessions.endpoint_states == listed
                 assert not tries or asked == b"SUB %d\n" % (n - 1)
@@ -394,7 +395,7 @@
 
 
 class StageWithKnownEvents(Stage):
-    """A node that starts with a list on which something has happened already."""
+    """A node whose configured list includes later events."""
 
     def __init__(self, *later: dict[str, Any]) -> None:
         self.later = later
@@ -422,7 +423,7 @@
 
 
 def test_a_known_event_that_can_not_be_read_keeps_no_node_from_starting() -> None:
-    """A node that runs has left it out; one that starts again beside it must not end over it."""
+    """Running nodes have skipped the event; a node that restarts must not fail because of it."""
     stage = StageWithKnownEvents({"status": "removed", "type": "odd"}, {"status": "draining"})
     assert stage.node.dispatcher.sessions.endpoint_states == {number_of("s-0"): ServerState.DRAINING}
     assert (
@@ -431,7 +432,7 @@
     )
     stage.check_settled()
     stage.finish()
-    with pytest.raises(FeedError):  # what is missing can't be known of
+    with pytest.raises(FeedError):  # the missing event cannot be recovered
         list(EndpointFeed(("box",), 0.0).apply_known_events(({"n": 1}, {"n": 3}), 3))
 
 
@@ -442,16 +443,14 @@
 
 
 class FaultInjector:
-    """Feeds at addresses old and new tell one story; what a seed draws happens to their connections."""
+    """Feeds at old and new addresses send the same events, while random faults hit their connections."""
 
     def __init__(self, stage: Stage, rng: Random) -> None:
         self.stage, self.rng = stage, rng
         self.feeds: list[FarFeed] = [stage.feed]
         self.events = [change(stage, 1, "up")]
-        self.last_sent: dict[
-            int, int
-        ] = {}  # a connection, by its feed's place and its own: the last event told
-        self.broken: set[int] = set()  # connections that say nothing more
+        self.last_sent: dict[int, int] = {}  # the last event sent on each connection, by its id
+        self.broken: set[int] = set()  # connections that stay silent
         self.applied: list[int] = []
         self.apply_update = stage.node.endpoint_watcher.apply_update
         stage.node.endpoint_watcher.apply_update = self.on_update  # type: ignore[method-assign]
@@ -461,7 +460,7 @@
         self.apply_update(update)
 
     def open(self) -> list[tuple[int, Far, bytes]]:
-        """Connections of the newest address that have asked and are told what comes."""
+        """Returns the subscribed connections at the newest address that still receive events."""
         feed = self.feeds[-1]
         feed.poll()
         pairs = zip(feed.lines, feed.asked, strict=True)
@@ -472,7 +471,7 @@
         ]
 
     def write(self, line: Far, data: bytes) -> None:
-        with suppress(OSError):  # the node has left it
+        with suppress(OSError):  # the node has closed it
             line.write(data)
 
     def serve(self) -> None:
@@ -530,7 +529,7 @@
             self.serve()
 
     def cross(self) -> None:
-        """Something happens between two turns of an opening, if there is one or is to be one."""
+        """Causes an event between two loop iterations of a connect, if one is in progress or due."""
         loop, feed = self.stage.loop, self.feeds[-1]
         loop.jump(80.0)
         for _ in range(self.rng.randrange(12)):
@@ -550,7 +549,7 @@
                 self.check_settled()
         self.stage.loop.selected.held.clear()
         self.events.append(change(self.stage, len(self.events) + 1))
-        for _ in range(50):  # 5 s with no fault more
+        for _ in range(50):  # 5 s without faults
             self.serve()
             self.number()
             self.stage.loop.advance(100)
@@ -562,8 +561,8 @@
 
     def check_settled(self) -> None:
         self.stage.loop.settle()
-        assert len(open_connections(*self.feeds)) <= 1, "two connections to the feed"
-        assert self.applied == list(range(2, len(self.applied) + 2)), "twice, or out of order"
+        assert len(open_connections(*self.feeds)) <= 1, "two connections to the feed are open"
+        assert self.applied == list(range(2, len(self.applied) + 2)), "applied twice or out of order"
 
 
 @pytest.mark.parametrize("seed", range(40))
