--- a/tests/test_node_crossing_lost.py
+++ b/tests/test_node_crossing_lost.py
@@ -1,4 +1,4 @@
-"""Crossings around servers that can't be reached: releases that wait, connections that never come up."""
+"""Races around unreachable servers: releases that wait, and connects that stay pending."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def half_answered(stage: Stage, viewer: FarViewer) -> tuple[str, FarLine]:
-    """A set-up whose server answered it, and whose connection broke within the answer."""
+    """Returns a set-up whose connection broke in the middle of the server's answer."""
     id, line = stage.set_up(viewer)
     line.answer(id, HALF)
     line.reset()
@@ -30,15 +30,15 @@
 
 @pytest.mark.parametrize("who", ["viewer", "node"])
 def test_a_release_goes_out_though_the_connection_made_for_it_never_comes_up(who: str) -> None:
-    """What one late connection leaves unsaid stands at a server that lives."""
+    """A session would remain on a live server if a timed-out connect lost its release."""
     with staged(servers=2 if who == "node" else 1) as stage:
         viewer = stage.far_viewer()
         id, line = half_answered(stage, viewer)
-        stage.hold_next_connect()  # to hear whether its server lives
+        stage.hold_next_connect()  # to find out whether the server is alive
         if who == "viewer":
             viewer.send(Message("release", id, cause=16))
             stage.loop.until(lambda: not stage.node.dispatcher.sessions.session_count)
-        stage.loop.advance(stage.node.server_pool.connect_timeout_s * 1000.0)  # it is late
+        stage.loop.advance(stage.node.server_pool.connect_timeout_s * 1000.0)  # the connect times out
         if who == "node":
             stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
             new = next(one for one in stage.far.values() if one is not line.server).line_of(id)
@@ -50,7 +50,7 @@
 
 
 def reset_while_connecting(stage: Stage, line: FarLine) -> None:
-    """The next connection to that server comes up and breaks before the node sees it: somebody listens."""
+    """The next connection to the server is established and reset before the node processes it."""
     fd = stage.hold_next_connect()
     new = line.server.accept()
     assert new is not None
@@ -60,7 +60,7 @@
 
 
 def test_a_release_held_back_for_a_set_up_that_never_left_goes_out_all_the_same() -> None:
-    """Both wait for a connection; the set-up's never comes up, the other one has come up before."""
+    """Both wait for a connection. That of the set-up stays pending, the other one is established first."""
     with staged() as stage:
         viewer = stage.far_viewer()
         id, line = half_answered(stage, viewer)
@@ -95,7 +95,7 @@
         while not endpoint.connections[-1].is_usable:
             stage.loop.turn()
         new = line.server.lines[-1]
-        stage.loop.selected.held.add(fd)  # the break is in the kernel, and seen by who writes
+        stage.loop.selected.held.add(fd)  # the kernel has the reset, which only a write detects
         new.reset()
         stage.loop.arrived(fd)
         stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
@@ -112,8 +112,8 @@
 
 
 def wait_until_lost(stage: Stage) -> None:
-    """Two looks' connections never come up, the clock going on; the open ones are silent."""
-    stage.loop.advance(2_400.0)  # short of the silence that a server is given
+    """Keeps the connects of two checks pending while open connections are silent, until the loss."""
+    stage.loop.advance(2_400.0)  # less than the silence timeout of a server
     for _ in range(2):
         stage.hold_next_connect(step_ms=10.0)
     while "server lost" not in stage.log.getvalue():
@@ -122,14 +122,16 @@
 
 
 def test_sessions_of_a_lost_server_are_released_once_it_returns() -> None:
-    """It may have been cut off only, and its sessions were told over."""
+    """The server may only have been unreachable, while its sessions were reported as ended."""
     with staged() as stage:
         viewer = stage.far_viewer()
         id, line = stage.establish_session(viewer)
         wait_until_lost(stage)
         stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         stage.loop.advance(1_000.0)
-        assert len(line.server.lines) == 1 and id in line.server.active_sessions()  # nothing is made for it
+        assert (
+            len(line.server.lines) == 1 and id in line.server.active_sessions()
+        )  # no connection is opened for it
         request, new = stage.set_up(viewer)
         assert id in {one.session for one in new.received if one.type is FrameType.RELEASE}
         new.answer(request)
@@ -137,7 +139,7 @@
 
 
 def test_no_request_is_sent_on_old_connections_of_a_lost_server() -> None:
-    """Its machine may be another by now; a connection of before tells that by a set-up's time-out."""
+    """The machine may have been replaced, which an old connection would reveal only by a timeout."""
     with staged() as stage:
         viewer = stage.far_viewer()
         id, line = stage.establish_session(viewer)
@@ -187,7 +189,7 @@
 
 
 def test_a_release_on_a_connection_never_closed_by_the_server_is_sent_again() -> None:
-    """A cut may hold it, and the end of this side beside an answer that comes late drops it."""
+    """A partition may hold it back, and closing this side while an answer arrives late discards it."""
     with staged(servers=2) as stage:
         viewer = stage.far_viewer()
         id, line = stage.set_up(viewer)
@@ -198,7 +200,7 @@
         new.answer(id)
         wait_for_answer(stage, viewer, id)
         assert not endpoint.attempts and FrameType.RELEASE in [one.type for one in line.received]
-        stage.loop.advance(2_000.0)  # this side's end is not answered
+        stage.loop.advance(2_000.0)  # the server does not answer the close
         line.server.poll()
         assert [[one.type for one in other.received] for other in line.server.lines if other is not line] == [
             [FrameType.RELEASE]
@@ -206,7 +208,7 @@
 
 
 def test_an_ambiguous_release_on_a_new_connection_ends_and_releases_the_session() -> None:
-    """Whose end it is can't be told, though the connection of the session that stands is there."""
+    """It is ambiguous which attempt has ended, though the session's connection is open."""
     with staged() as stage:
         viewer = stage.far_viewer()
         id, line = half_answered(stage, viewer)
@@ -229,7 +231,7 @@
 
 @pytest.mark.parametrize("speaks", [True, False])
 def test_checks_of_a_server_that_breaks_each_connection_are_paced(speaks: bool) -> None:
-    """Each such look is over within a turn or two: without a pause they took all of the node's time."""
+    """Each such check ends within one or two iterations, so without a delay they would use up the node."""
     with staged() as stage:
         viewer = stage.far_viewer()
         (id, line), (other, there) = stage.set_up(viewer), stage.set_up(viewer)
@@ -256,22 +258,22 @@
         stage.loop.jump(CHECK_INTERVAL_MS)
         assert breaks(200) == 2
         stage.loop.jump(CHECK_INTERVAL_MS)
-        stage.loop.until(lambda: line.server.accept() is not None)  # that one stays
+        stage.loop.until(lambda: line.server.accept() is not None)  # this connection stays open
         assert {id} <= set(stage.node.dispatcher.sessions.records())
 
 
 class RandomServer:
-    """One media server of a drawn mess: what it holds, in the order in which it read what it was told."""
+    """A media server with random behaviour, and its sessions in the order of the messages it read."""
 
     def __init__(self, far: FarServer, rng: Random) -> None:
         self.far, self.rng, self.is_partitioned = far, rng, False
         self.open_set_ups: dict[str, FarLine] = {}
         self.active_sessions: set[str] = set()
-        self.ends: list[Frame] = []  # also said on each next connection that opens
-        self.answer_remainders: list[tuple[FarLine, bytes]] = []  # second pieces of answers
+        self.ends: list[Frame] = []  # also sent on each new connection
+        self.answer_remainders: list[tuple[FarLine, bytes]] = []  # the second parts of answers
 
     def poll(self, calm: bool) -> None:
-        """Reads and acts, unless it is cut off: then all waits, in both directions."""
+        """Reads and acts, unless it is partitioned: then everything waits, in both directions."""
         if self.is_partitioned:
             return
         while (line := self.far.accept()) is not None:
@@ -283,7 +285,7 @@
         for line in self.far.lines:
             for frame in line.poll():
                 if frame.type is FrameType.SETUP:
-                    assert frame.session not in self.open_set_ups, "two attempts out at one server"
+                    assert frame.session not in self.open_set_ups, "two attempts in flight at one server"
                     self.open_set_ups[frame.session] = line
                 elif frame.type is FrameType.RELEASE:
                     self.open_set_ups.pop(frame.session, None)
@@ -315,7 +317,7 @@
             self.active_sessions.add(id)
             if what == "pieces":
                 self.answer_remainders.append((line, data[cut:]))
-            elif what != "answer":  # a break, or an end, behind it: seen in one turn
+            elif what != "answer":  # a reset or an end follows, seen in one iteration
                 line.reset() if what in ("broken", "reset") else line.end()
                 self.give_up(line)
 
@@ -326,7 +328,7 @@
             self.write(line, encode_frame(self.ends[-1]))
 
     def write(self, line: FarLine, data: bytes) -> bool:
-        """Whether the connection took it; one that the node has ended gives up what is open on it."""
+        """Returns whether the data was written. A connection closed by the node ends its open set-ups."""
         try:
             if not line.over:
                 line.write(data)
@@ -336,7 +338,7 @@
         return not line.over
 
     def give_up(self, line: FarLine) -> None:
-        """A closed connection gives up the set-ups open on it."""
+        """Ends the set-ups that are open on a closed connection."""
         for id in [id for id, there in self.open_set_ups.items() if there is line]:
             del self.open_set_ups[id]
 
@@ -349,12 +351,12 @@
 
 
 class FaultInjector:
-    """A stage whose servers are cut off and heal, and some of whose connections come up late or never."""
+    """Partitions and heals the servers of a stage, and delays some connects or keeps them pending."""
 
     def __init__(self, stage: Stage, rng: Random) -> None:
         self.stage, self.rng, self.is_calm = stage, rng, False
         self.servers = {far.address: RandomServer(far, rng) for far in stage.far.values()}
-        self.held_until: dict[tuple[int, Any], float] = {}  # a connection being made: until when it is held
+        self.held_until: dict[tuple[int, Any], float] = {}  # until when each connect is held
 
     def hold(self) -> None:
         loop = self.stage.loop
--- a/tests/test_node_crossing_servers.py
+++ b/tests/test_node_crossing_servers.py
@@ -1,4 +1,4 @@
-"""Crossings on a node's connections to media servers, forced: whatever meets, in either order."""
+"""Races on a node's connections to media servers, forced in either order."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 
 
 def wait_for_answer(stage: Stage, viewer: FarViewer, id: str) -> str:
-    """Turns until the viewer has its answer: what it says."""
+    """Runs until the viewer has its answer. Returns the description, or the cause as text."""
     stage.loop.until(lambda: viewer.poll() is not None and id in stage.answers)
     return stage.answers[id].sdp or str(stage.answers[id].cause)
 
 
 def line_of(stage: Stage, id: str) -> FarLine:
-    """Turns until a set-up is at a media server: the connection that it came on last."""
+    """Runs until a media server has a set-up. Returns the connection on which it arrived last."""
     stage.loop.until(lambda: stage.sent_to(id))
     return stage.far[stage.sent_to(id)[-1]].line_of(id)
 
 
 def deliver_frames(stage: Stage, line: FarLine, *frames: Frame) -> None:
-    """A media server says this in one piece, and the node takes it."""
+    """Sends frames from a media server in one write, and runs until the node has handled them."""
     fd = stage.loop.near(line.sock)
     line.write(b"".join(map(encode_frame, frames)))
     stage.loop.arrived(fd)
@@ -44,7 +44,7 @@
 
 
 def send_feed_event(stage: Stage, *lines: dict[str, Any]) -> None:
-    """One event of the feed, taken by the node."""
+    """Sends one event of the feed, and runs until the node has applied it."""
     (feed,) = stage.feed.poll()
     last = stage.node.feed.last_sequence_number + 1
     members = {"index": last, "snapshot": False, "endpoints": list(lines)}
@@ -54,7 +54,7 @@
 
 def test_a_connection_goes_onward_only() -> None:
     state = ConnectionState()
-    state.drain()  # one that is being made is not blamed
+    state.drain()  # has no effect while connecting
     assert state.is_connecting and not state.may_write and not state.begin_close()
     assert state.open() and not state.open()
     assert state.may_start_request and state.may_write
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize("turns", range(5))
 def test_the_connect_time_ends_in_each_turn_of_a_connection_that_comes_up(turns: int) -> None:
-    """It is up before its time ends, and carries its set-up; or it is given up, and carries nothing."""
+    """The connection is established in time and carries its set-up, or it is cancelled and carries none."""
     with staged(servers=2) as stage:
         viewer = stage.far_viewer()
         viewer.send(request := stage.setup())
@@ -96,7 +96,7 @@
         fd = stage.hold_next_connect()
         viewer.send(Message("release", request.id, cause=16)) if how == "release" else viewer.reset()
         stage.loop.until(lambda: not stage.node.dispatcher.sessions.session_count)
-        stage.check_settled()  # no attempt and no timer of it waits for the connection
+        stage.check_settled()  # no attempt or timer waits for the connection
         release_descriptor(stage, fd)
         stage.loop.advance(2_000.0)
         assert stage.sent_to(request.id) == []
@@ -112,8 +112,8 @@
         name = stage.node.feed.names[server]
         send_feed_event(stage, stage.line(name, status))
         if status == "removed":
-            release_descriptor(stage, fd)  # it is given up, and its descriptor the next one's
-        assert request.id not in endpoint.attempts  # ended though the connection is still on its way
+            release_descriptor(stage, fd)  # it is cancelled, and its descriptor is reused by the next one
+        assert request.id not in endpoint.attempts  # ended although the connect is still in progress
         line = line_of(stage, request.id)  # elsewhere, with the first one held
         assert line.server.name != name
         release_descriptor(stage, fd)
@@ -144,7 +144,7 @@
 @pytest.mark.parametrize("how", ["end", "reset"])
 @pytest.mark.parametrize("first", ["end", "set-up"])
 def test_a_set_up_that_crosses_the_end_of_its_idle_connection(how: str, first: str) -> None:
-    """What the kernel refused never ran, and nobody is blamed; what it took may have run."""
+    """A write that the kernel rejected never ran and is no server error; an accepted one may have run."""
     with staged(servers=2) as stage:
         viewer = stage.far_viewer()
         id, line = stage.establish_session(viewer)
@@ -165,7 +165,7 @@
         new.answer(request.id)
         assert wait_for_answer(stage, viewer, request.id) == f"{new.server.name} {request.id}\r\n"
         assert len(stage.sent_to(request.id)) == 1
-        unknown = (how, first) == ("end", "set-up")  # it may have run: as an error, and tried elsewhere
+        unknown = (how, first) == ("end", "set-up")  # it may have run: an error, and retried elsewhere
         assert ("set-up failed" in stage.log.getvalue()) is unknown
         assert (new.server is line.server) is not unknown
 
@@ -198,14 +198,14 @@
 def test_a_late_message_of_an_attempt_is_not_attributed_to_the_next_attempt(
     cause: int, word: str, second: str
 ) -> None:
-    """Both have one id; they differ by their connections."""
+    """Both attempts have the same id; only their connections differ."""
     with staged() as stage:
         viewer = stage.far_viewer()
         id, line = stage.set_up(viewer)
         line.release(id, cause)
         stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
         new = next((one for one in stage.far["s-0"].lines if one is not line), line)
-        line.ended.clear()  # what it ended is the first attempt, and the id stands for the second from now
+        line.ended.clear()  # it ended the first attempt; the id now belongs to the second one
         late = Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((cause,))})
         if word == "answer":
             late = Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: b"late\r\n"})
@@ -217,16 +217,16 @@
         if second == "stands":
             deliver_frames(stage, line, late)
         assert stage.node.dispatcher.sessions.session_count == 1
-        new.release(id, 16)  # its own connection's word counts
+        new.release(id, 16)  # a message on its own connection is accepted
         stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
 
 
 def test_a_release_goes_where_the_set_up_that_follows_it_is_read_after_it() -> None:
     with staged() as stage:
         viewer = stage.far_viewer()
-        other, busy = stage.set_up(viewer)  # an older connection, with something open
+        other, busy = stage.set_up(viewer)  # an older connection with an open set-up
         id, line = stage.set_up(viewer)
-        line.reset()  # it may stand there, for all that anybody knows
+        line.reset()  # the server may have set up the session
         stage.loop.until(lambda: len(stage.far["s-0"].setups()) == 3)
         new = stage.far["s-0"].line_of(id)
         assert [one.type for one in new.received] == [FrameType.RELEASE, FrameType.SETUP]
@@ -238,9 +238,9 @@
 
 @pytest.mark.parametrize("how", ["order", "reset"])
 def test_the_last_idle_connection_of_a_server_with_sessions_stays_open(how: str) -> None:
-    """However its server answers the end of the other: it hears on the last, and another isn't made."""
+    """However the server answers the close of the other one, no replacement is opened."""
     with staged(settings=replace(PLAIN, report_interval_ms=60_000.0)) as stage:
-        stage.node.server_pool.idle_timeout_ms = 8_000.0  # idle before silence is looked into
+        stage.node.server_pool.idle_timeout_ms = 8_000.0  # idle before the silence timeout
         viewer = stage.far_viewer()
         (first, one), (second, other) = stage.set_up(viewer), stage.set_up(viewer)
         one.answer(first)
@@ -259,19 +259,19 @@
 
 
 def test_many_servers_of_a_node_with_few_descriptors_keep_to_their_part_of_them() -> None:
-    """What is unused longest goes; viewers and the feed keep their own part, and sessions are heard on."""
+    """The longest unused connections close; viewers, the feed and servers with sessions keep theirs."""
     with staged(servers=6, sockets=18) as stage:
         viewer, servers = stage.far_viewer(), stage.node.server_pool
         servers.idle_timeout_ms = inf
         most = 0
         for title in range(8):
             requests = [stage.setup(key=f"{title:016x}") for _ in range(3)]
-            viewer.send(*requests)  # a connection to itself for each
+            viewer.send(*requests)  # a separate connection for each
             for id in [one.id for one in requests]:
                 line = line_of(stage, id)
                 line.answer(id)
                 wait_for_answer(stage, viewer, id)
-                if title:  # the first ones go on
+                if title:  # the first ones continue
                     line.release(id, 16)
             most = max(most, sum(len(one.connections) for one in servers.endpoints.values()))
             stage.loop.until(lambda: stage.node.dispatcher.sessions.session_count == 3)
@@ -300,9 +300,9 @@
 def test_the_end_of_a_session_at_a_silent_server_is_told_in_time_whatever_the_settings(
     tell_ms: float, connect_ms: float, asked: bool
 ) -> None:
-    """Its machine vanished, and nobody says so: what stood there is over, and told to be within 8 s.
+    """The machine vanished without notice, so the end of its sessions has to be announced within 8 s.
 
-    Nor may the connection of a set-up, waited for as long as its settings say, hold that up.
+    The connect of a set-up, which may take as long as the settings allow, must not delay that.
     """
     with staged(settings=replace(PLAIN, report_interval_ms=tell_ms)) as stage:
         stage.node.server_pool.connect_timeout_s = connect_ms / 1000.0
@@ -318,11 +318,11 @@
             assert loop.clock < last + 8.0
             if asked and loop.clock > last + 3.5:
                 asked = False
-                viewer.send(stage.setup(), stage.setup())  # the second finds no connection free
+                viewer.send(stage.setup(), stage.setup())  # the second one finds no free connection
                 loop.until(lambda: len(stage.node.client_requests.open_requests) == 2)
         loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         assert stage.ends[id].cause == 41
-        loop.advance(4_000.0)  # what was asked has its answer
+        loop.advance(4_000.0)  # the requests have their answers
 
 
 @pytest.mark.parametrize("before", ["connecting", "idle"])
@@ -352,9 +352,9 @@
     with staged() as stage:
         viewer = stage.far_viewer()
         id, line = stage.establish_session(viewer)
-        line.ended.add(id)  # its process ends
+        line.ended.add(id)  # the process ends
         line.reset()
-        fd = stage.hold_next_connect()  # to hear of its session: whoever listens there takes it
+        fd = stage.hold_next_connect()  # to receive its messages; the new listener accepts it
         send_feed_event(stage, stage.line("s-0", "removed"), stage.line("s-0") | {"name": "s-new"})
         release_descriptor(stage, fd)
         stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
@@ -367,14 +367,14 @@
 
 
 def wait_for_second_attempt(stage: Stage, id: str, line: FarLine) -> FarLine:
-    """Turns until a set-up is out a second time: the connection of that."""
+    """Runs until a set-up is in flight a second time. Returns the connection of that attempt."""
     stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
     (new,) = [one for far in stage.far.values() for one in far.lines if one is not line and id in one.setups]
     return new
 
 
 def poll_together(stage: Stage, *fds: int) -> None:
-    """All of these are ready in the kernel; then the loop sees them in this order, in one turn."""
+    """Waits until all descriptors are ready, then polls them in this order in one iteration."""
     stage.loop.arrived(*fds)
     stage.loop.selected.first = list(fds)
     stage.loop.selected.held.difference_update(fds)
@@ -419,15 +419,17 @@
             Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((cause,))}),
         ]
         deliver_frames(stage, line, *(words if first == "answer" else words[::-1]))
-        if first == "answer":  # it stood, and is over
+        if first == "answer":  # the session was established and has ended
             assert wait_for_answer(stage, viewer, id) == "one\r\n"
             stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
             assert stage.ends[id].cause == (16 if cause == 16 else 41)
             return
-        new = wait_for_second_attempt(stage, id, line)  # it ended, and the word behind it is nobody's
+        new = wait_for_second_attempt(
+            stage, id, line
+        )  # the attempt ended, and the message behind it is ignored
         new.answer(id)
         assert wait_for_answer(stage, viewer, id) == f"{new.server.name} {id}\r\n"
-        if cause in (16, 31, 99):  # no word of a set-up's end: what may run is released
+        if cause in (16, 31, 99):  # these causes do not end a set-up, so it is released
             stage.loop.until(lambda: line.poll() is not None and FrameType.RELEASE in received_types(line))
 
 
@@ -452,7 +454,7 @@
 
 @pytest.mark.parametrize("meets", ["set-up", "answer"])
 def test_a_server_killed_in_the_turn_of_a_set_up_or_an_answer(meets: str) -> None:
-    """What its process had answered stood and is over; what it had not answered is tried elsewhere."""
+    """An answered session was established and has ended; an unanswered set-up is retried elsewhere."""
     with staged(servers=2) as stage:
         viewer = stage.far_viewer()
         id, line = stage.set_up(viewer)
@@ -464,20 +466,20 @@
         line.server.kill()
         stage.loop.arrived(fd, events=select.POLLHUP)
         poll_together(stage, fd)
-        if meets == "answer":  # whether it is still read after the reset is the kernel's
+        if meets == "answer":  # the kernel decides whether it is still read after the reset
             stage.loop.until(lambda: viewer.poll() or len(stage.sent_to(id)) == 2)
         if id not in stage.answers:
             new = wait_for_second_attempt(stage, id, line)
             new.answer(id)
             assert wait_for_answer(stage, viewer, id) == f"{new.server.name} {id}\r\n"
             return
-        stage.loop.advance(250.0)  # a refused connection is proof, read at the next upkeep
+        stage.loop.advance(250.0)  # a refused connection is proof, evaluated at the next upkeep
         stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         assert stage.ends[id].cause == 41 and len(stage.sent_to(id)) == 1
 
 
 def test_a_late_release_after_the_session_connection_broke_leaves_no_session() -> None:
-    """Nobody can tell whose word it is then: the session is over for both."""
+    """It is ambiguous which attempt the message belongs to, so the session ends on both sides."""
     with staged() as stage:
         viewer = stage.far_viewer()
         id, line = stage.set_up(viewer)
@@ -498,7 +500,7 @@
 
 @pytest.mark.parametrize("first", ["the refusal", "the session"])
 def test_what_a_server_refused_before_it_held_anything_does_not_end_what_it_holds(first: str) -> None:
-    """Its process ended and another listens: a session that plays there by the platform's word is its own."""
+    """A new process listens there, and a session that the platform assigns to it belongs to it."""
     with staged() as stage:
         viewer, server = stage.far_viewer(), stage.far["s-0"]
         there = server.address
@@ -516,6 +518,6 @@
             viewer.send(plays)
             stage.loop.until(lambda: stage.node.dispatcher.sessions.session(plays.id))
         stage.loop.advance(600.0)
-        lost = first == "the session"  # a refusal while it is held is proof
+        lost = first == "the session"  # a refused connection while the session is placed there is proof
         assert ("server lost" in stage.log.getvalue()) is lost
         assert (stage.node.dispatcher.sessions.session(plays.id) is None) is lost
