--- a/tests/test_node_crossing_stop.py
+++ b/tests/test_node_crossing_stop.py
@@ -1,4 +1,4 @@
-"""A node's end, the crossings forced: whatever it took has its answer before the process is over."""
+"""Races during the shutdown of a node: every accepted request is answered before the process exits."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def start_final_check(stage: Stage) -> asyncio.Task[None]:
-    """The node's last look, from the moment in which its time is over: seen through as far as it goes."""
+    """Starts the final check after the drain timeout, and runs it as far as it gets."""
     assert stage.node.drained.is_set()
     task = stage.loop.create_task(stage.node.finish_draining())
     stage.loop.settle()
@@ -40,7 +40,7 @@
 
 
 def run_to_exit(stage: Stage) -> None:
-    """From the moment of SIGTERM to the end of the process, all its sockets closed in order."""
+    """Runs from SIGTERM to the exit of the process."""
     stage.loop.advance(stage.node.graceful_shutdown.drain_timeout_ms)
     task = start_final_check(stage)
     stage.loop.advance(5.0)
@@ -53,7 +53,7 @@
 
 
 def hold_next_connect(stage: Stage) -> int:
-    """Turns until the node makes a connection, and holds that one back from coming up."""
+    """Runs until the node starts a connect, and keeps it pending. Returns its descriptor."""
     making: list[int] = []
 
     def found() -> bool:
@@ -71,7 +71,7 @@
     with staged(settings=LONG) as stage:
         viewer = stage.far_viewer()
         id, line = stage.set_up(viewer, **{"class": kind, "left": "60000"})
-        line.answer(id, slice(5))  # half of one: it may stand there
+        line.answer(id, slice(5))  # a partial answer: the server may carry the session
         stage.loop.settle()
         stage.node.terminate()
         stage.loop.advance(stage.node.graceful_shutdown.drain_timeout_ms - 1.0)
@@ -90,7 +90,7 @@
         viewer.send(request)
         making = hold_next_connect(stage)
         stage.node.terminate()
-        # Its connect time is longer than what is left: the attempt began just before the end.
+        # The attempt started just before the end, so its connect timeout exceeds the remaining time.
         stage.node._on_drain_timeout()
         start_final_check(stage)
         assert wait_for_cause(stage, viewer, request.id) == REFUSED
@@ -124,7 +124,7 @@
 
 @pytest.mark.parametrize("held", [False, True])
 def test_unread_requests_at_the_drain_timeout_are_read_and_rejected(held: bool) -> None:
-    """The process stood still: what came, and the end of its time, are seen in one turn, or the end first."""
+    """After a process stall the requests and the drain timeout are seen in one iteration, or in order."""
     with staged() as stage:
         stage.node.terminate()
         stage.loop.advance(stage.node.graceful_shutdown.drain_timeout_ms - 500.0)
@@ -156,7 +156,7 @@
 
 
 def viewer_with_unread_answers(stage: Stage) -> tuple[FarViewer, list[str]]:
-    """A reader who doesn't, with answers of which a part is neither with it nor with the kernel."""
+    """Returns a viewer that does not read, with answers that the kernel has only partly accepted."""
     viewer = stage.far_viewer()
     viewer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     fd = stage.loop.near(viewer.sock)
@@ -181,7 +181,7 @@
         stage.loop.advance(stage.node.graceful_shutdown.drain_timeout_ms)
         task = start_final_check(stage)
         stage.loop.advance(5.0)
-        assert not task.done()  # it is SIGKILL that may end it now
+        assert not task.done()  # only SIGKILL may end the process now
         for id in ids:
             assert wait_for_cause(stage, viewer, id) is None and stage.answers[id].type == "answer"
         stage.loop.advance(5.0)
@@ -214,7 +214,7 @@
                 one.send(request)
                 stage.loop.settle()
                 assert wait_for_cause(stage, one, request.id) == REFUSED
-        line.release(stands, 16)  # what stands is still heard of
+        line.release(stands, 16)  # messages of established sessions are still received
         stage.loop.until(lambda: viewer.poll() is not None and stands in stage.ends)
         assert stage.far["s-0"].setups() == [stands]
         run_to_exit(stage)
@@ -263,7 +263,7 @@
         viewer.send(Message("release", plays.id, cause=16))
         stage.loop.until(lambda: not stage.node.dispatcher.sessions.session_count)
         (endpoint,) = stage.node.server_pool.endpoints.values()
-        stage.loop.until(lambda: not endpoint.connections)  # the one made for it was refused
+        stage.loop.until(lambda: not endpoint.connections)  # the connection opened for it was refused
         stage.loop.advance(20.0)
         task = start_final_check(stage)
         stage.loop.advance(5.0)
@@ -278,7 +278,7 @@
         assert stage.log.getvalue().count('"stopping"') == 1
         stage.loop.advance(1.0)
         start_final_check(stage)
-        stage.node.terminate()  # as it looks round for the last time
+        stage.node.terminate()  # during the final check
         stage.loop.advance(5.0)
 
 
--- a/tests/test_node_crossing_viewers.py
+++ b/tests/test_node_crossing_viewers.py
@@ -1,4 +1,4 @@
-"""Viewers' connections at the wrong instant, forced: who leaves, who is let go, what is said too late."""
+"""Races on viewer connections, forced: disconnects, evictions, and messages that arrive too late."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def disconnect(viewer: FarViewer, how: str, *ids: str) -> None:
-    """`orderly` may still read, `full` reads no more."""
+    """Disconnects. After `orderly` the viewer may still read, after `full` it does not."""
     if how == "orderly":
         viewer.end()
     elif how == "full":
@@ -45,7 +45,7 @@
 
 
 def node_connections(stage: Stage) -> list[ClientConnection]:
-    """The node's ends of viewers' connections."""
+    """Returns the node's ends of the viewer connections."""
     return list(stage.node.client_listener.connections)
 
 
@@ -55,7 +55,7 @@
 
 
 def send_and_hold_connect(stage: Stage, viewer: FarViewer, *requests: Message) -> int:
-    """Asks, and keeps the connection to a server that is made for it from coming up."""
+    """Sends requests, and keeps the connect that they cause pending. Returns its descriptor."""
     viewer.send(*requests)
     making = stage.hold_next_connect()
     stage.loop.settle()
@@ -67,15 +67,13 @@
     return any(id in server.released for server in stage.far.values())
 
 
-# --- a viewer that has left ---
+# --- disconnected viewers ---
 
 
 def test_what_is_asked_in_the_read_before_a_viewers_end_is_refused_and_not_sent_on() -> None:
     with staged() as stage:
         first = stage.far_viewer()
-        stage.establish_session(
-            first
-        )  # a connection to the server is free: what is placed is written at once
+        stage.establish_session(first)  # a free connection: a placed request is written at once
         viewer = stage.far_viewer()
         fd, request = node_descriptor(stage, viewer), stage.setup()
         stage.loop.selected.held.add(fd)
@@ -90,7 +88,7 @@
         stage.loop.until(lambda: viewer.poll() is not None and viewer.over)
 
 
-@pytest.mark.parametrize("size", [1, 300])  # more than one read holds: the end lies behind the last of them
+@pytest.mark.parametrize("size", [1, 300])  # 300 exceed one read, and the end follows the last
 def test_what_is_asked_and_ended_or_reset_in_one_turn_is_not_sent_on(size: int) -> None:
     for how in WAYS:
         with staged() as stage:
@@ -125,7 +123,7 @@
             stage.loop.settle()
             assert stage.sent_to(request.id) == []
         stage.loop.selected.first = [fd, there] if first == "viewer" else [there, fd]
-        stage.loop.selected.held.clear()  # for the server: it is up in the very turn, and seen so before
+        stage.loop.selected.held.clear()  # for `server`: established in the same iteration, and seen first
         stage.loop.advance(300)
         assert stage.sent_to(request.id) == []
         if how == "orderly":
@@ -137,7 +135,7 @@
 def test_who_leaves_while_the_loop_stands_still_behind_its_last_look_is_not_sent_on(
     how: str, where: str
 ) -> None:
-    """What is run next in the same turn, as late as it may be, sends nothing on for who has left by then."""
+    """Callbacks that run late in the same iteration forward nothing for a disconnected viewer."""
     with staged() as stage:
         if where == "before its batch":
             stage.establish_session(
@@ -153,7 +151,7 @@
         else:
             there = send_and_hold_connect(stage, viewer, request)
             stage.loop.selected.held.discard(there)
-            stage.loop.turn(2)  # it is up, and is told so at the beginning of the next turn
+            stage.loop.turn(2)  # established, which is reported at the start of the next iteration
         disconnect(viewer, how, request.id)
         stage.loop.arrived(fd)
         stage.loop.jump(400)
@@ -164,7 +162,7 @@
 
 
 def test_what_waits_beyond_its_time_while_the_loop_stands_still_is_not_sent_on() -> None:
-    """The connection to its server is up, and told so before timers are looked at."""
+    """The connection to the server is established, which is reported before timers run."""
     with staged() as stage:
         viewer, request = stage.far_viewer(), stage.setup(left="1000")
         there = send_and_hold_connect(stage, viewer, request)
@@ -176,7 +174,7 @@
 
 
 def test_a_client_that_withdraws_its_request_before_an_invalid_line_is_closed() -> None:
-    """All in one read while something is open, so that nothing is left for the transport's own read."""
+    """All in one read with an open request, so that nothing is left for the transport to read."""
     with staged() as stage:
         viewer, request = stage.far_viewer(), stage.setup()
         send_and_hold_connect(stage, viewer, request)
@@ -200,7 +198,7 @@
         fd, there = node_descriptor(stage, viewer), stage.loop.near(line.sock)
         stage.loop.selected.held |= {fd, there}
         disconnect(viewer, how, id)
-        line.release(id, 34)  # full: it never ran, so elsewhere it would be tried at once
+        line.release(id, 34)  # full: it never ran, so it would be retried elsewhere at once
         stage.loop.arrived(fd, there)
         stage.loop.selected.first = [fd, there] if first == "viewer" else [there, fd]
         stage.loop.selected.held.clear()
@@ -213,7 +211,7 @@
 
 
 def test_who_leaves_takes_along_only_what_is_its_own_and_an_attempt_that_is_out_is_answered() -> None:
-    """On one connection: one that is out, one whose connection isn't up; and others elsewhere."""
+    """One connection has an open attempt and one whose connect is pending; other viewers have others."""
     with staged() as stage:
         viewer, other = stage.far_viewer(), stage.far_viewer()
         out, line = stage.set_up(viewer)
@@ -225,7 +223,7 @@
         stage.loop.selected.held.clear()
         stage.loop.advance(300)
         assert stage.sent_to(waits.id) == [] and wait_for_answer(stage, viewer, waits.id).cause == 34
-        assert not viewer.over  # what is out is still answered here
+        assert not viewer.over  # the open attempt is still answered here
         their_line.answer(others)
         line.answer(out)
         assert (
@@ -240,7 +238,7 @@
 def test_a_client_that_leaves_while_the_controller_holds_its_request_is_not_placed(
     how: str, first: str
 ) -> None:
-    """It waits for word of a server of which nothing is known; that comes in the turn in which it leaves."""
+    """The request waits for a health check, whose reply arrives in the iteration of the disconnect."""
     with staged(settings=replace(SETTINGS, front_count=2)) as stage:
         stage.loop.advance(60_000)
         viewer = stage.far_viewer()
@@ -279,7 +277,7 @@
 
 @pytest.mark.parametrize("seen", ["before the answer", "after the answer", "a sweep after the answer"])
 def test_an_answer_that_a_viewer_who_closed_never_read_ends_its_session(seen: str) -> None:
-    """The write succeeds, and the reset that says nobody was there comes back behind it."""
+    """The write succeeds, and the reset that disproves the delivery arrives afterwards."""
     with staged() as stage:
         viewer, other = stage.far_viewer(), stage.far_viewer()
         stage.establish_session(other)
@@ -309,7 +307,7 @@
         viewer = stage.far_viewer()
         (node_connection,) = node_connections(stage)
         id, line = stage.set_up(viewer)
-        # Fill what the kernel takes, so that the answer stays in the node.
+        # Fill the kernel's buffers, so that the answer stays in the node.
         while not node_connection.unsent_bytes:
             node_connection.write(encode_message(Message("pong", "0" * 16, cause=1)) * 100)
         line.answer(id)
@@ -333,11 +331,13 @@
         stage.loop.settle()
         line.answer(id)
         assert wait_for_answer(stage, viewer, id).type == "answer"
-        stage.loop.until(lambda: viewer.poll() is not None and viewer.over)  # told at once that this is all
+        stage.loop.until(
+            lambda: viewer.poll() is not None and viewer.over
+        )  # the node closes at once after the last reply
         stage.loop.advance(DELIVERY_CONFIRMATION_MS + 2 * SWEEP_MS)
         viewer.close()
         assert len(node_connections(stage)) == 1 and stage.node.dispatcher.sessions.session_count == 2
-        line.release(id, 16)  # its end comes on another connection
+        line.release(id, 16)  # the end is sent on another connection
         stage.loop.until(lambda: other.poll() is not None and id in stage.ends)
 
 
@@ -410,7 +410,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_no_request_of_a_random_disconnected_viewer_is_forwarded(seed: int) -> None:
-    """25 forced leavings each, over ways and moments; counted at the servers that would have got it."""
+    """25 forced disconnects each, in all ways and at all moments; set-ups are counted at the servers."""
     rng = Random(seed)
     cases = 0
     for _ in range(25):
@@ -455,7 +455,7 @@
     assert cases == 25
 
 
-# --- who is let go ---
+# --- evictions and timeouts ---
 
 
 def test_a_connection_evicted_before_its_transport_exists_is_not_served() -> None:
@@ -467,7 +467,7 @@
         assert listening is not None
         stage.loop.arrived(listening.fileno())
         first.send(request := stage.setup())
-        # Both are in the backlog: the second is let in for the first.
+        # Both are in the backlog: the second one is admitted in place of the first.
         stage.node.client_listener.accept_connections()
         assert len(admission) == 1 and not node_connections(stage)
         stage.loop.until(lambda: first.poll() is not None and first.over)
@@ -479,7 +479,7 @@
 @pytest.mark.parametrize("spoke", [False, True])
 @pytest.mark.parametrize("first", ["newcomer", "viewer"])
 def test_a_connection_with_a_request_unread_is_not_let_go_for_a_newcomer(spoke: bool, first: str) -> None:
-    """Both in one turn, as after a stop of the process; another one, that is silent, goes."""
+    """Both are seen in one iteration, as after a process stall; a silent connection is evicted instead."""
     with staged(sockets=4) as stage:  # two viewers
         viewer, silent = stage.far_viewer(), stage.far_viewer()
         if spoke:
@@ -513,7 +513,7 @@
         fd, data = node_descriptor(stage, viewer), encode_message(request)
         viewer.write(data[:40])
         stage.loop.settle()
-        stage.loop.selected.held.add(fd)  # the loop doesn't look before its sweep is due
+        stage.loop.selected.held.add(fd)  # the loop does not poll before its sweep is due
         viewer.write(data[40:])
         stage.loop.arrived(fd)
         stage.loop.jump(2 * IDLE_TIMEOUT_MS)
@@ -557,7 +557,7 @@
         viewer.poll()
         assert not viewer.over and id in stage.node.client_requests.open_requests
         viewer.send(late) if how != "mistakes" else None
-        assert wait_for_answer(stage, viewer, late.id).cause == 34  # nothing new is taken here
+        assert wait_for_answer(stage, viewer, late.id).cause == 34  # no new request is accepted here
         if stage.sent_to(id) == [line.server.name]:
             line.answer(id)
         assert wait_for_answer(stage, viewer, id).type == "answer"
@@ -584,7 +584,7 @@
 
 
 def test_a_line_has_its_time_from_its_own_beginning() -> None:
-    """Each read ends in the middle of the next line, as under a stream of them: that is no silence."""
+    """Each read ends in the middle of the next line, as in a continuous stream, which is not idle."""
     with staged() as stage:
         viewer, data = stage.far_viewer(), encode_message(Message("ping", f"{1:016x}", cause=0))
         viewer.write(data[:10])
@@ -614,7 +614,7 @@
         viewer.close()
 
 
-# --- what is said of sessions ---
+# --- messages about sessions ---
 
 
 def test_accepted_connections_set_tcp_nodelay() -> None:
@@ -657,7 +657,7 @@
         stage.loop.settle()
         assert stage.sent_to(request.id) == []
         told = [one.cause for one in (*viewer.poll(), *other.poll()) if one.id == request.id]
-        assert told == ([] if first == "set-up" else [81])  # once at the most
+        assert told == ([] if first == "set-up" else [81])  # at most once
 
 
 def test_an_id_asked_again_after_its_connection_broke_is_set_up_once_more() -> None:
@@ -680,7 +680,7 @@
 
 
 def test_the_end_of_a_session_goes_where_it_can_be_read() -> None:
-    """Not on a connection whose viewer ended its side, nor on one that the kernel shows broken."""
+    """It is not sent on a half-closed connection, nor on one that the kernel reports as broken."""
     with staged() as stage:
         home, other = stage.far_viewer(), stage.far_viewer()
         stage.establish_session(other)
@@ -697,7 +697,7 @@
 @pytest.mark.parametrize("first", ["viewer", "server"])
 @pytest.mark.parametrize("home", [True, False])
 def test_a_session_that_both_sides_end_in_one_turn_is_told_of_once(first: str, home: bool) -> None:
-    """Whether the connection that it came on is still there or not."""
+    """This holds whether or not the connection of the set-up is still open."""
     with staged() as stage:
         viewer, other = stage.far_viewer(), stage.far_viewer()
         stage.establish_session(other)
@@ -760,16 +760,14 @@
         stage.loop.until(lambda: viewer.poll() is not None and len(viewer.messages) == 2)
         assert [(one.type, one.cause) for one in viewer.messages] == [("release", 41), ("pong", 0)]
         assert stage.node.dispatcher.sessions.session_count == 0 and stage.sent_to(lost.id) == []
-        viewer.send(
-            Message("release", lost.id, cause=16)
-        )  # crossed the word of its end, or is written beside it
+        viewer.send(Message("release", lost.id, cause=16))  # crosses the end of the session
         stage.loop.settle()
         assert len(viewer.poll()) == 0 and viewer.messages[-1].type == "pong"
 
 
 @pytest.mark.parametrize("turns", range(5))
 def test_a_client_whose_request_arrived_before_a_process_stall_is_not_timed_out(turns: int) -> None:
-    """Accepted, and not read yet: the time in which it is to say something passes meanwhile."""
+    """The connection is accepted but not read yet while its idle timeout passes."""
     with staged() as stage:
         viewer, request = FarViewer(stage), stage.setup()
         stage.viewers.append(viewer)
@@ -784,7 +782,7 @@
         stage.loop.until(lambda: viewer.poll() is not None and request.id in stage.answers)
 
 
-# --- the records ---
+# --- state machines ---
 
 
 def test_only_recent_messages_to_a_closed_client_are_undelivered() -> None:
@@ -801,7 +799,7 @@
     assert set(said(left=True).on_connection_ended(DELIVERY_CONFIRMATION_MS, True) or ()) == {"new", "end"}
     assert set(said(left=False).on_connection_ended(DELIVERY_CONFIRMATION_MS, True) or ()) == {
         "end"
-    }  # may have been heard: it stands
+    }  # may have been received
     visit = said(left=True)
     visit.on_write_buffer_flushed(DELIVERY_CONFIRMATION_MS)
     assert visit.has_unconfirmed_messages(DELIVERY_CONFIRMATION_MS) and not visit.has_unconfirmed_messages(
@@ -824,5 +822,5 @@
     assert len(admission) == 2 and admission.closing_connections() == ["a"]
     assert admission.timed_out_connections(IDLE_TIMEOUT_MS + 1.0) == ["b", "a"]
     assert admission.admit("c", 2.0) == "a" and len(admission) == 2
-    admission.on_connection_closing("a", 2.0)  # let go before: not known any more
+    admission.on_connection_closing("a", 2.0)  # evicted before, so no longer registered
     assert len(admission) == 2 and not admission.closing_connections()
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -1,4 +1,4 @@
-"""The node's parts without I/O: codecs on any split and on noise, feed, limits, watch, configuration."""
+"""The parts of a node without I/O: codecs on any split and on noise, feed, limits, liveness, settings."""
 
 from __future__ import annotations
 
@@ -119,12 +119,12 @@
 @pytest.mark.parametrize(
     "data",
     [
-        struct.pack(">HBQ", 5, 9, 1),  # shorter than its head
+        struct.pack(">HBQ", 5, 9, 1),  # shorter than its header
         struct.pack(">HBQ", 65535, 9, 1),
         struct.pack(">HBQ", 9, 7, 1),  # unknown type
-        struct.pack(">HBQ", 11, 9, 1) + b"\x30\x00",  # a parameter cut short
-        struct.pack(">HBQ", 13, 9, 1) + b"\x30\x00\x09x",  # longer than its message
-        struct.pack(">HBQ", 15, 9, 1) + b"\x30\x00\x00\x30\x00\x00",  # twice
+        struct.pack(">HBQ", 11, 9, 1) + b"\x30\x00",  # a truncated parameter header
+        struct.pack(">HBQ", 13, 9, 1) + b"\x30\x00\x09x",  # a parameter longer than its message
+        struct.pack(">HBQ", 15, 9, 1) + b"\x30\x00\x00\x30\x00\x00",  # a duplicate parameter
     ],
 )
 def test_frames_that_do_not_fit_are_refused_after_what_came_before(data: bytes) -> None:
@@ -190,14 +190,14 @@
         admission.on_message_received(key, 1.0)
     admission.on_request_opened("a")
     admission.on_request_opened("a")
-    assert admission.admit("d", 2.0) == "c"  # has said nothing
+    assert admission.admit("d", 2.0) == "c"  # has sent nothing
     admission.on_message_received("d", 2.0)
-    assert admission.admit("e", 3.0) == "b"  # has nothing open, and spoke longest ago
+    assert admission.admit("e", 3.0) == "b"  # has no open request, and was active longest ago
     assert admission.timed_out_connections(IDLE_TIMEOUT_MS + 2.0) == [] and admission.timed_out_connections(
         IDLE_TIMEOUT_MS + 3.0
     ) == ["e"]
     admission.set_partial_line("a", 10.0, True)
-    admission.set_partial_line("a", 20.0, True)  # the same line goes on
+    admission.set_partial_line("a", 20.0, True)  # the same line continues
     assert admission.timed_out_connections(IDLE_TIMEOUT_MS + 10.0) == ["e", "a"]
     admission.on_request_finished("a", 30.0)
     admission.on_request_finished("a", 31.0)
@@ -219,23 +219,25 @@
     )
     monitor.on_data_received(0.0)
     assert monitor.check(quiet - 1, True, True, False) is LivenessStatus.HEALTHY
-    assert monitor.check(quiet, True, True, False) is LivenessStatus.CHECK  # silence is looked into
+    assert monitor.check(quiet, True, True, False) is LivenessStatus.CHECK  # silence is checked
     assert monitor.check(quiet, True, True, True) is LivenessStatus.HEALTHY
     monitor.on_connect_timeout(quiet, quiet + 9)
-    assert monitor.check(quiet, True, True, False) is LivenessStatus.CHECK  # one packet can be lost
-    monitor.on_connect_timeout(quiet + 5, quiet + 14)  # and another of the same moment
+    assert monitor.check(quiet, True, True, False) is LivenessStatus.CHECK  # a single packet may be lost
+    monitor.on_connect_timeout(quiet + 5, quiet + 14)  # a concurrent connect
     assert monitor.check(quiet, True, True, False) is LivenessStatus.CHECK
     monitor.on_connect_timeout(quiet + 9, quiet + 18)
-    assert monitor.check(quiet - 1, True, True, False) is LivenessStatus.HEALTHY  # an open connection speaks
+    assert (
+        monitor.check(quiet - 1, True, True, False) is LivenessStatus.HEALTHY
+    )  # data arrived on an open connection
     assert (
         monitor.check(quiet, True, True, False) is LivenessStatus.UNREACHABLE
         and "established in time" in monitor.reason
     )
-    assert monitor.check(quiet, True, False, False) is LivenessStatus.CHECK  # told once
+    assert monitor.check(quiet, True, False, False) is LivenessStatus.CHECK  # reported once
     monitor.on_connected(quiet)
     assert (
         monitor.check(quiet, True, False, False) is LivenessStatus.HEALTHY
-    )  # it has broken again, a look was just made
+    )  # it has broken again just after a check
     assert (
         monitor.check(quiet + CHECK_INTERVAL_MS, True, False, False) is LivenessStatus.CHECK
     )  # a break proves nothing
@@ -243,12 +245,12 @@
     monitor.on_connection_broken()
     assert (
         monitor.check(quiet + 2 * CHECK_INTERVAL_MS, True, True, True) is LivenessStatus.HEALTHY
-    )  # what was missed comes there
+    )  # missed messages are repeated there
     assert monitor.check(quiet + 2 * CHECK_INTERVAL_MS, True, True, False) is LivenessStatus.CHECK
     monitor.on_connected(quiet + 2 * CHECK_INTERVAL_MS)
     assert (
         monitor.check(quiet + 3 * CHECK_INTERVAL_MS, True, True, False) is LivenessStatus.HEALTHY
-    )  # it has come
+    )  # they have arrived
     monitor.on_connection_refused()
     assert (
         monitor.check(quiet, True, False, False) is LivenessStatus.TERMINATED and "refused" in monitor.reason
@@ -256,7 +258,7 @@
 
 
 def nested(text: str) -> dict[str, Any]:
-    """The settings text of the simulator as the nested object that a node finds."""
+    """Converts the settings text of the simulator to the nested object of a node's configuration."""
     table = dict(line.split("=", 1) for line in text.splitlines() if line)
     tree: dict[str, Any] = {}
     for path, value in table.items():
@@ -311,7 +313,7 @@
 
 
 def test_the_module_decides_alike_through_the_node_and_through_the_adapter() -> None:
-    """What the host hands to its module, handed to another by hand, gives the same actions."""
+    """The events that the session manager passes to its controller give the same actions in another one."""
     seen: list[tuple[float, list[Event], list[Action]]] = []
     limits = SessionLimits(reply_margin_ms=0.0, unclaimed_session_ttl_ms=0.0)
     host = SessionManager(
@@ -360,7 +362,7 @@
 def test_a_connection_with_an_open_request_is_never_evicted() -> None:
     admission: ConnectionAdmission[str] = ConnectionAdmission(2)
     admission.admit("a", 0.0)
-    admission.on_request_opened("a")  # its first message is a set-up
+    admission.on_request_opened("a")  # the first message is a set-up
     admission.on_message_received("a", 0.0)
     admission.admit("b", 0.0)
     admission.on_request_opened("b")
@@ -368,7 +370,7 @@
 
 
 def test_the_node_loads_the_standard_library_and_itself_alone() -> None:
-    """Its environment holds no packages, and its memory is tight."""
+    """The platform installs no packages for a node, and its memory is limited."""
     script = (
         "import sys, fernweir.node.program;"
         "known = set(sys.stdlib_module_names) | {'fernweir', '__main__'};"
