--- a/fernweir/node/attempts.py
+++ b/fernweir/node/attempts.py
@@ -151,7 +151,7 @@
         now = self._dispatcher.now()
         set_up = self._set_up_frame(attempt, now)
         lost_releases = endpoint.releases_on_broken_connections(now)
-        releases = endpoint.release_queue.take_for_session(session_id)
+        releases = endpoint.release_queue.pop_for_session(session_id)
         releases += [release for release in lost_releases if release.session == session_id]
         for release in releases:
             connection.send(release)
--- a/fernweir/node/client_connection_state.py
+++ b/fernweir/node/client_connection_state.py
@@ -180,7 +180,7 @@
                 message.written_at_ms = now
                 message.is_flushed = True
 
-    def forget_session(self, session_id: str) -> None:
+    def discard_session(self, session_id: str) -> None:
         """Drops the reply of a session that has ended, since its delivery no longer matters."""
         self._unconfirmed_messages.pop(session_id, None)
 
--- a/fernweir/node/endpoint_feed.py
+++ b/fernweir/node/endpoint_feed.py
@@ -130,7 +130,7 @@
                 raise
         return self._apply_readable_part(body, EndpointListKind.FULL)
 
-    def forget_server(self, server: int) -> None:
+    def remove_server(self, server: int) -> None:
         """Drops the details of a server that was removed from the list and is no longer in use."""
         self.addresses.pop(server, None)
         self.names.pop(server, None)
--- a/fernweir/node/placed_sessions.py
+++ b/fernweir/node/placed_sessions.py
@@ -53,7 +53,7 @@
         Messages for a session with an attempt in flight stay queued until just before its set-up is written.
         """
         endpoint = connection.endpoint
-        for frame in endpoint.release_queue.take_except(endpoint.attempts):
+        for frame in endpoint.release_queue.pop_except(endpoint.attempts):
             connection.send(frame)
 
     def end(self, endpoint: ServerEndpoint, session_id: str, result: Result) -> None:
--- a/fernweir/node/release_queue.py
+++ b/fernweir/node/release_queue.py
@@ -31,17 +31,17 @@
         """Appends frames to the pending messages."""
         self.pending_releases += frames
 
-    def take_for_session(self, session_id: str) -> list[Frame]:
+    def pop_for_session(self, session_id: str) -> list[Frame]:
         """Removes and returns the pending messages of one session."""
-        taken = [frame for frame in self.pending_releases if frame.session == session_id]
+        popped = [frame for frame in self.pending_releases if frame.session == session_id]
         self.pending_releases = [frame for frame in self.pending_releases if frame.session != session_id]
-        return taken
+        return popped
 
-    def take_except(self, session_ids: Container[str]) -> list[Frame]:
+    def pop_except(self, session_ids: Container[str]) -> list[Frame]:
         """Removes and returns the pending messages of all sessions except the given ones."""
-        taken = [frame for frame in self.pending_releases if frame.session not in session_ids]
+        popped = [frame for frame in self.pending_releases if frame.session not in session_ids]
         self.pending_releases = [frame for frame in self.pending_releases if frame.session in session_ids]
-        return taken
+        return popped
 
     def defer(self, session_ids: Iterable[str]) -> None:
         """Defers all pending messages and releases of the given sessions, since their server was lost."""
--- a/fernweir/node/server_pool.py
+++ b/fernweir/node/server_pool.py
@@ -163,7 +163,7 @@
             if connection.may_close(now):
                 connection.close()
 
-    def forget_if_idle(self, endpoint: ServerEndpoint) -> None:
+    def remove_if_idle(self, endpoint: ServerEndpoint) -> None:
         """Closes the connections of a removed, idle server, and drops its state after the last has ended."""
         if not (self.is_removed(endpoint) and endpoint.is_idle):
             return
@@ -171,4 +171,4 @@
             connection.close()
         if not endpoint.connections:
             del self.endpoints[endpoint.server]
-            self._feed.forget_server(endpoint.server)
+            self._feed.remove_server(endpoint.server)
--- a/fernweir/node/server_transport.py
+++ b/fernweir/node/server_transport.py
@@ -127,7 +127,7 @@
         if entry.state is ServerState.REMOVED:
             self._started_at.pop(entry.server, None)
             if endpoint is None:
-                self._feed.forget_server(entry.server)
+                self._feed.remove_server(entry.server)
         elif entry.started_at:
             self._started_at[entry.server] = entry.started_at
         if endpoint is not None and entry.started_at > last_started_at:
--- a/fernweir/node/server_upkeep.py
+++ b/fernweir/node/server_upkeep.py
@@ -41,7 +41,7 @@
         for endpoint in list(self._pool.endpoints.values()):
             self._pool.close_idle(endpoint, now)
             self.check(endpoint)
-            self._pool.forget_if_idle(endpoint)
+            self._pool.remove_if_idle(endpoint)
 
     def check(self, endpoint: ServerEndpoint) -> None:
         """Sends the messages that wait for a server, and checks whether the server is alive."""
--- a/fernweir/node/session_end_delivery.py
+++ b/fernweir/node/session_end_delivery.py
@@ -68,7 +68,7 @@
         connection = self.connection_by_session.pop(session_id, None)
         if connection is not None:
             connection.state.sessions.discard(session_id)
-            connection.state.forget_session(session_id)
+            connection.state.discard_session(session_id)
         if session_over.is_ended_by_viewer:
             return
         if session_over.is_moved:
