--- a/bench/peers_facts.py
+++ b/bench/peers_facts.py
@@ -44,20 +44,20 @@
 
     def effects(self, name: str) -> None:
         node = self.nodes[name]
-        for effect in node.take():
+        for effect in node.take_effects():
             if isinstance(effect, Send):
                 size = len(_encode(effect.message)) + _HEADERS + len(name)
                 self.bytes[name] += size
                 kind = type(effect.message).__name__
                 self.by_kind[kind] = self.by_kind.get(kind, 0) + size
-                if effect.whole or self.dice.random() >= self.loss:
+                if effect.reliable or self.dice.random() >= self.loss:
                     at = self.now + self.dice.uniform(0.2, 2.0)
                     heapq.heappush(
                         self._heap, (at, next(self._ties), name, str(effect.to), effect.message)
                     )  # fmt: skip
             elif isinstance(effect, Changed):
                 self.changed(name, effect)
-        due = node.next_due()
+        due = node.next_deadline()
         if due is not None and due < self._due.get(name, float("inf")):
             self._due[name] = due
             heapq.heappush(self._heap, (max(due, self.now), next(self._ties), "", name, due))
@@ -67,7 +67,7 @@
             self.now, _, sender, to, what = heapq.heappop(self._heap)
             node = self.nodes[to]
             if sender:
-                node.heard(self.now, sender, what)  # type: ignore[arg-type]
+                node.on_message(self.now, sender, what)  # type: ignore[arg-type]
             else:
                 if self._due.get(to) == what:
                     del self._due[to]
@@ -84,9 +84,9 @@
             )  # fmt: skip
             for name, node in self.nodes.items():
                 if name != owner:
-                    node.heard(self.now, owner, part)
+                    node.on_message(self.now, owner, part)
         for node in self.nodes.values():
-            node.take()
+            node.take_effects()
             node._exchange.hot._left.clear()
 
     def start_counting(self) -> None:
--- a/fernweir/peers/acts/questions.py
+++ b/fernweir/peers/acts/questions.py
@@ -121,7 +121,7 @@
                 self._stop(run, Why.UNREACHED)
                 self._end_stage(now, run)
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         self._now = now
         if isinstance(message, Ask):
             if len(self._waiting) < _WAITING:
@@ -140,11 +140,11 @@
             if sender == self.me:
                 self._piece(now, sender, piece)
             else:
-                self._out.add(Send(sender, piece, whole=True))
+                self._out.add(Send(sender, piece, reliable=True))
         for run in list(self._running.values()):
             self._step(now, run)
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         if self._waiting:
             return self._now
         dues = [run.deadline for run in self._running.values()]
@@ -153,8 +153,8 @@
             dues += [shard.sent_at + self.rules.part_ms for shard in run.shards.values() if shard.source]
         return min(dues, default=None)
 
-    def take(self) -> list[Effect]:
-        return self._out.take()
+    def take_effects(self) -> list[Effect]:
+        return self._out.take_effects()
 
     # --- a stage ---
 
@@ -289,7 +289,7 @@
         if to == self.me:
             self._waiting.append((to, ask))
         else:
-            self._out.add(Send(to, ask, whole=True))
+            self._out.add(Send(to, ask, reliable=True))
 
     def _select(self, run: _Running, shard: Shard) -> Select:
         """The stage's wishes with its times on the shard's clock, with all the room that clocks leave."""
--- a/fernweir/peers/facts/store.py
+++ b/fernweir/peers/facts/store.py
@@ -90,7 +90,7 @@
 
     # --- a part of a peer ---
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         if sender == self.me or not self._table.is_peer(sender):
             return
         match message:
@@ -117,12 +117,17 @@
             self._round_at = now + self.rules.round_ms * self._dice.uniform(0.9, 1.1)
             self._exchange.round(now)
 
-    def next_due(self) -> float | None:
-        due = (self._own.next_due(), self._table.next_due(), self._pushed.next_due(), self._round_at)
+    def next_deadline(self) -> float | None:
+        due = (
+            self._own.next_deadline(),
+            self._table.next_deadline(),
+            self._pushed.next_deadline(),
+            self._round_at,
+        )
         return min((one for one in due if one is not None), default=None)
 
-    def take(self) -> list[Effect]:
-        return self._out.take()
+    def take_effects(self) -> list[Effect]:
+        return self._out.take_effects()
 
     # --- what is new ---
 
--- a/fernweir/peers/lease/keeper.py
+++ b/fernweir/peers/lease/keeper.py
@@ -33,7 +33,7 @@
 class Keeper:
     """`life` is the wall ms of this start: fences of this life begin above `stamp(life)`.
 
-    A message to its own name must come back to `heard` as any other.
+    A message to its own name must come back to `on_message` as any other.
     """
 
     def __init__(self, me: str, life: int, rules: LeaseRules, now: float, sets: Iterable[KeeperSet]) -> None:
@@ -87,7 +87,7 @@
 
     # --- the part ---
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         self.tick(now)
         match message:
             case Recall():
@@ -117,17 +117,17 @@
             for name in self._ask(now):
                 self._out.add(Send(name, Recall()))
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         due = [self._sweep_at]
         if self._overlap.asks() or self._unheard:
             due.append(self._recall_at)
-        settles_at = self._overlap.next_due()
+        settles_at = self._overlap.next_deadline()
         if settles_at is not None:
             due.append(settles_at)
         return min(due)
 
-    def take(self) -> list[Effect]:
-        return self._out.take()
+    def take_effects(self) -> list[Effect]:
+        return self._out.take_effects()
 
     # --- between keepers ---
 
--- a/fernweir/peers/members/detector.py
+++ b/fernweir/peers/members/detector.py
@@ -123,7 +123,7 @@
 
     # --- a part's four ---
 
-    def heard(self, now: float, sender: str, message: Message) -> None:
+    def on_message(self, now: float, sender: str, message: Message) -> None:
         if not self._in or not self._voice.own.living:
             return
         self._awake(now)
@@ -154,11 +154,11 @@
             self._voice.spread(self._rules.fanout)
         self._plan()
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         return self._due
 
-    def take(self) -> list[Effect]:
-        return self._voice.out.take()
+    def take_effects(self) -> list[Effect]:
+        return self._voice.out.take_effects()
 
     def _plan(self) -> None:
         due = self._voice.gossip_due()
--- a/fernweir/peers/parts.py
+++ b/fernweir/peers/parts.py
@@ -47,23 +47,23 @@
             if due is not None and due <= now:
                 self.at(part).tick(now)
 
-    def next_due(self) -> float | None:
+    def next_deadline(self) -> float | None:
         if self._moved:
             for part in tuple(self._moved):
                 self._due(part)
             self._first = min(self._dues.values(), default=None)
         return self._first
 
-    def take(self) -> list[Effect]:
+    def take_effects(self) -> list[Effect]:
         """All effects of the parts, in their order."""
         if not self._giving:
             return []
         giving, self._giving = self._giving, set()
-        return [effect for part in self._all if part in giving for effect in part.take()]
+        return [effect for part in self._all if part in giving for effect in part.take_effects()]
 
     def _due(self, part: Part) -> float | None:
         self._moved.discard(part)
-        due = part.next_due()
+        due = part.next_deadline()
         if due is None:
             self._dues.pop(part, None)
         else:
--- a/tests/test_peers_parts.py
+++ b/tests/test_peers_parts.py
@@ -26,27 +26,27 @@
     looks = 0
     forgotten: ClassVar[list[str]] = []
 
-    def next_due(self) -> float | None:
-        first = super().next_due()
+    def next_deadline(self) -> float | None:
+        first = super().next_deadline()
         Watched.looks += 1
         for part in self._all:
-            if part.next_due() != self._dues.get(part):
+            if part.next_deadline() != self._dues.get(part):
                 Watched.forgotten.append(f"{type(part).__name__} is due at another time")
         return first
 
-    def take(self) -> list[Effect]:
+    def take_effects(self) -> list[Effect]:
         untouched = [part for part in self._all if not self.gives(part)]
-        effects = super().take()
+        effects = super().take_effects()
         for part in untouched:
-            if part.take() or _within(part):
+            if part.take_effects() or _within(part):
                 Watched.forgotten.append(f"{type(part).__name__} had effects")
         return effects
 
 
 def _within(part: Part) -> list[Effect]:
     if isinstance(part, Owning):
-        return part.replica.take() + part.handoff.take()
-    return part.stragglers.take() if isinstance(part, Lateness) else []
+        return part.replica.take_effects() + part.handoff.take_effects()
+    return part.stragglers.take_effects() if isinstance(part, Lateness) else []
 
 
 def found(plan: FleetPlan) -> list[str]:
