--- a/tests/test_node_crossing_lost.py
+++ b/tests/test_node_crossing_lost.py
@@ -1,4 +1,4 @@
-"""Crossings around servers that can't be reached: releases that wait, connections that never come up."""
+"""Races around unreachable servers: releases that wait, and connects that stay pending."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from fernweir.node.jsonl import Message
 from fernweir.node.liveness import CHECK_INTERVAL_MS
 from tests.node_scene import FarLine, FarServer, FarViewer, Stage, staged
-from tests.test_node_crossing_servers import answered, let_go, tell
+from tests.test_node_crossing_servers import release_descriptor, send_feed_event, wait_for_answer
 
 HALF = slice(0, -5)
 
 
 def half_answered(stage: Stage, viewer: FarViewer) -> tuple[str, FarLine]:
-    """A set-up whose server answered it, and whose connection broke within the answer."""
+    """Returns a set-up whose connection broke in the middle of the server's answer."""
     id, line = stage.set_up(viewer)
     line.answer(id, HALF)
     line.reset()
@@ -30,49 +30,52 @@
 
 @pytest.mark.parametrize("who", ["viewer", "node"])
 def test_a_release_goes_out_though_the_connection_made_for_it_never_comes_up(who: str) -> None:
-    """What one late connection leaves unsaid stands at a server that lives."""
+    """A session would remain on a live server if a timed-out connect lost its release."""
     with staged(servers=2 if who == "node" else 1) as stage:
         viewer = stage.far_viewer()
         id, line = half_answered(stage, viewer)
-        stage.connecting()  # to hear whether its server lives
+        stage.hold_next_connect()  # to find out whether the server is alive
         if who == "viewer":
             viewer.send(Message("release", id, cause=16))
             stage.loop.until(lambda: not stage.node.dispatcher.sessions.session_count)
-        stage.loop.advance(stage.node.server_pool.connect_timeout_s * 1000.0)  # it is late
+        stage.loop.advance(stage.node.server_pool.connect_timeout_s * 1000.0)  # the connect times out
         if who == "node":
             stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
             new = next(one for one in stage.far.values() if one is not line.server).line_of(id)
             new.answer(id)
-            answered(stage, viewer, id)
-        assert id in line.server.stood
+            wait_for_answer(stage, viewer, id)
+        assert id in line.server.answered_sessions
         stage.loop.advance(1_000.0)
         stage.loop.until(lambda: id in line.server.released)
 
 
-def reset_while_new(stage: Stage, line: FarLine) -> None:
-    """The next connection to that server comes up and breaks before the node sees it: somebody listens."""
-    fd = stage.connecting()
+def reset_while_connecting(stage: Stage, line: FarLine) -> None:
+    """The next connection to the server is established and reset before the node processes it."""
+    fd = stage.hold_next_connect()
     new = line.server.accept()
     assert new is not None
     new.reset()
     stage.loop.arrived(fd)
-    let_go(stage, fd)
+    release_descriptor(stage, fd)
 
 
 def test_a_release_held_back_for_a_set_up_that_never_left_goes_out_all_the_same() -> None:
-    """Both wait for a connection; the set-up's never comes up, the other one has come up before."""
+    """Both wait for a connection. That of the set-up stays pending, the other one is established first."""
     with staged() as stage:
         viewer = stage.far_viewer()
         id, line = half_answered(stage, viewer)
-        reset_while_new(stage, line)
+        reset_while_connecting(stage, line)
         (endpoint,) = stage.node.server_pool.endpoints.values()
         stage.loop.until(lambda: endpoint.release_queue.pending_releases)
-        first, _ = stage.connecting(), stage.connecting()  # for the release, and the set-up that follows it
+        first, _ = (
+            stage.hold_next_connect(),
+            stage.hold_next_connect(),
+        )  # for the release, and the set-up that follows it
         assert (
             not endpoint.attempts[id].is_written
             and endpoint.attempts[id].connection is endpoint.connections[1]
         )
-        let_go(stage, first)
+        release_descriptor(stage, first)
         stage.loop.settle()
         viewer.send(Message("release", id, cause=16))
         stage.loop.advance(1_000.0)
@@ -84,104 +87,109 @@
         viewer = stage.far_viewer()
         (tired, idle), (other, busy) = stage.set_up(viewer), stage.set_up(viewer)
         id, line = half_answered(stage, viewer)
-        fd = stage.connecting()
+        fd = stage.hold_next_connect()
         viewer.send(Message("release", tired, cause=16))
         stage.loop.until(lambda: tired in line.server.released)
         (endpoint,) = stage.node.server_pool.endpoints.values()
-        let_go(stage, fd)
+        release_descriptor(stage, fd)
         while not endpoint.connections[-1].is_usable:
             stage.loop.turn()
         new = line.server.lines[-1]
-        stage.loop.selected.held.add(fd)  # the break is in the kernel, and seen by who writes
+        stage.loop.selected.held.add(fd)  # the kernel has the reset, which only a write detects
         new.reset()
         stage.loop.arrived(fd)
         stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
-        let_go(stage, fd)
+        release_descriptor(stage, fd)
         stage.loop.settle()
-        assert [one.type for one in idle.heard if one.session == id] == [FrameType.RELEASE, FrameType.SETUP]
+        assert [one.type for one in idle.received if one.session == id] == [
+            FrameType.RELEASE,
+            FrameType.SETUP,
+        ]
         idle.answer(id)
-        answered(stage, viewer, id)
+        wait_for_answer(stage, viewer, id)
         busy.answer(other)
-        answered(stage, viewer, other)
+        wait_for_answer(stage, viewer, other)
 
 
-def lost(stage: Stage) -> None:
-    """Two looks' connections never come up, the clock going on; the open ones are silent."""
-    stage.loop.advance(2_400.0)  # short of the silence that a server is given
+def wait_until_lost(stage: Stage) -> None:
+    """Keeps the connects of two checks pending while open connections are silent, until the loss."""
+    stage.loop.advance(2_400.0)  # less than the silence timeout of a server
     for _ in range(2):
-        stage.connecting(step_ms=10.0)
+        stage.hold_next_connect(step_ms=10.0)
     while "server lost" not in stage.log.getvalue():
         stage.loop.jump(10.0)
         stage.loop.turn()
 
 
-def test_what_stands_at_a_server_taken_for_lost_is_released_there_once_it_is_back() -> None:
-    """It may have been cut off only, and its sessions were told over."""
+def test_sessions_of_a_lost_server_are_released_once_it_returns() -> None:
+    """The server may only have been unreachable, while its sessions were reported as ended."""
     with staged() as stage:
         viewer = stage.far_viewer()
-        id, line = stage.stands(viewer)
-        lost(stage)
-        stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
+        id, line = stage.establish_session(viewer)
+        wait_until_lost(stage)
+        stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         stage.loop.advance(1_000.0)
-        assert len(line.server.lines) == 1 and id in line.server.standing()  # nothing is made for it
-        wish, new = stage.set_up(viewer)
-        assert id in {one.session for one in new.heard if one.type is FrameType.RELEASE}
-        new.answer(wish)
-        answered(stage, viewer, wish)
+        assert (
+            len(line.server.lines) == 1 and id in line.server.active_sessions()
+        )  # no connection is opened for it
+        request, new = stage.set_up(viewer)
+        assert id in {one.session for one in new.received if one.type is FrameType.RELEASE}
+        new.answer(request)
+        wait_for_answer(stage, viewer, request)
 
 
-def test_nothing_new_goes_on_the_connections_of_a_server_taken_for_lost() -> None:
-    """Its machine may be another by now; a connection of before tells that by a set-up's time-out."""
+def test_no_request_is_sent_on_old_connections_of_a_lost_server() -> None:
+    """The machine may have been replaced, which an old connection would reveal only by a timeout."""
     with staged() as stage:
         viewer = stage.far_viewer()
-        id, line = stage.stands(viewer)
-        lost(stage)
-        stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
+        id, line = stage.establish_session(viewer)
+        wait_until_lost(stage)
+        stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         line.ended.add(id)
         stage.loop.advance(1_000.0)
-        wish, new = stage.set_up(viewer)
+        request, new = stage.set_up(viewer)
         assert new is not line
-        new.answer(wish)
-        answered(stage, viewer, wish)
+        new.answer(request)
+        wait_for_answer(stage, viewer, request)
 
 
-def test_nothing_new_goes_on_connections_from_before_a_servers_start() -> None:
+def test_no_request_is_sent_on_connections_from_before_a_server_restart() -> None:
     with staged() as stage:
         viewer = stage.far_viewer()
-        id, line = stage.stands(viewer)
+        id, line = stage.establish_session(viewer)
         line.ended.add(id)
         stage.loop.advance(100.0)
         started = stage.loop.clock * 1000.0 + stage.node.feed._offset_ms
-        tell(stage, stage.line("s-0", since_ms=started))
-        stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
+        send_feed_event(stage, stage.line("s-0", since_ms=started))
+        stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         stage.loop.advance(1_000.0)
-        wish, new = stage.set_up(viewer)
+        request, new = stage.set_up(viewer)
         assert new is not line
-        new.answer(wish)
-        answered(stage, viewer, wish)
+        new.answer(request)
+        wait_for_answer(stage, viewer, request)
         other, again = stage.set_up(viewer)
         assert again is new
         again.answer(other)
-        answered(stage, viewer, other)
+        wait_for_answer(stage, viewer, other)
 
 
-def test_connections_that_are_late_at_once_are_one_failed_look() -> None:
+def test_concurrent_connect_timeouts_count_as_one_failed_check() -> None:
     with staged() as stage:
         viewer = stage.far_viewer()
-        id, line = stage.stands(viewer)
+        id, line = stage.establish_session(viewer)
         first, _ = stage.set_up(viewer)  # on that connection
-        wishes = [stage.setup() for _ in range(2)]
-        viewer.send(*wishes)
-        for _ in wishes:
-            stage.connecting()
+        requests = [stage.setup() for _ in range(2)]
+        viewer.send(*requests)
+        for _ in requests:
+            stage.hold_next_connect()
         stage.loop.advance(1_000.0)
         assert "server lost" not in stage.log.getvalue() and id not in stage.ends
         line.answer(first)
-        answered(stage, viewer, first)
+        wait_for_answer(stage, viewer, first)
 
 
-def test_a_release_on_a_connection_whose_other_end_never_ends_is_said_again() -> None:
-    """A cut may hold it, and the end of this side beside an answer that comes late drops it."""
+def test_a_release_on_a_connection_never_closed_by_the_server_is_sent_again() -> None:
+    """A partition may hold it back, and closing this side while an answer arrives late discards it."""
     with staged(servers=2) as stage:
         viewer = stage.far_viewer()
         id, line = stage.set_up(viewer)
@@ -190,47 +198,47 @@
         stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
         new = next(one for one in stage.far.values() if one is not line.server).line_of(id)
         new.answer(id)
-        answered(stage, viewer, id)
-        assert not endpoint.attempts and FrameType.RELEASE in [one.type for one in line.heard]
-        stage.loop.advance(2_000.0)  # this side's end is not answered
-        line.server.look()
-        assert [[one.type for one in other.heard] for other in line.server.lines if other is not line] == [
+        wait_for_answer(stage, viewer, id)
+        assert not endpoint.attempts and FrameType.RELEASE in [one.type for one in line.received]
+        stage.loop.advance(2_000.0)  # the server does not answer the close
+        line.server.poll()
+        assert [[one.type for one in other.received] for other in line.server.lines if other is not line] == [
             [FrameType.RELEASE]
         ]
 
 
-def test_the_end_of_a_failed_attempt_said_on_a_new_connection_leaves_nothing_of_the_next() -> None:
-    """Whose end it is can't be told, though the connection of the session that stands is there."""
+def test_an_ambiguous_release_on_a_new_connection_ends_and_releases_the_session() -> None:
+    """It is ambiguous which attempt has ended, though the session's connection is open."""
     with staged() as stage:
         viewer = stage.far_viewer()
         id, line = half_answered(stage, viewer)
         stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
         (_, again) = line.server.lines
         again.answer(id)
-        answered(stage, viewer, id)
+        wait_for_answer(stage, viewer, id)
         (first, _), (second, new) = stage.set_up(viewer), stage.set_up(viewer)
         assert new is not again
-        new.say(Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((16,))}))
-        stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
+        new.send_frame(Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((16,))}))
+        stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         stage.loop.settle()
-        again.look()
-        assert [one.type for one in again.heard if one.session == id][-1] is FrameType.RELEASE
+        again.poll()
+        assert [one.type for one in again.received if one.session == id][-1] is FrameType.RELEASE
         again.answer(first)
         new.answer(second)
         for one in (first, second):
-            answered(stage, viewer, one)
+            wait_for_answer(stage, viewer, one)
 
 
 @pytest.mark.parametrize("speaks", [True, False])
-def test_a_server_that_breaks_each_new_connection_is_not_looked_at_without_a_pause(speaks: bool) -> None:
-    """Each such look is over within a turn or two: without a pause they took all of the node's time."""
+def test_checks_of_a_server_that_breaks_each_connection_are_paced(speaks: bool) -> None:
+    """Each such check ends within one or two iterations, so without a delay they would use up the node."""
     with staged() as stage:
         viewer = stage.far_viewer()
         (id, line), (other, there) = stage.set_up(viewer), stage.set_up(viewer)
         line.answer(id)
         there.answer(other)
         for one in (id, other):
-            answered(stage, viewer, one)
+            wait_for_answer(stage, viewer, one)
         if not speaks:
             viewer.send(Message("release", other, cause=16))
             stage.loop.until(lambda: other in there.server.released)
@@ -250,51 +258,51 @@
         stage.loop.jump(CHECK_INTERVAL_MS)
         assert breaks(200) == 2
         stage.loop.jump(CHECK_INTERVAL_MS)
-        stage.loop.until(lambda: line.server.accept() is not None)  # that one stays
+        stage.loop.until(lambda: line.server.accept() is not None)  # this connection stays open
         assert {id} <= set(stage.node.dispatcher.sessions.records())
 
 
-class Drawn:
-    """One media server of a drawn mess: what it holds, in the order in which it read what it was told."""
+class RandomServer:
+    """A media server with random behaviour, and its sessions in the order of the messages it read."""
 
-    def __init__(self, far: FarServer, draw: Random) -> None:
-        self.far, self.draw, self.cut = far, draw, False
-        self.out: dict[str, FarLine] = {}
-        self.stands: set[str] = set()
-        self.ends: list[Frame] = []  # also said on each next connection that opens
-        self.rests: list[tuple[FarLine, bytes]] = []  # second pieces of answers
+    def __init__(self, far: FarServer, rng: Random) -> None:
+        self.far, self.rng, self.is_partitioned = far, rng, False
+        self.open_set_ups: dict[str, FarLine] = {}
+        self.active_sessions: set[str] = set()
+        self.ends: list[Frame] = []  # also sent on each new connection
+        self.answer_remainders: list[tuple[FarLine, bytes]] = []  # the second parts of answers
 
-    def look(self, calm: bool) -> None:
-        """Reads and acts, unless it is cut off: then all waits, in both directions."""
-        if self.cut:
+    def poll(self, calm: bool) -> None:
+        """Reads and acts, unless it is partitioned: then everything waits, in both directions."""
+        if self.is_partitioned:
             return
         while (line := self.far.accept()) is not None:
             for end in self.ends:
                 self.write(line, encode_frame(end))
-        for line, rest in self.rests:
+        for line, rest in self.answer_remainders:
             self.write(line, rest)
-        self.rests.clear()
+        self.answer_remainders.clear()
         for line in self.far.lines:
-            for frame in line.look():
+            for frame in line.poll():
                 if frame.type is FrameType.SETUP:
-                    assert frame.session not in self.out, "two attempts out at one server"
-                    self.out[frame.session] = line
+                    assert frame.session not in self.open_set_ups, "two attempts in flight at one server"
+                    self.open_set_ups[frame.session] = line
                 elif frame.type is FrameType.RELEASE:
-                    self.out.pop(frame.session, None)
-                    self.stands.discard(frame.session)
+                    self.open_set_ups.pop(frame.session, None)
+                    self.active_sessions.discard(frame.session)
             if line.over:
                 self.give_up(line)
-        for id, line in list(self.out.items()):
-            if id in self.out and (calm or self.draw.random() < 0.4):
-                self.act(id, line, "answer" if calm else self.draw.choice(ACTS))
-        if not calm and self.stands and self.draw.random() < 0.05:
-            self.end(self.draw.choice(sorted(self.stands)))
+        for id, line in list(self.open_set_ups.items()):
+            if id in self.open_set_ups and (calm or self.rng.random() < 0.4):
+                self.act(id, line, "answer" if calm else self.rng.choice(ACTS))
+        if not calm and self.active_sessions and self.rng.random() < 0.05:
+            self.end(self.rng.choice(sorted(self.active_sessions)))
 
     def act(self, id: str, line: FarLine, what: str) -> None:
         data = encode_frame(Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: b"one\r\n"}))
         if what == "silent":
             return
-        del self.out[id]
+        del self.open_set_ups[id]
         if what in ("34", "47"):
             self.write(
                 line, encode_frame(Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((int(what),))}))
@@ -303,24 +311,24 @@
             line.reset()
             self.give_up(line)
         else:
-            cut = self.draw.randrange(1, len(data)) if what in ("pieces", "broken", "half") else len(data)
+            cut = self.rng.randrange(1, len(data)) if what in ("pieces", "broken", "half") else len(data)
             if not self.write(line, data[:cut]):
                 return
-            self.stands.add(id)
+            self.active_sessions.add(id)
             if what == "pieces":
-                self.rests.append((line, data[cut:]))
-            elif what != "answer":  # a break, or an end, behind it: seen in one turn
+                self.answer_remainders.append((line, data[cut:]))
+            elif what != "answer":  # a reset or an end follows, seen in one iteration
                 line.reset() if what in ("broken", "reset") else line.end()
                 self.give_up(line)
 
     def end(self, id: str) -> None:
-        self.stands.remove(id)
+        self.active_sessions.remove(id)
         self.ends.append(Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((16,))}))
         for line in [one for one in self.far.lines if not one.over][-1:]:
             self.write(line, encode_frame(self.ends[-1]))
 
     def write(self, line: FarLine, data: bytes) -> bool:
-        """Whether the connection took it; one that the node has ended gives up what is open on it."""
+        """Returns whether the data was written. A connection closed by the node ends its open set-ups."""
         try:
             if not line.over:
                 line.write(data)
@@ -330,9 +338,9 @@
         return not line.over
 
     def give_up(self, line: FarLine) -> None:
-        """A closed connection gives up the set-ups open on it."""
-        for id in [id for id, there in self.out.items() if there is line]:
-            del self.out[id]
+        """Ends the set-ups that are open on a closed connection."""
+        for id in [id for id, there in self.open_set_ups.items() if there is line]:
+            del self.open_set_ups[id]
 
 
 ACTS = (
@@ -342,13 +350,13 @@
 )
 
 
-class Mess:
-    """A stage whose servers are cut off and heal, and some of whose connections come up late or never."""
+class FaultInjector:
+    """Partitions and heals the servers of a stage, and delays some connects or keeps them pending."""
 
-    def __init__(self, stage: Stage, draw: Random) -> None:
-        self.stage, self.draw, self.calm = stage, draw, False
-        self.servers = {far.address: Drawn(far, draw) for far in stage.far.values()}
-        self.late: dict[tuple[int, Any], float] = {}  # a connection being made: until when it is held
+    def __init__(self, stage: Stage, rng: Random) -> None:
+        self.stage, self.rng, self.is_calm = stage, rng, False
+        self.servers = {far.address: RandomServer(far, rng) for far in stage.far.values()}
+        self.held_until: dict[tuple[int, Any], float] = {}  # until when each connect is held
 
     def hold(self) -> None:
         loop = self.stage.loop
@@ -361,10 +369,10 @@
                 continue
             if server is None:
                 continue
-            if key.events & selectors.EVENT_WRITE and name not in self.late:
-                late = 0.0 if self.calm or self.draw.random() < 0.75 else self.draw.choice([0.1, 0.24, 9.0])
-                self.late[name] = loop.clock + late
-            if server.cut or self.late.get(name, 0.0) > loop.clock:
+            if key.events & selectors.EVENT_WRITE and name not in self.held_until:
+                late = 0.0 if self.is_calm or self.rng.random() < 0.75 else self.rng.choice([0.1, 0.24, 9.0])
+                self.held_until[name] = loop.clock + late
+            if server.is_partitioned or self.held_until.get(name, 0.0) > loop.clock:
                 loop.selected.held.add(key.fd)
 
     def step(self, ms: float) -> None:
@@ -373,57 +381,57 @@
             self.hold()
             self.stage.loop.turn()
         for server in self.servers.values():
-            server.look(self.calm)
+            server.poll(self.is_calm)
 
 
 @pytest.mark.parametrize("seed", range(16))
-def test_after_cuts_that_heal_and_connections_that_are_late_nothing_stands_that_nobody_holds(
+def test_no_orphaned_session_remains_after_partitions_and_slow_connects(
     seed: int,
 ) -> None:
-    draw = Random(seed)
+    rng = Random(seed)
     with staged(servers=1 + seed % 3) as stage:
-        mess, viewer = Mess(stage, draw), stage.far_viewer()
+        injector, viewer = FaultInjector(stage, rng), stage.far_viewer()
         asked, given_up, host = list[str](), set[str](), stage.node.dispatcher.sessions
         for _ in range(300):
-            what, server = draw.random(), draw.choice(list(mess.servers.values()))
+            what, server = rng.random(), rng.choice(list(injector.servers.values()))
             if what < 0.3:
-                viewer.send(wish := stage.setup(key=f"{draw.randrange(9):016x}"))
-                asked.append(wish.id)
+                viewer.send(request := stage.setup(key=f"{rng.randrange(9):016x}"))
+                asked.append(request.id)
             elif what < 0.36 and (open_ := [id for id in asked if id not in stage.answers]):
-                given_up.add(tired := draw.choice(open_))
+                given_up.add(tired := rng.choice(open_))
                 viewer.send(Message("release", tired, cause=16))
             elif what < 0.4:
-                server.cut = not server.cut
+                server.is_partitioned = not server.is_partitioned
             elif (
                 what < 0.43
-                and not server.cut
+                and not server.is_partitioned
                 and (there := [one for one in server.far.lines if not one.over])
             ):
-                (line := draw.choice(there)).reset()
+                (line := rng.choice(there)).reset()
                 server.give_up(line)
-            mess.step(draw.choice([1.0, 10.0, 60.0]))
-            viewer.look()
-        mess.calm = True
-        for server in mess.servers.values():
-            server.cut = False
+            injector.step(rng.choice([1.0, 10.0, 60.0]))
+            viewer.poll()
+        injector.is_calm = True
+        for server in injector.servers.values():
+            server.is_partitioned = False
         endpoints, names = (
             stage.node.server_pool.endpoints,
             {number_of(far.name): far.address for far in stage.far.values()},
         )
 
         def settled() -> bool:
-            mess.step(20.0)
-            viewer.look()
+            injector.step(20.0)
+            viewer.poll()
             if any(id not in stage.answers and id not in given_up for id in asked):
                 return False
             for number, there in names.items():
-                server, held = mess.servers[there], set(host.sessions_playing_at(number))
+                server, held = injector.servers[there], set(host.sessions_playing_at(number))
                 kept = (
                     {one.session for one in endpoints[number].release_queue.deferred_releases}
                     if number in endpoints
                     else set()
                 )
-                if server.out or not held <= server.stands <= held | kept:
+                if server.open_set_ups or not held <= server.active_sessions <= held | kept:
                     return False
             return True
 
--- a/tests/test_node_crossing_stop.py
+++ b/tests/test_node_crossing_stop.py
@@ -1,4 +1,4 @@
-"""A node's end, the crossings forced: whatever it took has its answer before the process is over."""
+"""Races during the shutdown of a node: every accepted request is answered before the process exits."""
 
 from __future__ import annotations
 
@@ -31,29 +31,29 @@
 SHORT = replace(PLAIN, classes=tuple(replace(one, deadline_ms=250.0) for one in PLAIN.classes))
 
 
-def over(stage: Stage) -> asyncio.Task[None]:
-    """The node's last look, from the moment in which its time is over: seen through as far as it goes."""
+def start_final_check(stage: Stage) -> asyncio.Task[None]:
+    """Starts the final check after the drain timeout, and runs it as far as it gets."""
     assert stage.node.drained.is_set()
     task = stage.loop.create_task(stage.node.finish_draining())
     stage.loop.settle()
     return task
 
 
-def see_out(stage: Stage) -> None:
-    """From the moment of SIGTERM to the end of the process, all its sockets closed in order."""
+def run_to_exit(stage: Stage) -> None:
+    """Runs from SIGTERM to the exit of the process."""
     stage.loop.advance(stage.node.graceful_shutdown.drain_timeout_ms)
-    task = over(stage)
+    task = start_final_check(stage)
     stage.loop.advance(5.0)
     assert task.done()
 
 
-def told(stage: Stage, viewer: FarViewer, id: str) -> int | None:
-    stage.loop.until(lambda: viewer.look() is not None and id in stage.answers)
+def wait_for_cause(stage: Stage, viewer: FarViewer, id: str) -> int | None:
+    stage.loop.until(lambda: viewer.poll() is not None and id in stage.answers)
     return stage.answers[id].cause
 
 
-def not_up(stage: Stage) -> int:
-    """Turns until the node makes a connection, and holds that one back from coming up."""
+def hold_next_connect(stage: Stage) -> int:
+    """Runs until the node starts a connect, and keeps it pending. Returns its descriptor."""
     making: list[int] = []
 
     def found() -> bool:
@@ -67,20 +67,18 @@
 
 
 @pytest.mark.parametrize(("kind", "cause"), [("film", REFUSED), ("course", FAILED)])
-def test_an_attempt_still_out_when_the_time_is_over_is_let_go_and_its_viewer_told(
-    kind: str, cause: int
-) -> None:
+def test_an_attempt_open_at_the_drain_timeout_is_abandoned_and_answered(kind: str, cause: int) -> None:
     with staged(settings=LONG) as stage:
         viewer = stage.far_viewer()
         id, line = stage.set_up(viewer, **{"class": kind, "left": "60000"})
-        line.answer(id, slice(5))  # half of one: it may stand there
+        line.answer(id, slice(5))  # a partial answer: the server may carry the session
         stage.loop.settle()
         stage.node.terminate()
         stage.loop.advance(stage.node.graceful_shutdown.drain_timeout_ms - 1.0)
-        assert viewer.look() == [] and not viewer.over
+        assert viewer.poll() == [] and not viewer.over
         stage.loop.advance(1.0)
-        over(stage)
-        assert told(stage, viewer, id) == cause
+        start_final_check(stage)
+        assert wait_for_cause(stage, viewer, id) == cause
         stage.loop.advance(5.0)
         assert viewer.take() == b"" and viewer.over
         assert id in stage.far["s-0"].released
@@ -88,17 +86,17 @@
 
 def test_a_set_up_whose_connection_is_not_up_when_the_time_is_over_is_never_sent() -> None:
     with staged(settings=LONG) as stage:
-        viewer, wish = stage.far_viewer(), stage.setup(left="60000")
-        viewer.send(wish)
-        making = not_up(stage)
+        viewer, request = stage.far_viewer(), stage.setup(left="60000")
+        viewer.send(request)
+        making = hold_next_connect(stage)
         stage.node.terminate()
-        # Its connect time is longer than what is left: the attempt began just before the end.
+        # The attempt started just before the end, so its connect timeout exceeds the remaining time.
         stage.node._on_drain_timeout()
-        over(stage)
-        assert told(stage, viewer, wish.id) == REFUSED
+        start_final_check(stage)
+        assert wait_for_cause(stage, viewer, request.id) == REFUSED
         stage.loop.selected.held.discard(making)
         stage.loop.advance(5.0)
-        assert stage.sent_to(wish.id) == []
+        assert stage.sent_to(request.id) == []
 
 
 @pytest.mark.parametrize("first", ["the end of the attempt", "SIGTERM"])
@@ -119,14 +117,14 @@
             one for one in (stage.far[name].line_of(id) for name in set(stage.sent_to(id))) if one is not line
         )
         again.answer(id)
-        told(stage, viewer, id)
+        wait_for_cause(stage, viewer, id)
         assert stage.answers[id].type == "answer"
-        see_out(stage)
+        run_to_exit(stage)
 
 
 @pytest.mark.parametrize("held", [False, True])
-def test_what_lay_in_the_kernel_when_the_time_was_over_is_read_and_refused(held: bool) -> None:
-    """The process stood still: what came, and the end of its time, are seen in one turn, or the end first."""
+def test_unread_requests_at_the_drain_timeout_are_read_and_rejected(held: bool) -> None:
+    """After a process stall the requests and the drain timeout are seen in one iteration, or in order."""
     with staged() as stage:
         stage.node.terminate()
         stage.loop.advance(stage.node.graceful_shutdown.drain_timeout_ms - 500.0)
@@ -151,14 +149,14 @@
         stage.loop.settle()
         stage.loop.advance(5.0)
         assert task.done()
-        for viewer, wish in ((open_one, on_open), (half, in_half), (newcomer, on_new)):
-            assert told(stage, viewer, wish.id) == REFUSED
+        for viewer, request in ((open_one, on_open), (half, in_half), (newcomer, on_new)):
+            assert wait_for_cause(stage, viewer, request.id) == REFUSED
             assert viewer.take() == b"" and viewer.over
         assert stage.far["s-0"].setups() == []
 
 
-def slow(stage: Stage) -> tuple[FarViewer, list[str]]:
-    """A reader who doesn't, with answers of which a part is neither with it nor with the kernel."""
+def viewer_with_unread_answers(stage: Stage) -> tuple[FarViewer, list[str]]:
+    """Returns a viewer that does not read, with answers that the kernel has only partly accepted."""
     viewer = stage.far_viewer()
     viewer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     fd = stage.loop.near(viewer.sock)
@@ -169,7 +167,7 @@
     for _ in range(14):
         id, line = stage.set_up(viewer)
         line.answered.add(id)
-        line.say(Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: b"v" * 12_000}))
+        line.send_frame(Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: b"v" * 12_000}))
         ids.append(id)
     stage.loop.until(lambda: not stage.node.client_requests.open_requests)
     assert any(one.unsent_bytes for one in stage.node.client_listener.connections)
@@ -178,24 +176,24 @@
 
 def test_an_answer_half_written_to_a_slow_reader_is_written_out_before_the_end() -> None:
     with staged() as stage:
-        viewer, ids = slow(stage)
+        viewer, ids = viewer_with_unread_answers(stage)
         stage.node.terminate()
         stage.loop.advance(stage.node.graceful_shutdown.drain_timeout_ms)
-        task = over(stage)
+        task = start_final_check(stage)
         stage.loop.advance(5.0)
-        assert not task.done()  # it is SIGKILL that may end it now
+        assert not task.done()  # only SIGKILL may end the process now
         for id in ids:
-            assert told(stage, viewer, id) is None and stage.answers[id].type == "answer"
+            assert wait_for_cause(stage, viewer, id) is None and stage.answers[id].type == "answer"
         stage.loop.advance(5.0)
         assert task.done() and viewer.take() == b"" and viewer.over
 
 
-def test_who_never_reads_does_not_keep_a_node_for_ever() -> None:
+def test_a_client_that_never_reads_does_not_block_the_exit() -> None:
     with staged() as stage:
-        viewer, _ = slow(stage)
+        viewer, _ = viewer_with_unread_answers(stage)
         stage.node.terminate()
         stage.loop.advance(stage.node.graceful_shutdown.drain_timeout_ms)
-        task = over(stage)
+        task = start_final_check(stage)
         stage.loop.advance(490.0)
         assert not task.done()
         stage.loop.advance(20.0)
@@ -204,25 +202,25 @@
         stage.loop.until(lambda: not stage.node.client_listener.connections)
 
 
-def test_set_ups_on_open_and_new_connections_after_the_word_are_refused_at_once() -> None:
+def test_set_ups_on_open_and_new_connections_after_sigterm_are_rejected_at_once() -> None:
     with staged(settings=SHORT) as stage:
         viewer = stage.far_viewer()
-        stands, line = stage.stands(viewer, left="250")
+        stands, line = stage.establish_session(viewer, left="250")
         stage.node.terminate()
         for _ in range(6):
             stage.loop.advance(100.0)
             for one in (viewer, stage.far_viewer()):
-                wish = stage.setup(left="250")
-                one.send(wish)
+                request = stage.setup(left="250")
+                one.send(request)
                 stage.loop.settle()
-                assert told(stage, one, wish.id) == REFUSED
-        line.release(stands, 16)  # what stands is still heard of
-        stage.loop.until(lambda: viewer.look() is not None and stands in stage.ends)
+                assert wait_for_cause(stage, one, request.id) == REFUSED
+        line.release(stands, 16)  # messages of established sessions are still received
+        stage.loop.until(lambda: viewer.poll() is not None and stands in stage.ends)
         assert stage.far["s-0"].setups() == [stands]
-        see_out(stage)
+        run_to_exit(stage)
 
 
-def test_a_session_told_with_at_after_the_word_stands_and_can_be_released() -> None:
+def test_a_session_adopted_after_sigterm_can_be_released() -> None:
     with staged() as stage:
         viewer = stage.far_viewer()
         stage.node.terminate()
@@ -230,9 +228,9 @@
         viewer.send(plays)
         stage.loop.until(lambda: stage.node.dispatcher.sessions.session_count)
         viewer.send(Message("release", plays.id, cause=16))
-        stage.loop.until(lambda: plays.id in stage.far["s-0"].released or stage.far["s-0"].look())
+        stage.loop.until(lambda: plays.id in stage.far["s-0"].released or stage.far["s-0"].poll())
         assert stage.answers == {} and stage.far["s-0"].setups() == []
-        see_out(stage)
+        run_to_exit(stage)
 
 
 def test_a_release_whose_connection_is_not_up_yet_leaves_before_the_end() -> None:
@@ -243,9 +241,9 @@
         stage.loop.until(lambda: stage.node.dispatcher.sessions.session_count)
         stage.node.terminate()
         viewer.send(Message("release", plays.id, cause=16))
-        making = not_up(stage)
+        making = hold_next_connect(stage)
         stage.node._on_drain_timeout()
-        task = over(stage)
+        task = start_final_check(stage)
         stage.loop.advance(5.0)
         assert not task.done()
         stage.loop.selected.held.discard(making)
@@ -265,27 +263,27 @@
         viewer.send(Message("release", plays.id, cause=16))
         stage.loop.until(lambda: not stage.node.dispatcher.sessions.session_count)
         (endpoint,) = stage.node.server_pool.endpoints.values()
-        stage.loop.until(lambda: not endpoint.connections)  # the one made for it was refused
+        stage.loop.until(lambda: not endpoint.connections)  # the connection opened for it was refused
         stage.loop.advance(20.0)
-        task = over(stage)
+        task = start_final_check(stage)
         stage.loop.advance(5.0)
         assert task.done()
 
 
-def test_a_second_word_of_the_end_changes_nothing() -> None:
+def test_a_second_sigterm_has_no_effect() -> None:
     with staged() as stage:
         stage.node.terminate()
         stage.loop.advance(stage.node.graceful_shutdown.drain_timeout_ms - 1.0)
         stage.node.terminate()
         assert stage.log.getvalue().count('"stopping"') == 1
         stage.loop.advance(1.0)
-        over(stage)
-        stage.node.terminate()  # as it looks round for the last time
+        start_final_check(stage)
+        stage.node.terminate()  # during the final check
         stage.loop.advance(5.0)
 
 
 @pytest.mark.parametrize("first", ["the server's end", "SIGTERM"])
-def test_a_server_killed_as_the_word_comes_costs_its_sessions_but_no_answer(first: str) -> None:
+def test_a_server_killed_at_sigterm_costs_its_sessions_but_no_answer(first: str) -> None:
     with staged(servers=2) as stage:
         viewer = stage.far_viewer()
         id, line = stage.set_up(viewer)
@@ -303,11 +301,11 @@
             stage.loop.turn()
             stage.node.terminate()
         other = "s-1" if name == "s-0" else "s-0"
-        stage.loop.until(lambda: stage.far[other].look() or id in stage.far[other].setups())
+        stage.loop.until(lambda: stage.far[other].poll() or id in stage.far[other].setups())
         stage.far[other].line_of(id).answer(id)
-        told(stage, viewer, id)
+        wait_for_cause(stage, viewer, id)
         assert stage.answers[id].type == "answer"
-        see_out(stage)
+        run_to_exit(stage)
 
 
 def test_the_time_until_the_end_follows_the_settings() -> None:
@@ -318,7 +316,7 @@
     ]
 
 
-def test_the_end_waits_for_what_is_owed_and_for_nothing_else() -> None:
+def test_the_exit_waits_only_for_new_input_and_unsent_output() -> None:
     ending = GracefulShutdown(SHORT)
     assert ending.start_draining() and not ending.start_draining()
     ending.start_final_check(1_000.0)
