--- a/bench/peers_acts.py
+++ b/bench/peers_acts.py
@@ -29,10 +29,10 @@
 from fernweir.peers.acts.store import Store
 from fernweir.peers.acts.versions import Versions
 from fernweir.peers.base import Send
-from fernweir.peers.port import Act, Deed
+from fernweir.peers.port import Act, AuditEvent
 
 RULES = replace(ActRules(), own_bytes=1 << 30, peer_bytes=1 << 30, copies_bytes=1 << 30, rows=1 << 20)
-DEEDS = (Deed.SETUP,) * 8 + (Deed.MOVE, Deed.REFUSED)
+DEEDS = (AuditEvent.SETUP,) * 8 + (AuditEvent.MOVE, AuditEvent.REFUSED)
 Plain = tuple[str, Act, Versions]
 
 
@@ -43,7 +43,7 @@
     for number in range(count):
         at += dice.expovariate(rate / 1_000)
         if dice.random() < 0.0005:
-            act = Act(at, Deed.DRAIN, box=dice.randrange(130))
+            act = Act(at, AuditEvent.DRAIN, box=dice.randrange(130))
         else:
             session = f"{dice.getrandbits(128):032x}"
             act = Act(at, dice.choice(DEEDS), session, f"lesson-{dice.randrange(40)}",
@@ -136,13 +136,13 @@
     def scan() -> int:
         if isinstance(question, Refusal):
             return filtered(
-                lambda act, versions: act.deed is Deed.REFUSED and act.session == question.session
+                lambda act, versions: act.deed is AuditEvent.REFUSED and act.session == question.session
             )
         if isinstance(question, AfterDrain):
             box = question.box
-            first = min(act.at for _, act, _ in plain if act.deed is Deed.DRAIN and act.box == box)
+            first = min(act.at for _, act, _ in plain if act.deed is AuditEvent.DRAIN and act.box == box)
             return filtered(
-                lambda act, versions: act.deed is Deed.SETUP and act.box == box and act.at >= first
+                lambda act, versions: act.deed is AuditEvent.SETUP and act.box == box and act.at >= first
             )
         if isinstance(question, Still):
             last = {front: act.at for front, act, versions in plain if versions.boxes.hex() == question.value}
@@ -190,12 +190,12 @@
             kept = copies.store.size
             print(f"memory of {len(drawn)} acts: {counted / 1e6:.2f} MB, by its own count {kept / 1e6:.2f}")
     now = most + 1_000
-    refused = next(act.session for _, act, _ in plain[len(plain) // 2 :] if act.deed is Deed.REFUSED)
+    refused = next(act.session for _, act, _ in plain[len(plain) // 2 :] if act.deed is AuditEvent.REFUSED)
     questions: dict[str, Question] = {
         "who still acted on a list": Still(at=now / 2, value=lists[0].boxes.hex()),
         "set-ups after a drain": AfterDrain(box=7),
         "what it knew when it refused": Refusal(session=refused),
-        "moves of a lesson from a box": Acts(deed=Deed.MOVE, title="lesson-17", box=7),
+        "moves of a lesson from a box": Acts(deed=AuditEvent.MOVE, title="lesson-17", box=7),
         "all acts of a minute": Acts(since=now / 2, until=now / 2 + 60_000),
     }
     print(f"{len(plain)} acts in {fronts} fronts, {most / 60_000:.0f} minutes of 30 acts/s each")
--- a/fernweir/front/peer_view.py
+++ b/fernweir/front/peer_view.py
@@ -12,7 +12,7 @@
 from fernweir.front.dispatcher import Dispatcher
 from fernweir.front.session_manager import SessionPhase, SessionRecord
 from fernweir.interface import EndpointListUpdate
-from fernweir.peers.port import Act, Deed, Listener, Terms
+from fernweir.peers.port import Act, AuditEvent, Listener, Terms
 
 
 class Boxes(Protocol):
@@ -73,17 +73,17 @@
     # --- what happens here (host.Observer) ---
 
     def on_attempt_started(self, now: float, held: SessionRecord) -> None:
-        self._act(now, Deed.SETUP, held)
+        self._act(now, AuditEvent.SETUP, held)
 
     def on_session_updated(self, now: float, held: SessionRecord) -> None:
         """Of use to who has channels only, as is `over`."""
 
     def on_session_moved(self, now: float, held: SessionRecord) -> None:
-        self._act(now, Deed.MOVE, held)
+        self._act(now, AuditEvent.MOVE, held)
 
     def on_request_rejected(self, now: float, ask: SessionRequest, why: str) -> None:
         if self._listener is not None:
-            act = Act(now, Deed.REFUSED, ask.session_id, ask.title_name, ask.tenant, outcome=why)
+            act = Act(now, AuditEvent.REFUSED, ask.session_id, ask.title_name, ask.tenant, outcome=why)
             self._listener.acted(act)
 
     def on_session_closed(self, now: float, held: SessionRecord, why: str) -> None: ...
@@ -94,10 +94,10 @@
             self._listener.list_told(now, self._list.list_rows(), self._told_at)
             for box in sorted(draining - self._draining):
                 number, name = self._list.named(box)
-                self._listener.acted(Act(now, Deed.DRAIN, box=number, outcome=f"heard{name}"))
+                self._listener.acted(Act(now, AuditEvent.DRAIN, box=number, outcome=f"heard{name}"))
         self._draining = draining
 
-    def _act(self, now: float, deed: Deed, held: SessionRecord) -> None:
+    def _act(self, now: float, deed: AuditEvent, held: SessionRecord) -> None:
         if self._listener is not None:
             ask, (number, name) = held.request, self._list.named(held.server)
             outcome = f"try {held.attempt}{name}"
--- a/fernweir/peers/acts/answers.py
+++ b/fernweir/peers/acts/answers.py
@@ -23,9 +23,14 @@
 from fernweir.peers.acts.segment import Segment
 from fernweir.peers.acts.shelf import Shelf
 from fernweir.peers.acts.versions import KINDS, Versions
-from fernweir.peers.port import Deed
-
-_HEARD = (Deed.DRAIN, Deed.LEASE, Deed.HANDOFF, Deed.SHUTOUT)  # what a front knew when it acted
+from fernweir.peers.port import AuditEvent
+
+_HEARD = (
+    AuditEvent.DRAIN,
+    AuditEvent.LEASE,
+    AuditEvent.HANDOFF,
+    AuditEvent.SHUTOUT,
+)  # what a front knew when it acted
 _SAMPLES = 16
 _SPANS = 64
 _HELD = 512
--- a/fernweir/peers/acts/block.py
+++ b/fernweir/peers/acts/block.py
@@ -16,11 +16,19 @@
 import msgspec
 
 from fernweir.peers.acts.versions import DIGEST_BYTES, Versions
-from fernweir.peers.port import Act, Deed
+from fernweir.peers.port import Act, AuditEvent
 
 TICK_MS = 0.1
 _WORD = 200
-_DEEDS = (Deed.SETUP, Deed.MOVE, Deed.REFUSED, Deed.DRAIN, Deed.LEASE, Deed.HANDOFF, Deed.SHUTOUT)
+_DEEDS = (
+    AuditEvent.SETUP,
+    AuditEvent.MOVE,
+    AuditEvent.REFUSED,
+    AuditEvent.DRAIN,
+    AuditEvent.LEASE,
+    AuditEvent.HANDOFF,
+    AuditEvent.SHUTOUT,
+)
 """In the order of their numbers in a block: new ones go last."""
 _CODES = {deed: code for code, deed in enumerate(_DEEDS)}
 _Time = Annotated[int, msgspec.Meta(ge=-(1 << 56), le=1 << 56)]
@@ -75,7 +83,7 @@
     number: int
     row: int
     at: float
-    deed: Deed
+    deed: AuditEvent
     session: str
     title: str
     tenant: str
--- a/fernweir/peers/acts/merge.py
+++ b/fernweir/peers/acts/merge.py
@@ -17,7 +17,7 @@
 from fernweir.peers.acts.shard import Shard
 from fernweir.peers.acts.versions import Versions
 from fernweir.peers.base import Event
-from fernweir.peers.port import Deed
+from fernweir.peers.port import AuditEvent
 
 
 class Why(StrEnum):
@@ -57,7 +57,7 @@
     number: int
     row: int
     when: When
-    deed: Deed
+    deed: AuditEvent
     session: str
     title: str
     tenant: str
--- a/fernweir/peers/acts/messages.py
+++ b/fernweir/peers/acts/messages.py
@@ -8,7 +8,7 @@
 
 from fernweir.peers.acts.versions import DIGEST_BYTES, Versions
 from fernweir.peers.base import Message
-from fernweir.peers.port import Deed
+from fernweir.peers.port import AuditEvent
 
 Name = Annotated[str, msgspec.Meta(max_length=200)]
 Number = Annotated[int, msgspec.Meta(ge=0, lt=1 << 53)]
@@ -64,7 +64,7 @@
     many of what the front had heard before go with each row.
     """
 
-    deeds: Annotated[tuple[Deed, ...], msgspec.Meta(max_length=16)] = ()
+    deeds: Annotated[tuple[AuditEvent, ...], msgspec.Meta(max_length=16)] = ()
     session: Name | None = None
     title: Name | None = None
     tenant: Name | None = None
@@ -102,7 +102,7 @@
     number: Number
     row: Number
     at: Ms
-    deed: Deed
+    deed: AuditEvent
     session: Name
     title: Name
     tenant: Name
--- a/fernweir/peers/acts/plan.py
+++ b/fernweir/peers/acts/plan.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from fernweir.peers.acts.messages import Name, Select, Value
-from fernweir.peers.port import Deed
+from fernweir.peers.port import AuditEvent
 
 Kind = Literal["program", "settings", "epoch", "boxes", "keys", "format"]
 Wall = Annotated[float, msgspec.Meta(ge=0, le=1e15)]
@@ -58,7 +58,7 @@
     """All acts for which everything that is given holds."""
 
     front: Name | None = None
-    deed: Deed | None = None
+    deed: AuditEvent | None = None
     session: Name | None = None
     title: Name | None = None
     tenant: Name | None = None
@@ -105,13 +105,13 @@
     Nothing is asked for that was done after the question was put: that would never end.
     """
     if isinstance(question, Refusal):
-        return Select(deeds=(Deed.REFUSED,), session=question.session, until=now, context=context)
+        return Select(deeds=(AuditEvent.REFUSED,), session=question.session, until=now, context=context)
     since = question.since - wall if question.since is not None else None
     until = min(now, question.until - wall) if question.until is not None else now
     if isinstance(question, Still):
         return Select(kind=question.kind, since=since, until=until, runs=True)
     if isinstance(question, AfterDrain):
-        return Select(deeds=(Deed.DRAIN,), box=question.box, since=since, until=until)
+        return Select(deeds=(AuditEvent.DRAIN,), box=question.box, since=since, until=until)
     kind = question.kind if question.value is not None else ""
     return Select(
         (question.deed,) if question.deed is not None else (), question.session, question.title,
@@ -123,4 +123,4 @@
     """What is asked when the first stage is done; `heard`: the earliest that a front can have heard."""
     if not isinstance(question, AfterDrain) or heard is None:
         return None
-    return Select(deeds=(Deed.SETUP,), box=question.box, since=heard, until=stage.until)
+    return Select(deeds=(AuditEvent.SETUP,), box=question.box, since=heard, until=stage.until)
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -46,7 +46,7 @@
     budget_share: float = 0.0
 
 
-class Deed(StrEnum):
+class AuditEvent(StrEnum):
     """Kinds of decisions that leave a front."""
 
     SETUP = "setup"
@@ -63,7 +63,7 @@
     """One decision that left the front; `at` in ms of the loop's clock, `box` -1 for none."""
 
     at: float
-    deed: Deed
+    deed: AuditEvent
     session: str = ""
     title: str = ""
     tenant: str = ""
--- a/tests/golden_peers.py
+++ b/tests/golden_peers.py
@@ -160,7 +160,7 @@
 
 ENUMS: dict[str, type[Enum]] = {
     "members.state": peers.members.messages.State,
-    "acts.deed": peers.port.Deed,
+    "acts.deed": peers.port.AuditEvent,
     "acts.sure": peers.acts.clock.Sure,
     "acts.why": peers.acts.merge.Why,
     "late.kind": peers.late.messages.Kind,
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -54,7 +54,7 @@
 from fernweir.peers.members.messages import Nack, Record, State
 from fernweir.peers.members.table import Roster, part_of
 from fernweir.peers.peer import KINDS
-from fernweir.peers.port import Act, Deed, SessionStatus, Terms
+from fernweir.peers.port import Act, AuditEvent, SessionStatus, Terms
 from fernweir.peers.wire import keys
 from fernweir.peers.wire.codec import Codec
 from fernweir.peers.wire.conversation import Conversation
@@ -178,7 +178,7 @@
             f"t\u00e9nant-{number}", number - 1, f"outcome-{number % 3}"),
         RESTED[number % 2],
     )
-    for number, deed in enumerate(Deed)
+    for number, deed in enumerate(AuditEvent)
 )  # fmt: skip
 
 
@@ -245,9 +245,14 @@
 
 def _selects() -> list[Select]:
     """Each field that a question can name, and each kind of version, by value and as runs."""
-    wanted = [Select(), Select(deeds=(Deed.MOVE, Deed.LEASE)), Select(session="session-2"), Select(box=3)]
+    wanted = [
+        Select(),
+        Select(deeds=(AuditEvent.MOVE, AuditEvent.LEASE)),
+        Select(session="session-2"),
+        Select(box=3),
+    ]
     wanted += [Select(title="title-1"), Select(tenant="t\u00e9nant-4"), Select(outcome="outcome-1")]
-    wanted += [Select(since=1_010.0, until=1_030.0), Select(deeds=(Deed.REFUSED,), context=20)]
+    wanted += [Select(since=1_010.0, until=1_030.0), Select(deeds=(AuditEvent.REFUSED,), context=20)]
     for kind in ("program", "settings", "epoch", "boxes", "keys", "format", "unknown"):
         wanted += [Select(kind=kind, value=value_of(RESTED[0], kind)), Select(kind=kind, runs=True)]
     return wanted
@@ -432,7 +437,7 @@
 
 def _found(number: int) -> Found:
     return Found(
-        "front-a", LIFE, number, number + 1, When(1.0 + number, 2.0 + number), Deed.REFUSED, "session",
+        "front-a", LIFE, number, number + 1, When(1.0 + number, 2.0 + number), AuditEvent.REFUSED, "session",
         "title", "tenant", 5, "outcome", RESTED[0], Sure.MAYBE, True,
         (_found(number - 1),) if number else (), When(0.25, 0.5),
     )  # fmt: skip
--- a/tests/test_peers_acts.py
+++ b/tests/test_peers_acts.py
@@ -26,7 +26,7 @@
 from fernweir.peers.acts.desk import FleetQuestions, to_plain
 from fernweir.peers.acts.rules import ActRules
 from fernweir.peers.base import Send
-from fernweir.peers.port import Act, Deed
+from fernweir.peers.port import Act, AuditEvent
 from tests.peers_mutants import Mutant, broken
 from tests.peers_mutants.acts import MUTANTS, STORY
 
@@ -270,7 +270,16 @@
             if node.paused or not node.takes or self.dice.random() > 0.4:
                 continue
             self.sessions += 1
-            deed = self.dice.choice((Deed.SETUP, Deed.SETUP, Deed.SETUP, Deed.REFUSED, Deed.MOVE, Deed.LEASE))
+            deed = self.dice.choice(
+                (
+                    AuditEvent.SETUP,
+                    AuditEvent.SETUP,
+                    AuditEvent.SETUP,
+                    AuditEvent.REFUSED,
+                    AuditEvent.MOVE,
+                    AuditEvent.LEASE,
+                )
+            )
             act = Act(node.now(self.at), deed, f"s{self.sessions}", f"t{self.dice.randrange(4)}", "u",
                       self.dice.randrange(6), self.dice.choice(("", "full")))  # fmt: skip
             self.done(node, act)
@@ -284,7 +293,7 @@
         self.happened.setdefault((node.name, node.life), []).append(Happened(self.at, act, versions))
 
     def drain(self, node: Node, box: int) -> None:
-        self.done(node, Act(node.now(self.at), Deed.DRAIN, box=box))
+        self.done(node, Act(node.now(self.at), AuditEvent.DRAIN, box=box))
 
     def kill(self, name: str, told: bool = True) -> None:
         node = self.nodes[name]
@@ -333,7 +342,7 @@
         if kind == "Acts":
             self._rows(node, answer, asked, lambda chain, one: self._wanted(node, answer.wall, question, one))
         elif kind == "Refusal":
-            self._rows(node, answer, asked, lambda chain, one: one.act.deed is Deed.REFUSED
+            self._rows(node, answer, asked, lambda chain, one: one.act.deed is AuditEvent.REFUSED
                        and one.act.session == question.session)  # fmt: skip
             for row in answer.rows:
                 self._context(row)
@@ -409,7 +418,7 @@
         """What the front had heard: all kinds of news before the refusal, as far back as the row says."""
         chain = row.owner, row.life
         acts = self.happened[chain][: self._index(chain, row)]
-        news = [one for one in acts if one.act.deed in (Deed.DRAIN, Deed.LEASE)]
+        news = [one for one in acts if one.act.deed in (AuditEvent.DRAIN, AuditEvent.LEASE)]
         told = [(one.deed, one.session, one.box) for one in row.context]
         if told != [(one.act.deed, one.act.session, one.act.box) for one in reversed(news)][: len(told)]:
             self.wrong.append("a refusal's context is not what its front had heard")
@@ -418,7 +427,7 @@
 
     def _after_drain(self, node: Node, question: Any, answer: Any, asked: float) -> None:
         drains = [one.at for acts in self.happened.values() for one in acts
-                  if one.act.deed is Deed.DRAIN and one.act.box == question.box]  # fmt: skip
+                  if one.act.deed is AuditEvent.DRAIN and one.act.box == question.box]  # fmt: skip
         if not answer.drains:
             if drains and answer.whole:
                 self.wrong.append("a drain that was heard is not known")
@@ -430,7 +439,7 @@
 
         def wanted(chain: Any, one: Happened) -> bool:
             late = one.at >= first if known is None else one.at >= known
-            return late and one.act.deed is Deed.SETUP and one.act.box == question.box
+            return late and one.act.deed is AuditEvent.SETUP and one.act.box == question.box
 
         if answer.whole:
             self._rows(node, answer, asked, wanted)
@@ -439,7 +448,7 @@
             if one is not None and row.sure.value == "yes" and one.at < first:
                 self.wrong.append("a set-up from before the drain was heard is told as certain")
             own = [other.at for other in self.happened[row.owner, row.life]
-                   if other.act.deed is Deed.DRAIN and other.act.box == question.box]  # fmt: skip
+                   if other.act.deed is AuditEvent.DRAIN and other.act.box == question.box]  # fmt: skip
             if one is not None and row.knew and not (own and own[0] <= one.at):
                 self.wrong.append("a front is said to have known")
 
@@ -511,7 +520,10 @@
     wall = node.now(world.at) + node.wall_offset
     digest = world.dice.choice(world.lists).boxes.hex()
     refused = [
-        one.act.session for acts in world.happened.values() for one in acts if one.act.deed is Deed.REFUSED
+        one.act.session
+        for acts in world.happened.values()
+        for one in acts
+        if one.act.deed is AuditEvent.REFUSED
     ]
     quiet, world.quiet = world.quiet, True  # what is done while it runs would be on the version, too
     at = wall - world.dice.uniform(0, 4_000)
@@ -524,7 +536,9 @@
     answers += settle(world, ids, whole, ms)
     since = wall - world.dice.uniform(2_000, 4_000)
     ids = [
-        world.ask(name, plan.Acts(deed=Deed.SETUP, title="t1", since=since, until=since + 1_500), **more),
+        world.ask(
+            name, plan.Acts(deed=AuditEvent.SETUP, title="t1", since=since, until=since + 1_500), **more
+        ),
         world.ask(name, plan.Acts(box=2, outcome="full"), **more),
     ]
     answers += settle(world, ids[1:], whole, ms)
@@ -778,7 +792,7 @@
     world.run(1_800, roll(world))
     plan, node = world.mods.plan, world.nodes["f0"]
     world.quiet = True
-    ids = [world.ask("f0", plan.Acts(tenant="u")), world.ask("f0", plan.Acts(deed=Deed.SETUP))]
+    ids = [world.ask("f0", plan.Acts(tenant="u")), world.ask("f0", plan.Acts(deed=AuditEvent.SETUP))]
     ids += [
         world.ask("f0", plan.AfterDrain(box=1)),
         world.ask(
@@ -943,7 +957,7 @@
     world = World(mods, 1, fronts=1)
     chain = mods.chain.Chain("f", 1, RULES)
     for at in range(dice.randrange(1, 20)):
-        chain.add(Act(at * 7.3, dice.choice(list(Deed)), f"s{at}", "\udc80", box=at), world.lists[0])
+        chain.add(Act(at * 7.3, dice.choice(list(AuditEvent)), f"s{at}", "\udc80", box=at), world.lists[0])
     chain.seal(200.0)
     (sealed,) = chain.take()
     assert mods.block.read(sealed.data, 1 << 16, 512) == sealed
@@ -992,7 +1006,7 @@
     world = World(mods, 1, fronts=1)
     chain = mods.chain.Chain("f", 1, RULES)
     for at in range(40):
-        chain.add(Act(at, Deed.SETUP, f"s{at}"), world.lists[0])
+        chain.add(Act(at, AuditEvent.SETUP, f"s{at}"), world.lists[0])
         chain.seal(at)
     blocks, disk, known = chain.take(), Disk(), _Known()
     store = mods.store.Store(
@@ -1054,7 +1068,16 @@
             spans, draw(_TIMES), draw(_TIMES), digest, draw(_NUMBERS), draw(st.booleans()), 0.0, 0.0
         )
         row = messages.Row(
-            draw(_NUMBERS), draw(_NUMBERS), draw(_TIMES), Deed.MOVE, "s", "", "", 1, "", draw(_NUMBERS) % 9
+            draw(_NUMBERS),
+            draw(_NUMBERS),
+            draw(_TIMES),
+            AuditEvent.MOVE,
+            "s",
+            "",
+            "",
+            1,
+            "",
+            draw(_NUMBERS) % 9,
         )
         held = messages.Held(
             draw(st.sampled_from(["f1", "f2", "gone"])), draw(_NUMBERS), draw(_NUMBERS), draw(_NUMBERS)
@@ -1107,7 +1130,7 @@
     walls = []
     for at in range(200):
         chain.wall(at, 1e12 + dice.uniform(-0.9, 0.9) + (600_000.0 if at >= 100 else 0.0), 2.0)
-        chain.add(Act(at, Deed.MOVE), world.lists[0])
+        chain.add(Act(at, AuditEvent.MOVE), world.lists[0])
         chain.tick(at)
         walls += [one.block.wall for one in chain.take()]
     chain.seal(200)
@@ -1151,10 +1174,10 @@
     assert "box" in ask({"question": "after-drain"})["error"]
     assert "no version" in ask({"question": "still", "at": 1.0, "kind": "epoch", "value": "x"})["error"]
     answer = ask({"question": "after-drain", "box": 2})
-    drained = next(one for one in world.happened["f0", 1] if one.act.deed is Deed.DRAIN)
+    drained = next(one for one in world.happened["f0", 1] if one.act.deed is AuditEvent.DRAIN)
     low, high = answer["first_heard"]
     assert low <= node.now(drained.at) + node.wall_offset <= high <= low + 10
-    after = sum(one.at > drained.at and one.act.deed is Deed.SETUP and one.act.box == 2
+    after = sum(one.at > drained.at and one.act.deed is AuditEvent.SETUP and one.act.box == 2
                 for acts in world.happened.values() for one in acts)  # fmt: skip
     sure = sum(row["sure"] for row in answer["rows"])
     assert answer["whole"] and sure <= after <= len(answer["rows"]) and len(answer["heard"]) == 1
@@ -1162,7 +1185,7 @@
         {"question": "still", "at": node.wall_offset + node.now(600.0), "value": world.lists[0].boxes.hex()}
     )
     assert {one["at"] for one in still["fronts"]} == {"yes"} and len(still["fronts"]) == 5
-    session = next(one.act.session for one in world.happened["f2", 1] if one.act.deed is Deed.REFUSED)
+    session = next(one.act.session for one in world.happened["f2", 1] if one.act.deed is AuditEvent.REFUSED)
     (row,) = ask({"question": "refusal", "session": session})["rows"]
     assert row["front"] == "f2" and row["versions"]["boxes"] == world.lists[0].boxes.hex()
     world.kill("f2")
