--- a/bench/peers_channel.py
+++ b/bench/peers_channel.py
@@ -24,7 +24,7 @@
 from fernweir.peers.channel.rules import HeirRules
 from fernweir.peers.channel.spread import Loss, spread
 from fernweir.peers.channel.takeover import Claim, Inherited
-from fernweir.peers.port import Claimed, SessionStatus
+from fernweir.peers.port import ClaimResult, SessionStatus
 
 WAY_MS = (0.3, 2.0)  # between fronts, and between a front and a box
 BOXES = 30
@@ -155,7 +155,7 @@
         mine = tuple(
             (one.session, one.attempt, one.rung) for one in channels[event.channel] if one.box == box
         )
-        told = Claimed(box, True, True, event.fence, mine)
+        told = ClaimResult(box, True, True, event.fence, mine)
         way = dice.uniform(*WAY_MS) + dice.uniform(*WAY_MS)
         paths.after(way, lambda: parts[name].claimed(paths.now, event.channel, told))
 
--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -20,7 +20,7 @@
 from fernweir.interface import Result
 from fernweir.peers.acts.versions import boxes_digest
 from fernweir.peers.forward.messages import Carried, Carry
-from fernweir.peers.port import Claimed, SessionStatus
+from fernweir.peers.port import ClaimResult, SessionStatus
 
 _PAYLOADS_KEPT = 4_096
 
@@ -140,7 +140,7 @@
 
     def claim(
         self, box: int, channel: str, fence: int, overlap_ms: float,
-        then: Callable[[float, Claimed], None], adopt: Sequence[tuple[str, int]] = (),
+        then: Callable[[float, ClaimResult], None], adopt: Sequence[tuple[str, int]] = (),
     ) -> None:  # fmt: skip
         def done(reply: Reply) -> None:
             then(self._core.now(), _claimed(box, reply))
@@ -284,13 +284,13 @@
     return held.phase is SessionPhase.PLAYING
 
 
-def _claimed(box: int, reply: Reply) -> Claimed:
+def _claimed(box: int, reply: Reply) -> ClaimResult:
     """What a box's answer to a claim says; one that can't be read says that the box was not reached."""
     if reply.outcome is not Outcome.ANSWERED or reply.status not in (200, 409):
-        return Claimed(box, reached=False)
+        return ClaimResult(box, reached=False)
     try:
         body = json.loads(reply.body)
         sessions = tuple((str(jti), int(attempt), int(rung)) for jti, attempt, rung in body["sessions"])
-        return Claimed(box, True, reply.status == 200, int(body["fence"]), sessions)
+        return ClaimResult(box, True, reply.status == 200, int(body["fence"]), sessions)
     except (ValueError, KeyError, TypeError, RecursionError):
-        return Claimed(box, reached=False)
+        return ClaimResult(box, reached=False)
--- a/fernweir/node/peering.py
+++ b/fernweir/node/peering.py
@@ -24,7 +24,7 @@
 from fernweir.node.config import ConfigError, NodeConfig
 from fernweir.node.endpoint_feed import EndpointFeed
 from fernweir.peers.forward.messages import Carried, Carry
-from fernweir.peers.port import Claimed, SessionStatus
+from fernweir.peers.port import ClaimResult, SessionStatus
 from fernweir.peers.program import Beginning, Peers, read_keys
 from fernweir.peers.settings import first_versions, link_rules, peer_rules
 
@@ -228,11 +228,11 @@
         channel: str,
         fence: int,
         overlap_ms: float,
-        then: Callable[[float, Claimed], None],
+        then: Callable[[float, ClaimResult], None],
         adopt: Sequence[tuple[str, int]] = (),
     ) -> None:
         """Reports that the server was not reached: it knows no channels."""
-        asyncio.get_running_loop().call_soon(lambda: then(self._core.now(), Claimed(box, reached=False)))
+        asyncio.get_running_loop().call_soon(lambda: then(self._core.now(), ClaimResult(box, reached=False)))
 
 
 def _platform_settings(config: NodeConfig) -> dict[str, str]:
--- a/fernweir/peers/channel/handoff.py
+++ b/fernweir/peers/channel/handoff.py
@@ -21,7 +21,7 @@
 from fernweir.peers.channel.rules import HandoffRules
 from fernweir.peers.channel.takeover import Inherited, Outdone, Settled, Takeover
 from fernweir.peers.channel.taking import Taker
-from fernweir.peers.port import Claimed, SessionStatus
+from fernweir.peers.port import ClaimResult, SessionStatus
 
 
 class Handoff:
@@ -91,7 +91,7 @@
         """How many sessions may come by hand-off at a time; with `closed` none, for that reason."""
         self._taker.room(sessions, closed)
 
-    def claimed(self, now: float, channel: str, claimed: Claimed) -> None:
+    def claimed(self, now: float, channel: str, claimed: ClaimResult) -> None:
         """A box's answer to `Claim`, of whichever way."""
         self.takeover.claimed(now, channel, claimed)
         self._drain()
--- a/fernweir/peers/channel/reconcile.py
+++ b/fernweir/peers/channel/reconcile.py
@@ -28,7 +28,7 @@
 
 import msgspec
 
-from fernweir.peers.port import Claimed, SessionStatus
+from fernweir.peers.port import ClaimResult, SessionStatus
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
 
 
 def reconcile(
-    standings: Mapping[str, SessionStatus], told: Sequence[Claimed], elsewhere: Container[str] = ()
+    standings: Mapping[str, SessionStatus], told: Sequence[ClaimResult], elsewhere: Container[str] = ()
 ) -> Reconciled:
     """See the table. Of several answers of one box the last that reached it counts.
 
--- a/fernweir/peers/channel/takeover.py
+++ b/fernweir/peers/channel/takeover.py
@@ -16,7 +16,7 @@
 from fernweir.peers.base import Effect, Event, Outbox
 from fernweir.peers.channel.reconcile import Reconciled, boxes_of, reconcile
 from fernweir.peers.channel.rules import TakeoverRules
-from fernweir.peers.port import Claimed, SessionStatus
+from fernweir.peers.port import ClaimResult, SessionStatus
 
 
 @dataclass(frozen=True, slots=True)
@@ -95,7 +95,7 @@
     standings: dict[str, SessionStatus]
     moving: set[str]  # an attempt of the old owner was out for these
     boxes: dict[int, _Box] = field(default_factory=dict)
-    told: dict[int, Claimed] = field(default_factory=dict)
+    told: dict[int, ClaimResult] = field(default_factory=dict)
     decided: set[str] = field(default_factory=set)  # taken or over
     released: set[tuple[int, str, int]] = field(default_factory=set)
     out: set[str] = field(default_factory=set)  # the old owner finishes an attempt of these
@@ -176,7 +176,7 @@
         self.tick(now)
         return True
 
-    def claimed(self, now: float, channel: str, claimed: Claimed) -> None:
+    def claimed(self, now: float, channel: str, claimed: ClaimResult) -> None:
         """What a box said; one that was not reached is asked again at its time."""
         taken = self._taken.get(channel)
         if taken is None or claimed.box not in taken.boxes or not claimed.reached:
@@ -198,7 +198,7 @@
         for taken in list(self._taken.values()):
             if box in taken.boxes:
                 taken.boxes[box].answered = True
-                taken.told[box] = Claimed(box, True, True, taken.fence)
+                taken.told[box] = ClaimResult(box, True, True, taken.fence)
                 self._weigh(now, taken)
 
     def undecided(self, channel: str) -> dict[str, SessionStatus]:
--- a/fernweir/peers/owning.py
+++ b/fernweir/peers/owning.py
@@ -38,7 +38,7 @@
 from fernweir.peers.channel.takeover import Claim, Finished, Inherited, Outdone, Settled, Takeover
 from fernweir.peers.lease.events import Got, Lost, Renewed, Taken
 from fernweir.peers.lease.holder import Holder
-from fernweir.peers.port import Claimed, Port, SessionStatus
+from fernweir.peers.port import ClaimResult, Port, SessionStatus
 
 _SPARED_MS = 1_000.0
 
@@ -420,7 +420,7 @@
             assert isinstance(event, Copied | OverlapOver | HandedOver | NoHeir | Lapsed)
 
     def _claim(self, event: Claim, box: int) -> None:
-        def then(now: float, claimed: Claimed) -> None:
+        def then(now: float, claimed: ClaimResult) -> None:
             self.handoff.claimed(now, event.channel, claimed)
             self._run(now)
             self._wake()
@@ -641,7 +641,7 @@
                 self._ask_to_adopt(channel, lease.fence, box, standings)
 
     def _ask_to_adopt(self, channel: str, fence: int, box: int, standings: Sequence[SessionStatus]) -> None:
-        def then(now: float, claimed: Claimed) -> None:
+        def then(now: float, claimed: ClaimResult) -> None:
             lease = self._holder.holds(now, channel)
             if not claimed.accepted or lease is None or lease.fence != fence or channel not in self._sessions:
                 return
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -148,7 +148,7 @@
 
     def claim(
         self, box: int, channel: str, fence: int, overlap_ms: float,
-        then: Callable[[float, Claimed], None], adopt: Sequence[tuple[str, int]] = (),
+        then: Callable[[float, ClaimResult], None], adopt: Sequence[tuple[str, int]] = (),
     ) -> None:  # fmt: skip
         """Tells a box that this front owns a channel; `then` is called once, later.
 
@@ -158,7 +158,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Claimed:
+class ClaimResult:
     """What a box said to a claim: the highest fence it knows, and its sessions (id, attempt, rung)."""
 
     box: int
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -32,7 +32,7 @@
 from fernweir.peers.members.rules import MemberRules
 from fernweir.peers.owning import OwningRules
 from fernweir.peers.peer import KINDS, Peer, PeerRules, Relived
-from fernweir.peers.port import Act, AuditEvent, Claimed, Listener, SessionStatus, Terms
+from fernweir.peers.port import Act, AuditEvent, ClaimResult, Listener, SessionStatus, Terms
 from fernweir.peers.wire.codec import Codec
 from tests.fuzzing import Finding, Tape, Target
 from tests.fuzzing.shapes import drawn_of, info, message
@@ -161,12 +161,12 @@
 
     def claim(
         self, box: int, channel: str, fence: int, overlap_ms: float,
-        then: Callable[[float, Claimed], None], adopt: Sequence[tuple[str, int]] = (),
+        then: Callable[[float, ClaimResult], None], adopt: Sequence[tuple[str, int]] = (),
     ) -> None:  # fmt: skip
         def answer(now: float) -> None:
             tape = self.world.tape
             listed = tuple((tape.one(SESSIONS), tape.below(3), 0) for _ in range(tape.below(3)))
-            then(now, Claimed(box, tape.below(4) > 0, tape.below(4) > 0, fence + tape.below(2), listed))
+            then(now, ClaimResult(box, tape.below(4) > 0, tape.below(4) > 0, fence + tape.below(2), listed))
 
         if len(self.later) < 256:
             self.later.append(answer)
--- a/tests/test_peers_boxes.py
+++ b/tests/test_peers_boxes.py
@@ -5,7 +5,7 @@
 from fernweir.front.boxes import BoxClient
 from fernweir.front.peering import Peering
 from fernweir.interface import Result
-from fernweir.peers.port import Claimed, SessionStatus
+from fernweir.peers.port import ClaimResult, SessionStatus
 from fernweir.rehearsal.site import SitePlan
 from fernweir.standin.fences import Fences
 from fernweir.standin.site import SiteTimes
@@ -98,7 +98,7 @@
         assert payload is not None and standing.answers == 1 and standing.attempt == 0
         assert [str(act.deed) for act in told[0].acts] == ["setup"]  # type: ignore[attr-defined]
 
-        claims: list[Claimed] = []
+        claims: list[ClaimResult] = []
         ports[1].claim(standing.box, "front-0:1/0", 6, 400.0, lambda now, claimed: claims.append(claimed))
         await until(lambda: bool(claims))
         assert claims[0].accepted and claims[0].sessions == ((wish.session, 0, standing.rung),)
--- a/tests/test_peers_channel.py
+++ b/tests/test_peers_channel.py
@@ -680,10 +680,10 @@
         def reach() -> None:
             box = self.boxes[number]
             if box.dead or self.net.now < box.deaf_until or self.dice.random() < 0.05:
-                told = self.mods.port.Claimed(number, False)
+                told = self.mods.port.ClaimResult(number, False)
             else:
                 accepted, highest, sessions = box.claim(self.net.now, channel, fence, overlap)
-                told = self.mods.port.Claimed(number, True, accepted, highest, sessions)
+                told = self.mods.port.ClaimResult(number, True, accepted, highest, sessions)
             answer = lambda: self.fronts[front].claimed(channel, told)  # noqa: E731
             self.net.at(self.net.now + self.dice.uniform(1.0, 20.0), lambda: self.net.deliver(front, answer))
 
--- a/tests/test_peers_heirs.py
+++ b/tests/test_peers_heirs.py
@@ -18,7 +18,7 @@
 from fernweir.peers.channel.heirs import Candidate, assign, heirs, standbys, wait_ms
 from fernweir.peers.channel.rules import DirectoryRules, HeirRules, SpreadRules
 from fernweir.peers.channel.spread import Loss, spread
-from fernweir.peers.port import Claimed, SessionStatus
+from fernweir.peers.port import ClaimResult, SessionStatus
 from tests.peers_mutants import Mutant, broken
 from tests.peers_mutants.channel import DIRECTORY, HEIRS, LIVES, WEIGHING
 
@@ -156,10 +156,10 @@
 
 
 def slow_reconcile(
-    copy: dict[str, SessionStatus], told: list[Claimed], elsewhere: str
+    copy: dict[str, SessionStatus], told: list[ClaimResult], elsewhere: str
 ) -> dict[str, set[Any]]:
     """The table's rows, one session and one place at a time."""
-    answers: dict[int, Claimed] = {}
+    answers: dict[int, ClaimResult] = {}
     for claimed in told:
         if claimed.reached:
             answers[claimed.box] = claimed
@@ -200,7 +200,7 @@
         for session, (box, attempt) in copy.items()
     }
     told = [
-        Claimed(box, reached, accepted, 5 if accepted else 9, tuple(sessions))
+        ClaimResult(box, reached, accepted, 5 if accepted else 9, tuple(sessions))
         for box, reached, sessions, accepted in claims
     ]
     result, slow = module.reconcile(standings, told, elsewhere), slow_reconcile(standings, told, elsewhere)
