--- a/bench/peers_acts.py
+++ b/bench/peers_acts.py
@@ -29,30 +29,30 @@
 from fernweir.peers.acts.store import Store
 from fernweir.peers.acts.versions import Versions
 from fernweir.peers.base import Send
-from fernweir.peers.port import Act, AuditEvent
+from fernweir.peers.port import AuditEvent, AuditRecord
 
 RULES = replace(ActRules(), own_bytes=1 << 30, peer_bytes=1 << 30, copies_bytes=1 << 30, rows=1 << 20)
 DEEDS = (AuditEvent.SETUP,) * 8 + (AuditEvent.MOVE, AuditEvent.REFUSED)
-Plain = tuple[str, Act, Versions]
+Plain = tuple[str, AuditRecord, Versions]
 
 
-def draw(dice: Random, count: int, rate: float, lists: list[Versions]) -> list[tuple[Act, Versions]]:
+def draw(dice: Random, count: int, rate: float, lists: list[Versions]) -> list[tuple[AuditRecord, Versions]]:
     """Acts of one front at `rate` a second: the list changes at its own moment, few boxes drain."""
     at, acts = 0.0, []
     moment = count * (0.5 + 0.1 * dice.random())
     for number in range(count):
         at += dice.expovariate(rate / 1_000)
         if dice.random() < 0.0005:
-            act = Act(at, AuditEvent.DRAIN, box=dice.randrange(130))
+            act = AuditRecord(at, AuditEvent.DRAIN, box=dice.randrange(130))
         else:
             session = f"{dice.getrandbits(128):032x}"
-            act = Act(at, dice.choice(DEEDS), session, f"lesson-{dice.randrange(40)}",
+            act = AuditRecord(at, dice.choice(DEEDS), session, f"lesson-{dice.randrange(40)}",
                       f"t{dice.randrange(5)}", dice.randrange(130), dice.choice(("", "full")))  # fmt: skip
         acts.append((act, lists[number > moment]))
     return acts
 
 
-def cost(acts: list[tuple[Act, Versions]], rate: float) -> None:
+def cost(acts: list[tuple[AuditRecord, Versions]], rate: float) -> None:
     """Bytes and time an act adds on the path: chain, store with index, two sends; packed as on the wire."""
     chain = Chain("front-00", 1_800_000_000_000, RULES)
     copies = Copies("front-00", 1_800_000_000_000, RULES, chain, Store("front-00", RULES))
@@ -130,7 +130,7 @@
 def scans(plain: list[Plain], question: Question) -> Callable[[], int]:
     """The same by a loop over a list of all acts in one place."""
 
-    def filtered(wanted: Callable[[Act, Versions], bool]) -> int:
+    def filtered(wanted: Callable[[AuditRecord, Versions], bool]) -> int:
         return len([front for front, act, versions in plain if wanted(act, versions)])
 
     def scan() -> int:
--- a/fernweir/front/peer_view.py
+++ b/fernweir/front/peer_view.py
@@ -12,7 +12,7 @@
 from fernweir.front.dispatcher import Dispatcher
 from fernweir.front.session_manager import SessionPhase, SessionRecord
 from fernweir.interface import EndpointListUpdate
-from fernweir.peers.port import Act, AuditEvent, Listener, Terms
+from fernweir.peers.port import AuditEvent, AuditRecord, Listener, Terms
 
 
 class Boxes(Protocol):
@@ -83,7 +83,9 @@
 
     def on_request_rejected(self, now: float, ask: SessionRequest, why: str) -> None:
         if self._listener is not None:
-            act = Act(now, AuditEvent.REFUSED, ask.session_id, ask.title_name, ask.tenant, outcome=why)
+            act = AuditRecord(
+                now, AuditEvent.REFUSED, ask.session_id, ask.title_name, ask.tenant, outcome=why
+            )
             self._listener.acted(act)
 
     def on_session_closed(self, now: float, held: SessionRecord, why: str) -> None: ...
@@ -94,7 +96,7 @@
             self._listener.list_told(now, self._list.list_rows(), self._told_at)
             for box in sorted(draining - self._draining):
                 number, name = self._list.named(box)
-                self._listener.acted(Act(now, AuditEvent.DRAIN, box=number, outcome=f"heard{name}"))
+                self._listener.acted(AuditRecord(now, AuditEvent.DRAIN, box=number, outcome=f"heard{name}"))
         self._draining = draining
 
     def _act(self, now: float, deed: AuditEvent, held: SessionRecord) -> None:
@@ -102,5 +104,5 @@
             ask, (number, name) = held.request, self._list.named(held.server)
             outcome = f"try {held.attempt}{name}"
             self._listener.acted(
-                Act(now, deed, ask.session_id, ask.title_name, ask.tenant, number, outcome=outcome)
+                AuditRecord(now, deed, ask.session_id, ask.title_name, ask.tenant, number, outcome=outcome)
             )
--- a/fernweir/peers/acts/block.py
+++ b/fernweir/peers/acts/block.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from fernweir.peers.acts.versions import DIGEST_BYTES, Versions
-from fernweir.peers.port import Act, AuditEvent
+from fernweir.peers.port import AuditEvent, AuditRecord
 
 TICK_MS = 0.1
 _WORD = 200
@@ -97,7 +97,7 @@
     life: int,
     number: int,
     before: bytes,
-    acts: Sequence[tuple[Act, Versions]],
+    acts: Sequence[tuple[AuditRecord, Versions]],
     now: float,
     wall: float,
     doubt: float,
--- a/fernweir/peers/acts/chain.py
+++ b/fernweir/peers/acts/chain.py
@@ -12,7 +12,7 @@
 from fernweir.peers.acts.block import TICK_MS, Sealed, seal
 from fernweir.peers.acts.rules import ActRules
 from fernweir.peers.acts.versions import Versions
-from fernweir.peers.port import Act
+from fernweir.peers.port import AuditRecord
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
         self.digest = b""
         self.final = False
         self._wall, self._doubt = 0.0, 1e16  # nothing is known of the wall clock until it is told
-        self._open: list[tuple[Act, Versions]] = []
+        self._open: list[tuple[AuditRecord, Versions]] = []
         self._known: set[Versions] = set()
         self._text = 0
         self._last: Versions | None = None
@@ -52,7 +52,7 @@
                 self.seal(now)
             self._wall, self._doubt = offset_ms, 2 * doubt_ms
 
-    def add(self, act: Act, versions: Versions) -> None:
+    def add(self, act: AuditRecord, versions: Versions) -> None:
         if self.final:
             return
         if versions is not self._last:
--- a/fernweir/peers/foresight.py
+++ b/fernweir/peers/foresight.py
@@ -29,7 +29,7 @@
 from fernweir.peers.estimate.rules import EstimateRules, ShardRules, publish_after
 from fernweir.peers.estimate.shards import Summarizer
 from fernweir.peers.estimate.summary import encode
-from fernweir.peers.port import Act, SessionStatus
+from fernweir.peers.port import AuditRecord, SessionStatus
 
 PREFIX = "shard."
 _ACT_BYTES = 76  # of an act in a block, as measured (docs/measurements.md)
@@ -77,7 +77,7 @@
 
     # --- what happens here ---
 
-    def acted(self, act: Act, versions: Versions) -> None:
+    def acted(self, act: AuditRecord, versions: Versions) -> None:
         row = Row(
             act.at, str(act.deed), act.session, act.title, act.box, act.tenant, versions.boxes.hex(),
             act.outcome,
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -54,7 +54,7 @@
 from fernweir.peers.members.rules import MemberRules
 from fernweir.peers.owning import Changed, Owning, OwningRules, Steers, Yields
 from fernweir.peers.parts import Parts
-from fernweir.peers.port import Act, AuditEvent, Port, SessionStatus
+from fernweir.peers.port import AuditEvent, AuditRecord, Port, SessionStatus
 from fernweir.peers.recording import Recording, Rested, Trouble
 from fernweir.peers.replacing import KEEPERS, SETTLED, Replacing
 from fernweir.peers.weighing import TALLY, Weighing
@@ -353,7 +353,7 @@
             self._at(self.directory).unregister(now, session)
             self._changed()
 
-    def acted(self, act: Act) -> None:
+    def acted(self, act: AuditRecord) -> None:
         self._record(act)
         if act.deed is AuditEvent.SETUP and self._shares:
             # From here on nobody else may set it up: told before the first byte leaves.
@@ -361,7 +361,7 @@
             self._at(self.directory).register(act.at, act.session)
         self._changed()  # its block is to be copied in time, whatever else happens
 
-    def _record(self, act: Act) -> None:
+    def _record(self, act: AuditRecord) -> None:
         self._at(self.recording).add(act)
         self.foresight.acted(act, self.recording.versions)
 
@@ -400,7 +400,7 @@
         if isinstance(event, Got | Renewed | Lost | Taken):
             self._at(self.owning).lease(now, event)
             if isinstance(event, Got):
-                self._record(Act(now, AuditEvent.LEASE, outcome=event.lease.channel))
+                self._record(AuditRecord(now, AuditEvent.LEASE, outcome=event.lease.channel))
         elif isinstance(event, Joined) and event.name == self.me.name:
             self._out.append(Relived(event.life))
         elif isinstance(event, Joined):
@@ -420,7 +420,7 @@
             self.weighing.over(now, event.session)
         elif isinstance(event, Changed):
             said = f"{event.what} {event.channel}"[:200]
-            self._record(Act(now, AuditEvent.HANDOFF, outcome=said))
+            self._record(AuditRecord(now, AuditEvent.HANDOFF, outcome=said))
             self._tell(
                 f"channel {event.what}", channel=event.channel, fence=event.fence, sessions=event.sessions,
                 other=event.other,
@@ -460,7 +460,7 @@
         elif isinstance(event, Said):
             self._tell(event.text, **event.fields)
             if event.shut_out:
-                self._record(Act(now, AuditEvent.SHUTOUT, outcome=event.shut_out))
+                self._record(AuditRecord(now, AuditEvent.SHUTOUT, outcome=event.shut_out))
         elif isinstance(event, Trouble):
             self._tell(TROUBLE_TEXTS[type(event)], owner=event.owner, life=event.life)
         elif isinstance(event, Suspected | Cleared):
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Act:
+class AuditRecord:
     """One decision that left the front; `at` in ms of the loop's clock, `box` -1 for none."""
 
     at: float
@@ -83,7 +83,7 @@
     def failed(self, now: float, session: str) -> None:
         """A session of which an attempt may have been out is held no more, and did not come to stand."""
 
-    def acted(self, act: Act) -> None: ...
+    def acted(self, act: AuditRecord) -> None: ...
 
     def list_told(self, now: float, rows: Sequence[tuple[int, Any]], told_at: float) -> None:
         """The list of boxes now has this content: each box's number, and what is said of it, as plain values.
--- a/fernweir/peers/recording.py
+++ b/fernweir/peers/recording.py
@@ -25,7 +25,7 @@
 from fernweir.peers.acts.store import Store
 from fernweir.peers.acts.versions import Versions, boxes_digest
 from fernweir.peers.base import Effect, Event, Message, Outbox
-from fernweir.peers.port import Act
+from fernweir.peers.port import AuditRecord
 
 Trouble = Missing | Shortened | Tampered
 
@@ -61,7 +61,7 @@
         self._head = b""
         self.copies.on_kept = self._kept
 
-    def add(self, act: Act) -> None:
+    def add(self, act: AuditRecord) -> None:
         self.chain.add(act, self.versions)
 
     def list_told(self, rows: Sequence[tuple[int, Any]], told_at: float) -> None:
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -32,7 +32,7 @@
 from fernweir.peers.members.rules import MemberRules
 from fernweir.peers.owning import OwningRules
 from fernweir.peers.peer import KINDS, Peer, PeerRules, Relived
-from fernweir.peers.port import Act, AuditEvent, ClaimResult, Listener, SessionStatus, Terms
+from fernweir.peers.port import AuditEvent, AuditRecord, ClaimResult, Listener, SessionStatus, Terms
 from fernweir.peers.wire.codec import Codec
 from tests.fuzzing import Finding, Tape, Target
 from tests.fuzzing.shapes import drawn_of, info, message
@@ -222,7 +222,7 @@
 
     def play_at(self, name: str, session: str) -> None:
         peer, port = self.peers[name], self.ports[name]
-        peer.acted(Act(self.now, AuditEvent.SETUP, session, "film", "t", 1, "try 0"))
+        peer.acted(AuditRecord(self.now, AuditEvent.SETUP, session, "film", "t", 1, "try 0"))
         port.plays[session] = _standing(session)
         peer.stands(self.now, port.plays[session])
         self.settle(name)
@@ -306,7 +306,7 @@
             if tape.below(4):
                 self.play_at(name, session)
             else:
-                peer.acted(Act(self.now, AuditEvent.SETUP, session, "film", "t", 2, "try 1"))
+                peer.acted(AuditRecord(self.now, AuditEvent.SETUP, session, "film", "t", 2, "try 1"))
                 self.settle(name)
         elif what == 13 and port.plays:
             session = tape.one(list(port.plays))
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -54,7 +54,7 @@
 from fernweir.peers.members.messages import Nack, Record, State
 from fernweir.peers.members.table import Roster, part_of
 from fernweir.peers.peer import KINDS
-from fernweir.peers.port import Act, AuditEvent, SessionStatus, Terms
+from fernweir.peers.port import AuditEvent, AuditRecord, SessionStatus, Terms
 from fernweir.peers.wire import keys
 from fernweir.peers.wire.codec import Codec
 from fernweir.peers.wire.conversation import Conversation
@@ -174,7 +174,7 @@
 )
 ACTS = tuple(
     (
-        Act(1_000.0 + 10.3 * number, deed, f"session-{number}", f"title-{number % 2}",
+        AuditRecord(1_000.0 + 10.3 * number, deed, f"session-{number}", f"title-{number % 2}",
             f"t\u00e9nant-{number}", number - 1, f"outcome-{number % 3}"),
         RESTED[number % 2],
     )
--- a/tests/test_peers_acts.py
+++ b/tests/test_peers_acts.py
@@ -26,7 +26,7 @@
 from fernweir.peers.acts.desk import FleetQuestions, to_plain
 from fernweir.peers.acts.rules import ActRules
 from fernweir.peers.base import Send
-from fernweir.peers.port import Act, AuditEvent
+from fernweir.peers.port import AuditEvent, AuditRecord
 from tests.peers_mutants import Mutant, broken
 from tests.peers_mutants.acts import MUTANTS, STORY
 
@@ -91,7 +91,7 @@
     """The oracle's line: what was done, when in truth."""
 
     at: float
-    act: Act
+    act: AuditRecord
     versions: Any
 
 
@@ -280,20 +280,20 @@
                     AuditEvent.LEASE,
                 )
             )
-            act = Act(node.now(self.at), deed, f"s{self.sessions}", f"t{self.dice.randrange(4)}", "u",
+            act = AuditRecord(node.now(self.at), deed, f"s{self.sessions}", f"t{self.dice.randrange(4)}", "u",
                       self.dice.randrange(6), self.dice.choice(("", "full")))  # fmt: skip
             self.done(node, act)
             if self.dice.random() < 0.02:
                 node.wall_offset += self.dice.choice((600_000, -600_000, 5))
                 node.chain.wall(node.now(self.at), node.wall_offset, 50.0)
 
-    def done(self, node: Node, act: Act) -> None:
+    def done(self, node: Node, act: AuditRecord) -> None:
         versions = self.lists[node.list]
         node.chain.add(act, versions)
         self.happened.setdefault((node.name, node.life), []).append(Happened(self.at, act, versions))
 
     def drain(self, node: Node, box: int) -> None:
-        self.done(node, Act(node.now(self.at), AuditEvent.DRAIN, box=box))
+        self.done(node, AuditRecord(node.now(self.at), AuditEvent.DRAIN, box=box))
 
     def kill(self, name: str, told: bool = True) -> None:
         node = self.nodes[name]
@@ -957,7 +957,9 @@
     world = World(mods, 1, fronts=1)
     chain = mods.chain.Chain("f", 1, RULES)
     for at in range(dice.randrange(1, 20)):
-        chain.add(Act(at * 7.3, dice.choice(list(AuditEvent)), f"s{at}", "\udc80", box=at), world.lists[0])
+        chain.add(
+            AuditRecord(at * 7.3, dice.choice(list(AuditEvent)), f"s{at}", "\udc80", box=at), world.lists[0]
+        )
     chain.seal(200.0)
     (sealed,) = chain.take()
     assert mods.block.read(sealed.data, 1 << 16, 512) == sealed
@@ -1006,7 +1008,7 @@
     world = World(mods, 1, fronts=1)
     chain = mods.chain.Chain("f", 1, RULES)
     for at in range(40):
-        chain.add(Act(at, AuditEvent.SETUP, f"s{at}"), world.lists[0])
+        chain.add(AuditRecord(at, AuditEvent.SETUP, f"s{at}"), world.lists[0])
         chain.seal(at)
     blocks, disk, known = chain.take(), Disk(), _Known()
     store = mods.store.Store(
@@ -1130,7 +1132,7 @@
     walls = []
     for at in range(200):
         chain.wall(at, 1e12 + dice.uniform(-0.9, 0.9) + (600_000.0 if at >= 100 else 0.0), 2.0)
-        chain.add(Act(at, AuditEvent.MOVE), world.lists[0])
+        chain.add(AuditRecord(at, AuditEvent.MOVE), world.lists[0])
         chain.tick(at)
         walls += [one.block.wall for one in chain.take()]
     chain.seal(200)
