--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -185,7 +185,7 @@
 
     def on_session_updated(self, now: float, held: SessionRecord) -> None:
         if self._listener is not None and _plays(held):
-            self._listener.stands(now, self._standing(held))
+            self._listener.on_session_status(now, self._standing(held))
 
     def on_session_closed(self, now: float, held: SessionRecord, why: str) -> None:
         if self._listener is None or self._letting_go:
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -333,7 +333,7 @@
 
     # --- the front's listener ---
 
-    def stands(self, now: float, standing: SessionStatus) -> None:
+    def on_session_status(self, now: float, standing: SessionStatus) -> None:
         self._at(self.owning).stands(now, standing)
         self.foresight.stands(now, standing)
         self.weighing.stands(now, standing, self.owning.channel(standing.session))
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -74,7 +74,7 @@
 class Listener(Protocol):
     """Who is told, in the order in which it happens, of what changes at a front."""
 
-    def stands(self, now: float, standing: SessionStatus) -> None:
+    def on_session_status(self, now: float, standing: SessionStatus) -> None:
         """A session plays, or one that plays changed its rung or was answered again."""
 
     def over(self, now: float, session: str) -> None:
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -224,7 +224,7 @@
         peer, port = self.peers[name], self.ports[name]
         peer.acted(AuditRecord(self.now, AuditEvent.SETUP, session, "film", "t", 1, "try 0"))
         port.plays[session] = _standing(session)
-        peer.stands(self.now, port.plays[session])
+        peer.on_session_status(self.now, port.plays[session])
         self.settle(name)
 
     def begin(self, name: str, life: int = 0) -> None:
--- a/tests/test_peers_boxes.py
+++ b/tests/test_peers_boxes.py
@@ -63,7 +63,7 @@
         self.acts: list[object] = []
         self.lists: list[object] = []
 
-    def stands(self, now: float, standing: SessionStatus) -> None:
+    def on_session_status(self, now: float, standing: SessionStatus) -> None:
         self.standings[standing.session] = standing
 
     def over(self, now: float, session: str) -> None:
