--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -191,7 +191,7 @@
         if self._listener is None or self._letting_go:
             return
         if _plays(held):
-            self._listener.over(now, held.request.session_id)
+            self._listener.on_session_ended(now, held.request.session_id)
         else:
             self._listener.failed(now, held.request.session_id)
 
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -341,7 +341,7 @@
             self._at(self.directory).register(now, standing.session)
         self._changed()
 
-    def over(self, now: float, session: str) -> None:
+    def on_session_ended(self, now: float, session: str) -> None:
         self._at(self.owning).over(now, session)
         self._at(self.directory).unregister(now, session)
         self.foresight.over(now, session)
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -77,7 +77,7 @@
     def on_session_status(self, now: float, standing: SessionStatus) -> None:
         """A session plays, or one that plays changed its rung or was answered again."""
 
-    def over(self, now: float, session: str) -> None:
+    def on_session_ended(self, now: float, session: str) -> None:
         """A session that stood is over at its box."""
 
     def failed(self, now: float, session: str) -> None:
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -142,7 +142,7 @@
 
     def ended(self, now: float, session: str, attempt: int) -> None:
         if self.plays.pop(session, None) is not None:
-            self.listener.over(now, session)
+            self.listener.on_session_ended(now, session)
 
     def let_go(self, now: float, session: str) -> bool:
         return self.plays.pop(session, None) is not None
@@ -311,7 +311,7 @@
         elif what == 13 and port.plays:
             session = tape.one(list(port.plays))
             del port.plays[session]
-            peer.over(self.now, session)
+            peer.on_session_ended(self.now, session)
             self.settle(name)
         elif what == 14:
             while port.later:
--- a/tests/test_peers_boxes.py
+++ b/tests/test_peers_boxes.py
@@ -66,7 +66,7 @@
     def on_session_status(self, now: float, standing: SessionStatus) -> None:
         self.standings[standing.session] = standing
 
-    def over(self, now: float, session: str) -> None:
+    def on_session_ended(self, now: float, session: str) -> None:
         self.ends.append(session)
 
     def acted(self, act: object) -> None:
