--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -193,7 +193,7 @@
         if _plays(held):
             self._listener.on_session_ended(now, held.request.session_id)
         else:
-            self._listener.failed(now, held.request.session_id)
+            self._listener.on_session_failed(now, held.request.session_id)
 
     def named(self, box: int) -> tuple[int, str]:
         return box, ""
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -348,7 +348,7 @@
         self.weighing.over(now, session)
         self._changed()
 
-    def failed(self, now: float, session: str) -> None:
+    def on_session_failed(self, now: float, session: str) -> None:
         if self._at(self.owning).failed(now, session):
             self._at(self.directory).unregister(now, session)
             self._changed()
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -80,7 +80,7 @@
     def on_session_ended(self, now: float, session: str) -> None:
         """A session that stood is over at its box."""
 
-    def failed(self, now: float, session: str) -> None:
+    def on_session_failed(self, now: float, session: str) -> None:
         """A session of which an attempt may have been out is held no more, and did not come to stand."""
 
     def acted(self, act: AuditRecord) -> None: ...
