--- a/fernweir/front/peer_view.py
+++ b/fernweir/front/peer_view.py
@@ -86,7 +86,7 @@
             act = AuditRecord(
                 now, AuditEvent.REFUSED, ask.session_id, ask.title_name, ask.tenant, outcome=why
             )
-            self._listener.acted(act)
+            self._listener.on_audit_record(act)
 
     def on_session_closed(self, now: float, held: SessionRecord, why: str) -> None: ...
 
@@ -96,13 +96,15 @@
             self._listener.list_told(now, self._list.list_rows(), self._told_at)
             for box in sorted(draining - self._draining):
                 number, name = self._list.named(box)
-                self._listener.acted(AuditRecord(now, AuditEvent.DRAIN, box=number, outcome=f"heard{name}"))
+                self._listener.on_audit_record(
+                    AuditRecord(now, AuditEvent.DRAIN, box=number, outcome=f"heard{name}")
+                )
         self._draining = draining
 
     def _act(self, now: float, deed: AuditEvent, held: SessionRecord) -> None:
         if self._listener is not None:
             ask, (number, name) = held.request, self._list.named(held.server)
             outcome = f"try {held.attempt}{name}"
-            self._listener.acted(
+            self._listener.on_audit_record(
                 AuditRecord(now, deed, ask.session_id, ask.title_name, ask.tenant, number, outcome=outcome)
             )
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -353,7 +353,7 @@
             self._at(self.directory).unregister(now, session)
             self._changed()
 
-    def acted(self, act: AuditRecord) -> None:
+    def on_audit_record(self, act: AuditRecord) -> None:
         self._record(act)
         if act.deed is AuditEvent.SETUP and self._shares:
             # From here on nobody else may set it up: told before the first byte leaves.
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -83,7 +83,7 @@
     def on_session_failed(self, now: float, session: str) -> None:
         """A session of which an attempt may have been out is held no more, and did not come to stand."""
 
-    def acted(self, act: AuditRecord) -> None: ...
+    def on_audit_record(self, act: AuditRecord) -> None: ...
 
     def list_told(self, now: float, rows: Sequence[tuple[int, Any]], told_at: float) -> None:
         """The list of boxes now has this content: each box's number, and what is said of it, as plain values.
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -222,7 +222,7 @@
 
     def play_at(self, name: str, session: str) -> None:
         peer, port = self.peers[name], self.ports[name]
-        peer.acted(AuditRecord(self.now, AuditEvent.SETUP, session, "film", "t", 1, "try 0"))
+        peer.on_audit_record(AuditRecord(self.now, AuditEvent.SETUP, session, "film", "t", 1, "try 0"))
         port.plays[session] = _standing(session)
         peer.on_session_status(self.now, port.plays[session])
         self.settle(name)
@@ -306,7 +306,9 @@
             if tape.below(4):
                 self.play_at(name, session)
             else:
-                peer.acted(AuditRecord(self.now, AuditEvent.SETUP, session, "film", "t", 2, "try 1"))
+                peer.on_audit_record(
+                    AuditRecord(self.now, AuditEvent.SETUP, session, "film", "t", 2, "try 1")
+                )
                 self.settle(name)
         elif what == 13 and port.plays:
             session = tape.one(list(port.plays))
--- a/tests/test_peers_boxes.py
+++ b/tests/test_peers_boxes.py
@@ -69,7 +69,7 @@
     def on_session_ended(self, now: float, session: str) -> None:
         self.ends.append(session)
 
-    def acted(self, act: object) -> None:
+    def on_audit_record(self, act: object) -> None:
         self.acts.append(act)
 
     def list_told(self, now: float, rows: object, told_at: float) -> None:
