--- a/fernweir/front/peer_view.py
+++ b/fernweir/front/peer_view.py
@@ -43,7 +43,7 @@
     def listen(self, listener: Listener) -> None:
         self._listener = listener
         if self._told_at is not None:  # one that lives on under a later life knows no list
-            listener.list_told(self._core.now(), self._list.list_rows(), self._told_at)
+            listener.on_endpoint_list(self._core.now(), self._list.list_rows(), self._told_at)
 
     def load(self) -> int:
         return self._core.sessions.session_count
@@ -93,7 +93,7 @@
     def on_endpoint_list(self, now: float, update: EndpointListUpdate) -> None:
         draining, self._told_at = self._list.draining(), self._wall_ms()
         if self._listener is not None:
-            self._listener.list_told(now, self._list.list_rows(), self._told_at)
+            self._listener.on_endpoint_list(now, self._list.list_rows(), self._told_at)
             for box in sorted(draining - self._draining):
                 number, name = self._list.named(box)
                 self._listener.on_audit_record(
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -365,7 +365,7 @@
         self._at(self.recording).add(act)
         self.foresight.acted(act, self.recording.versions)
 
-    def list_told(self, now: float, rows: Sequence[tuple[int, Any]], told_at: float) -> None:
+    def on_endpoint_list(self, now: float, rows: Sequence[tuple[int, Any]], told_at: float) -> None:
         draining = sum(1 for number, row in rows if number >= 0 and row[0] == "draining")
         here = {number for number, _ in rows}
         urgent = draining > self._draining or not here >= self._boxes
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -85,7 +85,7 @@
 
     def on_audit_record(self, act: AuditRecord) -> None: ...
 
-    def list_told(self, now: float, rows: Sequence[tuple[int, Any]], told_at: float) -> None:
+    def on_endpoint_list(self, now: float, rows: Sequence[tuple[int, Any]], told_at: float) -> None:
         """The list of boxes now has this content: each box's number, and what is said of it, as plain values.
 
         Lessons stand under numbers of their own, below 0. `told_at` is wall ms.
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -137,7 +137,7 @@
         if len(data) != 1 or boxes_digest(_rows(data[0])) != digest:
             return False
         self.list = data[0]
-        self.listener.list_told(now, _rows(self.list), now)
+        self.listener.on_endpoint_list(now, _rows(self.list), now)
         return True
 
     def ended(self, now: float, session: str, attempt: int) -> None:
@@ -345,7 +345,7 @@
         elif what == 3:
             port = self.ports[name]
             port.list += 1 + self.tape.below(2)
-            peer.list_told(self.now, _rows(port.list), self.now)
+            peer.on_endpoint_list(self.now, _rows(port.list), self.now)
         elif what == 4:
             peer.leave(self.now)
         elif what == 5:
--- a/tests/test_node_peers.py
+++ b/tests/test_node_peers.py
@@ -330,7 +330,9 @@
             peer.start(0.0, [("127.0.0.1", 7000)])
 
     def tell(self, name: str, *servers: int) -> None:
-        self.ports[name].listener.list_told(self.now, [(one, ["up"]) for one in servers], 1e9 + self.now)
+        self.ports[name].listener.on_endpoint_list(
+            self.now, [(one, ["up"]) for one in servers], 1e9 + self.now
+        )
 
     def run(self, until: float, stop: Callable[[], bool] = lambda: False) -> bool:
         """Up to that time, or until `stop` says so."""
--- a/tests/test_peers_boxes.py
+++ b/tests/test_peers_boxes.py
@@ -72,7 +72,7 @@
     def on_audit_record(self, act: object) -> None:
         self.acts.append(act)
 
-    def list_told(self, now: float, rows: object, told_at: float) -> None:
+    def on_endpoint_list(self, now: float, rows: object, told_at: float) -> None:
         self.lists.append(rows)
 
 
