--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -40,7 +40,7 @@
 
     # --- what peers ask of the front ---
 
-    def standing(self) -> list[SessionStatus]:
+    def session_statuses(self) -> list[SessionStatus]:
         return [self._standing(held) for held in self._core.sessions.records().values() if _plays(held)]
 
     def payload(self, digest: bytes) -> bytes | None:
--- a/fernweir/node/peering.py
+++ b/fernweir/node/peering.py
@@ -178,7 +178,7 @@
         self._listed_servers.on_endpoint_list(update)
         super().on_endpoint_list(now, update)
 
-    def standing(self) -> list[SessionStatus]:
+    def session_statuses(self) -> list[SessionStatus]:
         """Nothing: no session can be handed over."""
         return []
 
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -97,7 +97,7 @@
 
     def listen(self, listener: Listener) -> None: ...
 
-    def standing(self) -> list[SessionStatus]:
+    def session_statuses(self) -> list[SessionStatus]:
         """All that plays here."""
 
     def load(self) -> int:
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -99,7 +99,7 @@
     def listen(self, listener: Listener) -> None:
         self.listener = listener
 
-    def standing(self) -> list[SessionStatus]:
+    def session_statuses(self) -> list[SessionStatus]:
         return list(self.plays.values())
 
     def load(self) -> int:
