--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -125,7 +125,7 @@
         self._core.sessions.on_session_ended(now, session, attempt, Result.RESET)
         self._core.schedule_step()
 
-    def let_go(self, now: float, session: str) -> bool:
+    def relinquish_session(self, now: float, session: str) -> bool:
         self._letting_go = True  # another's now, not over: standbys must not be told of an end
         gone = self._core.sessions.hand_over_session(now, session)
         self._letting_go = False
--- a/fernweir/node/peering.py
+++ b/fernweir/node/peering.py
@@ -209,7 +209,7 @@
     def ended(self, now: float, session: str, attempt: int) -> None:
         """Does nothing: no session was taken over."""
 
-    def let_go(self, now: float, session: str) -> bool:
+    def relinquish_session(self, now: float, session: str) -> bool:
         """Refuses to hand a session over."""
         return False
 
--- a/fernweir/peers/owning.py
+++ b/fernweir/peers/owning.py
@@ -216,7 +216,7 @@
         held = self._sessions.get(channel)
         if held is None and not self.handoff.may_finish(now, channel):
             # Its lease was lost while the attempt was out: the heir finds it at its box, and decides.
-            self._port.let_go(now, standing.session)
+            self._port.relinquish_session(now, standing.session)
             self._forget(standing.session)
             return
         if held is not None and held.get(standing.session) == standing:
@@ -505,7 +505,7 @@
         """All of a channel is another's, or nobody's: neither boxes nor viewers are told anything."""
         self._new.discard(channel)
         for session in list(self._sessions.pop(channel, {})):
-            self._port.let_go(now, session)
+            self._port.relinquish_session(now, session)
             self._forget(session)
             if to:
                 self._gone[session] = (to, now + self.rules.gone_ms)
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -132,7 +132,7 @@
     def ended(self, now: float, session: str, attempt: int) -> None:
         """What was taken over here, under that attempt, does not run at its box any more."""
 
-    def let_go(self, now: float, session: str) -> bool:
+    def relinquish_session(self, now: float, session: str) -> bool:
         """The session is another's from now on: nothing is said to its box or its viewers."""
 
     def release(
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -144,7 +144,7 @@
         if self.plays.pop(session, None) is not None:
             self.listener.on_session_ended(now, session)
 
-    def let_go(self, now: float, session: str) -> bool:
+    def relinquish_session(self, now: float, session: str) -> bool:
         return self.plays.pop(session, None) is not None
 
     def release(
--- a/tests/peers_mutants/joint.py
+++ b/tests/peers_mutants/joint.py
@@ -52,7 +52,8 @@
     ),
     Mutant(
         "a session goes to its heir and stays with its owner", _OWNING,
-        "            self._port.let_go(now, session)\n            self._forget(session)\n            if to:",
+        "            self._port.relinquish_session(now, session)\n"
+        "            self._forget(session)\n            if to:",
         "            self._forget(session)\n            if to:", 6,
     ),
     Mutant(
