--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -84,7 +84,7 @@
             self._core.schedule_step()
         return update is not None
 
-    def take_over(self, now: float, standing: SessionStatus, payload: bytes | None) -> bool:
+    def adopt_session(self, now: float, standing: SessionStatus, payload: bytes | None) -> bool:
         core, lesson = self._core, self._boxes.lessons.get(standing.title)
         cls, carrier = self._classes.get(standing.cls), core.set_up_codecs.get(standing.via)
         if lesson is None or cls is None or carrier is None:
--- a/fernweir/node/peering.py
+++ b/fernweir/node/peering.py
@@ -202,7 +202,7 @@
         """Refuses a peer's list: the control feed is the only source of it."""
         return False
 
-    def take_over(self, now: float, standing: SessionStatus, payload: bytes | None) -> bool:
+    def adopt_session(self, now: float, standing: SessionStatus, payload: bytes | None) -> bool:
         """Refuses a peer's session."""
         return False
 
--- a/fernweir/peers/owning.py
+++ b/fernweir/peers/owning.py
@@ -562,7 +562,7 @@
         payload = self._port.payload(standing.payload) or self.replica.payload_of(standing.payload)
         self._channel[session] = channel
         held[session] = standing
-        if self._port.take_over(now, standing, payload):
+        if self._port.adopt_session(now, standing, payload):
             self.replica.change(now, channel, standing)
             self._out.add(Steers(session, self._fences.get(channel, 0)))
         else:  # its box or its lesson is gone
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -126,7 +126,7 @@
     def take_list(self, now: float, data: bytes, digest: bytes) -> bool:
         """Takes a peer's list if its content has this digest and it goes on from what is held."""
 
-    def take_over(self, now: float, standing: SessionStatus, payload: bytes | None) -> bool:
+    def adopt_session(self, now: float, standing: SessionStatus, payload: bytes | None) -> bool:
         """The session is this front's from now on. False if it is held, or its box or lesson is not known."""
 
     def ended(self, now: float, session: str, attempt: int) -> None:
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -117,7 +117,7 @@
     def payload(self, digest: bytes) -> bytes | None:
         return b"payload" if digest else None
 
-    def take_over(self, now: float, standing: SessionStatus, payload: bytes | None) -> bool:
+    def adopt_session(self, now: float, standing: SessionStatus, payload: bytes | None) -> bool:
         if standing.session in self.plays or standing.box not in (1, 2):
             return False
         if len(self.plays) < 64:
--- a/tests/test_peers_boxes.py
+++ b/tests/test_peers_boxes.py
@@ -103,8 +103,8 @@
         await until(lambda: bool(claims))
         assert claims[0].accepted and claims[0].sessions == ((wish.session, 0, standing.rung),)
         now = scene.fronts[1].core.now()
-        assert ports[1].take_over(now, standing, payload)
-        assert not ports[1].take_over(now, standing, payload)  # held already
+        assert ports[1].adopt_session(now, standing, payload)
+        assert not ports[1].adopt_session(now, standing, payload)  # held already
         assert ports[0].relinquish_session(now, wish.session) and told[0].ends == []
         assert not ports[0].relinquish_session(now, wish.session)
         # The heir answers its viewer from what stands, without a second set-up, and ends it at its box.
