--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -68,7 +68,7 @@
     def list_document(self) -> bytes:
         return self._boxes.to_cache()
 
-    def take_list(self, now: float, data: bytes, digest: bytes) -> bool:
+    def adopt_endpoint_list(self, now: float, data: bytes, digest: bytes) -> bool:
         try:
             document = read_document(data)
             shown = _rows(document.boxes, [(one.title, one.cell, one.copies) for one in document.lessons])
--- a/fernweir/node/peering.py
+++ b/fernweir/node/peering.py
@@ -198,7 +198,7 @@
         """Nothing: the control feed is the only source of the list."""
         return b""
 
-    def take_list(self, now: float, data: bytes, digest: bytes) -> bool:
+    def adopt_endpoint_list(self, now: float, data: bytes, digest: bytes) -> bool:
         """Refuses a peer's list: the control feed is the only source of it."""
         return False
 
--- a/fernweir/peers/lateness.py
+++ b/fernweir/peers/lateness.py
@@ -154,7 +154,7 @@
         self._out.add(Said("peer is brought up", {"name": event.name, "what": str(event.what)}))
 
     def _apply(self, now: float, event: Apply) -> None:
-        taken = event.what is Kind.BOXES and self._port.take_list(now, event.data, event.content)
+        taken = event.what is Kind.BOXES and self._port.adopt_endpoint_list(now, event.data, event.content)
         self._out.add(Said("brought up by a peer", {"what": str(event.what), "by": event.by, "taken": taken}))
 
     def _shut_out(self) -> None:
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -123,7 +123,7 @@
     def list_document(self) -> bytes:
         """The list of boxes as it is held, for a peer that lacks it; empty if no peer may take it."""
 
-    def take_list(self, now: float, data: bytes, digest: bytes) -> bool:
+    def adopt_endpoint_list(self, now: float, data: bytes, digest: bytes) -> bool:
         """Takes a peer's list if its content has this digest and it goes on from what is held."""
 
     def adopt_session(self, now: float, standing: SessionStatus, payload: bytes | None) -> bool:
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -133,7 +133,7 @@
     def list_document(self) -> bytes:
         return bytes([self.list % 256])
 
-    def take_list(self, now: float, data: bytes, digest: bytes) -> bool:
+    def adopt_endpoint_list(self, now: float, data: bytes, digest: bytes) -> bool:
         if len(data) != 1 or boxes_digest(_rows(data[0])) != digest:
             return False
         self.list = data[0]
--- a/tests/test_node_peers.py
+++ b/tests/test_node_peers.py
@@ -187,7 +187,7 @@
         assert (refused.type, refused.fields["wait"]) == ("release", "5000")
         port.hold_back("", 0.0)
         assert (await fleet.ask(node)).type == "answer"
-        assert not port.take_list(0.0, b"{}", before) and port.list_document() == b""
+        assert not port.adopt_endpoint_list(0.0, b"{}", before) and port.list_document() == b""
 
     play(story, tmp_path)
 
@@ -299,7 +299,7 @@
     def list_document(self) -> bytes:
         return b""
 
-    def take_list(self, now: float, data: bytes, digest: bytes) -> bool:
+    def adopt_endpoint_list(self, now: float, data: bytes, digest: bytes) -> bool:
         raise AssertionError("nobody has a list to give")
 
     def hold_back(self, why: str, wait_ms: float) -> None:
