--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -65,7 +65,7 @@
             for rack, those in boxes.items()
         ]
 
-    def list_document(self) -> bytes:
+    def endpoint_list_document(self) -> bytes:
         return self._boxes.to_cache()
 
     def adopt_endpoint_list(self, now: float, data: bytes, digest: bytes) -> bool:
--- a/fernweir/node/peering.py
+++ b/fernweir/node/peering.py
@@ -194,7 +194,7 @@
         """Nothing: no session can be handed over."""
         return None
 
-    def list_document(self) -> bytes:
+    def endpoint_list_document(self) -> bytes:
         """Nothing: the control feed is the only source of the list."""
         return b""
 
--- a/fernweir/peers/lateness.py
+++ b/fernweir/peers/lateness.py
@@ -147,7 +147,7 @@
         """The list is given as it is here; settings and keys are files, which the late front has to read."""
         if content_of(self._versions, event.what) != event.content:
             return
-        data = self._port.list_document() if event.what is Kind.BOXES else b""
+        data = self._port.endpoint_list_document() if event.what is Kind.BOXES else b""
         if event.what is Kind.BOXES and not data:
             return  # fronts of this kind have their list from one source alone
         self.stragglers.supply(now, event.name, event.what, event.content, data)
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -120,7 +120,7 @@
     def payload(self, digest: bytes) -> bytes | None:
         """What viewers of a session are answered from, to be given to an heir."""
 
-    def list_document(self) -> bytes:
+    def endpoint_list_document(self) -> bytes:
         """The list of boxes as it is held, for a peer that lacks it; empty if no peer may take it."""
 
     def adopt_endpoint_list(self, now: float, data: bytes, digest: bytes) -> bool:
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -130,7 +130,7 @@
     def racks(self) -> list[tuple[str, frozenset[int], float]]:
         return [("rack", frozenset((1, 2, 3)), 1e6)]
 
-    def list_document(self) -> bytes:
+    def endpoint_list_document(self) -> bytes:
         return bytes([self.list % 256])
 
     def adopt_endpoint_list(self, now: float, data: bytes, digest: bytes) -> bool:
--- a/tests/test_node_peers.py
+++ b/tests/test_node_peers.py
@@ -187,7 +187,7 @@
         assert (refused.type, refused.fields["wait"]) == ("release", "5000")
         port.hold_back("", 0.0)
         assert (await fleet.ask(node)).type == "answer"
-        assert not port.adopt_endpoint_list(0.0, b"{}", before) and port.list_document() == b""
+        assert not port.adopt_endpoint_list(0.0, b"{}", before) and port.endpoint_list_document() == b""
 
     play(story, tmp_path)
 
@@ -296,7 +296,7 @@
     def racks(self) -> list[tuple[str, frozenset[int], float]]:
         return []
 
-    def list_document(self) -> bytes:
+    def endpoint_list_document(self) -> bytes:
         return b""
 
     def adopt_endpoint_list(self, now: float, data: bytes, digest: bytes) -> bool:
