--- a/fernweir/front/peer_view.py
+++ b/fernweir/front/peer_view.py
@@ -67,7 +67,7 @@
             else Terms(rungs, budget.window_ms, budget.min_retries, budget.retry_ratio)
         )
 
-    def hold_back(self, why: str, wait_ms: float) -> None:
+    def block_new_sessions(self, why: str, wait_ms: float) -> None:
         self._core.sessions.new_sessions_blocked = (why, wait_ms) if why else None
 
     # --- what happens here (host.Observer) ---
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -487,7 +487,7 @@
             self._held[cause] = (why, wait_ms)
         else:
             self._held.pop(cause, None)
-        self._port.hold_back(*next(iter(self._held.values()), ("", 0.0)))
+        self._port.block_new_sessions(*next(iter(self._held.values()), ("", 0.0)))
 
     def _members_changed(self, now: float) -> None:
         alive = self.members.alive()
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -140,7 +140,7 @@
     ) -> None:
         """Takes back what runs at a box and is no session of this front's, by its channel and fence."""
 
-    def hold_back(self, why: str, wait_ms: float) -> None:
+    def block_new_sessions(self, why: str, wait_ms: float) -> None:
         """No new session is taken, each refused with that reason and wait; an empty reason ends it."""
 
     def carry(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -152,7 +152,7 @@
     ) -> None:
         pass
 
-    def hold_back(self, why: str, wait_ms: float) -> None:
+    def block_new_sessions(self, why: str, wait_ms: float) -> None:
         pass
 
     def carry(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
--- a/tests/test_node_peers.py
+++ b/tests/test_node_peers.py
@@ -182,10 +182,10 @@
 
         port = node.dispatcher.sessions.observer
         assert isinstance(port, NodePort)
-        port.hold_back("shut out", 5_000.0)
+        port.block_new_sessions("shut out", 5_000.0)
         refused = await fleet.ask(node)
         assert (refused.type, refused.fields["wait"]) == ("release", "5000")
-        port.hold_back("", 0.0)
+        port.block_new_sessions("", 0.0)
         assert (await fleet.ask(node)).type == "answer"
         assert not port.adopt_endpoint_list(0.0, b"{}", before) and port.endpoint_list_document() == b""
 
@@ -302,7 +302,7 @@
     def adopt_endpoint_list(self, now: float, data: bytes, digest: bytes) -> bool:
         raise AssertionError("nobody has a list to give")
 
-    def hold_back(self, why: str, wait_ms: float) -> None:
+    def block_new_sessions(self, why: str, wait_ms: float) -> None:
         assert bool(why) == (wait_ms > 0.0)
         self.why = why
 
