--- a/fernweir/front/peer_view.py
+++ b/fernweir/front/peer_view.py
@@ -45,7 +45,7 @@
         if self._told_at is not None:  # one that lives on under a later life knows no list
             listener.on_endpoint_list(self._core.now(), self._list.list_rows(), self._told_at)
 
-    def load(self) -> int:
+    def session_count(self) -> int:
         return self._core.sessions.session_count
 
     def out(self) -> list[str]:
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -553,7 +553,7 @@
 
     def _say_load(self, now: float) -> None:
         """Only what differs enough to change a choice: every fact goes to all fronts."""
-        sessions, said = self._port.load(), self._said
+        sessions, said = self._port.session_count(), self._said
         near = said is not None and abs(said.sessions - sessions) <= max(4, said.sessions // 8)
         if said is None or not near or said.leaving != self._closed:
             self._said = Load(sessions, now - self._born, self._closed)
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -100,7 +100,7 @@
     def session_statuses(self) -> list[SessionStatus]:
         """All that plays here."""
 
-    def load(self) -> int:
+    def session_count(self) -> int:
         """Sessions held."""
 
     def out(self) -> list[str]:
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -102,7 +102,7 @@
     def session_statuses(self) -> list[SessionStatus]:
         return list(self.plays.values())
 
-    def load(self) -> int:
+    def session_count(self) -> int:
         return len(self.plays)
 
     def out(self) -> list[str]:
--- a/tests/test_node_peers.py
+++ b/tests/test_node_peers.py
@@ -284,7 +284,7 @@
     def listen(self, listener: Listener) -> None:
         self.listener = listener
 
-    def load(self) -> int:
+    def session_count(self) -> int:
         return 3
 
     def boxes(self) -> list[int]:
