--- a/fernweir/front/peer_view.py
+++ b/fernweir/front/peer_view.py
@@ -48,7 +48,7 @@
     def session_count(self) -> int:
         return self._core.sessions.session_count
 
-    def out(self) -> list[str]:
+    def sessions_in_flight(self) -> list[str]:
         return [
             jti for jti, held in self._core.sessions.records().items() if held.phase is SessionPhase.IN_FLIGHT
         ]
--- a/fernweir/peers/owning.py
+++ b/fernweir/peers/owning.py
@@ -398,7 +398,7 @@
         elif isinstance(event, NeedPayload):
             self.replica.payload(now, event.digest, self._port.payload(event.digest))
         elif isinstance(event, Freeze):
-            out = [one for one in self._port.out() if self._channel.get(one) == event.channel]
+            out = [one for one in self._port.sessions_in_flight() if self._channel.get(one) == event.channel]
             self.handoff.frozen(now, event.channel, out)
         elif isinstance(event, ReleaseLease):
             self._holder.release(now, event.channel)
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -103,7 +103,7 @@
     def session_count(self) -> int:
         """Sessions held."""
 
-    def out(self) -> list[str]:
+    def sessions_in_flight(self) -> list[str]:
         """Sessions of which an attempt is out."""
 
     def holds(self, session: str) -> bool:
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -105,7 +105,7 @@
     def session_count(self) -> int:
         return len(self.plays)
 
-    def out(self) -> list[str]:
+    def sessions_in_flight(self) -> list[str]:
         return [SESSIONS[0]]
 
     def holds(self, session: str) -> bool:
