--- a/fernweir/front/peer_view.py
+++ b/fernweir/front/peer_view.py
@@ -53,7 +53,7 @@
             jti for jti, held in self._core.sessions.records().items() if held.phase is SessionPhase.IN_FLIGHT
         ]
 
-    def holds(self, session: str) -> bool:
+    def has_session(self, session: str) -> bool:
         return self._core.sessions.session(session) is not None
 
     def terms(self) -> Terms:
--- a/fernweir/peers/owning.py
+++ b/fernweir/peers/owning.py
@@ -550,7 +550,7 @@
     ) -> None:
         session = standing.session
         self._gone.pop(session, None)
-        if self._port.holds(session):
+        if self._port.has_session(session):
             if self._channel.get(session) == channel:
                 held[session] = standing
                 return
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -106,7 +106,7 @@
     def sessions_in_flight(self) -> list[str]:
         """Sessions of which an attempt is out."""
 
-    def holds(self, session: str) -> bool:
+    def has_session(self, session: str) -> bool:
         """Whether it is held here, in whatever phase."""
 
     def boxes(self) -> list[int]:
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -108,7 +108,7 @@
     def sessions_in_flight(self) -> list[str]:
         return [SESSIONS[0]]
 
-    def holds(self, session: str) -> bool:
+    def has_session(self, session: str) -> bool:
         return session in self.plays
 
     def boxes(self) -> list[int]:
