--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -121,7 +121,7 @@
             core.schedule_step()
         return taken
 
-    def ended(self, now: float, session: str, attempt: int) -> None:
+    def on_session_missing(self, now: float, session: str, attempt: int) -> None:
         self._core.sessions.on_session_ended(now, session, attempt, Result.RESET)
         self._core.schedule_step()
 
--- a/fernweir/node/peering.py
+++ b/fernweir/node/peering.py
@@ -206,7 +206,7 @@
         """Refuses a peer's session."""
         return False
 
-    def ended(self, now: float, session: str, attempt: int) -> None:
+    def on_session_missing(self, now: float, session: str, attempt: int) -> None:
         """Does nothing: no session was taken over."""
 
     def relinquish_session(self, now: float, session: str) -> bool:
--- a/fernweir/peers/owning.py
+++ b/fernweir/peers/owning.py
@@ -538,7 +538,7 @@
         for standing in event.gone:
             held_now = held.get(standing.session)
             if held_now is not None and (held_now.box, held_now.attempt) == (standing.box, standing.attempt):
-                self._port.ended(now, standing.session, standing.attempt)
+                self._port.on_session_missing(now, standing.session, standing.attempt)
         for box, session, attempt in event.give_up:
             if self._channel.get(session) == event.channel and self._placed.get(session) == box:
                 continue  # this front's own doing, whatever a copy knows
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -129,7 +129,7 @@
     def adopt_session(self, now: float, standing: SessionStatus, payload: bytes | None) -> bool:
         """The session is this front's from now on. False if it is held, or its box or lesson is not known."""
 
-    def ended(self, now: float, session: str, attempt: int) -> None:
+    def on_session_missing(self, now: float, session: str, attempt: int) -> None:
         """What was taken over here, under that attempt, does not run at its box any more."""
 
     def relinquish_session(self, now: float, session: str) -> bool:
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -140,7 +140,7 @@
         self.listener.on_endpoint_list(now, _rows(self.list), now)
         return True
 
-    def ended(self, now: float, session: str, attempt: int) -> None:
+    def on_session_missing(self, now: float, session: str, attempt: int) -> None:
         if self.plays.pop(session, None) is not None:
             self.listener.on_session_ended(now, session)
 
