--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -147,7 +147,7 @@
 
         self._client.claim(box, channel, fence, overlap_ms, done, adopt)
 
-    def carry(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
+    def execute_forwarded(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
         core, number = self._core, request.number
         held = core.sessions.session(request.session)
         if held is None:
--- a/fernweir/node/peering.py
+++ b/fernweir/node/peering.py
@@ -218,7 +218,7 @@
     ) -> None:
         """Does nothing: servers know no fence to release a peer's session by."""
 
-    def carry(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
+    def execute_forwarded(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
         """Answers a peer's request for a session at once: there is none."""
         then(self._core.now(), Carried(request.number, "none"))
 
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -621,7 +621,7 @@
             self._at(self.forward).answer(now, event.sender, event.request.number, carried)
             self._changed()
 
-        self._port.carry(event.request, then)
+        self._port.execute_forwarded(event.request, then)
 
     def _not_here(self, now: float, carried: Carried, session: str) -> Carried:
         """A request that was carried to this front, which does not hold its session, or no more."""
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -143,7 +143,7 @@
     def block_new_sessions(self, why: str, wait_ms: float) -> None:
         """No new session is taken, each refused with that reason and wait; an empty reason ends it."""
 
-    def carry(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
+    def execute_forwarded(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
         """A request that came to another front, for a session that is held here; `then` is called once."""
 
     def claim(
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -155,7 +155,7 @@
     def block_new_sessions(self, why: str, wait_ms: float) -> None:
         pass
 
-    def carry(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
+    def execute_forwarded(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
         kind = ("none", "plays", "refused")[request.number % 3]
         then(self.world.now, Carried(request.number, kind))
 
