--- a/fernweir/front/peer_view.py
+++ b/fernweir/front/peer_view.py
@@ -40,7 +40,7 @@
 
     # --- what peers ask ---
 
-    def listen(self, listener: Listener) -> None:
+    def set_listener(self, listener: Listener) -> None:
         self._listener = listener
         if self._told_at is not None:  # one that lives on under a later life knows no list
             listener.on_endpoint_list(self._core.now(), self._list.list_rows(), self._told_at)
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -184,7 +184,7 @@
         self._started = self._leaving = self._displaced = False
         self._shares = rules.owning.parts > 0  # sessions may be another front's: it has channels
         self._changed = changed
-        port.listen(self)
+        port.set_listener(self)
 
     # --- the front's program ---
 
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -95,7 +95,7 @@
 class Port(Protocol):
     """A front, as its peers' parts may use it."""
 
-    def listen(self, listener: Listener) -> None: ...
+    def set_listener(self, listener: Listener) -> None: ...
 
     def session_statuses(self) -> list[SessionStatus]:
         """All that plays here."""
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -96,7 +96,7 @@
         self.later: deque[Callable[[float], None]] = deque()
         self.list = 0
 
-    def listen(self, listener: Listener) -> None:
+    def set_listener(self, listener: Listener) -> None:
         self.listener = listener
 
     def session_statuses(self) -> list[SessionStatus]:
--- a/tests/test_node_peers.py
+++ b/tests/test_node_peers.py
@@ -281,7 +281,7 @@
     def __init__(self) -> None:
         self.why = ""
 
-    def listen(self, listener: Listener) -> None:
+    def set_listener(self, listener: Listener) -> None:
         self.listener = listener
 
     def session_count(self) -> int:
--- a/tests/test_peers_boxes.py
+++ b/tests/test_peers_boxes.py
@@ -86,7 +86,7 @@
             port = Peering(front.core, client.boxes, client, classes, lambda: 0.0)
             front.core.channel_ownership = _Owner("front-0:1/0", 5 + number)
             told.append(_Told())
-            port.listen(told[-1])
+            port.set_listener(told[-1])
             ports.append(port)
         assert ports[0].list_rows() == ports[1].list_rows() != []
         wish = scene.wish(play_s=30.0)
