--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -46,7 +46,7 @@
     def payload(self, digest: bytes) -> bytes | None:
         return self._payloads.get(digest)
 
-    def boxes(self) -> list[int]:
+    def server_numbers(self) -> list[int]:
         """All boxes that the list names now."""
         return [box for box, line in self._boxes.boxes.items() if line.state != "gone"]
 
--- a/fernweir/node/peering.py
+++ b/fernweir/node/peering.py
@@ -186,7 +186,7 @@
         """Nothing: nodes report no racks to their peers."""
         return []
 
-    def boxes(self) -> list[int]:
+    def server_numbers(self) -> list[int]:
         """The numbers of all servers on the list."""
         return self._listed_servers.server_numbers()
 
--- a/fernweir/peers/owning.py
+++ b/fernweir/peers/owning.py
@@ -123,7 +123,7 @@
         self._out = Outbox()
         self.replica = Replica(me, rules.replica, seed)
         takeover = Takeover(rules.takeover)
-        self.handoff = Handoff(me, rules.handoff, seed, takeover, port.boxes, self.replica.fence)
+        self.handoff = Handoff(me, rules.handoff, seed, takeover, port.server_numbers, self.replica.fence)
         self._sessions: dict[str, dict[str, SessionStatus]] = {}  # of each channel held
         self._owns: dict[int, str] = {}  # by part: the channels in which new sessions begin
         self._channel: dict[str, str] = {}  # of each session, also of one whose attempt is out
@@ -458,7 +458,7 @@
             self._begin(now, channel, fence, dict(copy.standings))
 
     def _begin(self, now: float, channel: str, fence: int, standings: Mapping[str, SessionStatus]) -> None:
-        self.handoff.takeover.begin(now, channel, fence, standings, listed=self._port.boxes())
+        self.handoff.takeover.begin(now, channel, fence, standings, listed=self._port.server_numbers())
         for session, where in self._channel.items():  # also what is out, and stands nowhere yet
             if where == channel and session in self._placed:
                 self.handoff.takeover.attempted(channel, session, self._placed[session])
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -109,7 +109,7 @@
     def has_session(self, session: str) -> bool:
         """Whether it is held here, in whatever phase."""
 
-    def boxes(self) -> list[int]:
+    def server_numbers(self) -> list[int]:
         """All boxes that the list names now."""
 
     def terms(self) -> Terms: ...
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -111,7 +111,7 @@
     def has_session(self, session: str) -> bool:
         return session in self.plays
 
-    def boxes(self) -> list[int]:
+    def server_numbers(self) -> list[int]:
         return [1, 2]
 
     def payload(self, digest: bytes) -> bytes | None:
--- a/tests/test_node_peers.py
+++ b/tests/test_node_peers.py
@@ -287,7 +287,7 @@
     def session_count(self) -> int:
         return 3
 
-    def boxes(self) -> list[int]:
+    def server_numbers(self) -> list[int]:
         return []
 
     def terms(self) -> Terms:
