--- a/fernweir/front/peer_view.py
+++ b/fernweir/front/peer_view.py
@@ -56,7 +56,7 @@
     def has_session(self, session: str) -> bool:
         return self._core.sessions.session(session) is not None
 
-    def terms(self) -> Terms:
+    def limits(self) -> Terms:
         settings = self._core.sessions.settings
         dearest = max((one.rate_multiplier for one in settings.classes), default=1.0)
         budget = settings.retry_budget
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -112,7 +112,7 @@
     def server_numbers(self) -> list[int]:
         """All boxes that the list names now."""
 
-    def terms(self) -> Terms: ...
+    def limits(self) -> Terms: ...
 
     def racks(self) -> list[tuple[str, frozenset[int], float]]:
         """Each rack's name, its boxes on the list, and what its uplink can carry, kB/s."""
--- a/fernweir/peers/weighing.py
+++ b/fernweir/peers/weighing.py
@@ -77,7 +77,7 @@
     def __init__(self, me: str, life: int, port: Port, now: float) -> None:
         self.me, self.life = me, life
         self._port = port
-        self._terms = port.terms()
+        self._terms = port.limits()
         self._channels: dict[str, str] = {}
         self._tally = Tally(
             me,
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -124,7 +124,7 @@
             self.plays[standing.session] = standing
         return True
 
-    def terms(self) -> Terms:
+    def limits(self) -> Terms:
         return Terms((100.0, 200.0, 400.0))
 
     def racks(self) -> list[tuple[str, frozenset[int], float]]:
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -471,7 +471,7 @@
 
 def _weighed(order: Mapping[str, Any]) -> dict[str, Any]:
     port: Any = SimpleNamespace(
-        terms=lambda: Terms((100.0, 250.5), 10_000.0, 5.0, 0.1),
+        limits=lambda: Terms((100.0, 250.5), 10_000.0, 5.0, 0.1),
         racks=lambda: [("rack-1", frozenset((0, 1)), 10_000.0)],
     )
     part = weighing.Weighing("front-a", LIFE, port, 0.0)
--- a/tests/test_node_peers.py
+++ b/tests/test_node_peers.py
@@ -290,7 +290,7 @@
     def server_numbers(self) -> list[int]:
         return []
 
-    def terms(self) -> Terms:
+    def limits(self) -> Terms:
         return Terms((1_000.0,))
 
     def racks(self) -> list[tuple[str, frozenset[int], float]]:
