--- a/fernweir/peers/members/detector.py
+++ b/fernweir/peers/members/detector.py
@@ -3,7 +3,7 @@
 SWIM (Das, Gupta, Motivala 2002) with Lifeguard's refinements (Dadgar, Phillips, Currey 2018): members are
 probed in turn, helpers probe for others, suspicions are gossiped, refuted by the suspect, and shorten as
 others confirm them; a slow front doubts itself, and a suspect is told first of all. Here the parts meet:
-`prober` finds who is gone, `voice` has what is known and passes it on, `repair` mends what gossip missed.
+`prober` finds who is gone, `view` has what is known and passes it on, `repair` mends what gossip missed.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from fernweir.peers.members.repair import Repair
 from fernweir.peers.members.rules import MemberRules
 from fernweir.peers.members.table import Member
-from fernweir.peers.members.voice import Voice
+from fernweir.peers.members.view import Voice
 
 
 class Members:
--- a/fernweir/peers/members/prober.py
+++ b/fernweir/peers/members/prober.py
@@ -13,7 +13,7 @@
 
 from fernweir.peers.members.messages import Ack, Nack, Ping, PingRequest, Record, State
 from fernweir.peers.members.probes import TRIES, Probe, Probes
-from fernweir.peers.members.voice import Voice
+from fernweir.peers.members.view import Voice
 
 
 class Prober:
--- a/fernweir/peers/members/repair.py
+++ b/fernweir/peers/members/repair.py
@@ -13,7 +13,7 @@
 from fernweir.peers.base import Address
 from fernweir.peers.members.messages import ROWS_MOST, Record, Rows, Sync
 from fernweir.peers.members.table import Roster, part_of
-from fernweir.peers.members.voice import Voice
+from fernweir.peers.members.view import Voice
 
 
 class Allowance:
--- a/fernweir/peers/members/voice.py
+++ b/fernweir/peers/members/view.py
@@ -12,10 +12,10 @@
 from fernweir.peers.members.gossip import Queue
 from fernweir.peers.members.identity import Identity
 from fernweir.peers.members.messages import Gossip, Record, State
-from fernweir.peers.members.news import News
 from fernweir.peers.members.rules import MemberRules
 from fernweir.peers.members.suspicion import Suspicions
 from fernweir.peers.members.table import Member, Roster
+from fernweir.peers.members.updates import News
 
 _FARE = 160  # bytes of a message beside its news, at most about
 
--- a/tests/peers_mutants/members.py
+++ b/tests/peers_mutants/members.py
@@ -56,7 +56,7 @@
     "voice.suspicions.again(voice.now)", "pass", 20, faults=2,
 )  # fmt: skip
 _on(
-    "halves", "death believed by hearsay", "news",
+    "halves", "death believed by hearsay", "updates",
     "if not ripe:", "if False:", 4,
 )  # fmt: skip
 _on(
