--- a/fernweir/peers/lease/getting.py
+++ b/fernweir/peers/lease/acquisition.py
@@ -6,11 +6,11 @@
 from random import Random
 
 from fernweir.peers.base import Outbox, Send
+from fernweir.peers.lease.attempts import Attempt, Want, pause_after
 from fernweir.peers.lease.events import Lease, Taken
 from fernweir.peers.lease.messages import Granted, Item, Prepare, Promised, Propose, Refused
+from fernweir.peers.lease.requests import cut
 from fernweir.peers.lease.rules import FENCE_MOST, KeeperSet, LeaseRules, everyone, versions
-from fernweir.peers.lease.turns import cut
-from fernweir.peers.lease.wants import Attempt, Want, pause_after
 
 
 class Getting:
--- a/fernweir/peers/lease/keeping.py
+++ b/fernweir/peers/lease/held_leases.py
@@ -7,8 +7,8 @@
 from fernweir.peers.base import Outbox, Send
 from fernweir.peers.lease.events import Got, Lease, Lost, Renewed
 from fernweir.peers.lease.messages import Extended, Item, Renew
+from fernweir.peers.lease.requests import Renewal, cut
 from fernweir.peers.lease.rules import KeeperSet, LeaseRules, everyone, versions
-from fernweir.peers.lease.turns import Renewal, cut
 
 
 class Keeping:
--- a/fernweir/peers/lease/holder.py
+++ b/fernweir/peers/lease/holder.py
@@ -10,11 +10,11 @@
 from random import Random
 
 from fernweir.peers.base import Effect, Message, Outbox
+from fernweir.peers.lease.acquisition import Getting
 from fernweir.peers.lease.events import Lease
-from fernweir.peers.lease.getting import Getting
-from fernweir.peers.lease.keeping import Keeping
+from fernweir.peers.lease.held_leases import Keeping
 from fernweir.peers.lease.messages import Extended, Granted, Item, Promised, Refused, Released
-from fernweir.peers.lease.parting import Partings
+from fernweir.peers.lease.pending_releases import Partings
 from fernweir.peers.lease.rules import FLOOR_MOST, KeeperSet, LeaseRules, everyone, ordered
 
 
--- a/fernweir/peers/lease/parting.py
+++ b/fernweir/peers/lease/pending_releases.py
@@ -6,8 +6,8 @@
 
 from fernweir.peers.base import Outbox, Send
 from fernweir.peers.lease.messages import Item, Release, Released
+from fernweir.peers.lease.requests import Parting, cut
 from fernweir.peers.lease.rules import KeeperSet, LeaseRules, everyone
-from fernweir.peers.lease.turns import Parting, cut
 
 
 class Partings:
--- a/tests/peers_mutants/lease.py
+++ b/tests/peers_mutants/lease.py
@@ -9,14 +9,14 @@
 MUTANTS = [
     Mutant(
         "a lease counted from the answer",
-        _AT + "getting.py",
+        _AT + "acquisition.py",
         "attempt.asked_at + self._rules.own_ms)",
         "now + self._rules.own_ms)",
         40,
     ),
     Mutant(
         "a renewal counted from the answer",
-        _AT + "keeping.py",
+        _AT + "held_leases.py",
         "until = renewal.asked_at + self._rules.own_ms",
         "until = now + self._rules.own_ms",
         40,
@@ -60,7 +60,7 @@
     ),
     Mutant(
         "answers of an old ballot counted",
-        _AT + "getting.py",
+        _AT + "acquisition.py",
         "            found = self._running(item.channel, item.ballot)\n"
         "            if found is None or item.fence != found[1].fence:",
         "            want = self.wants.get(item.channel)\n"
@@ -93,7 +93,7 @@
     ),
     Mutant(
         "the same fence minted twice",
-        _AT + "getting.py",
+        _AT + "acquisition.py",
         "max(want.floor, self._minted)",
         "want.floor",
         100,
