--- a/fernweir/peers/lease/__init__.py
+++ b/fernweir/peers/lease/__init__.py
@@ -1,7 +1,7 @@
-"""Who owns a channel, under which fence: leases granted by a majority of keepers, without disks.
+"""Channel ownership by fenced leases that a majority of keepers grants, without disks.
 
-After PaxosLease (Trencseni, Gazso, Reinhardt 2012). A keeper grants a channel to one holder at a time, for a
-span by its own clock from when it grants; a holder believes for a shorter span by its own clock, from when it
-asked. Two majorities share a keeper, so two holders never believe at once. `docs/peers.md` says what is
-guaranteed by what.
+The protocol follows PaxosLease (Trencseni, Gazso, Reinhardt 2012). A keeper grants a channel to one holder at
+a time, for a span that starts with the grant by the keeper's clock. The holder uses the lease for a shorter
+span that starts with its request by its own clock. Two majorities share a keeper, so two holders never hold
+the same channel at once. `docs/peers.md` describes the guarantees and what each depends on.
 """
--- a/fernweir/peers/lease/attempts.py
+++ b/fernweir/peers/lease/attempts.py
@@ -1,4 +1,4 @@
-"""A channel that a holder wants, and its attempt: a ballot promised, then a fence granted by a majority."""
+"""A wanted channel and its attempt: a majority promises a ballot, then a majority grants a fence."""
 
 from __future__ import annotations
 
@@ -6,85 +6,104 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from fernweir.peers.lease.messages import No
-from fernweir.peers.lease.rules import KeeperSet, LeaseRules, decided, everyone, hopeless
+from fernweir.peers.lease.messages import Refusal
+from fernweir.peers.lease.rules import (
+    KeeperSet,
+    LeaseRules,
+    all_keepers,
+    has_majority,
+    is_majority_impossible,
+)
 
-_BALLOT_MOST = 2**62
+_MAX_BALLOT = 2**62
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One ballot; ms of the holder's clock. `fence` is 0 until a majority promised at `asked_at`."""
+    """One ballot; times in ms of the holder's clock. `fence` is 0 until a majority promised at `asked_at`."""
 
     ballot: int
     ends_at: float
-    again_at: float
-    told: dict[str, int] = field(default_factory=dict)
+    resend_at: float
+    promises: dict[str, int] = field(default_factory=dict)
     fence: int = 0
     asked_at: float = 0.0
     granted: set[str] = field(default_factory=set)
-    noes: dict[str, No] = field(default_factory=dict)
+    refusals: dict[str, Refusal] = field(default_factory=dict)
 
-    def mint(self, now: float, sets: Sequence[KeeperSet], floor: int) -> bool:
-        """With a majority's promises: the fence is above all that any of them knows, and the floor."""
-        if self.fence or not decided(sets, self.told):
+    def choose_fence(self, now: float, sets: Sequence[KeeperSet], floor: int) -> bool:
+        """Chooses a fence above the floor and all promised fences, once a majority promised.
+
+        Returns whether the fence was chosen in this call.
+        """
+        if self.fence or not has_majority(sets, self.promises):
             return False
-        self.fence = max(floor, *self.told.values()) + 1
+        self.fence = max(floor, *self.promises.values()) + 1
         self.asked_at = now
         return True
 
-    def may_ask(self, keeper: str) -> bool:
-        """Whether this keeper promised and would grant the fence that was chosen."""
-        return self.fence > self.told.get(keeper, self.fence)
+    def may_propose_to(self, keeper: str) -> bool:
+        """Whether this keeper promised and would grant the chosen fence."""
+        return self.fence > self.promises.get(keeper, self.fence)
 
-    def won(self, sets: Sequence[KeeperSet]) -> bool:
-        return bool(self.fence) and decided(sets, self.granted)
+    def has_won(self, sets: Sequence[KeeperSet]) -> bool:
+        return bool(self.fence) and has_majority(sets, self.granted)
 
-    def failed(self, now: float, sets: Sequence[KeeperSet]) -> bool:
-        return now >= self.ends_at or hopeless(sets, self.noes.keys() - self.granted)
+    def has_failed(self, now: float, sets: Sequence[KeeperSet]) -> bool:
+        return now >= self.ends_at or is_majority_impossible(sets, self.refusals.keys() - self.granted)
 
 
 @dataclass(slots=True)
 class Want:
-    """A channel asked for until it is got or given up. `taken`: who has it, as last told."""
+    """A channel that is requested until it is acquired or released.
+
+    `blocked_by` is the front that has it and its fence, by the last refusal.
+    """
 
     floor: int
-    due: float
+    next_at: float
     ballot: int = 0
-    tries: int = 0
+    failed_attempts: int = 0
     attempt: Attempt | None = None
-    taken: tuple[str, int] = ("", 0)
+    blocked_by: tuple[str, int] = ("", 0)
 
-    def begin(self, now: float, rules: LeaseRules) -> Attempt:
+    def begin_attempt(self, now: float, rules: LeaseRules) -> Attempt:
         self.ballot += 1
         self.attempt = Attempt(self.ballot, now + rules.attempt_ms, now + rules.again_ms)
         return self.attempt
 
-    def leap(self, seen: int) -> None:
-        """Above a ballot that a keeper promised to another."""
-        self.ballot = max(self.ballot, min(seen, _BALLOT_MOST))
+    def raise_ballot(self, promised_ballot: int) -> None:
+        """Raises the ballot to one that a keeper promised to another holder."""
+        self.ballot = max(self.ballot, min(promised_ballot, _MAX_BALLOT))
 
-    def rest(self, now: float, pause: float) -> None:
+    def back_off(self, now: float, delay_ms: float) -> None:
         self.attempt = None
-        self.due = now + pause
+        self.next_at = now + delay_ms
 
 
-def pause_after(
-    noes: Mapping[str, No], sets: Sequence[KeeperSet], rules: LeaseRules, tries: int, dice: Random
+def backoff_after(
+    refusals: Mapping[str, Refusal],
+    sets: Sequence[KeeperSet],
+    rules: LeaseRules,
+    failed_attempts: int,
+    rng: Random,
 ) -> float:
-    """How long to wait, in ms, after an attempt that failed `tries` times in a row.
+    """Returns the backoff in ms after `failed_attempts` failures in a row.
 
-    If it is held or waits for another: until so many locks have lapsed, by the slowest of clocks, that a
-    majority is free, but not above the longest pause, since it may be released. Else a drawn pause that
-    grows, so that two who want the same don't go on disturbing one another.
+    For a channel that is leased or reserved this is the time until so many locks have expired, by the slowest
+    permitted clock, that a majority is free, but at most the longest backoff, since the channel may be
+    released earlier. Otherwise the backoff is random and grows, so that two holders that want the same
+    channel do not keep blocking one another.
     """
-    locked = {name: no.left_ms for name, no in noes.items() if no.why in ("taken", "waits")}
+    locked = {
+        name: refusal.remaining_ms for name, refusal in refusals.items() if refusal.why in ("taken", "waits")
+    }
     if locked:
-        free = set(everyone(sets)) - locked.keys()
-        for name, left in sorted(locked.items(), key=lambda each: each[1]):
+        free = set(all_keepers(sets)) - locked.keys()
+        for name, remaining_ms in sorted(locked.items(), key=lambda each: each[1]):
             free.add(name)
-            if decided(sets, free):
-                wait = min(left * (1 + rules.drift) / (1 - rules.drift), rules.pause_most_ms)
-                return wait + dice.uniform(1.0, rules.pause_ms / 4)
-    most = min(rules.pause_ms * 2 ** min(tries, 16), rules.pause_most_ms)
-    return dice.uniform(rules.pause_ms / 2, most)
+            if has_majority(sets, free):
+                wait = min(remaining_ms * (1 + rules.drift) / (1 - rules.drift), rules.pause_most_ms)
+                return wait + rng.uniform(1.0, rules.pause_ms / 4)
+    max_backoff_ms = min(rules.pause_ms * 2 ** min(failed_attempts, 16), rules.pause_most_ms)
+    return rng.uniform(rules.pause_ms / 2, max_backoff_ms)
--- a/fernweir/peers/lease/decide.py
+++ b/fernweir/peers/lease/decide.py
@@ -1,21 +1,25 @@
-"""What a keeper says to a question, by its record of the channel alone: "" for yes, else the reason."""
+"""A keeper's decisions on requests, from its record of the channel alone.
+
+The functions return an empty string if the request is accepted, otherwise the reason for the refusal.
+"""
 
 from __future__ import annotations
 
-from fernweir.peers.lease.messages import Item, No
+from fernweir.peers.lease.messages import Item, Refusal
 from fernweir.peers.lease.records import Asker, Record
-from fernweir.peers.lease.rules import FENCE_MOST
+from fernweir.peers.lease.rules import MAX_FENCE
 
 
 def may_promise(record: Record, now: float, asker: Asker, ballot: int, promise_ms: float) -> str:
-    """A channel that is another's, or waits for another, is not promised, nor a ballot below a fresh one.
+    """Checks a request for a promise.
 
-    The holder itself may ask anew, for a higher fence: its answer may have been lost, or a box may know a
-    higher one.
+    Refuses a channel that another holder has or that is reserved for another front, and a ballot below one
+    that was promised recently. The current holder may request a higher fence, because the answer to its
+    first request may have been lost or a server may know a higher fence.
     """
-    if record.live(now) and record.owner != asker:
+    if record.is_live(now) and record.owner != asker:
         return "taken"
-    if now < record.heir_until and record.heir != asker[0]:
+    if now < record.reserved_until and record.successor != asker[0]:
         return "waits"
     if record.asker is not None and (ballot, asker) < (record.ballot, record.asker):
         return "ballot" if now < record.promised_at + promise_ms else ""
@@ -23,47 +27,55 @@
 
 
 def may_grant(record: Record, now: float, asker: Asker, item: Item) -> str:
-    """Only the last promise made can be cashed, and only with a fence above what was said with it."""
-    if record.live(now) and record.owner != asker:
+    """Checks a proposal: only the latest promise counts, and the fence must be above the promised floor."""
+    if record.is_live(now) and record.owner != asker:
         return "taken"
     if (record.ballot, record.asker) != (item.ballot, asker):
         return "ballot"
-    if record.live(now) and record.fence == item.fence:
-        return ""  # said twice
-    if item.fence <= max(record.told, record.fence):
+    if record.is_live(now) and record.fence == item.fence:
+        return ""  # a duplicate of a proposal that was granted
+    if item.fence <= max(record.promised_floor, record.fence):
         return "fence"
     return ""
 
 
 def may_extend(record: Record, now: float, asker: Asker, fence: int) -> str:
-    """A keeper that missed the grant, or restarted since, adopts the lease, if it knows of none above it.
+    """Checks a renewal. A keeper without a record of the grant adopts the lease if no higher fence is known.
 
-    A lock more is never wrong: its holder counts it only while it believes without a break. One that released
-    this fence gets no extension, so that a late question locks nothing. An equal fence of another that is not
-    live was an attempt that failed.
+    The keeper may have missed the grant or restarted since. An additional lock is safe, because the holder
+    counts it only while its lease is valid without interruption. A holder that released this fence gets no
+    extension, so that a delayed renewal locks nothing. An equal fence of another holder that is not live
+    belongs to a failed attempt.
     """
-    if record.live(now) and record.owner != asker:
+    if record.is_live(now) and record.owner != asker:
         return "taken"
-    if fence > record.fence or (fence == record.fence and record.ended != asker):
+    if fence > record.fence or (fence == record.fence and record.released_by != asker):
         return ""
     return "fence"
 
 
 def may_end(record: Record, now: float, asker: Asker, item: Item) -> bool:
-    """A holder ends its own lease, and what is left of its earlier ones, or undoes precisely one attempt."""
-    if item.fence > FENCE_MOST or (record.live(now) and record.owner != asker):
+    """Whether a release applies.
+
+    A holder may end its own lease including the rest of its earlier ones, or undo exactly one attempt.
+    """
+    if item.fence > MAX_FENCE or (record.is_live(now) and record.owner != asker):
         return False
     if item.ballot:
         return record.owner == asker and record.fence == item.fence
     return item.fence >= record.fence
 
 
-def no(record: Record, now: float, item: Item, why: str) -> No:
-    """The refusal, with what helps the asker to ask at the right time."""
+def refusal(record: Record, now: float, item: Item, why: str) -> Refusal:
+    """Returns the refusal, with the times and numbers that let the holder retry at the right moment."""
     if why == "taken" and record.owner is not None:
-        left = max(0.0, record.until - now)
-        return No(item.channel, why, item.ballot, record.owner[0], record.fence, left, record.ballot)
+        remaining_ms = max(0.0, record.until - now)
+        return Refusal(
+            item.channel, why, item.ballot, record.owner[0], record.fence, remaining_ms, record.ballot
+        )
     if why == "waits":
-        left = max(0.0, record.heir_until - now)
-        return No(item.channel, why, item.ballot, record.heir, record.fence, left, record.ballot)
-    return No(item.channel, why, item.ballot, "", record.fence, 0.0, record.ballot)
+        remaining_ms = max(0.0, record.reserved_until - now)
+        return Refusal(
+            item.channel, why, item.ballot, record.successor, record.fence, remaining_ms, record.ballot
+        )
+    return Refusal(item.channel, why, item.ballot, "", record.fence, 0.0, record.ballot)
--- a/fernweir/peers/lease/events.py
+++ b/fernweir/peers/lease/events.py
@@ -1,4 +1,4 @@
-"""What a holder tells its front."""
+"""Events that a holder reports to its front."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """A channel under a fence, to be used until `until`, ms of the holder's own clock."""
+    """The lease of a channel under a fence, valid until `until` in ms of the holder's own clock."""
 
     channel: str
     fence: int
@@ -18,9 +18,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Got(Event):
-    """The channel is this front's, under a fence above all that were granted.
+    """The front owns the channel, under a fence above all fences granted before.
 
-    Comes again for a channel that is held if a higher fence was asked for: the lower one is over then.
+    Reported again for a held channel if a higher fence was requested; the lower fence is then invalid.
     """
 
     lease: Lease
@@ -28,17 +28,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Renewed(Event):
-    """The same lease, for longer."""
+    """The same lease was extended."""
 
     lease: Lease
 
 
 @dataclass(frozen=True, slots=True)
 class Lost(Event):
-    """The channel is no longer this front's, and is not asked for again until `want` is called.
+    """The front no longer owns the channel and does not request it again until `want` is called.
 
-    `why`: "lapsed" if too few keepers answered, "released", "handed", or a keeper's reason: "taken",
-    "shut out", "fence", "sets".
+    `why` is "lapsed" if too few keepers answered, "released", "handed", or the reason of a keeper: "taken",
+    "shut out", "fence" or "sets".
     """
 
     channel: str
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Taken(Event):
-    """A channel that this front wants is held by another, or waits for one; it goes on asking."""
+    """A wanted channel is leased to or reserved for another front; the holder keeps requesting it."""
 
     channel: str
     by: str
--- a/fernweir/peers/lease/messages.py
+++ b/fernweir/peers/lease/messages.py
@@ -1,6 +1,6 @@
-"""What holders and keepers say to one another; each message carries any number of channels up to ITEMS.
+"""Messages between holders and keepers; each carries up to MAX_ITEMS channels.
 
-`life` is always the asking holder's, so that of two fronts with one name each knows which answers are its.
+`life` is always that of the requesting holder, so that two fronts with one name can tell their answers apart.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from fernweir.peers.base import Message
 
-ITEMS = 24  # a renewal of so many fits a datagram
+MAX_ITEMS = 24  # a renewal of this many channels fits a datagram
 
 Channel = Annotated[str, Meta(min_length=1, max_length=160)]
 Name = Annotated[str, Meta(max_length=64)]
@@ -22,17 +22,18 @@
 
 
 class Item(msgspec.Struct, frozen=True, array_like=True):
-    """A channel with its ballot and fence; which of the two counts depends on the message."""
+    """A channel with its ballot and fence; the kind of the message decides which of the two is used."""
 
     channel: Channel
     ballot: Number = 0
     fence: Number = 0
 
 
-class No(msgspec.Struct, frozen=True, array_like=True):
-    """Why a keeper does not: `by` holds it or is waited for, for `left_ms` more by the keeper's clock.
+class Refusal(msgspec.Struct, frozen=True, array_like=True):
+    """Why a keeper refuses a channel.
 
-    `ballot` repeats the asked one, `seen` is the highest ballot the keeper promised, `fence` the holder's.
+    `by` holds the channel or has it reserved, for `remaining_ms` more by the keeper's clock. `ballot` repeats
+    the requested ballot, `promised_ballot` is the highest that the keeper promised, `fence` is the holder's.
     """
 
     channel: Channel
@@ -40,16 +41,16 @@
     ballot: Number = 0
     by: Name = ""
     fence: Number = 0
-    left_ms: Span = 0.0
-    seen: Number = 0
+    remaining_ms: Span = 0.0
+    promised_ballot: Number = 0
 
 
-Items = Annotated[tuple[Item, ...], Meta(max_length=ITEMS)]
-Noes = Annotated[tuple[No, ...], Meta(max_length=ITEMS)]
+Items = Annotated[tuple[Item, ...], Meta(max_length=MAX_ITEMS)]
+Refusals = Annotated[tuple[Refusal, ...], Meta(max_length=MAX_ITEMS)]
 
 
 class Prepare(Message, frozen=True, array_like=True, tag="lp"):
-    """Holder: promise me these ballots, and say the highest fence you know. `sets`: versions in force."""
+    """A holder requests promises of ballots. `sets` has the versions of the keeper sets in force."""
 
     life: Number
     sets: Sets
@@ -57,14 +58,14 @@
 
 
 class Promised(Message, frozen=True, array_like=True, tag="lP"):
-    """Keeper: `fence` of each item is what a new one must be above."""
+    """A keeper promises the ballots; a proposed fence must be above `fence` of its item."""
 
     life: Number
     items: Items
 
 
 class Propose(Message, frozen=True, array_like=True, tag="lo"):
-    """Holder: grant me these under these fences for `span_ms`."""
+    """A holder requests leases under these fences for `span_ms`."""
 
     life: Number
     sets: Sets
@@ -73,59 +74,63 @@
 
 
 class Granted(Message, frozen=True, array_like=True, tag="lG"):
+    """A keeper grants the proposed items."""
+
     life: Number
     items: Items
 
 
 class Renew(Message, frozen=True, array_like=True, tag="lr"):
-    """Holder: I hold these under these fences; grant them for `span_ms` more. `turn` numbers the question."""
+    """A holder requests `span_ms` more for held leases. `request_id` identifies the request."""
 
     life: Number
     sets: Sets
     span_ms: Span
-    turn: Number
+    request_id: Number
     items: Items
 
 
 class Extended(Message, frozen=True, array_like=True, tag="lE"):
-    """Keeper: all that was asked in this turn, but for these."""
+    """A keeper extends all leases of the request except those in `refusals`."""
 
     life: Number
-    turn: Number
-    noes: Noes = ()
+    request_id: Number
+    refusals: Refusals = ()
 
 
 class Refused(Message, frozen=True, array_like=True, tag="lN"):
-    """Keeper: no promise or no grant for these."""
+    """A keeper refuses promises or grants."""
 
     life: Number
-    noes: Noes
+    refusals: Refusals
 
 
 class Release(Message, frozen=True, array_like=True, tag="lx"):
-    """Holder: these are not mine any more. Each waits `reserve_ms` for the front `to`, if one is named.
+    """A holder gives up channels; each is reserved for the front `to` for `reserve_ms`, if one is named.
 
-    An item with a ballot is of an attempt that failed: its fence was never believed in, and is undone.
+    An item with a ballot is of a failed attempt: its fence was never in use, and the grant is undone.
     """
 
     life: Number
-    turn: Number
+    request_id: Number
     items: Items
     to: Name = ""
     reserve_ms: Span = 0.0
 
 
 class Released(Message, frozen=True, array_like=True, tag="lX"):
+    """A keeper confirms a release."""
+
     life: Number
-    turn: Number
+    request_id: Number
 
 
 class Recall(Message, frozen=True, array_like=True, tag="lq"):
-    """Keeper to keeper: what is the highest fence you know, and which sets are in force for you?"""
+    """A keeper requests another keeper's highest known fence and the versions of its keeper sets."""
 
 
 class Recalled(Message, frozen=True, array_like=True, tag="lQ"):
-    """`sets`: without all of these versions in a question this keeper promises and grants nothing."""
+    """The answer to `Recall`; this keeper refuses every request that does not name all versions in `sets`."""
 
     floor: Number
     sets: Annotated[tuple[Number, ...], Meta(min_length=1, max_length=4)]
--- a/fernweir/peers/lease/requests.py
+++ b/fernweir/peers/lease/requests.py
@@ -1,53 +1,53 @@
-"""Questions that carry many channels at once and are told apart by a number: renewals and releases."""
+"""Requests that carry many channels at once and are identified by a number: renewals and releases."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from fernweir.peers.lease.messages import ITEMS, Item, No
-from fernweir.peers.lease.rules import KeeperSet, decided
+from fernweir.peers.lease.messages import MAX_ITEMS, Item, Refusal
+from fernweir.peers.lease.rules import KeeperSet, has_majority
 
 
 @dataclass(slots=True)
 class Renewal:
-    """One question to all keepers. `asked_at`: when it was first sent; a repeat doesn't change that."""
+    """One request to all keepers. `asked_at` is when it was first sent; a repetition does not change it."""
 
     asked_at: float
-    again_at: float
+    resend_at: float
     fences: dict[str, int]
-    unheard: list[str]
-    yes: dict[str, set[str]] = field(default_factory=dict)
+    unanswered: list[str]
+    extended_by: dict[str, set[str]] = field(default_factory=dict)
 
     def items(self) -> tuple[Item, ...]:
         return tuple(Item(channel, 0, fence) for channel, fence in self.fences.items())
 
-    def heard(self, keeper: str, noes: Iterable[No]) -> list[str]:
-        """Channels that this keeper extended; none if it answered before, or was not asked."""
-        if keeper not in self.unheard:
+    def on_extended(self, keeper: str, refusals: Iterable[Refusal]) -> list[str]:
+        """Returns the channels that this keeper extended; none if it answered before or was not asked."""
+        if keeper not in self.unanswered:
             return []
-        self.unheard.remove(keeper)
-        refused = {no.channel for no in noes}
+        self.unanswered.remove(keeper)
+        refused = {refusal.channel for refusal in refusals}
         extended = [channel for channel in self.fences if channel not in refused]
         for channel in extended:
-            self.yes.setdefault(channel, set()).add(keeper)
+            self.extended_by.setdefault(channel, set()).add(keeper)
         return extended
 
-    def enough(self, channel: str, sets: Sequence[KeeperSet]) -> bool:
-        return decided(sets, self.yes.get(channel, ()))
+    def is_confirmed(self, channel: str, sets: Sequence[KeeperSet]) -> bool:
+        return has_majority(sets, self.extended_by.get(channel, ()))
 
 
 @dataclass(slots=True)
-class Parting:
-    """A release, said again until all keepers heard it or the leases have lapsed anyway."""
+class PendingRelease:
+    """A release, sent until all keepers have confirmed it or the leases have expired."""
 
     items: tuple[Item, ...]
     to: str
     ends_at: float
-    again_at: float
-    unheard: list[str]
+    resend_at: float
+    unanswered: list[str]
 
 
-def cut(items: Sequence[Item]) -> list[tuple[Item, ...]]:
-    """As many at once as a message may carry."""
-    return [tuple(items[at : at + ITEMS]) for at in range(0, len(items), ITEMS)]
+def batches(items: Sequence[Item]) -> list[tuple[Item, ...]]:
+    """Splits items into batches of the size that a message may carry."""
+    return [tuple(items[start : start + MAX_ITEMS]) for start in range(0, len(items), MAX_ITEMS)]
--- a/fernweir/rehearsal/leases.py
+++ b/fernweir/rehearsal/leases.py
@@ -249,7 +249,7 @@
 
     def _holder(self, name: str) -> Holder:
         holder = Holder(name, 1, self._rules, 0, self._sets)
-        holder._getting._dice = _Least()
+        holder._acquisition._rng = _Least()
         return holder
 
     def _now(self, state: State, machine: int) -> float:
--- a/tests/golden_peers.py
+++ b/tests/golden_peers.py
@@ -77,7 +77,7 @@
     "transfer.cancel": peers.facts.messages.Cancel,
     # Leases.
     "lease.item": peers.lease.messages.Item,
-    "lease.no": peers.lease.messages.No,
+    "lease.no": peers.lease.messages.Refusal,
     "lease.prepare": peers.lease.messages.Prepare,
     "lease.promised": peers.lease.messages.Promised,
     "lease.propose": peers.lease.messages.Propose,
--- a/tests/peers_mutants/lease.py
+++ b/tests/peers_mutants/lease.py
@@ -53,7 +53,7 @@
     Mutant(
         "a renewal accepted after the lapse with the same fence",
         _AT + "holder.py",
-        "        self._keeping.lapse(now)\n        if sender",
+        "        self._held_leases.expire(now)\n        if sender",
         "        if sender",
         20,
         2,
@@ -71,8 +71,8 @@
     Mutant(
         "a keeper that counts from its promise",
         _AT + "keeper.py",
-        "record.until, record.touched = now + span_ms, now",
-        "record.until, record.touched = record.promised_at + span_ms, now",
+        "record.until, record.touched_at = now + span_ms, now",
+        "record.until, record.touched_at = record.promised_at + span_ms, now",
         5,
     ),
     Mutant(
@@ -94,7 +94,7 @@
     Mutant(
         "the same fence minted twice",
         _AT + "acquisition.py",
-        "max(want.floor, self._minted)",
+        "max(want.floor, self._last_fence)",
         "want.floor",
         100,
         2,
@@ -102,7 +102,7 @@
     Mutant(
         "a forgotten channel's fence forgotten with it",
         _AT + "records.py",
-        "self.know(self.by_channel.pop(channel).fence)",
+        "self.raise_floor(self.by_channel.pop(channel).fence)",
         "self.by_channel.pop(channel)",
         10,
     ),
--- a/tests/test_peers_lease.py
+++ b/tests/test_peers_lease.py
@@ -745,7 +745,9 @@
     messages = code.messages
     owner.holder.tick(until - 300)  # a renewal is due and asked for
     turns = {
-        each.message.turn for each in owner.holder.take_effects() if isinstance(each.message, messages.Renew)
+        each.message.request_id
+        for each in owner.holder.take_effects()
+        if isinstance(each.message, messages.Renew)
     }
     for keeper in ("k0", "k1"):
         owner.holder.on_message(until + late, keeper, messages.Extended(owner.life, max(turns)))
@@ -763,7 +765,9 @@
     owner.holder.tick(asked + 75)
     messages = site.code.messages
     turns = [
-        each.message.turn for each in owner.holder.take_effects() if isinstance(each.message, messages.Renew)
+        each.message.request_id
+        for each in owner.holder.take_effects()
+        if isinstance(each.message, messages.Renew)
     ]
     assert len(turns) == 6 and len(set(turns)) == 1  # each of three keepers was asked twice
     for keeper in ("k0", "k1"):
@@ -886,12 +890,15 @@
 
     def value(field: Any) -> Any:
         messages, name = code.messages, field.name
-        if name in ("items", "noes"):
-            kind = messages.Item if name == "items" else messages.No
+        if name in ("items", "refusals"):
+            kind = messages.Item if name == "items" else messages.Refusal
             some = [CHANNEL, *(f"x{dice.randrange(500)}" for _ in range(dice.randrange(3)))]
             made = [{"channel": each, "ballot": number(), "fence": number()} for each in some]
             return tuple(
-                kind(**each, **({"why": "taken", "seen": number()} if kind is messages.No else {}))
+                kind(
+                    **each,
+                    **({"why": "taken", "promised_ballot": number()} if kind is messages.Refusal else {}),
+                )
                 for each in made
             )
         return {"sets": (1,), "to": "z", "span_ms": 500.0, "reserve_ms": 1e9}.get(name, number())
@@ -904,7 +911,7 @@
         keeper.take_effects()
         owner.holder.take_effects()
     assert len(keeper._records.by_channel) <= 50
-    assert len(owner.holder.held(now + 40)) <= 1 and len(owner.holder._partings._out_now) < 50
+    assert len(owner.holder.held(now + 40)) <= 1 and len(owner.holder._pending_releases._in_flight) < 50
     keeper.tick(10_000.0)
     assert not keeper._records.by_channel
 
