--- a/bench/peers_members.py
+++ b/bench/peers_members.py
@@ -203,7 +203,7 @@
     """Fronts that know one another, as if each had just been answered with the whole table."""
     fronts = [net.start(f"front-{number}", number, []) for number in range(count)]
     rows = [front.machine.table()[front.name].record for front in fronts]
-    most = net.kit.messages.ROWS_MOST
+    most = net.kit.messages.MAX_ROWS
     for front in fronts:
         for at in range(0, count, most):
             net.say("front-0", front, net.kit.messages.Rows(tuple(rows[at : at + most])))
--- a/fernweir/peers/lease/holder.py
+++ b/fernweir/peers/lease/holder.py
@@ -63,7 +63,7 @@
         self._give_up_channel(now, channel, "", "released")
 
     def hand(self, now: float, channel: str, to: str) -> None:
-        """Releases the channel, which keepers grant for `reserve_ms` to the front `to` only, if it wants it."""
+        """Releases the channel, which keepers then reserve for the front `to` for `reserve_ms`."""
         self._give_up_channel(now, channel, to, "handed")
 
     def holds(self, now: float, channel: str) -> Lease | None:
--- a/fernweir/peers/members/__init__.py
+++ b/fernweir/peers/members/__init__.py
@@ -1,1 +1,1 @@
-"""Who is alive, at which address, in which life: membership of the fronts by probing and gossip."""
+"""Membership of the fronts by probing and gossip: who is alive, at which address, in which life."""
--- a/fernweir/peers/members/detector.py
+++ b/fernweir/peers/members/detector.py
@@ -1,9 +1,10 @@
-"""Membership: who is alive, at which address, in which life. Free of I/O and clock.
+"""Membership: who is alive, at which address, in which life. A state machine without I/O or clock.
 
-SWIM (Das, Gupta, Motivala 2002) with Lifeguard's refinements (Dadgar, Phillips, Currey 2018): members are
-probed in turn, helpers probe for others, suspicions are gossiped, refuted by the suspect, and shorten as
-others confirm them; a slow front doubts itself, and a suspect is told first of all. Here the parts meet:
-`prober` finds who is gone, `view` has what is known and passes it on, `repair` mends what gossip missed.
+The protocol is SWIM (Das, Gupta, Motivala 2002) with the extensions of Lifeguard (Dadgar, Phillips, Currey
+2018). Members are probed in turn, and helpers probe on behalf of others. Suspicions are gossiped, refuted by
+the suspect, and time out earlier as others confirm them. A slow front lengthens its own timeouts, and a
+suspect is informed before all others. `prober` detects failures, `view` stores and gossips the known state,
+and `repair` compares tables to find what gossip missed.
 """
 
 from __future__ import annotations
@@ -16,152 +17,152 @@
 from fernweir.peers.members.events import Me
 from fernweir.peers.members.messages import Ack, Gossip, Nack, Ping, PingRequest, Rows, Sync
 from fernweir.peers.members.prober import Prober
-from fernweir.peers.members.repair import Repair
+from fernweir.peers.members.repair import AntiEntropy
 from fernweir.peers.members.rules import MemberRules
 from fernweir.peers.members.table import Member
-from fernweir.peers.members.view import Voice
+from fernweir.peers.members.view import MembershipView
 
 
 class Members:
-    """A `base.Part`. All its messages go to addresses that members advertise, never to names.
+    """A `base.Part` that combines the parts of the protocol. Its messages go to addresses, never to names.
 
-    `displaced` is true while another living front has this name and the higher life: others do not see this
+    `displaced` is true while another living front has this name and a higher life. Other fronts ignore this
     one then, and it must not act.
     """
 
     def __init__(self, me: Me, rules: MemberRules, seed: int) -> None:
         self._rules = rules
-        self._voice = Voice(me, rules, Random(seed))
-        self._prober = Prober(self._voice)
-        self._repair = Repair(self._voice)
-        self._in = False
-        self._doubted = -math.inf
-        self._due: float | None = None
+        self._view = MembershipView(me, rules, Random(seed))
+        self._prober = Prober(self._view)
+        self._anti_entropy = AntiEntropy(self._view)
+        self._is_member = False
+        self._stalled_at = -math.inf
+        self._deadline: float | None = None
 
-    # --- what others ask ---
+    # --- queries ---
 
     @property
     def displaced(self) -> bool:
-        return self._voice.identity.displaced
+        return self._view.identity.displaced
 
     @property
     def doubt(self) -> int:
-        """0 while this front trusts its own sight."""
-        return self._voice.awareness.score
+        """The local health score; 0 while this front is healthy."""
+        return self._view.awareness.score
 
     @property
     def dropped(self) -> int:
-        """Messages whose sender is not whom they speak for."""
-        return self._prober.dropped + self._repair.dropped
+        """The number of messages dropped because the sender is not the member that they describe."""
+        return self._prober.dropped + self._anti_entropy.dropped
 
     @property
     def refused(self) -> int:
-        """Statements on unknown names for which the table had no room."""
-        return self._voice.news.refused
+        """The number of updates on unknown names that were dropped because the table was full."""
+        return self._view.updates.refused
 
     def alive(self) -> list[str]:
-        """Names believed alive, suspects and the own one included, sorted."""
-        return sorted([*self._voice.roster.living, self._voice.own.name])
+        """Returns the sorted names of living members, including suspects and this front."""
+        return sorted([*self._view.table.living, self._view.own.name])
 
     def address(self, name: str) -> Address | None:
-        """What the member advertises, dead or alive; None if it is not known."""
-        member = self._voice.roster.rows.get(name)
+        """Returns the address that a member advertises, dead or alive; None if the name is unknown."""
+        member = self._view.table.rows.get(name)
         return member.address if member is not None else None
 
     def life(self, name: str) -> int:
-        """The highest life known of that name; 0 if none is."""
-        known = self._voice.roster.known(name)
+        """Returns the highest known life of a name, or 0."""
+        known = self._view.table.record_of(name)
         return known.life if known is not None else 0
 
     def table(self) -> Mapping[str, Member]:
-        """All members with oneself, and the dead for `forget`; at most `most`."""
-        return self._voice.roster.rows
+        """Returns at most `most` members by name: living ones, this front, and dead ones for `forget`."""
+        return self._view.table.rows
 
-    # --- coming and going ---
+    # --- joining and leaving ---
 
     def join(self, now: float, seeds: Sequence[Address]) -> None:
-        """From now on this front is a member; seeds are called until another front is known."""
-        voice = self._voice
-        voice.now, self._in = now, True
-        voice.publish(voice.own)
-        self._prober.begin(voice.dice.random() * self._rules.period)
-        self._repair.begin(seeds)
-        self._plan()
+        """Makes this front a member; seeds are contacted until another front is known."""
+        view = self._view
+        view.now, self._is_member = now, True
+        view.publish(view.own)
+        self._prober.start(view.rng.random() * self._rules.period)
+        self._anti_entropy.start(seeds)
+        self._schedule()
 
     def leave(self, now: float) -> None:
-        """Says goodbye to some at once and to the rest as long as it is ticked; all else ends."""
-        if not self._in:
+        """Gossips the departure, to some members at once and to others with each tick; stops all else."""
+        if not self._is_member:
             return
-        self._voice.now = now
-        self._voice.identity.leave()
-        self._prober.end()
-        self._repair.end()
-        self._voice.spread(2 * self._rules.fanout)
-        self._plan()
+        self._view.now = now
+        self._view.identity.leave()
+        self._prober.stop()
+        self._anti_entropy.stop()
+        self._view.spread(2 * self._rules.fanout)
+        self._schedule()
 
     def stood(self, now: float, late_ms: float) -> None:
-        """This process stood still: nothing that happened, or did not, says anything of others."""
-        if self._in and late_ms > self._rules.late_after and self._doubted < now - late_ms:
-            self._voice.now = now
-            self._doubt(late_ms)
-            self._plan()
-
-    def _doubt(self, late: float) -> None:
-        voice = self._voice
-        self._doubted = voice.now
-        if voice.own.living:
-            voice.awareness.worse(math.ceil(late / self._rules.period))
-            voice.suspicions.again(voice.now)
-            voice.identity.stood(voice.now)
-            self._prober.begin(self._rules.period)
-            self._repair.stood()
-
-    def _awake(self, now: float) -> None:
-        self._voice.now = now
-        if self._due is not None and now - self._due > self._rules.late_after:
-            self._doubt(now - self._due)
-
-    # --- a part's four ---
+        """This process was suspended, so answers that are missing are no evidence against other members."""
+        if self._is_member and late_ms > self._rules.late_after and self._stalled_at < now - late_ms:
+            self._view.now = now
+            self._on_stall_detected(late_ms)
+            self._schedule()
+
+    def _on_stall_detected(self, late_ms: float) -> None:
+        view = self._view
+        self._stalled_at = view.now
+        if view.own.living:
+            view.awareness.increase(math.ceil(late_ms / self._rules.period))
+            view.suspicions.restart(view.now)
+            view.identity.on_stall(view.now)
+            self._prober.start(self._rules.period)
+            self._anti_entropy.on_stall()
+
+    def _advance_clock(self, now: float) -> None:
+        self._view.now = now
+        if self._deadline is not None and now - self._deadline > self._rules.late_after:
+            self._on_stall_detected(now - self._deadline)
+
+    # --- the state machine ---
 
     def on_message(self, now: float, sender: str, message: Message) -> None:
-        if not self._in or not self._voice.own.living:
+        if not self._is_member or not self._view.own.living:
             return
-        self._awake(now)
+        self._advance_clock(now)
         if isinstance(message, Ping):
-            self._prober.heard_ping(sender, message)
+            self._prober.on_ping(sender, message)
         elif isinstance(message, Ack):
-            self._prober.heard_ack(sender, message)
+            self._prober.on_ack(sender, message)
         elif isinstance(message, PingRequest):
-            self._prober.heard_request(sender, message)
+            self._prober.on_ping_request(sender, message)
         elif isinstance(message, Nack):
-            self._prober.heard_nack(sender, message)
+            self._prober.on_nack(sender, message)
         elif isinstance(message, Gossip):
-            self._voice.hear(message.news)
+            self._view.apply(message.updates)
         elif isinstance(message, Sync):
-            self._repair.heard_sync(sender, message)
+            self._anti_entropy.on_sync(sender, message)
         elif isinstance(message, Rows):
-            self._repair.heard_rows(sender, message)
-        self._plan()
+            self._anti_entropy.on_rows(sender, message)
+        self._schedule()
 
     def tick(self, now: float) -> None:
-        if not self._in:
+        if not self._is_member:
             return
-        self._awake(now)
-        if self._voice.own.living:
-            self._repair.step()
-            self._prober.step()
-        if self._voice.gossip_due() <= now:
-            self._voice.spread(self._rules.fanout)
-        self._plan()
+        self._advance_clock(now)
+        if self._view.own.living:
+            self._anti_entropy.tick()
+            self._prober.tick()
+        if self._view.next_gossip_at() <= now:
+            self._view.spread(self._rules.fanout)
+        self._schedule()
 
     def next_deadline(self) -> float | None:
-        return self._due
+        return self._deadline
 
     def take_effects(self) -> list[Effect]:
-        return self._voice.out.take_effects()
+        return self._view.out.take_effects()
 
-    def _plan(self) -> None:
-        due = self._voice.gossip_due()
-        if self._voice.own.living:
-            due = min(due, self._prober.due(), self._repair.due())
-        self._due = max(due, self._voice.now) if due < math.inf else None
+    def _schedule(self) -> None:
+        deadline = self._view.next_gossip_at()
+        if self._view.own.living:
+            deadline = min(deadline, self._prober.next_deadline(), self._anti_entropy.next_deadline())
+        self._deadline = max(deadline, self._view.now) if deadline < math.inf else None
--- a/fernweir/peers/members/events.py
+++ b/fernweir/peers/members/events.py
@@ -1,4 +1,4 @@
-"""What membership tells whoever drives it, and who a front is."""
+"""Events of membership, and the identity of a front."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Me:
-    """`address` is what others are told to use; `life` the wall ms at which this process started."""
+    """This front. `address` is what it advertises; `life` is the wall ms at which this process started."""
 
     name: str
     address: Address
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Joined(Event):
-    """Alive in this life: new, back after a death, or, with the own name, the own life was corrected."""
+    """A member is alive in this life: new or back after a death. For the own name: the life was corrected."""
 
     name: str
     life: int
@@ -27,19 +27,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Suspected(Event):
+    """A member does not answer probes and may be dead."""
+
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class Cleared(Event):
-    """No longer suspected: it said itself that it lives."""
+    """A member is no longer suspected, because it refuted the suspicion."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class Died(Event):
-    """This life is over; another life of the name may be alive already."""
+    """A member died in this life; another life of the name may be alive already."""
 
     name: str
     life: int
@@ -47,13 +49,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Left(Event):
+    """A member left in order."""
+
     name: str
     life: int
 
 
 @dataclass(frozen=True, slots=True)
 class Clash(Event):
-    """Another living front at this address has the own name; see `Members.displaced`."""
+    """Another living front at this address has this front's name; see `Members.displaced`."""
 
     name: str
     address: Address
--- a/fernweir/peers/members/gossip.py
+++ b/fernweir/peers/members/gossip.py
@@ -1,7 +1,7 @@
-"""News on its way: each piece is passed on a number of times that grows with log of the fleet, newest first.
+"""The queue of updates to gossip, newest first; each is sent as often as a multiple of log of the fleet.
 
-Piggybacked, bounded dissemination as in SWIM (Das, Gupta, Motivala 2002). Of one member only the newest
-statement is passed on; of a suspicion the statement of each accuser, as they count apart.
+The dissemination is piggybacked and bounded as in SWIM (Das, Gupta, Motivala 2002). Only the newest update of
+a member is sent. For a suspicion the update of each accuser is sent, because they are counted separately.
 """
 
 from __future__ import annotations
@@ -13,12 +13,14 @@
 Slot = tuple[str, str]  # name, and accuser if it is a suspicion
 
 
-class Queue:
+class GossipQueue:
+    """Pending updates, by the number of times they were sent."""
+
     __slots__ = ("_encoder", "_levels", "_slots")
 
     def __init__(self) -> None:
         self._encoder = msgspec.msgpack.Encoder()
-        self._levels: list[dict[Slot, tuple[Record, int]]] = [{}]  # by how often it was passed on
+        self._levels: list[dict[Slot, tuple[Record, int]]] = [{}]  # by the number of times it was sent
         self._slots: dict[str, dict[str, int]] = {}  # name -> accuser -> level
 
     def __len__(self) -> int:
@@ -28,45 +30,53 @@
         return bool(self._slots)
 
     def add(self, record: Record) -> None:
-        """Older news of the same member is dropped."""
-        by = record.by if record.state is State.SUSPECT else ""
+        """Adds an update and drops older updates of the same member."""
+        accuser = record.accuser if record.state is State.SUSPECT else ""
         slots = self._slots.get(record.name, {})
-        for other, level in list(slots.items()):
-            if other == by or self._levels[level][record.name, other][0].key < record.key:
-                self._drop((record.name, other), level)
-        self._put((record.name, by), 0, (record, len(self._encoder.encode(record))))
+        for other_accuser, level in list(slots.items()):
+            if (
+                other_accuser == accuser
+                or self._levels[level][record.name, other_accuser][0].key < record.key
+            ):
+                self._drop((record.name, other_accuser), level)
+        self._put((record.name, accuser), 0, (record, len(self._encoder.encode(record))))
 
-    def take(self, room: int, repeats: int, to: str = "", first: Record | None = None) -> tuple[Record, ...]:
-        """News of at most `room` bytes; `first`, if given, comes before all and is not counted.
+    def select(
+        self, space_bytes: int, repeats: int, to: str = "", first: Record | None = None
+    ) -> tuple[Record, ...]:
+        """Returns the updates for one message to `to`, of at most `space_bytes`.
 
-        What a member said itself is not told to it.
+        `first`, if given, comes before all others and does not count as sent. A member is not sent its own
+        updates.
         """
-        taken: list[Record] = []
+        selected: list[Record] = []
         if first is not None:
-            taken.append(first)
-            room -= len(self._encoder.encode(first))
-        for level in range(len(self._levels) - 1, repeats - 1, -1):  # the fleet has shrunk
+            selected.append(first)
+            space_bytes -= len(self._encoder.encode(first))
+        for level in range(
+            len(self._levels) - 1, repeats - 1, -1
+        ):  # sent often enough, since the fleet has shrunk
             for slot in list(self._levels[level]):
                 self._drop(slot, level)
-        moved: list[tuple[Slot, int]] = []
+        sent: list[tuple[Slot, int]] = []
         for level in range(min(repeats, len(self._levels))):
             for slot, (record, size) in reversed(self._levels[level].items()):
                 if slot[0] == to and record.state is State.ALIVE:
                     continue
-                if size > room:
+                if size > space_bytes:
                     break
-                room -= size
-                moved.append((slot, level))
+                space_bytes -= size
+                sent.append((slot, level))
                 if record != first:
-                    taken.append(record)
+                    selected.append(record)
             else:
                 continue
             break
-        for slot, level in moved:
+        for slot, level in sent:
             entry = self._drop(slot, level)
             if level + 1 < repeats:
                 self._put(slot, level + 1, entry)
-        return tuple(taken)
+        return tuple(selected)
 
     def _put(self, slot: Slot, level: int, entry: tuple[Record, int]) -> None:
         while len(self._levels) <= level:
--- a/fernweir/peers/members/messages.py
+++ b/fernweir/peers/members/messages.py
@@ -1,7 +1,8 @@
-"""What members say to one another. All bounds that a field can state are checked as it is decoded.
+"""Messages between members. The bounds in the type of a field are checked when it is decoded.
 
-`Ping`, `Ack`, `Gossip` carry news (`Record`); `Sync` compares two tables by sums, and `Rows` answers with
-the parts that differ. A front that joins sends a `Sync` without sums, for which all parts differ.
+`Ping`, `Ack` and `Gossip` carry updates (`Record`). `Sync` compares two tables by checksums, and `Rows`
+answers with the parts that differ. A front that joins sends a `Sync` without checksums, so that all parts
+differ.
 """
 
 from __future__ import annotations
@@ -13,16 +14,16 @@
 
 from fernweir.peers.base import Address, Message
 
-LIFE_MOST = 2**48 - 1
-INCARNATION_MOST = 2**31 - 1
-PARTS = 32  # a table is compared in this many parts
-ROWS_MOST = 512  # in one message
+MAX_LIFE = 2**48 - 1
+MAX_INCARNATION = 2**31 - 1
+PARTS = 32  # the parts of a table that are compared by checksum
+MAX_ROWS = 512  # per message
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 Host = Annotated[str, msgspec.Meta(min_length=1, max_length=64)]
 Port = Annotated[int, msgspec.Meta(ge=1, le=65_535)]
-Life = Annotated[int, msgspec.Meta(ge=0, le=LIFE_MOST)]
-Incarnation = Annotated[int, msgspec.Meta(ge=0, le=INCARNATION_MOST)]
+Life = Annotated[int, msgspec.Meta(ge=0, le=MAX_LIFE)]
+Incarnation = Annotated[int, msgspec.Meta(ge=0, le=MAX_INCARNATION)]
 Format = Annotated[int, msgspec.Meta(ge=1, le=65_535)]
 Seq = Annotated[int, msgspec.Meta(ge=0, lt=2**62)]
 Sum = Annotated[int, msgspec.Meta(ge=0, lt=2**32)]
@@ -30,7 +31,7 @@
 
 
 class State(IntEnum):
-    """Of two statements of one life and incarnation the one with the higher state holds."""
+    """The state of a member. Of two records with one life and incarnation the higher state is valid."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -39,7 +40,7 @@
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """What is said of a member. `by` is who suspects it; `low` to `high` are the message formats it reads."""
+    """The status of a member. `accuser` suspects it; it reads the message formats from `low` to `high`."""
 
     name: Name
     state: State
@@ -49,15 +50,15 @@
     port: Port
     low: Format = 1
     high: Format = 1
-    by: Annotated[str, msgspec.Meta(max_length=64)] = ""
+    accuser: Annotated[str, msgspec.Meta(max_length=64)] = ""
 
     def __post_init__(self) -> None:
         if self.low > self.high:
-            raise ValueError("formats end before they begin")
+            raise ValueError(f"lowest format {self.low} is above the highest, {self.high}")
 
     @property
     def key(self) -> tuple[int, int, int]:
-        """Of two records of a name the one with the higher key holds, whatever order they came in."""
+        """Of two records of a name the one with the higher key is valid, whatever order they arrive in."""
         return (self.life, self.incarnation, self.state)
 
     @property
@@ -69,20 +70,20 @@
         return self.state <= State.SUSPECT
 
 
-News = Annotated[tuple[Record, ...], msgspec.Meta(max_length=256)]
+Updates = Annotated[tuple[Record, ...], msgspec.Meta(max_length=256)]
 
 
 class Ping(Message, frozen=True, tag="m.ping"):
-    """Is `to` alive at this address? Answered to the address in `me`, the record of who asks."""
+    """Asks whether `to` is alive at this address. The answer goes to the address in `sender_record`."""
 
     seq: Seq
     to: Name
-    me: Record
-    news: News = ()
+    sender_record: Record
+    updates: Updates = ()
 
 
 class PingRequest(Message, frozen=True, tag="m.ask"):
-    """Probe this member for me; answered by `Ack` with this `seq`, or `Nack` if it does not answer soon."""
+    """Asks a helper to probe a member; answered by `Ack` with this `seq`, or `Nack` if it does not answer."""
 
     seq: Seq
     name: Name
@@ -91,36 +92,38 @@
 
 
 class Ack(Message, frozen=True, tag="m.ack"):
-    """The answer to a probe; `life` is that of who was probed, also when a helper passes it on."""
+    """The answer to a probe; `life` is that of the probed member, also when a helper forwards it."""
 
     seq: Seq
     life: Life
-    news: News = ()
+    updates: Updates = ()
 
 
 class Nack(Message, frozen=True, tag="m.nack"):
-    """A helper works, but heard nothing of who was to be probed."""
+    """The answer of a helper that got no answer from the probed member."""
 
     seq: Seq
 
 
 class Gossip(Message, frozen=True, tag="m.gossip"):
-    news: News
+    """Updates without a probe."""
+
+    updates: Updates
 
 
 class Sync(Message, frozen=True, tag="m.sync"):
-    """Sums over the parts of the sender's table; none if it has just come and wants all."""
+    """Checksums of the parts of the sender's table; none if it has just joined and needs all parts."""
 
-    me: Record
-    sums: Annotated[tuple[Sum, ...], msgspec.Meta(max_length=PARTS)] = ()
+    sender_record: Record
+    checksums: Annotated[tuple[Sum, ...], msgspec.Meta(max_length=PARTS)] = ()
 
 
 class Rows(Message, frozen=True, tag="m.rows"):
-    """Records of some parts of a table. `ask`: what the reader knows better of these parts is wanted back."""
+    """Records of some parts of a table. `wants_newer`: the receiver returns newer records of these parts."""
 
-    rows: Annotated[tuple[Record, ...], msgspec.Meta(max_length=ROWS_MOST)]
+    rows: Annotated[tuple[Record, ...], msgspec.Meta(max_length=MAX_ROWS)]
     parts: Annotated[tuple[Part, ...], msgspec.Meta(max_length=PARTS)] = ()
-    ask: bool = False
+    wants_newer: bool = False
 
 
 KINDS = (Ping, PingRequest, Ack, Nack, Gossip, Sync, Rows)
--- a/fernweir/peers/members/prober.py
+++ b/fernweir/peers/members/prober.py
@@ -1,8 +1,8 @@
-"""The failure detector: whom to probe when, what an answer or its want means, and when a suspect is dead.
+"""The failure detector: schedules probes, handles their results, and declares suspects dead.
 
-One member each period in a shuffled round, with indirect probes (SWIM; Das, Gupta, Motivala 2002). A few
-fronts drawn anew for each suspicion probe the suspect out of turn, so that confirmations come soon in a
-fleet of any size, and before a death is declared the suspect is asked a last time.
+Each period one member of a shuffled round is probed, with indirect probes (SWIM; Das, Gupta, Motivala 2002).
+For each suspicion a few random fronts probe the suspect out of turn, so that confirmations arrive soon in a
+fleet of any size. Before a suspect is declared dead it is probed a last time.
 """
 
 from __future__ import annotations
@@ -12,172 +12,172 @@
 import msgspec
 
 from fernweir.peers.members.messages import Ack, Nack, Ping, PingRequest, Record, State
-from fernweir.peers.members.probes import TRIES, Probe, Probes
-from fernweir.peers.members.view import Voice
+from fernweir.peers.members.probes import MAX_ATTEMPTS, Probe, Probes
+from fernweir.peers.members.view import MembershipView
 
 
 class Prober:
-    """`dropped` counts pings whose sender is not whom they speak for."""
+    """`dropped` counts pings whose sender is not the member in their record."""
 
-    def __init__(self, voice: Voice) -> None:
-        self._voice = voice
-        self._probes = Probes(voice.rules, voice.dice)
+    def __init__(self, view: MembershipView) -> None:
+        self._view = view
+        self._probes = Probes(view.rules, view.rng)
         self._round: list[str] = []
         self._probe_at = math.inf
         self.dropped = 0
-        voice.suspect = self._witness
+        view.on_suspicion = self._probe_as_witness
 
-    def begin(self, after: float) -> None:
-        """The first probe, or the first after a standstill; what was in flight counts no more."""
+    def start(self, after: float) -> None:
+        """Schedules the first probe, also after a suspension of the process; discards probes in flight."""
         self._probes.clear()
-        self._probe_at = self._voice.now + after
+        self._probe_at = self._view.now + after
 
-    def end(self) -> None:
+    def stop(self) -> None:
         self._probes.clear()
         self._probe_at = math.inf
 
-    def due(self) -> float:
-        voice = self._voice
-        suspicions = voice.suspicions.due(self._look_ms)
-        return min(self._probe_at, self._probes.due(), suspicions, voice.identity.due())
+    def next_deadline(self) -> float:
+        view = self._view
+        suspicions = view.suspicions.next_deadline(self._last_probe_ms)
+        return min(self._probe_at, self._probes.next_deadline(), suspicions, view.identity.next_deadline())
 
-    def step(self) -> None:
+    def tick(self) -> None:
         self._probe()
         self._step_probes()
-        self._judge()
-        self._ask_rival()
+        self._check_suspicions()
+        self._probe_rival()
 
     @property
-    def _look_ms(self) -> float:
-        return TRIES * self._voice.rules.timeout * self._voice.awareness.factor
+    def _last_probe_ms(self) -> float:
+        return MAX_ATTEMPTS * self._view.rules.timeout * self._view.awareness.factor
 
     def _probe(self) -> None:
-        """One member each period, in a round shuffled anew when it is through; who is new comes into it."""
-        voice = self._voice
-        if voice.now < self._probe_at:
+        """Probes one member each period, in a round that includes new members; reshuffles it at its end."""
+        view = self._view
+        if view.now < self._probe_at:
             return
-        voice.roster.sweep(voice.now, voice.rules.forget, voice.rules.tombstone)
-        self._probe_at = voice.now + voice.rules.period * voice.awareness.factor
-        if len(self._round) > 2 * voice.rules.most:  # names that come and go faster than probes
+        view.table.sweep(view.now, view.rules.forget, view.rules.tombstone)
+        self._probe_at = view.now + view.rules.period * view.awareness.factor
+        if len(self._round) > 2 * view.rules.most:  # names join and leave faster than they are probed
             self._round.clear()
-        for name in voice.roster.fresh:
-            self._round.insert(voice.dice.randint(0, len(self._round)), name)
-        voice.roster.fresh.clear()
+        for name in view.table.new_names:
+            self._round.insert(view.rng.randint(0, len(self._round)), name)
+        view.table.new_names.clear()
         for again in (False, True):
             if again:
-                self._round = list(voice.roster.living)
-                voice.dice.shuffle(self._round)
+                self._round = list(view.table.living)
+                view.rng.shuffle(self._round)
             while self._round:
-                member = voice.roster.rows.get(self._round.pop())
+                member = view.table.rows.get(self._round.pop())
                 if member is not None and member.record.living:
-                    self._probes.begin(voice.now, member.record, voice.awareness.factor)
+                    self._probes.begin(view.now, member.record, view.awareness.factor)
                     return
 
-    def _witness(self, record: Record) -> None:
-        """Of those who hear of a suspicion a few probe at once, whatever the size of the fleet."""
-        voice = self._voice
-        living = len(voice.roster.living)
-        if record.by == voice.own.name or voice.dice.random() * living >= voice.rules.witnesses:
+    def _probe_as_witness(self, record: Record) -> None:
+        """Probes a new suspect at once, with a probability that selects a few of the fronts of the fleet."""
+        view = self._view
+        living = len(view.table.living)
+        if record.accuser == view.own.name or view.rng.random() * living >= view.rules.witnesses:
             return
-        if not self._probes.flying(record.name):
-            self._probes.begin(voice.now, record, voice.awareness.factor)
+        if not self._probes.is_probing(record.name):
+            self._probes.begin(view.now, record, view.awareness.factor)
 
     def _step_probes(self) -> None:
-        voice = self._voice
-        for seq, probe in self._probes.ripe(voice.now):
-            if probe.tries == TRIES:
-                self._unanswered(probe)
+        view = self._view
+        for seq, probe in self._probes.due_probes(view.now):
+            if probe.attempts == MAX_ATTEMPTS:
+                self._on_probe_failed(probe)
                 continue
-            known = voice.roster.known(probe.record.name) or probe.record
-            first = known if known.state is not State.ALIVE else None
-            ping = Ping(seq, probe.record.name, voice.own, voice.take_news(known.name, first))
-            voice.send(probe.record.address, ping)
-            if probe.tries and not probe.look:
+            known = view.table.record_of(probe.record.name) or probe.record
+            first_update = known if known.state is not State.ALIVE else None
+            ping = Ping(seq, probe.record.name, view.own, view.next_updates(known.name, first_update))
+            view.send(probe.record.address, ping)
+            if probe.attempts and not probe.is_last:
                 self._ask_helpers(seq, probe)
-            probe.tried()
-        for relay in self._probes.nacks(voice.now):
-            voice.send(relay.to, Nack(relay.seq))
+            probe.count_attempt()
+        for relay in self._probes.due_nacks(view.now):
+            view.send(relay.to, Nack(relay.seq))
 
     def _ask_helpers(self, seq: int, probe: Probe) -> None:
-        """Others than those asked at an earlier try, as far as there are."""
-        voice = self._voice
-        drawn = voice.roster.draw(voice.dice, 2 * voice.rules.helpers, but=probe.record.name)
-        fresh = [record for record in drawn if record.name not in probe.asked]
+        """Selects helpers that were not asked in an earlier attempt, if there are any."""
+        view = self._view
+        drawn = view.table.sample(view.rng, 2 * view.rules.helpers, exclude=probe.record.name)
+        fresh = [record for record in drawn if record.name not in probe.helpers]
         host, port = probe.record.address
-        for record in (fresh or drawn)[: voice.rules.helpers]:
-            if record.name not in probe.asked:
-                probe.asked.append(record.name)
-            voice.send(record.address, PingRequest(seq, probe.record.name, host, port))
-
-    def _unanswered(self, probe: Probe) -> None:
-        voice = self._voice
-        if probe.look:
+        for record in (fresh or drawn)[: view.rules.helpers]:
+            if record.name not in probe.helpers:
+                probe.helpers.append(record.name)
+            view.send(record.address, PingRequest(seq, probe.record.name, host, port))
+
+    def _on_probe_failed(self, probe: Probe) -> None:
+        view = self._view
+        if probe.is_last:
             return
-        voice.awareness.worse(probe.silent_helpers if probe.asked else 1)
-        known = voice.roster.known(probe.record.name)
+        view.awareness.increase(probe.silent_helpers if probe.helpers else 1)
+        known = view.table.record_of(probe.record.name)
         if known is None or not known.living or known.life != probe.record.life:
             return
         if known.incarnation == probe.record.incarnation:
-            voice.hear([_restated(known, State.SUSPECT, voice.own.name)])
-
-    def _judge(self) -> None:
-        """Suspicions near their end get a last probe; those at their end are deaths."""
-        voice = self._voice
-        look = self._look_ms
-        for name in voice.suspicions.to_look(voice.now, look):
-            self._probes.begin(voice.now, voice.roster.rows[name].record, voice.awareness.factor, look=True)
-        for name in voice.suspicions.over(voice.now):
-            record = voice.roster.rows[name].record
-            voice.hear([_restated(record, State.DEAD, voice.own.name)])
-
-    def _ask_rival(self) -> None:
-        voice = self._voice
-        number = self._probes.number() if voice.identity.due() <= voice.now else 0
-        address = voice.identity.ask(voice.now, number, alone=not voice.roster.living)
+            view.apply([_with_state(known, State.SUSPECT, view.own.name)])
+
+    def _check_suspicions(self) -> None:
+        """Starts the last probes of suspicions that end soon; declares the members of ended ones dead."""
+        view = self._view
+        probe_ms = self._last_probe_ms
+        for name in view.suspicions.start_last_probes(view.now, probe_ms):
+            self._probes.begin(view.now, view.table.rows[name].record, view.awareness.factor, is_last=True)
+        for name in view.suspicions.expired(view.now):
+            record = view.table.rows[name].record
+            view.apply([_with_state(record, State.DEAD, view.own.name)])
+
+    def _probe_rival(self) -> None:
+        view = self._view
+        seq = self._probes.next_seq() if view.identity.next_deadline() <= view.now else 0
+        address = view.identity.address_to_probe(view.now, seq, alone=not view.table.living)
         if address is not None:
-            own = voice.own
-            voice.send(address, Ping(number, own.name, own, ()))
+            own = view.own
+            view.send(address, Ping(seq, own.name, own, ()))
 
-    def heard_ping(self, sender: str, ping: Ping) -> None:
-        voice = self._voice
-        if ping.me.name != sender:
+    def on_ping(self, sender: str, ping: Ping) -> None:
+        view = self._view
+        if ping.sender_record.name != sender:
             self.dropped += 1
             return
-        voice.hear([ping.me])
-        voice.hear(ping.news)
-        if sender == voice.own.name:
-            voice.identity.asked_by(ping.me)
-        if ping.to == voice.own.name:
-            news = voice.take_news(sender, voice.about(ping.me))
-            voice.send(ping.me.address, Ack(ping.seq, voice.own.life, news))
-
-    def heard_ack(self, sender: str, ack: Ack) -> None:
-        voice = self._voice
-        voice.hear(ack.news)
-        if (relay := self._probes.relayed(ack.seq, sender)) is not None:
-            voice.send(relay.to, Ack(relay.seq, ack.life, voice.take_news("")))
-        elif (probe := self._probes.answered(ack.seq, sender, ack.life)) is not None:
-            voice.awareness.better()
-            voice.suspicions.again(voice.now, probe.record.name)
-        elif sender == voice.own.name:
-            voice.identity.answered(voice.now, ack.seq, ack.life)
-
-    def heard_request(self, sender: str, request: PingRequest) -> None:
-        voice = self._voice
-        asker = voice.roster.rows.get(sender)
+        view.apply([ping.sender_record])
+        view.apply(ping.updates)
+        if sender == view.own.name:
+            view.identity.on_ping_from_namesake(ping.sender_record)
+        if ping.to == view.own.name:
+            updates = view.next_updates(sender, view.correction_for(ping.sender_record))
+            view.send(ping.sender_record.address, Ack(ping.seq, view.own.life, updates))
+
+    def on_ack(self, sender: str, ack: Ack) -> None:
+        view = self._view
+        view.apply(ack.updates)
+        if (relay := self._probes.on_relay_answer(ack.seq, sender)) is not None:
+            view.send(relay.to, Ack(relay.seq, ack.life, view.next_updates("")))
+        elif (probe := self._probes.on_answer(ack.seq, sender, ack.life)) is not None:
+            view.awareness.decrease()
+            view.suspicions.restart(view.now, probe.record.name)
+        elif sender == view.own.name:
+            view.identity.on_rival_answered(view.now, ack.seq, ack.life)
+
+    def on_ping_request(self, sender: str, request: PingRequest) -> None:
+        view = self._view
+        asker = view.table.rows.get(sender)
         if asker is None:
             return
         address = (request.host, request.port)
-        seq = self._probes.relay(voice.now, request.name, asker.address, request.seq)
+        seq = self._probes.relay(view.now, request.name, asker.address, request.seq)
         if seq is not None:
-            known = voice.roster.known(request.name)
-            first = known if known is not None and known.state is not State.ALIVE else None
-            news = voice.take_news(request.name, first)
-            voice.send(address, Ping(seq, request.name, voice.own, news))
+            known = view.table.record_of(request.name)
+            first_update = known if known is not None and known.state is not State.ALIVE else None
+            updates = view.next_updates(request.name, first_update)
+            view.send(address, Ping(seq, request.name, view.own, updates))
 
-    def heard_nack(self, sender: str, nack: Nack) -> None:
-        self._probes.nack(nack.seq, sender)
+    def on_nack(self, sender: str, nack: Nack) -> None:
+        self._probes.on_nack(nack.seq, sender)
 
 
-def _restated(record: Record, state: State, by: str) -> Record:
-    return msgspec.structs.replace(record, state=state, by=by)
+def _with_state(record: Record, state: State, accuser: str) -> Record:
+    return msgspec.structs.replace(record, state=state, accuser=accuser)
--- a/fernweir/peers/members/probes.py
+++ b/fernweir/peers/members/probes.py
@@ -1,8 +1,9 @@
-"""Probes in flight, and those passed on for others: when each is tried again, and whose answers count.
+"""Probes in flight, and probes on behalf of others: the times of attempts, and the accepted answers.
 
-A probe is a ping, then three more at `timeout`, each with some helpers asked to ping as well; it ends with
-its period. At 20% loss about one probe in 8,000 of a living member fails. Indirect probes are SWIM's (Das,
-Gupta, Motivala 2002), the helpers' "nack" is Lifeguard's (Dadgar, Phillips, Currey 2018).
+A probe is a ping and three more at intervals of `timeout`, each with requests to some helpers to ping as
+well; it ends with its period. At 20% loss about one probe in 8,000 of a living member fails. Indirect probes
+are from SWIM (Das, Gupta, Motivala 2002), the "nack" of helpers is from Lifeguard (Dadgar, Phillips, Currey
+2018).
 """
 
 from __future__ import annotations
@@ -15,38 +16,40 @@
 from fernweir.peers.members.messages import Record
 from fernweir.peers.members.rules import MemberRules
 
-TRIES = 4
-IN_FLIGHT = 256
-RELAYS = 256
+MAX_ATTEMPTS = 4
+MAX_PROBES = 256
+MAX_RELAYS = 256
 
 
 @dataclass(slots=True)
 class Probe:
-    """Of one life of a member. `look`: the last one before it is declared dead, without helpers."""
+    """A probe of one life of a member. `is_last`: the one before it is declared dead, without helpers."""
 
     record: Record
-    began: float
+    started_at: float
     timeout: float
     until: float
-    look: bool
-    tries: int = 0
+    is_last: bool
+    attempts: int = 0
     next_at: float = 0.0
-    asked: list[str] = field(default_factory=list)
+    helpers: list[str] = field(default_factory=list)
     nacks: set[str] = field(default_factory=set)
 
-    def tried(self) -> None:
-        self.tries += 1
-        self.next_at = self.began + self.tries * self.timeout if self.tries < TRIES else self.until
+    def count_attempt(self) -> None:
+        self.attempts += 1
+        self.next_at = (
+            self.started_at + self.attempts * self.timeout if self.attempts < MAX_ATTEMPTS else self.until
+        )
 
     @property
     def silent_helpers(self) -> int:
-        """Helpers who neither passed on an answer nor said that there was none."""
-        return len(self.asked) - len(self.nacks)
+        """The number of helpers that sent neither an answer nor a `Nack`."""
+        return len(self.helpers) - len(self.nacks)
 
 
 @dataclass(slots=True)
 class Relay:
-    """A probe on behalf of another front: to whom its answer goes, under which number of theirs."""
+    """A probe on behalf of another front, to which the answer goes with its number `seq`."""
 
     name: str
     to: Address
@@ -57,81 +60,87 @@
 
 
 class Probes:
-    __slots__ = ("_flying", "_relays", "_rules", "_seq")
+    """The probes of a front in flight, by number."""
 
-    def __init__(self, rules: MemberRules, dice: Random) -> None:
+    __slots__ = ("_in_flight", "_relays", "_rules", "_seq")
+
+    def __init__(self, rules: MemberRules, rng: Random) -> None:
         self._rules = rules
-        self._seq = dice.getrandbits(40)  # so that answers to an earlier process are none to this one
-        self._flying: dict[int, Probe] = {}
+        self._seq = rng.getrandbits(40)  # random, so that answers to an earlier process do not match
+        self._in_flight: dict[int, Probe] = {}
         self._relays: dict[int, Relay] = {}
 
-    def number(self) -> int:
+    def next_seq(self) -> int:
         self._seq += 1
         return self._seq
 
-    def begin(self, now: float, record: Record, factor: float, look: bool = False) -> None:
-        """A new probe, due at once; none if too many are in flight."""
-        if len(self._flying) >= IN_FLIGHT:
+    def begin(self, now: float, record: Record, factor: float, is_last: bool = False) -> None:
+        """Adds a probe that is due at once, unless too many are in flight."""
+        if len(self._in_flight) >= MAX_PROBES:
             return
         timeout = self._rules.timeout * factor
-        lasts = TRIES * timeout if look else max(self._rules.period * factor, TRIES * timeout)
-        self._flying[self.number()] = Probe(record, now, timeout, now + lasts, look, next_at=now)
-
-    def ripe(self, now: float) -> list[tuple[int, Probe]]:
-        """Probes to try again; those past their last try have failed and are dropped here."""
-        ripe = [(seq, probe) for seq, probe in self._flying.items() if probe.next_at <= now]
-        for seq, probe in ripe:
-            if probe.tries == TRIES:
-                del self._flying[seq]
-        return ripe
-
-    def answered(self, seq: int, sender: str, life: int) -> Probe | None:
-        """The probe that an answer with this number ends: from the probed itself or a helper asked."""
-        probe = self._flying.get(seq)
-        if probe is None or life < probe.record.life or sender not in (probe.record.name, *probe.asked):
+        duration_ms = (
+            MAX_ATTEMPTS * timeout if is_last else max(self._rules.period * factor, MAX_ATTEMPTS * timeout)
+        )
+        self._in_flight[self.next_seq()] = Probe(
+            record, now, timeout, now + duration_ms, is_last, next_at=now
+        )
+
+    def due_probes(self, now: float) -> list[tuple[int, Probe]]:
+        """Returns the probes that are due for an attempt or have failed; removes the failed ones."""
+        due_probes = [(seq, probe) for seq, probe in self._in_flight.items() if probe.next_at <= now]
+        for seq, probe in due_probes:
+            if probe.attempts == MAX_ATTEMPTS:
+                del self._in_flight[seq]
+        return due_probes
+
+    def on_answer(self, seq: int, sender: str, life: int) -> Probe | None:
+        """Ends and returns the probe with this number if the member or one of its helpers answered it."""
+        probe = self._in_flight.get(seq)
+        if probe is None or life < probe.record.life or sender not in (probe.record.name, *probe.helpers):
             return None
-        return self._flying.pop(seq)
+        return self._in_flight.pop(seq)
 
-    def nack(self, seq: int, sender: str) -> None:
-        probe = self._flying.get(seq)
-        if probe is not None and sender in probe.asked:
+    def on_nack(self, seq: int, sender: str) -> None:
+        probe = self._in_flight.get(seq)
+        if probe is not None and sender in probe.helpers:
             probe.nacks.add(sender)
 
-    def flying(self, name: str) -> bool:
-        return any(probe.record.name == name for probe in self._flying.values())
+    def is_probing(self, name: str) -> bool:
+        return any(probe.record.name == name for probe in self._in_flight.values())
 
     def relay(self, now: float, name: str, to: Address, seq: int) -> int | None:
-        """The own number of a probe passed on; None if there are too many."""
-        if len(self._relays) >= RELAYS:
+        """Adds a probe on behalf of another front. Returns its number, or None if there are too many."""
+        if len(self._relays) >= MAX_RELAYS:
             return None
-        own = self.number()
+        own = self.next_seq()
         nack_at = now + 0.8 * self._rules.timeout
         self._relays[own] = Relay(name, to, seq, nack_at, now + 2 * self._rules.period)
         return own
 
-    def relayed(self, seq: int, sender: str) -> Relay | None:
+    def on_relay_answer(self, seq: int, sender: str) -> Relay | None:
         relay = self._relays.get(seq)
         if relay is None or relay.name != sender:
             return None
         return self._relays.pop(seq)
 
-    def nacks(self, now: float) -> list[Relay]:
-        """Relays whose asker is to be told now that there was no answer; those long over are dropped."""
-        told = []
+    def due_nacks(self, now: float) -> list[Relay]:
+        """Returns the relays for which a `Nack` is due; removes those that have ended."""
+        due_relays = []
         for seq, relay in list(self._relays.items()):
             if relay.until <= now:
                 del self._relays[seq]
             elif not relay.nacked and relay.nack_at <= now:
                 relay.nacked = True
-                told.append(relay)
-        return told
+                due_relays.append(relay)
+        return due_relays
 
-    def due(self) -> float:
-        times = [probe.next_at for probe in self._flying.values()]
+    def next_deadline(self) -> float:
+        times = [probe.next_at for probe in self._in_flight.values()]
         times += [relay.until if relay.nacked else relay.nack_at for relay in self._relays.values()]
         return min(times, default=math.inf)
 
     def clear(self) -> None:
-        """Nothing in flight counts any more: this process stood still."""
-        self._flying.clear()
+        """Discards everything in flight, because this process was suspended."""
+        self._in_flight.clear()
         self._relays.clear()
--- a/fernweir/peers/members/repair.py
+++ b/fernweir/peers/members/repair.py
@@ -1,7 +1,8 @@
-"""Repair of tables: which parts to tell of another's table, and whom to call that seems lost.
+"""Anti-entropy: comparison of member tables, and contact to members and seeds that seem lost.
 
-Gossip may miss a front; two tables are compared by sums and only parts that differ are told. Dead members and
-seeds out of sight are called in turn, one at a time, so that halves of a fleet that was cut find one another.
+Gossip may miss a front, so two tables are compared by checksums, and only parts that differ are sent. Dead
+members and seeds that are not members are contacted in turn, one at a time, so that the halves of a
+partitioned fleet find one another.
 """
 
 from __future__ import annotations
@@ -11,13 +12,13 @@
 from random import Random
 
 from fernweir.peers.base import Address
-from fernweir.peers.members.messages import ROWS_MOST, Record, Rows, Sync
-from fernweir.peers.members.table import Roster, part_of
-from fernweir.peers.members.view import Voice
+from fernweir.peers.members.messages import MAX_ROWS, Record, Rows, Sync
+from fernweir.peers.members.table import MemberTable, part_of
+from fernweir.peers.members.view import MembershipView
 
 
-class Allowance:
-    """How many tables may be told: refilled by time, so that a flood of questions costs a bounded answer."""
+class RateLimit:
+    """A token bucket that bounds the tables sent per second, whatever the number of requests."""
 
     __slots__ = ("_at", "_left", "_rate")
 
@@ -35,131 +36,133 @@
         return True
 
 
-def told(roster: Roster, parts: Sequence[int]) -> list[Rows]:
-    """All that is known of some parts, and what the reader knows better is wanted back."""
+def table_rows(table: MemberTable, parts: Sequence[int]) -> list[Rows]:
+    """Returns messages with all records of some parts, which also request newer records of the receiver."""
     by_part: dict[int, list[Record]] = {part: [] for part in parts}
-    for record in roster.parts(parts):
+    for record in table.records_in_parts(parts):
         by_part[part_of(record.name)].append(record)
     messages: list[Rows] = []
     rows: list[Record] = []
-    held: list[int] = []
+    group: list[int] = []
     for part, records in by_part.items():
-        if held and len(rows) + len(records) > ROWS_MOST:
-            messages += _cut(rows, tuple(held))
-            rows, held = [], []
+        if group and len(rows) + len(records) > MAX_ROWS:
+            messages += _split(rows, tuple(group))
+            rows, group = [], []
         rows += records
-        held.append(part)
-    return messages + _cut(rows, tuple(held))
+        group.append(part)
+    return messages + _split(rows, tuple(group))
 
 
-def _cut(rows: list[Record], parts: tuple[int, ...]) -> list[Rows]:
-    """Rows of one group of parts; only a part that alone has too many takes more than one message."""
-    chunks = [rows[at : at + ROWS_MOST] for at in range(0, len(rows), ROWS_MOST)] or [[]]
+def _split(rows: list[Record], parts: tuple[int, ...]) -> list[Rows]:
+    """Splits the rows of a group of parts; only a single part that is too large needs several messages."""
+    chunks = [rows[at : at + MAX_ROWS] for at in range(0, len(rows), MAX_ROWS)] or [[]]
     messages = [Rows(tuple(chunk)) for chunk in chunks[:-1]]
-    return [*messages, Rows(tuple(chunks[-1]), parts, ask=True)]
+    return [*messages, Rows(tuple(chunks[-1]), parts, wants_newer=True)]
 
 
-def better(roster: Roster, message: Rows) -> list[Rows]:
-    """What is known here of the asked parts and is newer than what was told."""
+def newer_rows(table: MemberTable, message: Rows) -> list[Rows]:
+    """Returns the records of the requested parts that are newer than those in the message."""
     keys = {record.name: record.key for record in message.rows}
-    newer = [r for r in roster.parts(message.parts) if r.name not in keys or keys[r.name] < r.key]
-    return [Rows(tuple(newer[at : at + ROWS_MOST])) for at in range(0, len(newer), ROWS_MOST)]
+    newer = [r for r in table.records_in_parts(message.parts) if r.name not in keys or keys[r.name] < r.key]
+    return [Rows(tuple(newer[at : at + MAX_ROWS])) for at in range(0, len(newer), MAX_ROWS)]
 
 
-class Lost:
-    """Addresses to call: seeds out of sight and members declared dead, each once a round, shuffled."""
+class LostAddresses:
+    """Addresses to contact, in shuffled rounds: seeds that are not members and members declared dead."""
 
-    __slots__ = ("_dice", "_round", "seeds")
+    __slots__ = ("_rng", "_round", "seeds")
 
-    def __init__(self, dice: Random) -> None:
-        self._dice = dice
+    def __init__(self, rng: Random) -> None:
+        self._rng = rng
         self._round: list[Address] = []
         self.seeds: list[Address] = []
 
-    def next(self, roster: Roster, own: Address, count: int) -> list[Address]:
-        """Up to `count` that no living member has."""
-        seen = {roster.rows[name].record.address for name in roster.living} | {own}
-        called: list[Address] = []
+    def next_addresses(self, table: MemberTable, own: Address, count: int) -> list[Address]:
+        """Returns up to `count` addresses that no living member has."""
+        living_addresses = {table.rows[name].record.address for name in table.living} | {own}
+        selected: list[Address] = []
         for again in (False, True):
             if again:
-                lost = dict.fromkeys([*self.seeds, *(record.address for record in roster.dead())])
-                self._round = [address for address in lost if address not in seen and address not in called]
-                self._dice.shuffle(self._round)
-            while self._round and len(called) < count:
+                lost = dict.fromkeys([*self.seeds, *(record.address for record in table.dead_records())])
+                self._round = [
+                    address for address in lost if address not in living_addresses and address not in selected
+                ]
+                self._rng.shuffle(self._round)
+            while self._round and len(selected) < count:
                 address = self._round.pop()
-                if address not in seen:
-                    called.append(address)
-        return called
+                if address not in living_addresses:
+                    selected.append(address)
+        return selected
 
 
-class Repair:
-    """`dropped` counts comparisons whose sender is not whom they speak for."""
+class AntiEntropy:
+    """`dropped` counts `Sync` messages whose sender is not the member in their record."""
 
-    def __init__(self, voice: Voice) -> None:
-        self._voice = voice
-        self._lost = Lost(voice.dice)
-        self._allowance = Allowance(voice.rules.tables_a_second)
-        self._sync_at = self._call_at = math.inf
-        self._quiet_until = -math.inf
+    def __init__(self, view: MembershipView) -> None:
+        self._view = view
+        self._lost = LostAddresses(view.rng)
+        self._rate_limit = RateLimit(view.rules.tables_a_second)
+        self._sync_at = self._contact_at = math.inf
+        self._no_gossip_until = -math.inf
         self.dropped = 0
 
-    def begin(self, seeds: Sequence[Address]) -> None:
-        voice = self._voice
-        self._lost.seeds = [address for address in seeds if address != voice.own.address]
-        self._sync_at = voice.now + voice.dice.random() * voice.rules.sync_every
-        self._call_at = voice.now
+    def start(self, seeds: Sequence[Address]) -> None:
+        view = self._view
+        self._lost.seeds = [address for address in seeds if address != view.own.address]
+        self._sync_at = view.now + view.rng.random() * view.rules.sync_every
+        self._contact_at = view.now
 
-    def stood(self) -> None:
-        """What happened meanwhile is in the tables of others."""
-        self._sync_at = self._voice.now
+    def on_stall(self) -> None:
+        """Schedules a comparison at once, because this process was suspended and missed updates."""
+        self._sync_at = self._view.now
 
-    def end(self) -> None:
-        self._sync_at = self._call_at = math.inf
+    def stop(self) -> None:
+        self._sync_at = self._contact_at = math.inf
 
-    def due(self) -> float:
-        return min(self._sync_at, self._call_at)
+    def next_deadline(self) -> float:
+        return min(self._sync_at, self._contact_at)
 
-    def step(self) -> None:
-        self._call()
-        self._compare()
+    def tick(self) -> None:
+        self._contact_lost()
+        self._sync_tables()
 
-    def _compare(self) -> None:
-        voice = self._voice
-        if voice.now < self._sync_at:
+    def _sync_tables(self) -> None:
+        view = self._view
+        if view.now < self._sync_at:
             return
-        self._sync_at = voice.now + voice.rules.sync_every * voice.dice.uniform(0.8, 1.2)
-        for record in voice.roster.draw(voice.dice, 1):
-            voice.send(record.address, Sync(voice.own, tuple(voice.roster.sums)))
-
-    def _call(self) -> None:
-        """Seeds and dead members: a few often while alone, one now and then in company."""
-        voice = self._voice
-        if voice.now < self._call_at:
+        self._sync_at = view.now + view.rules.sync_every * view.rng.uniform(0.8, 1.2)
+        for record in view.table.sample(view.rng, 1):
+            view.send(record.address, Sync(view.own, tuple(view.table.checksums)))
+
+    def _contact_lost(self) -> None:
+        """Contacts seeds and dead members: a few often while alone, otherwise one at a lower rate."""
+        view = self._view
+        if view.now < self._contact_at:
             return
-        alone = not voice.roster.living
-        self._call_at = voice.now + (voice.rules.join_every if alone else voice.rules.rejoin_every)
-        sums = () if alone else tuple(voice.roster.sums)
-        for address in self._lost.next(voice.roster, voice.own.address, 3 if alone else 1):
-            voice.send(address, Sync(voice.own, sums))
-
-    def heard_sync(self, sender: str, sync: Sync) -> None:
-        voice = self._voice
-        if sync.me.name != sender:
+        alone = not view.table.living
+        self._contact_at = view.now + (view.rules.join_every if alone else view.rules.rejoin_every)
+        checksums = () if alone else tuple(view.table.checksums)
+        for address in self._lost.next_addresses(view.table, view.own.address, 3 if alone else 1):
+            view.send(address, Sync(view.own, checksums))
+
+    def on_sync(self, sender: str, sync: Sync) -> None:
+        view = self._view
+        if sync.sender_record.name != sender:
             self.dropped += 1
             return
-        voice.hear([sync.me])
-        parts = voice.roster.differing(sync.sums)
-        if parts and self._allowance.spend(voice.now):
-            for message in told(voice.roster, parts):
-                voice.send(sync.me.address, message, reliable=True)
-
-    def heard_rows(self, sender: str, message: Rows) -> None:
-        """A whole table that answers a join is not passed on: the others have it."""
-        voice = self._voice
-        if not voice.roster.living:
-            self._quiet_until = voice.now + voice.rules.join_every
-        voice.hear(message.rows, spread=voice.now >= self._quiet_until)
-        asker = voice.roster.rows.get(sender)
-        if message.ask and asker is not None:
-            for answer in better(voice.roster, message):
-                voice.send(asker.address, answer, reliable=True)
+        view.apply([sync.sender_record])
+        parts = view.table.differing_parts(sync.checksums)
+        if parts and self._rate_limit.spend(view.now):
+            for message in table_rows(view.table, parts):
+                view.send(sync.sender_record.address, message, reliable=True)
+
+    def on_rows(self, sender: str, message: Rows) -> None:
+        """Applies received rows; those of the complete table after a join are not gossiped."""
+        view = self._view
+        if not view.table.living:
+            self._no_gossip_until = view.now + view.rules.join_every
+        view.apply(message.rows, spread=view.now >= self._no_gossip_until)
+        asker = view.table.rows.get(sender)
+        if message.wants_newer and asker is not None:
+            for answer in newer_rows(view.table, message):
+                view.send(asker.address, answer, reliable=True)
--- a/fernweir/peers/members/table.py
+++ b/fernweir/peers/members/table.py
@@ -1,7 +1,7 @@
-"""The table of members: bounded, with tombstones, and sums over its parts by which two tables are compared.
+"""The bounded table of members, with tombstones and checksums of its parts to compare two tables.
 
-Of two records of a name the one with the higher key (life, incarnation, state) holds, so that tables that
-heard the same are the same, in whatever order and however often they heard it.
+Of two records of a name the one with the higher key (life, incarnation, state) is valid. Tables that received
+the same records are therefore the same, in whatever order and however often they were received.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A record, and since when (own clock, ms) this state is known here."""
+    """A record, and since when (own clock, ms) this front has known the state."""
 
     record: Record
     since: float
@@ -52,107 +52,120 @@
     return crc32(name.encode("utf-8", "surrogatepass")) % PARTS
 
 
-def _print(record: Record) -> int:
-    said = f"{record.life}:{record.incarnation}:{record.name}".encode("utf-8", "surrogatepass")
-    return int.from_bytes(blake2b(said, digest_size=4).digest(), "big")
+def _fingerprint(record: Record) -> int:
+    text = f"{record.life}:{record.incarnation}:{record.name}".encode("utf-8", "surrogatepass")
+    return int.from_bytes(blake2b(text, digest_size=4).digest(), "big")
 
 
-class Roster:
-    """`rows` has all members with oneself, dead ones for a time; `living` the living others.
+class MemberTable:
+    """`rows` has all members with this front, dead ones for a time; `living` has the names of living others.
 
-    `fresh` gets the names that came to `living`, until somebody empties it.
+    `new_names` collects the names added to `living` until the prober empties it.
     """
 
-    __slots__ = ("_gone", "_graves", "_me", "_most", "_places", "fresh", "living", "rows", "sums")
-
-    def __init__(self, me: str, most: int) -> None:
+    __slots__ = (
+        "_dead_since",
+        "_max_members",
+        "_me",
+        "_positions",
+        "_tombstones",
+        "checksums",
+        "living",
+        "new_names",
+        "rows",
+    )
+
+    def __init__(self, me: str, max_members: int) -> None:
         self._me = me
-        self._most = most
+        self._max_members = max_members
         self.rows: dict[str, Member] = {}
         self.living: list[str] = []
-        self.fresh: list[str] = []
-        self._places: dict[str, int] = {}
-        self._gone: dict[str, float] = {}  # dead or left, oldest first
-        self._graves: dict[str, Member] = {}  # tombstones, oldest first
-        self.sums = [0] * PARTS
-
-    def known(self, name: str) -> Record | None:
-        """The newest record, a tombstone's too."""
-        member = self.rows.get(name) or self._graves.get(name)
+        self.new_names: list[str] = []
+        self._positions: dict[str, int] = {}
+        self._dead_since: dict[str, float] = {}  # dead or left, oldest first
+        self._tombstones: dict[str, Member] = {}  # oldest first
+        self.checksums = [0] * PARTS
+
+    def record_of(self, name: str) -> Record | None:
+        """Returns the newest record of a name, also that of a tombstone."""
+        member = self.rows.get(name) or self._tombstones.get(name)
         return member.record if member is not None else None
 
-    def room(self, now: float, name: str) -> bool:
-        """Whether a row for this name can be had; the one longest dead makes room."""
-        if name in self.rows or len(self.rows) < self._most:
+    def ensure_capacity(self, now: float, name: str) -> bool:
+        """Whether the table can store this name. If it is full, the member dead for longest is removed."""
+        if name in self.rows or len(self.rows) < self._max_members:
             return True
-        if not self._gone:
+        if not self._dead_since:
             return False
-        self._bury(now, next(iter(self._gone)))
+        self._make_tombstone(now, next(iter(self._dead_since)))
         return True
 
     def put(self, now: float, record: Record) -> None:
-        """Sets a member's row; the caller has seen to room and that the record is newer."""
+        """Sets a member's row. The caller ensures the capacity and that the record is newer."""
         name = record.name
         old = self.rows.get(name)
         part = part_of(name)
         if old is not None and old.record.living:
-            self.sums[part] ^= _print(old.record)
+            self.checksums[part] ^= _fingerprint(old.record)
         if record.living:
-            self.sums[part] ^= _print(record)
+            self.checksums[part] ^= _fingerprint(record)
         self.rows[name] = Member(record, now)
-        self._graves.pop(name, None)
-        self._gone.pop(name, None)
+        self._tombstones.pop(name, None)
+        self._dead_since.pop(name, None)
         if not record.living:
-            self._gone[name] = now
+            self._dead_since[name] = now
         if name != self._me:
-            self._place(name, record.living)
+            self._set_living(name, record.living)
 
-    def _place(self, name: str, living: bool) -> None:
-        place = self._places.get(name)
-        if living and place is None:
-            self._places[name] = len(self.living)
+    def _set_living(self, name: str, living: bool) -> None:
+        position = self._positions.get(name)
+        if living and position is None:
+            self._positions[name] = len(self.living)
             self.living.append(name)
-            self.fresh.append(name)
-        elif not living and place is not None:
+            self.new_names.append(name)
+        elif not living and position is not None:
             last = self.living.pop()
-            del self._places[name]
+            del self._positions[name]
             if last != name:
-                self.living[place] = last
-                self._places[last] = place
+                self.living[position] = last
+                self._positions[last] = position
 
-    def _bury(self, now: float, name: str) -> None:
-        del self._gone[name]
-        self._graves[name] = Member(self.rows.pop(name).record, now)
-        if len(self._graves) > self._most:
-            del self._graves[next(iter(self._graves))]
+    def _make_tombstone(self, now: float, name: str) -> None:
+        del self._dead_since[name]
+        self._tombstones[name] = Member(self.rows.pop(name).record, now)
+        if len(self._tombstones) > self._max_members:
+            del self._tombstones[next(iter(self._tombstones))]
 
     def sweep(self, now: float, forget: float, tombstone: float) -> None:
-        """Dead members become tombstones, and those go, each after its time."""
-        while self._gone and now - self._gone[name := next(iter(self._gone))] >= forget:
-            self._bury(now, name)
-        while self._graves and now - self._graves[name := next(iter(self._graves))].since >= tombstone:
-            del self._graves[name]
-
-    def draw(self, dice: Random, count: int, but: str = "") -> list[Record]:
-        """Up to `count` different living others, drawn evenly."""
-        names = dice.sample(self.living, min(count + 1, len(self.living)))
-        return [self.rows[name].record for name in names if name != but][:count]
-
-    def dead(self) -> list[Record]:
-        """Those declared dead, who may be alive behind a cut; not those that left."""
-        rows = [self.rows[name].record for name in self._gone]
-        rows += [member.record for member in self._graves.values()]
+        """Turns dead members into tombstones after `forget`, and removes tombstones after `tombstone`."""
+        while self._dead_since and now - self._dead_since[name := next(iter(self._dead_since))] >= forget:
+            self._make_tombstone(now, name)
+        while (
+            self._tombstones
+            and now - self._tombstones[name := next(iter(self._tombstones))].since >= tombstone
+        ):
+            del self._tombstones[name]
+
+    def sample(self, rng: Random, count: int, exclude: str = "") -> list[Record]:
+        """Returns up to `count` different living others, drawn with equal probability."""
+        names = rng.sample(self.living, min(count + 1, len(self.living)))
+        return [self.rows[name].record for name in names if name != exclude][:count]
+
+    def dead_records(self) -> list[Record]:
+        """Returns members declared dead, which may be alive behind a partition, without those that left."""
+        rows = [self.rows[name].record for name in self._dead_since]
+        rows += [member.record for member in self._tombstones.values()]
         return [record for record in rows if record.state is State.DEAD]
 
-    def parts(self, numbers: Iterable[int]) -> list[Record]:
-        """All records of some parts, tombstones too."""
+    def records_in_parts(self, numbers: Iterable[int]) -> list[Record]:
+        """Returns all records of some parts, tombstones included."""
         wanted = frozenset(numbers)
         found = [member.record for member in self.rows.values() if part_of(member.name) in wanted]
-        found += [member.record for member in self._graves.values() if part_of(member.name) in wanted]
+        found += [member.record for member in self._tombstones.values() if part_of(member.name) in wanted]
         return found
 
-    def differing(self, sums: tuple[int, ...]) -> tuple[int, ...]:
-        """The parts in which another table differs; all, if it gave no sums."""
-        if len(sums) != PARTS:
+    def differing_parts(self, checksums: tuple[int, ...]) -> tuple[int, ...]:
+        """Returns the parts in which another table differs; all parts if it sent no checksums."""
+        if len(checksums) != PARTS:
             return tuple(range(PARTS))
-        return tuple(number for number in range(PARTS) if sums[number] != self.sums[number])
+        return tuple(number for number in range(PARTS) if checksums[number] != self.checksums[number])
--- a/fernweir/peers/members/updates.py
+++ b/fernweir/peers/members/updates.py
@@ -1,7 +1,8 @@
-"""What a front makes of a statement on another one: whether it holds, what it changes, who is told.
+"""Processing of updates on other fronts: whether one is newer, what it changes, and which events follow.
 
-Death is not believed at once of one that seems well here: it counts as an accusation first, so that a part
-of the fleet that lost sight of the rest does not kill by hearsay when the two meet again.
+An update that declares a member dead is not accepted at once if the member is healthy by this front's own
+view. It counts as an accusation first, so that a part of the fleet that lost contact to the rest does not
+spread false deaths when the partition heals.
 """
 
 from __future__ import annotations
@@ -12,73 +13,78 @@
 
 from fernweir.peers.base import Event
 from fernweir.peers.members.events import Cleared, Died, Joined, Left, Suspected
-from fernweir.peers.members.gossip import Queue
+from fernweir.peers.members.gossip import GossipQueue
 from fernweir.peers.members.messages import Record, State
 from fernweir.peers.members.suspicion import Suspicions
-from fernweir.peers.members.table import Roster
+from fernweir.peers.members.table import MemberTable
 
 
-class News:
-    """`refused` counts statements on unknown names for which the table had no room."""
+class StatusUpdates:
+    """`refused` counts updates on unknown names that were dropped because the table was full."""
 
-    __slots__ = ("_me", "_queue", "_roster", "_suspicions", "_tell", "refused")
+    __slots__ = ("_me", "_queue", "_report", "_suspicions", "_table", "refused")
 
     def __init__(
-        self, me: str, roster: Roster, suspicions: Suspicions, queue: Queue, tell: Callable[[Event], None]
+        self,
+        me: str,
+        table: MemberTable,
+        suspicions: Suspicions,
+        queue: GossipQueue,
+        report: Callable[[Event], None],
     ) -> None:
         self._me = me
-        self._roster = roster
+        self._table = table
         self._suspicions = suspicions
         self._queue = queue
-        self._tell = tell
+        self._report = report
         self.refused = 0
 
-    def hear(self, now: float, record: Record, spread: bool = True) -> bool:
-        """True if a suspicion began by it. The record is of another front's name."""
-        known = self._roster.known(record.name)
+    def on_record(self, now: float, record: Record, spread: bool = True) -> bool:
+        """Handles an update on another front. Returns whether it started a suspicion."""
+        known = self._table.record_of(record.name)
         if record.state is State.DEAD and known is not None and known.living and known.life == record.life:
-            ripe = known.incarnation == record.incarnation and self._suspicions.ripe(now, record.name)
+            ripe = known.incarnation == record.incarnation and self._suspicions.has_run_half(now, record.name)
             if not ripe:
                 record = msgspec.structs.replace(record, state=State.SUSPECT)
         if known is not None and record.key <= known.key:
             if record.key == known.key and record.state is State.SUSPECT:
                 self._confirm(record, spread)
             return False
-        if not self._roster.room(now, record.name):
+        if not self._table.ensure_capacity(now, record.name):
             self.refused += 1
             return False
-        self._roster.put(now, record)
+        self._table.put(now, record)
         if spread:
             self._queue.add(record)
         if record.state is State.SUSPECT:
-            self._suspicions.begin(now, record.name, record.by, len(self._roster.living) + 1)
+            self._suspicions.add(now, record.name, record.accuser, len(self._table.living) + 1)
         else:
-            self._suspicions.end(record.name)
-        self._changed(known, record)
+            self._suspicions.remove(record.name)
+        self._report_change(known, record)
         return record.state is State.SUSPECT
 
     def _confirm(self, record: Record, spread: bool) -> None:
-        by = record.by
-        if by != self._me:
-            accuser = self._roster.known(by)
-            if accuser is None or not accuser.living or by == record.name:
+        accuser = record.accuser
+        if accuser != self._me:
+            accuser_record = self._table.record_of(accuser)
+            if accuser_record is None or not accuser_record.living or accuser == record.name:
                 return
-        if self._suspicions.confirm(record.name, by) and spread:
+        if self._suspicions.confirm(record.name, accuser) and spread:
             self._queue.add(record)
 
-    def _changed(self, old: Record | None, new: Record) -> None:
-        name = new.name
-        if old is not None and old.living and old.life != new.life:
-            self._tell(Died(name, old.life))
-            old = None
-        was = old.state if old is not None and old.living else None
-        if was is None and new.living:
-            self._tell(Joined(name, new.life))
-        if new.state is State.SUSPECT and was is not State.SUSPECT:
-            self._tell(Suspected(name))
-        elif new.state is State.ALIVE and was is State.SUSPECT:
-            self._tell(Cleared(name))
-        elif new.state is State.DEAD and was is not None:
-            self._tell(Died(name, new.life))
-        elif new.state is State.LEFT and was is not None:
-            self._tell(Left(name, new.life))
+    def _report_change(self, previous: Record | None, current: Record) -> None:
+        name = current.name
+        if previous is not None and previous.living and previous.life != current.life:
+            self._report(Died(name, previous.life))
+            previous = None
+        previous_state = previous.state if previous is not None and previous.living else None
+        if previous_state is None and current.living:
+            self._report(Joined(name, current.life))
+        if current.state is State.SUSPECT and previous_state is not State.SUSPECT:
+            self._report(Suspected(name))
+        elif current.state is State.ALIVE and previous_state is State.SUSPECT:
+            self._report(Cleared(name))
+        elif current.state is State.DEAD and previous_state is not None:
+            self._report(Died(name, current.life))
+        elif current.state is State.LEFT and previous_state is not None:
+            self._report(Left(name, current.life))
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -52,7 +52,7 @@
 from fernweir.peers.lease.messages import Recall
 from fernweir.peers.lease.rules import KeeperSet
 from fernweir.peers.members.messages import Nack, Record, State
-from fernweir.peers.members.table import Roster, part_of
+from fernweir.peers.members.table import MemberTable, part_of
 from fernweir.peers.peer import KINDS
 from fernweir.peers.port import AuditEvent, AuditRecord, SessionStatus, Terms
 from fernweir.peers.wire import keys
@@ -383,11 +383,11 @@
 HELD = tuple(_held(f"front-{number}", LIFE + number, 10 * number, number) for number in range(20))
 
 
-def _roster_sums() -> list[int]:
-    roster = Roster("front-0", 100)
+def _table_checksums() -> list[int]:
+    table = MemberTable("front-0", 100)
     for number in range(40):
-        roster.put(0.0, Record(f"front-{number}", State(number % 4), LIFE, number, "host", 4_000 + number))
-    return roster.sums
+        table.put(0.0, Record(f"front-{number}", State(number % 4), LIFE, number, "host", 4_000 + number))
+    return table.checksums
 
 
 # --- what the rest of a front gives to its peers ---
@@ -533,7 +533,7 @@
     "fact.summary.key": _made(lambda: [str(sketches.key("title", "title-1")), str(sketches.key("box", "5"))]),
     "facts.codes": _made(lambda: [total(HELD), codes(HELD, 8), [bucket_of(one.owner, 8) for one in HELD]]),
     "members.parts": _made(lambda: [part_of(f"front-{number}") for number in range(8)]),
-    "members.sums": _made(_roster_sums),
+    "members.sums": _made(_table_checksums),
     "late.content": _made(lambda: [content_of(RESTED[1], kind) for kind in Kind]),
     "channel.name": _made(
         lambda: [cut.channel_of("front-a", LIFE, f"session-{number}", 16) for number in range(8)]
--- a/tests/peers_mutants/fuzz.py
+++ b/tests/peers_mutants/fuzz.py
@@ -187,7 +187,7 @@
         Mutant(
             "members without a bound",
             _TABLE,
-            "if name in self.rows or len(self.rows) < self._most:",
+            "if name in self.rows or len(self.rows) < self._max_members:",
             "if name:",
             57,
         ),
--- a/tests/peers_mutants/members.py
+++ b/tests/peers_mutants/members.py
@@ -22,12 +22,12 @@
 )  # fmt: skip
 _on(
     "back", "own life not raised when the clock was set back", "identity",
-    "self._raise(record.life + 1)\n            elif record.key", "pass\n            elif record.key",
+    "self._raise_life(record.life + 1)\n            elif record.key", "pass\n            elif record.key",
     8, faults=2,
 )  # fmt: skip
 _on(
     "killed", "suspicion never shortened", "suspicion",
-    "return max(least, most - (most - least) * part)", "return most", 2,
+    "return max(min_ms, max_ms - (max_ms - min_ms) * share)", "return max_ms", 2,
 )  # fmt: skip
 _on(
     "slow", "incarnation not raised on a refutation", "identity",
@@ -35,7 +35,7 @@
 )  # fmt: skip
 _on(
     "forgotten", "tombstone forgotten", "table",
-    "self._graves[name] = Member(self.rows.pop(name).record, now)", "del self.rows[name]", 2,
+    "self._tombstones[name] = Member(self.rows.pop(name).record, now)", "del self.rows[name]", 2,
 )  # fmt: skip
 _on(
     "slow", "awareness ignored", "awareness",
@@ -43,9 +43,9 @@
 )  # fmt: skip
 _on(
     "old_answer", "an answer with an older number accepted", "probes",
-    "        probe = self._flying.get(seq)\n        if probe is None or life",
-    "        seq = next((s for s, p in self._flying.items() if p.record.name == sender), seq)\n"
-    "        probe = self._flying.get(seq)\n        if probe is None or life", 3,
+    "        probe = self._in_flight.get(seq)\n        if probe is None or life",
+    "        seq = next((s for s, p in self._in_flight.items() if p.record.name == sender), seq)\n"
+    "        probe = self._in_flight.get(seq)\n        if probe is None or life", 3,
 )  # fmt: skip
 _on(
     "calm", "news passed on for ever", "gossip",
@@ -53,7 +53,7 @@
 )  # fmt: skip
 _on(
     "stood_still", "a late timer is no reason for doubt", "detector",
-    "voice.suspicions.again(voice.now)", "pass", 20, faults=2,
+    "view.suspicions.restart(view.now)", "pass", 20, faults=2,
 )  # fmt: skip
 _on(
     "halves", "death believed by hearsay", "updates",
@@ -61,20 +61,20 @@
 )  # fmt: skip
 _on(
     "halves", "dead members never called again", "repair",
-    "lost = dict.fromkeys([*self.seeds, *(record.address for record in roster.dead())])",
+    "lost = dict.fromkeys([*self.seeds, *(record.address for record in table.dead_records())])",
     "lost = dict.fromkeys(self.seeds)", 6,
 )  # fmt: skip
 _on(
     "cut_one_way", "what helpers hear does not count", "probes",
-    "(probe.record.name, *probe.asked)", "(probe.record.name,)", 4,
+    "(probe.record.name, *probe.helpers)", "(probe.record.name,)", 4,
 )  # fmt: skip
 _on(
     "two_of_a_name", "the lower life raises itself above the living higher one", "identity",
-    "self._contest(now, record)", "self._raise(record.life + 1)", 3,
+    "self._contest_name(now, record)", "self._raise_life(record.life + 1)", 3,
 )  # fmt: skip
 _on(
     "two_of_a_name", "a rival's death believed by hearsay", "identity",
-    "now - rival.verdict >= VERDICT * self._rules.period", "rival.ask_at", 3,
+    "now - rival.declared_dead_at >= VERDICT_PERIODS * self._rules.period", "rival.probe_at", 3,
 )  # fmt: skip
 _on(
     "goodbye", "leaving told as a death", "identity",
@@ -82,20 +82,21 @@
 )  # fmt: skip
 _on(
     "flooded", "a full table takes one more", "table",
-    "if not self._gone:\n            return False", "if not self._gone:\n            return True", 2,
+    "if not self._dead_since:\n            return False",
+    "if not self._dead_since:\n            return True", 2,
 )  # fmt: skip
 _on(
     "alone", "seeds called once only", "repair",
-    "self._call_at = voice.now + (voice.rules.join_every if alone else voice.rules.rejoin_every)",
-    "self._call_at = math.inf", 4,
+    "self._contact_at = view.now + (view.rules.join_every if alone else view.rules.rejoin_every)",
+    "self._contact_at = math.inf", 4,
 )  # fmt: skip
 _on(
     "killed", "no witnesses", "prober",
-    "voice.dice.random() * living >= voice.rules.witnesses", "living", 12,
+    "view.rng.random() * living >= view.rules.witnesses", "living", 12,
 )  # fmt: skip
 _on(
     "killed", "an accuser counts once for all", "suspicion",
-    "suspicion.accusers.add(by)", "pass", 4,
+    "suspicion.accusers.add(accuser)", "pass", 4,
 )  # fmt: skip
 
 MUTANTS = [(day, mutant) for day, mutants in _DAYS.items() for mutant in mutants]
--- a/tests/test_peers_members.py
+++ b/tests/test_peers_members.py
@@ -13,9 +13,9 @@
 from hypothesis import strategies as st
 
 from bench.peers_members import Front, Kit, Net, Paths, formed, time_to_know, wrong_deaths
-from fernweir.peers.members.gossip import Queue
+from fernweir.peers.members.gossip import GossipQueue
 from fernweir.peers.members.messages import PARTS, Record, State, Sync
-from fernweir.peers.members.table import Roster, part_of
+from fernweir.peers.members.table import MemberTable, part_of
 from tests.peers_mutants import Mutant, broken
 from tests.peers_mutants.members import MUTANTS
 
@@ -181,7 +181,7 @@
     fleet[number] = net.start(old.name, number, [fleet[0].address], life)
     for front in fleet:
         for late in (1_500.0, 2_000.0, 4_000.0):
-            dead = msgspec.structs.replace(record, state=kit.messages.State.DEAD, by="front-0")
+            dead = msgspec.structs.replace(record, state=kit.messages.State.DEAD, accuser="front-0")
             net.say("front-0", front, kit.messages.Gossip((dead,)), late)
     net.run(net.now + 1_400.0)
     faults = sees(net) if life > old.life else []
@@ -380,12 +380,12 @@
     incarnation=st.integers(0, 2),
     host=st.just("h"),
     port=st.integers(1, 2),
-    by=st.sampled_from(["", "a", "x", "y"]),
+    accuser=st.sampled_from(["", "a", "x", "y"]),
 )
 
 
 class SlowQueue:
-    """All news in a list, sorted anew at each take."""
+    """All news in a list, sorted again at each selection."""
 
     def __init__(self) -> None:
         self.news: list[tuple[int, int, Record]] = []  # passed on, when it came there, what
@@ -393,7 +393,7 @@
 
     def add(self, record: Record) -> None:
         def by(r: Record) -> str:
-            return r.by if r.state is State.SUSPECT else ""
+            return r.accuser if r.state is State.SUSPECT else ""
 
         def stays(other: Record) -> bool:
             if other.name != record.name:
@@ -404,36 +404,36 @@
         self.step += 1
         self.news.append((0, self.step, record))
 
-    def take(self, room: int, repeats: int) -> list[Record]:
+    def select(self, space_bytes: int, repeats: int) -> list[Record]:
         self.news = [entry for entry in self.news if entry[0] < repeats]
-        taken: list[tuple[int, int, Record]] = []
+        selected: list[tuple[int, int, Record]] = []
         for entry in sorted(self.news, key=lambda entry: (entry[0], -entry[1])):
             size = len(msgspec.msgpack.encode(entry[2]))
-            if size > room:
+            if size > space_bytes:
                 break
-            room -= size
-            taken.append(entry)
-        for entry in taken:
+            space_bytes -= size
+            selected.append(entry)
+        for entry in selected:
             self.news.remove(entry)
             self.step += 1
             if entry[0] + 1 < repeats:
                 self.news.append((entry[0] + 1, self.step, entry[2]))
-        return [entry[2] for entry in taken]
+        return [entry[2] for entry in selected]
 
 
 @settings(max_examples=120, derandomize=True, deadline=None)
 @given(st.lists(st.one_of(records, st.tuples(st.integers(0, 120), st.integers(1, 4))), max_size=40))
 def test_news_is_passed_on_as_by_a_slow_queue(steps: list[Any]) -> None:
-    queue, model = Queue(), SlowQueue()
+    queue, model = GossipQueue(), SlowQueue()
     for step in steps:
         if isinstance(step, tuple):
-            assert list(queue.take(*step)) == model.take(*step)
+            assert list(queue.select(*step)) == model.select(*step)
         else:
             queue.add(step)
             model.add(step)
         assert len(queue) == len(model.news)
     while queue:
-        assert list(queue.take(500, 3)) == model.take(500, 3)
+        assert list(queue.select(500, 3)) == model.select(500, 3)
 
 
 @settings(max_examples=120, derandomize=True, deadline=None)
@@ -445,21 +445,21 @@
             best[record.name] = record
     tables = []
     for _ in range(2):
-        roster = Roster("me", 10)
+        table = MemberTable("me", 10)
         for record in heard:
-            known = roster.known(record.name)
+            known = table.record_of(record.name)
             if known is None or known.key < record.key:
-                roster.put(0.0, record)
-        assert {name: member.record.key for name, member in roster.rows.items()} == {
+                table.put(0.0, record)
+        assert {name: member.record.key for name, member in table.rows.items()} == {
             name: record.key for name, record in best.items()
         }
-        assert sorted(roster.living) == sorted(name for name, record in best.items() if record.living)
-        tables.append(roster)
+        assert sorted(table.living) == sorted(name for name, record in best.items() if record.living)
+        tables.append(table)
         dice.shuffle(heard)
-    assert tables[0].differing(tuple(tables[1].sums)) == ()
+    assert tables[0].differing_parts(tuple(tables[1].checksums)) == ()
     changed = Record("zoe", State.ALIVE, 1, 0, "h", 1)
     tables[1].put(0.0, changed)
-    assert tables[0].differing(tuple(tables[1].sums)) == (part_of("zoe"),)
+    assert tables[0].differing_parts(tuple(tables[1].checksums)) == (part_of("zoe"),)
 
 
 @settings(max_examples=60, derandomize=True, deadline=None)
@@ -479,7 +479,7 @@
         life = dice.choice([1, 2, 3, 2**48 - 1])
         return m.Record(
             dice.choice(names), dice.choice(list(m.State)), life, dice.choice([0, 1, 2**31 - 1]), "h",
-            dice.randrange(1, 4), by=dice.choice(names),
+            dice.randrange(1, 4), accuser=dice.choice(names),
         )  # fmt: skip
 
     probes = front.machine._prober._probes
@@ -517,7 +517,7 @@
 
 def test_what_the_fields_do_not_allow_is_not_decoded() -> None:
     good = ["m.sync", ["a", 0, 1, 0, "h", 1, 1, 2, ""], []]
-    assert msgspec.msgpack.decode(msgspec.msgpack.encode(good), type=Sync).me.high == 2
+    assert msgspec.msgpack.decode(msgspec.msgpack.encode(good), type=Sync).sender_record.high == 2
     spoilt = [
         (0, ""),
         (0, "x" * 65),
