--- a/fernweir/peers/base.py
+++ b/fernweir/peers/base.py
@@ -1,7 +1,8 @@
-"""What all parts of the peers share: messages, effects, the shape of a state machine, rendezvous order.
+"""Types that all parts of the peers share: messages, effects, the state machine protocol, rendezvous hashing.
 
-A part is a pure state machine: it has no I/O and no clock, draws from a seed only, and is told `now`,
-milliseconds of a clock that only moves forward. Its shell, the virtual loop and the tests drive it alike.
+A part is a pure state machine without I/O or clock. Its random numbers come from a seed, and its caller
+passes `now`, the milliseconds of a monotonic clock. The real event loop, the virtual loop and the tests use
+it in the same way.
 """
 
 from __future__ import annotations
@@ -17,19 +18,19 @@
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True):
-    """What passes between fronts. Each kind is a subclass with a `tag` that no other kind has.
+    """A message between fronts. Each kind is a subclass with a unique `tag`.
 
-    Fields are checked as they are decoded. New fields go last and have defaults, so that an older format
-    reads a newer one's messages and the other way round.
+    Fields are checked when they are decoded. New fields go last and have defaults, so that older and newer
+    formats can read each other's messages.
     """
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """One message to one peer, by name, or by address while its name is not known.
+    """One message to one peer, by name, or by address while its name is unknown.
 
-    `reliable` goes over the connection between the two (in order, no size limit but the frame's), anything
-    else in a datagram, which may be lost, doubled, late, or overtaken.
+    A `reliable` message goes over the connection of the two peers, in order, limited only by the size of a
+    frame. Other messages go in datagrams, which may be lost, duplicated, delayed or reordered.
     """
 
     to: str | Address
@@ -38,7 +39,7 @@
 
 
 class Event:
-    """What a part tells whoever drives it; each part has its own subclasses."""
+    """What a part reports to its caller; each part has its own subclasses."""
 
     __slots__ = ()
 
@@ -47,23 +48,23 @@
 
 
 class Part(Protocol):
-    """One state machine of a peer."""
+    """A state machine of a peer."""
 
     def on_message(self, now: float, sender: str, message: Message) -> None:
-        """A message of one of this part's kinds, from a peer whose word is authenticated."""
+        """Handles a message of one of this part's kinds from an authenticated peer."""
 
     def tick(self, now: float) -> None:
-        """Time has come to `next_deadline`; being early or late must do no harm."""
+        """Handles timers at `next_deadline`. A call that is early or late must be harmless."""
 
     def next_deadline(self) -> float | None:
-        """When `tick` is wanted at the latest; None for never."""
+        """Returns the latest time for the next `tick`, or None."""
 
     def take_effects(self) -> list[Effect]:
-        """All effects since the last take, in order."""
+        """Returns all effects since the last call, in order, and removes them."""
 
 
 class Outbox:
-    """Effects on their way out; parts keep one."""
+    """The effects of a part that its caller has not taken yet."""
 
     __slots__ = ("_effects",)
 
@@ -79,9 +80,10 @@
 
 
 def rendezvous(key: str, names: Iterable[str]) -> list[str]:
-    """Names by their weight for a key, highest first, alike at every front.
+    """Returns names by their weight for a key, highest first, with the same result at every front.
 
-    Highest random weight (Thaler, Ravishankar 1998): a name that comes or goes moves no key between others.
+    This is highest random weight hashing (Thaler, Ravishankar 1998): a name that is added or removed moves no
+    key between the others.
     """
     return sorted(names, key=lambda name: (_weight(key, name), name), reverse=True)
 
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -1,4 +1,4 @@
-"""The narrow interface by which peers see and steer a front. Types only; `front/peering.py` implements it."""
+"""The interface through which peers observe and control a front; `front/peering.py` implements it."""
 
 from __future__ import annotations
 
@@ -13,11 +13,12 @@
 
 
 class SessionStatus(msgspec.Struct, frozen=True, array_like=True):
-    """A session that stands, as whoever inherits it must know it.
+    """The state of a playing session that another front needs to take it over.
 
-    `cls` and `title` are names, `box` the list's number; `attempt` counts from 0 over all owners, `rung` from
-    0. `payload` is the digest of what its viewers are answered from. `answers`: how often its viewers were
-    told that it plays. `spent`: further attempts it took out of the ration.
+    `cls` and `title` are names, `box` is the server's number in the endpoint list. `attempt` counts from 0
+    over all owners, `rung` counts from 0. `payload` is the digest of the payload from which its viewers are
+    answered, `answers` is how often they were sent the answer that it plays, and `spent` is the number of
+    retries that it took from the retry budget.
     """
 
     session: str
@@ -38,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """Of the settings: kB/s of each rung in its dearest class, and the ration of further attempts."""
+    """Settings that peers need: kB/s of each rung in its most expensive class, and the retry budget."""
 
     rung_kbps: tuple[float, ...]
     budget_span_ms: float = 10_000.0
@@ -47,12 +48,12 @@
 
 
 class AuditEvent(StrEnum):
-    """Kinds of decisions that leave a front."""
+    """The kinds of decisions of a front that the audit log records."""
 
     SETUP = "setup"
     MOVE = "move"
     REFUSED = "refused"
-    DRAIN = "drain"  # heard that a box drains
+    DRAIN = "drain"  # learned that a server drains
     LEASE = "lease"  # used a lease
     HANDOFF = "handoff"
     SHUTOUT = "shutout"
@@ -60,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AuditRecord:
-    """One decision that left the front; `at` in ms of the loop's clock, `box` -1 for none."""
+    """One decision of a front. `at` is in ms of the loop's clock; `box` is the server, or -1 for none."""
 
     at: float
     deed: AuditEvent
@@ -72,94 +73,95 @@
 
 
 class Listener(Protocol):
-    """Who is told, in the order in which it happens, of what changes at a front."""
+    """Receives the changes at a front in the order in which they happen."""
 
     def on_session_status(self, now: float, standing: SessionStatus) -> None:
-        """A session plays, or one that plays changed its rung or was answered again."""
+        """A session started to play, changed its rung, or was answered again."""
 
     def on_session_ended(self, now: float, session: str) -> None:
-        """A session that stood is over at its box."""
+        """A session that played has ended at its server."""
 
     def on_session_failed(self, now: float, session: str) -> None:
-        """A session of which an attempt may have been out is held no more, and did not come to stand."""
+        """A session with a possible attempt in flight was given up before it played."""
 
-    def on_audit_record(self, act: AuditRecord) -> None: ...
+    def on_audit_record(self, record: AuditRecord) -> None:
+        """The front made a decision that belongs in the audit log."""
 
     def on_endpoint_list(self, now: float, rows: Sequence[tuple[int, Any]], told_at: float) -> None:
-        """The list of boxes now has this content: each box's number, and what is said of it, as plain values.
+        """The endpoint list has new content: the number of each server with its attributes as plain values.
 
-        Lessons stand under numbers of their own, below 0. `told_at` is wall ms.
+        Titles have numbers of their own, below 0. `told_at` is wall ms.
         """
 
 
 class Port(Protocol):
-    """A front, as its peers' parts may use it."""
+    """The operations of a front that its peers may use."""
 
     def set_listener(self, listener: Listener) -> None: ...
 
     def session_statuses(self) -> list[SessionStatus]:
-        """All that plays here."""
+        """Returns the status of each session that plays at this front."""
 
     def session_count(self) -> int:
-        """Sessions held."""
+        """Returns the number of sessions of this front."""
 
     def sessions_in_flight(self) -> list[str]:
-        """Sessions of which an attempt is out."""
+        """Returns the ids of sessions with an attempt in flight."""
 
     def has_session(self, session: str) -> bool:
-        """Whether it is held here, in whatever phase."""
+        """Whether the session belongs to this front, in any phase."""
 
     def server_numbers(self) -> list[int]:
-        """All boxes that the list names now."""
+        """Returns the numbers of all servers in the endpoint list."""
 
     def limits(self) -> Terms: ...
 
     def racks(self) -> list[tuple[str, frozenset[int], float]]:
-        """Each rack's name, its boxes on the list, and what its uplink can carry, kB/s."""
+        """Returns the name of each rack, its listed servers, and the capacity of its uplink in kB/s."""
 
     def payload(self, digest: bytes) -> bytes | None:
-        """What viewers of a session are answered from, to be given to an heir."""
+        """Returns the payload with this digest, from which a successor answers the viewers of a session."""
 
     def endpoint_list_document(self) -> bytes:
-        """The list of boxes as it is held, for a peer that lacks it; empty if no peer may take it."""
+        """Returns the endpoint list for a peer that lacks it; empty if peers must not use it."""
 
     def adopt_endpoint_list(self, now: float, data: bytes, digest: bytes) -> bool:
-        """Takes a peer's list if its content has this digest and it goes on from what is held."""
+        """Applies the endpoint list of a peer if it has this digest and continues the current list."""
 
     def adopt_session(self, now: float, standing: SessionStatus, payload: bytes | None) -> bool:
-        """The session is this front's from now on. False if it is held, or its box or lesson is not known."""
+        """Adopts a session. Returns False if the front has it already or its server or title is unknown."""
 
     def on_session_missing(self, now: float, session: str, attempt: int) -> None:
-        """What was taken over here, under that attempt, does not run at its box any more."""
+        """A session adopted with this attempt no longer runs at its server."""
 
     def relinquish_session(self, now: float, session: str) -> bool:
-        """The session is another's from now on: nothing is said to its box or its viewers."""
+        """Hands a session to another front without a message to its server or viewers."""
 
     def release(
         self, now: float, box: int, session: str, attempt: int, why: str, under: tuple[str, int]
     ) -> None:
-        """Takes back what runs at a box and is no session of this front's, by its channel and fence."""
+        """Releases, under a channel and fence, what runs at a server and is no session of this front."""
 
     def block_new_sessions(self, why: str, wait_ms: float) -> None:
-        """No new session is taken, each refused with that reason and wait; an empty reason ends it."""
+        """Rejects new sessions with this reason and wait; an empty reason ends the block."""
 
     def execute_forwarded(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
-        """A request that came to another front, for a session that is held here; `then` is called once."""
+        """Executes a forwarded request for a session of this front; `then` is called once."""
 
     def claim(
         self, box: int, channel: str, fence: int, overlap_ms: float,
         then: Callable[[float, ClaimResult], None], adopt: Sequence[tuple[str, int]] = (),
     ) -> None:  # fmt: skip
-        """Tells a box that this front owns a channel; `then` is called once, later.
+        """Claims a channel for this front at a server; `then` is called once, later.
 
-        The box accepts a lower fence for `overlap_ms` more, or for as long as it does anyway if that is less.
-        `adopt`: sessions that this front set up there in no channel, and which are in this one from now on.
+        The server accepts a lower fence for `overlap_ms` more, or for its own limit if that is less. `adopt`
+        has the sessions that this front set up there outside any channel and that join this channel.
         """
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimResult:
-    """What a box said to a claim: the highest fence it knows, and its sessions (id, attempt, rung)."""
+    """The answer of a server to a claim: its highest known fence, and its sessions (id, attempt, rung)."""
 
     box: int
     reached: bool
--- a/fernweir/peers/settings.py
+++ b/fernweir/peers/settings.py
@@ -1,4 +1,4 @@
-"""The parts' rules from the `[peers]` section: nothing is decided here that the section does not say."""
+"""Conversion of the `[peers]` section of the settings into the rules of the parts."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 from fernweir.peers.owning import OwningRules
 from fernweir.peers.peer import PeerRules
 
-# What differs from front to front in settings that are otherwise the same.
-_OWN = (
+# Settings that differ between fronts whose settings are otherwise the same.
+_FRONT_SPECIFIC_SETTINGS = (
     "front.name", "front.listen", "front.public-url", "front.ordinal", "front.seed", "front.record",
     "list.cache", "control.socket", "control.orders", "control.journal", "entitlement.ledger",
     "peers.listen", "peers.advertise", "peers.seeds", "peers.epoch", "peers.record",
 )  # fmt: skip
-FORMATS = (1, 1)  # of messages, that this version speaks
-_FACTS_SHARE = 0.25  # of the bytes a second that all peers together are sent
+FORMATS = (1, 1)  # lowest and highest message format of this version
+_FACTS_RATE_RATIO = 0.25  # of the bytes per second sent to all peers together
 
 
 def formats(section: PeersSection) -> tuple[int, int]:
-    """Those that this front speaks, within what its version can."""
+    """Returns the lowest and highest format of this front, limited to those of its version."""
     lowest = max(section.format_lowest or FORMATS[0], FORMATS[0])
     return lowest, max(min(section.format_highest or FORMATS[1], FORMATS[1]), lowest)
 
@@ -35,10 +35,16 @@
 def first_versions(
     section: PeersSection, settings: Mapping[str, Mapping[str, str]], keys: Iterable[tuple[str, bytes]]
 ) -> Versions:
-    """What a front acts on as it starts, `settings` by section and key; it has been told no list yet."""
+    """Returns the versions at the start of a front, before it has an endpoint list.
+
+    Args:
+        section: The settings of the peers.
+        settings: All settings by section and key.
+        keys: The keys by name.
+    """
     return Versions(
         program=VERSION,
-        settings=settings_digest(settings, _OWN),
+        settings=settings_digest(settings, _FRONT_SPECIFIC_SETTINGS),
         epoch=section.epoch,
         boxes=b"",
         boxes_told_at=0,
@@ -48,14 +54,17 @@
 
 
 def link_rules(section: PeersSection) -> LinkRules:
+    """Returns the rules of the links; a burst is half a second at the full rate, but not too small."""
     rate = section.bytes * 1_000.0
     return replace(LinkRules(), rate=rate, burst=max(rate / 2.0, LinkRules().burst / 8.0))
 
 
 def peer_rules(section: PeersSection, *, channels: bool = True) -> PeerRules:
-    """A lease is renewed at a third of its span; a copy that is older than a lease is tried for.
+    """Returns the rules of all parts.
 
-    Where boxes know no fences there are no `channels`: sessions stay with the front that placed them.
+    A lease is renewed after a third of its span. A front tries to take over a channel whose replica is older
+    than a lease. Where servers do not support fences there are no `channels`, and sessions stay with the
+    front that placed them.
     """
     lease = LeaseRules(
         lease_ms=section.lease, longest_ms=section.lease, drift=section.drift, renew_ms=section.lease / 3.0
@@ -69,7 +78,7 @@
         takeover=TakeoverRules(),
         handoff=replace(HandoffRules(), overlap_ms=section.overlap, drift=section.drift),
     )
-    facts = replace(FactRules(), rate=section.bytes * 1_000.0 * _FACTS_SHARE)
+    facts = replace(FactRules(), rate=section.bytes * 1_000.0 * _FACTS_RATE_RATIO)
     late = LateRules(
         late_ms=section.late_after,
         clean_ms=max(section.late_after, LateRules().clean_ms),
