--- a/bench/peers_lease.py
+++ b/bench/peers_lease.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from fernweir.peers.base import Send
-from fernweir.peers.lease.events import Got, Lost
+from fernweir.peers.lease.events import LeaseAcquired, Lost
 from fernweir.peers.lease.holder import Holder
 from fernweir.peers.lease.keeper import Keeper
 from fernweir.peers.lease.rules import KeeperSet, LeaseRules
@@ -112,7 +112,8 @@
     fleet.run(began + seconds * 1000)
     cpu = time.process_time() - cpu
     print(
-        f"seed {seed}, {seconds:.0f} simulated s of calm, lost {fleet.events[Lost]}, got {fleet.events[Got]}"
+        f"seed {seed}, {seconds:.0f} simulated s of calm, "
+        f"lost {fleet.events[Lost]}, got {fleet.events[LeaseAcquired]}"
     )
     for kind in sorted(fleet.sent):
         count, size = fleet.sent[kind] / seconds, fleet.bytes[kind] / seconds
--- a/fernweir/peers/lease/events.py
+++ b/fernweir/peers/lease/events.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Got(Event):
+class LeaseAcquired(Event):
     """The front owns the channel, under a fence above all fences granted before.
 
     Reported again for a held channel if a higher fence was requested; the lower fence is then invalid.
--- a/fernweir/peers/lease/held_leases.py
+++ b/fernweir/peers/lease/held_leases.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 
 from fernweir.peers.base import Outbox, Send
-from fernweir.peers.lease.events import Got, Lease, Lost, Renewed
+from fernweir.peers.lease.events import Lease, LeaseAcquired, Lost, Renewed
 from fernweir.peers.lease.messages import Extended, Item, Renew
 from fernweir.peers.lease.requests import Renewal, batches
 from fernweir.peers.lease.rules import KeeperSet, LeaseRules, all_keepers, versions
@@ -30,7 +30,7 @@
         self._renew_at = min(self._renew_at, renew_at) if self.leases else renew_at
         self.leases[lease.channel] = lease
         self._refusal_reasons.pop(lease.channel, None)
-        self._out.add(Got(lease))
+        self._out.add(LeaseAcquired(lease))
 
     def remove(self, channel: str, why: str) -> Lease | None:
         lease = self.leases.pop(channel, None)
--- a/fernweir/peers/lease/holder.py
+++ b/fernweir/peers/lease/holder.py
@@ -39,7 +39,7 @@
     # --- requests of the front ---
 
     def want(self, now: float, channel: str, floor: int = 0) -> None:
-        """Requests the channel until `Got`, under a fence above `floor`, the highest known fence.
+        """Requests the channel until `LeaseAcquired`, under a fence above `floor`, the highest known fence.
 
         If a server reports a higher fence this must be called again with it, also while the lease is held.
 
--- a/fernweir/peers/owning.py
+++ b/fernweir/peers/owning.py
@@ -36,7 +36,7 @@
 from fernweir.peers.channel.spread import Loss, spread
 from fernweir.peers.channel.standby import Copied, Copy
 from fernweir.peers.channel.takeover import Claim, Finished, Inherited, Outdone, Settled, Takeover
-from fernweir.peers.lease.events import Got, Lost, Renewed, Taken
+from fernweir.peers.lease.events import LeaseAcquired, Lost, Renewed, Taken
 from fernweir.peers.lease.holder import Holder
 from fernweir.peers.port import ClaimResult, Port, SessionStatus
 
@@ -310,8 +310,8 @@
 
     # --- leases ---
 
-    def lease(self, now: float, event: Got | Renewed | Lost | Taken) -> None:
-        if isinstance(event, Got):
+    def lease(self, now: float, event: LeaseAcquired | Renewed | Lost | Taken) -> None:
+        if isinstance(event, LeaseAcquired):
             self._got(now, event.lease.channel, event.lease.fence)
         elif isinstance(event, Lost):
             self._lost(now, event.channel, event.fence, event.why)
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -42,7 +42,7 @@
 from fernweir.peers.late.messages import KINDS as LATE_KINDS
 from fernweir.peers.late.rules import LateRules
 from fernweir.peers.lateness import PLEA, VERSIONS, Lateness, Resign, Said
-from fernweir.peers.lease.events import Got, Lost, Renewed, Taken
+from fernweir.peers.lease.events import LeaseAcquired, Lost, Renewed, Taken
 from fernweir.peers.lease.holder import Holder
 from fernweir.peers.lease.keeper import Keeper
 from fernweir.peers.lease.messages import KINDS as LEASE_KINDS
@@ -397,9 +397,9 @@
                     self._out.append(effect)
 
     def _do(self, now: float, event: Event) -> None:
-        if isinstance(event, Got | Renewed | Lost | Taken):
+        if isinstance(event, LeaseAcquired | Renewed | Lost | Taken):
             self._at(self.owning).lease(now, event)
-            if isinstance(event, Got):
+            if isinstance(event, LeaseAcquired):
                 self._record(AuditRecord(now, AuditEvent.LEASE, outcome=event.lease.channel))
         elif isinstance(event, Joined) and event.name == self.me.name:
             self._out.append(Relived(event.life))
--- a/tests/test_peers_lease.py
+++ b/tests/test_peers_lease.py
@@ -299,10 +299,10 @@
 
     def told(self, process: Process, event: Any) -> None:
         kind = type(event).__name__
-        if self.dice.random() < self.strikes * (kind == "Got" or 0.2 * (kind == "Renewed")):
+        if self.dice.random() < self.strikes * (kind == "LeaseAcquired" or 0.2 * (kind == "Renewed")):
             in_ms = self.dice.choice((0.0, self.dice.uniform(0, 200)))
             self.plan(in_ms, lambda: process.alive and self.strike(process))
-        if kind == "Got":
+        if kind == "LeaseAcquired":
             self.got += 1
             channel, fence = event.lease.channel, event.lease.fence
             self.plan(self.dice.uniform(0.1, 20), lambda: self.claim(process, channel, fence))
