--- a/bench/peers_lease.py
+++ b/bench/peers_lease.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from fernweir.peers.base import Send
-from fernweir.peers.lease.events import LeaseAcquired, Lost
+from fernweir.peers.lease.events import LeaseAcquired, LeaseLost
 from fernweir.peers.lease.holder import Holder
 from fernweir.peers.lease.keeper import Keeper
 from fernweir.peers.lease.rules import KeeperSet, LeaseRules
@@ -113,7 +113,7 @@
     cpu = time.process_time() - cpu
     print(
         f"seed {seed}, {seconds:.0f} simulated s of calm, "
-        f"lost {fleet.events[Lost]}, got {fleet.events[LeaseAcquired]}"
+        f"lost {fleet.events[LeaseLost]}, got {fleet.events[LeaseAcquired]}"
     )
     for kind in sorted(fleet.sent):
         count, size = fleet.sent[kind] / seconds, fleet.bytes[kind] / seconds
--- a/fernweir/peers/lease/events.py
+++ b/fernweir/peers/lease/events.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lost(Event):
+class LeaseLost(Event):
     """The front no longer owns the channel and does not request it again until `want` is called.
 
     `why` is "lapsed" if too few keepers answered, "released", "handed", or the reason of a keeper: "taken",
--- a/fernweir/peers/lease/held_leases.py
+++ b/fernweir/peers/lease/held_leases.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 
 from fernweir.peers.base import Outbox, Send
-from fernweir.peers.lease.events import Lease, LeaseAcquired, Lost, Renewed
+from fernweir.peers.lease.events import Lease, LeaseAcquired, LeaseLost, Renewed
 from fernweir.peers.lease.messages import Extended, Item, Renew
 from fernweir.peers.lease.requests import Renewal, batches
 from fernweir.peers.lease.rules import KeeperSet, LeaseRules, all_keepers, versions
@@ -36,7 +36,7 @@
         lease = self.leases.pop(channel, None)
         refusal_reason = self._refusal_reasons.pop(channel, "")
         if lease is not None:
-            self._out.add(Lost(channel, lease.fence, why or refusal_reason or "lapsed"))
+            self._out.add(LeaseLost(channel, lease.fence, why or refusal_reason or "lapsed"))
         return lease
 
     def change_keepers(self, now: float, sets: tuple[KeeperSet, ...]) -> None:
--- a/fernweir/rehearsal/leases.py
+++ b/fernweir/rehearsal/leases.py
@@ -26,7 +26,7 @@
 import msgspec
 
 from fernweir.peers.base import Message, Send
-from fernweir.peers.lease.events import Lost
+from fernweir.peers.lease.events import LeaseLost
 from fernweir.peers.lease.holder import Holder
 from fernweir.peers.lease.keeper import Keeper
 from fernweir.peers.lease.rules import KeeperSet, LeaseRules
@@ -285,7 +285,7 @@
         for effect in machine.take_effects():
             if isinstance(effect, Send) and isinstance(effect.to, str):
                 sent.append(self._number(Under(number, self._numbers[effect.to], effect.message)))
-            elif isinstance(effect, Lost):
+            elif isinstance(effect, LeaseLost):
                 machine.want(now, CHANNEL)
         return self._machines.number(machine), tuple(sent)
 
--- a/tests/test_peers_lease.py
+++ b/tests/test_peers_lease.py
@@ -306,7 +306,7 @@
             self.got += 1
             channel, fence = event.lease.channel, event.lease.fence
             self.plan(self.dice.uniform(0.1, 20), lambda: self.claim(process, channel, fence))
-        elif kind == "Lost" and self.eager:
+        elif kind == "LeaseLost" and self.eager:
             self.plan(self.dice.uniform(0, 50), lambda: self.again(process, event.channel, event.fence))
 
     def again(self, process: Process, channel: str, floor: int) -> None:
@@ -732,7 +732,7 @@
     now = owner.clock(site.at)
     assert owner.holder.holds(now, CHANNEL) is None
     owner.holder.on_message(now, "k0", site.code.messages.Extended(owner.life, 1))  # before any timer
-    assert [(type(event).__name__, event.fence) for event in _events(owner, site)] == [("Lost", fence)]
+    assert [(type(event).__name__, event.fence) for event in _events(owner, site)] == [("LeaseLost", fence)]
 
 
 @pytest.mark.parametrize("late, kept", [(-1e-6, True), (0.0, False), (1e-6, False)])
@@ -753,7 +753,9 @@
         owner.holder.on_message(until + late, keeper, messages.Extended(owner.life, max(turns)))
     lease = owner.holder.holds(until + late, CHANNEL)
     assert (lease is not None) == kept
-    assert [type(event).__name__ for event in _events(owner, site)] == (["Renewed"] if kept else ["Lost"])
+    assert [type(event).__name__ for event in _events(owner, site)] == (
+        ["Renewed"] if kept else ["LeaseLost"]
+    )
     assert lease is None or lease.fence == fence
 
 
