--- a/fernweir/peers/lease/events.py
+++ b/fernweir/peers/lease/events.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Renewed(Event):
+class LeaseRenewed(Event):
     """The same lease was extended."""
 
     lease: Lease
--- a/fernweir/peers/lease/held_leases.py
+++ b/fernweir/peers/lease/held_leases.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 
 from fernweir.peers.base import Outbox, Send
-from fernweir.peers.lease.events import Lease, LeaseAcquired, LeaseLost, Renewed
+from fernweir.peers.lease.events import Lease, LeaseAcquired, LeaseLost, LeaseRenewed
 from fernweir.peers.lease.messages import Extended, Item, Renew
 from fernweir.peers.lease.requests import Renewal, batches
 from fernweir.peers.lease.rules import KeeperSet, LeaseRules, all_keepers, versions
@@ -81,7 +81,7 @@
             if renewal.is_confirmed(channel, self.sets) and until > lease.until:
                 self.leases[channel] = lease = Lease(channel, lease.fence, until)
                 self._refusal_reasons.pop(channel, None)
-                self._out.add(Renewed(lease))
+                self._out.add(LeaseRenewed(lease))
 
     def _renew(self, now: float) -> None:
         self._renew_at = now + self._rules.renew_ms
--- a/fernweir/peers/owning.py
+++ b/fernweir/peers/owning.py
@@ -36,7 +36,7 @@
 from fernweir.peers.channel.spread import Loss, spread
 from fernweir.peers.channel.standby import Copied, Copy
 from fernweir.peers.channel.takeover import Claim, Finished, Inherited, Outdone, Settled, Takeover
-from fernweir.peers.lease.events import LeaseAcquired, LeaseLost, Renewed, Taken
+from fernweir.peers.lease.events import LeaseAcquired, LeaseLost, LeaseRenewed, Taken
 from fernweir.peers.lease.holder import Holder
 from fernweir.peers.port import ClaimResult, Port, SessionStatus
 
@@ -310,7 +310,7 @@
 
     # --- leases ---
 
-    def lease(self, now: float, event: LeaseAcquired | Renewed | LeaseLost | Taken) -> None:
+    def lease(self, now: float, event: LeaseAcquired | LeaseRenewed | LeaseLost | Taken) -> None:
         if isinstance(event, LeaseAcquired):
             self._got(now, event.lease.channel, event.lease.fence)
         elif isinstance(event, LeaseLost):
--- a/tests/test_peers_lease.py
+++ b/tests/test_peers_lease.py
@@ -299,7 +299,7 @@
 
     def told(self, process: Process, event: Any) -> None:
         kind = type(event).__name__
-        if self.dice.random() < self.strikes * (kind == "LeaseAcquired" or 0.2 * (kind == "Renewed")):
+        if self.dice.random() < self.strikes * (kind == "LeaseAcquired" or 0.2 * (kind == "LeaseRenewed")):
             in_ms = self.dice.choice((0.0, self.dice.uniform(0, 200)))
             self.plan(in_ms, lambda: process.alive and self.strike(process))
         if kind == "LeaseAcquired":
@@ -754,7 +754,7 @@
     lease = owner.holder.holds(until + late, CHANNEL)
     assert (lease is not None) == kept
     assert [type(event).__name__ for event in _events(owner, site)] == (
-        ["Renewed"] if kept else ["LeaseLost"]
+        ["LeaseRenewed"] if kept else ["LeaseLost"]
     )
     assert lease is None or lease.fence == fence
 
