--- a/fernweir/peers/lease/acquisition.py
+++ b/fernweir/peers/lease/acquisition.py
@@ -7,7 +7,7 @@
 
 from fernweir.peers.base import Outbox, Send
 from fernweir.peers.lease.attempts import Attempt, Want, backoff_after
-from fernweir.peers.lease.events import Lease, Taken
+from fernweir.peers.lease.events import Lease, LeaseUnavailable
 from fernweir.peers.lease.messages import Granted, Item, Prepare, Promised, Propose, Refused
 from fernweir.peers.lease.requests import batches
 from fernweir.peers.lease.rules import MAX_FENCE, KeeperSet, LeaseRules, all_keepers, versions
@@ -117,7 +117,7 @@
             want.raise_ballot(refusal.promised_ballot)
             if refusal.why in ("taken", "waits") and want.blocked_by != (refusal.by, refusal.fence):
                 want.blocked_by = (refusal.by, refusal.fence)
-                self._out.add(Taken(refusal.channel, refusal.by, refusal.fence))
+                self._out.add(LeaseUnavailable(refusal.channel, refusal.by, refusal.fence))
             if attempt.has_failed(now, self.sets):
                 self._abandon_attempt(now, refusal.channel, want, attempt)
 
--- a/fernweir/peers/lease/events.py
+++ b/fernweir/peers/lease/events.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Taken(Event):
+class LeaseUnavailable(Event):
     """A wanted channel is leased to or reserved for another front; the holder keeps requesting it."""
 
     channel: str
--- a/fernweir/peers/owning.py
+++ b/fernweir/peers/owning.py
@@ -36,7 +36,7 @@
 from fernweir.peers.channel.spread import Loss, spread
 from fernweir.peers.channel.standby import Copied, Copy
 from fernweir.peers.channel.takeover import Claim, Finished, Inherited, Outdone, Settled, Takeover
-from fernweir.peers.lease.events import LeaseAcquired, LeaseLost, LeaseRenewed, Taken
+from fernweir.peers.lease.events import LeaseAcquired, LeaseLost, LeaseRenewed, LeaseUnavailable
 from fernweir.peers.lease.holder import Holder
 from fernweir.peers.port import ClaimResult, Port, SessionStatus
 
@@ -310,12 +310,12 @@
 
     # --- leases ---
 
-    def lease(self, now: float, event: LeaseAcquired | LeaseRenewed | LeaseLost | Taken) -> None:
+    def lease(self, now: float, event: LeaseAcquired | LeaseRenewed | LeaseLost | LeaseUnavailable) -> None:
         if isinstance(event, LeaseAcquired):
             self._got(now, event.lease.channel, event.lease.fence)
         elif isinstance(event, LeaseLost):
             self._lost(now, event.channel, event.fence, event.why)
-        elif isinstance(event, Taken):
+        elif isinstance(event, LeaseUnavailable):
             self.handoff.taken(now, event.channel, event.by, event.fence)
             self._taken(now, event.channel, event.by)
 
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -42,7 +42,7 @@
 from fernweir.peers.late.messages import KINDS as LATE_KINDS
 from fernweir.peers.late.rules import LateRules
 from fernweir.peers.lateness import PLEA, VERSIONS, Lateness, Resign, Said
-from fernweir.peers.lease.events import LeaseAcquired, LeaseLost, LeaseRenewed, Taken
+from fernweir.peers.lease.events import LeaseAcquired, LeaseLost, LeaseRenewed, LeaseUnavailable
 from fernweir.peers.lease.holder import Holder
 from fernweir.peers.lease.keeper import Keeper
 from fernweir.peers.lease.messages import KINDS as LEASE_KINDS
@@ -397,7 +397,7 @@
                     self._out.append(effect)
 
     def _do(self, now: float, event: Event) -> None:
-        if isinstance(event, LeaseAcquired | LeaseRenewed | LeaseLost | Taken):
+        if isinstance(event, LeaseAcquired | LeaseRenewed | LeaseLost | LeaseUnavailable):
             self._at(self.owning).lease(now, event)
             if isinstance(event, LeaseAcquired):
                 self._record(AuditRecord(now, AuditEvent.LEASE, outcome=event.lease.channel))
