--- a/fernweir/peers/lease/holder.py
+++ b/fernweir/peers/lease/holder.py
@@ -66,7 +66,7 @@
         """Releases the channel, which keepers then reserve for the front `to` for `reserve_ms`."""
         self._give_up_channel(now, channel, to, "handed")
 
-    def holds(self, now: float, channel: str) -> Lease | None:
+    def current_lease(self, now: float, channel: str) -> Lease | None:
         """Returns the lease of the channel if it is valid now by the holder's clock."""
         lease = self._held_leases.leases.get(channel)
         return lease if lease is not None and now < lease.until else None
--- a/fernweir/peers/owning.py
+++ b/fernweir/peers/owning.py
@@ -156,7 +156,7 @@
             channel = self._last[session][0]
         if channel is None:
             return None
-        lease = self._holder.holds(now, channel)
+        lease = self._holder.current_lease(now, channel)
         if lease is not None and self.handoff.may_steer(channel):
             return channel, lease.fence
         if self.handoff.may_finish(now, channel):
@@ -204,7 +204,7 @@
             return
         cut = parse(channel_of(self.me, self.life, session, self.rules.parts)) if self._owns else None
         channel = self._owns.get(cut.part, "") if cut is not None else ""
-        if self._holder.holds(now, channel) is not None and self.handoff.may_steer(channel):
+        if self._holder.current_lease(now, channel) is not None and self.handoff.may_steer(channel):
             self._channel[session] = channel
             self.handoff.takeover.attempted(channel, session, box)
 
@@ -276,7 +276,7 @@
         for channel in list(self._tries):
             self._drop_try(now, channel)
         for channel, standings in list(self._sessions.items()):
-            lease = self._holder.holds(now, channel)
+            lease = self._holder.current_lease(now, channel)
             order = self._heirs(channel, len(standings), self.me)
             if lease is None or not standings or not order:
                 self._holder.release(now, channel)
@@ -299,7 +299,10 @@
         for channel in list(self._tries):
             self._drop_try(now, channel)
         for channel, standings in list(self._sessions.items()):
-            lease, order = self._holder.holds(now, channel), self._heirs(channel, len(standings), self.me)
+            lease, order = (
+                self._holder.current_lease(now, channel),
+                self._heirs(channel, len(standings), self.me),
+            )
             if lease is not None and standings and order:
                 self.handoff.offer(now, channel, lease.fence, standings, order)
 
@@ -328,7 +331,11 @@
             # It lives, and has the lease: this front is not its standby any more, and missed that word.
             self._drop_try(now, channel)
             self._spared[channel] = now + _SPARED_MS
-        elif channel in self._sessions and by not in (self.me, "") and not self._holder.holds(now, channel):
+        elif (
+            channel in self._sessions
+            and by not in (self.me, "")
+            and not self._holder.current_lease(now, channel)
+        ):
             self._holder.release(now, channel)
             self._let_go(now, channel, by)
 
@@ -449,7 +456,7 @@
 
     def _turn(self, now: float, channel: str, fence: int) -> None:
         """The lease has been here for a while, so that not all channels are claimed in one moment."""
-        lease, copy = self._holder.holds(now, channel), self.replica.copy(channel)
+        lease, copy = self._holder.current_lease(now, channel), self.replica.copy(channel)
         if lease is None or lease.fence != fence:
             return
         if copy is None:  # its owner has told this front meanwhile that it keeps no copy any more
@@ -633,16 +640,16 @@
         for standing in self._outside.values():
             cut = parse(channel_of(self.me, self.life, standing.session, self.rules.parts))
             channel = self._owns.get(cut.part, "") if cut is not None else ""
-            if channel in self._sessions and self._holder.holds(now, channel) is not None:
+            if channel in self._sessions and self._holder.current_lease(now, channel) is not None:
                 groups.setdefault((channel, standing.box), []).append(standing)
         for (channel, box), standings in groups.items():
-            lease = self._holder.holds(now, channel)
+            lease = self._holder.current_lease(now, channel)
             if lease is not None and self.handoff.may_steer(channel):
                 self._ask_to_adopt(channel, lease.fence, box, standings)
 
     def _ask_to_adopt(self, channel: str, fence: int, box: int, standings: Sequence[SessionStatus]) -> None:
         def then(now: float, claimed: ClaimResult) -> None:
-            lease = self._holder.holds(now, channel)
+            lease = self._holder.current_lease(now, channel)
             if not claimed.accepted or lease is None or lease.fence != fence or channel not in self._sessions:
                 return
             listed = {(session, attempt) for session, attempt, _ in claimed.sessions}
--- a/fernweir/rehearsal/leases.py
+++ b/fernweir/rehearsal/leases.py
@@ -308,7 +308,7 @@
         asked = (state.machines[holder], now)
         fence = self._held.get(asked)
         if fence is None:
-            lease = self._machines.view(asked[0]).holds(now, CHANNEL)
+            lease = self._machines.view(asked[0]).current_lease(now, CHANNEL)
             fence = self._held[asked] = 0 if lease is None else lease.fence
         return fence
 
--- a/tests/test_peers_lease.py
+++ b/tests/test_peers_lease.py
@@ -345,7 +345,7 @@
             for other in self.processes:
                 if other is process or other.holder is None or not other.alive:
                     continue
-                theirs = other.holder.holds(other.clock(self.at), lease.channel)
+                theirs = other.holder.current_lease(other.clock(self.at), lease.channel)
                 if theirs is not None:
                     raise Wrong(f"{process.name} and {other.name} both hold: {lease}, {theirs}")
 
@@ -353,7 +353,7 @@
         return [
             process.name
             for process in self.living("holder")
-            if process.holder.holds(process.clock(self.at), channel) is not None
+            if process.holder.current_lease(process.clock(self.at), channel) is not None
         ]
 
     def all_owned(self) -> None:
@@ -523,7 +523,7 @@
     for channel in site.channels:
         told[channel] = site.boxes[channel] = site.highest[channel] + dice.choice((0, 0, 1, 1 << 30))
         for owner in owners:
-            if owner.holder.holds(owner.clock(site.at), channel) is not None:
+            if owner.holder.current_lease(owner.clock(site.at), channel) is not None:
                 site.again(owner, channel, told[channel])
     site.weather.lost = dice.choice((0.0, 0.3, 0.6))
     site.weather.late = dice.choice((0.0, 0.3))
@@ -556,7 +556,7 @@
         site.run(dice.uniform(20, 150))
         for one in site.living("holder"):
             now = one.clock(site.at)
-            lease = one.holder.holds(now, "a:1/0")
+            lease = one.holder.current_lease(now, "a:1/0")
             if lease is None or one.stopped or dice.random() < 0.5:
                 continue
             if dice.random() < 0.5:
@@ -661,7 +661,7 @@
 
 def _lease(site: Site, name: str) -> Any:
     (process,) = site.named(name)
-    return process.holder.holds(process.clock(site.at), CHANNEL)
+    return process.holder.current_lease(process.clock(site.at), CHANNEL)
 
 
 def _events(process: Process, site: Site) -> list[Any]:
@@ -730,7 +730,7 @@
     site.run(1_000)
     assert site.owners(CHANNEL) == ["b"]
     now = owner.clock(site.at)
-    assert owner.holder.holds(now, CHANNEL) is None
+    assert owner.holder.current_lease(now, CHANNEL) is None
     owner.holder.on_message(now, "k0", site.code.messages.Extended(owner.life, 1))  # before any timer
     assert [(type(event).__name__, event.fence) for event in _events(owner, site)] == [("LeaseLost", fence)]
 
@@ -751,7 +751,7 @@
     }
     for keeper in ("k0", "k1"):
         owner.holder.on_message(until + late, keeper, messages.Extended(owner.life, max(turns)))
-    lease = owner.holder.holds(until + late, CHANNEL)
+    lease = owner.holder.current_lease(until + late, CHANNEL)
     assert (lease is not None) == kept
     assert [type(event).__name__ for event in _events(owner, site)] == (
         ["LeaseRenewed"] if kept else ["LeaseLost"]
@@ -774,7 +774,7 @@
     assert len(turns) == 6 and len(set(turns)) == 1  # each of three keepers was asked twice
     for keeper in ("k0", "k1"):
         owner.holder.on_message(asked + 100, keeper, messages.Extended(owner.life, turns[0]))
-    assert owner.holder.holds(asked + 100, CHANNEL).until == asked + site.rules.own_ms
+    assert owner.holder.current_lease(asked + 100, CHANNEL).until == asked + site.rules.own_ms
 
 
 def test_a_failed_attempt_for_a_higher_fence_leaves_the_locks_of_the_lease_that_is_held() -> None:
@@ -798,7 +798,7 @@
     owner.holder.tick(now + site.rules.attempt_ms)
     sent = [type(each.message).__name__ for each in owner.holder.take_effects()]
     assert "Propose" in sent and "Release" not in sent
-    assert owner.holder.holds(now + site.rules.attempt_ms, CHANNEL).fence == lease.fence
+    assert owner.holder.current_lease(now + site.rules.attempt_ms, CHANNEL).fence == lease.fence
 
 
 def test_of_two_fronts_with_one_name_the_newer_life_waits_like_anybody_else() -> None:
@@ -807,12 +807,12 @@
     newer = site.start("a", (keepers,), holder=True)
     site.again(newer, CHANNEL, 0)
     site.run(1_500)
-    assert older.holder.holds(older.clock(site.at), CHANNEL) is not None
-    assert newer.holder.holds(newer.clock(site.at), CHANNEL) is None
-    fence = older.holder.holds(older.clock(site.at), CHANNEL).fence
+    assert older.holder.current_lease(older.clock(site.at), CHANNEL) is not None
+    assert newer.holder.current_lease(newer.clock(site.at), CHANNEL) is None
+    fence = older.holder.current_lease(older.clock(site.at), CHANNEL).fence
     site.kill(older)
     site.run(1_000)
-    assert newer.holder.holds(newer.clock(site.at), CHANNEL).fence > fence
+    assert newer.holder.current_lease(newer.clock(site.at), CHANNEL).fence > fence
 
 
 def test_a_handed_channel_goes_to_its_heir_at_once_while_others_wait_and_to_them_if_it_does_not_come() -> (
