--- a/bench/peers_lease.py
+++ b/bench/peers_lease.py
@@ -101,7 +101,7 @@
     fleet = _Fleet(fronts, channels, keepers, seed)
     began = fleet.rules.silence_ms + 3_000
     fleet.run(began)
-    held = sum(len(holder.held(fleet.at)) for holder in fleet.holders.values())
+    held = sum(len(holder.current_leases(fleet.at)) for holder in fleet.holders.values())
     print(
         f"{held} of {fronts * channels} channels held after {began / 1000:.1f} s, all wanted from the start"
     )
--- a/fernweir/peers/lease/holder.py
+++ b/fernweir/peers/lease/holder.py
@@ -71,7 +71,7 @@
         lease = self._held_leases.leases.get(channel)
         return lease if lease is not None and now < lease.until else None
 
-    def held(self, now: float) -> list[Lease]:
+    def current_leases(self, now: float) -> list[Lease]:
         return [lease for lease in self._held_leases.leases.values() if now < lease.until]
 
     def change(self, now: float, sets: Iterable[KeeperSet]) -> bool:
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -315,7 +315,7 @@
             for key in gone:
                 self._at(self.facts).drop(now, key)
             # Where no lease is wanted, having none says nothing of the way to the others.
-            leases = not self._shares or bool(self.holder.held(now))
+            leases = not self._shares or bool(self.holder.current_leases(now))
             self._at(self.lateness).leases(now, leases)
         self._parts.tick(now)
         self._settle(now)
--- a/tests/test_peers_lease.py
+++ b/tests/test_peers_lease.py
@@ -332,7 +332,7 @@
         """Beliefs begin only where something was just done; each is held against all others'."""
         if process.holder is None or not process.alive:
             return
-        for lease in process.holder.held(process.clock(self.at)):
+        for lease in process.holder.current_leases(process.clock(self.at)):
             key = (process.number, lease.channel)
             fence, ended = self.believed.get(key, (0, 0.0))
             if fence == lease.fence and ended <= self.at:
@@ -869,7 +869,7 @@
         owner.holder.want(owner.clock(site.at), f"b:1/{number}")
     site.settle(owner)
     site.run(100)
-    assert len(owner.holder.held(owner.clock(site.at))) == 30
+    assert len(owner.holder.current_leases(owner.clock(site.at))) == 30
     sent = []
     kept, site.send = site.send, lambda *given: (sent.append(given[2]), kept(*given))
     site.run(2_000)
@@ -913,7 +913,10 @@
         keeper.take_effects()
         owner.holder.take_effects()
     assert len(keeper._records.by_channel) <= 50
-    assert len(owner.holder.held(now + 40)) <= 1 and len(owner.holder._pending_releases._in_flight) < 50
+    assert (
+        len(owner.holder.current_leases(now + 40)) <= 1
+        and len(owner.holder._pending_releases._in_flight) < 50
+    )
     keeper.tick(10_000.0)
     assert not keeper._records.by_channel
 
