--- a/fernweir/peers/lease/holder.py
+++ b/fernweir/peers/lease/holder.py
@@ -62,7 +62,7 @@
         """Stops requesting the channel and, if it is held, ends the lease so that others can get it."""
         self._give_up_channel(now, channel, "", "released")
 
-    def hand(self, now: float, channel: str, to: str) -> None:
+    def hand_over(self, now: float, channel: str, to: str) -> None:
         """Releases the channel, which keepers then reserve for the front `to` for `reserve_ms`."""
         self._give_up_channel(now, channel, to, "handed")
 
--- a/fernweir/rehearsal/leases.py
+++ b/fernweir/rehearsal/leases.py
@@ -280,7 +280,7 @@
             case ("release",):
                 machine.release(now, CHANNEL)
             case ("hand", str(other)):
-                machine.hand(now, CHANNEL, other)
+                machine.hand_over(now, CHANNEL, other)
         sent = []
         for effect in machine.take_effects():
             if isinstance(effect, Send) and isinstance(effect.to, str):
--- a/tests/test_peers_lease.py
+++ b/tests/test_peers_lease.py
@@ -438,7 +438,7 @@
             if not one.stopped:
                 channel = dice.choice(site.channels)
                 if dice.random() < 0.5:
-                    one.holder.hand(one.clock(site.at), channel, dice.choice(holders).name)
+                    one.holder.hand_over(one.clock(site.at), channel, dice.choice(holders).name)
                 else:
                     one.holder.release(one.clock(site.at), channel)
                 site.settle(one)
@@ -822,13 +822,13 @@
     a, b, c = (site.named(name)[0] for name in "abc")
     site.again(c, CHANNEL, 0)
     site.run(50)
-    a.holder.hand(a.clock(site.at), CHANNEL, "b")
+    a.holder.hand_over(a.clock(site.at), CHANNEL, "b")
     site.settle(a)
     site.run(20)
     site.again(b, CHANNEL, 0)
     site.run(30)
     assert site.owners(CHANNEL) == ["b"]
-    b.holder.hand(b.clock(site.at), CHANNEL, "nobody")
+    b.holder.hand_over(b.clock(site.at), CHANNEL, "nobody")
     site.settle(b)
     site.run(380)
     assert site.owners(CHANNEL) == []
