--- a/fernweir/peers/lease/holder.py
+++ b/fernweir/peers/lease/holder.py
@@ -74,7 +74,7 @@
     def current_leases(self, now: float) -> list[Lease]:
         return [lease for lease in self._held_leases.leases.values() if now < lease.until]
 
-    def change(self, now: float, sets: Iterable[KeeperSet]) -> bool:
+    def change_keepers(self, now: float, sets: Iterable[KeeperSet]) -> bool:
         """Replaces the keeper sets in force; held leases stay and are renewed by the new keepers.
 
         Returns False if the sets are older than, or equal to, the current ones.
--- a/fernweir/peers/lease/keeper.py
+++ b/fernweir/peers/lease/keeper.py
@@ -62,7 +62,7 @@
         """Replaces the set of fronts that are granted and renewed nothing."""
         self._shut_out = frozenset(names)
 
-    def change(self, now: float, sets: Iterable[KeeperSet]) -> bool:
+    def change_keepers(self, now: float, sets: Iterable[KeeperSet]) -> bool:
         """Replaces the keeper sets in force. Returns False if the caller has to try again later."""
         self.tick(now)
         found = tuple(sets)
--- a/fernweir/peers/replacing.py
+++ b/fernweir/peers/replacing.py
@@ -62,8 +62,8 @@
         return True
 
     def look(self, now: float) -> None:
-        self._holder.change(now, self.sets)
-        self._taken = self._taken or self._keeper.change(now, self.sets)
+        self._holder.change_keepers(now, self.sets)
+        self._taken = self._taken or self._keeper.change_keepers(now, self.sets)
         newest = self.sets[-1]
         if len(self.sets) < 2 or not self._taken:
             return
--- a/tests/test_peers_lease.py
+++ b/tests/test_peers_lease.py
@@ -244,8 +244,8 @@
         for process in self.named(name):
             now = process.clock(self.at)
             if process.holder is not None:
-                process.holder.change(now, sets)
-            if process.keeper is not None and not process.keeper.change(now, sets):
+                process.holder.change_keepers(now, sets)
+            if process.keeper is not None and not process.keeper.change_keepers(now, sets):
                 self.plan(200, lambda: self.change(name, self.sets[name]))
             self.settle(process)
 
