--- a/fernweir/peers/lease/keeper.py
+++ b/fernweir/peers/lease/keeper.py
@@ -54,7 +54,7 @@
 
     # --- calls of the front ---
 
-    def know(self, fence: int) -> None:
+    def raise_floor(self, fence: int) -> None:
         """Grants no fence up to this one from now on. It comes from servers, replicas or a corrected life."""
         self._records.raise_floor(min(fence, MAX_FLOOR))
 
@@ -144,7 +144,7 @@
         if sender not in all_keepers(self._sets) and sender not in self._overlap.pending_keepers():
             return
         # The floor includes grants of the previous set, before the newer set is in force alone.
-        self.know(message.floor)
+        self.raise_floor(message.floor)
         if self.silent(now):
             self._overlap.observe_newer(message.sets)
             self._unanswered.discard(sender)
--- a/tests/peers_mutants/lease.py
+++ b/tests/peers_mutants/lease.py
@@ -123,7 +123,7 @@
     Mutant(
         "a keeper that asks nobody what it forgot",
         _AT + "keeper.py",
-        "        self.know(message.floor)",
+        "        self.raise_floor(message.floor)",
         "        pass",
         40,
         2,
