--- a/fernweir/peers/lease/keeper.py
+++ b/fernweir/peers/lease/keeper.py
@@ -73,7 +73,7 @@
         self.tick(now)
         return True
 
-    def settled(self, now: float) -> bool:
+    def has_settled(self, now: float) -> bool:
         """Whether, by the state of this keeper, the newest set may be in force alone."""
         self.tick(now)
         return self._overlap.previous is None
--- a/fernweir/peers/replacing.py
+++ b/fernweir/peers/replacing.py
@@ -68,7 +68,7 @@
         if len(self.sets) < 2 or not self._taken:
             return
         said = self._settled.get(self.me) == newest.version
-        if self.me in newest.names and not said and self._keeper.settled(now):
+        if self.me in newest.names and not said and self._keeper.has_settled(now):
             self._settled[self.me] = newest.version
             self._facts.put(now, SETTLED, msgspec.msgpack.encode(newest.version))
         ready = sum(self._settled.get(name) == newest.version for name in newest.names)
