--- a/fernweir/peers/lease/keeper.py
+++ b/fernweir/peers/lease/keeper.py
@@ -81,7 +81,7 @@
     def silent(self, now: float) -> bool:
         return now < self._silent_until
 
-    def granted(self, now: float) -> Iterator[tuple[str, str, int, float]]:
+    def granted_leases(self, now: float) -> Iterator[tuple[str, str, int, float]]:
         """Yields channel, holder, fence and remaining ms of each lease that is granted now."""
         for channel, record in self._records.live_records(now):
             if record.owner is not None:
--- a/tests/test_peers_lease.py
+++ b/tests/test_peers_lease.py
@@ -512,7 +512,7 @@
             owner.holder.release(owner.clock(site.at), channel)
         site.settle(owner)
     site.run(dice.uniform(1_000, 3_500))
-    if any(next(each.keeper.granted(each.clock(site.at)), None) for each in site.living("keeper")):
+    if any(next(each.keeper.granted_leases(each.clock(site.at)), None) for each in site.living("keeper")):
         raise Wrong("a released channel is still granted")
     site.eager = True
     for owner in dice.sample(owners, 2):
@@ -676,7 +676,7 @@
     site.again(site.named("b")[0], CHANNEL, 0)
     site.run(2_000)
     assert _lease(site, "a").fence == fence and _lease(site, "b") is None
-    assert [entry[1:3] for entry in again.keeper.granted(again.clock(site.at))] == [("a", fence)]
+    assert [entry[1:3] for entry in again.keeper.granted_leases(again.clock(site.at))] == [("a", fence)]
 
 
 def test_all_keepers_that_restart_at_once_grant_nothing_for_the_longest_lease_then_a_higher_fence() -> None:
