--- a/fernweir/peers/lease/keeper.py
+++ b/fernweir/peers/lease/keeper.py
@@ -78,7 +78,7 @@
         self.tick(now)
         return self._overlap.previous is None
 
-    def silent(self, now: float) -> bool:
+    def is_silent(self, now: float) -> bool:
         return now < self._silent_until
 
     def granted_leases(self, now: float) -> Iterator[tuple[str, str, int, float]]:
@@ -98,7 +98,7 @@
                 )
             case Recalled():
                 self._on_recalled(now, sender, message)
-            case _ if self.silent(now):
+            case _ if self.is_silent(now):
                 pass
             case Prepare():
                 self._on_prepare(now, sender, message)
@@ -136,7 +136,7 @@
     # --- between keepers ---
 
     def _keepers_to_ask(self, now: float) -> list[str]:
-        if not self.silent(now):
+        if not self.is_silent(now):
             self._unanswered.clear()
         return sorted(self._unanswered.union(self._overlap.pending_keepers()) - {self._me})
 
@@ -145,7 +145,7 @@
             return
         # The floor includes grants of the previous set, before the newer set is in force alone.
         self.raise_floor(message.floor)
-        if self.silent(now):
+        if self.is_silent(now):
             self._overlap.observe_newer(message.sets)
             self._unanswered.discard(sender)
         self._overlap.on_required_versions(now, sender, message.sets)
