--- a/bench/peers_members.py
+++ b/bench/peers_members.py
@@ -121,7 +121,7 @@
         due = front.machine.next_deadline()
         late = self.now - due if due is not None else 0.0
         if told and late > 0:
-            front.machine.stood(self.now, late)
+            front.machine.on_stall(self.now, late)
         if self.dice.random() < 0.5:
             front.machine.tick(self.now)
         while front.waiting:
--- a/fernweir/peers/members/detector.py
+++ b/fernweir/peers/members/detector.py
@@ -100,7 +100,7 @@
         self._view.spread(2 * self._rules.fanout)
         self._schedule()
 
-    def stood(self, now: float, late_ms: float) -> None:
+    def on_stall(self, now: float, late_ms: float) -> None:
         """This process was suspended, so answers that are missing are no evidence against other members."""
         if self._is_member and late_ms > self._rules.late_after and self._stalled_at < now - late_ms:
             self._view.now = now
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -202,7 +202,7 @@
 
     def stood(self, now: float, late_ms: float) -> None:
         """The driver's timer came this late: this front stood still, or is slow."""
-        self._at(self.members).stood(now, late_ms)
+        self._at(self.members).on_stall(now, late_ms)
 
     def leave(self, now: float) -> None:
         """Hands on what stands here; `left` says when that is done, `go` ends."""
