--- a/fernweir/peers/lease/acquisition.py
+++ b/fernweir/peers/lease/acquisition.py
@@ -61,7 +61,7 @@
             elif attempt.has_failed(now, self.sets):
                 self._abandon_attempt(now, channel, want, attempt)
             elif now >= attempt.resend_at:
-                attempt.resend_at = now + self._rules.again_ms
+                attempt.resend_at = now + self._rules.resend_ms
                 self._ask(channel, attempt, all_keepers(self.sets))
 
     def deadlines(self) -> Iterator[float]:
@@ -100,7 +100,7 @@
             attempt.granted.add(keeper)
             if not attempt.has_won(self.sets):
                 continue
-            lease = Lease(item.channel, attempt.fence, attempt.asked_at + self._rules.own_ms)
+            lease = Lease(item.channel, attempt.fence, attempt.asked_at + self._rules.validity_ms)
             if now < lease.until and lease.fence > want.floor:
                 del self.wants[item.channel]
                 self.acquired.append(lease)
--- a/fernweir/peers/lease/attempts.py
+++ b/fernweir/peers/lease/attempts.py
@@ -69,7 +69,7 @@
 
     def begin_attempt(self, now: float, rules: LeaseRules) -> Attempt:
         self.ballot += 1
-        self.attempt = Attempt(self.ballot, now + rules.attempt_ms, now + rules.again_ms)
+        self.attempt = Attempt(self.ballot, now + rules.attempt_ms, now + rules.resend_ms)
         return self.attempt
 
     def raise_ballot(self, promised_ballot: int) -> None:
@@ -103,7 +103,7 @@
         for name, remaining_ms in sorted(locked.items(), key=lambda each: each[1]):
             free.add(name)
             if has_majority(sets, free):
-                wait = min(remaining_ms * (1 + rules.drift) / (1 - rules.drift), rules.pause_most_ms)
-                return wait + rng.uniform(1.0, rules.pause_ms / 4)
-    max_backoff_ms = min(rules.pause_ms * 2 ** min(failed_attempts, 16), rules.pause_most_ms)
-    return rng.uniform(rules.pause_ms / 2, max_backoff_ms)
+                wait = min(remaining_ms * (1 + rules.drift) / (1 - rules.drift), rules.max_backoff_ms)
+                return wait + rng.uniform(1.0, rules.backoff_ms / 4)
+    longest_ms = min(rules.backoff_ms * 2 ** min(failed_attempts, 16), rules.max_backoff_ms)
+    return rng.uniform(rules.backoff_ms / 2, longest_ms)
--- a/fernweir/peers/lease/held_leases.py
+++ b/fernweir/peers/lease/held_leases.py
@@ -26,7 +26,7 @@
         self.leases: dict[str, Lease] = {}
 
     def add(self, lease: Lease) -> None:
-        renew_at = lease.until - self._rules.own_ms + self._rules.renew_ms
+        renew_at = lease.until - self._rules.validity_ms + self._rules.renew_ms
         self._renew_at = min(self._renew_at, renew_at) if self.leases else renew_at
         self.leases[lease.channel] = lease
         self._refusal_reasons.pop(lease.channel, None)
@@ -54,10 +54,10 @@
         if self.leases and now >= self._renew_at:
             self._renew(now)
         for request_id, renewal in list(self._renewals.items()):
-            if now >= renewal.asked_at + self._rules.own_ms:
+            if now >= renewal.asked_at + self._rules.validity_ms:
                 del self._renewals[request_id]
             elif renewal.unanswered and now >= renewal.resend_at:
-                renewal.resend_at = now + self._rules.again_ms
+                renewal.resend_at = now + self._rules.resend_ms
                 self._send_renewal(request_id, renewal)
 
     def deadlines(self) -> Iterator[float]:
@@ -73,7 +73,7 @@
         for refusal in message.refusals:
             if refusal.channel in renewal.fences:
                 self._refusal_reasons[refusal.channel] = refusal.why
-        until = renewal.asked_at + self._rules.own_ms
+        until = renewal.asked_at + self._rules.validity_ms
         for channel in renewal.on_extended(keeper, message.refusals):
             lease = self.leases.get(channel)
             if lease is None or lease.fence != renewal.fences[channel]:
@@ -90,7 +90,7 @@
         for batch in batches([Item(lease.channel, 0, lease.fence) for lease in self.leases.values()]):
             self._last_request_id += 1
             fences = {item.channel: item.fence for item in batch}
-            renewal = Renewal(now, now + self._rules.again_ms, fences, all_keepers(self.sets))
+            renewal = Renewal(now, now + self._rules.resend_ms, fences, all_keepers(self.sets))
             self._renewals[self._last_request_id] = renewal
             self._send_renewal(self._last_request_id, renewal)
 
--- a/fernweir/peers/lease/holder.py
+++ b/fernweir/peers/lease/holder.py
@@ -44,7 +44,7 @@
         If a server reports a higher fence this must be called again with it, also while the lease is held.
 
         Raises:
-            OverflowError: The holder would have more than `channels_most` channels.
+            OverflowError: The holder would have more than `max_channels` channels.
         """
         self._held_leases.expire(now)
         floor = min(floor, MAX_FLOOR)
@@ -52,9 +52,9 @@
         held = leases.get(channel)
         if held is not None and held.fence > floor:
             return
-        if channel not in wants and len(wants) + len(leases) >= self._rules.channels_most:
+        if channel not in wants and len(wants) + len(leases) >= self._rules.max_channels:
             raise OverflowError(
-                f"cannot request channel {channel!r}: limit of {self._rules.channels_most} channels"
+                f"cannot request channel {channel!r}: limit of {self._rules.max_channels} channels"
             )
         self._acquisition.add(now, channel, floor)
 
--- a/fernweir/peers/lease/keeper.py
+++ b/fernweir/peers/lease/keeper.py
@@ -41,7 +41,7 @@
     def __init__(self, me: str, life: int, rules: LeaseRules, now: float, sets: Iterable[KeeperSet]) -> None:
         self._me = me
         self._rules = rules
-        self._records = Records(first_fence(life), rules.silence_ms, rules.records_most)
+        self._records = Records(first_fence(life), rules.silence_ms, rules.max_records)
         self._sets = tuple(sets)
         self._overlap = Overlap(me, now, self._sets, rules.silence_ms)
         self._silent_until = now + rules.silence_ms
--- a/fernweir/peers/lease/pending_releases.py
+++ b/fernweir/peers/lease/pending_releases.py
@@ -25,7 +25,7 @@
     ) -> None:
         for batch in batches(items):
             self._last_request_id += 1
-            resend_at = now + self._rules.again_ms
+            resend_at = now + self._rules.resend_ms
             pending = PendingRelease(batch, to, now + for_ms, resend_at, all_keepers(sets))
             self._in_flight[self._last_request_id] = pending
             self._send(self._last_request_id, pending)
@@ -40,7 +40,7 @@
             if now >= pending.ends_at or not pending.unanswered:
                 del self._in_flight[request_id]
             elif now >= pending.resend_at:
-                pending.resend_at = now + self._rules.again_ms
+                pending.resend_at = now + self._rules.resend_ms
                 self._send(request_id, pending)
 
     def deadlines(self) -> Iterator[float]:
--- a/fernweir/peers/lease/rules.py
+++ b/fernweir/peers/lease/rules.py
@@ -17,21 +17,21 @@
 
     The rate of each clock is between 1 - `drift` and 1 + `drift` of true time. A keeper grants no lease above
     `longest_ms`, and is silent for that long after a start. An attempt is abandoned after `attempt_ms`;
-    unanswered requests are sent again every `again_ms`.
+    unanswered requests are sent again every `resend_ms`.
     """
 
     lease_ms: float = 3_000.0
     longest_ms: float = 5_000.0
     drift: float = 0.01
     renew_ms: float = 1_000.0
-    again_ms: float = 300.0
+    resend_ms: float = 300.0
     attempt_ms: float = 1_500.0
     promise_ms: float = 3_000.0  # a promise without a proposal expires after this time
-    pause_ms: float = 100.0  # random backoff after a failed attempt, doubled with each up to pause_most_ms
-    pause_most_ms: float = 1_000.0
+    backoff_ms: float = 100.0  # random backoff after a failed attempt, doubled with each up to max_backoff_ms
+    max_backoff_ms: float = 1_000.0
     reserve_ms: float = 2_000.0  # how long a channel is reserved for the front it is handed to
-    records_most: int = 20_000
-    channels_most: int = 1_000  # per holder
+    max_records: int = 20_000
+    max_channels: int = 1_000  # per holder
 
     def __post_init__(self) -> None:
         if not 0 < self.lease_ms <= self.longest_ms:
@@ -40,11 +40,13 @@
             )
         if not 0 <= self.drift < 0.5:
             raise ValueError(f"drift must be at least 0 and below 0.5: {self.drift}")
-        if not 0 < self.renew_ms < self.own_ms:
-            raise ValueError(f"renew_ms must be above 0 and below own_ms, {self.own_ms}: {self.renew_ms}")
+        if not 0 < self.renew_ms < self.validity_ms:
+            raise ValueError(
+                f"renew_ms must be above 0 and below validity_ms, {self.validity_ms}: {self.renew_ms}"
+            )
 
     @property
-    def own_ms(self) -> float:
+    def validity_ms(self) -> float:
         """The validity of a lease by the holder's clock: ends before the `lease_ms` of any keeper can end."""
         return self.lease_ms * (1 - self.drift) / (1 + self.drift)
 
--- a/fernweir/rehearsal/leases.py
+++ b/fernweir/rehearsal/leases.py
@@ -89,11 +89,11 @@
     longest_ms=60.0,
     drift=0.2,
     renew_ms=24.0,
-    again_ms=1_000.0,
+    resend_ms=1_000.0,
     attempt_ms=24.0,
     promise_ms=48.0,
-    pause_ms=24.0,
-    pause_most_ms=24.0,
+    backoff_ms=24.0,
+    max_backoff_ms=24.0,
     reserve_ms=24.0,
 )
 
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -46,7 +46,7 @@
     ("a", "b", "c"),
     members=MemberRules(most=32),
     facts=FactRules(keys=16, owner_bytes=4_096, owners=32, keep_ms=5_000.0),
-    lease=LeaseRules(records_most=64, channels_most=64),
+    lease=LeaseRules(max_records=64, max_channels=64),
     owning=OwningRules(
         parts=2, gone_most=64,
         replica=ReplicaRules(copies_most=16, sessions_most=64, bytes_most=65_536, payloads_bytes=65_536,
--- a/tests/peers_mutants/lease.py
+++ b/tests/peers_mutants/lease.py
@@ -10,15 +10,15 @@
     Mutant(
         "a lease counted from the answer",
         _AT + "acquisition.py",
-        "attempt.asked_at + self._rules.own_ms)",
-        "now + self._rules.own_ms)",
+        "attempt.asked_at + self._rules.validity_ms)",
+        "now + self._rules.validity_ms)",
         40,
     ),
     Mutant(
         "a renewal counted from the answer",
         _AT + "held_leases.py",
-        "until = renewal.asked_at + self._rules.own_ms",
-        "until = now + self._rules.own_ms",
+        "until = renewal.asked_at + self._rules.validity_ms",
+        "until = now + self._rules.validity_ms",
         40,
     ),
     Mutant(
--- a/tests/test_peers_lease.py
+++ b/tests/test_peers_lease.py
@@ -368,11 +368,11 @@
         "lease_ms": 600.0,
         "longest_ms": 800.0,
         "renew_ms": 200.0,
-        "again_ms": 70.0,
+        "resend_ms": 70.0,
         "attempt_ms": 250.0,
         "promise_ms": 500.0,
-        "pause_ms": 30.0,
-        "pause_most_ms": 200.0,
+        "backoff_ms": 30.0,
+        "max_backoff_ms": 200.0,
         "reserve_ms": 400.0,
     }
     return code.rules.LeaseRules(**{**times, **given})
@@ -774,7 +774,7 @@
     assert len(turns) == 6 and len(set(turns)) == 1  # each of three keepers was asked twice
     for keeper in ("k0", "k1"):
         owner.holder.on_message(asked + 100, keeper, messages.Extended(owner.life, turns[0]))
-    assert owner.holder.current_lease(asked + 100, CHANNEL).until == asked + site.rules.own_ms
+    assert owner.holder.current_lease(asked + 100, CHANNEL).until == asked + site.rules.validity_ms
 
 
 def test_a_failed_attempt_for_a_higher_fence_leaves_the_locks_of_the_lease_that_is_held() -> None:
@@ -881,7 +881,7 @@
 def test_a_peer_that_says_anything_grows_no_table_and_breaks_nothing() -> None:
     code = load()
     site, _ = _calm(code, "a")
-    rules = quick(code, records_most=50)
+    rules = quick(code, max_records=50)
     keeper = code.Keeper("k0", 1, rules, -1_000.0, (code.rules.KeeperSet(1, ("k0", "k1", "k2")),))
     (owner,) = site.named("a")
     now = owner.clock(site.at)
