--- a/fernweir/peers/members/detector.py
+++ b/fernweir/peers/members/detector.py
@@ -75,7 +75,7 @@
         return known.life if known is not None else 0
 
     def table(self) -> Mapping[str, Member]:
-        """Returns at most `most` members by name: living ones, this front, and dead ones for `forget`."""
+        """Returns at most `max_members` by name: living ones, this front, and dead ones for `forget_ms`."""
         return self._view.table.rows
 
     # --- joining and leaving ---
@@ -85,7 +85,7 @@
         view = self._view
         view.now, self._is_member = now, True
         view.publish(view.own)
-        self._prober.start(view.rng.random() * self._rules.period)
+        self._prober.start(view.rng.random() * self._rules.period_ms)
         self._anti_entropy.start(seeds)
         self._schedule()
 
@@ -102,7 +102,7 @@
 
     def on_stall(self, now: float, late_ms: float) -> None:
         """This process was suspended, so answers that are missing are no evidence against other members."""
-        if self._is_member and late_ms > self._rules.late_after and self._stalled_at < now - late_ms:
+        if self._is_member and late_ms > self._rules.late_after_ms and self._stalled_at < now - late_ms:
             self._view.now = now
             self._on_stall_detected(late_ms)
             self._schedule()
@@ -111,15 +111,15 @@
         view = self._view
         self._stalled_at = view.now
         if view.own.living:
-            view.awareness.increase(math.ceil(late_ms / self._rules.period))
+            view.awareness.increase(math.ceil(late_ms / self._rules.period_ms))
             view.suspicions.restart(view.now)
             view.identity.on_stall(view.now)
-            self._prober.start(self._rules.period)
+            self._prober.start(self._rules.period_ms)
             self._anti_entropy.on_stall()
 
     def _advance_clock(self, now: float) -> None:
         self._view.now = now
-        if self._deadline is not None and now - self._deadline > self._rules.late_after:
+        if self._deadline is not None and now - self._deadline > self._rules.late_after_ms:
             self._on_stall_detected(now - self._deadline)
 
     # --- the state machine ---
--- a/fernweir/peers/members/identity.py
+++ b/fernweir/peers/members/identity.py
@@ -125,24 +125,24 @@
 
         A rival loses the name if others declared it dead and it has not answered this front for
         `VERDICT_PERIODS` either. Without a declaration by others a missing answer does not prove its death,
-        so this front yields, unless it is alone and the rival was silent for `contest`.
+        so this front yields, unless it is alone and the rival was silent for `contest_ms`.
         """
         rival = self.rival
         if rival is None or now < rival.probe_at:
             return None
         if (
             rival.declared_dead_at is not None
-            and now - rival.declared_dead_at >= VERDICT_PERIODS * self._rules.period
+            and now - rival.declared_dead_at >= VERDICT_PERIODS * self._rules.period_ms
         ):
             self._raise_life(rival.record.life + 1)
             return None
-        if now - rival.last_seen >= self._rules.contest:
+        if now - rival.last_seen >= self._rules.contest_ms:
             if alone:
                 self._raise_life(rival.record.life + 1)
                 return None
             self._yield_name(rival)
         is_frequent = rival.declared_dead_at is not None or not self.displaced
-        rival.probe_at = now + (self._rules.period if is_frequent else self._rules.rejoin_every)
+        rival.probe_at = now + (self._rules.period_ms if is_frequent else self._rules.rejoin_interval_ms)
         rival.seq = seq
         return rival.record.address
 
--- a/fernweir/peers/members/prober.py
+++ b/fernweir/peers/members/prober.py
@@ -49,16 +49,16 @@
 
     @property
     def _last_probe_ms(self) -> float:
-        return MAX_ATTEMPTS * self._view.rules.timeout * self._view.awareness.factor
+        return MAX_ATTEMPTS * self._view.rules.timeout_ms * self._view.awareness.factor
 
     def _probe(self) -> None:
         """Probes one member each period, in a round that includes new members; reshuffles it at its end."""
         view = self._view
         if view.now < self._probe_at:
             return
-        view.table.sweep(view.now, view.rules.forget, view.rules.tombstone)
-        self._probe_at = view.now + view.rules.period * view.awareness.factor
-        if len(self._round) > 2 * view.rules.most:  # names join and leave faster than they are probed
+        view.table.sweep(view.now, view.rules.forget_ms, view.rules.tombstone_ms)
+        self._probe_at = view.now + view.rules.period_ms * view.awareness.factor
+        if len(self._round) > 2 * view.rules.max_members:  # names join and leave faster than they are probed
             self._round.clear()
         for name in view.table.new_names:
             self._round.insert(view.rng.randint(0, len(self._round)), name)
--- a/fernweir/peers/members/probes.py
+++ b/fernweir/peers/members/probes.py
@@ -1,6 +1,6 @@
 """Probes in flight, and probes on behalf of others: the times of attempts, and the accepted answers.
 
-A probe is a ping and three more at intervals of `timeout`, each with requests to some helpers to ping as
+A probe is a ping and three more at intervals of `timeout_ms`, each with requests to some helpers to ping as
 well; it ends with its period. At 20% loss about one probe in 8,000 of a living member fails. Indirect probes
 are from SWIM (Das, Gupta, Motivala 2002), the "nack" of helpers is from Lifeguard (Dadgar, Phillips, Currey
 2018).
@@ -78,9 +78,9 @@
         """Adds a probe that is due at once, unless too many are in flight."""
         if len(self._in_flight) >= MAX_PROBES:
             return
-        timeout = self._rules.timeout * factor
+        timeout = self._rules.timeout_ms * factor
         duration_ms = (
-            MAX_ATTEMPTS * timeout if is_last else max(self._rules.period * factor, MAX_ATTEMPTS * timeout)
+            MAX_ATTEMPTS * timeout if is_last else max(self._rules.period_ms * factor, MAX_ATTEMPTS * timeout)
         )
         self._in_flight[self.next_seq()] = Probe(
             record, now, timeout, now + duration_ms, is_last, next_at=now
@@ -114,8 +114,8 @@
         if len(self._relays) >= MAX_RELAYS:
             return None
         own = self.next_seq()
-        nack_at = now + 0.8 * self._rules.timeout
-        self._relays[own] = Relay(name, to, seq, nack_at, now + 2 * self._rules.period)
+        nack_at = now + 0.8 * self._rules.timeout_ms
+        self._relays[own] = Relay(name, to, seq, nack_at, now + 2 * self._rules.period_ms)
         return own
 
     def on_relay_answer(self, seq: int, sender: str) -> Relay | None:
--- a/fernweir/peers/members/repair.py
+++ b/fernweir/peers/members/repair.py
@@ -101,7 +101,7 @@
     def __init__(self, view: MembershipView) -> None:
         self._view = view
         self._lost = LostAddresses(view.rng)
-        self._rate_limit = RateLimit(view.rules.tables_a_second)
+        self._rate_limit = RateLimit(view.rules.tables_per_s)
         self._sync_at = self._contact_at = math.inf
         self._no_gossip_until = -math.inf
         self.dropped = 0
@@ -109,7 +109,7 @@
     def start(self, seeds: Sequence[Address]) -> None:
         view = self._view
         self._lost.seeds = [address for address in seeds if address != view.own.address]
-        self._sync_at = view.now + view.rng.random() * view.rules.sync_every
+        self._sync_at = view.now + view.rng.random() * view.rules.sync_interval_ms
         self._contact_at = view.now
 
     def on_stall(self) -> None:
@@ -130,7 +130,7 @@
         view = self._view
         if view.now < self._sync_at:
             return
-        self._sync_at = view.now + view.rules.sync_every * view.rng.uniform(0.8, 1.2)
+        self._sync_at = view.now + view.rules.sync_interval_ms * view.rng.uniform(0.8, 1.2)
         for record in view.table.sample(view.rng, 1):
             view.send(record.address, Sync(view.own, tuple(view.table.checksums)))
 
@@ -140,7 +140,9 @@
         if view.now < self._contact_at:
             return
         alone = not view.table.living
-        self._contact_at = view.now + (view.rules.join_every if alone else view.rules.rejoin_every)
+        self._contact_at = view.now + (
+            view.rules.join_interval_ms if alone else view.rules.rejoin_interval_ms
+        )
         checksums = () if alone else tuple(view.table.checksums)
         for address in self._lost.next_addresses(view.table, view.own.address, 3 if alone else 1):
             view.send(address, Sync(view.own, checksums))
@@ -160,7 +162,7 @@
         """Applies received rows; those of the complete table after a join are not gossiped."""
         view = self._view
         if not view.table.living:
-            self._no_gossip_until = view.now + view.rules.join_every
+            self._no_gossip_until = view.now + view.rules.join_interval_ms
         view.apply(message.rows, spread=view.now >= self._no_gossip_until)
         asker = view.table.rows.get(sender)
         if message.wants_newer and asker is not None:
--- a/fernweir/peers/members/suspicion.py
+++ b/fernweir/peers/members/suspicion.py
@@ -14,8 +14,8 @@
 
 def timeout_bounds_ms(rules: MemberRules, fleet: int) -> tuple[float, float]:
     """Returns the shortest and longest timeout of a suspicion in a fleet of this many fronts."""
-    min_ms = rules.suspicion_least * rules.period * max(2.0, math.log10(max(fleet, 1)))
-    return min_ms, min_ms * rules.suspicion_most
+    min_ms = rules.suspicion_min_periods * rules.period_ms * max(2.0, math.log10(max(fleet, 1)))
+    return min_ms, min_ms * rules.suspicion_max_ratio
 
 
 def timeout_ms(min_ms: float, max_ms: float, confirmed: int, expected: int) -> float:
--- a/fernweir/peers/members/view.py
+++ b/fernweir/peers/members/view.py
@@ -28,10 +28,10 @@
         self.rules = rules
         self.rng = rng
         self.out = Outbox()
-        self.table = MemberTable(me.name, rules.most)
+        self.table = MemberTable(me.name, rules.max_members)
         self.queue = GossipQueue()
         self.suspicions = Suspicions(rules)
-        self.awareness = Awareness(rules.doubt_most)
+        self.awareness = Awareness(rules.max_health_score)
         self.updates = StatusUpdates(me.name, self.table, self.suspicions, self.queue, self.out.add)
         self.identity = Identity(me, rules, self.publish, self.out.add)
         self.on_suspicion: Callable[[Record], None] = lambda record: None
@@ -76,7 +76,7 @@
     def next_gossip_at(self) -> float:
         if not self.queue or not self.table.living:
             return math.inf
-        return self._gossiped_at + self.rules.gossip_every
+        return self._gossiped_at + self.rules.gossip_interval_ms
 
     def spread(self, count: int) -> None:
         """Gossips to the next members of a shuffled round, so that a small fleet is covered evenly."""
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -230,7 +230,7 @@
         member = self.members.table().get(name)
         if member is None or now < self._stale.get(name, 0.0):
             return
-        if len(self._stale) >= self.rules.members.most:
+        if len(self._stale) >= self.rules.members.max_members:
             self._stale.clear()
         self._stale[name] = now + _STALE_MS
         self._out.append(Send(address or member.address, Gossip((member.record,))))
--- a/tests/peers_mutants/members.py
+++ b/tests/peers_mutants/members.py
@@ -74,7 +74,7 @@
 )  # fmt: skip
 _on(
     "two_of_a_name", "a rival's death believed by hearsay", "identity",
-    "now - rival.declared_dead_at >= VERDICT_PERIODS * self._rules.period", "rival.probe_at", 3,
+    "now - rival.declared_dead_at >= VERDICT_PERIODS * self._rules.period_ms", "rival.probe_at", 3,
 )  # fmt: skip
 _on(
     "goodbye", "leaving told as a death", "identity",
@@ -87,7 +87,9 @@
 )  # fmt: skip
 _on(
     "alone", "seeds called once only", "repair",
-    "self._contact_at = view.now + (view.rules.join_every if alone else view.rules.rejoin_every)",
+    "self._contact_at = view.now + (\n"
+    "            view.rules.join_interval_ms if alone else view.rules.rejoin_interval_ms\n"
+    "        )",
     "self._contact_at = math.inf", 4,
 )  # fmt: skip
 _on(
--- a/tests/test_peers_members.py
+++ b/tests/test_peers_members.py
@@ -230,7 +230,7 @@
 
 def flooded(seed: int, kit: Kit) -> list[str]:
     """A peer invents members without end: the table keeps its bound, the living stay, those go again."""
-    rules = kit.rules.MemberRules(most=40, forget=4_000.0, tombstone=4_000.0)
+    rules = kit.rules.MemberRules(max_members=40, forget_ms=4_000.0, tombstone_ms=4_000.0)
     net = Net(seed, kit, Paths(), rules)
     fleet = formed(net, 4)
     dice = net.dice
@@ -258,7 +258,7 @@
 
 def forgotten(seed: int, kit: Kit) -> list[str]:
     """A dead member goes from the table after its time, and old news of it brings it back nowhere."""
-    rules = kit.rules.MemberRules(forget=5_000.0, tombstone=30_000.0)
+    rules = kit.rules.MemberRules(forget_ms=5_000.0, tombstone_ms=30_000.0)
     net = Net(seed, kit, Paths(), rules)
     fleet = formed(net, 5)
     record = fleet[3].machine.table()["front-3"].record
@@ -468,7 +468,7 @@
     """One machine, told anything by anyone at any time: never a crash, a bound broken or a view not told."""
     kit, dice = load(), Random(seed)
     m = kit.messages
-    rules = kit.rules.MemberRules(most=12, forget=3_000.0, tombstone=3_000.0)
+    rules = kit.rules.MemberRules(max_members=12, forget_ms=3_000.0, tombstone_ms=3_000.0)
     me = kit.events.Me("a", ("h", 1), 2)
     front = Front("a", ("h", 1), 2, kit.detector.Members(me, rules, seed))
     now = 0.0
