--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -138,7 +138,7 @@
     ) -> None:
         self._client.drop(box, session, attempt, why, under)
 
-    def claim(
+    def claim_channel(
         self, box: int, channel: str, fence: int, overlap_ms: float,
         then: Callable[[float, ClaimResult], None], adopt: Sequence[tuple[str, int]] = (),
     ) -> None:  # fmt: skip
--- a/fernweir/node/peering.py
+++ b/fernweir/node/peering.py
@@ -222,7 +222,7 @@
         """Answers a peer's request for a session at once: there is none."""
         then(self._core.now(), Carried(request.number, "none"))
 
-    def claim(
+    def claim_channel(
         self,
         box: int,
         channel: str,
--- a/fernweir/peers/owning.py
+++ b/fernweir/peers/owning.py
@@ -432,7 +432,7 @@
             self._run(now)
             self._wake()
 
-        self._port.claim(box, event.channel, event.fence, event.overlap_ms, then)
+        self._port.claim_channel(box, event.channel, event.fence, event.overlap_ms, then)
 
     # --- pieces: leases that come and go ---
 
@@ -663,7 +663,7 @@
             self._wake()
 
         adopt = [(standing.session, standing.attempt) for standing in standings]
-        self._port.claim(box, channel, fence, 0.0, then, adopt)
+        self._port.claim_channel(box, channel, fence, 0.0, then, adopt)
 
     def _drop_try(self, now: float, channel: str) -> None:
         tried = self._tries.pop(channel, None)
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -148,7 +148,7 @@
     def execute_forwarded(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
         """Executes a forwarded request for a session of this front; `then` is called once."""
 
-    def claim(
+    def claim_channel(
         self, box: int, channel: str, fence: int, overlap_ms: float,
         then: Callable[[float, ClaimResult], None], adopt: Sequence[tuple[str, int]] = (),
     ) -> None:  # fmt: skip
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -159,7 +159,7 @@
         kind = ("none", "plays", "refused")[request.number % 3]
         then(self.world.now, Carried(request.number, kind))
 
-    def claim(
+    def claim_channel(
         self, box: int, channel: str, fence: int, overlap_ms: float,
         then: Callable[[float, ClaimResult], None], adopt: Sequence[tuple[str, int]] = (),
     ) -> None:  # fmt: skip
--- a/tests/peers_mutants/joint.py
+++ b/tests/peers_mutants/joint.py
@@ -66,7 +66,7 @@
     ),
     Mutant(
         "an heir claims no box", _OWNING,
-        "        self._port.claim(box, event.channel, event.fence, event.overlap_ms, then)\n", "", 8,
+        "        self._port.claim_channel(box, event.channel, event.fence, event.overlap_ms, then)\n", "", 8,
     ),
     Mutant(
         "standbys are not told of what stands", _OWNING,
--- a/tests/test_peers_boxes.py
+++ b/tests/test_peers_boxes.py
@@ -99,7 +99,9 @@
         assert [str(act.deed) for act in told[0].acts] == ["setup"]  # type: ignore[attr-defined]
 
         claims: list[ClaimResult] = []
-        ports[1].claim(standing.box, "front-0:1/0", 6, 400.0, lambda now, claimed: claims.append(claimed))
+        ports[1].claim_channel(
+            standing.box, "front-0:1/0", 6, 400.0, lambda now, claimed: claims.append(claimed)
+        )
         await until(lambda: bool(claims))
         assert claims[0].accepted and claims[0].sessions == ((wish.session, 0, standing.rung),)
         now = scene.fronts[1].core.now()
@@ -111,7 +113,7 @@
         again = await scene.http("GET", path, wish, front=1)
         assert again.status == 200 and len(scene.of("box.setup")) == 1
         claims.clear()
-        ports[0].claim(
+        ports[0].claim_channel(
             standing.box, "front-0:1/0", 5, 400.0, lambda now, claimed: claims.append(claimed)
         )  # woken, and none the wiser
         await until(lambda: bool(claims))
