--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -133,7 +133,7 @@
             self._core.schedule_step()
         return gone
 
-    def release(
+    def release_attempt(
         self, now: float, box: int, session: str, attempt: int, why: str, under: tuple[str, int]
     ) -> None:
         self._client.drop(box, session, attempt, why, under)
--- a/fernweir/node/peering.py
+++ b/fernweir/node/peering.py
@@ -213,7 +213,7 @@
         """Refuses to hand a session over."""
         return False
 
-    def release(
+    def release_attempt(
         self, now: float, box: int, session: str, attempt: int, why: str, under: tuple[str, int]
     ) -> None:
         """Does nothing: servers know no fence to release a peer's session by."""
--- a/fernweir/peers/owning.py
+++ b/fernweir/peers/owning.py
@@ -550,7 +550,9 @@
             if self._channel.get(session) == event.channel and self._placed.get(session) == box:
                 continue  # this front's own doing, whatever a copy knows
             under = (event.channel, event.fence)
-            self._port.release(now, box, session, attempt, "nobody can prove that it is wanted", under)
+            self._port.release_attempt(
+                now, box, session, attempt, "nobody can prove that it is wanted", under
+            )
 
     def _take(
         self, now: float, channel: str, held: dict[str, SessionStatus], standing: SessionStatus
@@ -563,7 +565,7 @@
                 return
             # Its viewer came here meanwhile and it began anew: one of the two is too many.
             under = (channel, self._fences.get(channel, 0))
-            self._port.release(now, standing.box, session, standing.attempt, "began anew", under)
+            self._port.release_attempt(now, standing.box, session, standing.attempt, "began anew", under)
             self.replica.end(now, channel, session)
             return
         payload = self._port.payload(standing.payload) or self.replica.payload_of(standing.payload)
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -137,7 +137,7 @@
     def relinquish_session(self, now: float, session: str) -> bool:
         """Hands a session to another front without a message to its server or viewers."""
 
-    def release(
+    def release_attempt(
         self, now: float, box: int, session: str, attempt: int, why: str, under: tuple[str, int]
     ) -> None:
         """Releases, under a channel and fence, what runs at a server and is no session of this front."""
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -147,7 +147,7 @@
     def relinquish_session(self, now: float, session: str) -> bool:
         return self.plays.pop(session, None) is not None
 
-    def release(
+    def release_attempt(
         self, now: float, box: int, session: str, attempt: int, why: str, under: tuple[str, int]
     ) -> None:
         pass
