--- a/fernweir/front/peering.py
+++ b/fernweir/front/peering.py
@@ -21,7 +21,7 @@
 from fernweir.interface import Result
 from fernweir.peers.acts.versions import boxes_digest
 from fernweir.peers.forward.messages import Carried, Carry
-from fernweir.peers.port import Claimed, SessionStatus
+from fernweir.peers.port import ClaimResult, SessionStatus
 
 _MAX_CACHED_PAYLOADS = 4_096
 
@@ -44,7 +44,7 @@
 
     # --- requests of peers (peers.port.Port) ---
 
-    def standing(self) -> list[SessionStatus]:
+    def session_statuses(self) -> list[SessionStatus]:
         """Returns the status of all sessions that play here."""
         return [
             self._session_status(record)
@@ -56,7 +56,7 @@
         """Returns the payload that viewers of a session are answered from, for a takeover by a successor."""
         return self._payloads.get(digest)
 
-    def boxes(self) -> list[int]:
+    def server_numbers(self) -> list[int]:
         """Returns the servers of the current list."""
         return [server for server, entry in self._endpoint_list.servers.items() if entry.state != "gone"]
 
@@ -76,11 +76,11 @@
             for rack, servers in servers_by_rack.items()
         ]
 
-    def list_document(self) -> bytes:
+    def endpoint_list_document(self) -> bytes:
         """Returns the current endpoint list, for a peer that does not have it."""
         return self._endpoint_list.to_cache()
 
-    def take_list(self, now: float, data: bytes, digest: bytes) -> bool:
+    def adopt_endpoint_list(self, now: float, data: bytes, digest: bytes) -> bool:
         """Applies a peer's list if its content has this digest and it is newer within the same epoch."""
         try:
             document = read_document(data)
@@ -100,7 +100,7 @@
             self._core.schedule_step()
         return update is not None
 
-    def take_over(self, now: float, standing: SessionStatus, payload: bytes | None) -> bool:
+    def adopt_session(self, now: float, standing: SessionStatus, payload: bytes | None) -> bool:
         """Adopts a session of another front.
 
         Returns False if the session is here already, or if its server, title, class or protocol is unknown.
@@ -141,12 +141,12 @@
             core.schedule_step()
         return is_adopted
 
-    def ended(self, now: float, session: str, attempt: int) -> None:
+    def on_session_missing(self, now: float, session: str, attempt: int) -> None:
         """Ends a session that was taken over and that no longer runs at its server."""
         self._core.sessions.on_session_ended(now, session, attempt, Result.RESET)
         self._core.schedule_step()
 
-    def let_go(self, now: float, session: str) -> bool:
+    def relinquish_session(self, now: float, session: str) -> bool:
         """Gives up a session that another front owns now, without ending it at its server."""
         self._handing_over = True  # the session has not ended, so standbys must not be notified of an end
         is_handed_over = self._core.sessions.hand_over_session(now, session)
@@ -155,15 +155,15 @@
             self._core.schedule_step()
         return is_handed_over
 
-    def release(
+    def release_attempt(
         self, now: float, box: int, session: str, attempt: int, why: str, under: tuple[str, int]
     ) -> None:
         """Ends what runs at a server and is not a session of this front."""
         self._client.release_unowned_session(box, session, attempt, why, under)
 
-    def claim(
+    def claim_channel(
         self, box: int, channel: str, fence: int, overlap_ms: float,
-        then: Callable[[float, Claimed], None], adopt: Sequence[tuple[str, int]] = (),
+        then: Callable[[float, ClaimResult], None], adopt: Sequence[tuple[str, int]] = (),
     ) -> None:  # fmt: skip
         """Claims a channel at a server; `then` is called once, after this has returned."""
 
@@ -172,7 +172,7 @@
 
         self._client.claim_channel(box, channel, fence, overlap_ms, on_reply, adopt)
 
-    def carry(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
+    def execute_forwarded(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
         """Handles a request that reached another front; `then` is called once with the outcome."""
         core, number = self._core, request.number
         session = core.sessions.session(request.session)
@@ -217,16 +217,16 @@
     def on_session_updated(self, now: float, held: SessionRecord) -> None:
         """Reports the status of a session that plays to the peers' listener."""
         if self._listener is not None and _is_playing(held):
-            self._listener.stands(now, self._session_status(held))
+            self._listener.on_session_status(now, self._session_status(held))
 
     def on_session_closed(self, now: float, held: SessionRecord, why: str) -> None:
         """Reports a session's end to the peers' listener, unless it was handed over."""
         if self._listener is None or self._handing_over:
             return
         if _is_playing(held):
-            self._listener.over(now, held.request.session_id)
+            self._listener.on_session_ended(now, held.request.session_id)
         else:
-            self._listener.failed(now, held.request.session_id)
+            self._listener.on_session_failed(now, held.request.session_id)
 
     def named(self, box: int) -> tuple[int, str]:
         """Returns the number and the additional name of a server in audit records."""
@@ -323,15 +323,15 @@
     return record.phase is SessionPhase.PLAYING
 
 
-def _read_claim_reply(server: int, reply: Reply) -> Claimed:
+def _read_claim_reply(server: int, reply: Reply) -> ClaimResult:
     """Reads a server's reply to a claim; a malformed reply counts as a server that was not reached."""
     if reply.outcome is not Outcome.ANSWERED or reply.status not in (200, 409):
-        return Claimed(server, reached=False)
+        return ClaimResult(server, reached=False)
     try:
         body = json.loads(reply.body)
         sessions = tuple(
             (str(session_id), int(attempt), int(rung)) for session_id, attempt, rung in body["sessions"]
         )
-        return Claimed(server, True, reply.status == 200, int(body["fence"]), sessions)
+        return ClaimResult(server, True, reply.status == 200, int(body["fence"]), sessions)
     except (ValueError, KeyError, TypeError, RecursionError):
-        return Claimed(server, reached=False)
+        return ClaimResult(server, reached=False)
--- a/fernweir/node/peering.py
+++ b/fernweir/node/peering.py
@@ -24,7 +24,7 @@
 from fernweir.node.config import ConfigError, NodeConfig
 from fernweir.node.endpoint_feed import EndpointFeed
 from fernweir.peers.forward.messages import Carried, Carry
-from fernweir.peers.port import Claimed, SessionStatus
+from fernweir.peers.port import ClaimResult, SessionStatus
 from fernweir.peers.program import Beginning, Peers, read_keys
 from fernweir.peers.settings import first_versions, link_rules, peer_rules
 
@@ -179,7 +179,7 @@
         self._listed_servers.on_endpoint_list(update)
         super().on_endpoint_list(now, update)
 
-    def standing(self) -> list[SessionStatus]:
+    def session_statuses(self) -> list[SessionStatus]:
         """Returns an empty list, since no session can be handed off."""
         return []
 
@@ -187,7 +187,7 @@
         """Returns an empty list, since nodes report no racks to their peers."""
         return []
 
-    def boxes(self) -> list[int]:
+    def server_numbers(self) -> list[int]:
         """Returns the numbers of all servers on the list."""
         return self._listed_servers.server_numbers()
 
@@ -195,45 +195,45 @@
         """Returns None, since no session can be handed off."""
         return None
 
-    def list_document(self) -> bytes:
+    def endpoint_list_document(self) -> bytes:
         """Returns an empty document, since the control feed is the only source of the list."""
         return b""
 
-    def take_list(self, now: float, data: bytes, digest: bytes) -> bool:
+    def adopt_endpoint_list(self, now: float, data: bytes, digest: bytes) -> bool:
         """Rejects the list of a peer, since the control feed is the only source of the list."""
         return False
 
-    def take_over(self, now: float, standing: SessionStatus, payload: bytes | None) -> bool:
+    def adopt_session(self, now: float, standing: SessionStatus, payload: bytes | None) -> bool:
         """Rejects the session of a peer."""
         return False
 
-    def ended(self, now: float, session: str, attempt: int) -> None:
+    def on_session_missing(self, now: float, session: str, attempt: int) -> None:
         """Does nothing, since no session was taken over."""
 
-    def let_go(self, now: float, session: str) -> bool:
+    def relinquish_session(self, now: float, session: str) -> bool:
         """Refuses to hand off a session."""
         return False
 
-    def release(
+    def release_attempt(
         self, now: float, box: int, session: str, attempt: int, why: str, under: tuple[str, int]
     ) -> None:
         """Does nothing, since releasing a peer's session needs fences, which servers do not support."""
 
-    def carry(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
+    def execute_forwarded(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
         """Reports at once that the session that a peer requests does not exist here."""
         then(self._core.now(), Carried(request.number, "none"))
 
-    def claim(
+    def claim_channel(
         self,
         box: int,
         channel: str,
         fence: int,
         overlap_ms: float,
-        then: Callable[[float, Claimed], None],
+        then: Callable[[float, ClaimResult], None],
         adopt: Sequence[tuple[str, int]] = (),
     ) -> None:
         """Reports that the server was not reached, since servers do not support channels."""
-        asyncio.get_running_loop().call_soon(lambda: then(self._core.now(), Claimed(box, reached=False)))
+        asyncio.get_running_loop().call_soon(lambda: then(self._core.now(), ClaimResult(box, reached=False)))
 
 
 def _platform_settings(config: NodeConfig) -> dict[str, str]:
--- a/fernweir/peers/lateness.py
+++ b/fernweir/peers/lateness.py
@@ -147,14 +147,14 @@
         """The list is given as it is here; settings and keys are files, which the late front has to read."""
         if content_of(self._versions, event.what) != event.content:
             return
-        data = self._port.list_document() if event.what is Kind.BOXES else b""
+        data = self._port.endpoint_list_document() if event.what is Kind.BOXES else b""
         if event.what is Kind.BOXES and not data:
             return  # fronts of this kind have their list from one source alone
         self.stragglers.supply(now, event.name, event.what, event.content, data)
         self._out.add(Said("peer is brought up", {"name": event.name, "what": str(event.what)}))
 
     def _apply(self, now: float, event: Apply) -> None:
-        taken = event.what is Kind.BOXES and self._port.take_list(now, event.data, event.content)
+        taken = event.what is Kind.BOXES and self._port.adopt_endpoint_list(now, event.data, event.content)
         self._out.add(Said("brought up by a peer", {"what": str(event.what), "by": event.by, "taken": taken}))
 
     def _shut_out(self) -> None:
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -42,7 +42,7 @@
 from fernweir.peers.late.messages import KINDS as LATE_KINDS
 from fernweir.peers.late.rules import LateRules
 from fernweir.peers.lateness import PLEA, VERSIONS, Lateness, Resign, Said
-from fernweir.peers.lease.events import Got, Lost, Renewed, Taken
+from fernweir.peers.lease.events import LeaseAcquired, LeaseLost, LeaseRenewed, LeaseUnavailable
 from fernweir.peers.lease.holder import Holder
 from fernweir.peers.lease.keeper import Keeper
 from fernweir.peers.lease.messages import KINDS as LEASE_KINDS
@@ -54,7 +54,7 @@
 from fernweir.peers.members.rules import MemberRules
 from fernweir.peers.owning import Changed, Owning, OwningRules, Steers, Yields
 from fernweir.peers.parts import Parts
-from fernweir.peers.port import Act, Deed, Port, SessionStatus
+from fernweir.peers.port import AuditEvent, AuditRecord, Port, SessionStatus
 from fernweir.peers.recording import Recording, Rested, Trouble
 from fernweir.peers.replacing import KEEPERS, SETTLED, Replacing
 from fernweir.peers.weighing import TALLY, Weighing
@@ -184,7 +184,7 @@
         self._started = self._leaving = self._displaced = False
         self._shares = rules.owning.parts > 0  # sessions may be another front's: it has channels
         self._changed = changed
-        port.listen(self)
+        port.set_listener(self)
 
     # --- the front's program ---
 
@@ -202,7 +202,7 @@
 
     def stood(self, now: float, late_ms: float) -> None:
         """The driver's timer came this late: this front stood still, or is slow."""
-        self._at(self.members).stood(now, late_ms)
+        self._at(self.members).on_stall(now, late_ms)
 
     def leave(self, now: float) -> None:
         """Hands on what stands here; `left` says when that is done, `go` ends."""
@@ -230,7 +230,7 @@
         member = self.members.table().get(name)
         if member is None or now < self._stale.get(name, 0.0):
             return
-        if len(self._stale) >= self.rules.members.most:
+        if len(self._stale) >= self.rules.members.max_members:
             self._stale.clear()
         self._stale[name] = now + _STALE_MS
         self._out.append(Send(address or member.address, Gossip((member.record,))))
@@ -315,7 +315,7 @@
             for key in gone:
                 self._at(self.facts).drop(now, key)
             # Where no lease is wanted, having none says nothing of the way to the others.
-            leases = not self._shares or bool(self.holder.held(now))
+            leases = not self._shares or bool(self.holder.current_leases(now))
             self._at(self.lateness).leases(now, leases)
         self._parts.tick(now)
         self._settle(now)
@@ -333,7 +333,7 @@
 
     # --- the front's listener ---
 
-    def stands(self, now: float, standing: SessionStatus) -> None:
+    def on_session_status(self, now: float, standing: SessionStatus) -> None:
         self._at(self.owning).stands(now, standing)
         self.foresight.stands(now, standing)
         self.weighing.stands(now, standing, self.owning.channel(standing.session))
@@ -341,31 +341,31 @@
             self._at(self.directory).register(now, standing.session)
         self._changed()
 
-    def over(self, now: float, session: str) -> None:
+    def on_session_ended(self, now: float, session: str) -> None:
         self._at(self.owning).over(now, session)
         self._at(self.directory).unregister(now, session)
         self.foresight.over(now, session)
         self.weighing.over(now, session)
         self._changed()
 
-    def failed(self, now: float, session: str) -> None:
+    def on_session_failed(self, now: float, session: str) -> None:
         if self._at(self.owning).failed(now, session):
             self._at(self.directory).unregister(now, session)
             self._changed()
 
-    def acted(self, act: Act) -> None:
+    def on_audit_record(self, act: AuditRecord) -> None:
         self._record(act)
-        if act.deed is Deed.SETUP and self._shares:
+        if act.deed is AuditEvent.SETUP and self._shares:
             # From here on nobody else may set it up: told before the first byte leaves.
             self._at(self.owning).placed(act.at, act.session, act.box)
             self._at(self.directory).register(act.at, act.session)
         self._changed()  # its block is to be copied in time, whatever else happens
 
-    def _record(self, act: Act) -> None:
+    def _record(self, act: AuditRecord) -> None:
         self._at(self.recording).add(act)
         self.foresight.acted(act, self.recording.versions)
 
-    def list_told(self, now: float, rows: Sequence[tuple[int, Any]], told_at: float) -> None:
+    def on_endpoint_list(self, now: float, rows: Sequence[tuple[int, Any]], told_at: float) -> None:
         draining = sum(1 for number, row in rows if number >= 0 and row[0] == "draining")
         here = {number for number, _ in rows}
         urgent = draining > self._draining or not here >= self._boxes
@@ -397,10 +397,10 @@
                     self._out.append(effect)
 
     def _do(self, now: float, event: Event) -> None:
-        if isinstance(event, Got | Renewed | Lost | Taken):
+        if isinstance(event, LeaseAcquired | LeaseRenewed | LeaseLost | LeaseUnavailable):
             self._at(self.owning).lease(now, event)
-            if isinstance(event, Got):
-                self._record(Act(now, Deed.LEASE, outcome=event.lease.channel))
+            if isinstance(event, LeaseAcquired):
+                self._record(AuditRecord(now, AuditEvent.LEASE, outcome=event.lease.channel))
         elif isinstance(event, Joined) and event.name == self.me.name:
             self._out.append(Relived(event.life))
         elif isinstance(event, Joined):
@@ -420,7 +420,7 @@
             self.weighing.over(now, event.session)
         elif isinstance(event, Changed):
             said = f"{event.what} {event.channel}"[:200]
-            self._record(Act(now, Deed.HANDOFF, outcome=said))
+            self._record(AuditRecord(now, AuditEvent.HANDOFF, outcome=said))
             self._tell(
                 f"channel {event.what}", channel=event.channel, fence=event.fence, sessions=event.sessions,
                 other=event.other,
@@ -460,7 +460,7 @@
         elif isinstance(event, Said):
             self._tell(event.text, **event.fields)
             if event.shut_out:
-                self._record(Act(now, Deed.SHUTOUT, outcome=event.shut_out))
+                self._record(AuditRecord(now, AuditEvent.SHUTOUT, outcome=event.shut_out))
         elif isinstance(event, Trouble):
             self._tell(TROUBLE_TEXTS[type(event)], owner=event.owner, life=event.life)
         elif isinstance(event, Suspected | Cleared):
@@ -487,7 +487,7 @@
             self._held[cause] = (why, wait_ms)
         else:
             self._held.pop(cause, None)
-        self._port.hold_back(*next(iter(self._held.values()), ("", 0.0)))
+        self._port.block_new_sessions(*next(iter(self._held.values()), ("", 0.0)))
 
     def _members_changed(self, now: float) -> None:
         alive = self.members.alive()
@@ -553,7 +553,7 @@
 
     def _say_load(self, now: float) -> None:
         """Only what differs enough to change a choice: every fact goes to all fronts."""
-        sessions, said = self._port.load(), self._said
+        sessions, said = self._port.session_count(), self._said
         near = said is not None and abs(said.sessions - sessions) <= max(4, said.sessions // 8)
         if said is None or not near or said.leaving != self._closed:
             self._said = Load(sessions, now - self._born, self._closed)
@@ -621,7 +621,7 @@
             self._at(self.forward).answer(now, event.sender, event.request.number, carried)
             self._changed()
 
-        self._port.carry(event.request, then)
+        self._port.execute_forwarded(event.request, then)
 
     def _not_here(self, now: float, carried: Carried, session: str) -> Carried:
         """A request that was carried to this front, which does not hold its session, or no more."""
--- a/fernweir/peers/replacing.py
+++ b/fernweir/peers/replacing.py
@@ -62,13 +62,13 @@
         return True
 
     def look(self, now: float) -> None:
-        self._holder.change(now, self.sets)
-        self._taken = self._taken or self._keeper.change(now, self.sets)
+        self._holder.change_keepers(now, self.sets)
+        self._taken = self._taken or self._keeper.change_keepers(now, self.sets)
         newest = self.sets[-1]
         if len(self.sets) < 2 or not self._taken:
             return
         said = self._settled.get(self.me) == newest.version
-        if self.me in newest.names and not said and self._keeper.settled(now):
+        if self.me in newest.names and not said and self._keeper.has_settled(now):
             self._settled[self.me] = newest.version
             self._facts.put(now, SETTLED, msgspec.msgpack.encode(newest.version))
         ready = sum(self._settled.get(name) == newest.version for name in newest.names)
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -32,7 +32,7 @@
 from fernweir.peers.members.rules import MemberRules
 from fernweir.peers.owning import OwningRules
 from fernweir.peers.peer import KINDS, Peer, PeerRules, Relived
-from fernweir.peers.port import Act, Claimed, Deed, Listener, SessionStatus, Terms
+from fernweir.peers.port import AuditEvent, AuditRecord, ClaimResult, Listener, SessionStatus, Terms
 from fernweir.peers.wire.codec import Codec
 from tests.fuzzing import Finding, Tape, Target
 from tests.fuzzing.shapes import drawn_of, info, message
@@ -44,9 +44,9 @@
 
 RULES = PeerRules(
     ("a", "b", "c"),
-    members=MemberRules(most=32),
+    members=MemberRules(max_members=32),
     facts=FactRules(keys=16, owner_bytes=4_096, owners=32, keep_ms=5_000.0),
-    lease=LeaseRules(records_most=64, channels_most=64),
+    lease=LeaseRules(max_records=64, max_channels=64),
     owning=OwningRules(
         parts=2, gone_most=64,
         replica=ReplicaRules(copies_most=16, sessions_most=64, bytes_most=65_536, payloads_bytes=65_536,
@@ -96,77 +96,77 @@
         self.later: deque[Callable[[float], None]] = deque()
         self.list = 0
 
-    def listen(self, listener: Listener) -> None:
+    def set_listener(self, listener: Listener) -> None:
         self.listener = listener
 
-    def standing(self) -> list[SessionStatus]:
+    def session_statuses(self) -> list[SessionStatus]:
         return list(self.plays.values())
 
-    def load(self) -> int:
+    def session_count(self) -> int:
         return len(self.plays)
 
-    def out(self) -> list[str]:
+    def sessions_in_flight(self) -> list[str]:
         return [SESSIONS[0]]
 
-    def holds(self, session: str) -> bool:
+    def has_session(self, session: str) -> bool:
         return session in self.plays
 
-    def boxes(self) -> list[int]:
+    def server_numbers(self) -> list[int]:
         return [1, 2]
 
     def payload(self, digest: bytes) -> bytes | None:
         return b"payload" if digest else None
 
-    def take_over(self, now: float, standing: SessionStatus, payload: bytes | None) -> bool:
+    def adopt_session(self, now: float, standing: SessionStatus, payload: bytes | None) -> bool:
         if standing.session in self.plays or standing.box not in (1, 2):
             return False
         if len(self.plays) < 64:
             self.plays[standing.session] = standing
         return True
 
-    def terms(self) -> Terms:
+    def limits(self) -> Terms:
         return Terms((100.0, 200.0, 400.0))
 
     def racks(self) -> list[tuple[str, frozenset[int], float]]:
         return [("rack", frozenset((1, 2, 3)), 1e6)]
 
-    def list_document(self) -> bytes:
+    def endpoint_list_document(self) -> bytes:
         return bytes([self.list % 256])
 
-    def take_list(self, now: float, data: bytes, digest: bytes) -> bool:
+    def adopt_endpoint_list(self, now: float, data: bytes, digest: bytes) -> bool:
         if len(data) != 1 or boxes_digest(_rows(data[0])) != digest:
             return False
         self.list = data[0]
-        self.listener.list_told(now, _rows(self.list), now)
+        self.listener.on_endpoint_list(now, _rows(self.list), now)
         return True
 
-    def ended(self, now: float, session: str, attempt: int) -> None:
+    def on_session_missing(self, now: float, session: str, attempt: int) -> None:
         if self.plays.pop(session, None) is not None:
-            self.listener.over(now, session)
+            self.listener.on_session_ended(now, session)
 
-    def let_go(self, now: float, session: str) -> bool:
+    def relinquish_session(self, now: float, session: str) -> bool:
         return self.plays.pop(session, None) is not None
 
-    def release(
+    def release_attempt(
         self, now: float, box: int, session: str, attempt: int, why: str, under: tuple[str, int]
     ) -> None:
         pass
 
-    def hold_back(self, why: str, wait_ms: float) -> None:
+    def block_new_sessions(self, why: str, wait_ms: float) -> None:
         pass
 
-    def carry(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
+    def execute_forwarded(self, request: Carry, then: Callable[[float, Carried], None]) -> None:
         kind = ("none", "plays", "refused")[request.number % 3]
         then(self.world.now, Carried(request.number, kind))
 
-    def claim(
+    def claim_channel(
         self, box: int, channel: str, fence: int, overlap_ms: float,
-        then: Callable[[float, Claimed], None], adopt: Sequence[tuple[str, int]] = (),
+        then: Callable[[float, ClaimResult], None], adopt: Sequence[tuple[str, int]] = (),
     ) -> None:  # fmt: skip
         def answer(now: float) -> None:
             tape = self.world.tape
             listed = tuple((tape.one(SESSIONS), tape.below(3), 0) for _ in range(tape.below(3)))
-            then(now, Claimed(box, tape.below(4) > 0, tape.below(4) > 0, fence + tape.below(2), listed))
+            then(now, ClaimResult(box, tape.below(4) > 0, tape.below(4) > 0, fence + tape.below(2), listed))
 
         if len(self.later) < 256:
             self.later.append(answer)
@@ -222,9 +222,9 @@
 
     def play_at(self, name: str, session: str) -> None:
         peer, port = self.peers[name], self.ports[name]
-        peer.acted(Act(self.now, Deed.SETUP, session, "film", "t", 1, "try 0"))
+        peer.on_audit_record(AuditRecord(self.now, AuditEvent.SETUP, session, "film", "t", 1, "try 0"))
         port.plays[session] = _standing(session)
-        peer.stands(self.now, port.plays[session])
+        peer.on_session_status(self.now, port.plays[session])
         self.settle(name)
 
     def begin(self, name: str, life: int = 0) -> None:
@@ -306,12 +306,14 @@
             if tape.below(4):
                 self.play_at(name, session)
             else:
-                peer.acted(Act(self.now, Deed.SETUP, session, "film", "t", 2, "try 1"))
+                peer.on_audit_record(
+                    AuditRecord(self.now, AuditEvent.SETUP, session, "film", "t", 2, "try 1")
+                )
                 self.settle(name)
         elif what == 13 and port.plays:
             session = tape.one(list(port.plays))
             del port.plays[session]
-            peer.over(self.now, session)
+            peer.on_session_ended(self.now, session)
             self.settle(name)
         elif what == 14:
             while port.later:
@@ -343,7 +345,7 @@
         elif what == 3:
             port = self.ports[name]
             port.list += 1 + self.tape.below(2)
-            peer.list_told(self.now, _rows(port.list), self.now)
+            peer.on_endpoint_list(self.now, _rows(port.list), self.now)
         elif what == 4:
             peer.leave(self.now)
         elif what == 5:
--- a/tests/test_node_peers.py
+++ b/tests/test_node_peers.py
@@ -182,12 +182,12 @@
 
         port = node.dispatcher.sessions.observer
         assert isinstance(port, NodePort)
-        port.hold_back("shut out", 5_000.0)
+        port.block_new_sessions("shut out", 5_000.0)
         refused = await fleet.ask(node)
         assert (refused.type, refused.fields["wait"]) == ("release", "5000")
-        port.hold_back("", 0.0)
+        port.block_new_sessions("", 0.0)
         assert (await fleet.ask(node)).type == "answer"
-        assert not port.take_list(0.0, b"{}", before) and port.list_document() == b""
+        assert not port.adopt_endpoint_list(0.0, b"{}", before) and port.endpoint_list_document() == b""
 
     run_scenario(scenario, tmp_path)
 
@@ -281,28 +281,28 @@
     def __init__(self) -> None:
         self.why = ""
 
-    def listen(self, listener: Listener) -> None:
+    def set_listener(self, listener: Listener) -> None:
         self.listener = listener
 
-    def load(self) -> int:
+    def session_count(self) -> int:
         return 3
 
-    def boxes(self) -> list[int]:
+    def server_numbers(self) -> list[int]:
         return []
 
-    def terms(self) -> Terms:
+    def limits(self) -> Terms:
         return Terms((1_000.0,))
 
     def racks(self) -> list[tuple[str, frozenset[int], float]]:
         return []
 
-    def list_document(self) -> bytes:
+    def endpoint_list_document(self) -> bytes:
         return b""
 
-    def take_list(self, now: float, data: bytes, digest: bytes) -> bool:
+    def adopt_endpoint_list(self, now: float, data: bytes, digest: bytes) -> bool:
         raise AssertionError("no peer has a list to send")
 
-    def hold_back(self, why: str, wait_ms: float) -> None:
+    def block_new_sessions(self, why: str, wait_ms: float) -> None:
         assert bool(why) == (wait_ms > 0.0)
         self.why = why
 
@@ -330,7 +330,9 @@
             peer.start(0.0, [("127.0.0.1", 7000)])
 
     def tell(self, name: str, *servers: int) -> None:
-        self.ports[name].listener.list_told(self.now, [(one, ["up"]) for one in servers], 1e9 + self.now)
+        self.ports[name].listener.on_endpoint_list(
+            self.now, [(one, ["up"]) for one in servers], 1e9 + self.now
+        )
 
     def run(self, until: float, stop: Callable[[], bool] = lambda: False) -> bool:
         """Runs up to that time, or until `stop` returns True."""
--- a/tests/test_peers_lease.py
+++ b/tests/test_peers_lease.py
@@ -244,8 +244,8 @@
         for process in self.named(name):
             now = process.clock(self.at)
             if process.holder is not None:
-                process.holder.change(now, sets)
-            if process.keeper is not None and not process.keeper.change(now, sets):
+                process.holder.change_keepers(now, sets)
+            if process.keeper is not None and not process.keeper.change_keepers(now, sets):
                 self.plan(200, lambda: self.change(name, self.sets[name]))
             self.settle(process)
 
@@ -299,14 +299,14 @@
 
     def told(self, process: Process, event: Any) -> None:
         kind = type(event).__name__
-        if self.dice.random() < self.strikes * (kind == "Got" or 0.2 * (kind == "Renewed")):
+        if self.dice.random() < self.strikes * (kind == "LeaseAcquired" or 0.2 * (kind == "LeaseRenewed")):
             in_ms = self.dice.choice((0.0, self.dice.uniform(0, 200)))
             self.plan(in_ms, lambda: process.alive and self.strike(process))
-        if kind == "Got":
+        if kind == "LeaseAcquired":
             self.got += 1
             channel, fence = event.lease.channel, event.lease.fence
             self.plan(self.dice.uniform(0.1, 20), lambda: self.claim(process, channel, fence))
-        elif kind == "Lost" and self.eager:
+        elif kind == "LeaseLost" and self.eager:
             self.plan(self.dice.uniform(0, 50), lambda: self.again(process, event.channel, event.fence))
 
     def again(self, process: Process, channel: str, floor: int) -> None:
@@ -332,7 +332,7 @@
         """Beliefs begin only where something was just done; each is held against all others'."""
         if process.holder is None or not process.alive:
             return
-        for lease in process.holder.held(process.clock(self.at)):
+        for lease in process.holder.current_leases(process.clock(self.at)):
             key = (process.number, lease.channel)
             fence, ended = self.believed.get(key, (0, 0.0))
             if fence == lease.fence and ended <= self.at:
@@ -345,7 +345,7 @@
             for other in self.processes:
                 if other is process or other.holder is None or not other.alive:
                     continue
-                theirs = other.holder.holds(other.clock(self.at), lease.channel)
+                theirs = other.holder.current_lease(other.clock(self.at), lease.channel)
                 if theirs is not None:
                     raise Wrong(f"{process.name} and {other.name} both hold: {lease}, {theirs}")
 
@@ -353,7 +353,7 @@
         return [
             process.name
             for process in self.living("holder")
-            if process.holder.holds(process.clock(self.at), channel) is not None
+            if process.holder.current_lease(process.clock(self.at), channel) is not None
         ]
 
     def all_owned(self) -> None:
@@ -368,11 +368,11 @@
         "lease_ms": 600.0,
         "longest_ms": 800.0,
         "renew_ms": 200.0,
-        "again_ms": 70.0,
+        "resend_ms": 70.0,
         "attempt_ms": 250.0,
         "promise_ms": 500.0,
-        "pause_ms": 30.0,
-        "pause_most_ms": 200.0,
+        "backoff_ms": 30.0,
+        "max_backoff_ms": 200.0,
         "reserve_ms": 400.0,
     }
     return code.rules.LeaseRules(**{**times, **given})
@@ -438,7 +438,7 @@
             if not one.stopped:
                 channel = dice.choice(site.channels)
                 if dice.random() < 0.5:
-                    one.holder.hand(one.clock(site.at), channel, dice.choice(holders).name)
+                    one.holder.hand_over(one.clock(site.at), channel, dice.choice(holders).name)
                 else:
                     one.holder.release(one.clock(site.at), channel)
                 site.settle(one)
@@ -512,7 +512,7 @@
             owner.holder.release(owner.clock(site.at), channel)
         site.settle(owner)
     site.run(dice.uniform(1_000, 3_500))
-    if any(next(each.keeper.granted(each.clock(site.at)), None) for each in site.living("keeper")):
+    if any(next(each.keeper.granted_leases(each.clock(site.at)), None) for each in site.living("keeper")):
         raise Wrong("a released channel is still granted")
     site.eager = True
     for owner in dice.sample(owners, 2):
@@ -523,7 +523,7 @@
     for channel in site.channels:
         told[channel] = site.boxes[channel] = site.highest[channel] + dice.choice((0, 0, 1, 1 << 30))
         for owner in owners:
-            if owner.holder.holds(owner.clock(site.at), channel) is not None:
+            if owner.holder.current_lease(owner.clock(site.at), channel) is not None:
                 site.again(owner, channel, told[channel])
     site.weather.lost = dice.choice((0.0, 0.3, 0.6))
     site.weather.late = dice.choice((0.0, 0.3))
@@ -556,7 +556,7 @@
         site.run(dice.uniform(20, 150))
         for one in site.living("holder"):
             now = one.clock(site.at)
-            lease = one.holder.holds(now, "a:1/0")
+            lease = one.holder.current_lease(now, "a:1/0")
             if lease is None or one.stopped or dice.random() < 0.5:
                 continue
             if dice.random() < 0.5:
@@ -661,7 +661,7 @@
 
 def _lease(site: Site, name: str) -> Any:
     (process,) = site.named(name)
-    return process.holder.holds(process.clock(site.at), CHANNEL)
+    return process.holder.current_lease(process.clock(site.at), CHANNEL)
 
 
 def _events(process: Process, site: Site) -> list[Any]:
@@ -676,7 +676,7 @@
     site.again(site.named("b")[0], CHANNEL, 0)
     site.run(2_000)
     assert _lease(site, "a").fence == fence and _lease(site, "b") is None
-    assert [entry[1:3] for entry in again.keeper.granted(again.clock(site.at))] == [("a", fence)]
+    assert [entry[1:3] for entry in again.keeper.granted_leases(again.clock(site.at))] == [("a", fence)]
 
 
 def test_all_keepers_that_restart_at_once_grant_nothing_for_the_longest_lease_then_a_higher_fence() -> None:
@@ -730,9 +730,9 @@
     site.run(1_000)
     assert site.owners(CHANNEL) == ["b"]
     now = owner.clock(site.at)
-    assert owner.holder.holds(now, CHANNEL) is None
+    assert owner.holder.current_lease(now, CHANNEL) is None
     owner.holder.on_message(now, "k0", site.code.messages.Extended(owner.life, 1))  # before any timer
-    assert [(type(event).__name__, event.fence) for event in _events(owner, site)] == [("Lost", fence)]
+    assert [(type(event).__name__, event.fence) for event in _events(owner, site)] == [("LeaseLost", fence)]
 
 
 @pytest.mark.parametrize("late, kept", [(-1e-6, True), (0.0, False), (1e-6, False)])
@@ -745,13 +745,17 @@
     messages = code.messages
     owner.holder.tick(until - 300)  # a renewal is due and asked for
     turns = {
-        each.message.turn for each in owner.holder.take_effects() if isinstance(each.message, messages.Renew)
+        each.message.request_id
+        for each in owner.holder.take_effects()
+        if isinstance(each.message, messages.Renew)
     }
     for keeper in ("k0", "k1"):
         owner.holder.on_message(until + late, keeper, messages.Extended(owner.life, max(turns)))
-    lease = owner.holder.holds(until + late, CHANNEL)
+    lease = owner.holder.current_lease(until + late, CHANNEL)
     assert (lease is not None) == kept
-    assert [type(event).__name__ for event in _events(owner, site)] == (["Renewed"] if kept else ["Lost"])
+    assert [type(event).__name__ for event in _events(owner, site)] == (
+        ["LeaseRenewed"] if kept else ["LeaseLost"]
+    )
     assert lease is None or lease.fence == fence
 
 
@@ -763,12 +767,14 @@
     owner.holder.tick(asked + 75)
     messages = site.code.messages
     turns = [
-        each.message.turn for each in owner.holder.take_effects() if isinstance(each.message, messages.Renew)
+        each.message.request_id
+        for each in owner.holder.take_effects()
+        if isinstance(each.message, messages.Renew)
     ]
     assert len(turns) == 6 and len(set(turns)) == 1  # each of three keepers was asked twice
     for keeper in ("k0", "k1"):
         owner.holder.on_message(asked + 100, keeper, messages.Extended(owner.life, turns[0]))
-    assert owner.holder.holds(asked + 100, CHANNEL).until == asked + site.rules.own_ms
+    assert owner.holder.current_lease(asked + 100, CHANNEL).until == asked + site.rules.validity_ms
 
 
 def test_a_failed_attempt_for_a_higher_fence_leaves_the_locks_of_the_lease_that_is_held() -> None:
@@ -792,7 +798,7 @@
     owner.holder.tick(now + site.rules.attempt_ms)
     sent = [type(each.message).__name__ for each in owner.holder.take_effects()]
     assert "Propose" in sent and "Release" not in sent
-    assert owner.holder.holds(now + site.rules.attempt_ms, CHANNEL).fence == lease.fence
+    assert owner.holder.current_lease(now + site.rules.attempt_ms, CHANNEL).fence == lease.fence
 
 
 def test_of_two_fronts_with_one_name_the_newer_life_waits_like_anybody_else() -> None:
@@ -801,12 +807,12 @@
     newer = site.start("a", (keepers,), holder=True)
     site.again(newer, CHANNEL, 0)
     site.run(1_500)
-    assert older.holder.holds(older.clock(site.at), CHANNEL) is not None
-    assert newer.holder.holds(newer.clock(site.at), CHANNEL) is None
-    fence = older.holder.holds(older.clock(site.at), CHANNEL).fence
+    assert older.holder.current_lease(older.clock(site.at), CHANNEL) is not None
+    assert newer.holder.current_lease(newer.clock(site.at), CHANNEL) is None
+    fence = older.holder.current_lease(older.clock(site.at), CHANNEL).fence
     site.kill(older)
     site.run(1_000)
-    assert newer.holder.holds(newer.clock(site.at), CHANNEL).fence > fence
+    assert newer.holder.current_lease(newer.clock(site.at), CHANNEL).fence > fence
 
 
 def test_a_handed_channel_goes_to_its_heir_at_once_while_others_wait_and_to_them_if_it_does_not_come() -> (
@@ -816,13 +822,13 @@
     a, b, c = (site.named(name)[0] for name in "abc")
     site.again(c, CHANNEL, 0)
     site.run(50)
-    a.holder.hand(a.clock(site.at), CHANNEL, "b")
+    a.holder.hand_over(a.clock(site.at), CHANNEL, "b")
     site.settle(a)
     site.run(20)
     site.again(b, CHANNEL, 0)
     site.run(30)
     assert site.owners(CHANNEL) == ["b"]
-    b.holder.hand(b.clock(site.at), CHANNEL, "nobody")
+    b.holder.hand_over(b.clock(site.at), CHANNEL, "nobody")
     site.settle(b)
     site.run(380)
     assert site.owners(CHANNEL) == []
@@ -863,7 +869,7 @@
         owner.holder.want(owner.clock(site.at), f"b:1/{number}")
     site.settle(owner)
     site.run(100)
-    assert len(owner.holder.held(owner.clock(site.at))) == 30
+    assert len(owner.holder.current_leases(owner.clock(site.at))) == 30
     sent = []
     kept, site.send = site.send, lambda *given: (sent.append(given[2]), kept(*given))
     site.run(2_000)
@@ -875,7 +881,7 @@
 def test_a_peer_that_says_anything_grows_no_table_and_breaks_nothing() -> None:
     code = load()
     site, _ = _calm(code, "a")
-    rules = quick(code, records_most=50)
+    rules = quick(code, max_records=50)
     keeper = code.Keeper("k0", 1, rules, -1_000.0, (code.rules.KeeperSet(1, ("k0", "k1", "k2")),))
     (owner,) = site.named("a")
     now = owner.clock(site.at)
@@ -886,12 +892,15 @@
 
     def value(field: Any) -> Any:
         messages, name = code.messages, field.name
-        if name in ("items", "noes"):
-            kind = messages.Item if name == "items" else messages.No
+        if name in ("items", "refusals"):
+            kind = messages.Item if name == "items" else messages.Refusal
             some = [CHANNEL, *(f"x{dice.randrange(500)}" for _ in range(dice.randrange(3)))]
             made = [{"channel": each, "ballot": number(), "fence": number()} for each in some]
             return tuple(
-                kind(**each, **({"why": "taken", "seen": number()} if kind is messages.No else {}))
+                kind(
+                    **each,
+                    **({"why": "taken", "promised_ballot": number()} if kind is messages.Refusal else {}),
+                )
                 for each in made
             )
         return {"sets": (1,), "to": "z", "span_ms": 500.0, "reserve_ms": 1e9}.get(name, number())
@@ -904,7 +913,10 @@
         keeper.take_effects()
         owner.holder.take_effects()
     assert len(keeper._records.by_channel) <= 50
-    assert len(owner.holder.held(now + 40)) <= 1 and len(owner.holder._partings._out_now) < 50
+    assert (
+        len(owner.holder.current_leases(now + 40)) <= 1
+        and len(owner.holder._pending_releases._in_flight) < 50
+    )
     keeper.tick(10_000.0)
     assert not keeper._records.by_channel
 
