--- a/tests/golden_peers.py
+++ b/tests/golden_peers.py
@@ -77,7 +77,7 @@
     "transfer.cancel": peers.facts.messages.Cancel,
     # Leases.
     "lease.item": peers.lease.messages.Item,
-    "lease.no": peers.lease.messages.No,
+    "lease.no": peers.lease.messages.Refusal,
     "lease.prepare": peers.lease.messages.Prepare,
     "lease.promised": peers.lease.messages.Promised,
     "lease.propose": peers.lease.messages.Propose,
@@ -160,7 +160,7 @@
 
 ENUMS: dict[str, type[Enum]] = {
     "members.state": peers.members.messages.State,
-    "acts.deed": peers.port.Deed,
+    "acts.deed": peers.port.AuditEvent,
     "acts.sure": peers.acts.clock.Sure,
     "acts.why": peers.acts.merge.Why,
     "late.kind": peers.late.messages.Kind,
--- a/tests/peers_mutants/joint.py
+++ b/tests/peers_mutants/joint.py
@@ -52,7 +52,8 @@
     ),
     Mutant(
         "a session goes to its heir and stays with its owner", _OWNING,
-        "            self._port.let_go(now, session)\n            self._forget(session)\n            if to:",
+        "            self._port.relinquish_session(now, session)\n"
+        "            self._forget(session)\n            if to:",
         "            self._forget(session)\n            if to:", 6,
     ),
     Mutant(
@@ -65,7 +66,7 @@
     ),
     Mutant(
         "an heir claims no box", _OWNING,
-        "        self._port.claim(box, event.channel, event.fence, event.overlap_ms, then)\n", "", 8,
+        "        self._port.claim_channel(box, event.channel, event.fence, event.overlap_ms, then)\n", "", 8,
     ),
     Mutant(
         "standbys are not told of what stands", _OWNING,
