--- a/fernweir/seats/file_store.py
+++ b/fernweir/seats/file_store.py
@@ -1,7 +1,7 @@
 """The files of the seat log: the only module of the package that accesses a disk.
 
-`FileStore` is what the log needs and `DiskFileStore` the real implementation. Tests use one that loses or
-tears unsynced data, fills up, or crashes at any call (`memory_file_store`).
+`FileStore` is the interface that the log uses and `DiskFileStore` implements it on a directory. Tests use
+`memory_file_store`, which can lose or tear unsynced data, run out of space, or crash at any call.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class FileStore(Protocol):
-    """Files by name. Any method may raise OSError."""
+    """Stores files by name. Any method may raise OSError."""
 
     def list_names(self) -> list[str]:
         """Returns the sorted names of all files."""
@@ -23,23 +23,23 @@
         """Returns the content of a file."""
 
     def append(self, name: str, data: bytes) -> None:
-        """Appends to a file, which is created if need be; durable after the next `sync`."""
+        """Appends to a file and creates it if necessary; the data is durable after the next `sync`."""
 
     def sync(self, name: str) -> None:
-        """Makes what was appended to a file durable."""
+        """Makes the data appended to a file durable."""
 
     def replace(self, name: str, data: bytes) -> None:
-        """Replaces the content of a file atomically; it is durable on return."""
+        """Replaces the content of a file atomically; the new content is durable on return."""
 
     def remove(self, name: str) -> None:
-        """Removes a file durably; a missing one is no error."""
+        """Removes a file durably; does nothing if it does not exist."""
 
     def truncate(self, name: str, size: int) -> None:
-        """Cuts a file to `size` bytes, durably."""
+        """Truncates a file to `size` bytes durably."""
 
 
 class DiskFileStore:
-    """The files of one directory, which is created if need be."""
+    """Stores files in one directory, which is created if necessary."""
 
     def __init__(self, directory: Path) -> None:
         self.directory = directory
@@ -55,7 +55,7 @@
         return (self.directory / name).read_bytes()
 
     def append(self, name: str, data: bytes) -> None:
-        """Appends to a file, which is created if need be and kept open."""
+        """Appends to a file, which is created if necessary and stays open."""
         descriptor = self._descriptors.get(name)
         if descriptor is None:
             path = self.directory / name
@@ -67,13 +67,13 @@
         _write_all(descriptor, data)
 
     def sync(self, name: str) -> None:
-        """Makes what was appended to a file durable."""
+        """Makes the data appended to a file durable."""
         descriptor = self._descriptors.get(name)
         if descriptor is not None:
             os.fdatasync(descriptor)
 
     def replace(self, name: str, data: bytes) -> None:
-        """Replaces the content of a file by way of a temporary file beside it."""
+        """Replaces the content of a file by writing a temporary file and renaming it."""
         self._close(name)
         temporary = self.directory / f"{name}.new"
         descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, _FILE_MODE)
@@ -86,13 +86,13 @@
         self._sync_directory()
 
     def remove(self, name: str) -> None:
-        """Removes a file durably; a missing one is no error."""
+        """Removes a file durably; does nothing if it does not exist."""
         self._close(name)
         (self.directory / name).unlink(missing_ok=True)
         self._sync_directory()
 
     def truncate(self, name: str, size: int) -> None:
-        """Cuts a file to `size` bytes, durably."""
+        """Truncates a file to `size` bytes durably."""
         self._close(name)
         descriptor = os.open(self.directory / name, os.O_WRONLY)
         try:
@@ -102,7 +102,7 @@
             os.close(descriptor)
 
     def close(self) -> None:
-        """Closes all files that appending has opened."""
+        """Closes all files that `append` has opened."""
         for name in list(self._descriptors):
             self._close(name)
 
@@ -120,6 +120,6 @@
 
 
 def _write_all(descriptor: int, data: bytes) -> None:
-    rest = memoryview(data)
-    while rest:
-        rest = rest[os.write(descriptor, rest) :]
+    remaining = memoryview(data)
+    while remaining:
+        remaining = remaining[os.write(descriptor, remaining) :]
--- a/fernweir/seats/log.py
+++ b/fernweir/seats/log.py
@@ -1,12 +1,13 @@
 """An append-only log of records that survives crashes: segments, snapshots, compaction, recovery.
 
-Records gather until `commit`, which writes them at once and syncs them: what it returns for is durable. See
-`log_format` for the bytes.
-
-A crash can leave any part of what was not synced, in any order of pages. So an invalid frame in the last
-segment is a torn tail and is cut off with everything behind it, unless a valid frame behind it has a base
-that shows that it had been durable. That is damage and no crash, and so is a gap in the sequence numbers or a
-snapshot that does not match its checksum: recovery fails, names the place, and changes nothing.
+Appended records are buffered until `commit`, which writes them in one batch and syncs them; they are durable
+when it returns. `log_format` defines the encoding.
+
+A crash can leave any subset of the pages that were not synced. An invalid frame in the last segment is
+therefore a torn tail, which is truncated, unless a valid frame after it has a base that proves that the
+invalid one had been durable. That is corruption, which no crash can cause, and so is a gap in the sequence
+numbers or a snapshot that does not match its checksum: recovery then fails, names the file and the position,
+and changes nothing.
 """
 
 from __future__ import annotations
@@ -30,14 +31,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredLog:
-    """What a log contained.
+    """The contents of a recovered log.
 
     Attributes:
         snapshot: The state in the newest snapshot, or None.
         records: The records after it, with their sequence numbers.
         last_sequence: The sequence number of the newest record.
         torn_bytes: The size of the torn tail.
-        torn_segment: The name of the segment that has it, or an empty string.
+        torn_segment: The name of the segment with the torn tail, or an empty string.
     """
 
     snapshot: bytes | None
@@ -49,11 +50,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LogConfig:
-    """Sizes of a log.
+    """Size limits of a log.
 
     Attributes:
         segment_bytes: A segment of this size or more is followed by a new one.
-        records_per_snapshot: A snapshot is due after so many records.
+        records_per_snapshot: The number of records after which a snapshot is due.
     """
 
     segment_bytes: int = 4_194_304
@@ -61,13 +62,13 @@
 
 
 class SeatLog:
-    """Appends records and recovers them; a directory has one writer.
+    """Appends records and recovers them; a directory must have only one writer.
 
     Attributes:
         last_sequence: The sequence number of the newest record, durable or not.
         durable_sequence: The sequence number of the newest durable record.
         records_since_snapshot: The number of durable records after the newest snapshot.
-        failure: Why nothing more can be written, or None.
+        failure: The error after which nothing more can be written, or None.
     """
 
     def __init__(self, files: FileStore, config: LogConfig | None = None) -> None:
@@ -82,11 +83,11 @@
         self.failure: LogError | None = None
 
     def open(self) -> RecoveredLog:
-        """Recovers the records, cuts a torn tail off, and prepares for appending.
+        """Recovers the records, truncates a torn tail, and prepares for appending.
 
         Raises:
             LogCorruptedError: The log is damaged.
-            OSError: A file cannot be read or cut.
+            OSError: A file cannot be read or truncated.
         """
         recovered = recover_log(self._files)
         torn_segment = recovered.torn_segment
@@ -96,7 +97,7 @@
         self.records_since_snapshot = len(recovered.records)
         segments = log_format.list_segments(self._files)
         if segments and log_format.valid_size(self._files.read(segments[-1].name)) == 0:
-            # A crash came between creating a segment and writing its header.
+            # The process crashed after it created the segment and before it wrote the header.
             self._files.remove(segments.pop().name)
         if segments:
             self._segment = segments[-1].name
@@ -104,13 +105,13 @@
         return recovered
 
     def append(self, record: bytes) -> int:
-        """Gathers a record and returns its sequence number; `commit` makes it durable.
+        """Buffers a record and returns its sequence number; `commit` makes it durable.
 
         Raises:
             LogError: The record is too long.
         """
         if len(record) > log_format.MAX_RECORD_BYTES:
-            raise LogError(f"record of {len(record)} bytes")
+            raise LogError(f"record of {len(record)} bytes exceeds the maximum size")
         self.last_sequence += 1
         self._pending.append(log_format.encode_frame(self.last_sequence, self.durable_sequence, record))
         return self.last_sequence
@@ -121,11 +122,11 @@
         return len(self._pending)
 
     def commit(self) -> int:
-        """Writes and syncs the gathered records; returns the newest durable sequence number.
+        """Writes and syncs the buffered records; returns the newest durable sequence number.
 
         Raises:
-            LogError: The disk refused, now or earlier. What a failed write has left is unknown, so nothing
-                more is written until the log is opened anew.
+            LogError: A write failed, now or earlier. The content of the file after a failed write is
+                unknown, so nothing more is written until the log is opened again.
         """
         if self.failure is not None:
             raise self.failure
@@ -152,17 +153,17 @@
         return self.records_since_snapshot >= self._config.records_per_snapshot
 
     def write_snapshot(self, state: bytes) -> None:
-        """Stores the state as of the newest record, and removes the files that it replaces.
+        """Stores the state after the newest record and removes the files that the snapshot replaces.
 
         Raises:
-            LogError: The disk refused, or records wait for `commit`.
+            LogError: A write failed, or records wait for `commit`.
         """
         if self._pending:
-            raise LogError("records wait to be committed")
+            raise LogError("snapshot: buffered records are not committed")
         data = log_format.encode_snapshot(self.last_sequence, state)
         try:
             self._files.replace(log_format.snapshot_name(self.last_sequence), data)
-            self._segment = ""  # the next record begins a segment of its own
+            self._segment = ""  # the next commit begins a new segment
             self.records_since_snapshot = 0
             _remove_covered(self._files, self.last_sequence)
         except OSError as error:
@@ -173,17 +174,17 @@
         name = log_format.segment_name(first_sequence)
         header = log_format.encode_segment_header(first_sequence)
         self._files.append(name, header)
-        # Synced before any record: an invalid header with records behind it is then damage, never a crash.
+        # Synced before any record, so that an invalid header followed by records proves corruption.
         self._files.sync(name)
         self._segment = name
         self._segment_bytes = len(header)
 
 
 def recover_log(files: FileStore) -> RecoveredLog:
-    """Reads the whole log without changing anything.
+    """Reads the complete log without changing any file.
 
     Raises:
-        LogCorruptedError: The log is damaged; the message names what and where.
+        LogCorruptedError: The log is damaged; the message names the file and the position.
         OSError: A file cannot be read.
     """
     snapshots = log_format.list_snapshots(files)
@@ -202,7 +203,7 @@
 
 
 def compact_log(files: FileStore, state: bytes, last_sequence: int) -> None:
-    """Replaces everything up to record `last_sequence` by one snapshot of the state; offline.
+    """Replaces all records up to `last_sequence` with one snapshot of the state; the log must not be open.
 
     Raises:
         OSError: A file cannot be written or removed.
@@ -213,7 +214,7 @@
 
 
 class _Recovery:
-    """The records that were read so far, and the torn tail."""
+    """The state of a recovery: the records that were read so far, and the torn tail."""
 
     def __init__(self, covered_sequence: int) -> None:
         self.records: list[tuple[int, bytes]] = []
@@ -230,7 +231,7 @@
             )
         if not log_format.has_segment_header(data):
             if not is_last:
-                raise LogCorruptedError(f"{name}: no header, though segments follow")
+                raise LogCorruptedError(f"{name}: no header, but other segments follow")
             self.torn_bytes, self.torn_segment = len(data), name
             return
         log_format.check_segment_header(segment, data)
@@ -239,7 +240,7 @@
             return
         if not is_last or log_format.has_frame_based_on(data, valid_bytes + 1, expected):
             raise LogCorruptedError(
-                f"{name}: record {expected} damaged at byte {valid_bytes}, with good ones behind it"
+                f"{name}: record {expected} is damaged at byte {valid_bytes}, but valid records follow"
             )
         self.torn_bytes, self.torn_segment = len(data) - valid_bytes, name
 
--- a/fernweir/seats/log_format.py
+++ b/fernweir/seats/log_format.py
@@ -1,9 +1,9 @@
-"""The bytes of the seat log: segments of frames, and snapshots.
+"""Defines the encoding of the seat log: segments of frames, and snapshots.
 
-A segment is a header and frames. A frame is its length and CRC32C (u32, little-endian each), the record's
-sequence number and its base (u64 each), and the record; the checksum covers all but itself and the length.
-Sequence numbers grow by one without a gap; the base is the newest number that was durable when the frame was
-written. A snapshot is a header with the sequence number of the last record in it, and the state.
+A segment is a header followed by frames. A frame is its length and CRC32C (u32, little-endian each), the
+record's sequence number and its base (u64 each), and the record; the checksum covers all but itself and the
+length. Sequence numbers increase by one without gaps; the base is the newest number that was durable when
+the frame was written. A snapshot is a header with the sequence number of its last record, and the state.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 FORMAT_VERSION = 1
 MAX_RECORD_BYTES = 1 << 20
 _MAGIC = b"FWSEAT"
-_HEADER = struct.Struct("<6sHQ")  # magic, version, number of the first record
-_FRAME = struct.Struct("<IIQQ")  # length, checksum, number, base
-_CHECKED_FROM = 8  # the checksum covers a frame from here: number, base and record
+_HEADER = struct.Struct("<6sHQ")  # magic, version, sequence number of the first record
+_FRAME = struct.Struct("<IIQQ")  # length, checksum, sequence number, base
+_CHECKED_FROM = 8  # offset in a frame: the checksum covers sequence number, base and record
 _NUMBERS = struct.Struct("<QQ")
-_SNAPSHOT = struct.Struct("<6sHQII")  # magic, version, number of the last record in it, length, checksum
+_SNAPSHOT = struct.Struct("<6sHQII")  # magic, version, last sequence number, length, checksum
 _SEGMENT_NAME = re.compile(r"seats-(\d{20})\.log")
 _SNAPSHOT_NAME = re.compile(r"seats-(\d{20})\.snap")
 
@@ -32,37 +32,37 @@
 
 
 class LogError(Exception):
-    """The log cannot be read or written."""
+    """Raised when the log cannot be read or written."""
 
 
 class LogCorruptedError(LogError):
-    """The log has damage that no crash can cause: recovery would lose durable records."""
+    """Raised when the log has damage that no crash can cause: recovery would lose durable records."""
 
 
 class NumberedFile(NamedTuple):
-    """A segment, by the number of its first record, or a snapshot, by the number of its last one."""
+    """A segment with the number of its first record, or a snapshot with the number of its last record."""
 
     sequence: int
     name: str
 
 
 def segment_name(first_sequence: int) -> str:
-    """The file name of the segment that begins with this record."""
+    """Returns the file name of the segment that begins with this record."""
     return f"seats-{first_sequence:020d}.log"
 
 
 def snapshot_name(last_sequence: int) -> str:
-    """The file name of the snapshot that ends with this record."""
+    """Returns the file name of the snapshot that ends with this record."""
     return f"seats-{last_sequence:020d}.snap"
 
 
 def list_segments(files: FileStore) -> list[NumberedFile]:
-    """Returns the segments in the order of their records."""
+    """Returns the segments ordered by their sequence numbers."""
     return _list_matching(files, _SEGMENT_NAME)
 
 
 def list_snapshots(files: FileStore) -> list[NumberedFile]:
-    """Returns the snapshots, the newest one last."""
+    """Returns the snapshots ordered by their sequence numbers."""
     return _list_matching(files, _SNAPSHOT_NAME)
 
 
@@ -72,17 +72,17 @@
 
 
 def has_segment_header(data: bytes) -> bool:
-    """Whether a segment's header has been written: a crash can leave none, or one without content."""
+    """Whether a segment's header was written: a crash can leave it incomplete, or without its content."""
     if len(data) == _HEADER.size:
         return data.startswith(_MAGIC)
     return len(data) > _HEADER.size
 
 
 def check_segment_header(segment: NumberedFile, data: bytes) -> None:
-    """Checks that a segment with a header is one of this log.
+    """Checks that a segment's header has the expected magic, version and sequence number.
 
     Raises:
-        LogCorruptedError: It is not, or has another version.
+        LogCorruptedError: The header does not match.
     """
     magic, version, first_sequence = _HEADER.unpack_from(data)
     if magic != _MAGIC or first_sequence != segment.sequence:
@@ -101,7 +101,7 @@
     Yields:
         The sequence number, the record, and the position after the frame.
     """
-    # Plain tuples, and no call of `_is_frame_at`: recovery spends half of its time in this loop.
+    # Yields plain tuples and does not call `_is_frame_at`: recovery spends half of its time in this loop.
     start, size, header_size = _HEADER.size, len(data), _FRAME.size
     unpack, checksum_of = _FRAME.unpack_from, google_crc32c.value
     while start + header_size <= size:
@@ -116,9 +116,9 @@
 
 
 def has_frame_based_on(data: bytes, start: int, sequence: int) -> bool:
-    """Whether a valid frame from `start` on shows that record `sequence` was durable before it."""
+    """Whether a valid frame at or after `start` proves that record `sequence` was durable before it."""
     for position in range(start, len(data) - _FRAME.size + 1):
-        # The base is checked first: checksums at every byte of a long tail would take minutes.
+        # Checks the base first: computing a checksum at every byte of a long tail would take minutes.
         base = _FRAME.unpack_from(data, position)[3]
         if base >= sequence and _is_frame_at(data, position):
             return True
@@ -126,7 +126,7 @@
 
 
 def valid_size(data: bytes) -> int:
-    """The size in bytes of a segment's header and valid frames; 0 without a valid header."""
+    """Returns the size in bytes of a segment's header and valid frames; 0 without a valid header."""
     if len(data) < _HEADER.size or not data.startswith(_MAGIC):
         return 0
     size = _HEADER.size
@@ -148,7 +148,9 @@
         LogCorruptedError: The snapshot is damaged or has another version.
     """
     if len(data) < _SNAPSHOT.size:
-        raise LogCorruptedError(f"{snapshot.name}: cut off, though snapshots are written whole")
+        raise LogCorruptedError(
+            f"{snapshot.name}: shorter than its header, but snapshots are written atomically"
+        )
     magic, version, last_sequence, length, checksum = _SNAPSHOT.unpack_from(data)
     state = data[_SNAPSHOT.size :]
     if magic != _MAGIC or last_sequence != snapshot.sequence:
--- a/fernweir/seats/memory_file_store.py
+++ b/fernweir/seats/memory_file_store.py
@@ -1,7 +1,7 @@
-"""Files in memory that behave like those of a failing disk, for simulations and tests.
+"""Simulates the files of a failing disk in memory, for simulations and tests.
 
-Unsynced data can be lost or torn, and any operation can fail; `crash` returns the files as a restart finds
-them.
+Unsynced data can be lost or torn, and any operation can fail; `crash` returns the files that remain after a
+restart.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 from random import Random
 
 _PAGE_BYTES = 64
-_PAGE_SURVIVES = 0.5  # probability
+_PAGE_SURVIVAL_PROBABILITY = 0.5
 
 
 class SimulatedCrash(BaseException):
-    """The process ends at this call: nothing after it happens."""
+    """Raised to end the simulated process at this call; the operation and all later ones do not happen."""
 
 
 class MemoryFileStore:
-    """A `FileStore` in memory."""
+    """Implements `FileStore` in memory."""
 
     def __init__(
         self, before_operation: Callable[[str], None] | None = None, capacity_bytes: int | None = None
@@ -29,7 +29,7 @@
         Args:
             before_operation: Called with the name of each operation that changes a file; it may raise
                 OSError or SimulatedCrash.
-            capacity_bytes: The size of all files at which the disk is full, or None.
+            capacity_bytes: The total size of all files at which the disk is full; None for no limit.
         """
         self.before_operation = before_operation
         self.capacity_bytes = capacity_bytes
@@ -49,7 +49,7 @@
         """Appends to a file.
 
         Raises:
-            OSError: The disk is full; what still fitted has been written.
+            OSError: The disk is full; the part of the data that fitted has been written.
         """
         self._begin_operation(f"append {name}")
         if self.capacity_bytes is not None:
@@ -61,7 +61,7 @@
         self._written.setdefault(name, bytearray()).extend(data)
 
     def sync(self, name: str) -> None:
-        """Makes what was appended to a file durable."""
+        """Makes the data appended to a file durable."""
         self._begin_operation(f"sync {name}")
         self._synced[name] = bytes(self._written[name])
 
@@ -72,25 +72,25 @@
         self._synced[name] = bytes(data)
 
     def remove(self, name: str) -> None:
-        """Removes a file durably; a missing one is no error."""
+        """Removes a file durably; does nothing if it does not exist."""
         self._begin_operation(f"remove {name}")
         self._written.pop(name, None)
         self._synced.pop(name, None)
 
     def truncate(self, name: str, size: int) -> None:
-        """Cuts a file to `size` bytes, durably."""
+        """Truncates a file to `size` bytes durably."""
         self._begin_operation(f"truncate {name}")
         del self._written[name][size:]
         self._synced[name] = bytes(self._written[name])
 
     def crash(self, rng: Random, page_bytes: int = _PAGE_BYTES) -> MemoryFileStore:
-        """Returns the disk after a crash.
+        """Returns the files as they are after a crash.
 
-        Of each file's unsynced data all, nothing, the beginning, or any pages survive; a lost page before one
-        that survived reads as zeros.
+        All, none, a prefix, or any subset of the pages of each file's unsynced data survives; a lost page
+        reads as zeros.
 
         Args:
-            rng: Decides what survives.
+            rng: Selects the data that survives.
             page_bytes: The size of a page.
         """
         survivors = MemoryFileStore()
@@ -119,5 +119,5 @@
     pages = bytearray()
     for start in range(0, len(unsynced), page_bytes):
         page = unsynced[start : start + page_bytes]
-        pages += page if rng.random() < _PAGE_SURVIVES else bytes(len(page))
+        pages += page if rng.random() < _PAGE_SURVIVAL_PROBABILITY else bytes(len(page))
     return bytes(pages)
--- a/fernweir/seats/records.py
+++ b/fernweir/seats/records.py
@@ -1,4 +1,4 @@
-"""Records of the seat log, each one JSON array, and the table of seats that they add up to."""
+"""Encodes the records of the seat log as JSON arrays and rebuilds the table of seats from them."""
 
 from __future__ import annotations
 
@@ -13,29 +13,29 @@
 
 
 class RecordError(ValueError):
-    """A record or snapshot has a valid checksum and cannot be decoded."""
+    """Raised when a record or snapshot with a valid checksum cannot be decoded."""
 
 
 @dataclass(slots=True)
 class SeatRecord:
-    """One seat as the log stores it: requested under a key, and perhaps granted under a lease.
+    """One seat as the log stores it: requested under an idempotency key and, once granted, with a lease.
 
-    A value that is never changed; not frozen, because creating frozen instances slows recovery.
+    Instances are never modified; the class is not frozen because creating frozen instances slows recovery.
 
     Attributes:
         session_id: The session.
         generation: The number of the acquisition; with the session ID it is the idempotency key.
         tenant: The tenant whose seats are counted.
-        title: The title that is watched.
+        title: The title to be played.
         class_name: The session's class.
         subject: The viewer, as the token names it.
         priority_weight: The weight of the session in the send queue.
-        lease_id: The server's name of the lease, or an empty string.
+        lease_id: The server's ID of the lease, or an empty string before the grant.
         fence: The fencing number of the lease.
         expires_at_s: Wall time in seconds when the lease expires, for use after a restart; a running front
-            goes by monotonic time.
-        requested_at_s: Wall time in seconds of the acquisition's first request; of two fronts that request
-            one session's seat, the later one gets it.
+            uses monotonic time.
+        requested_at_s: Wall time in seconds of the acquisition's first request. If two fronts request a seat
+            for the same session, the later request wins.
     """
 
     session_id: str
@@ -51,7 +51,7 @@
     requested_at_s: float = 0.0
 
     def with_lease(self, lease_id: str, fence: int) -> SeatRecord:
-        """The record after a grant or renewal; an empty `lease_id` stands for the present lease."""
+        """Returns the record after a grant or renewal; an empty `lease_id` keeps the current lease."""
         return SeatRecord(
             self.session_id,
             self.generation,
@@ -67,7 +67,7 @@
         )
 
     def with_generation(self, generation: int, requested_at_s: float) -> SeatRecord:
-        """The record of a new acquisition of the same seat, which has no lease yet."""
+        """Returns the record of a new acquisition of the same seat, which has no lease yet."""
         return SeatRecord(
             self.session_id,
             generation,
@@ -83,23 +83,23 @@
 SeatTable = dict[str, SeatRecord]
 """Seats by session ID."""
 
-_DECODED_TOGETHER = 4_096
+_DECODE_BATCH_SIZE = 4_096
 _LEASE_COLUMN, _FENCE_COLUMN, _EXPIRY_COLUMN = 7, 8, 9
 _MAX_QUOTED_BYTES = 40
 
 
 def encode_requested(record: SeatRecord) -> bytes:
-    """Encodes that a seat is requested, before the request is sent."""
+    """Encodes the record that is logged before a seat is requested."""
     return _encode(["ask", *_row(record)])
 
 
 def encode_granted(session_id: str, lease_id: str, fence: int, expires_at_s: float) -> bytes:
-    """Encodes that a lease was granted; `expires_at_s` is wall time in seconds."""
+    """Encodes the record of a granted lease; `expires_at_s` is wall time in seconds."""
     return _encode(["held", session_id, lease_id, fence, expires_at_s])
 
 
 def encode_removed(session_id: str) -> bytes:
-    """Encodes that a seat is no longer held."""
+    """Encodes the record of a seat that is no longer held."""
     return _encode(["gone", session_id])
 
 
@@ -140,7 +140,7 @@
 
 
 def decode_table(body: bytes | None) -> SeatTable:
-    """Decodes a snapshot; without one the table is empty.
+    """Decodes a snapshot; returns an empty table for None.
 
     Raises:
         RecordError: The snapshot cannot be decoded.
@@ -154,10 +154,11 @@
 
 
 def rebuild_table(snapshot: bytes | None, log_records: Sequence[tuple[int, bytes]]) -> SeatTable:
-    """Returns the table that a recovered log adds up to, as `apply_record` for each, in a third of its time.
+    """Returns the table of a recovered log.
 
-    Records are decoded many at once and applied to rows. A batch that does not decode into as many arrays as
-    it has records is applied one by one, so that the error names the record.
+    The result is that of `apply_record` for each record, in a third of the time. Records are decoded in
+    batches and applied to rows. If a batch fails, all records are applied one by one, so that the error
+    names the invalid record.
 
     Args:
         snapshot: The snapshot, or None.
@@ -170,8 +171,8 @@
         rows: dict[str, list[Any]] = {
             record.session_id: _row(record) for record in decode_table(snapshot).values()
         }
-        for first in range(0, len(log_records), _DECODED_TOGETHER):
-            bodies = [body for _, body in log_records[first : first + _DECODED_TOGETHER]]
+        for first in range(0, len(log_records), _DECODE_BATCH_SIZE):
+            bodies = [body for _, body in log_records[first : first + _DECODE_BATCH_SIZE]]
             try:
                 _apply_to_rows(rows, bodies)
             except (ValueError, TypeError, LookupError):
@@ -192,14 +193,14 @@
 def _apply_to_rows(rows: dict[str, list[Any]], bodies: list[bytes]) -> None:
     batch = orjson.loads(b"[" + b",".join(bodies) + b"]")
     if len(batch) != len(bodies):
-        raise ValueError("not one array a record")
+        raise ValueError("the batch does not decode into one array for each record")
     for fields in batch:
         kind, session_id = fields[0], fields[1]
         if kind == "held":
             _, _, lease_id, fence, expires_at_s = fields
             row = rows.get(session_id)
             if row is not None:
-                # By index, so that a row that is too short fails instead of growing.
+                # Assigns by index, so that a row that is too short raises an error instead of growing.
                 row[_LEASE_COLUMN] = lease_id
                 row[_FENCE_COLUMN] = fence
                 row[_EXPIRY_COLUMN] = expires_at_s
@@ -214,7 +215,7 @@
 
 @contextmanager
 def _paused_garbage_collector() -> Iterator[None]:
-    """Pauses the garbage collector: a million new rows without cycles would cost it half of the time."""
+    """Pauses the garbage collector: with a million new rows, none in a cycle, it takes half of the time."""
     was_enabled = gc.isenabled()
     gc.disable()
     try:
