--- a/fernweir/seats/reconciliation.py
+++ b/fernweir/seats/reconciliation.py
@@ -1,9 +1,9 @@
-"""Compares the leases that the entitlement server lists for a front with its seats; free of I/O and clock.
+"""Reconciles the leases that the entitlement server lists for a front with its seats; free of I/O and clock.
 
-The two differ while requests are in flight, so only leases that did not change are compared, and only what
-two reports in a row say is acted upon. No action is final: a seat that the server does not list is renewed
-early, and that response decides; a lease that the front does not know is released by its key. A report that
-contradicts itself, or is older than what the server has told before, has no effect.
+The two differ while requests are in flight, so only leases that did not change are compared, and only
+differences in two consecutive reports lead to an action. No action is final: a seat that the server does not
+list is renewed early, and the response to that decides; a lease without a seat is released by its key. A
+report that contradicts itself, or that is older than an earlier response of the server, has no effect.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     """One lease of this front, as the server lists it.
 
     Attributes:
-        lease_id: The server's name of the lease.
+        lease_id: The server's ID of the lease.
         session_id: The session.
         generation: The number of the acquisition, from its idempotency key.
         fence: The fencing number of the lease.
@@ -36,10 +36,10 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageReport:
-    """What the server says of the leases of this front.
+    """The server's report of the leases of this front.
 
     Attributes:
-        fence: The newest fencing number that the server has given out.
+        fence: The newest fencing number that the server has issued.
         total: The number of leases of this front.
         leases: These leases.
         used: The used seats of all fronts, by tenant, title and class.
@@ -53,13 +53,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ReconciliationResult:
-    """What a report led to.
+    """The effects of a report.
 
     Attributes:
         contradiction: Why the report was rejected, or an empty string.
-        renewed_sessions: Sessions whose leases the server did not list, and which are renewed early.
-        released_leases: IDs of leases that the front did not know, and which are released.
-        unconfirmed_count: Differences that are acted upon if the next report shows them too.
+        renewed_sessions: Sessions whose leases the server did not list, which are renewed early.
+        released_leases: IDs of listed leases without a seat, which are released.
+        unconfirmed_count: Differences that lead to an action only if later reports confirm them.
     """
 
     contradiction: str = ""
@@ -70,11 +70,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReconciliationConfig:
-    """When differences are acted upon.
+    """When differences lead to an action.
 
     Attributes:
-        max_actions: Actions of each kind for one report, so that a large difference does not cause a burst.
-        required_reports: Reports in a row that must show a difference.
+        max_actions: Limit of actions of each kind per report, so that many differences cause no burst.
+        required_reports: The number of consecutive reports that must show a difference.
     """
 
     max_actions: int = 64
@@ -89,7 +89,7 @@
 
 
 class _UnknownLease(NamedTuple):
-    """A listed lease that the front does not know."""
+    """A listed lease for which the front has no seat."""
 
     session_id: str
     generation: int
@@ -100,7 +100,7 @@
 
 
 class Reconciler:
-    """Applies the server's reports to a seat manager."""
+    """Compares the server's reports with the seats of a seat manager and resolves differences."""
 
     def __init__(self, seat_manager: SeatManager, config: ReconciliationConfig | None = None) -> None:
         self.seat_manager = seat_manager
@@ -111,7 +111,7 @@
         self._unknown: Counter[_UnknownLease] = Counter()
 
     def on_report_requested(self, now: float) -> None:
-        """Records when the server is asked for its report; `now` is in milliseconds."""
+        """Records that the server is asked for a report now; `now` is in milliseconds."""
         self._requested_at_ms = now
 
     def on_report(self, now: float, report: UsageReport) -> ReconciliationResult:
@@ -125,13 +125,13 @@
             ValueError: No report was requested.
         """
         if self._requested_at_ms is None:
-            raise ValueError("a report that was not asked for")
+            raise ValueError("received a usage report that was not requested")
         requested_at_ms = self._requested_at_ms
         self._requested_at_ms = None
         contradiction = _contradiction_in(report) or self._contradiction_to_seats(requested_at_ms, report)
         if contradiction:
             self.contradiction_count += 1
-            # What earlier reports said is in doubt too.
+            # The differences found by earlier reports are not reliable either.
             self._unknown.clear()
             self._missing.clear()
             return ReconciliationResult(contradiction)
@@ -148,20 +148,20 @@
         )
 
     def _contradiction_to_seats(self, requested_at_ms: float, report: UsageReport) -> str:
-        """Says how the report contradicts what the server told before, or returns an empty string."""
+        """Returns how the report contradicts earlier responses of the server, or an empty string."""
         lease_ids = {lease.session_id: lease.lease_id for lease in report.leases}
         own_seats = [seat for seat in self.seat_manager.seats.values() if _is_listed(seat, lease_ids)]
         unchanged_fences = (seat.record.fence for seat in own_seats if _is_unchanged(seat, requested_at_ms))
         known_fence = max(unchanged_fences, default=0)
         if known_fence > report.fence:
-            return f"it told us fence {known_fence} before, and now {report.fence}"
+            return f"an earlier response had fence {known_fence}, the report has {report.fence}"
         own_counts = Counter(
             (seat.record.tenant, seat.record.title, seat.record.class_name) for seat in own_seats
         )
         for place, count in own_counts.items():
             if place in report.used and report.used[place] < count:
                 where = "/".join(place)
-                return f"it says {report.used[place]} used in {where} and lists {count} of ours"
+                return f"the report states {report.used[place]} used in {where} and lists {count}"
         return ""
 
     def _find_missing(self, requested_at_ms: float, report: UsageReport) -> list[_MissingLease]:
@@ -184,7 +184,7 @@
         return unknown
 
     def _confirm(self, sightings: Counter[_Difference], found: list[_Difference]) -> list[_Difference]:
-        """Counts the reports in a row that show a difference; returns those to act upon now."""
+        """Counts the consecutive reports that show each difference; returns those to resolve now."""
         for resolved in set(sightings) - set(found):
             del sightings[resolved]
         confirmed: list[_Difference] = []
@@ -198,14 +198,14 @@
 
 
 def _contradiction_in(report: UsageReport) -> str:
-    """Says how a report contradicts itself, or returns an empty string."""
+    """Returns how a report contradicts itself, or an empty string."""
     if report.total != len(report.leases):
-        return f"it says {report.total} leases and lists {len(report.leases)}"
+        return f"the report states {report.total} leases and lists {len(report.leases)}"
     if len({lease.lease_id for lease in report.leases}) != len(report.leases):
-        return "it lists a lease twice"
+        return "the report lists a lease twice"
     newest_fence = max((lease.fence for lease in report.leases), default=0)
     if newest_fence > report.fence:
-        return f"a lease's fence is {newest_fence}, its newest is {report.fence}"
+        return f"a lease has fence {newest_fence}, the report states {report.fence} as the newest"
     return ""
 
 
@@ -215,12 +215,12 @@
 
 
 def _is_unchanged(seat: Seat, since_ms: float) -> bool:
-    """Whether an active seat's last response came before `since_ms`, and nothing was requested after it."""
+    """Whether an active seat's last response came before `since_ms` and no request has followed."""
     responded_at_ms = seat.latest_expiry_ms - seat.ttl_ms
     return seat.state is SeatState.ACTIVE and seat.request_id is None and responded_at_ms < since_ms
 
 
 def _may_own(seat: Seat, lease: ListedLease, requested_at_ms: float) -> bool:
-    """Whether a listed lease is the seat's, or became it while the report was made."""
+    """Whether a listed lease belongs to the seat, or may have become its lease after the request."""
     is_same_acquisition = seat.record.generation == lease.generation
     return is_same_acquisition or seat.request_id is not None or seat.sent_at_ms >= requested_at_ms
