--- a/fernweir/seats/__init__.py
+++ b/fernweir/seats/__init__.py
@@ -1,4 +1,4 @@
-"""Leases on seats at the entitlement server: state machine, durable log and reconciliation.
+"""Manages leases on seats at the entitlement server: state machine, durable log and reconciliation.
 
-All modules are free of I/O and clock except `file_store`, which alone accesses a disk.
+No module reads a clock, and only `file_store` does I/O: it accesses the disk.
 """
--- a/fernweir/seats/acquisition.py
+++ b/fernweir/seats/acquisition.py
@@ -1,4 +1,4 @@
-"""Acquiring a seat's lease: the admission of a session, the server's response, and the due decision.
+"""Acquires leases: admits sessions, handles the server's responses, and decides without one when overdue.
 
 Times are milliseconds of the monotonic clock.
 """
@@ -22,7 +22,7 @@
 
 
 class LeaseAcquisition:
-    """Admits sessions and handles what the server responds to acquisitions."""
+    """Admits sessions and handles the server's responses to acquisitions."""
 
     def __init__(self, operations: LeaseOperations) -> None:
         self._operations = operations
@@ -30,7 +30,11 @@
         self._metrics = operations.metrics
 
     def admit_session(self, now: float, request: SeatRequest, decision_deadline_ms: float) -> None:
-        """Acquires a seat for a session that has none, unless that is hopeless."""
+        """Starts an acquisition for a session without a seat.
+
+        The session is rejected if the log cannot be written, or if the request would be sent too late for
+        the decision and the session's class is not admitted without a response.
+        """
         operations = self._operations
         self._metrics.requested += 1
         if not operations.is_log_writable:
@@ -59,7 +63,7 @@
         operations.set_decision_timer(seat)
 
     def readmit_session(self, now: float, seat: Seat, decision_deadline_ms: float) -> None:
-        """Gives a seat to a session that requests it again: after a retry, a restart or a release."""
+        """Handles another request for a seat that exists: after a retry, a restart or a release."""
         operations = self._operations
         seat.is_wanted = True
         if seat.is_usable(now):
@@ -68,7 +72,7 @@
         seat.decision_deadline_ms = max(decision_deadline_ms, seat.decision_deadline_ms or 0.0)
         if seat.state is SeatState.RECOVERED and not seat.is_in_flight:
             operations.cancel_timer(seat)
-            # Under its old lease or key: the server knows whether this front still holds it.
+            # Reuses the old lease or key: the server's response decides whether this front still holds it.
             operation = Operation.RENEW if seat.record.lease_id else Operation.ACQUIRE
             operations.submit_request(now, seat, operation)
         elif seat.state is SeatState.RELEASING:
@@ -88,11 +92,11 @@
             self._on_unanswered(now, seat, response.status)
 
     def on_decision_due(self, now: float, seat: Seat) -> None:
-        """Decides by the session's class, as the server has not responded in time."""
+        """Decides by the session's class if the server has not responded in time."""
         operations = self._operations
         if seat.decision_deadline_ms is None:
             if not seat.is_wanted and seat.request_id is None:
-                # The session that waited has ended; this timer had replaced the one of the next retry.
+                # The waiting session has ended; this timer replaced the retry timer and starts the release.
                 operations.release(now, seat)
             return
         is_admitted = operations.admits_unanswered(seat.record.class_name)
@@ -119,14 +123,14 @@
     def _readmit_during_release(self, now: float, seat: Seat) -> None:
         operations = self._operations
         if not seat.is_in_flight and now < seat.usable_until_ms:
-            # The release has not been sent, so the lease is still good.
+            # The release has not been sent, so the lease is still valid.
             operations.requests.withdraw(seat)
             seat.state = SeatState.ACTIVE
             seat.decision_deadline_ms = None
             operations.plan_renewal(now, seat)
             operations.commands.append(AdmissionDecision(seat.record.session_id, True))
         elif seat.request_id is None:
-            # The seat can only be acquired again after its release has ended: retry that now.
+            # The seat can be acquired again only after its release has completed: retry the release now.
             operations.submit_request(now, seat, Operation.RELEASE)
 
     def _grant(self, now: float, seat: Seat, response: LeaseResponse) -> None:
--- a/fernweir/seats/lease_operations.py
+++ b/fernweir/seats/lease_operations.py
@@ -1,4 +1,4 @@
-"""The seats of a front, and the steps that acquisition, renewal and release of their leases share.
+"""Holds the seats of a front and the operations that acquisition, renewal and release share.
 
 Times are milliseconds of the monotonic clock; only the log contains wall-clock times.
 """
@@ -30,7 +30,7 @@
         config: The configuration.
         metrics: Counters.
         seats: The seats by their key in the table.
-        commands: Commands that the shell has not taken yet.
+        commands: Commands that `SeatManager.advance` has not returned yet.
         is_log_writable: Whether new seats can be logged.
     """
 
@@ -57,13 +57,13 @@
     # Seats
 
     def recover(self, now: float, wall_s: float, table: SeatTable) -> None:
-        """Adds the seats of an earlier run; see `SeatManager.recover_seats`."""
+        """Adds the seats that an earlier run logged; see `SeatManager.recover_seats`."""
         max_ttl_ms = self.config.max_ttl_ms
         for record in table.values():
             seat = Seat(record, SeatState.RECOVERED)
             remaining_ms = (record.expires_at_s - wall_s) * 1000.0 if record.lease_id else max_ttl_ms
             if record.lease_id and remaining_ms <= 0.0:
-                # Expired, or the wall clock was set forward: only the server knows.
+                # Either expired or the wall clock was set forward: assume that the server still holds it.
                 remaining_ms = max_ttl_ms
             seat.latest_expiry_ms = now + min(max(remaining_ms, 0.0), max_ttl_ms)
             self.seats[record.session_id] = seat
@@ -72,12 +72,12 @@
             self.set_timer(seat, now + delay_ms, TimerKind.RECLAIM_DUE)
 
     def next_generation(self) -> int:
-        """The number of a new acquisition; it sets its idempotency key apart from all earlier ones."""
+        """Returns the number of a new acquisition, which makes its idempotency key unique."""
         self._generation += 1
         return self._generation
 
     def wall_time_s(self, at_ms: float) -> float:
-        """The wall time in seconds of a time of the monotonic clock."""
+        """Converts a time of the monotonic clock to wall time in seconds."""
         return self.config.wall_clock_offset_s + at_ms / 1000.0
 
     def forget(self, seat: Seat) -> None:
@@ -93,8 +93,8 @@
     def extend_lease(self, now: float, seat: Seat, response: LeaseResponse) -> None:
         """Applies a grant or renewal.
 
-        The lease is used for its duration from when the request was sent, and is counted as held for its
-        duration from now: the server's own expiry lies in between.
+        The front uses the lease for its duration from when the request was sent, and counts the seat as
+        occupied for its duration from now: the server's own expiry lies in between.
         """
         seat.record = seat.record.with_lease(response.lease_id, response.fence)
         seat.ttl_ms = min(response.ttl_ms, self.config.max_ttl_ms)
@@ -102,7 +102,7 @@
         seat.latest_expiry_ms = now + seat.ttl_ms
 
     def plan_renewal(self, now: float, seat: Seat) -> None:
-        """Sets the timer of the lease's next renewal, at a random part of its duration."""
+        """Sets the timer of the lease's next renewal to a random point in its duration."""
         config = self.config
         ratio = self._rng.uniform(config.min_renewal_lead_ratio, config.max_renewal_lead_ratio)
         renew_at_ms = seat.usable_until_ms - seat.ttl_ms * ratio
@@ -122,7 +122,7 @@
         self.submit_request(now, seat, Operation.ACQUIRE)
 
     def release(self, now: float, seat: Seat) -> None:
-        """Releases a seat; while a request is in flight, the end of that request does."""
+        """Releases a seat, or does nothing while a request is in flight: its completion releases the seat."""
         if seat.is_in_flight:
             return
         self.requests.withdraw(seat)
@@ -137,7 +137,7 @@
         self.set_release_expiry_timer(seat)
 
     def finish_release(self, now: float, seat: Seat) -> None:
-        """The server no longer holds the seat: forgets it, or reacquires it if it is wanted again."""
+        """Forgets a seat that the server no longer holds, or reacquires it if it is wanted again."""
         if seat.decision_deadline_ms is not None and now >= seat.decision_deadline_ms:
             self.decide_unanswered(seat)
             seat.is_wanted = self.admits_unanswered(seat.record.class_name)
@@ -160,7 +160,7 @@
         self.forget(seat)
 
     def retry_request(self, now: float, seat: Seat, deadline_ms: float) -> None:
-        """Retries the seat's last request within the retry budget, if that is before the deadline."""
+        """Schedules a retry of the seat's last request if the retry budget and the deadline allow one."""
         if seat.backoff is None:
             seat.backoff = self.retry_policy.new_jitter()
         retry_at_ms = self.retry_policy.schedule_retry(now, seat.record.tenant, seat.backoff, deadline_ms)
@@ -180,7 +180,7 @@
         if seat.operation is Operation.RELEASE:
             self.set_timer_or_decision(seat, seat.latest_expiry_ms, TimerKind.RELEASE_EXPIRED)
         elif seat.state is SeatState.ACTIVE:
-            # Once more before it expires: first requests of other sessions may have earned budget by then.
+            # Try again before it expires: first attempts of other sessions may have added budget by then.
             remaining_ms = seat.usable_until_ms - now
             if remaining_ms < self.config.call_timeout_ms / 4.0:
                 self.set_timer(seat, seat.usable_until_ms, TimerKind.LEASE_EXPIRED)
@@ -196,25 +196,25 @@
     def decide(
         self, seat: Seat, is_granted: bool | None, reason: str = "", retry_after_ms: float = 0.0
     ) -> None:
-        """Returns the admission decision to the session, if one is due."""
+        """Issues the session's admission decision if one is due."""
         if seat.decision_deadline_ms is not None:
             seat.decision_deadline_ms = None
             decision = AdmissionDecision(seat.record.session_id, is_granted, reason, retry_after_ms)
             self.commands.append(decision)
 
     def decide_unanswered(self, seat: Seat) -> None:
-        """Returns that the server has not responded in time, if a decision is due."""
+        """Issues the decision that the server has not responded in time, if one is due."""
         self.metrics.unanswered += 1
         self.decide(seat, None, messages.SERVER_SILENT)
 
     def revoke(self, seat: Seat, reason: str) -> None:
-        """Ends the playing session of a seat."""
+        """Issues the command to end the playing session of a seat."""
         self.metrics.revoked += 1
         seat.is_wanted = False
         self.commands.append(RevokeSession(seat.record.session_id, reason))
 
     def reject_or_revoke(self, seat: Seat, reason: str, retry_after_ms: float = 0.0) -> None:
-        """Ends what depends on a seat that the server refused for good, and forgets the seat."""
+        """Rejects or revokes the session of a seat that the server denied finally, and forgets the seat."""
         if seat.decision_deadline_ms is not None:
             self.decide(seat, False, reason, retry_after_ms)
         elif seat.is_wanted:
@@ -229,7 +229,7 @@
         seat.timer = self.timers.schedule(deadline_ms, SeatTimer(seat.table_key, kind))
 
     def set_timer_or_decision(self, seat: Seat, deadline_ms: float, kind: TimerKind) -> None:
-        """Replaces the seat's timer, by the one of the admission decision if that is due earlier."""
+        """Replaces the seat's timer, or sets the decision timer instead if that is due earlier."""
         decision_deadline_ms = seat.decision_deadline_ms
         if decision_deadline_ms is not None and decision_deadline_ms <= deadline_ms:
             self.set_timer(seat, decision_deadline_ms, TimerKind.DECISION_DUE)
@@ -237,12 +237,12 @@
             self.set_timer(seat, deadline_ms, kind)
 
     def set_decision_timer(self, seat: Seat) -> None:
-        """Replaces the seat's timer by the one of its admission decision, if one is due."""
+        """Replaces the seat's timer with that of its admission decision, if one is due."""
         if seat.decision_deadline_ms is not None:
             self.set_timer(seat, seat.decision_deadline_ms, TimerKind.DECISION_DUE)
 
     def set_release_expiry_timer(self, seat: Seat) -> None:
-        """Sets the timer after which a seat that is being released has expired at the server."""
+        """Sets the timer for when the lease of a seat in release has expired at the server."""
         deadline_ms = seat.latest_expiry_ms + self.config.tick_ms
         self.set_timer(seat, deadline_ms, TimerKind.RELEASE_EXPIRED)
 
--- a/fernweir/seats/lease_requests.py
+++ b/fernweir/seats/lease_requests.py
@@ -1,7 +1,7 @@
-"""Requests to the entitlement server on their way: waiting for the log, queued, in flight.
+"""Tracks requests to the entitlement server: waiting for the log, queued, or in flight.
 
-An acquisition waits until its log record is durable. Then all requests wait in the send queue, and leave it
-while the circuit breaker is closed. Times are milliseconds of the monotonic clock.
+An acquisition waits until its log record is durable. All requests then wait in the send queue until the
+circuit breaker allows them to be sent. Times are milliseconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from fernweir.seats.seat import Seat, SeatManagerConfig
 
 _MIN_TIMEOUT_MS = 1.0
-_TURNS = {
+_REQUEST_KINDS = {
     Operation.ACQUIRE: RequestKind.ACQUIRE,
     Operation.RENEW: RequestKind.RENEW,
     Operation.RELEASE: RequestKind.RELEASE,
@@ -20,7 +20,7 @@
 
 
 class LeaseRequests:
-    """Submits, sends and completes requests; a seat has at most one at a time."""
+    """Submits, sends and completes requests; a seat has at most one request at a time."""
 
     def __init__(self, config: SeatManagerConfig, retry_policy: RetryPolicy) -> None:
         self.send_queue = SendQueue(config.queue)
@@ -33,7 +33,7 @@
         self._last_request_id = 0
 
     def submit(self, now: float, seat: Seat, operation: Operation) -> bool:
-        """Replaces the seat's waiting request by a new one; False if the send queue is full."""
+        """Replaces the seat's waiting request with a new one; returns False if the send queue is full."""
         self._last_request_id += 1
         request_id = self._last_request_id
         self.withdraw(seat)
@@ -83,14 +83,14 @@
         return dropped
 
     def send_ready(self, now: float) -> list[SendLeaseRequest]:
-        """Takes the requests out of the send queue that may be sent now."""
+        """Removes the requests that may be sent now from the send queue and returns their commands."""
         commands: list[SendLeaseRequest] = []
         while self._breaker.may_call(now) and (request_id := self.send_queue.start_next()) is not None:
             commands.append(self._send(now, request_id))
         return commands
 
     def complete(self, now: float, request_id: int, status: ResponseStatus) -> Seat | None:
-        """Ends a request that was sent; returns its seat, or None if the seat no longer waits for it."""
+        """Completes a request that was sent; returns its seat, or None if the seat no longer waits for it."""
         seat = self._seats.pop(request_id, None)
         if seat is None or seat.request_id != request_id:
             return None
@@ -101,11 +101,11 @@
         return seat
 
     def estimated_wait_ms(self, now: float) -> float:
-        """How long an acquisition submitted at `now` would wait before it is sent."""
+        """Returns how long an acquisition submitted at `now` would wait before it is sent."""
         return max(self.send_queue.estimated_wait_ms(), self._breaker.remaining_open_ms(now))
 
     def next_deadline(self, now: float) -> float | None:
-        """When the circuit breaker allows a queued request to be sent; None if nothing waits for that."""
+        """Returns when the open circuit breaker allows the next call; None if no request waits for it."""
         wait_ms = self._breaker.remaining_open_ms(now)
         if len(self.send_queue) and wait_ms > 0.0:
             return now + wait_ms
@@ -113,7 +113,7 @@
 
     def _enqueue(self, now: float, request_id: int, seat: Seat) -> bool:
         weight = seat.record.priority_weight
-        if self.send_queue.add(now, request_id, _TURNS[seat.operation], weight, seat.usable_until_ms):
+        if self.send_queue.add(now, request_id, _REQUEST_KINDS[seat.operation], weight, seat.usable_until_ms):
             return True
         self._seats.pop(request_id, None)
         seat.request_id = None
--- a/fernweir/seats/messages.py
+++ b/fernweir/seats/messages.py
@@ -1,4 +1,4 @@
-"""Messages of the seat manager: what it is asked, what the server answered, and what its shell must do.
+"""Messages of the seat manager: requests of sessions, responses of the server, commands to the shell.
 
 All times are milliseconds of the monotonic clock.
 """
@@ -34,19 +34,19 @@
     SUCCEEDED = "done"
     NO_SEAT_FREE = "full"
     DENIED = "denied"
-    """Not entitled, or no longer entitled; the answer is final."""
+    """The viewer is not entitled, or no longer entitled; the response is final."""
     LEASE_UNKNOWN = "gone"
     """The server does not know the lease."""
     FENCED = "fenced"
     """The seat has passed to the same session at another front."""
     NOT_EXECUTED = "never"
-    """The request provably never ran."""
+    """The request was certainly not executed."""
     INDETERMINATE = "doubtful"
-    """No response, or an error: the request may have run."""
+    """No response, or an error: the request may have been executed."""
 
     @property
     def is_conclusive(self) -> bool:
-        """Whether the server processed the request and said with what result."""
+        """Whether the server processed the request and returned its result."""
         return self not in (ResponseStatus.INDETERMINATE, ResponseStatus.NOT_EXECUTED)
 
 
@@ -57,7 +57,7 @@
     Attributes:
         session_id: The session.
         tenant: The tenant whose seats are counted.
-        title: The title that is watched.
+        title: The title to be played.
         class_name: The session's class.
         subject: The viewer, as the token names it.
         priority_weight: The weight of the session in the send queue.
@@ -76,11 +76,11 @@
     """The one outcome of a request that was sent.
 
     Attributes:
-        status: What became of the request.
-        lease_id: The server's name of the lease.
-        fence: The fencing number of the lease; it grows with each grant and renewal.
-        ttl_ms: How long the lease lasts from now.
-        retry_after_ms: How long the server asks to wait, or 0.
+        status: The outcome.
+        lease_id: The server's ID of the lease.
+        fence: The fencing number of the lease, which increases with each grant and renewal.
+        ttl_ms: The lease's remaining duration at the time of the response.
+        retry_after_ms: The delay that the server requires before the next request, or 0.
         token: A new token for the viewer, or an empty string.
     """
 
@@ -109,9 +109,9 @@
 
     Attributes:
         session_id: The session.
-        is_granted: None if the server did not respond in time; the session's class decides then.
-        reason: Why it was not granted.
-        retry_after_ms: When a rejected viewer should try again, or 0.
+        is_granted: None if the server did not respond in time; the session's class then decides.
+        reason: Why the seat was not granted.
+        retry_after_ms: The delay after which a rejected viewer should retry, or 0.
     """
 
     session_id: str
@@ -130,13 +130,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRenewed:
-    """A lease was extended.
+    """Reports that a lease was extended.
 
     Attributes:
         session_id: The session.
-        usable_until_ms: When the front must stop to use the lease, unless it is renewed again.
+        usable_until_ms: When the front must stop using the lease, unless it is renewed again.
         token: The viewer's new token, or an empty string.
-        remaining_ms: What was left of the lease; None if it was granted before a restart.
+        remaining_ms: The remaining time of the lease before the renewal; None if it was granted before a
+            restart.
     """
 
     session_id: str
--- a/fernweir/seats/release.py
+++ b/fernweir/seats/release.py
@@ -1,4 +1,4 @@
-"""Releasing a seat's lease, and leases that the server lists and this front does not know.
+"""Releases the leases of seats, and leases that the server lists but for which the front has no seat.
 
 Times are milliseconds of the monotonic clock.
 """
@@ -12,7 +12,7 @@
 
 
 class LeaseRelease:
-    """Handles the outcome of releases; retries them until the lease has expired by itself."""
+    """Handles the outcomes of releases; retries a release until the lease has expired."""
 
     def __init__(self, operations: LeaseOperations) -> None:
         self._operations = operations
@@ -28,7 +28,7 @@
             self._operations.retry_request(now, seat, seat.latest_expiry_ms)
 
     def on_release_expired(self, now: float, seat: Seat) -> None:
-        """Gives up a release whose lease has expired at the server by now."""
+        """Ends the retries of a release whose lease has expired at the server."""
         operations = self._operations
         if seat.is_in_flight:
             deadline_ms = now + self._config.call_timeout_ms
@@ -39,7 +39,7 @@
         operations.finish_release(now, seat)
 
     def release_unknown_lease(self, now: float, session_id: str, generation: int) -> None:
-        """Releases a lease that this front does not know, by the key that it was acquired under."""
+        """Releases a lease without a seat by the idempotency key of its acquisition."""
         operations = self._operations
         table_key = unknown_lease_key(session_id, generation)
         if table_key in operations.seats:
@@ -54,5 +54,5 @@
 
 
 def unknown_lease_key(session_id: str, generation: int) -> str:
-    """The table key of an unknown lease: a name that no session has."""
+    """Returns the table key of an unknown lease, which differs from every session ID."""
     return f"\x00{session_id}.{generation}"
--- a/fernweir/seats/renewal.py
+++ b/fernweir/seats/renewal.py
@@ -1,4 +1,4 @@
-"""Renewing a seat's lease, and what happens when it expires.
+"""Renews the leases of seats and handles their expiry.
 
 Times are milliseconds of the monotonic clock.
 """
@@ -20,7 +20,7 @@
         self._metrics = operations.metrics
 
     def on_renewal_due(self, now: float, seat: Seat) -> None:
-        """Starts a renewal, unless the lease has expired or a request of the seat is open."""
+        """Starts a renewal, unless the lease has expired or the seat has a pending request."""
         if seat.state is not SeatState.ACTIVE:
             return
         if now >= seat.usable_until_ms:
@@ -36,7 +36,7 @@
             self._expire(now, seat)
 
     def renew_early(self, now: float, seat: Seat) -> None:
-        """Renews a lease now whose existence is in doubt: the response decides."""
+        """Renews now a lease that may no longer exist; the response shows whether it does."""
         if seat.is_usable(now) and seat.request_id is None:
             self._operations.start_renewal(now, seat)
 
@@ -77,7 +77,7 @@
         operations.plan_renewal(now, seat)
 
     def _on_lease_unknown(self, now: float, seat: Seat) -> None:
-        """The server has lost the lease, or responded with an older fence."""
+        """Handles that the server does not know the lease, or responded with a fence that is not newer."""
         if seat.is_wanted:
             self._operations.reacquire(now, seat)
         else:
@@ -85,7 +85,7 @@
 
     def _on_unanswered(self, now: float, seat: Seat, status: ResponseStatus) -> None:
         if status is ResponseStatus.INDETERMINATE:
-            # The duration of a lease that was granted before a restart is not known.
+            # The duration of a lease that was granted before a restart is unknown.
             ttl_ms = seat.ttl_ms or self._config.max_ttl_ms
             seat.latest_expiry_ms = max(seat.latest_expiry_ms, now + ttl_ms)
         if not seat.is_wanted:
@@ -97,18 +97,18 @@
         self._operations.retry_request(now, seat, seat.decision_deadline_ms or deadline_ms)
 
     def _expire(self, now: float, seat: Seat) -> None:
-        """Ends a session whose lease expired without a response, unless its class plays on.
+        """Ends a session whose lease expired without a response, unless its class may continue.
 
-        A front that was stopped until well after the expiry renews first, once. Otherwise another session
-        may have the seat from this moment on.
+        If the front process was suspended until at least `grace_ms` after the expiry, it first tries one
+        renewal. Otherwise the session ends now, because the server may grant the seat to another one.
         """
         operations = self._operations
         if not seat.is_wanted:
-            # The session ended while a renewal was in flight, whose response releases the seat.
+            # The session ended while a renewal was in flight; the response to it releases the seat.
             operations.release(now, seat)
             return
-        was_stopped = not seat.is_overdue and now >= seat.usable_until_ms + self._config.grace_ms
-        if was_stopped:
+        was_suspended = not seat.is_overdue and now >= seat.usable_until_ms + self._config.grace_ms
+        if was_suspended:
             seat.is_overdue = True
             if seat.request_id is None:
                 operations.submit_request(now, seat, Operation.RENEW)
@@ -124,7 +124,7 @@
         operations = self._operations
         self._metrics.expired += 1
         if seat.decision_deadline_ms is not None:
-            # The session was revoked before, and requests its seat again.
+            # The session was revoked earlier and has requested its seat again.
             operations.decide_unanswered(seat)
             seat.is_wanted = False
         else:
--- a/fernweir/seats/seat.py
+++ b/fernweir/seats/seat.py
@@ -1,4 +1,4 @@
-"""One seat in the memory of the seat manager, and the manager's configuration and metrics."""
+"""The in-memory state of one seat, and the configuration and metrics of the seat manager."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
     """The state of a seat's lease."""
 
     ACQUIRING = "asking"
-    """Requested; the server may already hold a seat for it."""
+    """Requested; the server may already have granted it."""
     ACTIVE = "held"
     RECOVERED = "recovered"
-    """Read from the log of an earlier run; no session has requested it since."""
+    """Read from the log of an earlier run; no session has requested it since the restart."""
     RELEASING = "releasing"
 
 
 class TimerKind(Enum):
-    """What a seat's timer stands for; a seat has at most one timer."""
+    """What is due when a seat's timer fires; a seat has at most one timer."""
 
     DECISION_DUE = "decision due"
     RENEWAL_DUE = "renewal due"
@@ -48,16 +48,16 @@
 
     Attributes:
         call_timeout_ms: How long one request to the server may take.
-        max_ttl_ms: Upper bound of a lease's duration, also where the server's grant is not known.
-        min_renewal_lead_ratio: A renewal starts when a part of the lease's time is left that is drawn
-            between this and `max_renewal_lead_ratio`.
-        max_renewal_lead_ratio: See `min_renewal_lead_ratio`.
-        grace_ms: How long after its end a lease may still be renewed where its session plays on.
+        max_ttl_ms: Upper limit of a lease's duration, which also applies if the granted one is unknown.
+        min_renewal_lead_ratio: Lower limit of the ratio of a lease's duration that remains when its renewal
+            starts; the ratio is drawn between this and `max_renewal_lead_ratio`.
+        max_renewal_lead_ratio: Upper limit of that ratio.
+        grace_ms: How long after its expiry a lease may still be renewed if its session continues.
         reclaim_after_ms: After a restart, unclaimed seats are released within this time.
         tick_ms: The resolution of timers.
-        seed: Seeds all random draws.
-        last_generation: A number not below that of any acquisition of an earlier run.
-        wall_clock_offset_s: Wall clock less monotonic clock, in seconds.
+        seed: Seed of the random number generators.
+        last_generation: A number that no acquisition of an earlier run exceeds.
+        wall_clock_offset_s: Wall clock minus monotonic clock, in seconds.
         retry: The retry policy of requests to the server.
         queue: The queue of requests to the server.
     """
@@ -84,16 +84,16 @@
         requested: Sessions that requested a seat for the first time.
         granted: Leases granted.
         no_seat_free: Requests that the server rejected because no seat was free.
-        denied: Requests and renewals that the server denied for good.
-        unanswered: Decisions that were due before the server had responded.
+        denied: Requests and renewals that the server denied finally.
+        unanswered: Decisions that were due before the server responded.
         renewed: Renewals.
-        revoked: Sessions that had to end.
+        revoked: Playing sessions that were ended.
         expired: Leases that expired without a renewal.
         released: Releases that the server confirmed.
-        assumed_released: Releases that were never confirmed; the lease has expired by itself.
+        assumed_released: Releases that the server never confirmed before the lease expired.
         retries: Retried requests.
-        unknown_leases: Leases that the server reported and this front did not know.
-        shortest_remaining_ms: The least time that a renewed lease had left, in milliseconds.
+        unknown_leases: Leases that the server listed and for which the front had no seat.
+        shortest_remaining_ms: The shortest remaining time of any lease at its renewal, in milliseconds.
     """
 
     requested: int = 0
@@ -118,19 +118,19 @@
     Attributes:
         record: The seat as the log stores it.
         state: The state of its lease.
-        is_wanted: Whether a session plays on the seat or waits for it.
-        decision_deadline_ms: When the session must have its admission decision; None if none is due.
-        usable_until_ms: The front must not use the lease after this time.
-        latest_expiry_ms: The server may hold the seat until this time at the latest.
+        is_wanted: Whether a session uses the seat or waits for it.
+        decision_deadline_ms: Deadline of the session's admission decision; None if none is due.
+        usable_until_ms: The time from which the front must not use the lease.
+        latest_expiry_ms: The latest time at which the lease can expire at the server.
         ttl_ms: The lease's duration at its last grant or renewal.
-        request_id: The request that waits or is in flight, or None.
+        request_id: The ID of the request that waits or is in flight, or None.
         operation: The kind of that request, or of the last one.
         is_in_flight: Whether that request has been sent.
         sent_at_ms: When the last request was sent.
-        log_sequence: The log record that must be durable before an acquisition is sent.
+        log_sequence: Sequence number of the log record that must be durable before an acquisition is sent.
         timer: The seat's timer, or None.
-        backoff: Delays of retries; None before the first one.
-        is_overdue: Whether the lease expired while the front was stopped, and is checked at the server.
+        backoff: Generator of retry delays; None before the first retry.
+        is_overdue: Whether the lease expired while the front was suspended and a renewal is being tried.
         table_key: The seat's key in the table: its session ID, or a reserved name for an unknown lease.
     """
 
@@ -156,14 +156,14 @@
 
     @property
     def idempotency_key(self) -> str:
-        """The key of an acquisition and its retries, and of the release of its lease."""
+        """The key of an acquisition and its retries, and of the release of that lease."""
         return f"{self.record.session_id}.{self.record.generation}"
 
     @property
     def is_logged(self) -> bool:
-        """Whether the log has a record of this seat; it has none of an unknown lease."""
+        """Whether the log has a record of this seat; unknown leases have none."""
         return self.table_key == self.record.session_id
 
     def is_usable(self, now: float) -> bool:
-        """Whether its session may play on this seat's lease at `now`."""
+        """Whether the session may use the lease at `now`."""
         return self.state is SeatState.ACTIVE and now < self.usable_until_ms
--- a/fernweir/seats/seat_manager.py
+++ b/fernweir/seats/seat_manager.py
@@ -1,13 +1,13 @@
 """The state machine of seats: each session's lease from the first request to its release.
 
-A seat is counted once for each session, however often its set-up, its acquisition or its renewal is retried.
-Every request that may take a seat carries an idempotency key that is the same in every retry, and is logged
-durably before its first byte is sent. Two times bound a lease: the front uses it until `usable_until_ms`,
-counted from when its request was sent; the server may hold it until `latest_expiry_ms`, counted from when a
-response came, or the last request was given up. In between the seat is counted and not used.
-
-The machine has no I/O and no clock. Its shell passes `now` in milliseconds of the monotonic clock, carries
-out the commands that `advance` returns, and reports how far the log is synced.
+A session occupies one seat, however often its set-up, acquisition or renewal is retried. Every request that
+may acquire a seat has an idempotency key that is the same in every retry, and is logged durably before its
+first byte is sent. Two times limit a lease: the front uses it until `usable_until_ms`, which starts when the
+request is sent; the server may hold it until `latest_expiry_ms`, which starts when a response arrives or the
+last request is abandoned. Between these times the seat counts as occupied but is not used.
+
+The state machine does no I/O and reads no clock. Its shell passes `now` in milliseconds of the monotonic
+clock, carries out the commands that `advance` returns, and reports how far the log is synced.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
     Attributes:
         config: The configuration.
         metrics: Counters.
-        seats: The seats by session ID, and those of unknown leases by reserved names.
+        seats: The seats by session ID; seats of unknown leases have reserved keys.
         send_queue: The requests that wait to be sent.
         timers: The timers of all seats.
     """
@@ -46,8 +46,8 @@
         Args:
             now: Monotonic time in milliseconds.
             append_record: Appends a record to the log and returns its sequence number.
-            admits_unanswered: Whether sessions of a class play when the server does not respond.
-            config: The configuration; the defaults if None.
+            admits_unanswered: Whether a class of sessions is admitted if the server does not respond.
+            config: The configuration; None selects the defaults.
         """
         config = config or SeatManagerConfig()
         self._operations = LeaseOperations(now, append_record, admits_unanswered, config)
@@ -74,19 +74,19 @@
     # Events
 
     def recover_seats(self, now: float, wall_s: float, table: SeatTable) -> None:
-        """Adds the seats of an earlier run, which are released unless their sessions request them again.
+        """Adds the seats that an earlier run logged; those that no session requests again are released.
 
-        The wall clock may have been set in between: it is trusted only within the duration of a lease.
+        The wall clock may have been set since: its value is used only within the duration of a lease.
 
         Args:
             now: Monotonic time in milliseconds.
             wall_s: Wall time in seconds.
-            table: The seats of the log.
+            table: The seats that the log contains.
         """
         self._operations.recover(now, wall_s, table)
 
     def request_seat(self, now: float, request: SeatRequest, decision_deadline_ms: float) -> None:
-        """Requests a seat for a session; its decision is returned by the deadline."""
+        """Requests a seat for a session; `advance` returns the decision by the deadline."""
         seat = self.seats.get(request.session_id)
         if seat is None:
             self._acquisition.admit_session(now, request, decision_deadline_ms)
@@ -94,7 +94,7 @@
             self._acquisition.readmit_session(now, seat, decision_deadline_ms)
 
     def cancel_request(self, now: float, session_id: str) -> None:
-        """Gives up a session's seat: the session ended, or its viewer left before the decision."""
+        """Releases the seat of a session that ended, or whose viewer left before the decision."""
         seat = self.seats.get(session_id)
         if seat is None or not seat.is_wanted:
             return
@@ -105,31 +105,31 @@
             self._operations.release(now, seat)
 
     def on_response(self, now: float, request_id: int, response: LeaseResponse) -> None:
-        """Handles the one outcome of a request that was sent."""
+        """Handles the outcome of a request that was sent; called once for each request."""
         seat = self._operations.requests.complete(now, request_id, response.status)
         if seat is not None:
             self._response_handlers[seat.operation](now, seat, response)
 
     def on_log_synced(self, sequence: int) -> None:
-        """All records up to and including this one are durable: acquisitions that wait for them may go."""
+        """Records that the log is durable up to this record; acquisitions waiting for it may be sent."""
         self._operations.requests.on_log_synced(sequence)
 
     def on_log_failed(self) -> None:
-        """The log cannot be written: nothing new is acquired, existing leases are renewed."""
+        """Stops new acquisitions because the log cannot be written; existing leases are still renewed."""
         self._acquisition.on_log_failed()
 
     def renew_early(self, now: float, session_id: str) -> None:
-        """Renews a session's lease now; the server's response decides whether it still exists."""
+        """Renews a session's lease now; the server's response shows whether it still exists."""
         seat = self.seats.get(session_id)
         if seat is not None:
             self._renewal.renew_early(now, seat)
 
     def release_unknown_lease(self, now: float, session_id: str, generation: int) -> None:
-        """Releases a lease that this front does not know, by the key that it was acquired under."""
+        """Releases a lease without a seat by the idempotency key of its acquisition."""
         self._release.release_unknown_lease(now, session_id, generation)
 
     def advance(self, now: float) -> list[SeatCommand]:
-        """Handles the timers that are due and returns the commands to carry out now."""
+        """Handles due timers and returns the commands to carry out now."""
         operations = self._operations
         for table_key, kind in self.timers.advance(now):
             seat = self.seats.get(table_key)
@@ -146,7 +146,7 @@
     # Queries
 
     def next_deadline(self, now: float) -> float | None:
-        """When `advance` must be called at the latest if nothing else happens, or None."""
+        """Returns the time of the next required call of `advance` if no other event occurs, or None."""
         timer_deadline_ms = self.timers.next_deadline()
         send_deadline_ms = self._operations.requests.next_deadline(now)
         if send_deadline_ms is None:
@@ -154,21 +154,21 @@
         return min(timer_deadline_ms or send_deadline_ms, send_deadline_ms)
 
     def count_seats(self, title: str, class_name: str) -> int:
-        """The number of seats of a title and class that the server may hold for this front."""
+        """Returns the number of seats of a title and class that the server may hold for this front."""
         place = (title, class_name)
         return sum((seat.record.title, seat.record.class_name) == place for seat in self.seats.values())
 
     def records(self) -> SeatTable:
-        """The seats to be stored in a snapshot of the log."""
+        """Returns the seats to be stored in a snapshot of the log."""
         return {seat.record.session_id: seat.record for seat in self.seats.values() if seat.is_logged}
 
     def has_valid_lease(self, now: float, session_id: str) -> bool:
-        """Whether a session's lease is valid at `now`, whether or not its first token has expired."""
+        """Whether a session's lease is valid at `now`, even if the session's first token has expired."""
         seat = self.seats.get(session_id)
         return seat is not None and seat.is_wanted and seat.is_usable(now)
 
     def is_releasing_unknown_lease(self, session_id: str, generation: int) -> bool:
-        """Whether this unknown lease is being released already."""
+        """Whether this unknown lease is already being released."""
         return unknown_lease_key(session_id, generation) in self.seats
 
     def _handlers_by_timer(self) -> dict[TimerKind, Callable[[float, Seat], None]]:
--- a/fernweir/seats/timing_wheel.py
+++ b/fernweir/seats/timing_wheel.py
@@ -1,9 +1,9 @@
-"""A hierarchical timing wheel (Varghese and Lauck, 1987), for timers that are mostly moved or cancelled.
+"""A hierarchical timing wheel (Varghese and Lauck, 1987), for timers that rarely fire.
 
-Renewal timers are set for each session and nearly always set again before they fire, many thousands of them
-for the same second. Setting and cancelling take the same time however many there are; a timer is touched at
-most once a level on its way down. Positions are integer ticks; timers that are due in one tick fire in the
-order of their exact deadlines, then in the order in which they were set.
+Each session has a timer that is nearly always rescheduled or cancelled before it fires, and many thousands
+can be due in the same second. Scheduling and cancelling take constant time; a timer is moved at most once per
+level before it fires. Positions are integer ticks; timers that are due in one tick fire in the order of their
+exact deadlines, then in the order in which they were scheduled.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 
 @dataclass(slots=True, eq=False)
 class Timer(Generic[T]):
-    """A timer that was set.
+    """A scheduled timer.
 
     Attributes:
         deadline: When it is due.
-        sequence: Its number in the order of setting.
-        value: What `advance` returns for it; None once it has fired or was cancelled.
+        sequence: Its number in the order of scheduling.
+        value: The value that `advance` returns for it; None after it has fired or was cancelled.
     """
 
     deadline: float
@@ -37,7 +37,7 @@
 
 
 class TimingWheel(Generic[T]):
-    """Timers in slots of time; they never fire early."""
+    """Schedules timers, which never fire early."""
 
     def __init__(self, now: float, tick: float = 1.0) -> None:
         """Creates a wheel without timers.
@@ -49,8 +49,8 @@
         self._tick = tick
         self._current_tick = int(now / tick)
         self._levels: list[list[list[Timer[T]]]] = [[[] for _ in range(_SLOTS)] for _ in range(_LEVELS)]
-        self._used_slots = [0] * _LEVELS  # a bit for each slot of the level
-        self._overflow: list[Timer[T]] = []  # timers beyond one turn of the whole wheel
+        self._used_slots = [0] * _LEVELS  # by level, a bit mask of the slots with timers
+        self._overflow: list[Timer[T]] = []  # timers beyond one revolution of the coarsest level
         self._last_sequence = 0
         self._size = 0
 
@@ -58,7 +58,7 @@
         return self._size
 
     def schedule(self, deadline: float, value: T) -> Timer[T]:
-        """Sets a timer; one whose deadline has passed fires at the next `advance`."""
+        """Schedules a timer; if its deadline has passed, it fires at the next `advance`."""
         self._last_sequence += 1
         timer = Timer(deadline, self._last_sequence, value)
         self._size += 1
@@ -66,7 +66,7 @@
         return timer
 
     def cancel(self, timer: Timer[T]) -> bool:
-        """Cancels a timer; returns False if it had fired or was cancelled before."""
+        """Cancels a timer; returns False if it has already fired or was cancelled."""
         if timer.value is None:
             return False
         timer.value = None
@@ -74,7 +74,10 @@
         return True
 
     def next_deadline(self) -> float | None:
-        """A time before which no timer is due; None if none is set. A cancelled timer can make it early."""
+        """Returns a time before which no timer is due, or None without timers.
+
+        A cancelled timer can make it earlier than necessary.
+        """
         if not self._size:
             return None
         return self._next_tick() * self._tick
@@ -84,10 +87,10 @@
         last_tick = int(now / self._tick)
         due: list[Timer[T]] = []
         while True:
-            self._take_due(due, now)
+            self._collect_due(due, now)
             if self._current_tick >= last_tick:
                 break
-            self._step(last_tick)
+            self._advance_tick(last_tick)
         due.sort(key=lambda timer: (timer.deadline, timer.sequence))
         values: list[T] = []
         for timer in due:
@@ -98,8 +101,8 @@
         return values
 
     def _next_tick(self) -> int:
-        """The next tick at which a slot must be looked at."""
-        # Timers beyond the wheel are inserted again each time that it has turned once.
+        """Returns the next tick at which a slot must be processed."""
+        # Overflow timers are reinserted after each revolution of the coarsest level.
         nearest = ((self._current_tick >> _TOTAL_BITS) + 1) << _TOTAL_BITS
         for level, used in enumerate(self._used_slots):
             if used:
@@ -110,10 +113,10 @@
         shift = _BITS_PER_LEVEL * level
         start = self._current_tick >> shift
         index = start & _SLOT_MASK
-        # Rotated so that the current slot is bit 0: the lowest set bit is then the next used slot.
+        # Rotates the mask so that the current slot is bit 0; the lowest set bit is then the next used slot.
         rotated = (used >> index) | (used << (_SLOTS - index)) & _ALL_SLOTS_USED
         if level:
-            # The current slot of a coarse level was emptied when it was reached: it holds the next turn.
+            # The current slot of a coarse level was emptied when reached: it now holds the next revolution.
             rotated &= ~1
         distance = (rotated & -rotated).bit_length() - 1 if rotated else _SLOTS
         return max((start + distance) << shift, self._current_tick)
@@ -123,14 +126,14 @@
         distance = ticks - self._current_tick
         for level in range(_LEVELS):
             if distance < 1 << (_BITS_PER_LEVEL * (level + 1)):
-                # A coarse slot can also hold timers of the next turn: they are inserted again when reached.
+                # A coarse slot can also hold timers of the next revolution; they are reinserted when reached.
                 index = (ticks >> (_BITS_PER_LEVEL * level)) & _SLOT_MASK
                 self._levels[level][index].append(timer)
                 self._used_slots[level] |= 1 << index
                 return
         self._overflow.append(timer)
 
-    def _take_due(self, due: list[Timer[T]], now: float) -> None:
+    def _collect_due(self, due: list[Timer[T]], now: float) -> None:
         index = self._current_tick & _SLOT_MASK
         slot = self._levels[0][index]
         if not slot:
@@ -141,8 +144,8 @@
         if not later:
             self._used_slots[0] &= ~(1 << index)
 
-    def _step(self, last_tick: int) -> None:
-        """Goes to the next tick, or past ticks that cannot have a timer."""
+    def _advance_tick(self, last_tick: int) -> None:
+        """Advances by one tick, or skips ticks that cannot have a timer."""
         if not self._used_slots[0]:
             self._current_tick = min(self._next_tick(), last_tick)
         else:
@@ -158,7 +161,7 @@
         self._insert_active(overflow)
 
     def _cascade(self, level: int, index: int) -> None:
-        """Moves the timers of a coarse slot to finer levels."""
+        """Moves the timers of a slot of a coarse level to finer levels."""
         slot = self._levels[level][index]
         if slot:
             self._levels[level][index] = []
