--- a/fernweir/entitlement/__init__.py
+++ b/fernweir/entitlement/__init__.py
@@ -1,1 +1,1 @@
-"""Access to an entitlement server: requests, their order, retries, and token introspection."""
+"""Provides access to an entitlement server: requests, their order, retries, and token introspection."""
--- a/fernweir/entitlement/client.py
+++ b/fernweir/entitlement/client.py
@@ -1,4 +1,4 @@
-"""Sends the seat manager's requests to an entitlement server over HTTP; a thin shell.
+"""Sends the seat manager's requests to an entitlement server over HTTP, and decodes the replies.
 
 `POST /leases`, `POST /leases/ID/renew`, `DELETE /keys/KEY`, each with an `Idempotency-Key` (IETF
 draft-ietf-httpapi-idempotency-key-header) that is the same in every retry. See docs/protocols.md.
@@ -28,7 +28,7 @@
 
 
 class LeaseDocument(BaseModel):
-    """A lease in the body of a response."""
+    """The JSON body of a reply to an acquisition or renewal."""
 
     model_config = ConfigDict(strict=True, frozen=True, extra="ignore")
 
@@ -38,13 +38,13 @@
 
 
 def parse_reply(operation: Operation, reply: Reply) -> LeaseResponse:
-    """Returns what an HTTP reply means for a seat.
+    """Returns the response that an HTTP reply represents.
 
-    The outcome is doubtful unless the reply proves that the request succeeded, failed or never ran.
+    The status is INDETERMINATE unless the reply proves that the request succeeded, failed or was not run.
 
     Args:
-        operation: What was requested.
-        reply: The reply, or the way in which the request failed.
+        operation: The operation that was requested.
+        reply: The reply, or how the request failed.
     """
     if reply.outcome.never_ran:
         return LeaseResponse(ResponseStatus.NOT_EXECUTED)
@@ -64,18 +64,18 @@
 
 
 def _retry_after_ms(reply: Reply) -> float:
-    """Returns the delay that a reply asks for in seconds, as milliseconds; dates are ignored."""
+    """Returns the Retry-After delay of a reply in milliseconds, or 0; dates are ignored."""
     value = reply.headers.get("retry-after")
     return float(value) * _MS_PER_S if value.isdigit() else 0.0
 
 
 class EntitlementClient:
-    """Sends requests for seats.
+    """Sends lease requests to an entitlement server.
 
     Args:
-        pool: Connections to the server.
-        url: URL of the server; requests go below its path.
-        name: Prefix of this front's idempotency keys, different from those of other fronts.
+        pool: The connection pool.
+        url: The URL of the server; its path is the prefix of the request targets.
+        name: The prefix of this front's idempotency keys, unique among the fronts.
         token: Returns a valid control token.
     """
 
@@ -116,7 +116,7 @@
 
 
 def _request_body(command: SendLeaseRequest) -> dict[str, object]:
-    """Returns the members of the JSON body; none for a release."""
+    """Returns the members of the JSON body; empty for a release."""
     seat = command.record
     if command.operation is Operation.ACQUIRE:
         return {
--- a/fernweir/entitlement/introspect.py
+++ b/fernweir/entitlement/introspect.py
@@ -1,9 +1,9 @@
 """Token introspection (RFC 7662) with a cache, as a state machine without I/O or clock.
 
-At most one request per token is in flight, however many waiters there are for its answer. A response is
-cached for a time to live. If the server does not answer, a cached "active" response may be used for a limited
-time after that, as with stale-if-error (RFC 5861); otherwise the status is unknown and the caller decides.
-Tokens are stored as digests only. Times are milliseconds of any monotonic clock.
+At most one request per token is in flight, however many waiters share its result. A response is cached for a
+time to live. If the server does not answer, an expired "active" response may be used for a limited time, as
+with stale-if-error (RFC 5861); otherwise the status is unknown and the caller decides. The cache holds
+only digests of tokens. Times are milliseconds of any monotonic clock.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 from fernweir.entitlement.policy import DecorrelatedJitter, RetryConfig, RetryPolicy
 
-_NO_TENANT = ""  # the retry budget is shared by all tokens
+_NO_TENANT = ""  # all tokens share one retry budget
 _MIN_TIMEOUT_MS = 1.0
 
 
 class IntrospectionStatus(Enum):
-    """What is known of a token."""
+    """The status of a token."""
 
     ACTIVE = "active"
     INACTIVE = "inactive"
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IntrospectionRequest:
-    """Effect: ask the server about a token now, and pass the outcome to `on_reply` with the same number."""
+    """Effect: send an introspection request now and pass its outcome to `on_reply` with the same number."""
 
     number: int
     token: str
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IntrospectionDecision:
-    """Effect: the only answer to one waiter; `is_stale` if an expired cache entry was used."""
+    """Effect: the single result for one waiter; `is_stale` if it is an expired cache entry."""
 
     waiter: int
     status: IntrospectionStatus
@@ -68,11 +68,11 @@
     """Settings of an introspector.
 
     Attributes:
-        positive_cache_ttl_ms: How long an active response is cached.
-        negative_cache_ttl_ms: How long an inactive response is cached.
-        stale_if_error_ms: How much longer an active response may be used while the server does not answer.
+        positive_cache_ttl_ms: Time to live of a cached active response.
+        negative_cache_ttl_ms: Time to live of a cached inactive response.
+        stale_if_error_ms: How long an expired active response may be used while the server does not answer.
         request_timeout_ms: Timeout of one request.
-        max_cached: Upper limit of cached responses; the least recently used is evicted.
+        max_cached: Upper limit of cached responses; the least recently used one is evicted.
         max_in_flight: Upper limit of requests in flight.
     """
 
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True)
 class IntrospectionMetrics:
-    """Counters: lookups of waiters, requests sent, answers from the cache, stale answers, unknown answers."""
+    """Counters: lookups, requests sent, results from the cache, stale results, and unknown results."""
 
     lookups: int = 0
     requests: int = 0
@@ -99,30 +99,30 @@
 class _CachedResult:
     status: IntrospectionStatus
     claims: Mapping[str, object]
-    fresh_until: float
-    stale_until: float
+    fresh_until_ms: float
+    stale_until_ms: float
 
 
 @dataclass(slots=True)
 class _Lookup:
-    """A token that somebody waits for."""
+    """A token with at least one waiter or a request in flight."""
 
     token: str
     deadlines: dict[int, float]  # by waiter
     request_number: int | None = None  # of the request in flight
-    retry_at: float = 0.0
+    retry_at_ms: float = 0.0
     jitter: DecorrelatedJitter | None = None
 
 
 class Introspector:
     """Decides for waiters whether their tokens are active.
 
-    After each call of another method the shell carries out what `take_effects` returns, and calls that again
-    at `next_deadline`.
+    After each call of another method, and at `next_deadline`, the shell calls `take_effects` and carries out
+    the effects that it returns.
 
     Args:
         seed: Seed of the backoff's jitter.
-        config: Settings of cache and requests.
+        config: Settings of the cache and the requests.
         retry: Settings of the retry budget.
     """
 
@@ -135,7 +135,9 @@
         self._cache: OrderedDict[bytes, _CachedResult] = OrderedDict()
         self._lookups: dict[bytes, _Lookup] = {}
         self._send_queue: deque[bytes] = deque()
-        self._in_flight: dict[int, tuple[bytes, int]] = {}  # by request number: digest, the breaker's call
+        self._in_flight: dict[
+            int, tuple[bytes, int]
+        ] = {}  # by request number: digest, call number of the circuit breaker
         self._digest_of_waiter: dict[int, bytes] = {}
         self._last_number = 0
         self._decisions: list[IntrospectionDecision] = []
@@ -148,14 +150,14 @@
 
         Args:
             now: Time in milliseconds.
-            waiter: A number chosen by the caller, different from those of other waiters.
+            waiter: A number chosen by the caller, unique among the waiters.
             token: The token.
-            deadline: Time at which the waiter is answered at the latest, in milliseconds.
+            deadline: Latest time at which the waiter gets a result, in milliseconds.
         """
         self.metrics.lookups += 1
         digest = sha256(token.encode("utf-8", "surrogateescape")).digest()
         cached = self._cache.get(digest)
-        if cached is not None and now < cached.fresh_until:
+        if cached is not None and now < cached.fresh_until_ms:
             self.metrics.cache_hits += 1
             self._cache.move_to_end(digest)
             self._decisions.append(IntrospectionDecision(waiter, cached.status, cached.claims))
@@ -168,7 +170,7 @@
         self._digest_of_waiter[waiter] = digest
 
     def withdraw(self, waiter: int) -> None:
-        """Removes a waiter, which gets no answer any more."""
+        """Removes a waiter, which then gets no result."""
         digest = self._digest_of_waiter.pop(waiter, None)
         if digest is None:
             return
@@ -178,7 +180,7 @@
             self._remove_lookup(digest)
 
     def shutdown(self) -> None:
-        """Answers all waiters with an unknown status."""
+        """Completes all lookups with an unknown status."""
         for digest in list(self._lookups):
             self._answer_all(digest, IntrospectionResult(IntrospectionStatus.UNKNOWN))
 
@@ -206,7 +208,7 @@
             self._remove_lookup(digest)
 
     def take_effects(self, now: float) -> list[IntrospectionRequest | IntrospectionDecision]:
-        """Returns the decisions and then the requests that are due, once each."""
+        """Returns the decisions and then the requests that are due, each of them once."""
         for waiter, digest in list(self._digest_of_waiter.items()):
             if self._lookups[digest].deadlines[waiter] <= now:
                 self._on_waiter_timeout(now, digest, waiter)
@@ -215,14 +217,14 @@
         return [*decisions, *requests]
 
     def next_deadline(self, now: float) -> float | None:
-        """Returns when `take_effects` is to be called next, in milliseconds; None if nobody waits."""
+        """Returns when `take_effects` must be called next, in milliseconds; None without waiters."""
         deadlines = [deadline for lookup in self._lookups.values() for deadline in lookup.deadlines.values()]
         send_times = [
-            self._lookups[digest].retry_at for digest in self._send_queue if digest in self._lookups
+            self._lookups[digest].retry_at_ms for digest in self._send_queue if digest in self._lookups
         ]
         if send_times and len(self._in_flight) < self.config.max_in_flight:
-            closes_at = now + self.retry_policy.breaker.remaining_open_ms(now)
-            deadlines.append(max(min(send_times), closes_at))
+            may_call_at_ms = now + self.retry_policy.breaker.remaining_open_ms(now)
+            deadlines.append(max(min(send_times), may_call_at_ms))
         return min(deadlines, default=None)
 
     def _may_start_request(self, now: float) -> bool:
@@ -239,7 +241,7 @@
             lookup = self._lookups.get(digest)
             if lookup is None or lookup.request_number is not None:
                 continue
-            if lookup.retry_at > now:
+            if lookup.retry_at_ms > now:
                 self._send_queue.append(digest)
                 continue
             requests.append(self._start_request(now, digest, lookup))
@@ -255,37 +257,37 @@
         return IntrospectionRequest(self._last_number, lookup.token, timeout_ms)
 
     def _retry(self, now: float, digest: bytes, lookup: _Lookup) -> None:
-        """Queues a request again after a failure. Introspection is idempotent, so a repeat does no harm."""
+        """Queues a failed request again. Introspection is idempotent, so it can be retried safely."""
         if lookup.jitter is None:
             lookup.jitter = self.retry_policy.new_jitter()
         latest_deadline = max(lookup.deadlines.values())
-        retry_at = self.retry_policy.schedule_retry(now, _NO_TENANT, lookup.jitter, latest_deadline)
-        if retry_at is None:
+        retry_at_ms = self.retry_policy.schedule_retry(now, _NO_TENANT, lookup.jitter, latest_deadline)
+        if retry_at_ms is None:
             for waiter in list(lookup.deadlines):
                 self._on_waiter_timeout(now, digest, waiter)
         else:
-            lookup.retry_at = retry_at
+            lookup.retry_at_ms = retry_at_ms
             self._send_queue.append(digest)
 
     def _store_result(self, now: float, digest: bytes, result: IntrospectionResult) -> None:
         is_active = result.status is IntrospectionStatus.ACTIVE
         ttl_ms = self.config.positive_cache_ttl_ms if is_active else self.config.negative_cache_ttl_ms
-        fresh_until = now + min(ttl_ms, result.expires_in_ms)
-        stale_until = fresh_until
+        fresh_until_ms = now + min(ttl_ms, result.expires_in_ms)
+        stale_until_ms = fresh_until_ms
         if is_active:
-            stale_until = min(fresh_until + self.config.stale_if_error_ms, now + result.expires_in_ms)
-        self._cache[digest] = _CachedResult(result.status, result.claims, fresh_until, stale_until)
+            stale_until_ms = min(fresh_until_ms + self.config.stale_if_error_ms, now + result.expires_in_ms)
+        self._cache[digest] = _CachedResult(result.status, result.claims, fresh_until_ms, stale_until_ms)
         self._cache.move_to_end(digest)
         if len(self._cache) > self.config.max_cached:
             self._cache.popitem(last=False)
 
     def _on_waiter_timeout(self, now: float, digest: bytes, waiter: int) -> None:
-        """Answers one waiter without a response: with a stale cached one if there is any, else unknown."""
+        """Completes one waiter's lookup without a response: a stale cached one if allowed, else unknown."""
         lookup = self._lookups[digest]
         lookup.deadlines.pop(waiter)
         del self._digest_of_waiter[waiter]
         cached = self._cache.get(digest)
-        if cached is not None and cached.status is IntrospectionStatus.ACTIVE and now < cached.stale_until:
+        if cached is not None and cached.status is IntrospectionStatus.ACTIVE and now < cached.stale_until_ms:
             self.metrics.stale_hits += 1
             decision = IntrospectionDecision(waiter, cached.status, cached.claims, is_stale=True)
         else:
--- a/fernweir/entitlement/policy.py
+++ b/fernweir/entitlement/policy.py
@@ -1,9 +1,9 @@
-"""Retry budgets, backoff with jitter and a circuit breaker; free of I/O and clock, random by a seed.
+"""Retry budgets, backoff with jitter and a circuit breaker; free of I/O and clock, deterministic by seed.
 
-Token buckets for each tenant and for the server limit retries to a ratio of first attempts plus a slow
-constant rate, so that clients do not overload a server that is failing. Jitter spreads the retries of many
-clients. The circuit breaker stops calls to a failing server and finds out by single trial calls when it has
-recovered. A request that takes a seat is never hedged. Times are milliseconds of any monotonic clock.
+Token buckets for each tenant and for the server limit retries to a ratio of first attempts plus a low
+constant rate, so that clients do not overload a failing server. Jitter spreads the retries of many clients.
+The circuit breaker stops calls to a failing server and detects its recovery by single trial calls. A request
+that acquires a seat is never hedged. Times are milliseconds of any monotonic clock.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 from enum import Enum
 from random import Random
 
-_JITTER_GROWTH = 3.0  # upper end of the next backoff, as a multiple of the last one
-_OPEN_GROWTH = 2.0  # each failed trial call keeps the breaker open so many times longer
-_BUCKET_CAPACITY = 4.0  # in initial fillings
+_JITTER_GROWTH = 3.0  # upper limit of the next backoff, as a multiple of the last one
+_OPEN_GROWTH = 2.0  # factor by which each failed trial call lengthens the open time
+_BUCKET_CAPACITY = 4.0  # as a multiple of the initial tokens
 _MS_PER_S = 1000.0
 
 
 class DecorrelatedJitter:
     """Backoff with decorrelated jitter (Brooker, AWS Architecture Blog, 2015).
 
-    Each backoff is drawn between `base_ms` and three times the last one, and is `max_ms` at most.
+    Each backoff is drawn between `base_ms` and three times the last one, and limited to `max_ms`.
     """
 
     def __init__(self, rng: Random, base_ms: float, max_ms: float) -> None:
@@ -50,10 +50,10 @@
     """Opens when most of the recent calls failed, and then admits one trial call at a time.
 
     Args:
-        window: How many recent calls are considered. It opens after half as many at the earliest.
-        failure_ratio: The ratio of failed calls at which it opens.
-        open_ms: How long it stays open the first time. The time doubles with each trial call that fails.
-        max_open_ms: Upper limit of that time.
+        window: How many recent calls are considered. The breaker opens after half as many at the earliest.
+        failure_ratio: The ratio of failed calls at which the breaker opens.
+        open_ms: How long it first stays open. The time doubles with each trial call that fails.
+        max_open_ms: Upper limit of the time that it stays open.
     """
 
     def __init__(
@@ -71,13 +71,13 @@
         self._max_open_ms = max_open_ms
         self._outcomes: deque[bool] = deque(maxlen=window)
         self._open_ms = open_ms
-        self._open_until = 0.0
+        self._open_until_ms = 0.0
         self._trial_call: int | None = None
         self._last_call = 0
 
     def may_call(self, now: float) -> bool:
-        """Whether a call may start; an open breaker whose time is over becomes half open."""
-        if self.state is BreakerState.OPEN and now >= self._open_until:
+        """Whether a call may start; an open breaker becomes half-open when its open time has passed."""
+        if self.state is BreakerState.OPEN and now >= self._open_until_ms:
             self.state = BreakerState.HALF_OPEN
             self._trial_call = None
         if self.state is BreakerState.HALF_OPEN:
@@ -100,7 +100,7 @@
             is_success: Whether the server answered it.
         """
         if self.state is BreakerState.HALF_OPEN:
-            # A call from before the breaker opened says nothing about the server's present state.
+            # A call that began before the breaker opened does not show the server's current state.
             if call == self._trial_call:
                 self._on_trial_ended(now, is_success)
         elif self.state is BreakerState.CLOSED:
@@ -111,7 +111,7 @@
 
     def remaining_open_ms(self, now: float) -> float:
         """Returns how long the breaker stays open, in milliseconds; 0 if it is not open."""
-        return max(self._open_until - now, 0.0) if self.state is BreakerState.OPEN else 0.0
+        return max(self._open_until_ms - now, 0.0) if self.state is BreakerState.OPEN else 0.0
 
     def _on_trial_ended(self, now: float, is_success: bool) -> None:
         self._trial_call = None
@@ -125,23 +125,23 @@
     def _open(self, now: float, duration_ms: float) -> None:
         self.state = BreakerState.OPEN
         self._open_ms = duration_ms
-        self._open_until = now + duration_ms
+        self._open_until_ms = now + duration_ms
         self._outcomes.clear()
 
 
 @dataclass(frozen=True, slots=True)
 class RetryConfig:
-    """Settings of retries. Each retry takes one token of its tenant's bucket and one of the server's.
+    """Settings of retries. Each retry consumes one token of its tenant's bucket and one of the server's.
 
     Attributes:
         retry_ratio: Tokens that each first attempt adds to both buckets.
-        initial_tokens: Tokens in a new bucket; its capacity is four times as many.
-        tokens_per_s: Tokens that time adds to the server's bucket, so that a front with little traffic also
-            finds out that its server has recovered.
-        tenant_tokens_per_s: Tokens that time adds to a tenant's bucket.
+        initial_tokens: Tokens in a new bucket; its capacity is four times this number.
+        tokens_per_s: Refill rate of the server's bucket, so that a front with little traffic also detects
+            that its server has recovered.
+        tenant_tokens_per_s: Refill rate of a tenant's bucket.
         base_backoff_ms: Shortest backoff.
         max_backoff_ms: Longest backoff.
-        max_tenants: Upper limit of tenants with a bucket; the least recently used is dropped.
+        max_tenants: Upper limit of tenants with a bucket; the least recently used one is evicted.
     """
 
     retry_ratio: float = 0.2
@@ -154,39 +154,39 @@
 
 
 class TokenBucket:
-    """A token bucket that time fills, and deposits.
+    """A token bucket that is refilled at a constant rate and by deposits.
 
-    A clock that goes backwards adds nothing, and the time that it passes again is not counted twice.
+    A clock that goes backwards adds no tokens, and the time that it repeats is not counted twice.
 
     Args:
         now: Time in milliseconds.
-        tokens_per_s: Tokens that time adds.
-        initial_tokens: Tokens at first.
+        tokens_per_s: The refill rate.
+        initial_tokens: The tokens in the new bucket.
         capacity: Upper limit of tokens.
     """
 
-    __slots__ = ("_capacity", "_tokens", "_tokens_per_ms", "_updated_at")
+    __slots__ = ("_capacity", "_tokens", "_tokens_per_ms", "_updated_at_ms")
 
     def __init__(self, now: float, tokens_per_s: float, initial_tokens: float, capacity: float) -> None:
         self._tokens_per_ms = tokens_per_s / _MS_PER_S
         self._tokens = initial_tokens
         self._capacity = capacity
-        self._updated_at = now
+        self._updated_at_ms = now
 
     def available(self, now: float) -> float:
-        """Returns the tokens in the bucket, fractions included."""
-        if now > self._updated_at:
-            earned = (now - self._updated_at) * self._tokens_per_ms
+        """Returns the tokens in the bucket, including fractions of a token."""
+        if now > self._updated_at_ms:
+            earned = (now - self._updated_at_ms) * self._tokens_per_ms
             self._tokens = min(self._tokens + earned, self._capacity)
-            self._updated_at = now
+            self._updated_at_ms = now
         return self._tokens
 
     def deposit(self, now: float, tokens: float) -> None:
         """Adds tokens up to the capacity."""
         self._tokens = min(self.available(now) + tokens, self._capacity)
 
-    def try_take(self, now: float) -> bool:
-        """Takes one token and returns True, or returns False if there is less than a whole one."""
+    def try_consume(self, now: float) -> bool:
+        """Consumes one token; returns False if the bucket has less than one."""
         if self.available(now) < 1.0:
             return False
         self._tokens -= 1.0
@@ -195,13 +195,13 @@
 
 @dataclass(slots=True)
 class RetryPolicy:
-    """Decides after each failure whether and when the same request is sent again.
+    """Decides whether and when a failed request is retried.
 
     Attributes:
         config: Settings of budgets and backoff.
         rng: Source of the jitter.
         breaker: The circuit breaker of the server.
-        denied_retries: How many retries were denied.
+        denied_retries: The number of retries that were denied.
     """
 
     config: RetryConfig
@@ -212,36 +212,36 @@
     _tenant_buckets: OrderedDict[str, TokenBucket] = field(default_factory=OrderedDict)
 
     def on_first_attempt(self, now: float, tenant: str) -> None:
-        """Adds to the retry budgets for a request that is sent for the first time."""
+        """Credits the retry budgets for the first attempt of a request."""
         for bucket in self._buckets(now, tenant):
             bucket.deposit(now, self.config.retry_ratio)
 
     def schedule_retry(
         self, now: float, tenant: str, jitter: DecorrelatedJitter, deadline: float
     ) -> float | None:
-        """Returns when to send a failed request again, and takes the tokens for it.
+        """Returns when to retry a failed request, and consumes the tokens for the retry.
 
         Args:
             now: Time in milliseconds.
-            tenant: The tenant whose budget pays for it.
-            jitter: The request's own backoff.
-            deadline: Time from which an answer is of no use.
+            tenant: The tenant whose budget is charged.
+            jitter: The backoff of the request.
+            deadline: Time from which a response is of no use.
 
         Returns:
             The time in milliseconds; None if a budget is exhausted or the deadline would pass before it.
         """
-        retry_at = now + max(jitter.next_backoff_ms(), self.breaker.remaining_open_ms(now))
+        retry_at_ms = now + max(jitter.next_backoff_ms(), self.breaker.remaining_open_ms(now))
         buckets = self._buckets(now, tenant)
-        # Both are checked before either is charged: a tenant without tokens must not use up the server's.
-        if retry_at >= deadline or any(bucket.available(now) < 1.0 for bucket in buckets):
+        # Both are checked before either is charged: a tenant without tokens must not consume the server's.
+        if retry_at_ms >= deadline or any(bucket.available(now) < 1.0 for bucket in buckets):
             self.denied_retries += 1
             return None
         for bucket in buckets:
-            bucket.try_take(now)
-        return retry_at
+            bucket.try_consume(now)
+        return retry_at_ms
 
     def new_jitter(self) -> DecorrelatedJitter:
-        """Returns the backoff of a new request."""
+        """Returns the backoff generator of a new request."""
         return DecorrelatedJitter(self.rng, self.config.base_backoff_ms, self.config.max_backoff_ms)
 
     def _buckets(self, now: float, tenant: str) -> tuple[TokenBucket, TokenBucket]:
--- a/fernweir/entitlement/queue.py
+++ b/fernweir/entitlement/queue.py
@@ -1,9 +1,9 @@
-"""The order of requests to an entitlement server that serves a limited number at once.
+"""Orders requests to an entitlement server that serves a limited number at once.
 
-Renewals go before new sessions, so that viewers who are watching keep their seats when many new ones arrive
-at once. New sessions are ordered by priority weight and age; a request's rank grows while it waits, so none
-starves. Releases get at least every eighth place, because they free seats for others. Free of I/O and clock;
-times are milliseconds of any monotonic clock.
+Renewals go before new sessions, so that current viewers keep their seats when many new sessions arrive at
+once. New sessions are ordered by priority weight and age; the priority of a request increases while it
+waits, so none starves. At least every eighth request is a release if any waits, because releases free seats.
+Free of I/O and clock; times are milliseconds of any monotonic clock.
 """
 
 from __future__ import annotations
@@ -36,8 +36,8 @@
     Attributes:
         max_in_flight: Upper limit of requests in flight.
         aging_ms: Waiting time that is equivalent to one unit of priority weight.
-        release_every: Of so many requests at least one is a release, if any waits.
-        max_waiting: Upper limit of new sessions that wait.
+        release_every: At least one of this many requests is a release, if any waits.
+        max_waiting: Upper limit of new sessions in the queue.
     """
 
     max_in_flight: int = 64
@@ -54,7 +54,7 @@
 
 
 class SendQueue:
-    """Orders ids of requests; `start_next` names the one that may be sent now."""
+    """Orders the IDs of requests; `start_next` returns the one that may be sent now."""
 
     def __init__(self, config: QueueConfig | None = None) -> None:
         self.config = config or QueueConfig()
@@ -78,14 +78,15 @@
 
         Args:
             now: Time in milliseconds.
-            request_id: Its id.
-            kind: Its kind.
-            weight: The priority weight of its session. The rank of a new session is its arrival time less the
-                waiting time that the weight stands for: a constant that orders by age too, as all age alike.
+            request_id: The ID of the request.
+            kind: The kind of the request.
+            weight: The priority weight of its session. The rank of a new session is its arrival time minus
+                the waiting time that is equivalent to the weight. The rank needs no updates as requests age,
+                because all age at the same rate.
             deadline: When its lease expires, in milliseconds. Renewals are ordered by it.
 
         Returns:
-            False if too many new sessions wait. Renewals and releases are always admitted.
+            False if too many new sessions wait. Renewals and releases are always accepted.
         """
         if kind is RequestKind.ACQUIRE and self._waiting_counts[kind] >= self.config.max_waiting:
             return False
@@ -97,13 +98,13 @@
         return True
 
     def remove(self, request_id: int) -> None:
-        """Removes a request if it still waits."""
+        """Removes a request if it is still in the queue."""
         kind = self._kind_of_waiting.pop(request_id, None)
         if kind is not None:
             self._waiting_counts[kind] -= 1
 
     def start_next(self) -> int | None:
-        """Returns the id of the request to send now and counts it as in flight until `on_request_done`.
+        """Returns the ID of the request to send now and counts it as in flight until `on_request_done`.
 
         Returns:
             None if nothing waits or the limit of requests in flight is reached.
@@ -120,18 +121,18 @@
         return None
 
     def on_request_done(self, duration_ms: float) -> None:
-        """Records that a request in flight ended after that time in milliseconds."""
+        """Records that a request in flight completed after `duration_ms`."""
         self.in_flight = max(self.in_flight - 1, 0)
         sample_ms = min(duration_ms, _MAX_SAMPLE_MS)
         self._mean_duration_ms += (sample_ms - self._mean_duration_ms) * _DURATION_SMOOTHING
 
     def estimated_wait_ms(self) -> float:
-        """Returns about how long a new session that arrives now would wait, in milliseconds."""
+        """Returns the estimated wait of a new session that arrives now, in milliseconds."""
         ahead = self._waiting_counts[RequestKind.RENEW] + self._waiting_counts[RequestKind.ACQUIRE]
         return ahead / max(self.config.max_in_flight, 1) * self._mean_duration_ms
 
     def _pop(self, kind: RequestKind) -> int | None:
-        """Removes the first waiting request of a kind; entries of requests removed before are skipped."""
+        """Removes and returns the first waiting request of a kind; skips entries of removed requests."""
         heap = self._heaps[kind]
         while heap and self._kind_of_waiting.get(heap[0].request_id) is not kind:
             heapq.heappop(heap)
