--- a/fernweir/tokens/__init__.py
+++ b/fernweir/tokens/__init__.py
@@ -1,4 +1,4 @@
-"""Session tokens: JWTs (RFC 7519) with explicit keys, claims and reasons for rejection."""
+"""Signs and verifies session tokens: JWTs (RFC 7519) with explicit keys, claims and rejection reasons."""
 
 from fernweir.tokens.claims import ControlClaims, ServerClaims, SessionClaims, TokenError, TokenFault
 from fernweir.tokens.keyring import ExpectedClaims, Keyring, KeyringError
--- a/fernweir/tokens/claims.py
+++ b/fernweir/tokens/claims.py
@@ -1,4 +1,4 @@
-"""Schemas of token claims, and the reasons for rejecting a token."""
+"""Defines the schemas of token claims and the reasons for rejecting a token."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 Name = Annotated[str, Field(min_length=1, max_length=200, pattern=r"^[^\x00-\x1f\x7f]+$")]
 Slug = Annotated[str, Field(min_length=1, max_length=128, pattern=r"^[A-Za-z0-9][A-Za-z0-9._~-]*$")]
 
-# A channel is a part of a front's sessions that can change its owner. Its fence grows with each owner.
+# A channel is a group of a front's sessions that can move to another owner, which increases its fence.
 Channel = Annotated[str, Field(min_length=1, max_length=200, pattern=r"^[A-Za-z0-9._:/-]+$")]
 Fence = Annotated[int, Field(ge=0, le=0x7FFFFFFFFFFFFFFF)]
 
@@ -35,11 +35,11 @@
 
 
 class TokenError(Exception):
-    """A token is rejected.
+    """Raised when a token is rejected.
 
     Attributes:
         fault: The reason.
-        detail: The claims, names or algorithms that it concerns; empty if the reason says it all.
+        detail: The claims, names or algorithms concerned; empty if the reason is sufficient.
     """
 
     def __init__(self, fault: TokenFault, detail: str = "") -> None:
@@ -61,10 +61,10 @@
 
 
 class SessionClaims(Claims):
-    """A viewer's entitlement to one session of one title.
+    """Claims of a viewer's token, which entitles the viewer to one session of one title.
 
-    `sub` is the viewer, `jti` the session, `cls` its class, and `top` the highest rung that it may use; 0 is
-    the lowest rung.
+    `sub` is the viewer, `jti` the session, `cls` its class, and `top` the highest rung that the session may
+    use; 0 is the lowest rung.
     """
 
     sub: Name
@@ -76,9 +76,9 @@
 
 
 class ServerClaims(SessionClaims):
-    """A token that a front issues for one session at one server.
+    """Claims of a token that a front issues for one session at one server.
 
-    `channel` and `fence` are present in the token of a set-up if the front's sessions may change their owner.
+    `channel` and `fence` are present in the token of a set-up if the front's sessions may change owners.
     """
 
     front: Name
@@ -90,7 +90,7 @@
 
 
 class ControlClaims(Claims):
-    """A token by which a front controls its own sessions at a server or at the endpoint list."""
+    """Claims of a token with which a front controls its own sessions at a server or at the endpoint list."""
 
     front: Name
     use: Literal["control"]
--- a/fernweir/tokens/key_generation.py
+++ b/fernweir/tokens/key_generation.py
@@ -10,7 +10,7 @@
 
 
 def generate_key_set(*key_ids: str) -> str:
-    """Returns the JSON text of a JWK Set with one new HS256 secret for each key id."""
+    """Returns the JSON text of a JWK Set with one new HS256 secret for each key ID."""
     keys = [
         {
             "kty": "oct",
--- a/fernweir/tokens/keyring.py
+++ b/fernweir/tokens/keyring.py
@@ -1,7 +1,7 @@
-"""Signing and verification keys by key id, each bound to one algorithm (RFC 7517; RFC 8725, 3.1 and 3.2).
+"""Signing and verification keys by key ID, each bound to one algorithm (RFC 7517; RFC 8725, 3.1 and 3.2).
 
-A token names its key. The key decides which algorithm is valid, never the token's header. Several keys are
-valid at the same time, so a new key can be distributed to all verifiers before a token is signed with it.
+A token's header selects the key, and the key alone determines the algorithm. Several keys are valid at the
+same time, so a new key can be distributed to all verifiers before any token is signed with it.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class KeyringError(ValueError):
-    """A key set cannot be used; the text names the key and the reason."""
+    """Raised when a key set cannot be used; the message names the key and the reason."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,10 +48,10 @@
 
     Args:
         keys: A JWK Set as parsed from JSON.
-        sign_with: The key id to sign with; by default that of the first key.
+        sign_with: The ID of the signing key; by default that of the first key.
         skew_s: Tolerated difference between the clocks of issuer and verifier, in seconds.
-        max_length: Longest accepted token, in characters.
-        cache: How many verified tokens are cached.
+        max_length: Maximum length of a token, in characters.
+        cache: Maximum number of verified tokens in the cache.
 
     Raises:
         KeyringError: The key set has no usable keys, or one of them is invalid.
@@ -76,7 +76,7 @@
         self._retired_until_s: dict[str, float] = {}
         self.sign_with = sign_with or next(iter(self._keys))
         if self.sign_with not in self._keys:
-            raise KeyringError(f"no key {self.sign_with} to sign with")
+            raise KeyringError(f"the key set has no key {self.sign_with} to sign with")
 
     @classmethod
     def from_json(cls, text: str, *, sign_with: str | None = None, skew_s: float = 5.0) -> Keyring:
@@ -84,7 +84,7 @@
 
         Args:
             text: The JSON text of the JWK Set.
-            sign_with: The key id to sign with; by default that of the first key.
+            sign_with: The ID of the signing key; by default that of the first key.
             skew_s: Tolerated clock difference in seconds.
 
         Raises:
@@ -99,19 +99,19 @@
         return cls(keys, sign_with=sign_with, skew_s=skew_s)
 
     def replace_issued_keys(self, issued: Keyring, now_s: float, retired_for_s: float) -> list[str]:
-        """Replaces the keys of the issuer by those of its current set; this keyring's own keys stay.
+        """Replaces the issuer's keys with those of its current set; this keyring's own keys are unchanged.
 
         A key that the set no longer lists still verifies tokens for `retired_for_s`, because sessions with
-        tokens signed by it are still running. It is removed after that time, or when the set lists a key with
-        the same id again.
+        tokens signed by it are still active. It is removed after that time, or when the set again lists a key
+        with the same ID.
 
         Args:
             issued: The issuer's current key set.
             now_s: Wall clock time in seconds.
-            retired_for_s: How long a key remains valid after it left the set, in seconds.
+            retired_for_s: How long a key remains valid after its removal from the set, in seconds.
 
         Returns:
-            The ids of the keys that are retired and still valid.
+            The IDs of the keys that are retired and still valid.
         """
         for key_id in self._issued_key_ids - set(issued._keys):
             self._retired_until_s.setdefault(key_id, now_s + retired_for_s)
@@ -130,11 +130,11 @@
 
     @property
     def key_ids(self) -> list[str]:
-        """The ids of all valid keys."""
+        """The IDs of all valid keys."""
         return list(self._keys)
 
     def thumbprints(self) -> list[tuple[str, bytes]]:
-        """Returns the id and the thumbprint (RFC 7638) of each key."""
+        """Returns the ID and the thumbprint (RFC 7638) of each key."""
         return [(key_id, key.thumbprint().encode()) for key_id, (key, _) in self._keys.items()]
 
     def sign(self, claims: Claims | Mapping[str, Any]) -> str:
@@ -158,12 +158,12 @@
         Args:
             token: The token in compact serialization.
             schema: The claims that it must have.
-            audience: The audience that must be among the token's.
+            audience: The audience that the token must contain.
             now_s: Wall clock time in seconds.
             issuer: The issuer that it must have; None accepts any.
 
         Raises:
-            TokenError: The token is not valid; the error says why.
+            TokenError: The token is not valid; the error contains the reason.
         """
         expected = ExpectedClaims(audience, issuer)
         return self.verify_renewable(token, schema, expected, now_s=now_s, is_renewed=_is_never_renewed)
@@ -177,18 +177,18 @@
         now_s: float,
         is_renewed: Callable[[ClaimsT], bool],
     ) -> ClaimsT:
-        """Returns the claims of a token that is valid, or valid but for an expiry that was extended since.
+        """Returns the claims of a token that is valid, or is expired but has been renewed.
 
         Args:
             token: The token in compact serialization.
             schema: The claims that it must have.
             expected: The audience and issuer that it must have.
             now_s: Wall clock time in seconds.
-            is_renewed: Whether something renewed since, such as a lease, extends the validity of an expired
+            is_renewed: Whether something else, such as a renewed lease, extends the validity of an expired
                 token with these claims.
 
         Raises:
-            TokenError: The token is not valid; the error says why.
+            TokenError: The token is not valid; the error contains the reason.
         """
         claims = self._authenticate(token, schema)
         audiences = [claims.aud] if isinstance(claims.aud, str) else claims.aud
@@ -204,7 +204,7 @@
         return claims
 
     def _authenticate(self, token: str, schema: type[ClaimsT]) -> ClaimsT:
-        """Returns the claims of a token with a valid signature and schema, from the cache if it has them."""
+        """Returns the claims of a token with a valid signature and schema, from the cache if present."""
         cached = self._cache.get((token, schema))
         if cached is not None:
             assert isinstance(cached, schema)
@@ -232,7 +232,7 @@
             raise TokenError(TokenFault.CLAIMS, ", ".join(sorted(locations))) from None
 
     def _select_key(self, header: Mapping[str, Any]) -> tuple[Key, str]:
-        """Returns the key that a token's header names, and its algorithm."""
+        """Returns the key that a token's header selects, and its algorithm."""
         algorithm, key_id = header.get("alg"), header.get("kid")
         if not isinstance(algorithm, str) or algorithm.lower() == "none":
             raise TokenError(TokenFault.UNSIGNED)
@@ -264,16 +264,16 @@
 
 def _import_key(member: object, index: int) -> tuple[str, Key, str]:
     if not isinstance(member, dict) or not isinstance(member.get("kid"), str):
-        raise KeyringError(f"key {index}: no kid")
+        raise KeyringError(f"key {index}: no kid, or kid is not a string")
     key_id, algorithm = member["kid"], str(member.get("alg"))
     if _KEY_TYPE_OF_ALGORITHM.get(algorithm) != member.get("kty"):
-        raise KeyringError(f"key {key_id}: alg {algorithm} is unknown or not of its kty")
+        raise KeyringError(f"key {key_id}: alg {algorithm} is unknown or does not match the kty")
     try:
         key = _KEY_CLASSES[member["kty"]].import_key(member)
     except (JoseError, ValueError, TypeError, KeyError) as error:
         raise KeyringError(f"key {key_id}: {error}") from None
     if isinstance(key, OctKey) and len(key.raw_value) < _MIN_SECRET_BYTES:
-        raise KeyringError(f"key {key_id}: secret of under {_MIN_SECRET_BYTES} bytes")
+        raise KeyringError(f"key {key_id}: the secret is under {_MIN_SECRET_BYTES} bytes")
     return key_id, key, algorithm
 
 
