--- a/tests/test_seat_log.py
+++ b/tests/test_seat_log.py
@@ -1,4 +1,4 @@
-"""The seat log: killed at every write and sync, torn, damaged, full; and offline repair."""
+"""Tests of the seat log: crashes at each operation, torn tails, corruption, disk errors, compaction."""
 
 from __future__ import annotations
 
@@ -27,31 +27,34 @@
     rebuild_table,
 )
 
-SMALL = LogConfig(segment_bytes=400, records_per_snapshot=7)
+SMALL_LIMITS = LogConfig(segment_bytes=400, records_per_snapshot=7)
 
 
-def seat(name: str, generation: int = 1) -> SeatRecord:
+def seat_record(name: str, generation: int = 1) -> SeatRecord:
     return SeatRecord(name, generation, "t", "l", "c", "p", 1.0)
 
 
-def history() -> list[bytes]:
-    """Asks, grants and ends of a dozen sessions, in a settled order."""
-    out = []
+def record_history() -> list[bytes]:
+    """Returns the records of the requests, grants and removals of 12 sessions."""
+    history = []
     for number in range(12):
-        out.append(records.encode_requested(seat(f"s{number}", number + 1)))
+        history.append(records.encode_requested(seat_record(f"s{number}", number + 1)))
         if number % 3:
-            out.append(records.encode_granted(f"s{number}", f"L{number}", number, 100.0 + number))
+            history.append(records.encode_granted(f"s{number}", f"L{number}", number, 100.0 + number))
         if number % 2:
-            out.append(records.encode_removed(f"s{number - 1}"))
-    return out
+            history.append(records.encode_removed(f"s{number - 1}"))
+    return history
 
 
 def write_all(files: MemoryFileStore, durable: list[int], group: int) -> None:
-    """Plays the history in groups, with snapshots when they are due; notes what was promised."""
-    log = SeatLog(files, SMALL)
-    found = log.open()
-    table = rebuild_table(found.snapshot, found.records)
-    for index, body in enumerate(history()):
+    """Appends the history, commits after each `group` records and writes snapshots when due.
+
+    Adds the sequence number that each commit returns to `durable`.
+    """
+    log = SeatLog(files, SMALL_LIMITS)
+    recovered = log.open()
+    table = rebuild_table(recovered.snapshot, recovered.records)
+    for index, body in enumerate(record_history()):
         log.append(body)
         apply_record(table, body)
         if index % group == group - 1:
@@ -61,74 +64,78 @@
     durable.append(log.commit())
 
 
-def model(count: int) -> SeatTable:
+def expected_table(count: int) -> SeatTable:
     table: SeatTable = {}
-    for body in history()[:count]:
+    for body in record_history()[:count]:
         apply_record(table, body)
     return table
 
 
 @pytest.mark.parametrize("group", [1, 3, 5])
-def test_killed_after_every_operation_it_recovers_what_was_promised(group: int) -> None:
-    probe = MemoryFileStore()
-    write_all(probe, [], group)
-    assert probe.operation_count > 20
-    for stop in range(1, probe.operation_count + 1):
+def test_crash_at_each_operation_loses_no_durable_record(group: int) -> None:
+    uncrashed = MemoryFileStore()
+    write_all(uncrashed, [], group)
+    assert uncrashed.operation_count > 20
+    for stop in range(1, uncrashed.operation_count + 1):
         for seed in range(6):
-            left, durable = [stop], [0]
+            remaining, durable = [stop], [0]
 
-            def before(what: str, left: list[int] = left) -> None:
-                left[0] -= 1
-                if left[0] < 0:
+            def before_operation(operation_name: str, remaining: list[int] = remaining) -> None:
+                remaining[0] -= 1
+                if remaining[0] < 0:
                     raise SimulatedCrash
 
-            files = MemoryFileStore(before)
+            files = MemoryFileStore(before_operation)
             with suppress(SimulatedCrash):
                 write_all(files, durable, group)
             disk = files.crash(Random(seed * 1000 + stop))
-            log = SeatLog(disk, SMALL)
-            found = log.open()
-            assert found.last_sequence >= durable[-1], "a promised record is lost"
-            assert rebuild_table(found.snapshot, found.records) == model(found.last_sequence)
-            # It goes on from there, and a second crash finds the same.
-            for body in history()[found.last_sequence :]:
+            log = SeatLog(disk, SMALL_LIMITS)
+            recovered = log.open()
+            assert recovered.last_sequence >= durable[-1], "a durable record was lost"
+            assert rebuild_table(recovered.snapshot, recovered.records) == expected_table(
+                recovered.last_sequence
+            )
+            # The log continues from there, and recovery after a second crash returns the same table.
+            for body in record_history()[recovered.last_sequence :]:
                 log.append(body)
             log.commit()
-            again = recover_log(disk.crash(Random(seed)))
-            assert rebuild_table(again.snapshot, again.records) == model(len(history()))
+            recovered_again = recover_log(disk.crash(Random(seed)))
+            assert rebuild_table(recovered_again.snapshot, recovered_again.records) == expected_table(
+                len(record_history())
+            )
 
 
 def full_log() -> MemoryFileStore:
     files = MemoryFileStore()
     log = SeatLog(files, LogConfig(segment_bytes=400))
     log.open()
-    for body in history():
+    for body in record_history():
         log.append(body)
         log.commit()
     return files
 
 
-def test_a_damaged_middle_is_refused_and_named_and_nothing_is_changed() -> None:
+def test_recovery_rejects_corruption_names_the_file_and_changes_nothing() -> None:
     files = full_log()
     names = [name for name in files.list_names() if name.endswith(".log")]
     assert len(names) > 3
     for name in names:
         data = files.read(name)
-        for at in range(0, len(data), 7):
-            hurt = full_log()
-            hurt._written[name][at] ^= 0x40
-            before = dict(hurt._written)
+        for position in range(0, len(data), 7):
+            damaged = full_log()
+            damaged._written[name][position] ^= 0x40
+            content_before = dict(damaged._written)
             try:
-                found = SeatLog(hurt).open()
+                recovered = SeatLog(damaged).open()
             except LogCorruptedError as error:
                 assert name in str(error) or "missing" in str(error)
-                assert hurt._written == before
-            else:  # only the very last record can be taken for a torn tail
-                assert name == names[-1] and found.last_sequence >= len(history()) - 1
+                assert damaged._written == content_before
+            else:  # only damage to the last record looks like a torn tail
+                assert name == names[-1] and recovered.last_sequence >= len(record_history()) - 1
 
 
 @pytest.mark.parametrize("change", ["segment", "snapshot", "format", "gap"])
-def test_what_no_crash_can_leave_is_refused(change: str) -> None:
+def test_recovery_rejects_what_no_crash_can_cause(change: str) -> None:
     files = MemoryFileStore()
     write_all(files, [], 3)
     snapshot = next(name for name in files.list_names() if name.endswith(".snap"))
@@ -145,79 +152,79 @@
         recover_log(files)
 
 
-def test_a_disk_that_refuses_breaks_the_log_and_loses_nothing_promised() -> None:
+def test_full_disk_fails_the_log_and_loses_no_durable_record() -> None:
     files = MemoryFileStore(capacity_bytes=700)
     log = SeatLog(files, LogConfig(segment_bytes=10_000))
     log.open()
-    promised = 0
+    durable_sequence = 0
     with pytest.raises(LogError, match="No space left"):
-        for body in history() * 3:
+        for body in record_history() * 3:
             log.append(body)
-            promised = log.commit()
-    assert promised > 3
+            durable_sequence = log.commit()
+    assert durable_sequence > 3
     with pytest.raises(LogError):
         log.commit()
     files.capacity_bytes = None
-    found = SeatLog(files).open()
-    assert found.last_sequence >= promised and found.torn_bytes > 0
+    recovered = SeatLog(files).open()
+    assert recovered.last_sequence >= durable_sequence and recovered.torn_bytes > 0
 
 
 @pytest.mark.parametrize("operation", ["append", "sync", "replace"])
-def test_a_disk_that_turned_read_only_is_said_and_nothing_promised_is_lost(operation: str) -> None:
-    """Each operation of the log is refused from some moment on."""
-    for refused_from in (1, 4, 9):
-        left = [refused_from]
-
-        def before(what: str, left: list[int] = left) -> None:
-            left[0] -= what.startswith(operation)
-            if left[0] < 0:
+def test_read_only_disk_is_reported_and_loses_no_durable_record(operation: str) -> None:
+    """Each kind of operation fails from the n-th call on."""
+    for fails_from in (1, 4, 9):
+        remaining = [fails_from]
+
+        def before_operation(operation_name: str, remaining: list[int] = remaining) -> None:
+            remaining[0] -= operation_name.startswith(operation)
+            if remaining[0] < 0:
                 raise OSError(errno.EROFS, "Read-only file system")
 
-        files, durable = MemoryFileStore(before), [0]
+        files, durable = MemoryFileStore(before_operation), [0]
         try:
             write_all(files, durable, 2)
         except LogError as error:
             assert "Read-only file system" in str(error)
         files.before_operation = None
-        found = SeatLog(files.crash(Random(refused_from)), SMALL).open()
-        assert found.last_sequence >= durable[-1]
-        assert rebuild_table(found.snapshot, found.records) == model(found.last_sequence)
+        recovered = SeatLog(files.crash(Random(fails_from)), SMALL_LIMITS).open()
+        assert recovered.last_sequence >= durable[-1]
+        assert rebuild_table(recovered.snapshot, recovered.records) == expected_table(recovered.last_sequence)
 
 
-def test_on_a_disk(tmp_path: Path) -> None:
+def test_recovery_and_compaction_on_a_disk(tmp_path: Path) -> None:
     files = DiskFileStore(tmp_path / "seats")
-    log = SeatLog(files, SMALL)
+    log = SeatLog(files, SMALL_LIMITS)
     log.open()
-    for body in history():
+    for body in record_history():
         log.append(body)
     log.commit()
-    log.write_snapshot(encode_table(model(len(history()))))
+    log.write_snapshot(encode_table(expected_table(len(record_history()))))
     log.append(records.encode_removed("s11"))
     log.commit()
     files.close()
     segment = next(path for path in (tmp_path / "seats").iterdir() if path.suffix == ".log")
     with open(segment, "ab") as file:
         file.write(b"torn")
-    again = DiskFileStore(tmp_path / "seats")
-    found = SeatLog(again).open()
-    table = rebuild_table(found.snapshot, found.records)
-    assert found.torn_bytes == 4 and "s11" not in table and "s11" in model(len(history()))
-    compact_log(again, encode_table(table), found.last_sequence)
+    reopened = DiskFileStore(tmp_path / "seats")
+    recovered = SeatLog(reopened).open()
+    table = rebuild_table(recovered.snapshot, recovered.records)
+    assert recovered.torn_bytes == 4 and "s11" not in table and "s11" in expected_table(len(record_history()))
+    compact_log(reopened, encode_table(table), recovered.last_sequence)
     assert [path.suffix for path in (tmp_path / "seats").iterdir()] == [".snap"]
-    assert rebuild_table(recover_log(again).snapshot, recover_log(again).records) == table
-    again.close()
+    assert rebuild_table(recover_log(reopened).snapshot, recover_log(reopened).records) == table
+    reopened.close()
 
 
 @pytest.mark.parametrize(
     "body", [b"no", b"[]", b"{}", b'["what"]', b'["ask"]', b'["gone"]', b'["held", "a"]']
 )
-def test_records_that_say_nothing_known(body: bytes) -> None:
+def test_invalid_records_are_rejected(body: bytes) -> None:
     with pytest.raises(RecordError):
         apply_record({}, body)
-    good = [records.encode_requested(seat("a")), records.encode_granted("a", "L", 3, 9.0)]
-    for at in range(3):  # and among good ones, where many are decoded at once
+    valid = [records.encode_requested(seat_record("a")), records.encode_granted("a", "L", 3, 9.0)]
+    for position in range(3):  # also between valid records, which are decoded in one batch
         with pytest.raises(RecordError, match="record"):
-            rebuild_table(None, list(enumerate([*good[:at], body, *good[at:]])))
+            rebuild_table(None, list(enumerate([*valid[:position], body, *valid[position:]])))
 
 
 _WRITER = """
@@ -228,8 +235,8 @@
 from fernweir.seats.log import LogConfig, SeatLog
 from fernweir.seats.records import SeatRecord, apply_record, encode_table, rebuild_table
 log = SeatLog(DiskFileStore(Path(sys.argv[1])), LogConfig(segment_bytes=3000, records_per_snapshot=150))
-found = log.open()
-table = rebuild_table(found.snapshot, found.records)
+recovered = log.open()
+table = rebuild_table(recovered.snapshot, recovered.records)
 while True:
     for _ in range(1 + log.last_sequence % 5):
         number = log.last_sequence + 1
@@ -242,49 +249,49 @@
 """
 
 
-def test_a_process_killed_while_it_writes_keeps_what_it_promised(tmp_path: Path) -> None:
-    """kill -9 at whatever point the writer has reached, ten lives on one folder."""
-    promised = 0
-    for life in range(10):
+def test_process_killed_while_writing_loses_no_durable_record(tmp_path: Path) -> None:
+    """Ten writers in turn append to one directory; each is killed with SIGKILL at an arbitrary point."""
+    durable_sequence = 0
+    for run in range(10):
         writer = subprocess.Popen(
             [sys.executable, "-c", _WRITER, str(tmp_path)], stdout=subprocess.PIPE, text=True
         )
         assert writer.stdout is not None
-        for _ in range(5 + life * 7):
-            promised = int(writer.stdout.readline())
+        for _ in range(5 + run * 7):
+            durable_sequence = int(writer.stdout.readline())
         writer.kill()
-        rest = writer.stdout.read().split()
-        promised = int(rest[-1]) if rest else promised
+        remaining_output = writer.stdout.read().split()
+        durable_sequence = int(remaining_output[-1]) if remaining_output else durable_sequence
         writer.wait()
-        found = recover_log(DiskFileStore(tmp_path))
-        table = rebuild_table(found.snapshot, found.records)
-        assert found.last_sequence >= promised
-        expected = {f"s{number % 40}": number for number in range(1, found.last_sequence + 1)}
-        assert {name: kept.generation for name, kept in table.items()} == expected
+        recovered = recover_log(DiskFileStore(tmp_path))
+        table = rebuild_table(recovered.snapshot, recovered.records)
+        assert recovered.last_sequence >= durable_sequence
+        expected = {f"s{number % 40}": number for number in range(1, recovered.last_sequence + 1)}
+        assert {name: record.generation for name, record in table.items()} == expected
 
 
-class LogStory(RuleBasedStateMachine):
-    """Appends, commits, snapshots, crashes in any order, against a plain list."""
+class SeatLogMachine(RuleBasedStateMachine):
+    """Compares the log with a list under appends, commits, snapshots and crashes in any order."""
 
     @initialize(seed=st.integers(0, 1000))
-    def begin(self, seed: int) -> None:
-        self.dice, self.files = Random(seed), MemoryFileStore()
-        self.said: list[bytes] = []
-        self.promised = 0
+    def create(self, seed: int) -> None:
+        self.rng, self.files = Random(seed), MemoryFileStore()
+        self.appended: list[bytes] = []
+        self.durable_sequence = 0
         self.count = 0
         self.open()
 
     def open(self) -> None:
-        self.log = SeatLog(self.files, SMALL)
-        found = self.log.open()
-        assert found.last_sequence >= self.promised
-        self.said = self.said[: found.last_sequence]
-        assert rebuild_table(found.snapshot, found.records) == self.table()
-        self.promised = found.last_sequence
+        self.log = SeatLog(self.files, SMALL_LIMITS)
+        recovered = self.log.open()
+        assert recovered.last_sequence >= self.durable_sequence
+        self.appended = self.appended[: recovered.last_sequence]
+        assert rebuild_table(recovered.snapshot, recovered.records) == self.table()
+        self.durable_sequence = recovered.last_sequence
 
     def table(self) -> SeatTable:
         table: SeatTable = {}
-        for body in self.said:
+        for body in self.appended:
             apply_record(table, body)
         return table
 
@@ -292,16 +299,16 @@
     def append(self, name: str, kind: int) -> None:
         self.count += 1
         body = [
-            records.encode_requested(seat(name, self.count)),
+            records.encode_requested(seat_record(name, self.count)),
             records.encode_granted(name, "L", self.count, 1.0),
             records.encode_removed(name),
         ]
-        self.said.append(body[kind])
-        assert self.log.append(body[kind]) == len(self.said)
+        self.appended.append(body[kind])
+        assert self.log.append(body[kind]) == len(self.appended)
 
     @rule()
     def commit(self) -> None:
-        self.promised = self.log.commit()
+        self.durable_sequence = self.log.commit()
 
     @precondition(lambda self: not self.log.pending_count)
     @rule()
@@ -310,9 +317,9 @@
 
     @rule()
     def crash(self) -> None:
-        self.files = self.files.crash(self.dice)
+        self.files = self.files.crash(self.rng)
         self.open()
 
 
-LogStory.TestCase.settings = hypothesis_settings(max_examples=150, stateful_step_count=40)
-TestLogStory = LogStory.TestCase
+SeatLogMachine.TestCase.settings = hypothesis_settings(max_examples=150, stateful_step_count=40)
+TestSeatLog = SeatLogMachine.TestCase
