--- a/fernweir/entitlement/policy.py
+++ b/fernweir/entitlement/policy.py
@@ -165,20 +165,20 @@
         capacity: Upper limit of tokens.
     """
 
-    __slots__ = ("_capacity", "_tokens", "_tokens_per_ms", "_updated_at_ms")
+    __slots__ = ("_capacity", "_tokens", "_tokens_per_ms", "_updated_at")
 
     def __init__(self, now: float, tokens_per_s: float, initial_tokens: float, capacity: float) -> None:
         self._tokens_per_ms = tokens_per_s / _MS_PER_S
         self._tokens = initial_tokens
         self._capacity = capacity
-        self._updated_at_ms = now
+        self._updated_at = now
 
     def available(self, now: float) -> float:
         """Returns the tokens in the bucket, including fractions of a token."""
-        if now > self._updated_at_ms:
-            earned = (now - self._updated_at_ms) * self._tokens_per_ms
+        if now > self._updated_at:
+            earned = (now - self._updated_at) * self._tokens_per_ms
             self._tokens = min(self._tokens + earned, self._capacity)
-            self._updated_at_ms = now
+            self._updated_at = now
         return self._tokens
 
     def deposit(self, now: float, tokens: float) -> None:
