--- a/fernweir/seats/seat_manager.py
+++ b/fernweir/seats/seat_manager.py
@@ -2,8 +2,8 @@
 
 A session occupies one seat, however often its set-up, acquisition or renewal is retried. Every request that
 may acquire a seat has an idempotency key that is the same in every retry, and is logged durably before its
-first byte is sent. Two times limit a lease: the front uses it until `usable_until_ms`, which starts when the
-request is sent; the server may hold it until `latest_expiry_ms`, which starts when a response arrives or the
+first byte is sent. Two times limit a lease: the front uses it until `usable_until_ms`, counted from when the
+request is sent; the server may hold it until `latest_expiry_ms`, counted from when a response arrives or the
 last request is abandoned. Between these times the seat counts as occupied but is not used.
 
 The state machine does no I/O and reads no clock. Its shell passes `now` in milliseconds of the monotonic
