--- a/fernweir/node/attempts.py
+++ b/fernweir/node/attempts.py
@@ -155,8 +155,8 @@
         releases += [release for release in lost_releases if release.session == session_id]
         for release in releases:
             connection.send(release)
-        # If the write fails, the server never received the set-up. The attempt is then assigned to a new
-        # connection when the end of this one is reported.
+        # If the write fails, the server never receives the complete set-up. The attempt is then assigned to a
+        # new connection when the end of this one is reported.
         attempt.is_written = connection.write(encode_frame(set_up))
         if attempt.is_written:
             endpoint.placed_sessions[session_id] = PlacedSession(connection, now)
--- a/tests/node_scene.py
+++ b/tests/node_scene.py
@@ -146,7 +146,7 @@
     """A control feed that sends numbered events, and records the subscriptions."""
 
     def __init__(self) -> None:
-        self.asked: list[int] = []
+        self.subscriptions: list[int] = []
         self.writers: list[asyncio.StreamWriter] = []
         self.events: list[dict[str, Any]] = []
         self._server: asyncio.Server | None = None
@@ -164,7 +164,7 @@
         try:
             word, _, last = (await reader.readline()).partition(b" ")
             assert word == b"SUB"
-            self.asked.append(int(last))
+            self.subscriptions.append(int(last))
             self.writers.append(writer)
             for event in self.events:
                 if event["n"] > int(last):
@@ -433,7 +433,7 @@
 
     def __init__(self) -> None:
         self.lines: list[Far] = []
-        self.asked: list[bytes] = []  # the bytes that each accepted connection has sent, `SUB N`
+        self.subscriptions: list[bytes] = []  # the bytes that each accepted connection has sent, `SUB N`
         self.listener = socket.create_server((HOST, 0))
         self.listener.setblocking(False)
 
@@ -448,11 +448,11 @@
             while True:
                 sock, _ = self.listener.accept()
                 self.lines.append(Far(sock))
-                self.asked.append(b"")
+                self.subscriptions.append(b"")
         except BlockingIOError:
             pass
         for at, line in enumerate(self.lines):
-            self.asked[at] += line.take()
+            self.subscriptions[at] += line.take()
         return self.lines
 
     def close(self) -> None:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -301,12 +301,12 @@
 def test_a_session_end_that_crosses_the_close_is_received(how: str) -> None:
     async def scenario(scene: Scene) -> None:
         viewer = await scene.viewer()
-        stands, late = scene.setup(), scene.setup()
-        viewer.send(stands)
-        await viewer.answer(stands.id)
+        established, late = scene.setup(), scene.setup()
+        viewer.send(established)
+        await viewer.answer(established.id)
         ((name, _),) = scene.setups()
         server = scene.servers[name]
-        end = Frame(FrameType.RELEASE, stands.id, {ParameterCode.CAUSE: bytes((16,))})
+        end = Frame(FrameType.RELEASE, established.id, {ParameterCode.CAUSE: bytes((16,))})
         server.script = ["silent"]
         viewer.send(late)  # on the same connection, which is closed by the timeout
         await until(lambda: late.id in server.open_set_ups)
@@ -316,7 +316,7 @@
             server.open_set_ups.clear()
             server.frames_on_connect = [end]
             server.writers[0].transport.abort()
-        await until(lambda: stands.id in scene.ends)
+        await until(lambda: established.id in scene.ends)
         assert (await viewer.answer(late.id)).type == "answer"
 
     run_scenario(scenario)
@@ -343,8 +343,8 @@
     async def scenario(scene: Scene) -> None:
         viewer, request, server = await send_open_set_up(scene)
         viewer._writer.write_eof()
-        (near,) = scene.node.client_listener.connections
-        await until(lambda: near.state.phase is ClientConnectionPhase.HALF_CLOSED)
+        (node_connection,) = scene.node.client_listener.connections
+        await until(lambda: node_connection.state.phase is ClientConnectionPhase.HALF_CLOSED)
         server.perform(end, request.id, server.open_set_ups[request.id])
         assert (await viewer.answer(request.id)).type == ("answer" if end == "answer" else "release")
         await until(lambda: viewer.closed)  # the node closes at once after the last reply
@@ -482,7 +482,7 @@
 
 def test_a_drain_is_obeyed_and_a_broken_feed_is_resubscribed_from_the_last_event() -> None:
     async def scenario(scene: Scene) -> None:
-        await until(lambda: scene.feed.asked == [1])
+        await until(lambda: scene.feed.subscriptions == [1])
         viewer, request, name = await establish_session(scene)
         members = {"index": 2, "snapshot": False, "endpoints": [scene.line(name, "draining")]}
         half = json.dumps({"n": 2, "members": members}).encode()
@@ -490,12 +490,12 @@
         scene.feed.writers[-1].write(half[:50])
         scene.feed.writers[-1].close()
         await until(lambda: scene.node.feed.last_sequence_number == 2)
-        assert scene.feed.asked == [1, 1]
+        assert scene.feed.subscriptions == [1, 1]
         scene.feed.send_event(scene.feed.events[0])  # sent twice
         scene.feed.send_event(2)
         scene.feed.send_event(9)  # an event is missing
-        await until(lambda: len(scene.feed.asked) == 3)
-        assert scene.feed.asked[-1] == 2
+        await until(lambda: len(scene.feed.subscriptions) == 3)
+        assert scene.feed.subscriptions[-1] == 2
         for _ in range(5):
             request = scene.setup()
             viewer.send(request)
@@ -507,7 +507,7 @@
 
 def test_a_new_feed_address_is_used_and_an_unreadable_file_is_not() -> None:
     async def scenario(scene: Scene) -> None:
-        await until(lambda: scene.feed.asked == [1])
+        await until(lambda: scene.feed.subscriptions == [1])
         scene.node._environment = {"ROUTER_CONFIG": "/nowhere/config.json"}
         scene.node.reload()
         assert (
@@ -521,7 +521,7 @@
         members = {"index": 2, "snapshot": False, "endpoints": [scene.line("s-0", "removed")]}
         other.add(members)
         await until(lambda: scene.node.feed.last_sequence_number >= 2)
-        assert other.asked[-1] == 1
+        assert other.subscriptions[-1] == 1
 
     run_scenario(scenario)
 
@@ -624,38 +624,40 @@
         servers = list(scene.servers.values())
 
         async def step() -> None:
-            server, what = rng.choice(servers), rng.randrange(12)
-            out, stands = sorted(server.open_set_ups), sorted(server.active_sessions)
-            if what < 5:
+            server, choice = rng.choice(servers), rng.randrange(12)
+            open_ids, established = sorted(server.open_set_ups), sorted(server.active_sessions)
+            if choice < 5:
                 server.script.append(rng.choice(moves))
                 viewer, request = rng.choice(viewers), scene.setup(key=f"{rng.randrange(9):016x}")
                 unanswered[request.id] = viewer
                 viewer.send(request)
-            elif what == 5 and unanswered:
+            elif choice == 5 and unanswered:
                 given_up.add(withdrawn := rng.choice(sorted(unanswered)))
                 unanswered.pop(withdrawn).send(Message("release", withdrawn, cause=16))
-            elif what == 6 and out:
-                server.finish(rng.choice(out))
-            elif what == 7 and stands:
-                over = rng.choice(stands)
-                server.active_sessions.remove(over)
-                end = Frame(FrameType.RELEASE, over, {ParameterCode.CAUSE: bytes((16,))})
+            elif choice == 6 and open_ids:
+                server.finish(rng.choice(open_ids))
+            elif choice == 7 and established:
+                ended_id = rng.choice(established)
+                server.active_sessions.remove(ended_id)
+                end = Frame(FrameType.RELEASE, ended_id, {ParameterCode.CAUSE: bytes((16,))})
                 server.frames_on_connect.append(end)
                 for writer in server.writers[-1:]:
                     server.send_frame(end, writer)
-            elif what == 8 and server.writers:
+            elif choice == 8 and server.writers:
                 rng.choice(server.writers).transport.abort()
-            elif what == 9 and (both := [id for id in out if id in unanswered]):
-                given_up.add(crossed := rng.choice(both))
+            elif choice == 9 and (crossing := [id for id in open_ids if id in unanswered]):
+                given_up.add(crossed := rng.choice(crossing))
                 server.finish(crossed)
                 unanswered.pop(crossed).send(Message("release", crossed, cause=16))
-            elif what == 10 and rng.random() < 0.3:
-                gone = viewers.pop(rng.randrange(3))
-                reset(gone._writer.transport)  # type: ignore[arg-type]
-                for id in [id for id, viewer in unanswered.items() if viewer is gone]:
+            elif choice == 10 and rng.random() < 0.3:
+                disconnected = viewers.pop(rng.randrange(3))
+                reset(disconnected._writer.transport)  # type: ignore[arg-type]
+                for id in [id for id, viewer in unanswered.items() if viewer is disconnected]:
                     del unanswered[id]
                 viewers.append(await scene.viewer())
-            elif what == 11 and server.refusals:  # a late duplicate, when the session may be tried here again
+            elif (
+                choice == 11 and server.refusals
+            ):  # a late duplicate, when the session may be tried here again
                 again, writer = server.refusals[-1]
                 if not writer.transport.is_closing():
                     server.send_frame(again, writer)
--- a/tests/test_node_crossing_feed.py
+++ b/tests/test_node_crossing_feed.py
@@ -46,9 +46,9 @@
     for feed in feeds:
         feed.poll()
     return [
-        (line, asked)
+        (line, subscription)
         for feed in feeds
-        for line, asked in zip(feed.lines, feed.asked, strict=True)
+        for line, subscription in zip(feed.lines, feed.subscriptions, strict=True)
         if not line.over
     ]
 
@@ -64,10 +64,10 @@
 
 def check_followed(stage: Stage, feed: FarFeed, last: int = 1) -> None:
     """Checks that one connection exists, is subscribed from the last event, and delivers the next one."""
-    ((line, asked),) = (
+    ((line, subscription),) = (
         open_connections(stage.feed, feed) if feed is not stage.feed else open_connections(feed)
     )
-    assert line in feed.lines and asked == b"SUB %d\n" % last
+    assert line in feed.lines and subscription == b"SUB %d\n" % last
     line.write(encode_event(change(stage, last + 1)))
     stage.loop.until(lambda: stage.node.feed.last_sequence_number == last + 1)
 
@@ -238,28 +238,28 @@
 def test_an_interrupted_event_is_applied_once_from_the_next_connection(end: str) -> None:
     with staged() as stage:
         stage.loop.settle()
-        told: list[int] = []
+        applied: list[int] = []
         watcher = stage.node.endpoint_watcher
         apply = watcher.apply_update
-        watcher.apply_update = lambda update: (told.append(update.version), apply(update))[1]  # type: ignore
+        watcher.apply_update = lambda update: (applied.append(update.version), apply(update))[1]  # type: ignore
         line, event = stage.feed.poll()[-1], encode_event(change(stage, 2))
         line.write(event[:40])
         stage.loop.settle()
         if end != "silence":
             getattr(line, end)()
         stage.loop.advance(1_900 if end == "silence" else 100)
-        ((line, asked),) = open_connections(stage.feed)
-        assert asked == b"SUB 1\n"
+        ((line, subscription),) = open_connections(stage.feed)
+        assert subscription == b"SUB 1\n"
         line.write(event[40:90])  # the rest of the interrupted line, which is not a valid line by itself
         line.write(b"\n")
         stage.loop.advance(400)
-        ((line, asked),) = open_connections(stage.feed)
-        assert asked == b"SUB 1\n"
+        ((line, subscription),) = open_connections(stage.feed)
+        assert subscription == b"SUB 1\n"
         line.write(
             event + event + encode_event(change(stage, 2, "removed")) + encode_event(change(stage, 3, "up"))
         )
         stage.loop.settle()
-        assert told == [2, 3] and stage.node.feed.last_sequence_number == 3
+        assert applied == [2, 3] and stage.node.feed.last_sequence_number == 3
         line.write(encode_event(change(stage, 5)))  # a gap
         stage.loop.advance(100)
         check_followed(stage, stage.feed, 3)
@@ -327,11 +327,11 @@
         backoffs.append(policy.deadline - now)
         now = policy.deadline
     assert backoffs[0] < 0.075 and min(backoffs[5:]) >= 0.4 and max(backoffs) <= 1.2
-    for told, stood_s in ((True, 0.0), (False, 1.0)):  # both reset the backoff
+    for is_applied, open_s in ((True, 0.0), (False, 1.0)):  # both reset the backoff
         opening = policy.begin_connection(now)
         assert opening is not None and policy.on_connected(opening, now)
-        policy.on_data_received(now + stood_s, told)
-        assert policy.deadline == now + stood_s + 1.8
+        policy.on_data_received(now + open_s, is_applied)
+        assert policy.deadline == now + open_s + 1.8
         policy.on_connection_ended(opening, now)
         assert policy.deadline < now + 0.075
     opening = policy.begin_connection(now)
@@ -355,11 +355,11 @@
         no_list = {"n": 3, "members": {"index": "1"}}
         listed = {number_of("s-0"): ServerState.READY, number_of("s-1"): ServerState.READY}
         for n, event in ((2, odd), (3, no_list)):
-            for tries, told in enumerate(({**event, "spoilt": 1}, event, event)):  # the first one differs
-                ((line, asked),) = open_connections(stage.feed)
+            for tries, sent in enumerate(({**event, "spoilt": 1}, event, event)):  # the first one differs
+                ((line, subscription),) = open_connections(stage.feed)
                 assert stage.node.dispatcher.sessions.endpoint_states == listed
-                assert not tries or asked == b"SUB %d\n" % (n - 1)
-                line.write(b"%d\n" % (n - 1) + encode_event(told))
+                assert not tries or subscription == b"SUB %d\n" % (n - 1)
+                line.write(b"%d\n" % (n - 1) + encode_event(sent))
                 stage.loop.advance(500)
             assert stage.node.feed.last_sequence_number == n
             listed[number_of("s-0")] = ServerState.DRAINING
@@ -413,7 +413,7 @@
     stage = StageWithKnownEvents({"status": "removed"}, {"since_ms": 1_000})
     assert stage.node.dispatcher.sessions.endpoint_states.keys() == stage.node.feed.addresses.keys() != set()
     stage.establish_session(stage.far_viewer())
-    assert len(stage.feed.poll()) == 1 and stage.feed.asked == [b"SUB 3\n"]
+    assert len(stage.feed.poll()) == 1 and stage.feed.subscriptions == [b"SUB 3\n"]
     stage.check_settled()
     stage.finish()
 
@@ -459,11 +459,11 @@
         """Returns the subscribed connections at the newest address that still receive events."""
         feed = self.feeds[-1]
         feed.poll()
-        pairs = zip(feed.lines, feed.asked, strict=True)
+        pairs = zip(feed.lines, feed.subscriptions, strict=True)
         return [
-            (id(line), line, asked)
-            for line, asked in pairs
-            if not line.over and id(line) not in self.broken and asked.endswith(b"\n")
+            (id(line), line, subscription)
+            for line, subscription in pairs
+            if not line.over and id(line) not in self.broken and subscription.endswith(b"\n")
         ]
 
     def write(self, line: Far, data: bytes) -> None:
@@ -471,9 +471,9 @@
             line.write(data)
 
     def serve(self) -> None:
-        for key, line, asked in self.open():
-            assert asked.count(b"\n") == 1
-            for event in self.events[self.last_sent.get(key, int(asked[4:])) :]:
+        for key, line, subscription in self.open():
+            assert subscription.count(b"\n") == 1
+            for event in self.events[self.last_sent.get(key, int(subscription[4:])) :]:
                 self.write(line, encode_event(event))
             self.last_sent[key] = len(self.events)
 
--- a/tests/test_node_crossing_lost.py
+++ b/tests/test_node_crossing_lost.py
@@ -85,11 +85,11 @@
 def test_a_release_lost_by_a_reset_precedes_the_reassigned_set_up() -> None:
     with staged() as stage:
         viewer = stage.far_viewer()
-        (tired, idle), (other, busy) = stage.set_up(viewer), stage.set_up(viewer)
+        (withdrawn, idle), (other, busy) = stage.set_up(viewer), stage.set_up(viewer)
         id, line = half_answered(stage, viewer)
         fd = stage.hold_next_connect()
-        viewer.send(Message("release", tired, cause=16))
-        stage.loop.until(lambda: tired in line.server.released)
+        viewer.send(Message("release", withdrawn, cause=16))
+        stage.loop.until(lambda: withdrawn in line.server.released)
         (endpoint,) = stage.node.server_pool.endpoints.values()
         release_descriptor(stage, fd)
         while not endpoint.connections[-1].is_usable:
@@ -298,27 +298,27 @@
         if not calm and self.active_sessions and self.rng.random() < 0.05:
             self.end(self.rng.choice(sorted(self.active_sessions)))
 
-    def act(self, id: str, line: FarLine, what: str) -> None:
+    def act(self, id: str, line: FarLine, choice: str) -> None:
         data = encode_frame(Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: b"one\r\n"}))
-        if what == "silent":
+        if choice == "silent":
             return
         del self.open_set_ups[id]
-        if what in ("34", "47"):
+        if choice in ("34", "47"):
             self.write(
-                line, encode_frame(Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((int(what),))}))
+                line, encode_frame(Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((int(choice),))}))
             )
-        elif what == "gone":
+        elif choice == "gone":
             line.reset()
             self.give_up(line)
         else:
-            cut = self.rng.randrange(1, len(data)) if what in ("pieces", "broken", "half") else len(data)
+            cut = self.rng.randrange(1, len(data)) if choice in ("pieces", "broken", "half") else len(data)
             if not self.write(line, data[:cut]):
                 return
             self.active_sessions.add(id)
-            if what == "pieces":
+            if choice == "pieces":
                 self.answer_remainders.append((line, data[cut:]))
-            elif what != "answer":  # a reset or an end follows, seen in one iteration
-                line.reset() if what in ("broken", "reset") else line.end()
+            elif choice != "answer":  # a reset or an end follows, seen in one iteration
+                line.reset() if choice in ("broken", "reset") else line.end()
                 self.give_up(line)
 
     def end(self, id: str) -> None:
@@ -393,17 +393,17 @@
         injector, viewer = FaultInjector(stage, rng), stage.far_viewer()
         asked, given_up, host = list[str](), set[str](), stage.node.dispatcher.sessions
         for _ in range(300):
-            what, server = rng.random(), rng.choice(list(injector.servers.values()))
-            if what < 0.3:
+            choice, server = rng.random(), rng.choice(list(injector.servers.values()))
+            if choice < 0.3:
                 viewer.send(request := stage.setup(key=f"{rng.randrange(9):016x}"))
                 asked.append(request.id)
-            elif what < 0.36 and (open_ := [id for id in asked if id not in stage.answers]):
-                given_up.add(tired := rng.choice(open_))
-                viewer.send(Message("release", tired, cause=16))
-            elif what < 0.4:
+            elif choice < 0.36 and (open_ := [id for id in asked if id not in stage.answers]):
+                given_up.add(withdrawn := rng.choice(open_))
+                viewer.send(Message("release", withdrawn, cause=16))
+            elif choice < 0.4:
                 server.is_partitioned = not server.is_partitioned
             elif (
-                what < 0.43
+                choice < 0.43
                 and not server.is_partitioned
                 and (there := [one for one in server.far.lines if not one.over])
             ):
@@ -426,12 +426,12 @@
                 return False
             for number, there in names.items():
                 server, held = injector.servers[there], set(host.sessions_playing_at(number))
-                kept = (
+                deferred = (
                     {one.session for one in endpoints[number].release_queue.deferred_releases}
                     if number in endpoints
                     else set()
                 )
-                if server.open_set_ups or not held <= server.active_sessions <= held | kept:
+                if server.open_set_ups or not held <= server.active_sessions <= held | deferred:
                     return False
             return True
 
--- a/tests/test_node_crossing_servers.py
+++ b/tests/test_node_crossing_servers.py
@@ -206,16 +206,16 @@
         stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
         new = next((one for one in stage.far["s-0"].lines if one is not line), line)
         line.ended.clear()  # it ended the first attempt; the id now belongs to the second one
-        late = Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((cause,))})
+        late_frame = Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((cause,))})
         if word == "answer":
-            late = Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: b"late\r\n"})
+            late_frame = Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: b"late\r\n"})
         if second == "out":
-            deliver_frames(stage, line, late)
+            deliver_frames(stage, line, late_frame)
             assert id in stage.node.client_requests.open_requests and len(stage.sent_to(id)) == 2
         new.answer(id)
         assert wait_for_answer(stage, viewer, id) == f"s-0 {id}\r\n"
         if second == "stands":
-            deliver_frames(stage, line, late)
+            deliver_frames(stage, line, late_frame)
         assert stage.node.dispatcher.sessions.session_count == 1
         new.release(id, 16)  # a message on its own connection is accepted
         stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
@@ -414,11 +414,11 @@
     with staged(servers=2) as stage:
         viewer = stage.far_viewer()
         id, line = stage.set_up(viewer)
-        words = [
+        frames = [
             Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: b"one\r\n"}),
             Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((cause,))}),
         ]
-        deliver_frames(stage, line, *(words if first == "answer" else words[::-1]))
+        deliver_frames(stage, line, *(frames if first == "answer" else frames[::-1]))
         if first == "answer":  # the session was established and has ended
             assert wait_for_answer(stage, viewer, id) == "one\r\n"
             stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
@@ -518,6 +518,6 @@
             viewer.send(plays)
             stage.loop.until(lambda: stage.node.dispatcher.sessions.session(plays.id))
         stage.loop.advance(600.0)
-        lost = first == "the session"  # a refused connection while the session is placed there is proof
-        assert ("server lost" in stage.log.getvalue()) is lost
-        assert (stage.node.dispatcher.sessions.session(plays.id) is None) is lost
+        is_lost = first == "the session"  # a refused connection while the session is placed there is proof
+        assert ("server lost" in stage.log.getvalue()) is is_lost
+        assert (stage.node.dispatcher.sessions.session(plays.id) is None) is is_lost
--- a/tests/test_node_crossing_stop.py
+++ b/tests/test_node_crossing_stop.py
@@ -205,7 +205,7 @@
 def test_set_ups_on_open_and_new_connections_after_sigterm_are_rejected_at_once() -> None:
     with staged(settings=SHORT) as stage:
         viewer = stage.far_viewer()
-        stands, line = stage.establish_session(viewer, left="250")
+        established, line = stage.establish_session(viewer, left="250")
         stage.node.terminate()
         for _ in range(6):
             stage.loop.advance(100.0)
@@ -214,9 +214,9 @@
                 one.send(request)
                 stage.loop.settle()
                 assert wait_for_cause(stage, one, request.id) == REFUSED
-        line.release(stands, 16)  # messages of established sessions are still received
-        stage.loop.until(lambda: viewer.poll() is not None and stands in stage.ends)
-        assert stage.far["s-0"].setups() == [stands]
+        line.release(established, 16)  # messages of established sessions are still received
+        stage.loop.until(lambda: viewer.poll() is not None and established in stage.ends)
+        assert stage.far["s-0"].setups() == [established]
         run_to_exit(stage)
 
 
--- a/tests/test_node_crossing_viewers.py
+++ b/tests/test_node_crossing_viewers.py
@@ -114,7 +114,7 @@
     with staged() as stage:
         viewer = stage.far_viewer()
         fd, request = node_descriptor(stage, viewer), stage.setup()
-        there = send_and_hold_connect(stage, viewer, request)
+        server_fd = send_and_hold_connect(stage, viewer, request)
         stage.loop.selected.held.add(fd)
         disconnect(viewer, how, request.id)
         stage.loop.arrived(fd)
@@ -122,7 +122,7 @@
             stage.loop.selected.held.discard(fd)
             stage.loop.settle()
             assert stage.sent_to(request.id) == []
-        stage.loop.selected.first = [fd, there] if first == "viewer" else [there, fd]
+        stage.loop.selected.first = [fd, server_fd] if first == "viewer" else [server_fd, fd]
         stage.loop.selected.held.clear()  # for `server`: established in the same iteration, and seen first
         stage.loop.advance(300)
         assert stage.sent_to(request.id) == []
@@ -149,8 +149,8 @@
             while request.id not in stage.node.client_requests.open_requests:
                 stage.loop.turn()
         else:
-            there = send_and_hold_connect(stage, viewer, request)
-            stage.loop.selected.held.discard(there)
+            server_fd = send_and_hold_connect(stage, viewer, request)
+            stage.loop.selected.held.discard(server_fd)
             stage.loop.turn(2)  # established, which is reported at the start of the next iteration
         disconnect(viewer, how, request.id)
         stage.loop.arrived(fd)
@@ -165,8 +165,8 @@
     """The connection to the server is established, which is reported before timers run."""
     with staged() as stage:
         viewer, request = stage.far_viewer(), stage.setup(left="1000")
-        there = send_and_hold_connect(stage, viewer, request)
-        stage.loop.selected.held.discard(there)
+        server_fd = send_and_hold_connect(stage, viewer, request)
+        stage.loop.selected.held.discard(server_fd)
         stage.loop.turn(2)
         stage.loop.jump(1_001)
         assert wait_for_answer(stage, viewer, request.id).cause == 41  # not in time
@@ -195,12 +195,12 @@
     with staged(3, settings) as stage:
         viewer = stage.far_viewer()
         id, line = stage.set_up(viewer)
-        fd, there = node_descriptor(stage, viewer), stage.loop.near(line.sock)
-        stage.loop.selected.held |= {fd, there}
+        fd, server_fd = node_descriptor(stage, viewer), stage.loop.near(line.sock)
+        stage.loop.selected.held |= {fd, server_fd}
         disconnect(viewer, how, id)
         line.release(id, 34)  # full: it never ran, so it would be retried elsewhere at once
-        stage.loop.arrived(fd, there)
-        stage.loop.selected.first = [fd, there] if first == "viewer" else [there, fd]
+        stage.loop.arrived(fd, server_fd)
+        stage.loop.selected.first = [fd, server_fd] if first == "viewer" else [server_fd, fd]
         stage.loop.selected.held.clear()
         stage.loop.advance(500)
         assert len(stage.sent_to(id)) == 1
@@ -214,20 +214,22 @@
     """One connection has an open attempt and one whose connect is pending; other viewers have others."""
     with staged() as stage:
         viewer, other = stage.far_viewer(), stage.far_viewer()
-        out, line = stage.set_up(viewer)
+        open_id, line = stage.set_up(viewer)
         others, their_line = stage.set_up(other)
-        waits = stage.setup()
-        send_and_hold_connect(stage, viewer, waits)
+        waiting = stage.setup()
+        send_and_hold_connect(stage, viewer, waiting)
         viewer.end()
         stage.loop.settle()
         stage.loop.selected.held.clear()
         stage.loop.advance(300)
-        assert stage.sent_to(waits.id) == [] and wait_for_answer(stage, viewer, waits.id).cause == 34
+        assert stage.sent_to(waiting.id) == [] and wait_for_answer(stage, viewer, waiting.id).cause == 34
         assert not viewer.over  # the open attempt is still answered here
         their_line.answer(others)
-        line.answer(out)
+        line.answer(open_id)
         assert (
-            wait_for_answer(stage, viewer, out).type == wait_for_answer(stage, other, others).type == "answer"
+            wait_for_answer(stage, viewer, open_id).type
+            == wait_for_answer(stage, other, others).type
+            == "answer"
         )
         stage.loop.until(lambda: viewer.poll() is not None and viewer.over)
         assert stage.node.dispatcher.sessions.session_count == 2
@@ -256,8 +258,8 @@
             stage.node.dispatcher.sessions.session(request.id) is not None and stage.sent_to(request.id) == []
         )
         (line,) = stage.far["s-0"].lines
-        fd, there = node_descriptor(stage, viewer), stage.loop.near(line.sock)
-        stage.loop.selected.held |= {fd, there}
+        fd, server_fd = node_descriptor(stage, viewer), stage.loop.near(line.sock)
+        stage.loop.selected.held |= {fd, server_fd}
         disconnect(viewer, how, request.id)
         line.send_frame(
             Frame(
@@ -266,8 +268,8 @@
                 {ParameterCode.CAUSE: b"\1", ParameterCode.REPORT: b"x0:0.1;x1:0.1"},
             )
         )
-        stage.loop.arrived(fd, there)
-        stage.loop.selected.first = [fd, there] if first == "viewer" else [there, fd]
+        stage.loop.arrived(fd, server_fd)
+        stage.loop.selected.first = [fd, server_fd] if first == "viewer" else [server_fd, fd]
         stage.loop.selected.held.clear()
         stage.loop.advance(500)
         assert stage.sent_to(request.id) == []
@@ -379,7 +381,7 @@
     with staged(sockets=4) as stage:  # two viewers
         one, two = stage.far_viewer(), stage.far_viewer()
         id, line = stage.set_up(one)
-        wait, line_two = stage.set_up(two)
+        second_id, line_two = stage.set_up(two)
         one.end()
         stage.loop.settle()
         rejected = FarViewer(stage)
@@ -401,9 +403,9 @@
                 and ClientConnectionPhase.LINGERING not in {o.state.phase for o in node_connections(stage)}
             )
         )
-        line_two.answer(wait)
+        line_two.answer(second_id)
         assert (
-            wait_for_answer(stage, two, wait).type == "answer"
+            wait_for_answer(stage, two, second_id).type == "answer"
             and stage.node.dispatcher.sessions.session_count == 2
         )
 
@@ -431,17 +433,17 @@
                 before = 1
                 line = stage.far[stage.sent_to(ids[0])[0]].line_of(ids[0])
                 line.release(ids[0], rng.choice([34, 102]))
-                there = stage.loop.near(line.sock)
-                stage.loop.selected.held |= {fd, there}
+                server_fd = stage.loop.near(line.sock)
+                stage.loop.selected.held |= {fd, server_fd}
                 disconnect(viewer, how, *ids)
-                stage.loop.arrived(fd, there)
-                stage.loop.selected.first = rng.sample([fd, there], 2)
+                stage.loop.arrived(fd, server_fd)
+                stage.loop.selected.first = rng.sample([fd, server_fd], 2)
             elif moment == "coming up":
-                there = send_and_hold_connect(stage, viewer, *requests)
+                server_fd = send_and_hold_connect(stage, viewer, *requests)
                 stage.loop.selected.held.add(fd)
                 disconnect(viewer, how, *ids)
                 stage.loop.arrived(fd)
-                stage.loop.selected.first = [fd, there]
+                stage.loop.selected.first = [fd, server_fd]
             else:
                 stage.loop.selected.held.add(fd)
                 viewer.send(*requests)
@@ -631,12 +633,12 @@
     with staged() as stage:
         viewer = stage.far_viewer()
         id, line = stage.set_up(viewer)
-        fd, there = node_descriptor(stage, viewer), stage.loop.near(line.sock)
-        stage.loop.selected.held |= {fd, there}
+        fd, server_fd = node_descriptor(stage, viewer), stage.loop.near(line.sock)
+        stage.loop.selected.held |= {fd, server_fd}
         viewer.send(Message("release", id, cause=16))
         line.answer(id)
-        stage.loop.arrived(fd, there)
-        stage.loop.selected.first = [fd, there] if first == "viewer" else [there, fd]
+        stage.loop.arrived(fd, server_fd)
+        stage.loop.selected.first = [fd, server_fd] if first == "viewer" else [server_fd, fd]
         stage.loop.selected.held.clear()
         stage.loop.until(lambda: released(stage, id))
         stage.loop.settle()
@@ -658,8 +660,8 @@
         stage.loop.selected.held.clear()
         stage.loop.settle()
         assert stage.sent_to(request.id) == []
-        told = [one.cause for one in (*viewer.poll(), *other.poll()) if one.id == request.id]
-        assert told == ([] if first == "set-up" else [81])  # at most once
+        causes = [one.cause for one in (*viewer.poll(), *other.poll()) if one.id == request.id]
+        assert causes == ([] if first == "set-up" else [81])  # at most once
 
 
 def test_an_id_requested_again_after_its_connection_broke_is_set_up_again() -> None:
@@ -687,13 +689,13 @@
         home, other = stage.far_viewer(), stage.far_viewer()
         stage.establish_session(other)
         id, line = stage.establish_session(home)
-        waits, line_waits = stage.set_up(home)
+        waiting, line_waits = stage.set_up(home)
         home.end()
         stage.loop.settle()
         line.release(id, 16)
         stage.loop.until(lambda: other.poll() is not None and id in stage.ends)
-        line_waits.answer(waits)
-        assert wait_for_answer(stage, home, waits).type == "answer"
+        line_waits.answer(waiting)
+        assert wait_for_answer(stage, home, waiting).type == "answer"
 
 
 @pytest.mark.parametrize("first", ["viewer", "server"])
@@ -707,12 +709,12 @@
         if not home:
             viewer.reset()
             stage.loop.settle()
-        fd, there = node_descriptor(stage, other), stage.loop.near(line.sock)
-        stage.loop.selected.held |= {fd, there}
+        fd, server_fd = node_descriptor(stage, other), stage.loop.near(line.sock)
+        stage.loop.selected.held |= {fd, server_fd}
         other.send(Message("release", id, cause=16))
         line.release(id, 16)
-        stage.loop.arrived(fd, there)
-        stage.loop.selected.first = [fd, there] if first == "viewer" else [there, fd]
+        stage.loop.arrived(fd, server_fd)
+        stage.loop.selected.first = [fd, server_fd] if first == "viewer" else [server_fd, fd]
         stage.loop.selected.held.clear()
         stage.loop.settle()
         assert "no such session" not in stage.log.getvalue()
@@ -789,27 +791,27 @@
 
 def test_only_recent_messages_to_a_closed_client_are_undelivered() -> None:
     def said(*, left: bool) -> ClientConnectionState:
-        visit = ClientConnectionState()
-        assert visit.on_connection_made()
-        visit.on_message_written("old", 0.0, None, True)
-        visit.on_message_written("new", DELIVERY_CONFIRMATION_MS, None, True)
-        visit.on_message_written("end", DELIVERY_CONFIRMATION_MS, b"over", False)
+        state = ClientConnectionState()
+        assert state.on_connection_made()
+        state.on_message_written("old", 0.0, None, True)
+        state.on_message_written("new", DELIVERY_CONFIRMATION_MS, None, True)
+        state.on_message_written("end", DELIVERY_CONFIRMATION_MS, b"over", False)
         if left:
-            assert visit.on_client_half_closed() and not visit.on_client_half_closed()
-        return visit
+            assert state.on_client_half_closed() and not state.on_client_half_closed()
+        return state
 
     assert set(said(left=True).on_connection_ended(DELIVERY_CONFIRMATION_MS, True) or ()) == {"new", "end"}
     assert set(said(left=False).on_connection_ended(DELIVERY_CONFIRMATION_MS, True) or ()) == {
         "end"
     }  # may have been received
-    visit = said(left=True)
-    visit.on_write_buffer_flushed(DELIVERY_CONFIRMATION_MS)
-    assert visit.has_unconfirmed_messages(DELIVERY_CONFIRMATION_MS) and not visit.has_unconfirmed_messages(
+    state = said(left=True)
+    state.on_write_buffer_flushed(DELIVERY_CONFIRMATION_MS)
+    assert state.has_unconfirmed_messages(DELIVERY_CONFIRMATION_MS) and not state.has_unconfirmed_messages(
         2 * DELIVERY_CONFIRMATION_MS
     )
     assert (
-        visit.on_connection_ended(DELIVERY_CONFIRMATION_MS, False) == {}
-        and visit.on_connection_ended(DELIVERY_CONFIRMATION_MS, True) is None
+        state.on_connection_ended(DELIVERY_CONFIRMATION_MS, False) == {}
+        and state.on_connection_ended(DELIVERY_CONFIRMATION_MS, True) is None
     )
     gone = ClientConnectionState()
     assert gone.on_connection_ended(0.0, False) == {} and not gone.on_connection_made()
--- a/tests/test_node_peers.py
+++ b/tests/test_node_peers.py
@@ -93,7 +93,7 @@
 
 
 def run_scenario(scenario: Callable[[Fleet, Node, Peers], Awaitable[None]], folder: Path) -> None:
-    async def whole() -> None:
+    async def run() -> None:
         fleet = Fleet(folder)
         node, peers = await fleet.here()
         try:
@@ -104,7 +104,7 @@
             await peers.links.stop()
             node.shutdown()
 
-    asyncio.run(whole())
+    asyncio.run(run())
 
 
 def versions(peers: Peers, name: str) -> Versions | None:
@@ -120,7 +120,7 @@
         process = await fleet.run(FERNWEIR_PEERS=str(file))
         try:
             await fleet.wait_for_log_event(process, "peer joined")
-            await until(lambda: (told := versions(peers, "n7")) is not None and told.boxes)
+            await until(lambda: (n7 := versions(peers, "n7")) is not None and n7.boxes)
             mine, theirs = peers.peer.recording.versions, versions(peers, "n7")
             assert theirs is not None and theirs.boxes == mine.boxes and theirs.settings == mine.settings
 
@@ -132,10 +132,10 @@
             process.kill()
             await process.wait()
         await until(lambda: peers.peer.members.alive() == ["n2"])
-        told: list[dict[str, Any]] = []
-        peers.questions.ask({"question": "acts", "deed": "setup", "session": answer.id}, told.append)
-        await until(lambda: told)
-        (row,) = told[0]["rows"]
+        answers: list[dict[str, Any]] = []
+        peers.questions.ask({"question": "acts", "deed": "setup", "session": answer.id}, answers.append)
+        await until(lambda: answers)
+        (row,) = answers[0]["rows"]
         server = answer.sdp.split()[0]
         assert (row["front"], row["box"], row["outcome"]) == (
             "n7",
@@ -143,7 +143,7 @@
             f"try 0 at {server}",
         )
         # A replica answers for the dead node. Its last records may be missing, which the answer reports.
-        assert told[0]["whole"] is False and {gap["front"] for gap in told[0]["gaps"]} == {"n7"}
+        assert answers[0]["whole"] is False and {gap["front"] for gap in answers[0]["gaps"]} == {"n7"}
 
     run_scenario(scenario, tmp_path)
 
@@ -174,11 +174,11 @@
         before = peers.peer.recording.versions.boxes
         node.endpoint_watcher.apply_update(update)
         assert peers.peer.recording.versions.boxes != before
-        told: list[dict[str, Any]] = []
-        peers.questions.ask({"question": "acts", "deed": "drain"}, told.append)
-        await until(lambda: told)
-        heard = [row["outcome"] for row in told[0]["rows"] if row["front"] == "n2"]
-        assert heard == ["heard at s-1", "heard at s-1"]  # in the first event, and now
+        answers: list[dict[str, Any]] = []
+        peers.questions.ask({"question": "acts", "deed": "drain"}, answers.append)
+        await until(lambda: answers)
+        drain_outcomes = [row["outcome"] for row in answers[0]["rows"] if row["front"] == "n2"]
+        assert drain_outcomes == ["heard at s-1", "heard at s-1"]  # in the first event, and now
 
         port = node.dispatcher.sessions.observer
         assert isinstance(port, NodePort)
@@ -258,13 +258,13 @@
 
     def digest(offset_ms: float, *events: tuple[bool, list[dict[str, Any]]]) -> bytes:
         feed = EndpointFeed(("box",), offset_ms)
-        told = ListedServers(feed)
-        for n, (whole, lines) in enumerate(events, 1):
-            members = {"index": 40 + n, "snapshot": whole, "endpoints": lines}
+        listed = ListedServers(feed)
+        for n, (is_snapshot, lines) in enumerate(events, 1):
+            members = {"index": 40 + n, "snapshot": is_snapshot, "endpoints": lines}
             update = feed.apply_line(msgspec.json.encode({"n": n, "members": members}))
             assert update is not None
-            told.on_endpoint_list(update)
-        return boxes_digest(told.list_rows())
+            listed.on_endpoint_list(update)
+        return boxes_digest(listed.list_rows())
 
     a, b = line("a", 1.7e12), line("b", 0.0)
     one = digest(1.6e12, (True, [a, b]))  # this machine has been up longer than the server
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -126,7 +126,7 @@
             await second.listen()
             outside.configure(first.address)
             process.send_signal(signal.SIGHUP)
-            await until(lambda: first.asked == [1])
+            await until(lambda: first.subscriptions == [1])
             outside.configure(second.address)
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGHUP)  # twice in a row, directly before SIGTERM
@@ -136,8 +136,8 @@
             viewer.send(late, Message("ping", "0" * 15 + "1", cause=0))
             assert (await viewer.answer(late.id)).type == "release"
             await until(lambda: any((one.type, one.cause) == ("pong", 0) for one in viewer.messages))
-            await until(lambda: second.asked)
-            assert set(second.asked) == {1} and request.id not in outside.ends
+            await until(lambda: second.subscriptions)
+            assert set(second.subscriptions) == {1} and request.id not in outside.ends
             async with asyncio.timeout(20.0):
                 assert await process.wait() == 0
             assert not outside.faults
@@ -195,7 +195,7 @@
             await feed.listen()
             outside.configure(feed.address)
             await asyncio.to_thread(pipe.write_bytes, outside.file.read_bytes())
-            await until(lambda: feed.asked == [1])
+            await until(lambda: feed.subscriptions == [1])
             process.send_signal(signal.SIGTERM)
             async with asyncio.timeout(20.0):
                 assert await process.wait() == 0
@@ -218,9 +218,11 @@
             await outside.wait_for_log_event(process, "ready")
             extras = "home:0;copies:4;top:1;viewer:00000000b4d65521"
             viewer, server = await outside.viewer(), outside.servers["s-0"]
-            stands, half, on_open, on_new, left = (outside.setup(left="600", extras=extras) for _ in range(5))
-            viewer.send(stands)
-            assert (await viewer.answer(stands.id)).type == "answer"
+            established, half, on_open, on_new, left = (
+                outside.setup(left="600", extras=extras) for _ in range(5)
+            )
+            viewer.send(established)
+            assert (await viewer.answer(established.id)).type == "answer"
             late = await outside.viewer()
             late.write(encode_message(half)[:40])
             server.script = ["silent"] * 9
@@ -231,7 +233,7 @@
             process.send_signal(signal.SIGHUP)
             process.send_signal(signal.SIGTERM)
             late.write(encode_message(half)[40:])
-            viewer.send(on_open, Message("release", stands.id, cause=16))
+            viewer.send(on_open, Message("release", established.id, cause=16))
             newcomer, gone = await outside.viewer(), await outside.viewer()
             newcomer.send(on_new)
             gone.send(left)
@@ -244,7 +246,7 @@
                 assert (await connection.answer(request.id)).type == "release"
             await until(lambda: not server.writers)
             assert (
-                (stands.id, 16) in server.releases
+                (established.id, 16) in server.releases
                 and server.active_sessions == set()
                 and server.open_set_ups == {}
             )
