--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -294,8 +294,8 @@
 
 
 def _replacing(facts: _Facts, first: KeeperSet) -> replacing.Replacing:
-    holder = SimpleNamespace(change=lambda now, sets: None)
-    keeper = SimpleNamespace(change=lambda now, sets: True, settled=lambda now: True)
+    holder = SimpleNamespace(change_keepers=lambda now, sets: None)
+    keeper = SimpleNamespace(change_keepers=lambda now, sets: True, has_settled=lambda now: True)
     made: Any = replacing.Replacing
     return made("front-b", facts, holder, keeper, first)  # type: ignore[no-any-return]
 
