--- a/fernweir/front/peer_view.py
+++ b/fernweir/front/peer_view.py
@@ -12,7 +12,7 @@
 from fernweir.front.dispatcher import Dispatcher
 from fernweir.front.session_manager import SessionPhase, SessionRecord
 from fernweir.interface import EndpointListUpdate
-from fernweir.peers.port import AuditEvent, AuditRecord, Listener, Terms
+from fernweir.peers.port import AuditEvent, AuditRecord, FrontLimits, Listener
 
 
 class Boxes(Protocol):
@@ -56,15 +56,15 @@
     def has_session(self, session: str) -> bool:
         return self._core.sessions.session(session) is not None
 
-    def limits(self) -> Terms:
+    def limits(self) -> FrontLimits:
         settings = self._core.sessions.settings
         dearest = max((one.rate_multiplier for one in settings.classes), default=1.0)
         budget = settings.retry_budget
         rungs = tuple(rate * dearest for rate in settings.rung_rates_kbyte_s) or (0.0,)
         return (
-            Terms(rungs)
+            FrontLimits(rungs)
             if budget is None
-            else Terms(rungs, budget.window_ms, budget.min_retries, budget.retry_ratio)
+            else FrontLimits(rungs, budget.window_ms, budget.min_retries, budget.retry_ratio)
         )
 
     def block_new_sessions(self, why: str, wait_ms: float) -> None:
--- a/fernweir/peers/port.py
+++ b/fernweir/peers/port.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class FrontLimits:
     """Settings that peers need: kB/s of each rung in its most expensive class, and the retry budget."""
 
     rung_kbps: tuple[float, ...]
@@ -114,7 +114,7 @@
     def server_numbers(self) -> list[int]:
         """Returns the numbers of all servers in the endpoint list."""
 
-    def limits(self) -> Terms: ...
+    def limits(self) -> FrontLimits: ...
 
     def racks(self) -> list[tuple[str, frozenset[int], float]]:
         """Returns the name of each rack, its listed servers, and the capacity of its uplink in kB/s."""
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -32,7 +32,7 @@
 from fernweir.peers.members.rules import MemberRules
 from fernweir.peers.owning import OwningRules
 from fernweir.peers.peer import KINDS, Peer, PeerRules, Relived
-from fernweir.peers.port import AuditEvent, AuditRecord, ClaimResult, Listener, SessionStatus, Terms
+from fernweir.peers.port import AuditEvent, AuditRecord, ClaimResult, FrontLimits, Listener, SessionStatus
 from fernweir.peers.wire.codec import Codec
 from tests.fuzzing import Finding, Tape, Target
 from tests.fuzzing.shapes import drawn_of, info, message
@@ -124,8 +124,8 @@
             self.plays[standing.session] = standing
         return True
 
-    def limits(self) -> Terms:
-        return Terms((100.0, 200.0, 400.0))
+    def limits(self) -> FrontLimits:
+        return FrontLimits((100.0, 200.0, 400.0))
 
     def racks(self) -> list[tuple[str, frozenset[int], float]]:
         return [("rack", frozenset((1, 2, 3)), 1e6)]
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -54,7 +54,7 @@
 from fernweir.peers.members.messages import Nack, Record, State
 from fernweir.peers.members.table import MemberTable, part_of
 from fernweir.peers.peer import KINDS
-from fernweir.peers.port import AuditEvent, AuditRecord, SessionStatus, Terms
+from fernweir.peers.port import AuditEvent, AuditRecord, FrontLimits, SessionStatus
 from fernweir.peers.wire import keys
 from fernweir.peers.wire.codec import Codec
 from fernweir.peers.wire.conversation import Conversation
@@ -471,7 +471,7 @@
 
 def _weighed(order: Mapping[str, Any]) -> dict[str, Any]:
     port: Any = SimpleNamespace(
-        limits=lambda: Terms((100.0, 250.5), 10_000.0, 5.0, 0.1),
+        limits=lambda: FrontLimits((100.0, 250.5), 10_000.0, 5.0, 0.1),
         racks=lambda: [("rack-1", frozenset((0, 1)), 10_000.0)],
     )
     part = weighing.Weighing("front-a", LIFE, port, 0.0)
--- a/tests/test_node_peers.py
+++ b/tests/test_node_peers.py
@@ -28,7 +28,7 @@
 from fernweir.peers.lease.messages import Recall, Recalled
 from fernweir.peers.members.events import Me
 from fernweir.peers.peer import Peer
-from fernweir.peers.port import Listener, Port, Terms
+from fernweir.peers.port import FrontLimits, Listener, Port
 from fernweir.peers.program import Peers
 from fernweir.peers.settings import first_versions, peer_rules
 from tests.node_scene import MediaServer, ViewerConnection
@@ -290,8 +290,8 @@
     def server_numbers(self) -> list[int]:
         return []
 
-    def limits(self) -> Terms:
-        return Terms((1_000.0,))
+    def limits(self) -> FrontLimits:
+        return FrontLimits((1_000.0,))
 
     def racks(self) -> list[tuple[str, frozenset[int], float]]:
         return []
