--- a/tests/peers_mutants/__init__.py
+++ b/tests/peers_mutants/__init__.py
@@ -1,7 +1,7 @@
-"""Mistakes that somebody could make, put in on purpose: each must be found by the drawn tests of its part.
+"""Mutants: deliberate mistakes, each of which the randomized tests of its part must find.
 
-`Mutant` is a textual replacement in one file of the program. `broken(mutant)` loads the part's modules anew
-with the replacement made, so that tests run against the mistake without touching the files.
+`Mutant` is a textual replacement in one file of the program. `broken(mutant)` imports the part's modules
+again with the replacement, so that tests run against the mistake without a change to the files.
 """
 
 from __future__ import annotations
@@ -22,9 +22,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Mutant:
-    """`old` must stand exactly once in `file` (from the repository's root). `seeds` is how many may be tried.
+    """A replacement of `old`, which must occur exactly once in `file`, a path from the repository's root.
 
-    `faults` is the number of faults that must meet in one moment for the mistake to show.
+    `seeds` is the number of seeds that a test may try. `faults` is the number of faults that must coincide
+    for the mistake to show.
     """
 
     name: str
@@ -41,7 +42,9 @@
     def source(self) -> str:
         text = (_ROOT / self.file).read_text(encoding="utf-8")
         if text.count(self.old) != 1:
-            raise AssertionError(f"{self.name}: {text.count(self.old)} places in {self.file}, not one")
+            raise AssertionError(
+                f"{self.name}: {self.file} has the replaced text {text.count(self.old)} times, not once"
+            )
         return text.replace(self.old, self.new)
 
 
@@ -69,13 +72,13 @@
 
 
 @contextmanager
-def broken(mutant: Mutant, *anew: str) -> Iterator[None]:
-    """Inside, modules whose names begin with one of `anew` are imported afresh, one of them with the mistake.
+def broken(mutant: Mutant, *prefixes: str) -> Iterator[None]:
+    """Imports the modules whose names begin with one of `prefixes` again, one of them with the mistake.
 
-    The test must import them inside (`importlib.import_module`), and drop them when it leaves.
+    The test must import them inside the context (`importlib.import_module`), and drop them when it leaves.
     """
-    kept = {name: module for name, module in sys.modules.items() if name.startswith(anew)}
-    for name in kept:
+    saved = {name: module for name, module in sys.modules.items() if name.startswith(prefixes)}
+    for name in saved:
         del sys.modules[name]
     finder = _Finder(mutant)
     sys.meta_path.insert(0, finder)
@@ -84,10 +87,10 @@
         yield
     finally:
         sys.meta_path.remove(finder)
-        for name in [name for name in sys.modules if name.startswith(anew)]:
+        for name in [name for name in sys.modules if name.startswith(prefixes)]:
             del sys.modules[name]
-        sys.modules.update(kept)
-        for name, module in kept.items():  # a package has its modules as attributes, too
+        sys.modules.update(saved)
+        for name, module in saved.items():  # a package has its modules as attributes, too
             parent, _, child = name.rpartition(".")
             if parent in sys.modules:
                 setattr(sys.modules[parent], child, module)
--- a/tests/peers_mutants/lease.py
+++ b/tests/peers_mutants/lease.py
@@ -1,4 +1,4 @@
-"""Mistakes in leases."""
+"""Mutants of leases."""
 
 from __future__ import annotations
 
@@ -130,7 +130,7 @@
     ),
 ]
 
-# the scene of `test_peers_lease` that each is played in
+# the scene of `test_peers_lease` that must find each
 SCENE_OF = {
     "a lease counted from the answer": "scramble",
     "a renewal counted from the answer": "day",
--- a/tests/peers_mutants/members.py
+++ b/tests/peers_mutants/members.py
@@ -1,4 +1,4 @@
-"""Mistakes in membership, and the day of `test_peers_members` that is to find each."""
+"""Mutants of membership, and the scenario of `test_peers_members` that must find each."""
 
 from __future__ import annotations
 
--- a/tests/peers_mutants/rig.py
+++ b/tests/peers_mutants/rig.py
@@ -1,4 +1,4 @@
-"""Mistakes in the judge of ownership, in the six rules over owners, and in the relay's decisions."""
+"""Mutants of the audit's ownership check, of its six rules on owners, and of the relay's decisions."""
 
 from __future__ import annotations
 
--- a/tests/test_peers_members.py
+++ b/tests/test_peers_members.py
@@ -1,4 +1,4 @@
-"""Membership: faults caused on a simulated net from a seed, invariants after each step, mistakes put in."""
+"""Membership on a simulated network with random faults: invariants after each step, and mutants."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
     return type(event).__name__
 
 
-def ledger(front: Front) -> str:
-    """Whether the events told, folded, are what the machine now answers; the fault in words."""
+def event_mismatch(front: Front) -> str:
+    """Returns a difference between the reported events and the state of the machine, or an empty string."""
     lives: dict[str, int] = {}
     suspects: set[str] = set()
     for _, event in front.events:
@@ -45,7 +45,7 @@
             lives[name] = event.life
         elif what in ("Died", "Left"):
             if lives.pop(name, None) != event.life:
-                return f"{name} ended in a life not told at {front.name}"
+                return f"{name} ended in a life that was not reported at {front.name}"
             suspects.discard(name)
         elif what == "Suspected":
             if name not in lives or name in suspects:
@@ -55,16 +55,16 @@
             suspects.remove(name)
     machine = front.machine
     if sorted([*lives, front.name]) != machine.alive():
-        return f"{front.name} told of {sorted(lives)}, answers {machine.alive()}"
+        return f"{front.name} reported {sorted(lives)}, but returns {machine.alive()}"
     if any(machine.life(name) != life for name, life in lives.items()):
-        return f"{front.name} answers another life than it told"
+        return f"{front.name} returns another life than it reported"
     return ""
 
 
-def sees(net: Net) -> list[str]:
-    """Faults in the present view: each front up must see all that are up, in their life, at their place."""
+def view_faults(net: Net) -> list[str]:
+    """Returns faults of the current views: each front must see all running ones, with life and address."""
     up = [front for front in net.fronts if front.up and not front.stopped]
-    faults = [fault for front in up if (fault := ledger(front))]
+    faults = [fault for front in up if (fault := event_mismatch(front))]
     for front in up:
         if front.machine.alive() != sorted({other.name for other in up}):
             faults.append(f"{front.name} sees {front.machine.alive()} at {net.now:.0f}")
@@ -86,11 +86,11 @@
     )
 
 
-# --- drawn days: each returns the faults it saw ---
+# --- random scenarios; each returns the faults that it found ---
 
 
 def mess(seed: int, kit: Kit) -> list[str]:
-    """20% lost, some doubled, some up to 2 s late: none wrongly dead; who was killed may come back."""
+    """20% loss, some duplicates, delays up to 2 s: no false death, and a killed front may come back."""
     net = Net(seed, kit, Paths(loss=0.2, double=0.1, late=0.03))
     fleet = formed(net, 8)
     net.run(40_000.0)
@@ -100,18 +100,18 @@
     net.run(net.now + net.dice.choice([500.0, 20_000.0]))
     fleet[victim] = net.start(f"front-{victim}", victim, [fleet[0].address])
     net.run(net.now + 25_000.0)
-    return faults + ["declared dead after it came back"] * wrong_deaths(net) + sees(net)
+    return faults + ["declared dead after it came back"] * wrong_deaths(net) + view_faults(net)
 
 
 def killed(seed: int, kit: Kit) -> list[str]:
-    """On calm paths a death is known to all soon, in small fleets and larger ones."""
+    """Without faults of the network all fronts soon know a death, in small fleets and larger ones."""
     net = Net(seed, kit, Paths())
     known = time_to_know(net, formed(net, 12 if seed % 4 else 40), 30_000.0)
     return [f"all knew after {known[-1]:.0f} ms"] if known[-1] > 6_000.0 else []
 
 
 def cut_one_way(seed: int, kit: Kit) -> list[str]:
-    """A hears B, B does not hear A, beside 10% loss: helpers stand in, nobody is declared dead."""
+    """One direction is blocked, with 10% loss: helpers probe instead, and nobody is declared dead."""
     net = Net(seed, kit, Paths(loss=0.1))
     fleet = formed(net, 5)
     net.blocked = lambda front, to: front is fleet[1] and to == fleet[2].address
@@ -121,12 +121,12 @@
 
 
 def stood_still(seed: int, kit: Kit) -> list[str]:
-    """Stopped for long and woken: it declares nobody dead, and is seen again in the same life."""
+    """A front that was suspended declares nobody dead, and is seen again in the same life."""
     net = Net(seed, kit, Paths(loss=0.05))
     fleet = formed(net, 6)
     net.run(3_000.0 + net.dice.uniform(0.0, 1_500.0))
     sleeper = fleet[0]
-    if seed % 2:  # it is stopped with a suspicion of its own running: all others' words reach it late
+    if seed % 2:  # suspended with a suspicion of its own; all messages of others arrive late
         net.blocked = lambda front, to: to == sleeper.address or front is sleeper
         net.run(net.now + net.dice.uniform(1_500.0, 13_000.0))
     net.stop(sleeper)
@@ -136,11 +136,11 @@
     net.wake(sleeper, told=net.dice.random() < 0.5)
     net.run(net.now + 25_000.0)
     judged = [e for at, e in sleeper.events if kind(e) == "Died" and at >= woken]
-    return ["the woken one declared others dead"] * len(judged) + sees(net)
+    return ["the woken one declared others dead"] * len(judged) + view_faults(net)
 
 
 def two_of_a_name(seed: int, kit: Kit) -> list[str]:
-    """The lower life is told and gives way, nothing flaps, and it is back when the other has gone."""
+    """Of two fronts of a name the lower life yields without flapping; it is back after the other's end."""
     net = Net(seed, kit, Paths(loss=0.05))
     fleet = formed(net, 5)
     net.run(5_000.0)
@@ -152,10 +152,10 @@
     lower, higher = (first, second) if first.machine.displaced else (second, first)
     for front in (first, second):
         if "Clash" not in {kind(event) for _, event in front.events}:
-            faults.append("a clash not told")
+            faults.append("a clash was not reported")
     since = net.now
     dead = msgspec.structs.replace(higher.machine.table()[first.name].record, state=kit.messages.State.DEAD)
-    net.say("front-0", lower, kit.messages.Gossip((dead,)), 1_000.0)  # it died by hearsay only
+    net.say("front-0", lower, kit.messages.Gossip((dead,)), 1_000.0)  # only others declared it dead
     net.run(net.now + 40_000.0)
     others = [front for front in fleet if front is not first]
     faults += ["flaps"] * count(net, "Joined", first.name, since)
@@ -164,11 +164,11 @@
     )
     net.kill(higher)
     net.run(net.now + 30_000.0)
-    return faults + (["lower is not back"] if lower.machine.displaced else []) + sees(net)
+    return faults + (["lower is not back"] if lower.machine.displaced else []) + view_faults(net)
 
 
 def back(seed: int, kit: Kit) -> list[str]:
-    """Killed and back, maybe with its clock set back: a new life, which the old one's death leaves alone."""
+    """A restart, maybe with the clock set back, gets a new life, which the old one's death does not end."""
     net = Net(seed, kit, Paths(double=0.2))
     fleet = formed(net, 5)
     net.run(4_000.0)
@@ -184,19 +184,19 @@
             dead = msgspec.structs.replace(record, state=kit.messages.State.DEAD, accuser="front-0")
             net.say("front-0", front, kit.messages.Gossip((dead,)), late)
     net.run(net.now + 1_400.0)
-    faults = sees(net) if life > old.life else []
+    faults = view_faults(net) if life > old.life else []
     net.run(net.now + 25_000.0)
     now = fleet[number].machine.life(old.name)
     if now <= old.life or (life > old.life and now != life):
         faults.append(f"life {now} after {old.life}, started with {life}")
     if sum(kind(e) == "Died" and e.name == old.name for f in fleet for at, e in f.events if at >= began) > 4:
         faults.append("died more than once")
-    return faults + sees(net)
+    return faults + view_faults(net)
 
 
 def halves(seed: int, kit: Kit) -> list[str]:
-    """Cut in halves, or one off, until each side is dead to the other, then joined: all are found, and a side
-    is not killed by the hearsay of the other."""
+    """A partition lasts until each side declared the other dead. After it heals all fronts are found, and the
+    updates of one side do not kill fronts of the other."""
     net = Net(seed, kit, Paths(loss=0.05))
     fleet = formed(net, 8)
     net.run(2_000.0)
@@ -206,30 +206,30 @@
     net.blocked = lambda front, to: False
     joined = net.now
     net.run(net.now + 30_000.0)
-    faults = sees(net)
+    faults = view_faults(net)
     for front in fleet:
         for at, event in front.events:
             same_side = any(
                 f.name == event.name and (f.address in left) == (front.address in left) for f in fleet
             )
             if kind(event) == "Died" and same_side:
-                faults.append(f"{event.name} killed by hearsay at {at - joined:.0f}")
+                faults.append(f"{event.name} declared dead by updates alone at {at - joined:.0f}")
     return faults
 
 
 def alone(seed: int, kit: Kit) -> list[str]:
-    """Fronts start in any order, before their seed too, through loss."""
+    """Fronts start in any order, also before their seed, with loss."""
     net = Net(seed, kit, Paths(loss=0.2))
     seeds = [("127.0.0.1", 7000)]
     for number in net.dice.sample(range(6), 6):
         net.start(f"front-{number}", number, seeds)
         net.run(net.now + net.dice.uniform(0.0, 3_000.0))
     net.run(net.now + 20_000.0)
-    return sees(net)
+    return view_faults(net)
 
 
 def flooded(seed: int, kit: Kit) -> list[str]:
-    """A peer invents members without end: the table keeps its bound, the living stay, those go again."""
+    """A peer sends endless invented members: the table stays bounded and keeps the living members."""
     rules = kit.rules.MemberRules(max_members=40, forget_ms=4_000.0, tombstone_ms=4_000.0)
     net = Net(seed, kit, Paths(), rules)
     fleet = formed(net, 4)
@@ -253,11 +253,11 @@
         faults += ["table over its bound" for front in fleet if len(front.machine.table()) > 40]
     net.run(net.now + 240_000.0)
     faults += [f"{len(f.machine.table())} rows left" for f in fleet if len(f.machine.table()) > 4]
-    return faults + ["declared dead"] * wrong_deaths(net) + sees(net)
+    return faults + ["declared dead"] * wrong_deaths(net) + view_faults(net)
 
 
 def forgotten(seed: int, kit: Kit) -> list[str]:
-    """A dead member goes from the table after its time, and old news of it brings it back nowhere."""
+    """A dead member is removed from the table after its time, and old updates do not bring it back."""
     rules = kit.rules.MemberRules(forget_ms=5_000.0, tombstone_ms=30_000.0)
     net = Net(seed, kit, Paths(), rules)
     fleet = formed(net, 5)
@@ -272,11 +272,11 @@
         net.say("front-0", front, kit.messages.Gossip((record,)), net.dice.uniform(0.0, 2_000.0))
     joined = count(net, "Joined", "front-3")
     net.run(net.now + 5_000.0)
-    return faults + ["back from the dead"] * (count(net, "Joined", "front-3") - joined) + sees(net)
+    return faults + ["back from the dead"] * (count(net, "Joined", "front-3") - joined) + view_faults(net)
 
 
 def slow(seed: int, kit: Kit) -> list[str]:
-    """One front hears all 0.9 s late: it doubts itself, instead of accusing all others in turn."""
+    """One front receives everything 0.9 s late: it raises its health score and does not accuse the others."""
     net = Net(seed, kit, Paths())
     fleet = formed(net, 10)
     fleet[4].slow = 900.0
@@ -287,7 +287,7 @@
 
 
 def calm(seed: int, kit: Kit) -> list[str]:
-    """News dies out: when nothing happens a front sends little, whatever happened before; lives stay."""
+    """Gossip ends: without changes a front sends little, whatever happened before, and lives stay."""
     net = Net(seed, kit, Paths(double=0.1))
     fleet = formed(net, 8)
     lives = [front.life for front in fleet]
@@ -298,11 +298,11 @@
     rate = (sum(front.sent for front in fleet) - before) / 7 / 20.0
     faults = [f"{rate:.0f} B/s in calm"] if rate > 330.0 else []
     now = [front.machine.life(front.name) for front in fleet]
-    return faults + (["a life changed"] if now != lives else []) + sees(net)
+    return faults + (["a life changed"] if now != lives else []) + view_faults(net)
 
 
 def goodbye(seed: int, kit: Kit) -> list[str]:
-    """One leaves in order through loss: all say that it left, none that it died."""
+    """One front leaves in order, with loss: all report that it left, none that it died."""
     net = Net(seed, kit, Paths(loss=0.2, late=0.05))
     fleet = formed(net, 7)
     net.run(2_000.0)
@@ -312,11 +312,11 @@
     net.kill(fleet[5])
     net.run(net.now + 20_000.0)
     left = sum(kind(e) == "Left" and e.name == "front-5" for f in fleet for _, e in f.events)
-    return [f"{left} of 6 heard it leave"] * (left != 6) + ["died"] * count(net, "Died") + sees(net)
+    return [f"{left} of 6 heard it leave"] * (left != 6) + ["died"] * count(net, "Died") + view_faults(net)
 
 
 def rolled(seed: int, kit: Kit) -> list[str]:
-    """A release of all fronts, two at a time, to one that reads two formats: nobody dies by it."""
+    """A rolling upgrade, two fronts at a time, to a version with two formats causes no deaths."""
     net = Net(seed, kit, Paths(loss=0.1, double=0.1))
     fleet = formed(net, 10)
     seeds = [front.address for front in fleet[:3]]
@@ -330,11 +330,13 @@
         net.run(net.now + net.dice.uniform(100.0, 4_000.0))
     net.run(net.now + 10_000.0)
     known = {member.formats for front in fleet for member in front.machine.table().values()}
-    return ["died"] * count(net, "Died") + ([] if known == {(1, 2)} else [f"formats {known}"]) + sees(net)
+    return (
+        ["died"] * count(net, "Died") + ([] if known == {(1, 2)} else [f"formats {known}"]) + view_faults(net)
+    )
 
 
 def old_answer(seed: int, kit: Kit) -> list[str]:
-    """Answers to earlier probes, doubled and late, keep no dead front alive; those of strangers neither."""
+    """Duplicated, delayed or unrelated answers to earlier probes do not keep a dead front alive."""
     net = Net(seed, kit, Paths())
     fleet = formed(net, 3)
     net.run(2_000.0 + net.dice.uniform(0.0, 700.0))
@@ -345,7 +347,7 @@
             ack = kit.messages.Ack(net.dice.getrandbits(40), life)
             net.say("front-2", front, ack, step * 50.0)
     net.run(net.now + 9_000.0)
-    return sees(net)
+    return view_faults(net)
 
 
 DAYS: list[Callable[[int, Kit], list[str]]] = [
@@ -385,10 +387,10 @@
 
 
 class SlowQueue:
-    """All news in a list, sorted again at each selection."""
+    """A slow model of the queue: all updates in a list that is sorted at each selection."""
 
     def __init__(self) -> None:
-        self.news: list[tuple[int, int, Record]] = []  # passed on, when it came there, what
+        self.news: list[tuple[int, int, Record]] = []  # times sent, step of the last change, update
         self.step = 0
 
     def add(self, record: Record) -> None:
@@ -438,15 +440,15 @@
 
 @settings(max_examples=120, derandomize=True, deadline=None)
 @given(st.lists(records, max_size=40), st.randoms(use_true_random=False))
-def test_tables_that_heard_the_same_are_the_same(heard: list[Record], dice: Random) -> None:
+def test_tables_that_received_the_same_are_the_same(received: list[Record], dice: Random) -> None:
     best: dict[str, Record] = {}
-    for record in heard:
+    for record in received:
         if record.name not in best or best[record.name].key < record.key:
             best[record.name] = record
     tables = []
     for _ in range(2):
         table = MemberTable("me", 10)
-        for record in heard:
+        for record in received:
             known = table.record_of(record.name)
             if known is None or known.key < record.key:
                 table.put(0.0, record)
@@ -455,7 +457,7 @@
         }
         assert sorted(table.living) == sorted(name for name, record in best.items() if record.living)
         tables.append(table)
-        dice.shuffle(heard)
+        dice.shuffle(received)
     assert tables[0].differing_parts(tuple(tables[1].checksums)) == ()
     changed = Record("zoe", State.ALIVE, 1, 0, "h", 1)
     tables[1].put(0.0, changed)
@@ -464,8 +466,8 @@
 
 @settings(max_examples=60, derandomize=True, deadline=None)
 @given(st.integers(0, 10_000))
-def test_events_folded_are_the_view_under_anything_said(seed: int) -> None:
-    """One machine, told anything by anyone at any time: never a crash, a bound broken or a view not told."""
+def test_events_match_the_view_under_any_messages(seed: int) -> None:
+    """One machine gets any message at any time: no crash, no broken bound, no unreported change."""
     kit, dice = load(), Random(seed)
     m = kit.messages
     rules = kit.rules.MemberRules(max_members=12, forget_ms=3_000.0, tombstone_ms=3_000.0)
@@ -488,7 +490,7 @@
         now += dice.choice([0.0, 5.0, 150.0, 700.0, 5_000.0])
         news = tuple(record() for _ in range(dice.randrange(4)))
         seq = dice.choice([probes._seq, probes._seq - 1, 7])
-        said = dice.choice(
+        message = dice.choice(
             [
                 m.Ping(seq, dice.choice("ab"), record(), news),
                 m.Ack(seq, 3, news),
@@ -500,7 +502,7 @@
             ]
         )
         if dice.random() < 0.7:
-            front.machine.on_message(now, dice.choice(names), said)
+            front.machine.on_message(now, dice.choice(names), message)
         else:
             front.machine.tick(now)
         front.events += [
@@ -509,7 +511,7 @@
         due = front.machine.next_deadline()
         assert due is not None and due >= now
         assert len(front.machine.table()) <= 12
-        assert ledger(front) == ""
+        assert event_mismatch(front) == ""
         for name, member in front.machine.table().items():
             assert member.life >= lives.get(name, 0)
         lives = {name: member.life for name, member in front.machine.table().items()}
@@ -518,7 +520,7 @@
 def test_what_the_fields_do_not_allow_is_not_decoded() -> None:
     good = ["m.sync", ["a", 0, 1, 0, "h", 1, 1, 2, ""], []]
     assert msgspec.msgpack.decode(msgspec.msgpack.encode(good), type=Sync).sender_record.high == 2
-    spoilt = [
+    invalid = [
         (0, ""),
         (0, "x" * 65),
         (1, 4),
@@ -530,7 +532,7 @@
         (6, 3),
         (7, 0),
     ]
-    for place, value in spoilt:
+    for place, value in invalid:
         row: list[Any] = list(good[1])
         row[place] = value
         with pytest.raises(msgspec.ValidationError):
@@ -538,7 +540,7 @@
 
 
 def found(day: str, mutant: Mutant) -> int | None:
-    """The first seed at which the day sees the mistake; a crash is seen too."""
+    """Returns the first seed at which the scenario finds the mistake, also by a crash."""
     with broken(mutant, PART):
         kit = load()
         play = next(each for each in DAYS if each.__name__ == day)
