--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -44,7 +44,7 @@
 from fernweir.journal.events import EventKind
 from fernweir.journal.state_projection import StateProjection
 from fernweir.journal.store import Journal, JournalConfig
-from tests.helpers import BUDGET, COLD, SETTINGS, entry
+from tests.helpers import RETRY_BUDGET, SETTINGS, SLOW_START, entry
 from tests.sockets import until
 
 ALONE = replace(SETTINGS, may_check_health=False)
@@ -61,7 +61,7 @@
         limits = SessionLimits(reply_margin_ms=40.0, unclaimed_session_ttl_ms=500.0)
         self.host = SessionManager(settings, 7, limits, **more)  # type: ignore[arg-type]
         self.now, self.tickets, self.said = 1000.0, 0, []  # type: ignore[var-annotated]
-        entries = tuple(entry(number, cell=number % 4) for number in range(1, boxes + 1))
+        entries = tuple(entry(number, zone=number % 4) for number in range(1, boxes + 1))
         self.host.on_endpoint_list(self.now, EndpointListUpdate(EndpointListKind.FULL, 1, entries))
         self.step(0)
 
@@ -214,7 +214,7 @@
     desk.step()
     (setup,) = desk.of(SetUp)
     assert desk.host.is_attempt_wanted("a", 0)
-    drained = entry(setup.server, cell=1, state=ServerState.DRAINING)
+    drained = entry(setup.server, zone=1, state=ServerState.DRAINING)
     desk.host.on_endpoint_list(desk.now, EndpointListUpdate(EndpointListKind.DELTA, 2, (drained,)))
     assert not desk.host.is_attempt_wanted("a", 0)
     desk.done(setup, Result.NOT_SENT)
@@ -340,7 +340,7 @@
         self.journal.watchers.append(self.picture.apply)
         kinds = tuple(replace(kind, seats=seats) for kind in SETTINGS.classes)
         base = replace(SETTINGS, classes=kinds, may_check_health=probes, front_count=2, drain_grace_ms=0.0)
-        settings = replace(base, retry_budget=BUDGET, slow_start=COLD) if strict else base
+        settings = replace(base, retry_budget=RETRY_BUDGET, slow_start=SLOW_START) if strict else base
         # The module decides the same whether or not it is asked for its reasons.
         self.silent = Controller(settings, 7)
         self.desk = Desk(settings, boxes=4, journal=self.journal, batch_observer=self.decides_alike)
@@ -433,7 +433,7 @@
     @rule(server=st.integers(1, 4), state=st.sampled_from([ServerState.READY, ServerState.DRAINING]))
     def told(self, server: int, state: ServerState) -> None:
         (self.draining.add if state is ServerState.DRAINING else self.draining.discard)(server)
-        update = EndpointListUpdate(EndpointListKind.DELTA, 2, (entry(server, cell=server % 4, state=state),))
+        update = EndpointListUpdate(EndpointListKind.DELTA, 2, (entry(server, zone=server % 4, state=state),))
         self.desk.host.on_endpoint_list(self.desk.now, update)
 
     @rule(server=st.integers(1, 4))
--- a/tests/test_node_parts.py
+++ b/tests/test_node_parts.py
@@ -31,7 +31,7 @@
 from fernweir.node.logs import NodeLog
 from fernweir.wire import SettingsTable, parse_settings, read_settings
 from tests.helpers import SETTINGS, entry
-from tests.test_wire import TEXT
+from tests.test_wire import SETTINGS_TEXT
 
 ROOT = Path(__file__).parent.parent
 IDS = st.text("0123456789abcdef", min_size=16, max_size=16)
@@ -272,7 +272,9 @@
 
 
 def test_the_settings_read_alike_from_json_and_from_the_simulators_text() -> None:
-    assert read_settings(SettingsTable(flatten_settings(nested(TEXT)))) == parse_settings(TEXT.encode())
+    assert read_settings(SettingsTable(flatten_settings(nested(SETTINGS_TEXT)))) == parse_settings(
+        SETTINGS_TEXT.encode()
+    )
     assert flatten_settings({"a": [1, 2.5], "b": True, "c": None, "d": ["x y"]}) == {
         "a": "1,2.5",
         "b": "true",
@@ -313,7 +315,7 @@
         SETTINGS, 11, limits, lambda now, events, actions: seen.append((now, events, list(actions)))
     )
     host.on_endpoint_list(
-        0.0, EndpointListUpdate(EndpointListKind.CACHED, 1, tuple(entry(n, cell=n % 4) for n in range(1, 6)))
+        0.0, EndpointListUpdate(EndpointListKind.CACHED, 1, tuple(entry(n, zone=n % 4) for n in range(1, 6)))
     )
     out, now = host.step(0.0), 0.0
     for number in range(200):
