--- a/fernweir/appliance/unit.py
+++ b/fernweir/appliance/unit.py
@@ -263,7 +263,7 @@
             return False
         return bool(answer["version"] >= orders.version)
 
-    # --- control.desk.Hands ---
+    # --- control.desk.FrontControl ---
 
     def now(self) -> float:
         return self._now()
--- a/fernweir/control/desk.py
+++ b/fernweir/control/desk.py
@@ -19,7 +19,7 @@
 KIND = "fernweir orders"
 
 
-class Hands(Protocol):
+class FrontControl(Protocol):
     """What a desk can do at its front, and what it can see there."""
 
     def now(self) -> float:
@@ -77,7 +77,13 @@
     """See `channel.Desk`; of a front or of a unit. `file` keeps the orders; a led front keeps none."""
 
     def __init__(
-        self, name: str, journal: Journal, orders: Orders, hands: Hands, rules: DeskRules, file: Path | None
+        self,
+        name: str,
+        journal: Journal,
+        orders: Orders,
+        hands: FrontControl,
+        rules: DeskRules,
+        file: Path | None,
     ) -> None:
         self.name, self.journal, self.orders, self.rules = name, journal, orders, rules
         self.picture = StateProjection()
--- a/fernweir/front/operator_controls.py
+++ b/fernweir/front/operator_controls.py
@@ -14,7 +14,7 @@
 
 
 class Steering:
-    """See `control.desk.Hands`."""
+    """See `control.desk.FrontControl`."""
 
     def __init__(self, core: Dispatcher, boxes: BoxList, wall_offset_s: float) -> None:
         self._core, self._boxes = core, boxes
