--- a/fernweir/control/desk.py
+++ b/fernweir/control/desk.py
@@ -73,7 +73,7 @@
         raise StateFileError(f"{path}: {error}") from None
 
 
-class OrderDesk:
+class OrderService:
     """See `channel.Desk`; of a front or of a unit. `file` keeps the orders; a led front keeps none."""
 
     def __init__(
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -15,7 +15,7 @@
 from fernweir.config.front import ControlSection, FrontConfig, HttpSection, IntrospectionSection
 from fernweir.config.ini import ConfigError, Problem
 from fernweir.control.channel import Channel
-from fernweir.control.desk import DeskRules, OrderDesk, load_orders
+from fernweir.control.desk import DeskRules, OrderService, load_orders
 from fernweir.control.orders import OrderRules
 from fernweir.control.overlay import Overlay
 from fernweir.control.statefile import StateFileError
@@ -322,7 +322,7 @@
             self._folder = JournalFolder(config.path(section.journal), max_bytes=int(section.journal_disk))
         self.journal = Journal(config.front.name, rules, self._folder, wall_offset_ms=wall_offset_s * 1000.0)
         self.journal.on_fault = self._trouble
-        self.desk: OrderDesk | None = None
+        self.desk: OrderService | None = None
         self._host: SessionManager | None = None
         self._steering: Steering | None = None
         self._channel: Channel | None = None
@@ -338,7 +338,7 @@
         self._steering = Steering(core, boxes, self._offset)
         rules = DeskRules(tuple(section.operators), section.led)
         file = None if section.led else self._file
-        desk = self.desk = OrderDesk(
+        desk = self.desk = OrderService(
             self._config.front.name, self.journal, self.orders, self._steering, rules, file
         )
         self._channel = Channel(desk, self._config.path(section.socket), mode=section.mode)
