--- a/fernweir/appliance/unit.py
+++ b/fernweir/appliance/unit.py
@@ -19,7 +19,7 @@
 from fernweir.appliance.supervise import Child, Say, Start, State, SuperviseRules, Supervisor, Terminate
 from fernweir.control.channel import Channel
 from fernweir.control.client import ControlClient, ControlError
-from fernweir.control.desk import DeskRules, OrderService, load_orders
+from fernweir.control.desk import OrderService, OrderServiceSettings, load_orders
 from fernweir.control.orders import Orders, SiteNow
 from fernweir.control.statefile import StateFileError
 from fernweir.journal.disk import JournalFolder
@@ -106,7 +106,7 @@
             self.log.warning("journal is not whole", why=note)
         self.merger = Merger(self.journal)
         self.merger.recover()
-        rules = DeskRules(tuple(self.config.unit.operators))
+        rules = OrderServiceSettings(tuple(self.config.unit.operators))
         self.desk = OrderService(self.config.unit.name, self.journal, orders, self, rules, self.layout.orders)
         for entry in self.journal.entries(self.journal.first):
             self.desk.picture.apply(entry)
--- a/fernweir/control/desk.py
+++ b/fernweir/control/desk.py
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DeskRules:
+class OrderServiceSettings:
     """`operators` may act; none named: all who can open the socket. `led`: a unit gives the orders."""
 
     operators: Sequence[str] = ()
@@ -82,7 +82,7 @@
         journal: Journal,
         orders: Orders,
         hands: FrontControl,
-        rules: DeskRules,
+        rules: OrderServiceSettings,
         file: Path | None,
     ) -> None:
         self.name, self.journal, self.orders, self.rules = name, journal, orders, rules
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -15,7 +15,7 @@
 from fernweir.config.front import ControlSection, FrontConfig, HttpSection, IntrospectionSection
 from fernweir.config.ini import ConfigError, Problem
 from fernweir.control.channel import Channel
-from fernweir.control.desk import DeskRules, OrderService, load_orders
+from fernweir.control.desk import OrderService, OrderServiceSettings, load_orders
 from fernweir.control.orders import OrderRules
 from fernweir.control.overlay import Overlay
 from fernweir.control.statefile import StateFileError
@@ -336,7 +336,7 @@
     async def start(self, core: Dispatcher, boxes: BoxList) -> None:
         section, self._host = self._section, core.sessions
         self._steering = Steering(core, boxes, self._offset)
-        rules = DeskRules(tuple(section.operators), section.led)
+        rules = OrderServiceSettings(tuple(section.operators), section.led)
         file = None if section.led else self._file
         desk = self.desk = OrderService(
             self._config.front.name, self.journal, self.orders, self._steering, rules, file
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -29,7 +29,7 @@
 from fernweir.control import messages as control
 from fernweir.control import orders as operators
 from fernweir.control.channel import Channel, snapshot_lines
-from fernweir.control.desk import KIND, DeskRules, OrderService, load_orders
+from fernweir.control.desk import KIND, OrderService, OrderServiceSettings, load_orders
 from fernweir.control.follow import Follower
 from fernweir.control.statefile import write_state
 from fernweir.dash.build import Title, build_mpd
@@ -512,7 +512,9 @@
     async def main() -> list[str]:
         journal = Journal("front-1", wall_offset_ms=NOW_S * 1000.0)
         journal.id = "0123456789abcdef"
-        desk = OrderService("front-1", journal, operators.Orders(), FixedSite(), DeskRules(["ann"]), None)
+        desk = OrderService(
+            "front-1", journal, operators.Orders(), FixedSite(), OrderServiceSettings(["ann"]), None
+        )
         desk.start()
         started = {"title": "l1", "cls": "film", "tenant": "t1", "server": 1, "attempt": 0, "rung": 2}
         journal.add(10.0, EventKind.BOX, server=1, why="ready", more={"start": "7"})
--- a/tests/test_peers_acts.py
+++ b/tests/test_peers_acts.py
@@ -19,7 +19,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fernweir.control.desk import DeskRules, OrderService
+from fernweir.control.desk import OrderService, OrderServiceSettings
 from fernweir.control.messages import AnyAsk
 from fernweir.control.orders import Orders
 from fernweir.journal.store import Journal
@@ -1124,7 +1124,7 @@
 
 
 def test_an_operator_asks_the_fleet_and_is_told_if_peers_are_off() -> None:
-    desk = OrderService("f0", Journal(), Orders(), _Hands(), DeskRules(), None)  # type: ignore[arg-type]
+    desk = OrderService("f0", Journal(), Orders(), _Hands(), OrderServiceSettings(), None)  # type: ignore[arg-type]
     said: list[dict[str, Any]] = []
 
     def ask(question: dict[str, Any]) -> dict[str, Any]:
