--- a/fernweir/control/desk.py
+++ b/fernweir/control/desk.py
@@ -47,7 +47,7 @@
     def call_at(self, due: float, do: Callable[[], None]) -> None: ...
 
 
-class FleetDesk(Protocol):
+class FleetQueries(Protocol):
     """Who answers for all fronts together."""
 
     def ask(self, question: Mapping[str, Any], then: Callable[[dict[str, Any]], None]) -> None:
@@ -88,7 +88,7 @@
         self.name, self.journal, self.orders, self.rules = name, journal, orders, rules
         self.picture = StateProjection()
         journal.watchers.append(self.picture.apply)
-        self.fleet: FleetDesk | None = None  # a front without peers has none
+        self.fleet: FleetQueries | None = None  # a front without peers has none
         self._hands, self._file = hands, file
 
     def may_act(self, operator: str, uid: int) -> bool:
--- a/fernweir/peers/acts/desk.py
+++ b/fernweir/peers/acts/desk.py
@@ -17,7 +17,7 @@
 
 
 class FleetQuestions:
-    """Fits `control.desk.FleetDesk`. `put` asks; the answer, or why there is none, is told once."""
+    """Fits `control.desk.FleetQueries`. `put` asks; the answer, or why there is none, is told once."""
 
     def __init__(self, put: Callable[[plan.Question, Then], None]) -> None:
         self._put = put
--- a/fernweir/peers/program.py
+++ b/fernweir/peers/program.py
@@ -259,7 +259,7 @@
 
 
 class _Desk:
-    """What operators ask on the control socket (`control.desk.FleetDesk`): of acts, or of an order."""
+    """What operators ask on the control socket (`control.desk.FleetQueries`): of acts, or of an order."""
 
     def __init__(self, peers: Peers) -> None:
         self._peers = peers
