--- a/fernweir/control/answers.py
+++ b/fernweir/control/answers.py
@@ -6,7 +6,7 @@
 from itertools import islice
 from typing import Any
 
-from fernweir.control.messages import Boxes, Events, Sessions, Why
+from fernweir.control.messages import ExplainSession, ListServers, ListSessions, SearchEvents
 from fernweir.journal.events import to_row
 from fernweir.journal.segment import Query
 from fernweir.journal.state_projection import SessionRow, StateProjection
@@ -15,7 +15,7 @@
 _FIELDS = ("what", "box", "lesson", "tenant", "cls", "why", "front")
 
 
-def sessions(picture: StateProjection, ask: Sessions) -> dict[str, Any]:
+def sessions(picture: StateProjection, ask: ListSessions) -> dict[str, Any]:
     """One page; `next` is there if more follow."""
     keys = sorted(picture.sessions)
     rows: list[dict[str, Any]] = []
@@ -29,7 +29,7 @@
     return {"rows": rows}
 
 
-def _wanted(row: SessionRow, ask: Sessions) -> bool:
+def _wanted(row: SessionRow, ask: ListSessions) -> bool:
     return (
         (ask.box is None or row.server == ask.box)
         and (ask.lesson is None or row.title == ask.lesson)
@@ -38,7 +38,7 @@
     )
 
 
-def boxes(picture: StateProjection, ask: Boxes, gauges: dict[str, Any]) -> dict[str, Any]:
+def boxes(picture: StateProjection, ask: ListServers, gauges: dict[str, Any]) -> dict[str, Any]:
     numbers = sorted(number for number in picture.servers if number > ask.after)
     rows = []
     for number in numbers[: ask.limit]:
@@ -49,13 +49,13 @@
     return {"rows": rows, **more}
 
 
-def why(journal: Journal, ask: Why) -> dict[str, Any]:
+def why(journal: Journal, ask: ExplainSession) -> dict[str, Any]:
     """A session's entries, oldest first; of a very long life the newest."""
     found, _ = journal.search(Query(session=ask.session), ask.limit)
     return {"rows": [to_row(one) for one in reversed(found)]}
 
 
-def events(journal: Journal, ask: Events) -> dict[str, Any]:
+def events(journal: Journal, ask: SearchEvents) -> dict[str, Any]:
     equal = {name: getattr(ask, name) for name in _FIELDS if getattr(ask, name) is not None}
     question = Query(ask.session, equal, ask.since, ask.until)
     found, following = journal.search(question, ask.limit, ask.before)
--- a/fernweir/control/channel.py
+++ b/fernweir/control/channel.py
@@ -18,7 +18,15 @@
 import orjson
 from pydantic import ValidationError
 
-from fernweir.control.messages import LINE_BYTES, VERSION, AnyAsk, Ask, Hello, Plain, Watch
+from fernweir.control.messages import (
+    LINE_BYTES,
+    VERSION,
+    Hello,
+    Request,
+    RequestEnvelope,
+    SimpleRequest,
+    WatchEntries,
+)
 from fernweir.journal.events import Entry, to_row
 from fernweir.journal.state_projection import StateProjection
 from fernweir.journal.store import Journal
@@ -39,7 +47,7 @@
     journal: Journal
 
     def may_act(self, operator: str, uid: int) -> bool: ...
-    def handle(self, operator: str, may_act: bool, ask: Ask, reply: Reply) -> None: ...
+    def handle(self, operator: str, may_act: bool, ask: Request, reply: Reply) -> None: ...
     def gauges(self) -> dict[str, Any]: ...
 
 
@@ -207,11 +215,13 @@
             self._greet(line)
             return
         try:
-            ask = AnyAsk.model_validate({"ask": orjson.loads(line)}).ask
+            ask = RequestEnvelope.model_validate({"ask": orjson.loads(line)}).ask
         except (ValidationError, ValueError) as error:
             self._bad(line, error)
             return
-        if isinstance(ask, Watch) or (isinstance(ask, Plain) and ask.do in ("unwatch", "snapshot")):
+        if isinstance(ask, WatchEntries) or (
+            isinstance(ask, SimpleRequest) and ask.do in ("unwatch", "snapshot")
+        ):
             self._watch(ask)
             return
         id = ask.id
@@ -249,14 +259,14 @@
         self.write(_line({"id": id, "ok": False, "error": text}))
         self.close()
 
-    def _watch(self, ask: Plain | Watch) -> None:
+    def _watch(self, ask: SimpleRequest | WatchEntries) -> None:
         self.write(_line({"id": ask.id, "ok": True}))
         if ask.do == "unwatch":
             self.watching = False
             self.pending.clear()
             return
         journal = self.channel.desk.journal
-        if isinstance(ask, Watch):
+        if isinstance(ask, WatchEntries):
             self.watching = True
             known = ask.journal == journal.id and journal.first <= ask.since + 1 <= journal.last + 1
             if known and journal.last - ask.since <= _MOST_PENDING:
--- a/fernweir/control/desk.py
+++ b/fernweir/control/desk.py
@@ -9,7 +9,18 @@
 
 from fernweir.control import answers
 from fernweir.control.channel import Reply
-from fernweir.control.messages import Ask, AskFleet, Boxes, Change, Events, Led, Plain, Retry, Sessions, Why
+from fernweir.control.messages import (
+    ChangeOrders,
+    ExplainSession,
+    ListServers,
+    ListSessions,
+    QueryFleet,
+    ReplaceOrders,
+    Request,
+    RetryProcess,
+    SearchEvents,
+    SimpleRequest,
+)
 from fernweir.control.orders import Command, Do, Orders, OrdersError, Outcome, Result, SiteNow
 from fernweir.control.statefile import StateFileError, read_state, write_state
 from fernweir.journal.events import EventKind
@@ -97,37 +108,37 @@
     def gauges(self) -> dict[str, Any]:
         return self._hands.gauges()
 
-    def handle(self, operator: str, may_act: bool, ask: Ask, reply: Reply) -> None:
-        if isinstance(ask, Change):
+    def handle(self, operator: str, may_act: bool, ask: Request, reply: Reply) -> None:
+        if isinstance(ask, ChangeOrders):
             self._change(operator, may_act, ask, reply)
-        elif isinstance(ask, Retry):
+        elif isinstance(ask, RetryProcess):
             if not may_act:
                 reply({"ok": False, "error": f"operator {operator} may look, not act"})
             else:
                 done = self._hands.retry(ask.target)
                 reply({"outcome": "done" if done else "refused"})
-        elif isinstance(ask, Led):
+        elif isinstance(ask, ReplaceOrders):
             self._be_led(may_act, ask, reply)
-        elif isinstance(ask, AskFleet):
+        elif isinstance(ask, QueryFleet):
             if self.fleet is None:
                 reply(
                     {"ok": False, "error": "peers are off here: only this front's own journal can be asked"}
                 )
             else:
                 self.fleet.ask(ask.question, reply)
-        elif isinstance(ask, Plain) and ask.do == "site":
+        elif isinstance(ask, SimpleRequest) and ask.do == "site":
             self._hands.site(lambda site: reply({"site": site.to_plain()}))
         else:
             reply(self._question(ask))
 
-    def _question(self, ask: Ask) -> dict[str, Any]:
-        if isinstance(ask, Sessions):
+    def _question(self, ask: Request) -> dict[str, Any]:
+        if isinstance(ask, ListSessions):
             return answers.sessions(self.picture, ask)
-        if isinstance(ask, Boxes):
+        if isinstance(ask, ListServers):
             return answers.boxes(self.picture, ask, self.gauges())
-        if isinstance(ask, Why):
+        if isinstance(ask, ExplainSession):
             return answers.why(self.journal, ask)
-        if isinstance(ask, Events):
+        if isinstance(ask, SearchEvents):
             return answers.events(self.journal, ask)
         if ask.do == "limits":
             return {"limits": dict(self._hands.limits())}
@@ -139,7 +150,7 @@
 
     # --- commands ---
 
-    def _change(self, operator: str, may_act: bool, ask: Change, reply: Reply) -> None:
+    def _change(self, operator: str, may_act: bool, ask: ChangeOrders, reply: Reply) -> None:
         if not may_act:
             reply({"ok": False, "error": f"operator {operator} may look, not act"})
             return
@@ -223,7 +234,7 @@
 
     # --- led by a unit ---
 
-    def _be_led(self, may_act: bool, ask: Led, reply: Reply) -> None:
+    def _be_led(self, may_act: bool, ask: ReplaceOrders, reply: Reply) -> None:
         if not (self.rules.led and may_act):
             reply({"ok": False, "error": "this front is not led by a unit"})
             return
--- a/fernweir/control/messages.py
+++ b/fernweir/control/messages.py
@@ -26,7 +26,7 @@
     operator: Annotated[str, Field(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9][A-Za-z0-9._@-]*$")]
 
 
-class Sessions(_Message):
+class ListSessions(_Message):
     """Sessions that are not over, in the order of `front/session`, from behind `after` on."""
 
     id: Id
@@ -39,14 +39,14 @@
     limit: Annotated[int, Field(ge=1, le=500)] = 100
 
 
-class Boxes(_Message):
+class ListServers(_Message):
     id: Id
     do: Literal["boxes"]
     after: int = -1
     limit: Annotated[int, Field(ge=1, le=500)] = 200
 
 
-class Why(_Message):
+class ExplainSession(_Message):
     """All that the journal has on one session, oldest first."""
 
     id: Id
@@ -55,7 +55,7 @@
     limit: Annotated[int, Field(ge=1, le=500)] = 200
 
 
-class Events(_Message):
+class SearchEvents(_Message):
     """The newest entries for which all that is given holds; `next` in the answer is `before` of the next
     page, which may come before a page is full, or be empty."""
 
@@ -75,7 +75,7 @@
     limit: Annotated[int, Field(ge=1, le=500)] = 100
 
 
-class Plain(_Message):
+class SimpleRequest(_Message):
     """`overview`: counts by kind, refusals by reason, fronts, orders. `limits`: what is in force. `site`:
     what the rules of orders look at. `unit`: the processes of a unit."""
 
@@ -83,7 +83,7 @@
     do: Literal["overview", "limits", "unwatch", "snapshot", "gauges", "site", "unit"]
 
 
-class Watch(_Message):
+class WatchEntries(_Message):
     """Entries from now on. With `since` and `journal`, those after it if they are still here, else a
     snapshot first."""
 
@@ -93,7 +93,7 @@
     journal: Word = ""
 
 
-class Change(_Message):
+class ChangeOrders(_Message):
     """A command of an operator, see `orders`."""
 
     id: Id
@@ -104,7 +104,7 @@
     mark: Word = ""
 
 
-class Retry(_Message):
+class RetryProcess(_Message):
     """A process of the unit that was given up, or that pauses, is to be started now."""
 
     id: Id
@@ -112,7 +112,7 @@
     target: Annotated[str, Field(min_length=1, max_length=100)]
 
 
-class Led(_Message):
+class ReplaceOrders(_Message):
     """From the unit to a front of its own: the orders that stand, as a whole."""
 
     id: Id
@@ -120,7 +120,7 @@
     orders: dict[str, Any]
 
 
-class AskFleet(_Message):
+class QueryFleet(_Message):
     """A question over the acts of all fronts, see `docs/protocols.md`."""
 
     id: Id
@@ -128,10 +128,21 @@
     question: dict[str, Any]
 
 
-Ask = Sessions | Boxes | Why | Events | Plain | Watch | Change | Retry | Led | AskFleet
+Request = (
+    ListSessions
+    | ListServers
+    | ExplainSession
+    | SearchEvents
+    | SimpleRequest
+    | WatchEntries
+    | ChangeOrders
+    | RetryProcess
+    | ReplaceOrders
+    | QueryFleet
+)
 
 
-class AnyAsk(BaseModel):
+class RequestEnvelope(BaseModel):
     model_config = ConfigDict(strict=True)
 
-    ask: Annotated[Ask, Field(discriminator="do")]
+    ask: Annotated[Request, Field(discriminator="do")]
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -114,16 +114,16 @@
     "order": operators.Order,
     # The control socket.
     "control-hello": control.Hello,
-    "control-sessions": control.Sessions,
-    "control-servers": control.Boxes,
-    "control-why": control.Why,
-    "control-events": control.Events,
-    "control-plain": control.Plain,
-    "control-watch": control.Watch,
-    "control-change": control.Change,
-    "control-retry": control.Retry,
-    "control-orders": control.Led,
-    "control-ask-fleet": control.AskFleet,
+    "control-sessions": control.ListSessions,
+    "control-servers": control.ListServers,
+    "control-why": control.ExplainSession,
+    "control-events": control.SearchEvents,
+    "control-plain": control.SimpleRequest,
+    "control-watch": control.WatchEntries,
+    "control-change": control.ChangeOrders,
+    "control-retry": control.RetryProcess,
+    "control-orders": control.ReplaceOrders,
+    "control-ask-fleet": control.QueryFleet,
     # The server list.
     "list-document": boxlist.ListDocument,
     "list-server": boxlist.BoxLine,
@@ -545,7 +545,7 @@
 
 def read_control_message(data: bytes) -> Any:
     """A client's line after its greeting."""
-    return control.AnyAsk.model_validate({"ask": orjson.loads(data)}).ask
+    return control.RequestEnvelope.model_validate({"ask": orjson.loads(data)}).ask
 
 
 def write_model(value: BaseModel) -> bytes:
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -25,7 +25,7 @@
 from fernweir import interface, wire
 from fernweir.audit.records import AnyRecord
 from fernweir.config.ini import Section
-from fernweir.control.messages import Ask
+from fernweir.control.messages import Request
 from fernweir.controller import Controller
 from fernweir.front import stored_types
 from fernweir.front.record import Recorder, read_record, replay
@@ -131,7 +131,7 @@
 IN_MEMORY_MODELS = {
     "fernweir.audit.records.Record": "what all records of a trace share",
     "fernweir.config.ini.Section": "what all sections of settings share",
-    "fernweir.control.messages.AnyAsk": "reads one of the messages",
+    "fernweir.control.messages.RequestEnvelope": "reads one of the messages",
     "fernweir.control.messages._Message": "what all messages share",
     "fernweir.front.boxlist._Strict": "what all parts of a list document share",
     "fernweir.tokens.claims.Claims": "what all tokens share",
@@ -218,7 +218,7 @@
     values = {kind: [one["value"] for one in SAMPLES.values() if one["format"] == kind] for kind in FORMATS}
     asked = [json.loads(bytes.fromhex(one["bytes"])) for one in SAMPLES.values()
              if one["format"] == "control-message"]  # fmt: skip
-    words = {word for kind in get_args(Ask) for word in get_args(kind.model_fields["do"].annotation)}
+    words = {word for kind in get_args(Request) for word in get_args(kind.model_fields["do"].annotation)}
     assert {one["do"] for one in asked} == words
     kinds = {get_args(kind.model_fields["kind"].annotation)[0] for kind in get_args(get_args(AnyRecord)[0])}
     traced = {json.loads(bytes.fromhex(one["bytes"]))["kind"] for one in SAMPLES.values()
--- a/tests/test_peers_acts.py
+++ b/tests/test_peers_acts.py
@@ -20,7 +20,7 @@
 from hypothesis import strategies as st
 
 from fernweir.control.desk import OrderService, OrderServiceSettings
-from fernweir.control.messages import AnyAsk
+from fernweir.control.messages import RequestEnvelope
 from fernweir.control.orders import Orders
 from fernweir.journal.store import Journal
 from fernweir.peers.acts.desk import FleetQuestions, to_plain
@@ -1129,7 +1129,7 @@
 
     def ask(question: dict[str, Any]) -> dict[str, Any]:
         line = {"id": "1", "do": "ask-fleet", "question": question}
-        desk.handle("ann", False, AnyAsk.model_validate({"ask": line}).ask, said.append)
+        desk.handle("ann", False, RequestEnvelope.model_validate({"ask": line}).ask, said.append)
         if desk.fleet is not None:
             world.quiet = True
             world.run(900 if not said else 0)
