--- a/bench/golden_state_samples.py
+++ b/bench/golden_state_samples.py
@@ -22,7 +22,7 @@
 from fernweir.appliance.backup import back_up
 from fernweir.audit.records import AnyRecord
 from fernweir.control.desk import KIND
-from fernweir.control.orders import Command, Do, OrderRules, Orders, SiteNow
+from fernweir.control.orders import Command, Do, OrderRules, Orders, SiteSnapshot
 from fernweir.dash.build import Title, build_mpd
 from fernweir.http.client import Outcome
 from fernweir.http.sse import encode_event
@@ -213,7 +213,7 @@
     """Orders with every table filled: one drain waits for its turn."""
     orders = Orders(OrderRules(pace_ms=2_000.0, burst=1))
     known = frozenset((1, 2, 3))
-    site = SiteNow(known, known, {"l1": [1, 2, 3]}, {}, {}, dict.fromkeys(known, 100.0), frozenset())
+    site = SiteSnapshot(known, known, {"l1": [1, 2, 3]}, {}, {}, dict.fromkeys(known, 100.0), frozenset())
     commands = [
         Command("c1", "ann", Do.DRAIN, "1", "repair"),
         Command("c2", "bob", Do.DRAIN, "2"),
--- a/fernweir/appliance/unit.py
+++ b/fernweir/appliance/unit.py
@@ -20,7 +20,7 @@
 from fernweir.control.channel import Channel
 from fernweir.control.client import ControlClient, ControlError
 from fernweir.control.desk import OrderService, OrderServiceSettings, load_orders
-from fernweir.control.orders import Orders, SiteNow
+from fernweir.control.orders import Orders, SiteSnapshot
 from fernweir.control.statefile import StateFileError
 from fernweir.journal.disk import JournalFolder
 from fernweir.journal.store import Journal, JournalConfig
@@ -271,11 +271,11 @@
     def wall(self) -> int:
         return int(self._now() + self.offset_ms)
 
-    def site(self, then: Callable[[SiteNow], None]) -> None:
+    def site(self, then: Callable[[SiteSnapshot], None]) -> None:
         async def gather() -> None:
             answers = await asyncio.gather(*(self._ask(name, "site") for name in self._alive()))
             plains = [answer["site"] for answer in answers if answer is not None]
-            then(SiteNow.together(plains, frozenset(self.desk.picture.servers)))
+            then(SiteSnapshot.together(plains, frozenset(self.desk.picture.servers)))
 
         self._spawn(gather())
 
--- a/fernweir/control/desk.py
+++ b/fernweir/control/desk.py
@@ -21,7 +21,7 @@
     SearchEvents,
     SimpleRequest,
 )
-from fernweir.control.orders import Command, Do, Orders, OrdersError, Outcome, Result, SiteNow
+from fernweir.control.orders import Command, Do, Orders, OrdersError, Outcome, Result, SiteSnapshot
 from fernweir.control.statefile import StateFileError, read_state, write_state
 from fernweir.journal.events import EventKind
 from fernweir.journal.state_projection import StateProjection
@@ -39,7 +39,7 @@
     def wall(self) -> int:
         """Wall time in ms."""
 
-    def site(self, then: Callable[[SiteNow], None]) -> None:
+    def site(self, then: Callable[[SiteSnapshot], None]) -> None:
         """Calls `then` with what can be seen, now or soon."""
 
     def orders_changed(self, orders: Orders, then: Callable[[list[str]], None]) -> None:
@@ -160,7 +160,7 @@
         command = Command(ask.id, operator, Do(ask.do), ask.target, ask.reason, ask.most, ask.mark)
         self._hands.site(lambda site: self._decide(command, site, reply))
 
-    def _decide(self, command: Command, site: SiteNow, reply: Reply) -> None:
+    def _decide(self, command: Command, site: SiteSnapshot, reply: Reply) -> None:
         before = self.orders.to_plain()
         again = command.id in self.orders.answered
         result = self.orders.take(self._hands.now(), self._hands.wall(), command, site)
--- a/fernweir/control/orders.py
+++ b/fernweir/control/orders.py
@@ -85,7 +85,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SiteNow:
+class SiteSnapshot:
     """What the rules look at, as of now. Rates are kB/s; `carried_kb` is what a box was last told to be
     asked for, by all fronts; `own_kb` what this front's sessions ask of it."""
 
@@ -112,7 +112,7 @@
         }
 
     @classmethod
-    def together(cls, plains: Sequence[Mapping[str, Any]], known: frozenset[int]) -> SiteNow:
+    def together(cls, plains: Sequence[Mapping[str, Any]], known: frozenset[int]) -> SiteSnapshot:
         """What several fronts see, as one: each hears of all sessions' loads, but holds only its own."""
         if not plains:
             return cls(known, known, {}, {}, {}, {}, frozenset(), blind=True)
@@ -186,7 +186,7 @@
 
     # --- commands ---
 
-    def take(self, now: float, wall: int, command: Command, site: SiteNow) -> Result:
+    def take(self, now: float, wall: int, command: Command, site: SiteSnapshot) -> Result:
         """Decides, and changes what stands. For an id that was answered nothing is done again."""
         known = self.answered.get(command.id)
         if known is not None:
@@ -301,7 +301,7 @@
 
     # --- decisions ---
 
-    def _decide(self, now: float, wall: int, command: Command, site: SiteNow) -> Result:
+    def _decide(self, now: float, wall: int, command: Command, site: SiteSnapshot) -> Result:
         order = Order(command.by, wall, command.reason, command.most)
         if command.do is Do.DRAIN:
             return self._drain(now, command, order, site)
@@ -327,7 +327,7 @@
             return Result(Outcome.REFUSED, f"no lesson {command.target} is listed")
         return self._put(command, table, key, order if add else None)
 
-    def _drain(self, now: float, command: Command, order: Order, site: SiteNow) -> Result:
+    def _drain(self, now: float, command: Command, order: Order, site: SiteSnapshot) -> Result:
         box = command.target
         if not box.isdecimal() or (int(box) not in site.known and box not in self.drains):
             return Result(Outcome.REFUSED, f"no box {box} is listed")
@@ -355,7 +355,7 @@
         self.version += 1
         return Result(Outcome.DONE, f"box {box} drains: {site.playing.get(int(box), 0)} sessions play on")
 
-    def _cost(self, box: int, site: SiteNow) -> dict[str, Any]:
+    def _cost(self, box: int, site: SiteSnapshot) -> dict[str, Any]:
         """What a drain would cost with all others that stand or wait; empty if viewers lose nothing."""
         gone = {int(one) for one in (*self.drains, *self.waiting)} | {box}
         if box not in site.ready:
--- a/fernweir/front/operator_controls.py
+++ b/fernweir/front/operator_controls.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from fernweir.control.orders import Orders, SiteNow
+from fernweir.control.orders import Orders, SiteSnapshot
 from fernweir.front.boxlist import BoxList
 from fernweir.front.dispatcher import Dispatcher
 from fernweir.front.session_manager import SessionPhase
@@ -31,7 +31,7 @@
     def wall(self) -> int:
         return int(self._core.now() + self._wall_offset_ms)
 
-    def site(self, then: Callable[[SiteNow], None]) -> None:
+    def site(self, then: Callable[[SiteSnapshot], None]) -> None:
         then(self._site())
 
     def retry(self, name: str) -> bool:
@@ -40,13 +40,13 @@
     def unit(self) -> Mapping[str, Any]:
         return {}
 
-    def _site(self) -> SiteNow:
+    def _site(self) -> SiteSnapshot:
         """Of the list as it stands; loads are what the module takes them for."""
         host, controller, now = self._core.sessions, self._core.sessions.controller, self.now()
         listed = host.endpoint_states
         lines, cells = self._boxes.boxes, host.settings.zone_count
         servers = controller.servers
-        return SiteNow(
+        return SiteSnapshot(
             ready=frozenset(box for box, state in listed.items() if state is ServerState.READY),
             known=frozenset(box for box, state in listed.items() if state is not ServerState.REMOVED),
             holders={
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -468,12 +468,12 @@
         """A wall clock that stands still."""
         return int(NOW_S * 1000)
 
-    def site(self, then: Callable[[operators.SiteNow], None]) -> None:
+    def site(self, then: Callable[[operators.SiteSnapshot], None]) -> None:
         """A site of three servers with one title left on the last."""
         listed = frozenset((1, 2, 3))
         loads = {1: 100.0, 2: 200.0, 3: 300.0}
         then(
-            operators.SiteNow(
+            operators.SiteSnapshot(
                 listed, listed, {"l1": [1, 2], "l2": [3]}, {1: 2}, loads, dict.fromkeys(listed, 1000.0),
                 frozenset(("s1",)), {1: 50.0},
             )
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -18,7 +18,16 @@
 from fernweir.config.ini import ConfigError
 from fernweir.control.channel import Channel
 from fernweir.control.client import ControlClient, ControlError
-from fernweir.control.orders import Command, Do, OrderRules, Orders, OrdersError, Outcome, Result, SiteNow
+from fernweir.control.orders import (
+    Command,
+    Do,
+    OrderRules,
+    Orders,
+    OrdersError,
+    Outcome,
+    Result,
+    SiteSnapshot,
+)
 from fernweir.control.overlay import Overlay
 from fernweir.control.statefile import StateFileError, read_state, write_state
 from fernweir.front.program import start_front
@@ -34,7 +43,7 @@
 
 BOXES = frozenset(range(1, 7))
 HOLDERS = {"a": [1, 2, 3], "b": [2, 3, 4], "c": [4, 5, 6]}
-SITE = SiteNow(
+SITE = SiteSnapshot(
     ready=BOXES,
     known=BOXES,
     holders=HOLDERS,
@@ -51,7 +60,7 @@
     def __init__(self, rules: OrderRules | None = None) -> None:
         self.orders, self.now, self.number = Orders(rules), 0.0, 0
 
-    def do(self, do: Do, target: str, site: SiteNow = SITE, by: str = "ann", **more: Any) -> Result:
+    def do(self, do: Do, target: str, site: SiteSnapshot = SITE, by: str = "ann", **more: Any) -> Result:
         self.number += 1
         command = Command(more.pop("id", f"c{self.number}"), by, do, target, **more)
         return self.orders.take(self.now, 1000, command, site)
--- a/tests/test_golden_state.py
+++ b/tests/test_golden_state.py
@@ -114,7 +114,7 @@
     "fernweir.control.orders.Command": "made of a control-change message",
     "fernweir.control.orders.OrderRules": "settings of the order book",
     "fernweir.control.orders.Result": "its to_plain stands in the answers of control-conversation",
-    "fernweir.control.orders.SiteNow": "its to_plain stands in the answer to `site` of control-conversation",
+    "fernweir.control.orders.SiteSnapshot": "its to_plain is in the `site` answer of control-conversation",
     "fernweir.control.orders._Undo": "stored as a list within orders-file",
     "fernweir.front.boxlist.Lesson": "made of a list-title",
     "fernweir.http.parse.Limits": "limits of a parser",
