--- a/fernweir/appliance/unit.py
+++ b/fernweir/appliance/unit.py
@@ -275,7 +275,7 @@
         async def gather() -> None:
             answers = await asyncio.gather(*(self._ask(name, "site") for name in self._alive()))
             plains = [answer["site"] for answer in answers if answer is not None]
-            then(SiteSnapshot.together(plains, frozenset(self.desk.picture.servers)))
+            then(SiteSnapshot.merge(plains, frozenset(self.desk.picture.servers)))
 
         self._spawn(gather())
 
--- a/fernweir/control/orders.py
+++ b/fernweir/control/orders.py
@@ -112,7 +112,7 @@
         }
 
     @classmethod
-    def together(cls, plains: Sequence[Mapping[str, Any]], known: frozenset[int]) -> SiteSnapshot:
+    def merge(cls, plains: Sequence[Mapping[str, Any]], known: frozenset[int]) -> SiteSnapshot:
         """What several fronts see, as one: each hears of all sessions' loads, but holds only its own."""
         if not plains:
             return cls(known, known, {}, {}, {}, {}, frozenset(), blind=True)
