--- a/bench/golden_state_samples.py
+++ b/bench/golden_state_samples.py
@@ -226,7 +226,7 @@
         Command("c9", "ann", Do.UNDO, "c5"),
     ]
     for number, command in enumerate(commands):
-        orders.take(100.0 + number, 1_800_000_000_000 + number, command, site)
+        orders.handle_command(100.0 + number, 1_800_000_000_000 + number, command, site)
     return orders
 
 
--- a/fernweir/control/desk.py
+++ b/fernweir/control/desk.py
@@ -163,7 +163,7 @@
     def _decide(self, command: Command, site: SiteSnapshot, reply: Reply) -> None:
         before = self.orders.to_plain()
         again = command.id in self.orders.answered
-        result = self.orders.take(self._hands.now(), self._hands.wall(), command, site)
+        result = self.orders.handle_command(self._hands.now(), self._hands.wall(), command, site)
 
         def done(missing: list[str]) -> None:
             late = {"missing": missing} if missing else {}
--- a/fernweir/control/orders.py
+++ b/fernweir/control/orders.py
@@ -186,7 +186,7 @@
 
     # --- commands ---
 
-    def take(self, now: float, wall: int, command: Command, site: SiteSnapshot) -> Result:
+    def handle_command(self, now: float, wall: int, command: Command, site: SiteSnapshot) -> Result:
         """Decides, and changes what stands. For an id that was answered nothing is done again."""
         known = self.answered.get(command.id)
         if known is not None:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -63,7 +63,7 @@
     def do(self, do: Do, target: str, site: SiteSnapshot = SITE, by: str = "ann", **more: Any) -> Result:
         self.number += 1
         command = Command(more.pop("id", f"c{self.number}"), by, do, target, **more)
-        return self.orders.take(self.now, 1000, command, site)
+        return self.orders.handle_command(self.now, 1000, command, site)
 
 
 def test_a_drain_that_leaves_a_lesson_without_holder_costs_a_word_first() -> None:
@@ -155,7 +155,7 @@
             id = sorted(self.given)[number % len(self.given)]
             do, target, said = self.given[id]
             version = self.desk.orders.version
-            again = self.desk.orders.take(self.desk.now, 0, Command(id, "ann", do, target), SITE)
+            again = self.desk.orders.handle_command(self.desk.now, 0, Command(id, "ann", do, target), SITE)
             assert again.to_plain()["outcome"] == said["outcome"] and self.desk.orders.version == version
 
     @rule(after=st.sampled_from([0.0, 50.0, 300.0]))
