--- a/fernweir/control/desk.py
+++ b/fernweir/control/desk.py
@@ -203,7 +203,7 @@
         self._plan()
 
     def _plan(self) -> None:
-        due = self.orders.next_due(self._hands.now())
+        due = self.orders.next_deadline(self._hands.now())
         if due is not None:
             self._hands.call_at(due, self._begin_waiting)
 
@@ -211,7 +211,7 @@
         """Drains whose turn has come take effect."""
         now = self._hands.now()
         before = self.orders.to_plain()
-        begun = self.orders.due(now)
+        begun = self.orders.start_due_drains(now)
         if begun and self._keep(before, lambda said: None):
             boxes = ", ".join(str(box) for box in begun)
             self.journal.add(
--- a/fernweir/control/orders.py
+++ b/fernweir/control/orders.py
@@ -197,7 +197,7 @@
             self._remember(command.id, result)
         return result
 
-    def due(self, now: float) -> list[int]:
+    def start_due_drains(self, now: float) -> list[int]:
         """Boxes whose drain takes effect now."""
         begun = []
         while self.waiting and self._may_begin(now):
@@ -208,7 +208,7 @@
             begun.append(int(box))
         return begun
 
-    def next_due(self, now: float) -> float | None:
+    def next_deadline(self, now: float) -> float | None:
         if not self.waiting:
             return None
         live = [at for at in self._began if at > now - self.rules.pace_ms * self.rules.burst]
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -94,9 +94,13 @@
     outcomes = [desk.do(Do.DRAIN, str(box), site).outcome for box in (1, 2, 3, 4)]
     assert outcomes == [Outcome.DONE, Outcome.DONE, Outcome.QUEUED, Outcome.QUEUED]
     assert desk.do(Do.DRAIN, "3", site, by="bob").outcome is Outcome.ALREADY
-    assert desk.orders.due(1_999.0) == []
-    due = desk.orders.next_due(0.0)
-    assert due is not None and desk.orders.due(due) == [3, 4] and desk.orders.next_due(due) is None
+    assert desk.orders.start_due_drains(1_999.0) == []
+    due = desk.orders.next_deadline(0.0)
+    assert (
+        due is not None
+        and desk.orders.start_due_drains(due) == [3, 4]
+        and desk.orders.next_deadline(due) is None
+    )
 
 
 def test_undo_takes_back_what_stands_since_and_nothing_else() -> None:
@@ -161,7 +165,7 @@
     @rule(after=st.sampled_from([0.0, 50.0, 300.0]))
     def time(self, after: float) -> None:
         self.desk.now += after
-        for box in self.desk.orders.due(self.desk.now):
+        for box in self.desk.orders.start_due_drains(self.desk.now):
             self.drains.add(box)
             self.began.append(self.desk.now)
 
