--- a/fernweir/control/orders.py
+++ b/fernweir/control/orders.py
@@ -219,7 +219,7 @@
     def drained(self, box: int) -> bool:
         return str(box) in self.drains
 
-    def turned_away(self, lesson: str, tenant: str, playing: Mapping[str, int]) -> str:
+    def rejection_reason(self, lesson: str, tenant: str, playing: Mapping[str, int]) -> str:
         """Why a new session may not begin, or nothing. `playing` counts by `lesson:NAME`, `tenant:NAME`."""
         hold = self.holds.get(lesson)
         if hold is not None:
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -331,7 +331,7 @@
         if not (self.orders.holds or self.orders.caps) or self._host is None:
             return ""
         playing = self._host.count_sessions_by_phase(ask.title_name, ask.tenant) if self.orders.caps else {}
-        return self.orders.turned_away(ask.title_name, ask.tenant, playing)
+        return self.orders.rejection_reason(ask.title_name, ask.tenant, playing)
 
     async def start(self, core: Dispatcher, boxes: BoxList) -> None:
         section, self._host = self._section, core.sessions
