--- a/fernweir/control/overlay.py
+++ b/fernweir/control/overlay.py
@@ -26,7 +26,7 @@
         """What the list itself says."""
         return {box: entry.state for box, entry in self._entries.items()}
 
-    def list_says(self, update: EndpointListUpdate) -> EndpointListUpdate:
+    def apply_list_update(self, update: EndpointListUpdate) -> EndpointListUpdate:
         """The update as the module is to hear it."""
         if update.kind is EndpointListKind.FAILED:
             return update
@@ -39,7 +39,7 @@
             entries.append(self._laid_over(entry))
         return replace(update, entries=tuple(entries))
 
-    def orders_changed(self) -> EndpointListUpdate | None:
+    def on_orders_changed(self) -> EndpointListUpdate | None:
         """What the module must hear after a change of orders, or None."""
         changed = []
         for entry in self._entries.values():
--- a/fernweir/front/server_states.py
+++ b/fernweir/front/server_states.py
@@ -43,11 +43,11 @@
         self._journal.record_endpoint_list(update)
         if context.observer is not None:
             context.observer.on_endpoint_list(context.now, update)
-        self._apply(update if self._overlay is None else self._overlay.list_says(update))
+        self._apply(update if self._overlay is None else self._overlay.apply_list_update(update))
 
     def on_operator_orders_changed(self) -> None:
         """Operators' orders have changed what the controller gets of the endpoint list."""
-        update = self._overlay.orders_changed() if self._overlay is not None else None
+        update = self._overlay.on_orders_changed() if self._overlay is not None else None
         if update is not None:
             self._apply(update)
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -221,13 +221,13 @@
             self.listed = {}
         self.listed |= states
         entries = tuple(entry(box, state=state) for box, state in states.items())
-        self.tell(self.overlay.list_says(EndpointListUpdate(kind, 1, entries)))
+        self.tell(self.overlay.apply_list_update(EndpointListUpdate(kind, 1, entries)))
 
     @rule(box=st.integers(1, 5), drain=st.booleans())
     def order(self, box: int, drain: bool) -> None:
         (self.drained.add if drain else self.drained.discard)(box)
-        self.tell(self.overlay.orders_changed())
-        assert self.overlay.orders_changed() is None
+        self.tell(self.overlay.on_orders_changed())
+        assert self.overlay.on_orders_changed() is None
 
     @invariant()
     def laid_over(self) -> None:
