--- a/fernweir/appliance/unit.py
+++ b/fernweir/appliance/unit.py
@@ -279,7 +279,7 @@
 
         self._spawn(gather())
 
-    def orders_changed(self, orders: Orders, then: Callable[[list[str]], None]) -> None:
+    def apply_orders(self, orders: Orders, then: Callable[[list[str]], None]) -> None:
         async def push() -> None:
             names = self._alive()
             taken = await asyncio.gather(*(self._push(name, orders) for name in names))
--- a/fernweir/control/desk.py
+++ b/fernweir/control/desk.py
@@ -42,7 +42,7 @@
     def site(self, then: Callable[[SiteSnapshot], None]) -> None:
         """Calls `then` with what can be seen, now or soon."""
 
-    def orders_changed(self, orders: Orders, then: Callable[[list[str]], None]) -> None:
+    def apply_orders(self, orders: Orders, then: Callable[[list[str]], None]) -> None:
         """Tells all modules what changed, and calls `then` once they know, with those that don't answer."""
 
     def end(self, id: str, session: str, why: str) -> None: ...
@@ -170,7 +170,7 @@
             reply({**result.to_plain(), **late})
 
         if again:
-            self._hands.orders_changed(self.orders, done)  # its first coming may not have got so far
+            self._hands.apply_orders(self.orders, done)  # its first coming may not have got so far
         elif result.outcome is Outcome.CONFIRM:
             reply(result.to_plain())
         else:
@@ -199,7 +199,7 @@
         self._apply(then)
 
     def _apply(self, then: Callable[[list[str]], None]) -> None:
-        self._hands.orders_changed(self.orders, then)
+        self._hands.apply_orders(self.orders, then)
         self._plan()
 
     def _plan(self) -> None:
@@ -251,7 +251,7 @@
                 more = {"by": "unit", **self.orders.tables()}
                 self.journal.add(self._hands.now(), EventKind.ORDER, why=f"orders {version}", more=more)
         version = self.orders.version
-        self._hands.orders_changed(self.orders, lambda missing: reply({"version": version}))
+        self._hands.apply_orders(self.orders, lambda missing: reply({"version": version}))
 
 
 def _session(command: Command) -> str:
--- a/fernweir/front/operator_controls.py
+++ b/fernweir/front/operator_controls.py
@@ -71,7 +71,7 @@
             sessions=frozenset(host.records()),
         )
 
-    def orders_changed(self, orders: Orders, then: Callable[[list[str]], None]) -> None:
+    def apply_orders(self, orders: Orders, then: Callable[[list[str]], None]) -> None:
         self._core.sessions.on_operator_orders_changed(self.now())
         self._core.after_step(lambda: then([]))
 
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -479,7 +479,7 @@
             )
         )  # fmt: skip
 
-    def orders_changed(self, orders: operators.Orders, then: Callable[[list[str]], None]) -> None:
+    def apply_orders(self, orders: operators.Orders, then: Callable[[list[str]], None]) -> None:
         """Says that one front didn't answer."""
         then(["front-9"])
 
