--- a/fernweir/appliance/unit.py
+++ b/fernweir/appliance/unit.py
@@ -271,7 +271,7 @@
     def wall(self) -> int:
         return int(self._now() + self.offset_ms)
 
-    def site(self, then: Callable[[SiteSnapshot], None]) -> None:
+    def request_site(self, then: Callable[[SiteSnapshot], None]) -> None:
         async def gather() -> None:
             answers = await asyncio.gather(*(self._ask(name, "site") for name in self._alive()))
             plains = [answer["site"] for answer in answers if answer is not None]
@@ -287,7 +287,7 @@
 
         self._spawn(push())
 
-    def end(self, id: str, session: str, why: str) -> None:
+    def end_session(self, id: str, session: str, why: str) -> None:
         for row in list(self.desk.picture.sessions.values()):
             if row.session == session and row.front in self.clients:
                 ask = self._ask(row.front, "end", id=f"{id}.{row.front}", target=session, reason=why)
@@ -331,7 +331,7 @@
             ],
         }
 
-    def retry(self, name: str) -> bool:
+    def retry_process(self, name: str) -> bool:
         done = self.supervisor.retry(self._now(), name)
         self._run()
         return done
--- a/fernweir/control/desk.py
+++ b/fernweir/control/desk.py
@@ -39,13 +39,13 @@
     def wall(self) -> int:
         """Wall time in ms."""
 
-    def site(self, then: Callable[[SiteSnapshot], None]) -> None:
+    def request_site(self, then: Callable[[SiteSnapshot], None]) -> None:
         """Calls `then` with what can be seen, now or soon."""
 
     def apply_orders(self, orders: Orders, then: Callable[[list[str]], None]) -> None:
         """Tells all modules what changed, and calls `then` once they know, with those that don't answer."""
 
-    def end(self, id: str, session: str, why: str) -> None: ...
+    def end_session(self, id: str, session: str, why: str) -> None: ...
 
     def limits(self) -> Mapping[str, Any]: ...
 
@@ -53,7 +53,7 @@
 
     def unit(self) -> Mapping[str, Any]: ...
 
-    def retry(self, name: str) -> bool: ...
+    def retry_process(self, name: str) -> bool: ...
 
     def call_at(self, due: float, do: Callable[[], None]) -> None: ...
 
@@ -115,7 +115,7 @@
             if not may_act:
                 reply({"ok": False, "error": f"operator {operator} may look, not act"})
             else:
-                done = self._hands.retry(ask.target)
+                done = self._hands.retry_process(ask.target)
                 reply({"outcome": "done" if done else "refused"})
         elif isinstance(ask, ReplaceOrders):
             self._be_led(may_act, ask, reply)
@@ -127,7 +127,7 @@
             else:
                 self.fleet.ask(ask.question, reply)
         elif isinstance(ask, SimpleRequest) and ask.do == "site":
-            self._hands.site(lambda site: reply({"site": site.to_plain()}))
+            self._hands.request_site(lambda site: reply({"site": site.to_plain()}))
         else:
             reply(self._question(ask))
 
@@ -158,7 +158,7 @@
             reply({"ok": False, "error": "this front takes its orders from its unit: ask there"})
             return
         command = Command(ask.id, operator, Do(ask.do), ask.target, ask.reason, ask.most, ask.mark)
-        self._hands.site(lambda site: self._decide(command, site, reply))
+        self._hands.request_site(lambda site: self._decide(command, site, reply))
 
     def _decide(self, command: Command, site: SiteSnapshot, reply: Reply) -> None:
         before = self.orders.to_plain()
@@ -176,7 +176,7 @@
         else:
             if command.do is Do.END and result.outcome is Outcome.DONE:
                 # Before it is written down: an end that is done again after a kill harms nothing.
-                self._hands.end(command.id, command.target, command.reason or "ended by the operator")
+                self._hands.end_session(command.id, command.target, command.reason or "ended by the operator")
             if self._keep(before, reply):
                 self._carry_out(command, result, done)
 
--- a/fernweir/front/operator_controls.py
+++ b/fernweir/front/operator_controls.py
@@ -31,10 +31,10 @@
     def wall(self) -> int:
         return int(self._core.now() + self._wall_offset_ms)
 
-    def site(self, then: Callable[[SiteSnapshot], None]) -> None:
+    def request_site(self, then: Callable[[SiteSnapshot], None]) -> None:
         then(self._site())
 
-    def retry(self, name: str) -> bool:
+    def retry_process(self, name: str) -> bool:
         return False
 
     def unit(self) -> Mapping[str, Any]:
@@ -75,7 +75,7 @@
         self._core.sessions.on_operator_orders_changed(self.now())
         self._core.after_step(lambda: then([]))
 
-    def end(self, id: str, session: str, why: str) -> None:
+    def end_session(self, id: str, session: str, why: str) -> None:
         self._core.sessions.revoke_session(self.now(), session, why)
         self._core.schedule_step()
 
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -468,7 +468,7 @@
         """A wall clock that stands still."""
         return int(NOW_S * 1000)
 
-    def site(self, then: Callable[[operators.SiteSnapshot], None]) -> None:
+    def request_site(self, then: Callable[[operators.SiteSnapshot], None]) -> None:
         """A site of three servers with one title left on the last."""
         listed = frozenset((1, 2, 3))
         loads = {1: 100.0, 2: 200.0, 3: 300.0}
@@ -483,7 +483,7 @@
         """Says that one front didn't answer."""
         then(["front-9"])
 
-    def end(self, id: str, session: str, why: str) -> None:
+    def end_session(self, id: str, session: str, why: str) -> None:
         """Ends nothing."""
 
     def limits(self) -> Mapping[str, Any]:
@@ -498,7 +498,7 @@
         """Made-up processes."""
         return {"name": "unit"}
 
-    def retry(self, name: str) -> bool:
+    def retry_process(self, name: str) -> bool:
         """Only one process can be started again."""
         return name == "front-1"
 
