--- a/fernweir/appliance/unit.py
+++ b/fernweir/appliance/unit.py
@@ -111,7 +111,7 @@
         for entry in self.journal.entries(self.journal.first):
             self.desk.picture.apply(entry)
         for front in list(self.desk.picture.fronts):
-            self.merger.gone(front, self.wall())  # none of them runs yet
+            self.merger.gone(front, self.wall_time_ms())  # none of them runs yet
         self.channel = Channel(self.desk, self.layout.socket, mode=self.config.unit.mode)
         self.journal.watchers.append(self.channel.entry)
         for number in range(1, self.config.unit.fronts + 1):
@@ -148,7 +148,7 @@
     def exited(self, name: str, how: str) -> None:
         self._processes.pop(name, None)
         if name in self.clients and name in self.desk.picture.fronts:
-            self.merger.gone(name, self.wall())
+            self.merger.gone(name, self.wall_time_ms())
         for command in self.supervisor.exited(self._now(), name, how):
             if isinstance(command, Say):
                 self.log.warning(command.text, child=command.name)
@@ -268,7 +268,7 @@
     def now(self) -> float:
         return self._now()
 
-    def wall(self) -> int:
+    def wall_time_ms(self) -> int:
         return int(self._now() + self.offset_ms)
 
     def request_site(self, then: Callable[[SiteSnapshot], None]) -> None:
--- a/fernweir/control/desk.py
+++ b/fernweir/control/desk.py
@@ -36,7 +36,7 @@
     def now(self) -> float:
         """Milliseconds of the loop's clock."""
 
-    def wall(self) -> int:
+    def wall_time_ms(self) -> int:
         """Wall time in ms."""
 
     def request_site(self, then: Callable[[SiteSnapshot], None]) -> None:
@@ -163,7 +163,7 @@
     def _decide(self, command: Command, site: SiteSnapshot, reply: Reply) -> None:
         before = self.orders.to_plain()
         again = command.id in self.orders.answered
-        result = self.orders.handle_command(self._hands.now(), self._hands.wall(), command, site)
+        result = self.orders.handle_command(self._hands.now(), self._hands.wall_time_ms(), command, site)
 
         def done(missing: list[str]) -> None:
             late = {"missing": missing} if missing else {}
--- a/fernweir/front/operator_controls.py
+++ b/fernweir/front/operator_controls.py
@@ -28,7 +28,7 @@
     def now(self) -> float:
         return self._core.now()
 
-    def wall(self) -> int:
+    def wall_time_ms(self) -> int:
         return int(self._core.now() + self._wall_offset_ms)
 
     def request_site(self, then: Callable[[SiteSnapshot], None]) -> None:
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -464,7 +464,7 @@
         """A clock that stands still."""
         return 5_000.0
 
-    def wall(self) -> int:
+    def wall_time_ms(self) -> int:
         """A wall clock that stands still."""
         return int(NOW_S * 1000)
 
