--- a/fernweir/appliance/unit.py
+++ b/fernweir/appliance/unit.py
@@ -17,7 +17,7 @@
 from fernweir.appliance.logs import open_log, rotate
 from fernweir.appliance.merge import Merger
 from fernweir.appliance.supervise import Child, Say, Start, State, SuperviseRules, Supervisor, Terminate
-from fernweir.control.channel import Channel
+from fernweir.control.channel import ControlServer
 from fernweir.control.client import ControlClient, ControlError
 from fernweir.control.desk import OrderService, OrderServiceSettings, load_orders
 from fernweir.control.orders import Orders, SiteSnapshot
@@ -112,7 +112,7 @@
             self.desk.picture.apply(entry)
         for front in list(self.desk.picture.fronts):
             self.merger.gone(front, self.wall_time_ms())  # none of them runs yet
-        self.channel = Channel(self.desk, self.layout.socket, mode=self.config.unit.mode)
+        self.channel = ControlServer(self.desk, self.layout.socket, mode=self.config.unit.mode)
         self.journal.watchers.append(self.channel.entry)
         for number in range(1, self.config.unit.fronts + 1):
             self._follow(number)
--- a/fernweir/control/channel.py
+++ b/fernweir/control/channel.py
@@ -39,7 +39,7 @@
 _CREDENTIALS = struct.Struct("3i")
 
 
-class Desk(Protocol):
+class ControlService(Protocol):
     """Who answers. `handle` calls `reply` exactly once, now or later."""
 
     name: str
@@ -55,10 +55,10 @@
     """Another process answers on the socket."""
 
 
-class Channel:
+class ControlServer:
     """Listens on `path`; `mode` are its permissions, who can open it may read."""
 
-    def __init__(self, desk: Desk, path: Path, *, mode: int = 0o600, gauges_s: float = 1.0) -> None:
+    def __init__(self, desk: ControlService, path: Path, *, mode: int = 0o600, gauges_s: float = 1.0) -> None:
         self.desk, self.path, self.mode = desk, path, mode
         self.loop = asyncio.get_running_loop()
         self.clients: set[_Client] = set()
@@ -158,7 +158,7 @@
 class _Client(asyncio.BufferedProtocol):
     """One connection."""
 
-    def __init__(self, channel: Channel) -> None:
+    def __init__(self, channel: ControlServer) -> None:
         self.channel = channel
         self.watching = self.missed = False
         self.pending: list[bytes] = []
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -14,7 +14,7 @@
 
 from fernweir.config.front import ControlSection, FrontConfig, HttpSection, IntrospectionSection
 from fernweir.config.ini import ConfigError, Problem
-from fernweir.control.channel import Channel
+from fernweir.control.channel import ControlServer
 from fernweir.control.desk import OrderService, OrderServiceSettings, load_orders
 from fernweir.control.orders import OrderRules
 from fernweir.control.overlay import Overlay
@@ -325,7 +325,7 @@
         self.desk: OrderService | None = None
         self._host: SessionManager | None = None
         self._steering: Steering | None = None
-        self._channel: Channel | None = None
+        self._channel: ControlServer | None = None
 
     def turned_away(self, ask: SessionRequest) -> str:
         if not (self.orders.holds or self.orders.caps) or self._host is None:
@@ -341,7 +341,7 @@
         desk = self.desk = OrderService(
             self._config.front.name, self.journal, self.orders, self._steering, rules, file
         )
-        self._channel = Channel(desk, self._config.path(section.socket), mode=section.mode)
+        self._channel = ControlServer(desk, self._config.path(section.socket), mode=section.mode)
         self.journal.watchers.append(self._channel.entry)
         if self._folder is not None:
             try:
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -28,7 +28,7 @@
 from fernweir.cli.main import main as command_line
 from fernweir.control import messages as control
 from fernweir.control import orders as operators
-from fernweir.control.channel import Channel, snapshot_lines
+from fernweir.control.channel import ControlServer, snapshot_lines
 from fernweir.control.desk import KIND, OrderService, OrderServiceSettings, load_orders
 from fernweir.control.follow import Follower
 from fernweir.control.statefile import write_state
@@ -522,7 +522,7 @@
         journal.add(30.0, EventKind.SETUP, session="s1", why="least loaded", **started)
         journal.add(40.0, EventKind.STARTED, session="s1", **started)
         with tempfile.TemporaryDirectory() as name:
-            channel = Channel(desk, Path(name) / "s", gauges_s=3600.0)
+            channel = ControlServer(desk, Path(name) / "s", gauges_s=3600.0)
             await channel.listen()
             reader, writer = await asyncio.open_unix_connection(str(Path(name) / "s"))
             writer.write(data + b'\n{"id":"last","do":"limits"}\n')
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -16,7 +16,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from fernweir.config.ini import ConfigError
-from fernweir.control.channel import Channel
+from fernweir.control.channel import ControlServer
 from fernweir.control.client import ControlClient, ControlError
 from fernweir.control.orders import (
     Command,
@@ -474,7 +474,7 @@
 
     async def story() -> None:
         desk = Desk()
-        channel = Channel(desk, tmp_path / "quiet.sock", gauges_s=1e6)
+        channel = ControlServer(desk, tmp_path / "quiet.sock", gauges_s=1e6)
         desk.journal.watchers += [desk.picture.apply, channel.entry]
         await channel.listen()
         ann = ControlClient(tmp_path / "quiet.sock", "ann", watch=True)
