--- a/fernweir/appliance/unit.py
+++ b/fernweir/appliance/unit.py
@@ -113,7 +113,7 @@
         for front in list(self.desk.picture.fronts):
             self.merger.gone(front, self.wall_time_ms())  # none of them runs yet
         self.channel = ControlServer(self.desk, self.layout.socket, mode=self.config.unit.mode)
-        self.journal.watchers.append(self.channel.entry)
+        self.journal.watchers.append(self.channel.on_journal_entry)
         for number in range(1, self.config.unit.fronts + 1):
             self._follow(number)
         self.desk.start_orders()
@@ -139,7 +139,7 @@
             process.process.wait()
             process.forget()
         self._processes.clear()
-        self.channel.stop()
+        self.channel.close()
         self.folder.close()
         self._lock.give_back()
 
--- a/fernweir/control/channel.py
+++ b/fernweir/control/channel.py
@@ -90,7 +90,7 @@
         self._inode = os.stat(self.path).st_ino
         self._gauge()
 
-    def stop(self) -> None:
+    def close(self) -> None:
         for timer in (self._timer, self._gauge_timer):
             if timer is not None:
                 timer.cancel()
@@ -106,7 +106,7 @@
         for client in list(self.clients):
             client.close()
 
-    def entry(self, entry: Entry) -> None:
+    def on_journal_entry(self, entry: Entry) -> None:
         """Fits `Journal.watchers`, behind the desk's picture."""
         watching = [client for client in self.clients if client.watching]
         if not watching:
@@ -117,7 +117,7 @@
         if self._timer is None:
             self._timer = self.loop.call_later(_FLUSH_S, self._flush)
 
-    def start_over(self) -> None:
+    def reset_watchers(self) -> None:
         """What watchers were told no longer follows from their snapshot: each gets a new one."""
         for client in self.clients:
             client.missed = client.watching
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -342,7 +342,7 @@
             self._config.front.name, self.journal, self.orders, self._steering, rules, file
         )
         self._channel = ControlServer(desk, self._config.path(section.socket), mode=section.mode)
-        self.journal.watchers.append(self._channel.entry)
+        self.journal.watchers.append(self._channel.on_journal_entry)
         if self._folder is not None:
             try:
                 self.journal.restore(*self._folder.open())
@@ -359,7 +359,7 @@
         if self._steering is not None:
             self._steering.stop()
         if self._channel is not None:
-            self._channel.stop()
+            self._channel.close()
         if self._folder is not None:
             self._folder.close()
 
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -528,7 +528,7 @@
             writer.write(data + b'\n{"id":"last","do":"limits"}\n')
             lines = await answers_to(reader)
             writer.close()
-            channel.stop()
+            channel.close()
         return [line.replace(f'"pid":{os.getpid()}', '"pid":0') for line in lines]
 
     return asyncio.run(main())
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -475,7 +475,7 @@
     async def story() -> None:
         desk = Desk()
         channel = ControlServer(desk, tmp_path / "quiet.sock", gauges_s=1e6)
-        desk.journal.watchers += [desk.picture.apply, channel.entry]
+        desk.journal.watchers += [desk.picture.apply, channel.on_journal_entry]
         await channel.listen()
         ann = ControlClient(tmp_path / "quiet.sock", "ann", watch=True)
         ann.start()
@@ -495,7 +495,7 @@
         await until(lambda: ann.follower.missed > 0)
         await until(lambda: ann.follower.picture == desk.picture)
         ann.close()
-        channel.stop()
+        channel.close()
 
     asyncio.run(story())
 
