--- a/fernweir/console/link.py
+++ b/fernweir/console/link.py
@@ -46,7 +46,7 @@
         shown.gauges = client.follower.gauges
         shown.connected, shown.why_not = client.connected, client.why_not
         shown.age_s = client.loop.time() - (client.heard_at or self._since)
-        shown.missed = client.follower.missed
+        shown.missed = client.follower.missed_count
         if client.hello:
             shown.name = str(client.hello.get("name") or shown.name)
             shown.may_act = client.hello.get("may") == "act"
--- a/fernweir/control/client.py
+++ b/fernweir/control/client.py
@@ -134,7 +134,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport, self.connected = None, False
         self.why_not = "the connection was closed"
-        self.follower.lost()
+        self.follower.on_connection_lost()
         self.on_change()
         if not self._closed:
             self._connecting = asyncio.ensure_future(self._connect_again())
@@ -164,9 +164,9 @@
         if "hello" in message:
             self._greeted(message)
         elif "watch" in message:
-            self.follower.feed(message)
-            if self.follower.broken:
-                self.follower.broken = ""
+            self.follower.handle_message(message)
+            if self.follower.resync_reason:
+                self.follower.resync_reason = ""
                 self._send({"id": self.new_id(), "do": "snapshot"})
         elif message.get("id") in self._asked:
             _, future = self._asked.pop(message["id"])
--- a/fernweir/control/follow.py
+++ b/fernweir/control/follow.py
@@ -19,30 +19,30 @@
     def __init__(self) -> None:
         self.picture: StateProjection | None = None
         self.gauges: dict[str, Any] = {}
-        self.missed = 0  # times that entries were lost and a snapshot stood in
-        self.broken = ""
+        self.missed_count = 0  # times that entries were lost and a snapshot stood in
+        self.resync_reason = ""
         self.on_entry: Callable[[Entry], None] = lambda entry: None
         self.on_snapshot: Callable[[StateProjection], None] = lambda picture: None
         self._parts: list[Mapping[str, Any]] = []
         self._of = 0
 
-    def lost(self) -> None:
+    def on_connection_lost(self) -> None:
         """The connection is gone: what is shown stays, what comes next begins with a snapshot."""
         self._parts = []
 
-    def feed(self, message: Mapping[str, Any]) -> bool:
+    def handle_message(self, message: Mapping[str, Any]) -> bool:
         """True if the picture changed."""
         kind = message.get("watch")
         if kind == "gauges":
             self.gauges = dict(message["gauges"])
             return True
         if kind == "missed":
-            self.missed += 1
+            self.missed_count += 1
             return False
         try:
             return self._snapshot(message) if kind == "snapshot" else self._entries(message)
         except (KeyError, TypeError, ValueError) as error:
-            self.broken = f"a line that can't be read: {error!r}"
+            self.resync_reason = f"a line that can't be read: {error!r}"
             return False
 
     def _snapshot(self, message: Mapping[str, Any]) -> bool:
@@ -50,7 +50,7 @@
         if part == 0:
             self._parts, self._of = [], int(message["of"])
         elif part != len(self._parts):
-            self.broken = f"part {part} of a snapshot, {len(self._parts)} expected"
+            self.resync_reason = f"part {part} of a snapshot, {len(self._parts)} expected"
             return False
         self._parts.append(message)
         if len(self._parts) <= self._of:
@@ -61,7 +61,7 @@
                 row = SessionRow.from_plain(plain)
                 picture.sessions[f"{row.front}/{row.session}"] = row
         self._parts = []
-        self.picture, self.broken = picture, ""
+        self.picture, self.resync_reason = picture, ""
         self.on_snapshot(picture)
         return True
 
@@ -72,12 +72,12 @@
             try:
                 entry = from_row(row)
             except EntryError as error:
-                self.broken = str(error)
+                self.resync_reason = str(error)
                 return False
             if entry.number <= self.picture.number:
                 continue
             if entry.number != self.picture.number + 1:
-                self.broken = f"entry {entry.number} after {self.picture.number}"
+                self.resync_reason = f"entry {entry.number} after {self.picture.number}"
                 return False
             self.picture.apply(entry)
             self.on_entry(entry)
--- a/fernweir/rehearsal/hours.py
+++ b/fernweir/rehearsal/hours.py
@@ -248,12 +248,12 @@
         """Over the wire's own form, so that what is folded is what would have come through."""
         rows, self._pending = [to_row(entry) for entry in self._pending], []
         if rows:
-            self.console.feed(orjson.loads(orjson.dumps({"watch": "entries", "rows": rows})))
+            self.console.handle_message(orjson.loads(orjson.dumps({"watch": "entries", "rows": rows})))
 
     def _snapshot(self) -> None:
         self._pending = []
         for line in snapshot_lines(self.here):
-            self.console.feed(orjson.loads(line))
+            self.console.handle_message(orjson.loads(line))
 
     def _drop(self) -> None:
         """The console's connection breaks for a while; it goes on from its last entry if it can."""
@@ -312,8 +312,8 @@
                 result.wrong.append(f"box {box} is shown {row.state}")
         if picture.to_plain() != self.here.to_plain():
             result.wrong.append("the console's picture is not the front's")
-        if self.console.broken:
-            result.wrong.append(self.console.broken)
+        if self.console.resync_reason:
+            result.wrong.append(self.console.resync_reason)
         result.entries, result.first_kept = self.journal.last, self.journal.first
         result.resident_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0
         self.folder.close()
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -325,7 +325,7 @@
     """What a watcher shows after these lines of the control socket."""
     follower = Follower()
     for line in data.splitlines():
-        follower.feed(orjson.loads(line))
+        follower.handle_message(orjson.loads(line))
     return follower.picture
 
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -446,7 +446,7 @@
         ann._transport.resume_reading()
         await until(
             lambda: (
-                ann.follower.missed > 0
+                ann.follower.missed_count > 0
                 and ann.follower.picture is not None
                 and ann.follower.picture.number == journal.last
             )
@@ -492,7 +492,7 @@
         await until(lambda: channel._timer is None)
         assert there.missed
         ann._transport.resume_reading()
-        await until(lambda: ann.follower.missed > 0)
+        await until(lambda: ann.follower.missed_count > 0)
         await until(lambda: ann.follower.picture == desk.picture)
         ann.close()
         channel.close()
