--- a/bench/journal.py
+++ b/bench/journal.py
@@ -120,7 +120,7 @@
     clients = [ControlClient(folder / "f.sock", f"w{n}", watch=True) for n in range(watchers)]
     for client in clients:
         client.start()
-        await client.ready()
+        await client.wait_ready()
     viewers = Viewers({"front-0": front.address}, trace, 1, wall_offset_s=site.wall_offset_s)
     dice, times, pool = Random(1), [], Pool()
     await asyncio.sleep(0.5)
--- a/fernweir/appliance/unit.py
+++ b/fernweir/appliance/unit.py
@@ -230,7 +230,7 @@
         name = f"front-{number}"
         client = ControlClient(self.layout.front_socket(number), "unit", watch=True, longest_pause_s=0.2)
         taken = self.merger.since(name)
-        client.follow_from(taken.journal, taken.number)
+        client.resume_from(taken.journal, taken.number)
         client.follower.on_entry = lambda entry: self.merger.entry(name, client.journal, entry)
         client.follower.on_snapshot = lambda picture: self.merger.snapshot(name, client.journal, picture)
         client.on_greeting = lambda: self._greeted(name)
@@ -244,7 +244,7 @@
         """
         client = self.clients[name]
         if client.hello.get("pid") != self._pid(name):
-            client.drop()
+            client.abort_connection()
             return
         task = asyncio.ensure_future(self._push(name, self.desk.orders))
         self._tasks.add(task)
--- a/fernweir/cli/console.py
+++ b/fernweir/cli/console.py
@@ -39,7 +39,7 @@
         link = Link(where, operator)
         link.start()
         try:
-            await link.client.ready()
+            await link.client.wait_ready()
             await do(link)
         finally:
             link.close()
--- a/fernweir/console/link.py
+++ b/fernweir/console/link.py
@@ -44,8 +44,8 @@
         if client.follower.picture is not None:
             shown.picture = client.follower.picture
         shown.gauges = client.follower.gauges
-        shown.connected, shown.why_not = client.connected, client.why_not
-        shown.age_s = client.loop.time() - (client.heard_at or self._since)
+        shown.connected, shown.why_not = client.connected, client.disconnect_reason
+        shown.age_s = client.loop.time() - (client.last_message_at_s or self._since)
         shown.missed = client.follower.missed_count
         if client.hello:
             shown.name = str(client.hello.get("name") or shown.name)
--- a/fernweir/control/client.py
+++ b/fernweir/control/client.py
@@ -38,8 +38,8 @@
         self.follower = Follower()
         self.hello: dict[str, Any] = {}
         self.connected = False
-        self.why_not = "not connected yet"
-        self.heard_at = 0.0
+        self.disconnect_reason = "not connected yet"
+        self.last_message_at_s = 0.0
         self.connections = 0
         self.on_change: Callable[[], None] = lambda: None
         self._watch, self._longest_pause_s = watch, longest_pause_s
@@ -61,18 +61,18 @@
     def start(self) -> None:
         self._connecting = asyncio.ensure_future(self._connect())
 
-    def follow_from(self, journal: str, number: int) -> None:
+    def resume_from(self, journal: str, number: int) -> None:
         """Goes on from an entry that an earlier life has seen; its picture is then not a whole one."""
         if journal:
             self.journal, self.follower.picture = journal, StateProjection(number=number)
 
-    async def ready(self, within_s: float = 5.0) -> None:
+    async def wait_ready(self, within_s: float = 5.0) -> None:
         """Waits for the first greeting. ControlError with why if there is none."""
         try:
             async with asyncio.timeout(within_s):
                 await self._ready.wait()
         except TimeoutError:
-            raise ControlError(f"{self.path}: {self.why_not}") from None
+            raise ControlError(f"{self.path}: {self.disconnect_reason}") from None
 
     def new_id(self) -> str:
         return f"{self.operator}-{self._mark}-{next(self._numbers)}"
@@ -88,7 +88,7 @@
             raise ControlError(str(answer.get("error", "refused")))
         return answer
 
-    def drop(self) -> None:
+    def abort_connection(self) -> None:
         """Breaks the connection, to try again after a pause."""
         self._tries += 1
         if self._transport is not None:
@@ -113,7 +113,7 @@
                 await self.loop.create_unix_connection(lambda: self, str(self.path))
                 return
             except OSError as error:
-                self.why_not = error.strerror or str(error)
+                self.disconnect_reason = error.strerror or str(error)
                 self.on_change()
             pause = min(_FIRST_PAUSE_S * 2.0**self._tries, self._longest_pause_s)
             self._tries += 1
@@ -133,7 +133,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport, self.connected = None, False
-        self.why_not = "the connection was closed"
+        self.disconnect_reason = "the connection was closed"
         self.follower.on_connection_lost()
         self.on_change()
         if not self._closed:
@@ -160,7 +160,7 @@
     # --- lines ---
 
     def _take(self, message: Mapping[str, Any]) -> None:
-        self.heard_at = self.loop.time()
+        self.last_message_at_s = self.loop.time()
         if "hello" in message:
             self._greeted(message)
         elif "watch" in message:
@@ -173,7 +173,7 @@
             if not future.done():
                 future.set_result(dict(message))
         elif message.get("error"):
-            self.why_not = str(message["error"])
+            self.disconnect_reason = str(message["error"])
 
     def _greeted(self, message: Mapping[str, Any]) -> None:
         self.hello, self.connected, self._tries = dict(message), True, 0
--- a/fernweir/rehearsal/consoleday.py
+++ b/fernweir/rehearsal/consoleday.py
@@ -71,7 +71,7 @@
             self._lines: list[str] = []
             for link in self.links:
                 link.start()
-                await link.client.ready(20.0)
+                await link.client.wait_ready(20.0)
             self.viewers = Viewers(
                 {name: ("127.0.0.1", port) for name, port in ports.items()}, trace, self.seed,
                 wall_offset_s=self.site.wall_offset_s,
--- a/fernweir/rehearsal/kills.py
+++ b/fernweir/rehearsal/kills.py
@@ -63,7 +63,7 @@
         self._start()
         self.client = ControlClient(self.layout.socket, "ann", watch=True, longest_pause_s=0.1)
         self.client.start()
-        await self.client.ready(_BACK_S)
+        await self.client.wait_ready(_BACK_S)
         await self._all_ready()
         viewers = asyncio.ensure_future(self._viewers())
         try:
@@ -162,7 +162,7 @@
         client = ControlClient(socket, "probe", longest_pause_s=0.1)
         client.start()
         try:
-            await client.ready(20.0)
+            await client.wait_ready(20.0)
             end = time.monotonic() + 10.0
             while True:
                 boxes = (await client.ask("boxes"))["rows"]
--- a/tests/test_appliance.py
+++ b/tests/test_appliance.py
@@ -444,7 +444,7 @@
         ann = ControlClient(layout.socket, "ann", watch=True, longest_pause_s=0.2)
         ann.start()
         try:
-            await ann.ready(30.0)
+            await ann.wait_ready(30.0)
 
             async def children() -> dict[str, Any]:
                 return {one["name"]: one for one in (await ann.ask("unit"))["unit"]["children"]}
@@ -478,7 +478,7 @@
             assert (await ann.ask("drain", id="d1", target="1"))["says"] == asked["says"]
             front = ControlClient(layout.front_socket(1), "ann", watch=True)
             front.start()
-            await front.ready()
+            await front.wait_ready()
             await until(lambda: front.follower.picture is not None)
             picture = front.follower.picture
             assert picture is not None and picture.servers[1].state == "draining"
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -113,7 +113,7 @@
         ann.close()
         link, said = Link(scene.site.folder / "run" / "front-0.sock", "ann"), list[str]()
         link.start()
-        await link.client.ready()
+        await link.client.wait_ready()
         try:
             await story(scene, Runner(link, said.append), said)
         finally:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -280,7 +280,7 @@
 async def client(scene: Scene, operator: str = "ann", watch: bool = True) -> ControlClient:
     made = ControlClient(scene.site.folder / "run" / "front-0.sock", operator, watch=watch)
     made.start()
-    await made.ready()
+    await made.wait_ready()
     if watch:
         await until(lambda: made.follower.picture is not None)
     return made
