--- a/fernweir/cli/console.py
+++ b/fernweir/cli/console.py
@@ -14,7 +14,7 @@
 import click
 
 from fernweir.console import views
-from fernweir.console.link import Link
+from fernweir.console.link import ConsoleClient
 from fernweir.console.script import Runner, ScriptError
 from fernweir.console.views import VIEWS, Choice
 from fernweir.control.client import ControlError
@@ -32,11 +32,11 @@
 _as_operator = click.option("--operator", default=_operator, help="Your name in the journal; the login's.")
 
 
-def _with_link(where: Path, operator: str, do: Callable[[Link], Awaitable[None]]) -> None:
+def _with_link(where: Path, operator: str, do: Callable[[ConsoleClient], Awaitable[None]]) -> None:
     """Exit code 1 if something was refused, 2 if nobody answers."""
 
     async def run() -> None:
-        link = Link(where, operator)
+        link = ConsoleClient(where, operator)
         link.start()
         try:
             await link.client.wait_ready()
@@ -71,7 +71,7 @@
         return
     text = sys.stdin.read() if str(script) == "-" else script.read_text(encoding="utf-8")
 
-    async def run(link: Link) -> None:
+    async def run(link: ConsoleClient) -> None:
         await Runner(link, click.echo, columns).run(text)
 
     _with_link(where, operator, run)
@@ -91,7 +91,7 @@
     @click.option("--columns", default=80, type=click.IntRange(40, 400))
     @_as_operator
     def command(where: Path, as_json: bool, search: str, sort: str, columns: int, operator: str) -> None:
-        async def run(link: Link) -> None:
+        async def run(link: ConsoleClient) -> None:
             shown = await link.synced()
             if as_json:
                 click.echo(json.dumps(await _data(link, name), indent=1))
@@ -102,7 +102,7 @@
         _with_link(where, operator, run)
 
 
-async def _data(link: Link, name: str) -> Any:
+async def _data(link: ConsoleClient, name: str) -> Any:
     if name == "overview":
         answer = await link.client.ask("overview")
         answer.pop("id")
@@ -133,7 +133,7 @@
 def why_command(where: Path, session: str, as_json: bool, operator: str) -> None:
     """All that the journal has on one session."""
 
-    async def run(link: Link) -> None:
+    async def run(link: ConsoleClient) -> None:
         rows = (await link.client.ask("why", session=session))["rows"]
         if as_json:
             click.echo(json.dumps(rows))
@@ -149,7 +149,7 @@
 def unit_command(where: Path, operator: str) -> None:
     """The processes of a unit."""
 
-    async def run(link: Link) -> None:
+    async def run(link: ConsoleClient) -> None:
         unit = (await link.client.ask("unit"))["unit"]
         for one in unit.get("children", []):
             end = f"  last: {one['last_end']}" if one["last_end"] else ""
@@ -166,7 +166,7 @@
 def do_command(where: Path, words: tuple[str, ...], yes: bool, operator: str) -> None:
     """Carry out a command, as a line of a console script: `do ROOT drain 3 "fan is loud"`."""
 
-    async def run(link: Link) -> None:
+    async def run(link: ConsoleClient) -> None:
         runner = Runner(link, click.echo, how_to_confirm="say --yes to do it all the same")
         line = " ".join(f'"{word}"' if " " in word else word for word in words)
         await runner.run(line)
--- a/fernweir/console/app.py
+++ b/fernweir/console/app.py
@@ -19,7 +19,7 @@
 from textual.widgets import Input, Static
 
 from fernweir.console import views
-from fernweir.console.link import Link
+from fernweir.console.link import ConsoleClient
 from fernweir.console.text import clean, fit
 from fernweir.console.views import SORTS, VIEWS, Choice, View
 from fernweir.control.client import ControlError
@@ -121,7 +121,7 @@
         self.cursor = 0
         self.top = 0
         self.says = "? for help"
-        self.link: Link | None = None
+        self.link: ConsoleClient | None = None
         self._last_id = ""
         self._shown_view = View([], [], [])
         self._key = ""
@@ -133,7 +133,7 @@
         yield Static(id="says")
 
     def on_mount(self) -> None:
-        self.link = Link(self._where, self._operator)
+        self.link = ConsoleClient(self._where, self._operator)
         self.link.start()
         self.set_interval(_REFRESH_S, self.draw)
         self.draw()
--- a/fernweir/console/link.py
+++ b/fernweir/console/link.py
@@ -19,7 +19,7 @@
     return Layout(where.absolute()).socket if where.is_dir() else where
 
 
-class Link:
+class ConsoleClient:
     """Keeps `shown` up to date; `start` it within a loop."""
 
     def __init__(self, where: Path, operator: str) -> None:
--- a/fernweir/console/script.py
+++ b/fernweir/console/script.py
@@ -21,7 +21,7 @@
 from typing import Any
 
 from fernweir.console import views
-from fernweir.console.link import Link
+from fernweir.console.link import ConsoleClient
 from fernweir.console.live import Shown
 from fernweir.console.text import clean
 from fernweir.console.views import VIEWS, Choice
@@ -43,7 +43,7 @@
 class Runner:
     """Carries lines out through `link`; `say` gets what is printed."""
 
-    link: Link
+    link: ConsoleClient
     say: Callable[[str], None]
     columns: int = 80
     wait_s: float = 30.0
--- a/fernweir/rehearsal/consoleday.py
+++ b/fernweir/rehearsal/consoleday.py
@@ -18,7 +18,7 @@
 from fernweir.appliance.unit import Unit
 from fernweir.audit import Auditor, audit_lines
 from fernweir.audit.printed import Drained, Printed, TraceBook
-from fernweir.console.link import Link
+from fernweir.console.link import ConsoleClient
 from fernweir.console.script import Runner
 from fernweir.rehearsal.badday import free_port
 from fernweir.rehearsal.site import RehearsalSite, SitePlan
@@ -66,7 +66,7 @@
             ports = {name: free_port() for name in ("front-1", "front-2")}
             self.unit = Unit(load_unit(self._make_unit(ports)))
             await self.unit.start()
-            self.links = [Link(self.unit.layout.root, name) for name in ("ann", "bob")]
+            self.links = [ConsoleClient(self.unit.layout.root, name) for name in ("ann", "bob")]
             self.ann, self.bob = (Runner(link, self._said) for link in self.links)
             self._lines: list[str] = []
             for link in self.links:
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -16,7 +16,7 @@
 
 from fernweir.console import views
 from fernweir.console.app import ConsoleApp
-from fernweir.console.link import Link
+from fernweir.console.link import ConsoleClient
 from fernweir.console.live import Shown
 from fernweir.console.script import Runner, ScriptError
 from fernweir.console.text import bar, clean, fit, sparkline, width
@@ -111,7 +111,7 @@
 def runner_scene(story: Callable[[Scene, Runner, list[str]], Awaitable[None]], **more: str) -> None:
     async def run(scene: Scene, ann: Any) -> None:
         ann.close()
-        link, said = Link(scene.site.folder / "run" / "front-0.sock", "ann"), list[str]()
+        link, said = ConsoleClient(scene.site.folder / "run" / "front-0.sock", "ann"), list[str]()
         link.start()
         await link.client.wait_ready()
         try:
