--- a/fernweir/console/app.py
+++ b/fernweir/console/app.py
@@ -155,7 +155,7 @@
         columns, lines = max(self.size.width, 20), max(self.size.height - 3, 2)
         title = self.query_one("#title", Static)
         title.update(Text(views.title(shown, columns)))
-        title.set_class(shown.how_true() != "live", "stale")
+        title.set_class(shown.freshness() != "live", "stale")
         self.query_one("#tabs", Static).update(Text(fit(self._tabs(), columns)))
         lists = self.view != "overview"  # whose rows have a cursor, in a column of its own
         view = VIEWS[self.view](shown, self.choices[self.view], columns - lists)
--- a/fernweir/console/link.py
+++ b/fernweir/console/link.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from fernweir.appliance.layout import Layout
-from fernweir.console.live import Shown
+from fernweir.console.live import ConsoleState
 from fernweir.control.client import ControlClient, ControlError
 from fernweir.journal.events import EntryError, from_row
 
@@ -23,7 +23,7 @@
     """Keeps `shown` up to date; `start` it within a loop."""
 
     def __init__(self, where: Path, operator: str) -> None:
-        self.shown = Shown(name=where.name)
+        self.shown = ConsoleState(name=where.name)
         self.client = ControlClient(socket_of(where), operator, watch=True)
         self.client.follower.on_entry = self.shown.history.add
         self.client.on_greeting = self._greeted
@@ -38,21 +38,21 @@
             self._filling.cancel()
         self.client.close()
 
-    def refresh(self) -> Shown:
+    def refresh(self) -> ConsoleState:
         """What is to be shown now."""
         client, shown = self.client, self.shown
         if client.follower.picture is not None:
             shown.picture = client.follower.picture
         shown.gauges = client.follower.gauges
-        shown.connected, shown.why_not = client.connected, client.disconnect_reason
+        shown.connected, shown.disconnect_reason = client.connected, client.disconnect_reason
         shown.age_s = client.loop.time() - (client.last_message_at_s or self._since)
-        shown.missed = client.follower.missed_count
+        shown.missed_count = client.follower.missed_count
         if client.hello:
             shown.name = str(client.hello.get("name") or shown.name)
             shown.may_act = client.hello.get("may") == "act"
         return shown
 
-    async def synced(self) -> Shown:
+    async def synced(self) -> ConsoleState:
         """Waits until the picture has all that the other side had when this was called."""
         if self._filling is not None:
             await self._filling
--- a/fernweir/console/live.py
+++ b/fernweir/console/live.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True)
-class Shown:
+class ConsoleState:
     """All that views are made of. `age_s` is how long ago the other side was last heard."""
 
     picture: StateProjection = field(default_factory=StateProjection)
@@ -57,15 +57,15 @@
     name: str = ""
     may_act: bool = False
     connected: bool = False
-    why_not: str = ""
+    disconnect_reason: str = ""
     age_s: float = 0.0
-    missed: int = 0
+    missed_count: int = 0
     journal_trouble: str = ""
 
-    def how_true(self) -> str:
+    def freshness(self) -> str:
         """In words how far the picture can be believed."""
         if self.connected and self.age_s < 5.0:
             return "live"
         if self.connected:
             return f"{self.age_s:.0f} s old, nothing is heard"
-        return f"{self.age_s:.0f} s old, not connected: {self.why_not}"
+        return f"{self.age_s:.0f} s old, not connected: {self.disconnect_reason}"
--- a/fernweir/console/script.py
+++ b/fernweir/console/script.py
@@ -22,7 +22,7 @@
 
 from fernweir.console import views
 from fernweir.console.link import ConsoleClient
-from fernweir.console.live import Shown
+from fernweir.console.live import ConsoleState
 from fernweir.console.text import clean
 from fernweir.console.views import VIEWS, Choice
 from fernweir.control.client import ControlError
@@ -124,7 +124,7 @@
             self.say(line)
 
 
-_MEASURES: dict[str, Callable[[Shown], int]] = {
+_MEASURES: dict[str, Callable[[ConsoleState], int]] = {
     "sessions": lambda shown: len(shown.picture.sessions),
     "playing": lambda shown: sum(one.phase == "playing" for one in shown.picture.sessions.values()),
     "boxes": lambda shown: len(shown.picture.servers),
--- a/fernweir/console/views.py
+++ b/fernweir/console/views.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from fernweir.console.live import Shown
+from fernweir.console.live import ConsoleState
 from fernweir.console.text import bar, clean, clock, fit, row, sparkline
 from fernweir.journal.events import ANSWERS, Entry, EventKind
 from fernweir.journal.state_projection import ServerRow, SessionRow
@@ -38,7 +38,7 @@
     keys: list[str]
 
 
-def overview(shown: Shown, columns: int = 80) -> View:
+def overview(shown: ConsoleState, columns: int = 80) -> View:
     picture, gauges = shown.picture, shown.gauges
     phases = Counter(one.phase for one in picture.sessions.values())
     worth, most = gauges.get("worth", 0.0), gauges.get("worth_most", 0.0)
@@ -66,7 +66,7 @@
     return View(head, rows, [""] * len(rows))
 
 
-def _orders(shown: Shown) -> list[str]:
+def _orders(shown: ConsoleState) -> list[str]:
     picture = shown.picture
     said = [f"box {one.server} drained by {one.drained_by}" for one in sorted_boxes(shown) if one.drained_by]
     said += [f"{lesson} held by {by}" for lesson, by in sorted(picture.holds.items())]
@@ -77,7 +77,7 @@
     return lines
 
 
-def _loads(shown: Shown, columns: int) -> list[str]:
+def _loads(shown: ConsoleState, columns: int) -> list[str]:
     loads = shown.gauges.get("boxes", {})
     size = max(min((columns - 26) // 2, 24), 6)
     rows: list[str] = []
@@ -93,7 +93,7 @@
     return f"{bar(load[which], size)}{load[which]:>5.0%}{' ' if sure else '?'}"
 
 
-def sessions(shown: Shown, choice: Choice | None = None, columns: int = 80) -> View:
+def sessions(shown: ConsoleState, choice: Choice | None = None, columns: int = 80) -> View:
     choice = choice or Choice()
     found = [one for one in shown.picture.sessions.values() if choice.takes(_session_cells(one))]
     orders: dict[str, Callable[[SessionRow], object]] = {
@@ -123,7 +123,7 @@
     return one.session, one.phase, one.title, one.cls, box, rung, clock(one.since)
 
 
-def boxes(shown: Shown, choice: Choice | None = None, columns: int = 80) -> View:
+def boxes(shown: ConsoleState, choice: Choice | None = None, columns: int = 80) -> View:
     choice = choice or Choice()
     loads = shown.gauges.get("boxes", {})
 
@@ -152,7 +152,7 @@
     return View(head, rows or ["none"], [str(one.server) for one in found] or [""])
 
 
-def refusals(shown: Shown, choice: Choice | None = None, columns: int = 80) -> View:
+def refusals(shown: ConsoleState, choice: Choice | None = None, columns: int = 80) -> View:
     choice = choice or Choice()
     found = sorted(shown.picture.refusals.items(), key=lambda one: (-one[1], one[0]))
     found = [one for one in found if choice.takes({"why": one[0]})]
@@ -164,7 +164,7 @@
     return View(head, rows or ["none"], [why for why, _ in found] or [""])
 
 
-def log(shown: Shown, choice: Choice | None = None, columns: int = 80) -> View:
+def log(shown: ConsoleState, choice: Choice | None = None, columns: int = 80) -> View:
     """The newest entries first."""
     choice = choice or Choice()
     rows, keys = [], []
@@ -206,16 +206,16 @@
     return View(["the life of one session"], rows or ["the journal has nothing on it"], [""] * len(rows))
 
 
-def title(shown: Shown, columns: int = 80) -> str:
+def title(shown: ConsoleState, columns: int = 80) -> str:
     """The first line of every screen: whose picture, and how true it is."""
-    left = f"{shown.name or '?'}  {shown.how_true()}" + ("" if shown.may_act else "  (may look only)")
-    if shown.missed:
-        left += f"  caught up {shown.missed}x"
+    left = f"{shown.name or '?'}  {shown.freshness()}" + ("" if shown.may_act else "  (may look only)")
+    if shown.missed_count:
+        left += f"  caught up {shown.missed_count}x"
     right = f"{clock(shown.picture.at)} UTC  #{shown.picture.number}"
     return fit(left, max(columns - len(right) - 1, 1)) + " " + right
 
 
-def sorted_boxes(shown: Shown) -> list[ServerRow]:
+def sorted_boxes(shown: ConsoleState) -> list[ServerRow]:
     return [shown.picture.servers[number] for number in sorted(shown.picture.servers)]
 
 
@@ -227,7 +227,7 @@
     return spread
 
 
-VIEWS: dict[str, Callable[[Shown, Choice, int], View]] = {
+VIEWS: dict[str, Callable[[ConsoleState, Choice, int], View]] = {
     "overview": lambda shown, choice, columns: overview(shown, columns),
     "sessions": sessions,
     "boxes": boxes,
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -17,7 +17,7 @@
 from fernweir.console import views
 from fernweir.console.app import ConsoleApp
 from fernweir.console.link import ConsoleClient
-from fernweir.console.live import Shown
+from fernweir.console.live import ConsoleState
 from fernweir.console.script import Runner, ScriptError
 from fernweir.console.text import bar, clean, fit, sparkline, width
 from fernweir.console.views import VIEWS, Choice
@@ -44,9 +44,9 @@
     assert sparkline([], 4) == "    " and sparkline([0, 0], 2) == "  "
 
 
-def crowd(count: int = 40, boxes: int = 130) -> Shown:
+def crowd(count: int = 40, boxes: int = 130) -> ConsoleState:
     """A picture with hostile names in every place, made by a journal."""
-    shown, journal = Shown(name="yard" + HOSTILE, connected=True, may_act=True), Journal("front-1")
+    shown, journal = ConsoleState(name="yard" + HOSTILE, connected=True, may_act=True), Journal("front-1")
     journal.watchers += [shown.picture.apply, shown.history.add]
     journal.add(0.0, EventKind.FRONT, why="up")
     for box in range(1, boxes + 1):
@@ -93,9 +93,12 @@
 
 
 def test_a_picture_says_how_old_it_is() -> None:
-    assert Shown(connected=True, age_s=1.0).how_true() == "live"
-    assert Shown(connected=True, age_s=9.0).how_true() == "9 s old, nothing is heard"
-    assert "not connected: refused" in Shown(connected=False, age_s=70.0, why_not="refused").how_true()
+    assert ConsoleState(connected=True, age_s=1.0).freshness() == "live"
+    assert ConsoleState(connected=True, age_s=9.0).freshness() == "9 s old, nothing is heard"
+    assert (
+        "not connected: refused"
+        in ConsoleState(connected=False, age_s=70.0, disconnect_reason="refused").freshness()
+    )
 
 
 def test_five_thousand_sessions_and_a_hundred_and_thirty_boxes_are_all_listed() -> None:
--- a/tests/test_rehearsals.py
+++ b/tests/test_rehearsals.py
@@ -11,7 +11,7 @@
 
 from fernweir.audit.printed import Drained, Printed, TraceBook
 from fernweir.console import views
-from fernweir.console.live import Shown
+from fernweir.console.live import ConsoleState
 from fernweir.journal import state_projection
 from fernweir.journal.events import EventKind
 from fernweir.journal.state_projection import StateProjection
@@ -86,7 +86,7 @@
 
 
 def test_the_judge_reads_what_the_views_print() -> None:
-    shown, journal = Shown(), Journal("f")
+    shown, journal = ConsoleState(), Journal("f")
     journal.watchers.append(shown.picture.apply)
     for number in (1, 2, 3):
         named = {"session": f"s{number}", "title": "l", "cls": "c"}
