--- a/fernweir/cli/console.py
+++ b/fernweir/cli/console.py
@@ -15,8 +15,8 @@
 
 from fernweir.console import views
 from fernweir.console.link import ConsoleClient
-from fernweir.console.script import Runner, ScriptError
-from fernweir.console.views import VIEWS, Choice
+from fernweir.console.script import ScriptError, ScriptRunner
+from fernweir.console.views import VIEWS, RowFilter
 from fernweir.control.client import ControlError
 from fernweir.journal.events import from_row
 
@@ -72,7 +72,7 @@
     text = sys.stdin.read() if str(script) == "-" else script.read_text(encoding="utf-8")
 
     async def run(link: ConsoleClient) -> None:
-        await Runner(link, click.echo, columns).run(text)
+        await ScriptRunner(link, click.echo, columns).run(text)
 
     _with_link(where, operator, run)
 
@@ -92,11 +92,11 @@
     @_as_operator
     def command(where: Path, as_json: bool, search: str, sort: str, columns: int, operator: str) -> None:
         async def run(link: ConsoleClient) -> None:
-            shown = await link.synced()
+            shown = await link.wait_synced()
             if as_json:
                 click.echo(json.dumps(await _data(link, name), indent=1))
                 return
-            view = VIEWS[name](shown, Choice(search, sort), columns)
+            view = VIEWS[name](shown, RowFilter(search, sort), columns)
             click.echo("\n".join([*view.head, *view.rows]))
 
         _with_link(where, operator, run)
@@ -167,7 +167,7 @@
     """Carry out a command, as a line of a console script: `do ROOT drain 3 "fan is loud"`."""
 
     async def run(link: ConsoleClient) -> None:
-        runner = Runner(link, click.echo, how_to_confirm="say --yes to do it all the same")
+        runner = ScriptRunner(link, click.echo, how_to_confirm="say --yes to do it all the same")
         line = " ".join(f'"{word}"' if " " in word else word for word in words)
         await runner.run(line)
         if yes and runner.results and runner.results[-1]["outcome"] == "confirm":
--- a/fernweir/console/app.py
+++ b/fernweir/console/app.py
@@ -21,7 +21,7 @@
 from fernweir.console import views
 from fernweir.console.link import ConsoleClient
 from fernweir.console.text import clean, fit
-from fernweir.console.views import SORTS, VIEWS, Choice, View
+from fernweir.console.views import SORTS, VIEWS, RowFilter, View
 from fernweir.control.client import ControlError
 from fernweir.journal.events import from_row
 
@@ -117,7 +117,7 @@
         super().__init__()
         self._where, self._operator = where, operator
         self.view = "overview"
-        self.choices = dict.fromkeys(VIEWS, Choice())
+        self.choices = dict.fromkeys(VIEWS, RowFilter())
         self.cursor = 0
         self.top = 0
         self.says = "? for help"
@@ -221,7 +221,7 @@
     def action_search(self) -> None:
         def found(text: str | None) -> None:
             if text is not None:
-                self.choices[self.view] = Choice(text, self.choices[self.view].sort)
+                self.choices[self.view] = RowFilter(text, self.choices[self.view].sort)
                 self.cursor, self._key = 0, ""
                 self.draw()
 
@@ -233,7 +233,7 @@
             return
         choice = self.choices[self.view]
         at = sorts.index(choice.sort) if choice.sort in sorts else 0
-        self.choices[self.view] = Choice(choice.search, sorts[(at + 1) % len(sorts)])
+        self.choices[self.view] = RowFilter(choice.search, sorts[(at + 1) % len(sorts)])
         self.draw()
 
     def action_help(self) -> None:
--- a/fernweir/console/link.py
+++ b/fernweir/console/link.py
@@ -52,7 +52,7 @@
             shown.may_act = client.hello.get("may") == "act"
         return shown
 
-    async def synced(self) -> ConsoleState:
+    async def wait_synced(self) -> ConsoleState:
         """Waits until the picture has all that the other side had when this was called."""
         if self._filling is not None:
             await self._filling
--- a/fernweir/console/script.py
+++ b/fernweir/console/script.py
@@ -24,7 +24,7 @@
 from fernweir.console.link import ConsoleClient
 from fernweir.console.live import ConsoleState
 from fernweir.console.text import clean
-from fernweir.console.views import VIEWS, Choice
+from fernweir.console.views import VIEWS, RowFilter
 from fernweir.control.client import ControlError
 from fernweir.journal.events import from_row
 
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class Runner:
+class ScriptRunner:
     """Carries lines out through `link`; `say` gets what is printed."""
 
     link: ConsoleClient
@@ -92,8 +92,8 @@
         fields = dict(word.split("=", 1) for word in rest[1:] if "=" in word)
         if len(fields) != len(rest) - 1:
             raise ScriptError("after the view come FIELD=VALUE")
-        choice = Choice(fields.pop("search", ""), fields.pop("sort", ""), fields or None)
-        shown = await self.link.synced()
+        choice = RowFilter(fields.pop("search", ""), fields.pop("sort", ""), fields or None)
+        shown = await self.link.wait_synced()
         self._print(VIEWS[rest[0]](shown, choice, self.columns))
 
     async def _command(self, verb: str, **fields: Any) -> None:
@@ -112,7 +112,7 @@
         try:
             async with asyncio.timeout(self.wait_s):
                 while True:
-                    value = _MEASURES[name](await self.link.synced())
+                    value = _MEASURES[name](await self.link.wait_synced())
                     if _OPS[op](value, int(count)):
                         return
                     await asyncio.sleep(0.02)
--- a/fernweir/console/views.py
+++ b/fernweir/console/views.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Choice:
+class RowFilter:
     """What of a list is wanted: rows that have `search` in any cell, and those of given fields."""
 
     search: str = ""
@@ -93,8 +93,8 @@
     return f"{bar(load[which], size)}{load[which]:>5.0%}{' ' if sure else '?'}"
 
 
-def sessions(shown: ConsoleState, choice: Choice | None = None, columns: int = 80) -> View:
-    choice = choice or Choice()
+def sessions(shown: ConsoleState, choice: RowFilter | None = None, columns: int = 80) -> View:
+    choice = choice or RowFilter()
     found = [one for one in shown.picture.sessions.values() if choice.takes(_session_cells(one))]
     orders: dict[str, Callable[[SessionRow], object]] = {
         "box": lambda one: (one.server, one.session),
@@ -123,8 +123,8 @@
     return one.session, one.phase, one.title, one.cls, box, rung, clock(one.since)
 
 
-def boxes(shown: ConsoleState, choice: Choice | None = None, columns: int = 80) -> View:
-    choice = choice or Choice()
+def boxes(shown: ConsoleState, choice: RowFilter | None = None, columns: int = 80) -> View:
+    choice = choice or RowFilter()
     loads = shown.gauges.get("boxes", {})
 
     def load(one: ServerRow) -> list[float]:
@@ -152,8 +152,8 @@
     return View(head, rows or ["none"], [str(one.server) for one in found] or [""])
 
 
-def refusals(shown: ConsoleState, choice: Choice | None = None, columns: int = 80) -> View:
-    choice = choice or Choice()
+def refusals(shown: ConsoleState, choice: RowFilter | None = None, columns: int = 80) -> View:
+    choice = choice or RowFilter()
     found = sorted(shown.picture.refusals.items(), key=lambda one: (-one[1], one[0]))
     found = [one for one in found if choice.takes({"why": one[0]})]
     total = sum(shown.picture.refusals.values())
@@ -164,9 +164,9 @@
     return View(head, rows or ["none"], [why for why, _ in found] or [""])
 
 
-def log(shown: ConsoleState, choice: Choice | None = None, columns: int = 80) -> View:
+def log(shown: ConsoleState, choice: RowFilter | None = None, columns: int = 80) -> View:
     """The newest entries first."""
-    choice = choice or Choice()
+    choice = choice or RowFilter()
     rows, keys = [], []
     for entry in reversed(shown.history.entries):
         line = describe(entry)
@@ -227,7 +227,7 @@
     return spread
 
 
-VIEWS: dict[str, Callable[[ConsoleState, Choice, int], View]] = {
+VIEWS: dict[str, Callable[[ConsoleState, RowFilter, int], View]] = {
     "overview": lambda shown, choice, columns: overview(shown, columns),
     "sessions": sessions,
     "boxes": boxes,
--- a/fernweir/rehearsal/consoleday.py
+++ b/fernweir/rehearsal/consoleday.py
@@ -19,7 +19,7 @@
 from fernweir.audit import Auditor, audit_lines
 from fernweir.audit.printed import Drained, Printed, TraceBook
 from fernweir.console.link import ConsoleClient
-from fernweir.console.script import Runner
+from fernweir.console.script import ScriptRunner
 from fernweir.rehearsal.badday import free_port
 from fernweir.rehearsal.site import RehearsalSite, SitePlan
 from fernweir.standin.trace import Trace
@@ -67,7 +67,7 @@
             self.unit = Unit(load_unit(self._make_unit(ports)))
             await self.unit.start()
             self.links = [ConsoleClient(self.unit.layout.root, name) for name in ("ann", "bob")]
-            self.ann, self.bob = (Runner(link, self._said) for link in self.links)
+            self.ann, self.bob = (ScriptRunner(link, self._said) for link in self.links)
             self._lines: list[str] = []
             for link in self.links:
                 link.start()
@@ -174,7 +174,7 @@
     def _said(self, line: str) -> None:
         self._lines.append(line)
 
-    async def _type(self, runner: Runner, line: str) -> dict[str, Any]:
+    async def _type(self, runner: ScriptRunner, line: str) -> dict[str, Any]:
         """A command, confirmed if it costs something."""
         await runner.run(line)
         self._commands += 1
@@ -182,7 +182,7 @@
             await runner.run("confirm")
         return runner.results[-1]
 
-    async def _drain(self, runner: Runner, box: int) -> dict[str, Any]:
+    async def _drain(self, runner: ScriptRunner, box: int) -> dict[str, Any]:
         answer = await self._type(runner, f"drain {box} rehearsal")
         while answer["outcome"] == "queued" or (answer["outcome"] == "already" and "waits" in answer["says"]):
             await asyncio.sleep(0.05)
@@ -192,7 +192,7 @@
         self._open.setdefault(box, self.loop.time() * 1000.0)
         return answer
 
-    async def _undrain(self, box: int, runner: Runner | None = None) -> None:
+    async def _undrain(self, box: int, runner: ScriptRunner | None = None) -> None:
         begun = self._open.pop(box, None)
         if begun is not None:
             self.drains.append(Drained(box, begun, self.loop.time() * 1000.0))
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -18,9 +18,9 @@
 from fernweir.console.app import ConsoleApp
 from fernweir.console.link import ConsoleClient
 from fernweir.console.live import ConsoleState
-from fernweir.console.script import Runner, ScriptError
+from fernweir.console.script import ScriptError, ScriptRunner
 from fernweir.console.text import bar, clean, fit, sparkline, width
-from fernweir.console.views import VIEWS, Choice
+from fernweir.console.views import VIEWS, RowFilter
 from fernweir.journal.events import EventKind
 from fernweir.journal.store import Journal
 from tests.scene import Scene
@@ -73,7 +73,7 @@
 @pytest.mark.parametrize("name", list(VIEWS))
 def test_every_view_fits_its_columns_whatever_names_say(name: str, columns: int) -> None:
     shown = crowd()
-    view = VIEWS[name](shown, Choice(), columns)
+    view = VIEWS[name](shown, RowFilter(), columns)
     for line in [views.title(shown, columns), *view.head, *view.rows]:
         assert not any(unicodedata.category(char)[0] == "C" for char in line), repr(line)
         assert columns < 60 or width(line) <= columns, (columns, line)
@@ -82,11 +82,11 @@
 
 def test_views_sort_search_and_count() -> None:
     shown = crowd(40)
-    view = views.sessions(shown, Choice(search="lesson-2", sort="rung"))
+    view = views.sessions(shown, RowFilter(search="lesson-2", sort="rung"))
     assert len(view.rows) == sum(n % 5 == 2 and n % 4 != 3 for n in range(40))
-    by_box = views.sessions(shown, Choice(sort="box")).keys
+    by_box = views.sessions(shown, RowFilter(sort="box")).keys
     assert [key[:6] for key in by_box] == sorted(key[:6] for key in by_box)
-    drained = views.boxes(shown, Choice(search="draining"))
+    drained = views.boxes(shown, RowFilter(search="draining"))
     assert drained.keys == ["3"]
     assert views.refusals(shown).rows[0].split()[0] == "10"
     assert "75% of 4.0" in views.overview(shown).head[0]
@@ -103,7 +103,7 @@
 
 def test_five_thousand_sessions_and_a_hundred_and_thirty_boxes_are_all_listed() -> None:
     shown = crowd(5_000, 130)
-    view = views.sessions(shown, Choice(sort="box"))
+    view = views.sessions(shown, RowFilter(sort="box"))
     assert len(view.rows) == len(shown.picture.sessions) == 3_750
     assert len(views.boxes(shown).rows) == 130
 
@@ -111,14 +111,14 @@
 # --- scripts ---
 
 
-def runner_scene(story: Callable[[Scene, Runner, list[str]], Awaitable[None]], **more: str) -> None:
+def runner_scene(story: Callable[[Scene, ScriptRunner, list[str]], Awaitable[None]], **more: str) -> None:
     async def run(scene: Scene, ann: Any) -> None:
         ann.close()
         link, said = ConsoleClient(scene.site.folder / "run" / "front-0.sock", "ann"), list[str]()
         link.start()
         await link.client.wait_ready()
         try:
-            await story(scene, Runner(link, said.append), said)
+            await story(scene, ScriptRunner(link, said.append), said)
         finally:
             link.close()
 
@@ -126,7 +126,7 @@
 
 
 def test_a_script_prints_what_the_boxes_say() -> None:
-    async def story(scene: Scene, runner: Runner, said: list[str]) -> None:
+    async def story(scene: Scene, runner: ScriptRunner, said: list[str]) -> None:
         wishes = [scene.wish(title=f"lesson-{n % 2}") for n in range(8)]
         await asyncio.gather(*map(scene.ask, wishes))
         await runner.run("# eight\nwait playing = 8\nshow sessions\nshow boxes sort=playing")
@@ -151,7 +151,7 @@
 
 
 def test_a_cost_is_confirmed_in_a_script() -> None:
-    async def story(scene: Scene, runner: Runner, said: list[str]) -> None:
+    async def story(scene: Scene, runner: ScriptRunner, said: list[str]) -> None:
         holders = scene.holders("lesson-0")
         for box in holders:
             await runner.run(f"drain {box}")
