--- a/fernweir/appliance/unit.py
+++ b/fernweir/appliance/unit.py
@@ -109,8 +109,8 @@
         rules = OrderServiceSettings(tuple(self.config.unit.operators))
         self.desk = OrderService(self.config.unit.name, self.journal, orders, self, rules, self.layout.orders)
         for entry in self.journal.entries(self.journal.first):
-            self.desk.picture.apply(entry)
-        for front in list(self.desk.picture.fronts):
+            self.desk.projection.apply(entry)
+        for front in list(self.desk.projection.fronts):
             self.merger.gone(front, self.wall_time_ms())  # none of them runs yet
         self.channel = ControlServer(self.desk, self.layout.socket, mode=self.config.unit.mode)
         self.journal.watchers.append(self.channel.on_journal_entry)
@@ -147,7 +147,7 @@
 
     def exited(self, name: str, how: str) -> None:
         self._processes.pop(name, None)
-        if name in self.clients and name in self.desk.picture.fronts:
+        if name in self.clients and name in self.desk.projection.fronts:
             self.merger.gone(name, self.wall_time_ms())
         for command in self.supervisor.exited(self._now(), name, how):
             if isinstance(command, Say):
@@ -275,7 +275,7 @@
         async def gather() -> None:
             answers = await asyncio.gather(*(self._ask(name, "site") for name in self._alive()))
             plains = [answer["site"] for answer in answers if answer is not None]
-            then(SiteSnapshot.merge(plains, frozenset(self.desk.picture.servers)))
+            then(SiteSnapshot.merge(plains, frozenset(self.desk.projection.servers)))
 
         self._spawn(gather())
 
@@ -288,7 +288,7 @@
         self._spawn(push())
 
     def end_session(self, id: str, session: str, why: str) -> None:
-        for row in list(self.desk.picture.sessions.values()):
+        for row in list(self.desk.projection.sessions.values()):
             if row.session == session and row.front in self.clients:
                 ask = self._ask(row.front, "end", id=f"{id}.{row.front}", target=session, reason=why)
                 self._spawn(ask)
--- a/fernweir/console/app.py
+++ b/fernweir/console/app.py
@@ -263,7 +263,7 @@
 
     def action_lesson(self, do: str) -> None:
         session = self._session()
-        rows = self.link.shown.picture.sessions.values() if self.link is not None else ()
+        rows = self.link.shown.projection.sessions.values() if self.link is not None else ()
         lesson = next((one.title for one in rows if one.session == session), "")
         if not lesson:
             self._say("choose a session of the lesson first: 2")
--- a/fernweir/console/link.py
+++ b/fernweir/console/link.py
@@ -41,8 +41,8 @@
     def refresh(self) -> ConsoleState:
         """What is to be shown now."""
         client, shown = self.client, self.shown
-        if client.follower.picture is not None:
-            shown.picture = client.follower.picture
+        if client.follower.projection is not None:
+            shown.projection = client.follower.projection
         shown.gauges = client.follower.gauges
         shown.connected, shown.disconnect_reason = client.connected, client.disconnect_reason
         shown.age_s = client.loop.time() - (client.last_message_at_s or self._since)
@@ -59,7 +59,7 @@
         number = (await self.client.ask("overview"))["number"]
         if not self.client.follower.gauges:  # they come by the second, and this may be the first
             self.client.follower.gauges = (await self.client.ask("gauges"))["gauges"]
-        while self.client.follower.picture is None or self.client.follower.picture.number < number:
+        while self.client.follower.projection is None or self.client.follower.projection.number < number:
             await asyncio.sleep(0.005)
         return self.refresh()
 
--- a/fernweir/console/live.py
+++ b/fernweir/console/live.py
@@ -51,7 +51,7 @@
 class ConsoleState:
     """All that views are made of. `age_s` is how long ago the other side was last heard."""
 
-    picture: StateProjection = field(default_factory=StateProjection)
+    projection: StateProjection = field(default_factory=StateProjection)
     gauges: dict[str, Any] = field(default_factory=dict)
     history: History = field(default_factory=History)
     name: str = ""
--- a/fernweir/console/script.py
+++ b/fernweir/console/script.py
@@ -125,11 +125,11 @@
 
 
 _MEASURES: dict[str, Callable[[ConsoleState], int]] = {
-    "sessions": lambda shown: len(shown.picture.sessions),
-    "playing": lambda shown: sum(one.phase == "playing" for one in shown.picture.sessions.values()),
-    "boxes": lambda shown: len(shown.picture.servers),
-    "ready": lambda shown: sum(one.state == "ready" for one in shown.picture.servers.values()),
-    "fronts": lambda shown: len(shown.picture.fronts),
-    "plays": lambda shown: shown.picture.answers["plays"],
-    "refused": lambda shown: shown.picture.answers["refused"],
+    "sessions": lambda shown: len(shown.projection.sessions),
+    "playing": lambda shown: sum(one.phase == "playing" for one in shown.projection.sessions.values()),
+    "boxes": lambda shown: len(shown.projection.servers),
+    "ready": lambda shown: sum(one.state == "ready" for one in shown.projection.servers.values()),
+    "fronts": lambda shown: len(shown.projection.fronts),
+    "plays": lambda shown: shown.projection.answers["plays"],
+    "refused": lambda shown: shown.projection.answers["refused"],
 }
--- a/fernweir/console/views.py
+++ b/fernweir/console/views.py
@@ -39,27 +39,27 @@
 
 
 def overview(shown: ConsoleState, columns: int = 80) -> View:
-    picture, gauges = shown.picture, shown.gauges
-    phases = Counter(one.phase for one in picture.sessions.values())
+    projection, gauges = shown.projection, shown.gauges
+    phases = Counter(one.phase for one in projection.sessions.values())
     worth, most = gauges.get("worth", 0.0), gauges.get("worth_most", 0.0)
     served = f"worth {100.0 * worth / most:.0f}% of {most:.1f}" if most else "worth -"
     lines = [
         f"sessions  {phases['playing']} playing, {phases['out']} out, {phases['asked']} asked    {served}"
         f"    {gauges.get('waiting', 0)} waiting",
-        "answers   " + "  ".join(f"{kind} {picture.answers[kind]}" for kind in ANSWERS),
+        "answers   " + "  ".join(f"{kind} {projection.answers[kind]}" for kind in ANSWERS),
     ]
     spans = max(min(columns - 34, 40), 8)
     for kind in (EventKind.PLAYS, EventKind.REFUSED, EventKind.FAILED):
-        series = shown.history.series(kind, picture.at, spans)
+        series = shown.history.series(kind, projection.at, spans)
         lines.append(f"  {kind:<8} {sparkline(series, spans)}  {series[-1] if series else 0:.0f} in 5 s")
-    reasons = sorted(picture.refusals.items(), key=lambda one: (-one[1], one[0]))
+    reasons = sorted(projection.refusals.items(), key=lambda one: (-one[1], one[0]))
     lines.append("turned    " + (" | ".join(f"{why} {count}" for why, count in reasons[:3]) or "nobody away"))
-    states = Counter(one.state for one in picture.servers.values())
-    silent = sum(one.silent for one in picture.servers.values())
+    states = Counter(one.state for one in projection.servers.values())
+    silent = sum(one.silent for one in projection.servers.values())
     lines.append("boxes     " + (", ".join(f"{states[s]} {s}" for s in sorted(states)) or "none")
                  + (f", {silent} silent" if silent else ""))  # fmt: skip
     lines.append("fronts    " + (", ".join(f"{name} since {clock(at)}" for name, at
-                                           in sorted(picture.fronts.items())) or "none"))  # fmt: skip
+                                           in sorted(projection.fronts.items())) or "none"))  # fmt: skip
     lines += _orders(shown)
     rows = _loads(shown, columns)
     head = [fit(line, columns).rstrip() for line in [*lines, ""]]
@@ -67,10 +67,10 @@
 
 
 def _orders(shown: ConsoleState) -> list[str]:
-    picture = shown.picture
+    projection = shown.projection
     said = [f"box {one.server} drained by {one.drained_by}" for one in sorted_boxes(shown) if one.drained_by]
-    said += [f"{lesson} held by {by}" for lesson, by in sorted(picture.holds.items())]
-    said += [f"limit {most} for {what}" for what, most in sorted(picture.caps.items())]
+    said += [f"{lesson} held by {by}" for lesson, by in sorted(projection.holds.items())]
+    said += [f"limit {most} for {what}" for what, most in sorted(projection.caps.items())]
     lines = ["orders    " + ("; ".join(said) or "none")]
     if shown.journal_trouble:
         lines.append(f"journal   NOT KEPT: {shown.journal_trouble}")
@@ -95,7 +95,7 @@
 
 def sessions(shown: ConsoleState, choice: RowFilter | None = None, columns: int = 80) -> View:
     choice = choice or RowFilter()
-    found = [one for one in shown.picture.sessions.values() if choice.takes(_session_cells(one))]
+    found = [one for one in shown.projection.sessions.values() if choice.takes(_session_cells(one))]
     orders: dict[str, Callable[[SessionRow], object]] = {
         "box": lambda one: (one.server, one.session),
         "lesson": lambda one: (one.title, one.session),
@@ -154,9 +154,9 @@
 
 def refusals(shown: ConsoleState, choice: RowFilter | None = None, columns: int = 80) -> View:
     choice = choice or RowFilter()
-    found = sorted(shown.picture.refusals.items(), key=lambda one: (-one[1], one[0]))
+    found = sorted(shown.projection.refusals.items(), key=lambda one: (-one[1], one[0]))
     found = [one for one in found if choice.takes({"why": one[0]})]
-    total = sum(shown.picture.refusals.values())
+    total = sum(shown.projection.refusals.values())
     head = [row(("count", "share", "reason"), (-7, -6, columns - 15))]
     rows = [
         row((str(count), f"{count / max(total, 1):.0%}", why), (-7, -6, columns - 15)) for why, count in found
@@ -211,12 +211,12 @@
     left = f"{shown.name or '?'}  {shown.freshness()}" + ("" if shown.may_act else "  (may look only)")
     if shown.missed_count:
         left += f"  caught up {shown.missed_count}x"
-    right = f"{clock(shown.picture.at)} UTC  #{shown.picture.number}"
+    right = f"{clock(shown.projection.at)} UTC  #{shown.projection.number}"
     return fit(left, max(columns - len(right) - 1, 1)) + " " + right
 
 
 def sorted_boxes(shown: ConsoleState) -> list[ServerRow]:
-    return [shown.picture.servers[number] for number in sorted(shown.picture.servers)]
+    return [shown.projection.servers[number] for number in sorted(shown.projection.servers)]
 
 
 def _spread(sizes: tuple[int, ...], columns: int, grows: int) -> list[int]:
--- a/fernweir/control/answers.py
+++ b/fernweir/control/answers.py
@@ -15,13 +15,13 @@
 _FIELDS = ("what", "box", "lesson", "tenant", "cls", "why", "front")
 
 
-def sessions(picture: StateProjection, ask: ListSessions) -> dict[str, Any]:
+def sessions(projection: StateProjection, ask: ListSessions) -> dict[str, Any]:
     """One page; `next` is there if more follow."""
-    keys = sorted(picture.sessions)
+    keys = sorted(projection.sessions)
     rows: list[dict[str, Any]] = []
     at = bisect_right(keys, ask.after) if ask.after else 0
     for index in range(at, len(keys)):
-        row = picture.sessions[keys[index]]
+        row = projection.sessions[keys[index]]
         if _wanted(row, ask):
             if len(rows) == ask.limit:
                 return {"rows": rows, "next": f"{rows[-1]['front']}/{rows[-1]['session']}"}
@@ -38,11 +38,11 @@
     )
 
 
-def boxes(picture: StateProjection, ask: ListServers, gauges: dict[str, Any]) -> dict[str, Any]:
-    numbers = sorted(number for number in picture.servers if number > ask.after)
+def boxes(projection: StateProjection, ask: ListServers, gauges: dict[str, Any]) -> dict[str, Any]:
+    numbers = sorted(number for number in projection.servers if number > ask.after)
     rows = []
     for number in numbers[: ask.limit]:
-        row = picture.servers[number]
+        row = projection.servers[number]
         load = gauges.get("boxes", {}).get(str(number), [])
         rows.append({**row.to_plain(), "state": row.state, "load": load})
     more = {"next": numbers[ask.limit - 1]} if len(numbers) > ask.limit else {}
@@ -62,22 +62,22 @@
     return {"rows": [to_row(one) for one in found], **({"next": following} if following else {})}
 
 
-def overview(picture: StateProjection, journal: Journal) -> dict[str, Any]:
+def overview(projection: StateProjection, journal: Journal) -> dict[str, Any]:
     phases = {"asked": 0, "out": 0, "playing": 0}
-    for row in picture.sessions.values():
+    for row in projection.sessions.values():
         phases[row.phase] += 1
     return {
-        "number": picture.number,
-        "at": picture.at,
-        "fronts": dict(picture.fronts),
+        "number": projection.number,
+        "at": projection.at,
+        "fronts": dict(projection.fronts),
         "sessions": phases,
-        "answers": dict(picture.answers),
-        "by_class": dict(picture.by_class),
-        "refusals": dict(islice(sorted(picture.refusals.items(), key=lambda one: (-one[1], one[0])), 50)),
-        "boxes": _states(picture),
-        "holds": dict(picture.holds),
-        "caps": dict(picture.caps),
-        "orders": picture.orders[-10:],
+        "answers": dict(projection.answers),
+        "by_class": dict(projection.by_class),
+        "refusals": dict(islice(sorted(projection.refusals.items(), key=lambda one: (-one[1], one[0])), 50)),
+        "boxes": _states(projection),
+        "holds": dict(projection.holds),
+        "caps": dict(projection.caps),
+        "orders": projection.orders[-10:],
         "journal": {
             "first": journal.first,
             "last": journal.last,
@@ -87,8 +87,8 @@
     }
 
 
-def _states(picture: StateProjection) -> dict[str, int]:
+def _states(projection: StateProjection) -> dict[str, int]:
     states: dict[str, int] = {}
-    for row in picture.servers.values():
+    for row in projection.servers.values():
         states[row.state] = states.get(row.state, 0) + 1
     return states
--- a/fernweir/control/channel.py
+++ b/fernweir/control/channel.py
@@ -43,7 +43,7 @@
     """Who answers. `handle` calls `reply` exactly once, now or later."""
 
     name: str
-    picture: StateProjection
+    projection: StateProjection
     journal: Journal
 
     def may_act(self, operator: str, uid: int) -> bool: ...
@@ -139,11 +139,11 @@
         self._gauge_timer = self.loop.call_later(self._gauges_s, self._gauge)
 
 
-def snapshot_lines(picture: StateProjection) -> list[bytes]:
+def snapshot_lines(projection: StateProjection) -> list[bytes]:
     """A snapshot in parts: all but the sessions first. All are encoded at once, so that they fit together."""
-    rows = [picture.sessions[key] for key in sorted(picture.sessions)]
+    rows = [projection.sessions[key] for key in sorted(projection.sessions)]
     parts = [rows[at : at + _PART] for at in range(0, len(rows), _PART)]
-    rest = replace(picture, sessions={}).to_plain()
+    rest = replace(projection, sessions={}).to_plain()
     lines = [_line({"watch": "snapshot", "part": 0, "of": len(parts), "picture": rest})]
     for number, part in enumerate(parts, 1):
         sessions = [row.to_plain() for row in part]
@@ -238,7 +238,7 @@
         desk = self.channel.desk
         self._operator, self._may_act = hello.operator, desk.may_act(hello.operator, self._uid)
         may = "act" if self._may_act else "read"
-        hello_back = {"hello": VERSION, "name": desk.name, "may": may, "number": desk.picture.number}
+        hello_back = {"hello": VERSION, "name": desk.name, "may": may, "number": desk.projection.number}
         self.write(_line({**hello_back, "journal": desk.journal.id, "pid": os.getpid()}))
 
     def _bad(self, line: bytes, error: ValueError) -> None:
@@ -304,7 +304,7 @@
 
     def _snapshot(self) -> None:
         self.pending.clear()  # the picture has them
-        for line in snapshot_lines(self.channel.desk.picture):
+        for line in snapshot_lines(self.channel.desk.projection):
             self.write(line)
 
     def write(self, line: bytes) -> None:
--- a/fernweir/control/client.py
+++ b/fernweir/control/client.py
@@ -64,7 +64,7 @@
     def resume_from(self, journal: str, number: int) -> None:
         """Goes on from an entry that an earlier life has seen; its picture is then not a whole one."""
         if journal:
-            self.journal, self.follower.picture = journal, StateProjection(number=number)
+            self.journal, self.follower.projection = journal, StateProjection(number=number)
 
     async def wait_ready(self, within_s: float = 5.0) -> None:
         """Waits for the first greeting. ControlError with why if there is none."""
@@ -180,8 +180,8 @@
         self._ready.set()
         if self._watch:
             since: dict[str, Any] = {}
-            if self.follower.picture is not None and self.journal == message.get("journal"):
-                since = {"since": self.follower.picture.number, "journal": self.journal}
+            if self.follower.projection is not None and self.journal == message.get("journal"):
+                since = {"since": self.follower.projection.number, "journal": self.journal}
             self.journal = str(message.get("journal", ""))
             self._send({"id": self.new_id(), "do": "watch", **since})
         for asked, _ in list(self._asked.values()):
--- a/fernweir/control/desk.py
+++ b/fernweir/control/desk.py
@@ -97,8 +97,8 @@
         file: Path | None,
     ) -> None:
         self.name, self.journal, self.orders, self.rules = name, journal, orders, rules
-        self.picture = StateProjection()
-        journal.watchers.append(self.picture.apply)
+        self.projection = StateProjection()
+        journal.watchers.append(self.projection.apply)
         self.fleet: FleetQueries | None = None  # a front without peers has none
         self._hands, self._file = hands, file
 
@@ -133,9 +133,9 @@
 
     def _question(self, ask: Request) -> dict[str, Any]:
         if isinstance(ask, ListSessions):
-            return answers.sessions(self.picture, ask)
+            return answers.sessions(self.projection, ask)
         if isinstance(ask, ListServers):
-            return answers.boxes(self.picture, ask, self.gauges())
+            return answers.boxes(self.projection, ask, self.gauges())
         if isinstance(ask, ExplainSession):
             return answers.why(self.journal, ask)
         if isinstance(ask, SearchEvents):
@@ -146,7 +146,7 @@
             return {"gauges": self.gauges()}
         if ask.do == "unit":
             return {"unit": dict(self._hands.unit())}
-        return answers.overview(self.picture, self.journal)
+        return answers.overview(self.projection, self.journal)
 
     # --- commands ---
 
--- a/fernweir/control/follow.py
+++ b/fernweir/control/follow.py
@@ -17,12 +17,12 @@
     """Feed it each line that has `watch`. `picture` is None until a snapshot is whole."""
 
     def __init__(self) -> None:
-        self.picture: StateProjection | None = None
+        self.projection: StateProjection | None = None
         self.gauges: dict[str, Any] = {}
         self.missed_count = 0  # times that entries were lost and a snapshot stood in
         self.resync_reason = ""
         self.on_entry: Callable[[Entry], None] = lambda entry: None
-        self.on_snapshot: Callable[[StateProjection], None] = lambda picture: None
+        self.on_snapshot: Callable[[StateProjection], None] = lambda projection: None
         self._parts: list[Mapping[str, Any]] = []
         self._of = 0
 
@@ -55,18 +55,18 @@
         self._parts.append(message)
         if len(self._parts) <= self._of:
             return False
-        picture = StateProjection.from_plain(self._parts[0]["picture"])
+        projection = StateProjection.from_plain(self._parts[0]["picture"])
         for later in self._parts[1:]:
             for plain in later["sessions"]:
                 row = SessionRow.from_plain(plain)
-                picture.sessions[f"{row.front}/{row.session}"] = row
+                projection.sessions[f"{row.front}/{row.session}"] = row
         self._parts = []
-        self.picture, self.resync_reason = picture, ""
-        self.on_snapshot(picture)
+        self.projection, self.resync_reason = projection, ""
+        self.on_snapshot(projection)
         return True
 
     def _entries(self, message: Mapping[str, Any]) -> bool:
-        if self.picture is None or self._parts:
+        if self.projection is None or self._parts:
             return False  # before the first snapshot is whole
         for row in message["rows"]:
             try:
@@ -74,11 +74,11 @@
             except EntryError as error:
                 self.resync_reason = str(error)
                 return False
-            if entry.number <= self.picture.number:
+            if entry.number <= self.projection.number:
                 continue
-            if entry.number != self.picture.number + 1:
-                self.resync_reason = f"entry {entry.number} after {self.picture.number}"
+            if entry.number != self.projection.number + 1:
+                self.resync_reason = f"entry {entry.number} after {self.projection.number}"
                 return False
-            self.picture.apply(entry)
+            self.projection.apply(entry)
             self.on_entry(entry)
         return True
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -351,7 +351,7 @@
             for note in self._folder.problems:
                 self._log.warning("journal is not whole", why=note)
             for entry in self.journal.entries(self.journal.first):
-                desk.picture.apply(entry)
+                desk.projection.apply(entry)
         desk.start()
         await self._channel.listen()
 
--- a/fernweir/rehearsal/hours.py
+++ b/fernweir/rehearsal/hours.py
@@ -264,7 +264,7 @@
     def _reconnect(self) -> None:
         self.result.reconnects += 1
         self._connected = True
-        picture = self.console.picture
+        picture = self.console.projection
         assert picture is not None
         missing = self.journal.last - picture.number
         if self.journal.first <= picture.number + 1 and missing <= 5_000:
@@ -296,7 +296,7 @@
         if not self._connected:
             self._reconnect()
         self._flush()
-        picture = self.console.picture
+        picture = self.console.projection
         assert picture is not None
         held = {jti: (one.phase.value, one.server if one.phase is not SessionPhase.PENDING else -1)
                 for jti, one in self.host.records().items()}  # fmt: skip
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -326,7 +326,7 @@
     follower = Follower()
     for line in data.splitlines():
         follower.handle_message(orjson.loads(line))
-    return follower.picture
+    return follower.projection
 
 
 def write_snapshot(value: state_projection.StateProjection) -> bytes:
--- a/tests/test_appliance.py
+++ b/tests/test_appliance.py
@@ -458,7 +458,7 @@
 
             rows = await all_ready()
             assert list(rows) == ["box-1", "box-2", "list", "front-1"]
-            await until(lambda: len(ann.follower.picture.servers) == 2)  # type: ignore[union-attr]
+            await until(lambda: len(ann.follower.projection.servers) == 2)  # type: ignore[union-attr]
             asked = await ann.ask("drain", id="d1", target="1")
             if asked["outcome"] == "confirm":
                 asked = await ann.ask("drain", id="d1", target="1", mark=asked["mark"])
@@ -479,8 +479,8 @@
             front = ControlClient(layout.front_socket(1), "ann", watch=True)
             front.start()
             await front.wait_ready()
-            await until(lambda: front.follower.picture is not None)
-            picture = front.follower.picture
+            await until(lambda: front.follower.projection is not None)
+            picture = front.follower.projection
             assert picture is not None and picture.servers[1].state == "draining"
             orders = (await ann.ask("events", what="order", limit=500))["rows"]
             assert sum("drain 1" in row[11] for row in orders) == 1
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -47,7 +47,7 @@
 def crowd(count: int = 40, boxes: int = 130) -> ConsoleState:
     """A picture with hostile names in every place, made by a journal."""
     shown, journal = ConsoleState(name="yard" + HOSTILE, connected=True, may_act=True), Journal("front-1")
-    journal.watchers += [shown.picture.apply, shown.history.add]
+    journal.watchers += [shown.projection.apply, shown.history.add]
     journal.add(0.0, EventKind.FRONT, why="up")
     for box in range(1, boxes + 1):
         journal.add(1.0, EventKind.BOX, server=box, why="ready", more={"start": str(box)})
@@ -104,7 +104,7 @@
 def test_five_thousand_sessions_and_a_hundred_and_thirty_boxes_are_all_listed() -> None:
     shown = crowd(5_000, 130)
     view = views.sessions(shown, RowFilter(sort="box"))
-    assert len(view.rows) == len(shown.picture.sessions) == 3_750
+    assert len(view.rows) == len(shown.projection.sessions) == 3_750
     assert len(views.boxes(shown).rows) == 130
 
 
@@ -175,7 +175,7 @@
         ann.close()
         app = ConsoleApp(scene.site.folder / "run" / "front-0.sock", "ann")
         async with app.run_test(size=size) as pilot:
-            await until(lambda: app.link is not None and app.link.client.follower.picture is not None)
+            await until(lambda: app.link is not None and app.link.client.follower.projection is not None)
             await story(scene, app, pilot)
 
     control_scene(run, replace(SitePlan(), times=QUICK, fronts=1))
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -282,13 +282,13 @@
     made.start()
     await made.wait_ready()
     if watch:
-        await until(lambda: made.follower.picture is not None)
+        await until(lambda: made.follower.projection is not None)
     return made
 
 
 def the_same(scene: Scene, watcher: ControlClient) -> bool:
     """Whether what is shown is what the host holds now."""
-    picture, host = watcher.follower.picture, scene.fronts[0].core.sessions
+    picture, host = watcher.follower.projection, scene.fronts[0].core.sessions
     assert picture is not None
     shown = {row.session: (row.phase, row.server, row.rung) for row in picture.sessions.values()}
     held = {
@@ -307,7 +307,7 @@
         wishes = [scene.wish(title=f"lesson-{number % 3}") for number in range(12)]
         await asyncio.gather(*map(scene.ask, wishes))
         await until(lambda: the_same(scene, ann))
-        picture = ann.follower.picture
+        picture = ann.follower.projection
         assert picture is not None and len(picture.sessions) == 12 and picture.answers["plays"] == 12
         rows = (await ann.ask("why", session=wishes[0].session))["rows"]
         assert [row[2] for row in rows[:4]] == ["asked", "setup", "started", "plays"]
@@ -363,7 +363,7 @@
         assert (await scene.ask(wish)).status == 200
         assert scene.of("box.setup", session=wish.session)[0]["box"] != first
         scene.site.tell(first, "gone")
-        picture = ann.follower.picture
+        picture = ann.follower.projection
         assert picture is not None
         await until(lambda: picture.servers[first].state == "gone")
         await ann.ask("undrain", target=str(first))
@@ -408,7 +408,7 @@
         scene.trace.write("front.down", front="front-0")
         scene.fronts.pop().kill()
         await until(lambda: not ann.connected)
-        assert ann.follower.picture is not None  # what was shown stays, with its age
+        assert ann.follower.projection is not None  # what was shown stays, with its age
         await scene.start_front(0)
         await until(lambda: ann.connected and ann.connections == 2)
         again = await ann.ask("drain", id="the-drain", target=str(first))
@@ -419,7 +419,7 @@
         assert (await scene.ask(wish)).status == 200
         assert scene.of("box.setup", session=wish.session)[0]["box"] != first
         await until(lambda: the_same(scene, ann))
-        picture = ann.follower.picture
+        picture = ann.follower.projection
         assert picture is not None and picture.servers[first].drained_by == "ann"
         ann.close()
 
@@ -447,14 +447,14 @@
         await until(
             lambda: (
                 ann.follower.missed_count > 0
-                and ann.follower.picture is not None
-                and ann.follower.picture.number == journal.last
+                and ann.follower.projection is not None
+                and ann.follower.projection.number == journal.last
             )
         )
         picture = StateProjection()
         for one in journal.entries(1):
             picture.apply(one)
-        assert ann.follower.picture == picture
+        assert ann.follower.projection == picture
         ann.close()
 
     control_scene(story)
@@ -462,7 +462,7 @@
 
 def test_a_watcher_that_reads_again_hears_of_it_though_nothing_new_happens(tmp_path: Path) -> None:
     class Desk:
-        name, picture, journal = "quiet", StateProjection(), Journal()
+        name, projection, journal = "quiet", StateProjection(), Journal()
 
         def may_act(self, operator: str, uid: int) -> bool:
             return True
@@ -475,11 +475,11 @@
     async def story() -> None:
         desk = Desk()
         channel = ControlServer(desk, tmp_path / "quiet.sock", gauges_s=1e6)
-        desk.journal.watchers += [desk.picture.apply, channel.on_journal_entry]
+        desk.journal.watchers += [desk.projection.apply, channel.on_journal_entry]
         await channel.listen()
         ann = ControlClient(tmp_path / "quiet.sock", "ann", watch=True)
         ann.start()
-        await until(lambda: ann.follower.picture is not None)
+        await until(lambda: ann.follower.projection is not None)
         assert ann._transport is not None
         ann._transport.pause_reading()
         (there,) = channel.clients
@@ -493,7 +493,7 @@
         assert there.missed
         ann._transport.resume_reading()
         await until(lambda: ann.follower.missed_count > 0)
-        await until(lambda: ann.follower.picture == desk.picture)
+        await until(lambda: ann.follower.projection == desk.projection)
         ann.close()
         channel.close()
 
--- a/tests/test_rehearsals.py
+++ b/tests/test_rehearsals.py
@@ -87,7 +87,7 @@
 
 def test_the_judge_reads_what_the_views_print() -> None:
     shown, journal = ConsoleState(), Journal("f")
-    journal.watchers.append(shown.picture.apply)
+    journal.watchers.append(shown.projection.apply)
     for number in (1, 2, 3):
         named = {"session": f"s{number}", "title": "l", "cls": "c"}
         place = {"server": number, "attempt": 0, "rung": 1}
