--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -72,8 +72,8 @@
     assert desk.do(Do.DRAIN, "5").outcome is Outcome.DONE
     asked = desk.do(Do.DRAIN, "6")
     assert asked.outcome is Outcome.CONFIRM and asked.cost["lessons"] == ["c"] and "c" in asked.says
-    assert desk.do(Do.DRAIN, "6", mark="guessed").outcome is Outcome.CONFIRM
-    assert desk.do(Do.DRAIN, "6", mark=asked.mark).outcome is Outcome.DONE
+    assert desk.do(Do.DRAIN, "6", cost_digest="guessed").outcome is Outcome.CONFIRM
+    assert desk.do(Do.DRAIN, "6", cost_digest=asked.cost_digest).outcome is Outcome.DONE
     assert {int(box) for box in desk.orders.drains} == {4, 5, 6}
 
 
@@ -83,9 +83,9 @@
     asked = desk.do(Do.DRAIN, "1", full)
     assert asked.outcome is Outcome.CONFIRM and asked.cost["short_kb"] == 500.0
     worse = replace(full, carried_kb=dict.fromkeys(BOXES, 800.0))
-    assert desk.do(Do.DRAIN, "1", worse, mark=asked.mark).outcome is Outcome.CONFIRM
+    assert desk.do(Do.DRAIN, "1", worse, cost_digest=asked.cost_digest).outcome is Outcome.CONFIRM
     better = replace(full, carried_kb=dict.fromkeys(BOXES, 740.0))
-    assert desk.do(Do.DRAIN, "1", better, mark=asked.mark).outcome is Outcome.DONE
+    assert desk.do(Do.DRAIN, "1", better, cost_digest=asked.cost_digest).outcome is Outcome.DONE
 
 
 def test_several_drains_are_paced_and_take_effect_in_turn() -> None:
@@ -124,7 +124,7 @@
 )  # fmt: skip
 def test_what_is_refused(do: Do, target: str, most: int) -> None:
     desk = Counter_()
-    assert desk.do(do, target, most=most).outcome is Outcome.REFUSED and desk.orders.version == 0
+    assert desk.do(do, target, limit=most).outcome is Outcome.REFUSED and desk.orders.version == 0
 
 
 class OrdersStory(RuleBasedStateMachine):
@@ -141,7 +141,7 @@
     def drain(self, do: Do, box: int) -> None:
         result = self.desk.do(do, str(box))
         if result.outcome is Outcome.CONFIRM:
-            result = self.desk.do(do, str(box), mark=result.mark)
+            result = self.desk.do(do, str(box), cost_digest=result.cost_digest)
             assert result.outcome is not Outcome.CONFIRM
         self.given[f"c{self.desk.number}"] = (do, str(box), result.to_plain())
         if result.outcome is Outcome.DONE and do is Do.DRAIN:
@@ -174,9 +174,9 @@
         plain = json.loads(json.dumps(self.desk.orders.to_plain()))
         again = Orders.from_plain(plain, self.desk.orders.rules)
         assert again.to_plain() == plain
-        began = self.desk.orders._began
+        began = self.desk.orders._recent_starts_ms
         self.desk.orders = again
-        again._began = began
+        again._recent_starts_ms = began
 
     @invariant()
     def as_given(self) -> None:
