--- a/bench/golden_state_samples.py
+++ b/bench/golden_state_samples.py
@@ -22,7 +22,7 @@
 from fernweir.appliance.backup import back_up
 from fernweir.audit.records import AnyRecord
 from fernweir.control.desk import KIND
-from fernweir.control.orders import Command, Do, OrderRules, Orders, SiteSnapshot
+from fernweir.control.orders import Command, CommandKind, OrderRules, Orders, SiteSnapshot
 from fernweir.dash.build import Title, build_mpd
 from fernweir.http.client import Outcome
 from fernweir.http.sse import encode_event
@@ -215,15 +215,15 @@
     known = frozenset((1, 2, 3))
     site = SiteSnapshot(known, known, {"l1": [1, 2, 3]}, {}, {}, dict.fromkeys(known, 100.0), frozenset())
     commands = [
-        Command("c1", "ann", Do.DRAIN, "1", "repair"),
-        Command("c2", "bob", Do.DRAIN, "2"),
-        Command("c3", "ann", Do.HOLD, "l1", "broken"),
-        Command("c4", "ann", Do.CAP, "tenant:t1", limit=5),
-        Command("c5", "ann", Do.CAP, "tenant:t1", limit=6),
-        Command("c6", "ann", Do.UNCAP, "lesson:l9"),
-        Command("c7", "ann", Do.UNHOLD, "l9"),
-        Command("c8", "ann", Do.END, "nobody"),
-        Command("c9", "ann", Do.UNDO, "c5"),
+        Command("c1", "ann", CommandKind.DRAIN, "1", "repair"),
+        Command("c2", "bob", CommandKind.DRAIN, "2"),
+        Command("c3", "ann", CommandKind.HOLD, "l1", "broken"),
+        Command("c4", "ann", CommandKind.CAP, "tenant:t1", limit=5),
+        Command("c5", "ann", CommandKind.CAP, "tenant:t1", limit=6),
+        Command("c6", "ann", CommandKind.UNCAP, "lesson:l9"),
+        Command("c7", "ann", CommandKind.UNHOLD, "l9"),
+        Command("c8", "ann", CommandKind.END, "nobody"),
+        Command("c9", "ann", CommandKind.UNDO, "c5"),
     ]
     for number, command in enumerate(commands):
         orders.handle_command(100.0 + number, 1_800_000_000_000 + number, command, site)
--- a/fernweir/control/desk.py
+++ b/fernweir/control/desk.py
@@ -21,7 +21,7 @@
     SearchEvents,
     SimpleRequest,
 )
-from fernweir.control.orders import Command, Do, Orders, OrdersError, Outcome, Result, SiteSnapshot
+from fernweir.control.orders import Command, CommandKind, Orders, OrdersError, Outcome, Result, SiteSnapshot
 from fernweir.control.statefile import StateFileError, read_state, write_state
 from fernweir.journal.events import EventKind
 from fernweir.journal.state_projection import StateProjection
@@ -157,7 +157,7 @@
         if self.rules.led and ask.do != "end":
             reply({"ok": False, "error": "this front takes its orders from its unit: ask there"})
             return
-        command = Command(ask.id, operator, Do(ask.do), ask.target, ask.reason, ask.most, ask.mark)
+        command = Command(ask.id, operator, CommandKind(ask.do), ask.target, ask.reason, ask.most, ask.mark)
         self._hands.request_site(lambda site: self._decide(command, site, reply))
 
     def _decide(self, command: Command, site: SiteSnapshot, reply: Reply) -> None:
@@ -174,7 +174,7 @@
         elif result.outcome is Outcome.CONFIRM:
             reply(result.to_plain())
         else:
-            if command.do is Do.END and result.outcome is Outcome.DONE:
+            if command.do is CommandKind.END and result.outcome is Outcome.DONE:
                 # Before it is written down: an end that is done again after a kill harms nothing.
                 self._hands.end_session(command.id, command.target, command.reason or "ended by the operator")
             if self._keep(before, reply):
@@ -255,4 +255,4 @@
 
 
 def _session(command: Command) -> str:
-    return command.target if command.do is Do.END else ""
+    return command.target if command.do is CommandKind.END else ""
--- a/fernweir/control/orders.py
+++ b/fernweir/control/orders.py
@@ -21,7 +21,7 @@
 _MAX_OFFERED_COSTS = 100
 
 
-class Do(StrEnum):
+class CommandKind(StrEnum):
     """The kinds of commands that change orders or sessions."""
 
     DRAIN = "drain"
@@ -58,7 +58,7 @@
 
     id: str
     by: str
-    do: Do
+    do: CommandKind
     target: str = ""
     reason: str = ""
     limit: int = 0
@@ -330,21 +330,21 @@
 
     def _decide(self, now_ms: float, wall_time_ms: int, command: Command, site: SiteSnapshot) -> Result:
         order = Order(command.by, wall_time_ms, command.reason, command.limit)
-        if command.do is Do.DRAIN:
+        if command.do is CommandKind.DRAIN:
             return self._drain(now_ms, command, order, site)
-        if command.do is Do.UNDRAIN:
+        if command.do is CommandKind.UNDRAIN:
             return self._undrain(command)
-        if command.do is Do.END:
+        if command.do is CommandKind.END:
             if command.target not in site.sessions:
                 return Result(Outcome.REFUSED, f"no session {command.target} is here")
             return Result(Outcome.DONE, f"session {command.target} ends after its segment")
-        if command.do is Do.UNDO:
+        if command.do is CommandKind.UNDO:
             return self._undo_command(command)
         table, key, add = {
-            Do.HOLD: ("holds", command.target, True),
-            Do.UNHOLD: ("holds", command.target, False),
-            Do.CAP: ("caps", command.target, True),
-            Do.UNCAP: ("caps", command.target, False),
+            CommandKind.HOLD: ("holds", command.target, True),
+            CommandKind.UNHOLD: ("holds", command.target, False),
+            CommandKind.CAP: ("caps", command.target, True),
+            CommandKind.UNCAP: ("caps", command.target, False),
         }[command.do]
         if table == "caps" and not key.startswith(("lesson:", "tenant:")):
             return Result(Outcome.REFUSED, "a limit is for lesson:NAME or tenant:NAME")
--- a/tests/golden_names.py
+++ b/tests/golden_names.py
@@ -55,7 +55,7 @@
     "result": interface.Result,
     "note-kind": interface.NoticeKind,
     "journal-event": events.EventKind,
-    "order-kind": orders.Do,
+    "order-kind": orders.CommandKind,
     "order-outcome": orders.Outcome,
     "frame-type": frames.FrameType,
     "frame-parameter": frames.ParameterCode,
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -20,7 +20,7 @@
 from fernweir.control.client import ControlClient, ControlError
 from fernweir.control.orders import (
     Command,
-    Do,
+    CommandKind,
     OrderRules,
     Orders,
     OrdersError,
@@ -60,7 +60,9 @@
     def __init__(self, rules: OrderRules | None = None) -> None:
         self.orders, self.now, self.number = Orders(rules), 0.0, 0
 
-    def do(self, do: Do, target: str, site: SiteSnapshot = SITE, by: str = "ann", **more: Any) -> Result:
+    def do(
+        self, do: CommandKind, target: str, site: SiteSnapshot = SITE, by: str = "ann", **more: Any
+    ) -> Result:
         self.number += 1
         command = Command(more.pop("id", f"c{self.number}"), by, do, target, **more)
         return self.orders.handle_command(self.now, 1000, command, site)
@@ -68,32 +70,32 @@
 
 def test_a_drain_that_leaves_a_lesson_without_holder_costs_a_word_first() -> None:
     desk = Counter_(OrderRules(burst=10))
-    assert desk.do(Do.DRAIN, "4").outcome is Outcome.DONE
-    assert desk.do(Do.DRAIN, "5").outcome is Outcome.DONE
-    asked = desk.do(Do.DRAIN, "6")
+    assert desk.do(CommandKind.DRAIN, "4").outcome is Outcome.DONE
+    assert desk.do(CommandKind.DRAIN, "5").outcome is Outcome.DONE
+    asked = desk.do(CommandKind.DRAIN, "6")
     assert asked.outcome is Outcome.CONFIRM and asked.cost["lessons"] == ["c"] and "c" in asked.says
-    assert desk.do(Do.DRAIN, "6", cost_digest="guessed").outcome is Outcome.CONFIRM
-    assert desk.do(Do.DRAIN, "6", cost_digest=asked.cost_digest).outcome is Outcome.DONE
+    assert desk.do(CommandKind.DRAIN, "6", cost_digest="guessed").outcome is Outcome.CONFIRM
+    assert desk.do(CommandKind.DRAIN, "6", cost_digest=asked.cost_digest).outcome is Outcome.DONE
     assert {int(box) for box in desk.orders.drains} == {4, 5, 6}
 
 
 def test_a_drain_under_what_the_site_carries_costs_a_word_and_more_than_agreed_another() -> None:
     full = replace(SITE, carried_kb=dict.fromkeys(BOXES, 750.0), holders={})
     desk = Counter_()
-    asked = desk.do(Do.DRAIN, "1", full)
+    asked = desk.do(CommandKind.DRAIN, "1", full)
     assert asked.outcome is Outcome.CONFIRM and asked.cost["short_kb"] == 500.0
     worse = replace(full, carried_kb=dict.fromkeys(BOXES, 800.0))
-    assert desk.do(Do.DRAIN, "1", worse, cost_digest=asked.cost_digest).outcome is Outcome.CONFIRM
+    assert desk.do(CommandKind.DRAIN, "1", worse, cost_digest=asked.cost_digest).outcome is Outcome.CONFIRM
     better = replace(full, carried_kb=dict.fromkeys(BOXES, 740.0))
-    assert desk.do(Do.DRAIN, "1", better, cost_digest=asked.cost_digest).outcome is Outcome.DONE
+    assert desk.do(CommandKind.DRAIN, "1", better, cost_digest=asked.cost_digest).outcome is Outcome.DONE
 
 
 def test_several_drains_are_paced_and_take_effect_in_turn() -> None:
     desk = Counter_(OrderRules(pace_ms=1_000.0, burst=2))
     site = replace(SITE, holders={})
-    outcomes = [desk.do(Do.DRAIN, str(box), site).outcome for box in (1, 2, 3, 4)]
+    outcomes = [desk.do(CommandKind.DRAIN, str(box), site).outcome for box in (1, 2, 3, 4)]
     assert outcomes == [Outcome.DONE, Outcome.DONE, Outcome.QUEUED, Outcome.QUEUED]
-    assert desk.do(Do.DRAIN, "3", site, by="bob").outcome is Outcome.ALREADY
+    assert desk.do(CommandKind.DRAIN, "3", site, by="bob").outcome is Outcome.ALREADY
     assert desk.orders.start_due_drains(1_999.0) == []
     due = desk.orders.next_deadline(0.0)
     assert (
@@ -105,24 +107,24 @@
 
 def test_undo_takes_back_what_stands_since_and_nothing_else() -> None:
     desk = Counter_()
-    desk.do(Do.DRAIN, "1", id="first")
-    assert desk.do(Do.UNDO, "first").outcome is Outcome.DONE and not desk.orders.drains
-    desk.do(Do.HOLD, "a", id="hold")
-    desk.do(Do.UNHOLD, "a", by="bob")
-    desk.do(Do.HOLD, "a", by="bob", reason="bob's own")
-    undone = desk.do(Do.UNDO, "hold")
+    desk.do(CommandKind.DRAIN, "1", id="first")
+    assert desk.do(CommandKind.UNDO, "first").outcome is Outcome.DONE and not desk.orders.drains
+    desk.do(CommandKind.HOLD, "a", id="hold")
+    desk.do(CommandKind.UNHOLD, "a", by="bob")
+    desk.do(CommandKind.HOLD, "a", by="bob", reason="bob's own")
+    undone = desk.do(CommandKind.UNDO, "hold")
     assert undone.outcome is Outcome.REFUSED and desk.orders.holds["a"].by == "bob"
-    assert desk.do(Do.UNDO, "never given").outcome is Outcome.REFUSED
+    assert desk.do(CommandKind.UNDO, "never given").outcome is Outcome.REFUSED
 
 
 @pytest.mark.parametrize(
     ("do", "target", "most"),
     [
-        (Do.DRAIN, "77", 0), (Do.DRAIN, "one", 0), (Do.DRAIN, "-1", 0), (Do.HOLD, "no-lesson", 0),
-        (Do.END, "s2", 0), (Do.CAP, "everybody", 3),
+        (CommandKind.DRAIN, "77", 0), (CommandKind.DRAIN, "one", 0), (CommandKind.DRAIN, "-1", 0), (CommandKind.HOLD, "no-lesson", 0),
+        (CommandKind.END, "s2", 0), (CommandKind.CAP, "everybody", 3),
     ],
 )  # fmt: skip
-def test_what_is_refused(do: Do, target: str, most: int) -> None:
+def test_what_is_refused(do: CommandKind, target: str, most: int) -> None:
     desk = Counter_()
     assert desk.do(do, target, limit=most).outcome is Outcome.REFUSED and desk.orders.version == 0
 
@@ -133,21 +135,23 @@
     @initialize()
     def begin(self) -> None:
         self.desk = Counter_(OrderRules(pace_ms=100.0, burst=2, remembered=50))
-        self.given: dict[str, tuple[Do, str, dict[str, Any]]] = {}
+        self.given: dict[str, tuple[CommandKind, str, dict[str, Any]]] = {}
         self.drains: set[int] = set()
         self.began: list[float] = []
 
-    @rule(do=st.sampled_from([Do.DRAIN, Do.DRAIN, Do.UNDRAIN]), box=st.integers(1, 6))
-    def drain(self, do: Do, box: int) -> None:
+    @rule(
+        do=st.sampled_from([CommandKind.DRAIN, CommandKind.DRAIN, CommandKind.UNDRAIN]), box=st.integers(1, 6)
+    )
+    def drain(self, do: CommandKind, box: int) -> None:
         result = self.desk.do(do, str(box))
         if result.outcome is Outcome.CONFIRM:
             result = self.desk.do(do, str(box), cost_digest=result.cost_digest)
             assert result.outcome is not Outcome.CONFIRM
         self.given[f"c{self.desk.number}"] = (do, str(box), result.to_plain())
-        if result.outcome is Outcome.DONE and do is Do.DRAIN:
+        if result.outcome is Outcome.DONE and do is CommandKind.DRAIN:
             self.drains.add(box)
             self.began.append(self.desk.now)
-        elif do is Do.UNDRAIN:
+        elif do is CommandKind.UNDRAIN:
             self.drains.discard(box)
         elif result.outcome is Outcome.QUEUED:
             assert str(box) in self.desk.orders.waiting
