--- a/fernweir/control/client.py
+++ b/fernweir/control/client.py
@@ -1,4 +1,4 @@
-"""A client of the control socket: asks, commands that survive a dropped connection, and watching."""
+"""A client of the control socket: requests, commands that survive a lost connection, and watching."""
 
 from __future__ import annotations
 
@@ -15,23 +15,24 @@
 from fernweir.control.messages import VERSION
 from fernweir.journal.state_projection import StateProjection
 
-_FIRST_PAUSE_S, _LONGEST_PAUSE_S = 0.1, 2.0
-_LINE = 64 << 20
+_FIRST_BACKOFF_S, _MAX_BACKOFF_S = 0.1, 2.0
+_MAX_LINE_BYTES = 64 << 20
 
 
 class ControlError(Exception):
-    """The other side refused, or can't be reached."""
+    """Raised when the server answers with an error or can't be reached."""
 
 
 class ControlClient(asyncio.BufferedProtocol):
-    """Connects, and connects again when the other side went away, until `close`.
+    """Connects, and reconnects when the connection is lost, until `close`.
 
-    What was asked and not answered is asked again under its id; a command is done once all the same. The
-    follower's picture stays while there is no connection; `heard_at` says how old it is.
+    Requests without a response are sent again under their ids after a reconnect; a command is still carried
+    out only once. The follower's projection stays while there is no connection; `last_message_at_s` says how
+    old it is.
     """
 
     def __init__(
-        self, path: Path, operator: str, *, watch: bool = False, longest_pause_s: float = _LONGEST_PAUSE_S
+        self, path: Path, operator: str, *, watch: bool = False, longest_pause_s: float = _MAX_BACKOFF_S
     ) -> None:
         self.path, self.operator = path, operator
         self.loop = asyncio.get_running_loop()
@@ -42,46 +43,46 @@
         self.last_message_at_s = 0.0
         self.connections = 0
         self.on_change: Callable[[], None] = lambda: None
-        self._watch, self._longest_pause_s = watch, longest_pause_s
-        self._numbers = itertools.count(1)
-        self._mark = secrets.token_hex(4)
-        self._asked: dict[str, tuple[dict[str, Any], asyncio.Future[dict[str, Any]]]] = {}
+        self._is_watcher, self._max_backoff_s = watch, longest_pause_s
+        self._id_numbers = itertools.count(1)
+        self._id_prefix = secrets.token_hex(4)
+        self._pending: dict[str, tuple[dict[str, Any], asyncio.Future[dict[str, Any]]]] = {}
         self._transport: asyncio.Transport | None = None
         self._buffer = bytearray(1 << 16)
-        self._line = bytearray()
+        self._received = bytearray()
         self._closed = False
         self.journal = ""
         self.on_greeting: Callable[[], None] = lambda: None
-        self._tries = 0
-        self._ready = asyncio.Event()
-        self._connecting: asyncio.Task[None] | None = None
+        self._failed_attempts = 0
+        self._greeted_event = asyncio.Event()
+        self._connect_task: asyncio.Task[None] | None = None
 
-    # --- for users ---
+    # --- requests and lifecycle ---
 
     def start(self) -> None:
-        self._connecting = asyncio.ensure_future(self._connect())
+        self._connect_task = asyncio.ensure_future(self._connect())
 
     def resume_from(self, journal: str, number: int) -> None:
-        """Goes on from an entry that an earlier life has seen; its picture is then not a whole one."""
+        """Continues after an entry that an earlier process has seen; the projection is then incomplete."""
         if journal:
             self.journal, self.follower.projection = journal, StateProjection(number=number)
 
-    async def wait_ready(self, within_s: float = 5.0) -> None:
-        """Waits for the first greeting. ControlError with why if there is none."""
+    async def wait_ready(self, timeout_s: float = 5.0) -> None:
+        """Waits for the first greeting. Raises ControlError with the reason if there is none in time."""
         try:
-            async with asyncio.timeout(within_s):
-                await self._ready.wait()
+            async with asyncio.timeout(timeout_s):
+                await self._greeted_event.wait()
         except TimeoutError:
             raise ControlError(f"{self.path}: {self.disconnect_reason}") from None
 
     def new_id(self) -> str:
-        return f"{self.operator}-{self._mark}-{next(self._numbers)}"
+        return f"{self.operator}-{self._id_prefix}-{next(self._id_numbers)}"
 
     async def ask(self, do: str, *, id: str | None = None, **fields: Any) -> dict[str, Any]:
-        """The answer, however often the connection breaks in between. ControlError if it is a refusal."""
+        """Sends a request and returns its response, across reconnects. Raises ControlError for an error."""
         message = {"id": id or self.new_id(), "do": do, **fields}
         future: asyncio.Future[dict[str, Any]] = self.loop.create_future()
-        self._asked[message["id"]] = (message, future)
+        self._pending[message["id"]] = (message, future)
         self._send(message)
         answer = await future
         if not answer.get("ok"):
@@ -89,23 +90,23 @@
         return answer
 
     def abort_connection(self) -> None:
-        """Breaks the connection, to try again after a pause."""
-        self._tries += 1
+        """Aborts the connection; the client reconnects after a backoff."""
+        self._failed_attempts += 1
         if self._transport is not None:
             self._transport.abort()
 
     def close(self) -> None:
         self._closed = True
-        if self._connecting is not None:
-            self._connecting.cancel()
+        if self._connect_task is not None:
+            self._connect_task.cancel()
         if self._transport is not None:
             self._transport.close()
-        for _, future in self._asked.values():
+        for _, future in self._pending.values():
             if not future.done():
                 future.set_exception(ControlError("closed"))
-        self._asked.clear()
+        self._pending.clear()
 
-    # --- asyncio's side ---
+    # --- asyncio protocol ---
 
     async def _connect(self) -> None:
         while not self._closed:
@@ -115,19 +116,19 @@
             except OSError as error:
                 self.disconnect_reason = error.strerror or str(error)
                 self.on_change()
-            pause = min(_FIRST_PAUSE_S * 2.0**self._tries, self._longest_pause_s)
-            self._tries += 1
-            await asyncio.sleep(pause)
+            backoff_s = min(_FIRST_BACKOFF_S * 2.0**self._failed_attempts, self._max_backoff_s)
+            self._failed_attempts += 1
+            await asyncio.sleep(backoff_s)
 
-    async def _connect_again(self) -> None:
-        if self._tries:
-            await asyncio.sleep(self._longest_pause_s)
+    async def _reconnect(self) -> None:
+        if self._failed_attempts:
+            await asyncio.sleep(self._max_backoff_s)
         await self._connect()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self._line.clear()
+        self._received.clear()
         self.connections += 1
         self._send({"hello": VERSION, "operator": self.operator})
 
@@ -137,55 +138,55 @@
         self.follower.on_connection_lost()
         self.on_change()
         if not self._closed:
-            self._connecting = asyncio.ensure_future(self._connect_again())
+            self._connect_task = asyncio.ensure_future(self._reconnect())
 
     def get_buffer(self, sizehint: int) -> bytearray:
         return self._buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        self._line += memoryview(self._buffer)[:nbytes]
-        if len(self._line) > _LINE:
-            self._line.clear()
+        self._received += memoryview(self._buffer)[:nbytes]
+        if len(self._received) > _MAX_LINE_BYTES:
+            self._received.clear()
             if self._transport is not None:
                 self._transport.abort()
             return
-        if b"\n" not in self._line[-nbytes:]:
+        if b"\n" not in self._received[-nbytes:]:
             return
-        *lines, rest = bytes(self._line).split(b"\n")
-        self._line = bytearray(rest)
+        *lines, rest = bytes(self._received).split(b"\n")
+        self._received = bytearray(rest)
         for line in lines:
-            self._take(orjson.loads(line))
+            self._on_message(orjson.loads(line))
         self.on_change()
 
-    # --- lines ---
+    # --- messages ---
 
-    def _take(self, message: Mapping[str, Any]) -> None:
+    def _on_message(self, message: Mapping[str, Any]) -> None:
         self.last_message_at_s = self.loop.time()
         if "hello" in message:
-            self._greeted(message)
+            self._on_greeting_message(message)
         elif "watch" in message:
             self.follower.handle_message(message)
             if self.follower.resync_reason:
                 self.follower.resync_reason = ""
                 self._send({"id": self.new_id(), "do": "snapshot"})
-        elif message.get("id") in self._asked:
-            _, future = self._asked.pop(message["id"])
+        elif message.get("id") in self._pending:
+            _, future = self._pending.pop(message["id"])
             if not future.done():
                 future.set_result(dict(message))
         elif message.get("error"):
             self.disconnect_reason = str(message["error"])
 
-    def _greeted(self, message: Mapping[str, Any]) -> None:
-        self.hello, self.connected, self._tries = dict(message), True, 0
-        self._ready.set()
-        if self._watch:
+    def _on_greeting_message(self, message: Mapping[str, Any]) -> None:
+        self.hello, self.connected, self._failed_attempts = dict(message), True, 0
+        self._greeted_event.set()
+        if self._is_watcher:
             since: dict[str, Any] = {}
             if self.follower.projection is not None and self.journal == message.get("journal"):
                 since = {"since": self.follower.projection.number, "journal": self.journal}
             self.journal = str(message.get("journal", ""))
             self._send({"id": self.new_id(), "do": "watch", **since})
-        for asked, _ in list(self._asked.values()):
-            self._send(asked)
+        for request, _ in list(self._pending.values()):
+            self._send(request)
         self.on_greeting()
 
     def _send(self, message: Mapping[str, Any]) -> None:
--- a/fernweir/control/desk.py
+++ b/fernweir/control/desk.py
@@ -133,13 +133,13 @@
 
     def _question(self, ask: Request) -> dict[str, Any]:
         if isinstance(ask, ListSessions):
-            return answers.sessions(self.projection, ask)
+            return answers.list_sessions(self.projection, ask)
         if isinstance(ask, ListServers):
-            return answers.boxes(self.projection, ask, self.gauges())
+            return answers.list_servers(self.projection, ask, self.gauges())
         if isinstance(ask, ExplainSession):
-            return answers.why(self.journal, ask)
+            return answers.session_entries(self.journal, ask)
         if isinstance(ask, SearchEvents):
-            return answers.events(self.journal, ask)
+            return answers.search_events(self.journal, ask)
         if ask.do == "limits":
             return {"limits": dict(self._hands.limits())}
         if ask.do == "gauges":
--- a/fernweir/control/follow.py
+++ b/fernweir/control/follow.py
@@ -1,7 +1,7 @@
-"""A watcher's side of the control channel, without I/O: a picture that is true as of a stated entry, or none.
+"""The watcher's side of the control protocol, without I/O: a state projection that follows a journal.
 
-Entries must follow the snapshot one by one. Whatever doesn't fit is never folded: `broken` asks the shell
-for a new snapshot.
+Entries must follow the snapshot without gaps. An entry that doesn't is never applied; `resync_reason` then
+says why the caller has to request a new snapshot.
 """
 
 from __future__ import annotations
@@ -14,24 +14,24 @@
 
 
 class Follower:
-    """Feed it each line that has `watch`. `picture` is None until a snapshot is whole."""
+    """Processes the messages that have `watch`. `projection` is None until a snapshot is complete."""
 
     def __init__(self) -> None:
         self.projection: StateProjection | None = None
         self.gauges: dict[str, Any] = {}
-        self.missed_count = 0  # times that entries were lost and a snapshot stood in
+        self.missed_count = 0  # how often the server dropped entries and sent a snapshot instead
         self.resync_reason = ""
         self.on_entry: Callable[[Entry], None] = lambda entry: None
         self.on_snapshot: Callable[[StateProjection], None] = lambda projection: None
-        self._parts: list[Mapping[str, Any]] = []
-        self._of = 0
+        self._snapshot_parts: list[Mapping[str, Any]] = []
+        self._part_count = 0
 
     def on_connection_lost(self) -> None:
-        """The connection is gone: what is shown stays, what comes next begins with a snapshot."""
-        self._parts = []
+        """Discards an incomplete snapshot; the projection stays."""
+        self._snapshot_parts = []
 
     def handle_message(self, message: Mapping[str, Any]) -> bool:
-        """True if the picture changed."""
+        """Processes a message; returns True if the projection or the gauges changed."""
         kind = message.get("watch")
         if kind == "gauges":
             self.gauges = dict(message["gauges"])
@@ -40,34 +40,34 @@
             self.missed_count += 1
             return False
         try:
-            return self._snapshot(message) if kind == "snapshot" else self._entries(message)
+            return self._add_snapshot_part(message) if kind == "snapshot" else self._apply_entries(message)
         except (KeyError, TypeError, ValueError) as error:
             self.resync_reason = f"a line that can't be read: {error!r}"
             return False
 
-    def _snapshot(self, message: Mapping[str, Any]) -> bool:
+    def _add_snapshot_part(self, message: Mapping[str, Any]) -> bool:
         part = int(message["part"])
         if part == 0:
-            self._parts, self._of = [], int(message["of"])
-        elif part != len(self._parts):
-            self.resync_reason = f"part {part} of a snapshot, {len(self._parts)} expected"
+            self._snapshot_parts, self._part_count = [], int(message["of"])
+        elif part != len(self._snapshot_parts):
+            self.resync_reason = f"part {part} of a snapshot, {len(self._snapshot_parts)} expected"
             return False
-        self._parts.append(message)
-        if len(self._parts) <= self._of:
+        self._snapshot_parts.append(message)
+        if len(self._snapshot_parts) <= self._part_count:
             return False
-        projection = StateProjection.from_plain(self._parts[0]["picture"])
-        for later in self._parts[1:]:
-            for plain in later["sessions"]:
+        projection = StateProjection.from_plain(self._snapshot_parts[0]["picture"])
+        for message_part in self._snapshot_parts[1:]:
+            for plain in message_part["sessions"]:
                 row = SessionRow.from_plain(plain)
                 projection.sessions[f"{row.front}/{row.session}"] = row
-        self._parts = []
+        self._snapshot_parts = []
         self.projection, self.resync_reason = projection, ""
         self.on_snapshot(projection)
         return True
 
-    def _entries(self, message: Mapping[str, Any]) -> bool:
-        if self.projection is None or self._parts:
-            return False  # before the first snapshot is whole
+    def _apply_entries(self, message: Mapping[str, Any]) -> bool:
+        if self.projection is None or self._snapshot_parts:
+            return False  # before the first snapshot is complete
         for row in message["rows"]:
             try:
                 entry = from_row(row)
--- a/fernweir/control/messages.py
+++ b/fernweir/control/messages.py
@@ -1,8 +1,9 @@
-"""What crosses the control socket: one JSON object a line. Version 1.
+"""The messages of the control socket, version 1: one JSON object per line.
 
-The first line of a client is its `Hello`, all others are `Ask`s, each with an id of the client's choosing.
-Every ask gets one `{"id", "ok", ...}`; a command's id is remembered, so that it may be sent again after a
-dropped connection. What a watcher gets besides has `watch` instead of `id`.
+The first line of a client is its `Hello`; all others are a `Request`, each with an id that the client
+chooses. Every request gets one response `{"id", "ok", ...}`. The id of a command is stored with its answer,
+so that the client may send it again after a lost connection. Messages to watchers have `watch` instead of
+`id`.
 """
 
 from __future__ import annotations
@@ -13,62 +14,71 @@
 
 VERSION = 1
 LINE_BYTES = 65_536
-Word = Annotated[str, Field(max_length=200)]
-Id = Annotated[str, Field(min_length=1, max_length=100, pattern=r"^[\x21-\x7e]+$")]
+ShortText = Annotated[str, Field(max_length=200)]
+RequestId = Annotated[str, Field(min_length=1, max_length=100, pattern=r"^[\x21-\x7e]+$")]
 
 
 class _Message(BaseModel):
+    """The base of all messages: strict, immutable, without unknown fields."""
+
     model_config = ConfigDict(strict=True, frozen=True, extra="forbid")
 
 
 class Hello(_Message):
+    """The greeting of a client: the protocol version and the operator."""
+
     hello: Literal[1]
     operator: Annotated[str, Field(min_length=1, max_length=64, pattern=r"^[A-Za-z0-9][A-Za-z0-9._@-]*$")]
 
 
 class ListSessions(_Message):
-    """Sessions that are not over, in the order of `front/session`, from behind `after` on."""
+    """Requests one page of the live sessions, in the order of `front/session`, that follow `after`."""
 
-    id: Id
+    id: RequestId
     do: Literal["sessions"]
     box: int | None = None
-    lesson: Word | None = None
-    tenant: Word | None = None
+    lesson: ShortText | None = None
+    tenant: ShortText | None = None
     phase: Literal["asked", "out", "playing"] | None = None
-    after: Word = ""
+    after: ShortText = ""
     limit: Annotated[int, Field(ge=1, le=500)] = 100
 
 
 class ListServers(_Message):
-    id: Id
+    """Requests one page of the servers, in the order of their numbers, that follow `after`."""
+
+    id: RequestId
     do: Literal["boxes"]
     after: int = -1
     limit: Annotated[int, Field(ge=1, le=500)] = 200
 
 
 class ExplainSession(_Message):
-    """All that the journal has on one session, oldest first."""
+    """Requests the journal's entries on one session, oldest first."""
 
-    id: Id
+    id: RequestId
     do: Literal["why"]
-    session: Word
+    session: ShortText
     limit: Annotated[int, Field(ge=1, le=500)] = 200
 
 
 class SearchEvents(_Message):
-    """The newest entries for which all that is given holds; `next` in the answer is `before` of the next
-    page, which may come before a page is full, or be empty."""
+    """Requests the newest journal entries that match all given fields.
+
+    `next` in the response is `before` of the next page. It may be there although a page is not full, and the
+    next page may be empty.
+    """
 
-    id: Id
+    id: RequestId
     do: Literal["events"]
-    what: Word | None = None
-    session: Word | None = None
+    what: ShortText | None = None
+    session: ShortText | None = None
     box: int | None = None
-    lesson: Word | None = None
-    tenant: Word | None = None
-    cls: Word | None = None
-    why: Word | None = None
-    front: Word | None = None
+    lesson: ShortText | None = None
+    tenant: ShortText | None = None
+    cls: ShortText | None = None
+    why: ShortText | None = None
+    front: ShortText | None = None
     since: int = 0
     until: int = 1 << 62
     before: int | None = None
@@ -76,54 +86,60 @@
 
 
 class SimpleRequest(_Message):
-    """`overview`: counts by kind, refusals by reason, fronts, orders. `limits`: what is in force. `site`:
-    what the rules of orders look at. `unit`: the processes of a unit."""
+    """Requests without parameters.
 
-    id: Id
+    `overview`: counts by kind, refusals by reason, fronts and orders. `limits`: the limits in force. `site`:
+    the snapshot that the rules for orders use. `unit`: the processes of a unit.
+    """
+
+    id: RequestId
     do: Literal["overview", "limits", "unwatch", "snapshot", "gauges", "site", "unit"]
 
 
 class WatchEntries(_Message):
-    """Entries from now on. With `since` and `journal`, those after it if they are still here, else a
-    snapshot first."""
+    """Requests the journal entries from now on.
+
+    With `since` and `journal`, the entries after `since` come first if they are all still stored, otherwise a
+    snapshot does.
+    """
 
-    id: Id
+    id: RequestId
     do: Literal["watch"]
     since: Annotated[int, Field(ge=0)] = 0
-    journal: Word = ""
+    journal: ShortText = ""
 
 
 class ChangeOrders(_Message):
-    """A command of an operator, see `orders`."""
+    """A command of an operator, see the module `orders`."""
 
-    id: Id
+    id: RequestId
     do: Literal["drain", "undrain", "hold", "unhold", "cap", "uncap", "end", "undo"]
     target: Annotated[str, Field(min_length=1, max_length=200)]
     reason: Annotated[str, Field(max_length=200, pattern=r"^[^\x00-\x1f\x7f]*$")] = ""
     most: Annotated[int, Field(ge=0)] = 0
-    mark: Word = ""
+    mark: ShortText = ""
 
 
 class RetryProcess(_Message):
-    """A process of the unit that was given up, or that pauses, is to be started now."""
+    """Starts a process of the unit now that was given up or waits for its next restart."""
 
-    id: Id
+    id: RequestId
     do: Literal["retry"]
     target: Annotated[str, Field(min_length=1, max_length=100)]
 
 
 class ReplaceOrders(_Message):
-    """From the unit to a front of its own: the orders that stand, as a whole."""
+    """Sent by a unit to one of its fronts: all orders in force, which replace the front's."""
 
-    id: Id
+    id: RequestId
     do: Literal["orders"]
     orders: dict[str, Any]
 
 
 class QueryFleet(_Message):
-    """A question over the acts of all fronts, see `docs/protocols.md`."""
+    """A query over the audit logs of all fronts, see `docs/protocols.md`."""
 
-    id: Id
+    id: RequestId
     do: Literal["ask-fleet"]
     question: dict[str, Any]
 
@@ -143,6 +159,8 @@
 
 
 class RequestEnvelope(BaseModel):
+    """Validates a request by its `do`."""
+
     model_config = ConfigDict(strict=True)
 
     ask: Annotated[Request, Field(discriminator="do")]
--- a/fernweir/control/statefile.py
+++ b/fernweir/control/statefile.py
@@ -1,4 +1,4 @@
-"""A small state file that is whole, checked, and of a known kind: JSON with a CRC32C around it."""
+"""Small state files: JSON with a header line that has its kind and a CRC32C checksum."""
 
 from __future__ import annotations
 
@@ -12,29 +12,32 @@
 
 
 class StateFileError(ValueError):
-    """The file is there and can't be believed; the text names it and says why."""
+    """Raised when a state file is damaged or of another kind; the message names the file and says why."""
 
 
 def write_state(path: Path, kind: str, state: Any) -> None:
-    """Replaces the file; it is on disk when this returns. OSError when the disk refuses."""
+    """Replaces the file atomically and durably. Raises OSError if it can't be written."""
     body = orjson.dumps(state)
     head = {"kind": kind, "crc32c": int(google_crc32c.value(body))}
     write_file(path, orjson.dumps(head) + b"\n" + body + b"\n")
 
 
 def read_state(path: Path, kind: str) -> Any | None:
-    """The state, or None if there is no file. StateFileError for a damaged one, OSError if unreadable."""
+    """Returns the state, or None if there is no file.
+
+    Raises StateFileError if the file is damaged or of another kind, OSError if it can't be read.
+    """
     try:
         data = path.read_bytes()
     except FileNotFoundError:
         return None
     head, _, body = data.partition(b"\n")
     try:
-        told = orjson.loads(head)
-        if told["kind"] != kind:
-            raise StateFileError(f"{path}: holds {told['kind']!r}, not {kind!r}")
+        header = orjson.loads(head)
+        if header["kind"] != kind:
+            raise StateFileError(f"{path}: holds {header['kind']!r}, not {kind!r}")
         body = body.removesuffix(b"\n")
-        if told["crc32c"] != int(google_crc32c.value(body)):
+        if header["crc32c"] != int(google_crc32c.value(body)):
             raise StateFileError(f"{path}: checksum does not match, the file is damaged")
         return orjson.loads(body)
     except (ValueError, KeyError, TypeError) as error:
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -120,8 +120,8 @@
 @pytest.mark.parametrize(
     ("do", "target", "most"),
     [
-        (CommandKind.DRAIN, "77", 0), (CommandKind.DRAIN, "one", 0), (CommandKind.DRAIN, "-1", 0), (CommandKind.HOLD, "no-lesson", 0),
-        (CommandKind.END, "s2", 0), (CommandKind.CAP, "everybody", 3),
+        (CommandKind.DRAIN, "77", 0), (CommandKind.DRAIN, "one", 0), (CommandKind.DRAIN, "-1", 0),
+        (CommandKind.HOLD, "no-lesson", 0), (CommandKind.END, "s2", 0), (CommandKind.CAP, "everybody", 3),
     ],
 )  # fmt: skip
 def test_what_is_refused(do: CommandKind, target: str, most: int) -> None:
