--- a/fernweir/control/channel.py
+++ b/fernweir/control/channel.py
@@ -1,7 +1,8 @@
-"""The control socket: JSON lines both ways on a Unix socket, and watchers that can't slow anybody.
+"""The server of the control socket: JSON lines in both directions on a Unix socket.
 
-A watcher gets a snapshot and then entries by number. What it doesn't read piles up to a bound here; past it,
-all of that is dropped, and once it reads again it is told that it missed some and gets a new snapshot.
+A watcher gets a snapshot and then the journal entries by number. A slow watcher delays nobody: its unsent
+entries are queued up to a bound; beyond it they are all dropped, and when the watcher reads again, it gets a
+message that entries are missing and a new snapshot.
 """
 
 from __future__ import annotations
@@ -32,70 +33,76 @@
 from fernweir.journal.store import Journal
 
 Reply = Callable[[dict[str, Any]], None]
-_PART = 500  # sessions in one line of a snapshot
-_FLUSH_S = 0.05
-_MOST_PENDING = 5_000
-_MOST_BUFFERED = 256 * 1024
-_CREDENTIALS = struct.Struct("3i")
+_SESSIONS_PER_PART = 500  # sessions in one line of a snapshot
+_FLUSH_INTERVAL_S = 0.05
+_MAX_PENDING_ENTRIES = 5_000
+_MAX_BUFFERED_BYTES = 256 * 1024
+_PEER_CREDENTIALS = struct.Struct("3i")
 
 
 class ControlService(Protocol):
-    """Who answers. `handle` calls `reply` exactly once, now or later."""
+    """Answers the requests. `handle` calls `reply` exactly once, now or later."""
 
     name: str
     projection: StateProjection
     journal: Journal
 
     def may_act(self, operator: str, uid: int) -> bool: ...
-    def handle(self, operator: str, may_act: bool, ask: Request, reply: Reply) -> None: ...
+    def handle(self, operator: str, may_act: bool, request: Request, reply: Reply) -> None: ...
     def gauges(self) -> dict[str, Any]: ...
 
 
 class SocketTakenError(OSError):
-    """Another process answers on the socket."""
+    """Raised when another process accepts connections on the socket."""
 
 
 class ControlServer:
-    """Listens on `path`; `mode` are its permissions, who can open it may read."""
+    """Listens on `path` with the permissions `mode`; every client that can open the socket may read."""
 
-    def __init__(self, desk: ControlService, path: Path, *, mode: int = 0o600, gauges_s: float = 1.0) -> None:
-        self.desk, self.path, self.mode = desk, path, mode
+    def __init__(
+        self, service: ControlService, path: Path, *, mode: int = 0o600, gauges_s: float = 1.0
+    ) -> None:
+        self.service, self.path, self.mode = service, path, mode
         self.loop = asyncio.get_running_loop()
-        self.clients: set[_Client] = set()
-        self._gauges_s = gauges_s
+        self.clients: set[_ClientConnection] = set()
+        self._gauges_interval_s = gauges_s
         self._server: asyncio.Server | None = None
         self._inode = 0
-        self._timer: asyncio.TimerHandle | None = None
+        self._flush_timer: asyncio.TimerHandle | None = None
         self._gauge_timer: asyncio.TimerHandle | None = None
 
     async def listen(self) -> None:
-        """SocketTakenError if another process listens there; one that nobody answers on is replaced."""
+        """Starts to listen; replaces a socket file that no process accepts connections on.
+
+        Raises SocketTakenError if another process accepts connections on it.
+        """
         if self.path.exists():
-            probe = socket.socket(socket.AF_UNIX)
+            probe_socket = socket.socket(socket.AF_UNIX)
             try:
-                probe.connect(str(self.path))
+                probe_socket.connect(str(self.path))
             except OSError:
                 self.path.unlink()
             else:
-                raise SocketTakenError(f"{self.path}: somebody listens there already")
+                raise SocketTakenError(f"{self.path}: another process listens on this socket already")
             finally:
-                probe.close()
+                probe_socket.close()
         self.path.parent.mkdir(parents=True, exist_ok=True)
-        before = os.umask(0o777 & ~self.mode)
+        previous_umask = os.umask(0o777 & ~self.mode)
         try:
-            self._server = await self.loop.create_unix_server(lambda: _Client(self), str(self.path))
+            self._server = await self.loop.create_unix_server(lambda: _ClientConnection(self), str(self.path))
         finally:
-            os.umask(before)
+            os.umask(previous_umask)
         os.chmod(self.path, self.mode)
         self._inode = os.stat(self.path).st_ino
-        self._gauge()
+        self._send_gauges()
 
     def close(self) -> None:
-        for timer in (self._timer, self._gauge_timer):
+        """Stops listening, removes the socket file and closes all connections."""
+        for timer in (self._flush_timer, self._gauge_timer):
             if timer is not None:
                 timer.cancel()
         if self._server is not None:
-            # The name goes first, and only if it is still ours: a successor may have taken it already.
+            # Removes the file first, and only if it is still this server's: a successor may have replaced it.
             try:
                 if os.stat(self.path).st_ino == self._inode:
                     self.path.unlink()
@@ -107,60 +114,65 @@
             client.close()
 
     def on_journal_entry(self, entry: Entry) -> None:
-        """Fits `Journal.watchers`, behind the desk's picture."""
+        """Queues an entry for all watchers. Goes into `Journal.watchers`, after the service's projection."""
         watching = [client for client in self.clients if client.watching]
         if not watching:
             return
-        row = orjson.dumps(to_row(entry))  # once, however many watch
+        row = orjson.dumps(to_row(entry))  # encoded once for all watchers
         for client in watching:
-            client.pend(row)
-        if self._timer is None:
-            self._timer = self.loop.call_later(_FLUSH_S, self._flush)
+            client.enqueue(row)
+        if self._flush_timer is None:
+            self._flush_timer = self.loop.call_later(_FLUSH_INTERVAL_S, self._flush)
 
     def reset_watchers(self) -> None:
-        """What watchers were told no longer follows from their snapshot: each gets a new one."""
+        """Sends each watcher a new snapshot, because the entries no longer follow from its last one."""
         for client in self.clients:
-            client.missed = client.watching
+            client.has_missed_entries = client.watching
             client.pending.clear()
-        if self._timer is None:
-            self._timer = self.loop.call_later(_FLUSH_S, self._flush)
+        if self._flush_timer is None:
+            self._flush_timer = self.loop.call_later(_FLUSH_INTERVAL_S, self._flush)
 
     def _flush(self) -> None:
-        self._timer = None
+        self._flush_timer = None
         for client in list(self.clients):
             client.flush()
 
-    def _gauge(self) -> None:
-        watchers = [client for client in self.clients if client.watching and client.has_room]
+    def _send_gauges(self) -> None:
+        watchers = [client for client in self.clients if client.watching and client.is_writable]
         if watchers:
-            line = _line({"watch": "gauges", "gauges": self.desk.gauges()})
+            line = _encode_line({"watch": "gauges", "gauges": self.service.gauges()})
             for client in watchers:
                 client.write(line)
-        self._gauge_timer = self.loop.call_later(self._gauges_s, self._gauge)
+        self._gauge_timer = self.loop.call_later(self._gauges_interval_s, self._send_gauges)
 
 
 def snapshot_lines(projection: StateProjection) -> list[bytes]:
-    """A snapshot in parts: all but the sessions first. All are encoded at once, so that they fit together."""
+    """Encodes a snapshot in parts: first all but the sessions, then the sessions.
+
+    All parts are encoded at once, so that they are consistent.
+    """
     rows = [projection.sessions[key] for key in sorted(projection.sessions)]
-    parts = [rows[at : at + _PART] for at in range(0, len(rows), _PART)]
-    rest = replace(projection, sessions={}).to_plain()
-    lines = [_line({"watch": "snapshot", "part": 0, "of": len(parts), "picture": rest})]
+    parts = [rows[at : at + _SESSIONS_PER_PART] for at in range(0, len(rows), _SESSIONS_PER_PART)]
+    head = replace(projection, sessions={}).to_plain()
+    lines = [_encode_line({"watch": "snapshot", "part": 0, "of": len(parts), "picture": head})]
     for number, part in enumerate(parts, 1):
         sessions = [row.to_plain() for row in part]
-        lines.append(_line({"watch": "snapshot", "part": number, "of": len(parts), "sessions": sessions}))
+        lines.append(
+            _encode_line({"watch": "snapshot", "part": number, "of": len(parts), "sessions": sessions})
+        )
     return lines
 
 
-def _line(document: dict[str, Any]) -> bytes:
+def _encode_line(document: dict[str, Any]) -> bytes:
     return orjson.dumps(document, option=orjson.OPT_NON_STR_KEYS) + b"\n"
 
 
-class _Client(asyncio.BufferedProtocol):
-    """One connection."""
+class _ClientConnection(asyncio.BufferedProtocol):
+    """The connection of one client."""
 
-    def __init__(self, channel: ControlServer) -> None:
-        self.channel = channel
-        self.watching = self.missed = False
+    def __init__(self, control_server: ControlServer) -> None:
+        self.control_server = control_server
+        self.watching = self.has_missed_entries = False
         self.pending: list[bytes] = []
         self._paused = False
         self._buffer = bytearray(LINE_BYTES)
@@ -170,19 +182,19 @@
         self._may_act = False
         self._uid = -1
 
-    # --- asyncio's side ---
+    # --- asyncio protocol ---
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        transport.set_write_buffer_limits(high=_MOST_BUFFERED)
-        sock = transport.get_extra_info("socket")
-        data = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, _CREDENTIALS.size)
-        self._uid = _CREDENTIALS.unpack(data)[1]
-        self.channel.clients.add(self)
+        transport.set_write_buffer_limits(high=_MAX_BUFFERED_BYTES)
+        client_socket = transport.get_extra_info("socket")
+        data = client_socket.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, _PEER_CREDENTIALS.size)
+        self._uid = _PEER_CREDENTIALS.unpack(data)[1]
+        self.control_server.clients.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.channel.clients.discard(self)
+        self.control_server.clients.discard(self)
         self._transport = None
 
     def get_buffer(self, sizehint: int) -> memoryview:
@@ -192,14 +204,14 @@
         self._used += nbytes
         begin = 0
         while (end := self._buffer.find(b"\n", begin, self._used)) >= 0:
-            self._take(bytes(self._buffer[begin:end]))
+            self._on_line(bytes(self._buffer[begin:end]))
             begin = end + 1
             if self._transport is None:
                 return
         self._buffer[: self._used - begin] = self._buffer[begin : self._used]
         self._used -= begin
         if self._used == LINE_BYTES:
-            self._refuse("", f"a line of over {LINE_BYTES} bytes")
+            self._reply_and_close("", f"a line of over {LINE_BYTES} bytes")
 
     def pause_writing(self) -> None:
         self._paused = True
@@ -208,44 +220,52 @@
         self._paused = False
         self.flush()
 
-    # --- lines ---
+    # --- requests ---
 
-    def _take(self, line: bytes) -> None:
+    def _on_line(self, line: bytes) -> None:
         if self._operator is None:
-            self._greet(line)
+            self._on_greeting(line)
             return
         try:
-            ask = RequestEnvelope.model_validate({"ask": orjson.loads(line)}).ask
+            request = RequestEnvelope.model_validate({"ask": orjson.loads(line)}).ask
         except (ValidationError, ValueError) as error:
-            self._bad(line, error)
+            self._reply_invalid(line, error)
             return
-        if isinstance(ask, WatchEntries) or (
-            isinstance(ask, SimpleRequest) and ask.do in ("unwatch", "snapshot")
+        if isinstance(request, WatchEntries) or (
+            isinstance(request, SimpleRequest) and request.do in ("unwatch", "snapshot")
         ):
-            self._watch(ask)
+            self._start_or_stop_watching(request)
             return
-        id = ask.id
-        self.channel.desk.handle(
-            self._operator, self._may_act, ask, lambda said: self.write(_line({"id": id, "ok": True, **said}))
+        id = request.id
+        self.control_server.service.handle(
+            self._operator,
+            self._may_act,
+            request,
+            lambda response: self.write(_encode_line({"id": id, "ok": True, **response})),
         )
 
-    def _greet(self, line: bytes) -> None:
+    def _on_greeting(self, line: bytes) -> None:
         try:
             hello = Hello.model_validate_json(line)
         except ValidationError:
-            self._refuse("", f'the first line must be {{"hello": {VERSION}, "operator": NAME}}')
+            self._reply_and_close("", f'the first line must be {{"hello": {VERSION}, "operator": NAME}}')
             return
-        desk = self.channel.desk
-        self._operator, self._may_act = hello.operator, desk.may_act(hello.operator, self._uid)
-        may = "act" if self._may_act else "read"
-        hello_back = {"hello": VERSION, "name": desk.name, "may": may, "number": desk.projection.number}
-        self.write(_line({**hello_back, "journal": desk.journal.id, "pid": os.getpid()}))
-
-    def _bad(self, line: bytes, error: ValueError) -> None:
+        service = self.control_server.service
+        self._operator, self._may_act = hello.operator, service.may_act(hello.operator, self._uid)
+        permission = "act" if self._may_act else "read"
+        hello_back = {
+            "hello": VERSION,
+            "name": service.name,
+            "may": permission,
+            "number": service.projection.number,
+        }
+        self.write(_encode_line({**hello_back, "journal": service.journal.id, "pid": os.getpid()}))
+
+    def _reply_invalid(self, line: bytes, error: ValueError) -> None:
         id = ""
         try:
-            said = orjson.loads(line)
-            id = str(said.get("id", "")) if isinstance(said, dict) else ""
+            message = orjson.loads(line)
+            id = str(message.get("id", "")) if isinstance(message, dict) else ""
         except ValueError:
             pass
         text = "not JSON"
@@ -253,58 +273,58 @@
             first = error.errors()[0]
             where = ".".join(str(part) for part in first["loc"][1:]) or "request"
             text = f"{where}: {first['msg']}"
-        self.write(_line({"id": id, "ok": False, "error": text}))
+        self.write(_encode_line({"id": id, "ok": False, "error": text}))
 
-    def _refuse(self, id: str, text: str) -> None:
-        self.write(_line({"id": id, "ok": False, "error": text}))
+    def _reply_and_close(self, id: str, text: str) -> None:
+        self.write(_encode_line({"id": id, "ok": False, "error": text}))
         self.close()
 
-    def _watch(self, ask: SimpleRequest | WatchEntries) -> None:
-        self.write(_line({"id": ask.id, "ok": True}))
-        if ask.do == "unwatch":
+    def _start_or_stop_watching(self, request: SimpleRequest | WatchEntries) -> None:
+        self.write(_encode_line({"id": request.id, "ok": True}))
+        if request.do == "unwatch":
             self.watching = False
             self.pending.clear()
             return
-        journal = self.channel.desk.journal
-        if isinstance(ask, WatchEntries):
+        journal = self.control_server.service.journal
+        if isinstance(request, WatchEntries):
             self.watching = True
-            known = ask.journal == journal.id and journal.first <= ask.since + 1 <= journal.last + 1
-            if known and journal.last - ask.since <= _MOST_PENDING:
-                self.pending = [orjson.dumps(to_row(one)) for one in journal.entries(ask.since + 1)]
+            known = request.journal == journal.id and journal.first <= request.since + 1 <= journal.last + 1
+            if known and journal.last - request.since <= _MAX_PENDING_ENTRIES:
+                self.pending = [orjson.dumps(to_row(one)) for one in journal.entries(request.since + 1)]
                 self.flush()
                 return
-        self._snapshot()
+        self._send_snapshot()
 
     # --- watching ---
 
     @property
-    def has_room(self) -> bool:
-        # The transport's own word, not a size: only so does the end of it wake this watcher (resume_writing).
+    def is_writable(self) -> bool:
+        # Uses the transport's pause, not a size: when it ends, resume_writing flushes the queue.
         return self._transport is not None and not self._paused
 
-    def pend(self, row: bytes) -> None:
-        if self.missed:
+    def enqueue(self, row: bytes) -> None:
+        if self.has_missed_entries:
             return
         self.pending.append(row)
-        if len(self.pending) > _MOST_PENDING:
-            self.missed = True
+        if len(self.pending) > _MAX_PENDING_ENTRIES:
+            self.has_missed_entries = True
             self.pending.clear()
 
     def flush(self) -> None:
-        if not self.has_room:
+        if not self.is_writable:
             return
-        if self.missed:
-            self.missed = False
-            self.write(_line({"watch": "missed"}))
-            self._snapshot()
+        if self.has_missed_entries:
+            self.has_missed_entries = False
+            self.write(_encode_line({"watch": "missed"}))
+            self._send_snapshot()
         elif self.pending:
             rows = b",".join(self.pending)
             self.pending.clear()
             self.write(b'{"watch":"entries","rows":[' + rows + b"]}\n")
 
-    def _snapshot(self) -> None:
-        self.pending.clear()  # the picture has them
-        for line in snapshot_lines(self.channel.desk.projection):
+    def _send_snapshot(self) -> None:
+        self.pending.clear()  # the projection includes them
+        for line in snapshot_lines(self.control_server.service.projection):
             self.write(line)
 
     def write(self, line: bytes) -> None:
--- a/fernweir/control/desk.py
+++ b/fernweir/control/desk.py
@@ -1,4 +1,4 @@
-"""Commands carried out at a front: decided by `Orders`, written down, told to the module, then answered."""
+"""Serves the control socket: commands are decided by `Orders`, stored, applied and then answered."""
 
 from __future__ import annotations
 
@@ -31,50 +31,63 @@
 
 
 class FrontControl(Protocol):
-    """What a desk can do at its front, and what it can see there."""
+    """What an order service can do and see at its front, or at all fronts of its unit."""
 
     def now(self) -> float:
-        """Milliseconds of the loop's clock."""
+        """Returns the loop's time in milliseconds."""
 
     def wall_time_ms(self) -> int:
-        """Wall time in ms."""
+        """Returns the wall time in milliseconds."""
 
-    def request_site(self, then: Callable[[SiteSnapshot], None]) -> None:
-        """Calls `then` with what can be seen, now or soon."""
+    def request_site(self, on_done: Callable[[SiteSnapshot], None]) -> None:
+        """Calls `on_done` with a snapshot of the site, now or later."""
 
-    def apply_orders(self, orders: Orders, then: Callable[[list[str]], None]) -> None:
-        """Tells all modules what changed, and calls `then` once they know, with those that don't answer."""
+    def apply_orders(self, orders: Orders, on_done: Callable[[list[str]], None]) -> None:
+        """Applies changed orders everywhere; calls `on_done` with the fronts that didn't confirm them."""
 
-    def end_session(self, id: str, session: str, why: str) -> None: ...
+    def end_session(self, id: str, session: str, why: str) -> None:
+        """Ends a session for the reason `why`; `id` is that of the command."""
 
-    def limits(self) -> Mapping[str, Any]: ...
+    def limits(self) -> Mapping[str, Any]:
+        """Returns the limits in force."""
 
-    def gauges(self) -> dict[str, Any]: ...
+    def gauges(self) -> dict[str, Any]:
+        """Returns the present loads of servers and what is served."""
 
-    def unit(self) -> Mapping[str, Any]: ...
+    def unit(self) -> Mapping[str, Any]:
+        """Returns the processes of the unit; empty without one."""
 
-    def retry_process(self, name: str) -> bool: ...
+    def retry_process(self, name: str) -> bool:
+        """Starts a process of the unit now; returns False if there is nothing to start."""
 
-    def call_at(self, due: float, do: Callable[[], None]) -> None: ...
+    def call_at(self, deadline_ms: float, callback: Callable[[], None]) -> None:
+        """Calls `callback` at `deadline_ms` of the loop's time."""
 
 
 class FleetQueries(Protocol):
-    """Who answers for all fronts together."""
+    """Answers queries over the audit logs of all fronts."""
 
-    def ask(self, question: Mapping[str, Any], then: Callable[[dict[str, Any]], None]) -> None:
-        """Calls `then` once, now or later, with the answer, or an error."""
+    def ask(self, question: Mapping[str, Any], on_done: Callable[[dict[str, Any]], None]) -> None:
+        """Calls `on_done` once, now or later, with the answer or an error."""
 
 
 @dataclass(frozen=True, slots=True)
 class OrderServiceSettings:
-    """`operators` may act; none named: all who can open the socket. `led`: a unit gives the orders."""
+    """Settings of an order service.
+
+    `operators` may give commands; if it is empty, everyone who can open the socket may. With `led`, the
+    orders come from a unit.
+    """
 
     operators: Sequence[str] = ()
     led: bool = False
 
 
 def load_orders(path: Path) -> Orders:
-    """The orders that a file holds, or none. StateFileError or OSError if it can't be believed."""
+    """Returns the orders of a state file, or none if there is no file.
+
+    Raises StateFileError or OSError if the file is damaged or can't be read.
+    """
     state = read_state(path, KIND)
     if state is None:
         return Orders()
@@ -85,103 +98,116 @@
 
 
 class OrderService:
-    """See `channel.Desk`; of a front or of a unit. `file` keeps the orders; a led front keeps none."""
+    """The `channel.ControlService` of a front or of a unit.
+
+    `file` stores the orders; it is None for a front that gets its orders from a unit.
+    """
 
     def __init__(
         self,
         name: str,
         journal: Journal,
         orders: Orders,
-        hands: FrontControl,
-        rules: OrderServiceSettings,
+        front: FrontControl,
+        settings: OrderServiceSettings,
         file: Path | None,
     ) -> None:
-        self.name, self.journal, self.orders, self.rules = name, journal, orders, rules
+        self.name, self.journal, self.orders, self.settings = name, journal, orders, settings
         self.projection = StateProjection()
         journal.watchers.append(self.projection.apply)
         self.fleet: FleetQueries | None = None  # a front without peers has none
-        self._hands, self._file = hands, file
+        self._front, self._file = front, file
 
     def may_act(self, operator: str, uid: int) -> bool:
-        return not self.rules.operators or operator in self.rules.operators
+        return not self.settings.operators or operator in self.settings.operators
 
     def gauges(self) -> dict[str, Any]:
-        return self._hands.gauges()
+        return self._front.gauges()
 
-    def handle(self, operator: str, may_act: bool, ask: Request, reply: Reply) -> None:
-        if isinstance(ask, ChangeOrders):
-            self._change(operator, may_act, ask, reply)
-        elif isinstance(ask, RetryProcess):
+    def handle(self, operator: str, may_act: bool, request: Request, reply: Reply) -> None:
+        if isinstance(request, ChangeOrders):
+            self._handle_change(operator, may_act, request, reply)
+        elif isinstance(request, RetryProcess):
             if not may_act:
                 reply({"ok": False, "error": f"operator {operator} may look, not act"})
             else:
-                done = self._hands.retry_process(ask.target)
-                reply({"outcome": "done" if done else "refused"})
-        elif isinstance(ask, ReplaceOrders):
-            self._be_led(may_act, ask, reply)
-        elif isinstance(ask, QueryFleet):
+                was_started = self._front.retry_process(request.target)
+                reply({"outcome": "done" if was_started else "refused"})
+        elif isinstance(request, ReplaceOrders):
+            self._replace_orders(may_act, request, reply)
+        elif isinstance(request, QueryFleet):
             if self.fleet is None:
                 reply(
                     {"ok": False, "error": "peers are off here: only this front's own journal can be asked"}
                 )
             else:
-                self.fleet.ask(ask.question, reply)
-        elif isinstance(ask, SimpleRequest) and ask.do == "site":
-            self._hands.request_site(lambda site: reply({"site": site.to_plain()}))
+                self.fleet.ask(request.question, reply)
+        elif isinstance(request, SimpleRequest) and request.do == "site":
+            self._front.request_site(lambda site: reply({"site": site.to_plain()}))
         else:
-            reply(self._question(ask))
-
-    def _question(self, ask: Request) -> dict[str, Any]:
-        if isinstance(ask, ListSessions):
-            return answers.list_sessions(self.projection, ask)
-        if isinstance(ask, ListServers):
-            return answers.list_servers(self.projection, ask, self.gauges())
-        if isinstance(ask, ExplainSession):
-            return answers.session_entries(self.journal, ask)
-        if isinstance(ask, SearchEvents):
-            return answers.search_events(self.journal, ask)
-        if ask.do == "limits":
-            return {"limits": dict(self._hands.limits())}
-        if ask.do == "gauges":
+            reply(self._answer_query(request))
+
+    def _answer_query(self, request: Request) -> dict[str, Any]:
+        if isinstance(request, ListSessions):
+            return answers.list_sessions(self.projection, request)
+        if isinstance(request, ListServers):
+            return answers.list_servers(self.projection, request, self.gauges())
+        if isinstance(request, ExplainSession):
+            return answers.session_entries(self.journal, request)
+        if isinstance(request, SearchEvents):
+            return answers.search_events(self.journal, request)
+        if request.do == "limits":
+            return {"limits": dict(self._front.limits())}
+        if request.do == "gauges":
             return {"gauges": self.gauges()}
-        if ask.do == "unit":
-            return {"unit": dict(self._hands.unit())}
+        if request.do == "unit":
+            return {"unit": dict(self._front.unit())}
         return answers.overview(self.projection, self.journal)
 
     # --- commands ---
 
-    def _change(self, operator: str, may_act: bool, ask: ChangeOrders, reply: Reply) -> None:
+    def _handle_change(self, operator: str, may_act: bool, request: ChangeOrders, reply: Reply) -> None:
         if not may_act:
             reply({"ok": False, "error": f"operator {operator} may look, not act"})
             return
-        if self.rules.led and ask.do != "end":
+        if self.settings.led and request.do != "end":
             reply({"ok": False, "error": "this front takes its orders from its unit: ask there"})
             return
-        command = Command(ask.id, operator, CommandKind(ask.do), ask.target, ask.reason, ask.most, ask.mark)
-        self._hands.request_site(lambda site: self._decide(command, site, reply))
+        command = Command(
+            request.id,
+            operator,
+            CommandKind(request.do),
+            request.target,
+            request.reason,
+            request.most,
+            request.mark,
+        )
+        self._front.request_site(lambda site: self._decide(command, site, reply))
 
     def _decide(self, command: Command, site: SiteSnapshot, reply: Reply) -> None:
         before = self.orders.to_plain()
-        again = command.id in self.orders.answered
-        result = self.orders.handle_command(self._hands.now(), self._hands.wall_time_ms(), command, site)
+        is_repeated = command.id in self.orders.answered
+        result = self.orders.handle_command(self._front.now(), self._front.wall_time_ms(), command, site)
 
-        def done(missing: list[str]) -> None:
-            late = {"missing": missing} if missing else {}
-            reply({**result.to_plain(), **late})
+        def on_applied(missing: list[str]) -> None:
+            missing_fronts = {"missing": missing} if missing else {}
+            reply({**result.to_plain(), **missing_fronts})
 
-        if again:
-            self._hands.apply_orders(self.orders, done)  # its first coming may not have got so far
+        if is_repeated:
+            self._front.apply_orders(
+                self.orders, on_applied
+            )  # the first time may have failed before this point
         elif result.outcome is Outcome.CONFIRM:
             reply(result.to_plain())
         else:
             if command.do is CommandKind.END and result.outcome is Outcome.DONE:
-                # Before it is written down: an end that is done again after a kill harms nothing.
-                self._hands.end_session(command.id, command.target, command.reason or "ended by the operator")
-            if self._keep(before, reply):
-                self._carry_out(command, result, done)
+                # Comes before the order is stored: to end a session again after a crash is harmless.
+                self._front.end_session(command.id, command.target, command.reason or "ended by the operator")
+            if self._store_orders(before, reply):
+                self._apply_command(command, result, on_applied)
 
-    def _keep(self, before: dict[str, Any], reply: Reply) -> bool:
-        """An order counts when it is on disk: else it is as if it had not been given."""
+    def _store_orders(self, before: dict[str, Any], reply: Reply) -> bool:
+        """Stores the orders; if that fails, restores `before`, replies with an error and returns False."""
         if self._file is None:
             return True
         try:
@@ -192,67 +218,70 @@
             return False
         return True
 
-    def _carry_out(self, command: Command, result: Result, then: Callable[[list[str]], None]) -> None:
-        more = {"by": command.by, "id": command.id, "outcome": str(result.outcome), **self.orders.tables()}
-        text = f"{command.do} {command.target}: {result.says}"
-        self.journal.add(self._hands.now(), EventKind.ORDER, why=text, session=_session(command), more=more)
-        self._apply(then)
-
-    def _apply(self, then: Callable[[list[str]], None]) -> None:
-        self._hands.apply_orders(self.orders, then)
-        self._plan()
-
-    def _plan(self) -> None:
-        due = self.orders.next_deadline(self._hands.now())
-        if due is not None:
-            self._hands.call_at(due, self._begin_waiting)
-
-    def _begin_waiting(self) -> None:
-        """Drains whose turn has come take effect."""
-        now = self._hands.now()
+    def _apply_command(self, command: Command, result: Result, on_done: Callable[[list[str]], None]) -> None:
+        details = {"by": command.by, "id": command.id, "outcome": str(result.outcome), **self.orders.tables()}
+        reason = f"{command.do} {command.target}: {result.says}"
+        self.journal.add(
+            self._front.now(), EventKind.ORDER, why=reason, session=_session_of(command), more=details
+        )
+        self._apply_orders(on_done)
+
+    def _apply_orders(self, on_done: Callable[[list[str]], None]) -> None:
+        self._front.apply_orders(self.orders, on_done)
+        self._schedule_next_drain()
+
+    def _schedule_next_drain(self) -> None:
+        deadline_ms = self.orders.next_deadline(self._front.now())
+        if deadline_ms is not None:
+            self._front.call_at(deadline_ms, self._start_due_drains)
+
+    def _start_due_drains(self) -> None:
+        """Starts the waiting drains that pacing allows now; tries again later if they can't be stored."""
+        now = self._front.now()
         before = self.orders.to_plain()
-        begun = self.orders.start_due_drains(now)
-        if begun and self._keep(before, lambda said: None):
-            boxes = ", ".join(str(box) for box in begun)
+        started = self.orders.start_due_drains(now)
+        if started and self._store_orders(before, lambda response: None):
+            boxes = ", ".join(str(box) for box in started)
             self.journal.add(
                 now, EventKind.ORDER, why=f"drain begins: box {boxes}", more=self.orders.tables()
             )
-            self._apply(lambda missing: None)
+            self._apply_orders(lambda missing: None)
         elif self.orders.waiting:
-            self._hands.call_at(now + self.orders.rules.pace_ms, self._begin_waiting)
+            self._front.call_at(now + self.orders.rules.pace_ms, self._start_due_drains)
 
     def start(self) -> None:
-        """A front begins. Orders of an earlier life stand: the journal says so, what waits is planned."""
-        self.journal.add(self._hands.now(), EventKind.FRONT, why="up")
+        """Starts the service of a front: records the start and takes up the stored orders."""
+        self.journal.add(self._front.now(), EventKind.FRONT, why="up")
         self.start_orders()
 
     def start_orders(self) -> None:
+        """Records the orders that were stored before, and schedules the drains that wait."""
         if self.orders.version:
-            more = self.orders.tables()
-            self.journal.add(self._hands.now(), EventKind.ORDER, why="orders stand from before", more=more)
-        self._plan()
+            details = self.orders.tables()
+            self.journal.add(self._front.now(), EventKind.ORDER, why="orders stand from before", more=details)
+        self._schedule_next_drain()
 
-    # --- led by a unit ---
+    # --- orders of a unit ---
 
-    def _be_led(self, may_act: bool, ask: ReplaceOrders, reply: Reply) -> None:
-        if not (self.rules.led and may_act):
+    def _replace_orders(self, may_act: bool, request: ReplaceOrders, reply: Reply) -> None:
+        if not (self.settings.led and may_act):
             reply({"ok": False, "error": "this front is not led by a unit"})
             return
         try:
-            orders = Orders.from_plain(ask.orders)
+            orders = Orders.from_plain(request.orders)
         except OrdersError as error:
             reply({"ok": False, "error": str(error)})
             return
         version = orders.version
         if version >= self.orders.version:
             changed = version > self.orders.version
-            self.orders.restore(ask.orders)
+            self.orders.restore(request.orders)
             if changed:
-                more = {"by": "unit", **self.orders.tables()}
-                self.journal.add(self._hands.now(), EventKind.ORDER, why=f"orders {version}", more=more)
+                details = {"by": "unit", **self.orders.tables()}
+                self.journal.add(self._front.now(), EventKind.ORDER, why=f"orders {version}", more=details)
         version = self.orders.version
-        self._hands.apply_orders(self.orders, lambda missing: reply({"version": version}))
+        self._front.apply_orders(self.orders, lambda missing: reply({"version": version}))
 
 
-def _session(command: Command) -> str:
+def _session_of(command: Command) -> str:
     return command.target if command.do is CommandKind.END else ""
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -443,7 +443,7 @@
         for number in range(20_000):  # far more than the socket and its bound hold
             journal.add(number, EventKind.ASKED, session=f"x{number % 50}", why="w" * 400)
             if number % 2_000 == 0:
-                await until(lambda: channel._timer is None)
+                await until(lambda: channel._flush_timer is None)
         assert (await scene.ask(scene.wish())).status == 200
         pending = [len(one.pending) for one in channel.clients]
         assert max(pending) <= 5_000
@@ -487,14 +487,14 @@
         assert ann._transport is not None
         ann._transport.pause_reading()
         (there,) = channel.clients
-        while there.has_room:  # a little more than it takes at once, and no more
+        while there.is_writable:  # a little more than it takes at once, and no more
             for _ in range(100):
                 desk.journal.add(0, EventKind.ASKED, session="x", why="w" * 200)
-            await until(lambda: channel._timer is None)
+            await until(lambda: channel._flush_timer is None)
         for _ in range(6_000):  # past the bound of what waits for it
             desk.journal.add(0, EventKind.ASKED, session="x")
-        await until(lambda: channel._timer is None)
-        assert there.missed
+        await until(lambda: channel._flush_timer is None)
+        assert there.has_missed_entries
         ann._transport.resume_reading()
         await until(lambda: ann.follower.missed_count > 0)
         await until(lambda: ann.follower.projection == desk.projection)
@@ -542,7 +542,7 @@
     async def story(scene: Scene, ann: ControlClient) -> None:
         path = scene.site.folder / "run" / "front-0.sock"
         assert oct(os.stat(path).st_mode & 0o777) == "0o600"
-        with pytest.raises(OSError, match="somebody listens there already"):
+        with pytest.raises(OSError, match="another process listens on this socket already"):
             await start_front(scene.site.config(0, extra=scene.extra))
         await ann.ask("hold", target="lesson-1")
         file = scene.site.folder / "front-0.json"
