--- a/fernweir/console/link.py
+++ b/fernweir/console/link.py
@@ -1,4 +1,4 @@
-"""Between a control client and what a console shows. A thin shell."""
+"""Connects a control client to the state that the console shows."""
 
 from __future__ import annotations
 
@@ -11,68 +11,68 @@
 from fernweir.control.client import ControlClient, ControlError
 from fernweir.journal.events import EntryError, from_row
 
-_BACKFILL = 200
+_HISTORY_ENTRIES = 200
 
 
-def socket_of(where: Path) -> Path:
-    """A unit's folder stands for its socket."""
-    return Layout(where.absolute()).socket if where.is_dir() else where
+def socket_path(path: Path) -> Path:
+    """Returns the control socket of a unit's folder; any other path is a socket itself."""
+    return Layout(path.absolute()).socket if path.is_dir() else path
 
 
 class ConsoleClient:
-    """Keeps `shown` up to date; `start` it within a loop."""
+    """Keeps `state` up to date. `start` needs a running event loop."""
 
-    def __init__(self, where: Path, operator: str) -> None:
-        self.shown = ConsoleState(name=where.name)
-        self.client = ControlClient(socket_of(where), operator, watch=True)
-        self.client.follower.on_entry = self.shown.history.add
-        self.client.on_greeting = self._greeted
-        self._since = self.client.loop.time()
-        self._filling: asyncio.Task[None] | None = None
+    def __init__(self, path: Path, operator: str) -> None:
+        self.state = ConsoleState(name=path.name)
+        self.client = ControlClient(socket_path(path), operator, watch=True)
+        self.client.follower.on_entry = self.state.history.add
+        self.client.on_greeting = self._on_greeting
+        self._created_at_s = self.client.loop.time()
+        self._backfill_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
         self.client.start()
 
     def close(self) -> None:
-        if self._filling is not None:
-            self._filling.cancel()
+        if self._backfill_task is not None:
+            self._backfill_task.cancel()
         self.client.close()
 
     def refresh(self) -> ConsoleState:
-        """What is to be shown now."""
-        client, shown = self.client, self.shown
+        """Copies the present state of the control client to `state` and returns it."""
+        client, state = self.client, self.state
         if client.follower.projection is not None:
-            shown.projection = client.follower.projection
-        shown.gauges = client.follower.gauges
-        shown.connected, shown.disconnect_reason = client.connected, client.disconnect_reason
-        shown.age_s = client.loop.time() - (client.last_message_at_s or self._since)
-        shown.missed_count = client.follower.missed_count
+            state.projection = client.follower.projection
+        state.gauges = client.follower.gauges
+        state.connected, state.disconnect_reason = client.connected, client.disconnect_reason
+        state.age_s = client.loop.time() - (client.last_message_at_s or self._created_at_s)
+        state.missed_count = client.follower.missed_count
         if client.hello:
-            shown.name = str(client.hello.get("name") or shown.name)
-            shown.may_act = client.hello.get("may") == "act"
-        return shown
+            state.name = str(client.hello.get("name") or state.name)
+            state.may_act = client.hello.get("may") == "act"
+        return state
 
     async def wait_synced(self) -> ConsoleState:
-        """Waits until the picture has all that the other side had when this was called."""
-        if self._filling is not None:
-            await self._filling
+        """Waits until the projection has all entries that the server had when this was called."""
+        if self._backfill_task is not None:
+            await self._backfill_task
         number = (await self.client.ask("overview"))["number"]
-        if not self.client.follower.gauges:  # they come by the second, and this may be the first
+        if not self.client.follower.gauges:  # gauges are sent once a second and may not have come yet
             self.client.follower.gauges = (await self.client.ask("gauges"))["gauges"]
         while self.client.follower.projection is None or self.client.follower.projection.number < number:
             await asyncio.sleep(0.005)
         return self.refresh()
 
-    def _greeted(self) -> None:
-        if not self.shown.history.entries:
-            self._filling = asyncio.ensure_future(self._fill())
+    def _on_greeting(self) -> None:
+        if not self.state.history.entries:
+            self._backfill_task = asyncio.ensure_future(self._load_history())
 
-    async def _fill(self) -> None:
-        """The log's first lines, from before the console came."""
+    async def _load_history(self) -> None:
+        """Loads entries from before the console connected into the history."""
         try:
-            rows: list[Any] = (await self.client.ask("events", limit=_BACKFILL))["rows"]
-            self.shown.history.backfill([from_row(row) for row in reversed(rows)])
-            trouble = (await self.client.ask("overview"))["journal"]["trouble"]
-            self.shown.journal_trouble = str(trouble)
+            rows: list[Any] = (await self.client.ask("events", limit=_HISTORY_ENTRIES))["rows"]
+            self.state.history.backfill([from_row(row) for row in reversed(rows)])
+            journal_fault = (await self.client.ask("overview"))["journal"]["trouble"]
+            self.state.journal_fault = str(journal_fault)
         except (ControlError, EntryError):
             pass
--- a/fernweir/console/live.py
+++ b/fernweir/console/live.py
@@ -1,4 +1,4 @@
-"""What a console knows: a picture, how old it is, and the short history behind it. Free of I/O."""
+"""The state that a console shows: a projection, its age, and a short history. Does no I/O."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from fernweir.journal.events import ANSWERS, Entry, EventKind
 from fernweir.journal.state_projection import StateProjection
 
-_BUCKETS = 60
-_LOG = 2_000
+_MAX_BUCKETS = 60
+_MAX_ENTRIES = 2_000
 
 
 @dataclass(slots=True)
 class History:
-    """Answers by kind in spans of `span_ms` wall time, and the newest entries."""
+    """The newest entries, and counts of answers by kind in spans of `span_ms` wall time."""
 
     span_ms: int = 5_000
-    buckets: deque[tuple[int, Counter[str]]] = field(default_factory=lambda: deque(maxlen=_BUCKETS))
-    entries: deque[Entry] = field(default_factory=lambda: deque(maxlen=_LOG))
+    buckets: deque[tuple[int, Counter[str]]] = field(default_factory=lambda: deque(maxlen=_MAX_BUCKETS))
+    entries: deque[Entry] = field(default_factory=lambda: deque(maxlen=_MAX_ENTRIES))
 
     def add(self, entry: Entry) -> None:
         if self.entries and entry.number <= self.entries[-1].number:
@@ -33,23 +33,23 @@
         self.buckets[-1][1][entry.what] += 1
 
     def backfill(self, entries: list[Entry]) -> None:
-        """Older entries, asked for: they stand before what has come since."""
-        first = self.entries[0].number if self.entries else 1 << 62
-        newer, self.entries = list(self.entries), deque(maxlen=_LOG)
-        self.buckets = deque(maxlen=_BUCKETS)
-        for entry in [*(one for one in entries if one.number < first), *newer]:
+        """Inserts older entries before those that have arrived since."""
+        first_number = self.entries[0].number if self.entries else 1 << 62
+        newer, self.entries = list(self.entries), deque(maxlen=_MAX_ENTRIES)
+        self.buckets = deque(maxlen=_MAX_BUCKETS)
+        for entry in [*(entry for entry in entries if entry.number < first_number), *newer]:
             self.add(entry)
 
     def series(self, what: EventKind, until: int, count: int) -> list[float]:
-        """Counts of the last `count` spans up to the wall time `until`."""
+        """Returns the counts of the last `count` spans up to the wall time `until`."""
         last = until // self.span_ms
-        known = {number: counts[what] for number, counts in self.buckets}
-        return [float(known.get(number, 0)) for number in range(last - count + 1, last + 1)]
+        count_of_bucket = {number: counts[what] for number, counts in self.buckets}
+        return [float(count_of_bucket.get(number, 0)) for number in range(last - count + 1, last + 1)]
 
 
 @dataclass(slots=True)
 class ConsoleState:
-    """All that views are made of. `age_s` is how long ago the other side was last heard."""
+    """The input of all views. `age_s` is the time since the last message of the server."""
 
     projection: StateProjection = field(default_factory=StateProjection)
     gauges: dict[str, Any] = field(default_factory=dict)
@@ -60,10 +60,10 @@
     disconnect_reason: str = ""
     age_s: float = 0.0
     missed_count: int = 0
-    journal_trouble: str = ""
+    journal_fault: str = ""
 
     def freshness(self) -> str:
-        """In words how far the picture can be believed."""
+        """Returns in words whether the projection is current, or how old it is and why."""
         if self.connected and self.age_s < 5.0:
             return "live"
         if self.connected:
--- a/fernweir/console/views.py
+++ b/fernweir/console/views.py
@@ -72,8 +72,8 @@
     said += [f"{lesson} held by {by}" for lesson, by in sorted(projection.holds.items())]
     said += [f"limit {most} for {what}" for what, most in sorted(projection.caps.items())]
     lines = ["orders    " + ("; ".join(said) or "none")]
-    if shown.journal_trouble:
-        lines.append(f"journal   NOT KEPT: {shown.journal_trouble}")
+    if shown.journal_fault:
+        lines.append(f"journal   NOT KEPT: {shown.journal_fault}")
     return lines
 
 
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -175,7 +175,12 @@
         ann.close()
         app = ConsoleApp(scene.site.folder / "run" / "front-0.sock", "ann")
         async with app.run_test(size=size) as pilot:
-            await until(lambda: app.link is not None and app.link.client.follower.projection is not None)
+            await until(
+                lambda: (
+                    app.console_client is not None
+                    and app.console_client.client.follower.projection is not None
+                )
+            )
             await story(scene, app, pilot)
 
     control_scene(run, replace(SitePlan(), times=QUICK, fronts=1))
@@ -212,7 +217,7 @@
         await pilot.press("w")
         await until_shown(app, pilot, "under the mark")
         await pilot.press("escape", "3", "end")
-        box = app._at_cursor()
+        box = app._key_at_cursor()
         await pilot.press("d", *"loud", "enter")
         await until_shown(app, pilot, "done: box")
         shown = await until_shown(app, pilot, "draining")
@@ -252,10 +257,10 @@
         await asyncio.gather(*(scene.ask(replace_session(scene, f"m{n}")) for n in range(3)))
         await until_shown(app, pilot, "3 playing")
         await pilot.press("2", "down")
-        assert app._at_cursor() == "m1"
+        assert app._key_at_cursor() == "m1"
         await asyncio.gather(*(scene.ask(replace_session(scene, f"a{n}")) for n in range(4)))
         await until_shown(app, pilot, "a3")
-        assert app._at_cursor() == "m1" and app.cursor == 5
+        assert app._key_at_cursor() == "m1" and app.cursor == 5
 
     screen_scene(story)
 
