--- a/fernweir/console/__init__.py
+++ b/fernweir/console/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' console: one set of views, shown on a screen, run by a script, or printed once."""
+"""The operators' console: the same views on a screen, in a script, or printed once."""
--- a/fernweir/console/views.py
+++ b/fernweir/console/views.py
@@ -1,4 +1,4 @@
-"""The views, as lines of text: the same on a screen, from a script and in a test."""
+"""The views as lines of text, the same on a screen, in a script and in a test."""
 
 from __future__ import annotations
 
@@ -12,18 +12,19 @@
 from fernweir.journal.state_projection import ServerRow, SessionRow
 
 _SESSION_COLUMNS = (20, 8, 16, 10, 4, 4, 8)
-_BOX_COLUMNS = (-4, 15, -5, -4, 12, 12, 8, 8)
+_SERVER_COLUMNS = (-4, 15, -5, -4, 12, 12, 8, 8)
 
 
 @dataclass(frozen=True, slots=True)
 class RowFilter:
-    """What of a list is wanted: rows that have `search` in any cell, and those of given fields."""
+    """Selects and sorts the rows of a list: `search` in any cell, and `equal` values of fields."""
 
     search: str = ""
     sort: str = ""
     equal: Mapping[str, str] | None = None
 
-    def takes(self, cells: Mapping[str, object]) -> bool:
+    def matches(self, cells: Mapping[str, object]) -> bool:
+        """Whether a row with these cells is selected."""
         if self.equal and any(str(cells.get(name, "")) != value for name, value in self.equal.items()):
             return False
         return not self.search or any(self.search.lower() in str(cell).lower() for cell in cells.values())
@@ -31,27 +32,28 @@
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """A head of fixed lines, and rows that scroll; `keys` name the rows for commands."""
+    """A head of fixed lines, and rows that scroll. `keys` has the session or server of each row."""
 
     head: list[str]
     rows: list[str]
     keys: list[str]
 
 
-def overview(shown: ConsoleState, columns: int = 80) -> View:
-    projection, gauges = shown.projection, shown.gauges
+def overview(state: ConsoleState, columns: int = 80) -> View:
+    """Counts by kind, orders in force, and the load of each server."""
+    projection, gauges = state.projection, state.gauges
     phases = Counter(one.phase for one in projection.sessions.values())
-    worth, most = gauges.get("worth", 0.0), gauges.get("worth_most", 0.0)
-    served = f"worth {100.0 * worth / most:.0f}% of {most:.1f}" if most else "worth -"
+    utility, max_utility = gauges.get("worth", 0.0), gauges.get("worth_most", 0.0)
+    served = f"worth {100.0 * utility / max_utility:.0f}% of {max_utility:.1f}" if max_utility else "worth -"
     lines = [
         f"sessions  {phases['playing']} playing, {phases['out']} out, {phases['asked']} asked    {served}"
         f"    {gauges.get('waiting', 0)} waiting",
         "answers   " + "  ".join(f"{kind} {projection.answers[kind]}" for kind in ANSWERS),
     ]
-    spans = max(min(columns - 34, 40), 8)
+    span_count = max(min(columns - 34, 40), 8)
     for kind in (EventKind.PLAYS, EventKind.REFUSED, EventKind.FAILED):
-        series = shown.history.series(kind, projection.at, spans)
-        lines.append(f"  {kind:<8} {sparkline(series, spans)}  {series[-1] if series else 0:.0f} in 5 s")
+        series = state.history.series(kind, projection.at, span_count)
+        lines.append(f"  {kind:<8} {sparkline(series, span_count)}  {series[-1] if series else 0:.0f} in 5 s")
     reasons = sorted(projection.refusals.items(), key=lambda one: (-one[1], one[0]))
     lines.append("turned    " + (" | ".join(f"{why} {count}" for why, count in reasons[:3]) or "nobody away"))
     states = Counter(one.state for one in projection.servers.values())
@@ -60,54 +62,57 @@
                  + (f", {silent} silent" if silent else ""))  # fmt: skip
     lines.append("fronts    " + (", ".join(f"{name} since {clock(at)}" for name, at
                                            in sorted(projection.fronts.items())) or "none"))  # fmt: skip
-    lines += _orders(shown)
-    rows = _loads(shown, columns)
+    lines += _order_lines(state)
+    rows = _load_rows(state, columns)
     head = [fit(line, columns).rstrip() for line in [*lines, ""]]
     return View(head, rows, [""] * len(rows))
 
 
-def _orders(shown: ConsoleState) -> list[str]:
-    projection = shown.projection
-    said = [f"box {one.server} drained by {one.drained_by}" for one in sorted_boxes(shown) if one.drained_by]
-    said += [f"{lesson} held by {by}" for lesson, by in sorted(projection.holds.items())]
-    said += [f"limit {most} for {what}" for what, most in sorted(projection.caps.items())]
-    lines = ["orders    " + ("; ".join(said) or "none")]
-    if shown.journal_fault:
-        lines.append(f"journal   NOT KEPT: {shown.journal_fault}")
+def _order_lines(state: ConsoleState) -> list[str]:
+    projection = state.projection
+    parts = [
+        f"box {one.server} drained by {one.drained_by}" for one in sorted_servers(state) if one.drained_by
+    ]
+    parts += [f"{title_name} held by {by}" for title_name, by in sorted(projection.holds.items())]
+    parts += [f"limit {limit} for {what}" for what, limit in sorted(projection.caps.items())]
+    lines = ["orders    " + ("; ".join(parts) or "none")]
+    if state.journal_fault:
+        lines.append(f"journal   NOT KEPT: {state.journal_fault}")
     return lines
 
 
-def _loads(shown: ConsoleState, columns: int) -> list[str]:
-    loads = shown.gauges.get("boxes", {})
+def _load_rows(state: ConsoleState, columns: int) -> list[str]:
+    loads = state.gauges.get("boxes", {})
     size = max(min((columns - 26) // 2, 24), 6)
     rows: list[str] = []
     for number, load in sorted(loads.items(), key=lambda one: int(one[0])):
-        there = f"box {int(number):>3} link {_load(load, 0, size)}"
-        rows.append(f"{there}  rack {load[2]} {_load(load, 1, size)}")
+        server_load = f"box {int(number):>3} link {_load_bar(load, 0, size)}"
+        rows.append(f"{server_load}  rack {load[2]} {_load_bar(load, 1, size)}")
     return [fit(line, columns).rstrip() for line in rows]
 
 
-def _load(load: list[float], which: int, size: int) -> str:
-    """A bar and its share; `?` behind what nobody told lately, so that the module guesses."""
-    sure = load[3 + which]
-    return f"{bar(load[which], size)}{load[which]:>5.0%}{' ' if sure else '?'}"
+def _load_bar(load: list[float], index: int, size: int) -> str:
+    """Returns a bar and its percentage, with a `?` if the load is an estimate without a recent report."""
+    is_reported = load[3 + index]
+    return f"{bar(load[index], size)}{load[index]:>5.0%}{' ' if is_reported else '?'}"
 
 
-def sessions(shown: ConsoleState, choice: RowFilter | None = None, columns: int = 80) -> View:
-    choice = choice or RowFilter()
-    found = [one for one in shown.projection.sessions.values() if choice.takes(_session_cells(one))]
-    orders: dict[str, Callable[[SessionRow], object]] = {
+def sessions(state: ConsoleState, row_filter: RowFilter | None = None, columns: int = 80) -> View:
+    """The live sessions."""
+    row_filter = row_filter or RowFilter()
+    matching = [one for one in state.projection.sessions.values() if row_filter.matches(_session_cells(one))]
+    sort_keys: dict[str, Callable[[SessionRow], object]] = {
         "box": lambda one: (one.server, one.session),
         "lesson": lambda one: (one.title, one.session),
         "rung": lambda one: (-one.rung, one.session),
         "since": lambda one: (one.since, one.session),
         "phase": lambda one: (one.phase, one.session),
     }
-    found.sort(key=orders.get(choice.sort, lambda one: (one.session, one.front)))  # type: ignore[arg-type]
-    sizes = _spread(_SESSION_COLUMNS, columns, 0)
+    matching.sort(key=sort_keys.get(row_filter.sort, lambda one: (one.session, one.front)))  # type: ignore[arg-type]
+    sizes = _stretch_column(_SESSION_COLUMNS, columns, 0)
     head = [row(("session", "phase", "lesson", "class", "box", "rung", "since"), sizes)]
-    rows = [row(_session_row(one), sizes) for one in found]
-    return View(head, rows or ["none"], [one.session for one in found] or [""])
+    rows = [row(_session_row(one), sizes) for one in matching]
+    return View(head, rows or ["none"], [one.session for one in matching] or [""])
 
 
 def _session_cells(one: SessionRow) -> dict[str, object]:
@@ -118,66 +123,69 @@
 
 
 def _session_row(one: SessionRow) -> tuple[str, ...]:
-    box = str(one.server) if one.server >= 0 else "-"
+    server = str(one.server) if one.server >= 0 else "-"
     rung = str(one.rung) if one.rung >= 0 else "-"
-    return one.session, one.phase, one.title, one.cls, box, rung, clock(one.since)
+    return one.session, one.phase, one.title, one.cls, server, rung, clock(one.since)
 
 
-def boxes(shown: ConsoleState, choice: RowFilter | None = None, columns: int = 80) -> View:
-    choice = choice or RowFilter()
-    loads = shown.gauges.get("boxes", {})
+def boxes(state: ConsoleState, row_filter: RowFilter | None = None, columns: int = 80) -> View:
+    """The servers with their loads."""
+    row_filter = row_filter or RowFilter()
+    loads = state.gauges.get("boxes", {})
 
     def load(one: ServerRow) -> list[float]:
         return list(loads.get(str(one.server), [0.0, 0.0, 0, 0, 0]))
 
-    found = [
+    matching = [
         one
-        for one in sorted_boxes(shown)
-        if choice.takes({"box": one.server, "state": one.state, "by": one.drained_by})
+        for one in sorted_servers(state)
+        if row_filter.matches({"box": one.server, "state": one.state, "by": one.drained_by})
     ]
-    if choice.sort == "link":
-        found.sort(key=lambda one: (-load(one)[0], one.server))
-    elif choice.sort in ("playing", "out"):
-        found.sort(key=lambda one: (-getattr(one, choice.sort), one.server))
-    elif choice.sort == "state":
-        found.sort(key=lambda one: (one.state, one.server))
-    sizes = _spread(_BOX_COLUMNS, columns, 7)
+    if row_filter.sort == "link":
+        matching.sort(key=lambda one: (-load(one)[0], one.server))
+    elif row_filter.sort in ("playing", "out"):
+        matching.sort(key=lambda one: (-getattr(one, row_filter.sort), one.server))
+    elif row_filter.sort == "state":
+        matching.sort(key=lambda one: (one.state, one.server))
+    sizes = _stretch_column(_SERVER_COLUMNS, columns, 7)
     head = [row(("box", "state", "plays", "out", "link", "uplink", "list", "drained by"), sizes)]
     rows = []
-    for one in found:
-        state = one.state + (" SILENT" if one.silent else "")
-        cells = (str(one.server), state, str(one.playing), str(one.out), _load(load(one), 0, 6),
-                 _load(load(one), 1, 6), one.listed, one.drained_by)  # fmt: skip
+    for one in matching:
+        state_text = one.state + (" SILENT" if one.silent else "")
+        cells = (str(one.server), state_text, str(one.playing), str(one.out), _load_bar(load(one), 0, 6),
+                 _load_bar(load(one), 1, 6), one.listed, one.drained_by)  # fmt: skip
         rows.append(row(cells, sizes))
-    return View(head, rows or ["none"], [str(one.server) for one in found] or [""])
+    return View(head, rows or ["none"], [str(one.server) for one in matching] or [""])
 
 
-def refusals(shown: ConsoleState, choice: RowFilter | None = None, columns: int = 80) -> View:
-    choice = choice or RowFilter()
-    found = sorted(shown.projection.refusals.items(), key=lambda one: (-one[1], one[0]))
-    found = [one for one in found if choice.takes({"why": one[0]})]
-    total = sum(shown.projection.refusals.values())
+def refusals(state: ConsoleState, row_filter: RowFilter | None = None, columns: int = 80) -> View:
+    """The reasons for rejected requests, most frequent first."""
+    row_filter = row_filter or RowFilter()
+    matching = sorted(state.projection.refusals.items(), key=lambda one: (-one[1], one[0]))
+    matching = [one for one in matching if row_filter.matches({"why": one[0]})]
+    total = sum(state.projection.refusals.values())
     head = [row(("count", "share", "reason"), (-7, -6, columns - 15))]
     rows = [
-        row((str(count), f"{count / max(total, 1):.0%}", why), (-7, -6, columns - 15)) for why, count in found
+        row((str(count), f"{count / max(total, 1):.0%}", why), (-7, -6, columns - 15))
+        for why, count in matching
     ]
-    return View(head, rows or ["none"], [why for why, _ in found] or [""])
+    return View(head, rows or ["none"], [why for why, _ in matching] or [""])
 
 
-def log(shown: ConsoleState, choice: RowFilter | None = None, columns: int = 80) -> View:
-    """The newest entries first."""
-    choice = choice or RowFilter()
+def log(state: ConsoleState, row_filter: RowFilter | None = None, columns: int = 80) -> View:
+    """The journal entries, newest first."""
+    row_filter = row_filter or RowFilter()
     rows, keys = [], []
-    for entry in reversed(shown.history.entries):
+    for entry in reversed(state.history.entries):
         line = describe(entry)
-        if choice.takes({"line": line}):
+        if row_filter.matches({"line": line}):
             rows.append(fit(line, columns).rstrip())
             keys.append(entry.session)
     return View([fit("time     what", columns).rstrip()], rows or ["none"], keys or [""])
 
 
 def describe(entry: Entry) -> str:
-    """One entry in a line."""
+    """Returns an entry as one line."""
     parts = [clock(entry.at), f"{entry.what:<10}"]
     if entry.session:
         parts.append(entry.session)
@@ -194,41 +202,41 @@
 
 
 def why(entries: list[Entry], columns: int = 80) -> View:
-    """One session's life, with the boxes that were passed over."""
+    """The entries of one session, with the servers that were passed over."""
     rows = []
     for entry in entries:
         rows.append(fit(describe(entry), columns).rstrip())
-        for box, kept_out in entry.more.get("passed", []):
-            rows.append(fit(f"           passed box {box}: {kept_out}", columns).rstrip())
+        for server, reason in entry.more.get("passed", []):
+            rows.append(fit(f"           passed box {server}: {reason}", columns).rstrip())
         if entry.what is EventKind.SETUP and "link" in entry.more:
             link, uplink = entry.more["link"], entry.more["uplink"]
             rows.append(f"           link at {link:.0%}, uplink at {uplink:.0%}")
     return View(["the life of one session"], rows or ["the journal has nothing on it"], [""] * len(rows))
 
 
-def title(shown: ConsoleState, columns: int = 80) -> str:
-    """The first line of every screen: whose picture, and how true it is."""
-    left = f"{shown.name or '?'}  {shown.freshness()}" + ("" if shown.may_act else "  (may look only)")
-    if shown.missed_count:
-        left += f"  caught up {shown.missed_count}x"
-    right = f"{clock(shown.projection.at)} UTC  #{shown.projection.number}"
+def title(state: ConsoleState, columns: int = 80) -> str:
+    """Returns the first line of every screen: the server's name, and how old the data is."""
+    left = f"{state.name or '?'}  {state.freshness()}" + ("" if state.may_act else "  (may look only)")
+    if state.missed_count:
+        left += f"  caught up {state.missed_count}x"
+    right = f"{clock(state.projection.at)} UTC  #{state.projection.number}"
     return fit(left, max(columns - len(right) - 1, 1)) + " " + right
 
 
-def sorted_boxes(shown: ConsoleState) -> list[ServerRow]:
-    return [shown.projection.servers[number] for number in sorted(shown.projection.servers)]
+def sorted_servers(state: ConsoleState) -> list[ServerRow]:
+    return [state.projection.servers[number] for number in sorted(state.projection.servers)]
 
 
-def _spread(sizes: tuple[int, ...], columns: int, grows: int) -> list[int]:
-    """Columns of a table, one of which takes what is over."""
+def _stretch_column(sizes: tuple[int, ...], columns: int, column: int) -> list[int]:
+    """Returns the widths of a table's columns, one of which takes the spare width."""
     spread = list(sizes)
-    over = columns - sum(abs(size) for size in sizes) - (len(sizes) - 1)
-    spread[grows] = max(spread[grows] + over, 4)
+    spare = columns - sum(abs(size) for size in sizes) - (len(sizes) - 1)
+    spread[column] = max(spread[column] + spare, 4)
     return spread
 
 
 VIEWS: dict[str, Callable[[ConsoleState, RowFilter, int], View]] = {
-    "overview": lambda shown, choice, columns: overview(shown, columns),
+    "overview": lambda state, row_filter, columns: overview(state, columns),
     "sessions": sessions,
     "boxes": boxes,
     "refusals": refusals,
--- a/fernweir/control/__init__.py
+++ b/fernweir/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control channel: operators' commands over a Unix socket, and the rules that make them safe."""
+"""The control protocol: operators' commands over a Unix socket, and the rules that decide on them."""
