--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The console: text that can't steer a terminal, views that are the picture, a screen driven by its keys."""
+"""Tests of the console: safe text, views that match the projection, scripts, and the screen with its keys."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from fernweir.journal.store import Journal
 from tests.scene import Scene
 from tests.sockets import until
-from tests.test_control import QUICK, SitePlan, control_scene
+from tests.test_control import FAST_TIMES, SitePlan, control_scene
 
 HOSTILE = "\x1b[2J\x1b]0;owned\x07 \u202egnp.exe \x9b31m \r\n\x00 \ud800 \u200b"
 
@@ -44,8 +44,8 @@
     assert sparkline([], 4) == "    " and sparkline([0, 0], 2) == "  "
 
 
-def crowd(count: int = 40, boxes: int = 130) -> ConsoleState:
-    """A picture with hostile names in every place, made by a journal."""
+def make_console_state(count: int = 40, boxes: int = 130) -> ConsoleState:
+    """Returns a state, built from a journal, with control characters in all names."""
     shown, journal = ConsoleState(name="yard" + HOSTILE, connected=True, may_act=True), Journal("front-1")
     journal.watchers += [shown.projection.apply, shown.history.add]
     journal.add(0.0, EventKind.FRONT, why="up")
@@ -72,7 +72,7 @@
 @pytest.mark.parametrize("columns", [20, 40, 80, 200])
 @pytest.mark.parametrize("name", list(VIEWS))
 def test_every_view_fits_its_columns_whatever_names_say(name: str, columns: int) -> None:
-    shown = crowd()
+    shown = make_console_state()
     view = VIEWS[name](shown, RowFilter(), columns)
     for line in [views.title(shown, columns), *view.head, *view.rows]:
         assert not any(unicodedata.category(char)[0] == "C" for char in line), repr(line)
@@ -81,11 +81,11 @@
 
 
 def test_views_sort_search_and_count() -> None:
-    shown = crowd(40)
+    shown = make_console_state(40)
     view = views.sessions(shown, RowFilter(search="lesson-2", sort="rung"))
     assert len(view.rows) == sum(n % 5 == 2 and n % 4 != 3 for n in range(40))
-    by_box = views.sessions(shown, RowFilter(sort="box")).keys
-    assert [key[:6] for key in by_box] == sorted(key[:6] for key in by_box)
+    by_server = views.sessions(shown, RowFilter(sort="box")).keys
+    assert [key[:6] for key in by_server] == sorted(key[:6] for key in by_server)
     drained = views.boxes(shown, RowFilter(search="draining"))
     assert drained.keys == ["3"]
     assert views.refusals(shown).rows[0].split()[0] == "10"
@@ -102,7 +102,7 @@
 
 
 def test_five_thousand_sessions_and_a_hundred_and_thirty_boxes_are_all_listed() -> None:
-    shown = crowd(5_000, 130)
+    shown = make_console_state(5_000, 130)
     view = views.sessions(shown, RowFilter(sort="box"))
     assert len(view.rows) == len(shown.projection.sessions) == 3_750
     assert len(views.boxes(shown).rows) == 130
@@ -111,14 +111,14 @@
 # --- scripts ---
 
 
-def runner_scene(story: Callable[[Scene, ScriptRunner, list[str]], Awaitable[None]], **more: str) -> None:
+def runner_scene(scenario: Callable[[Scene, ScriptRunner, list[str]], Awaitable[None]], **more: str) -> None:
     async def run(scene: Scene, ann: Any) -> None:
         ann.close()
-        link, said = ConsoleClient(scene.site.folder / "run" / "front-0.sock", "ann"), list[str]()
+        link, printed = ConsoleClient(scene.site.folder / "run" / "front-0.sock", "ann"), list[str]()
         link.start()
         await link.client.wait_ready()
         try:
-            await story(scene, ScriptRunner(link, said.append), said)
+            await scenario(scene, ScriptRunner(link, printed.append), printed)
         finally:
             link.close()
 
@@ -126,19 +126,19 @@
 
 
 def test_a_script_prints_what_the_boxes_say() -> None:
-    async def story(scene: Scene, runner: ScriptRunner, said: list[str]) -> None:
+    async def scenario(scene: Scene, runner: ScriptRunner, printed: list[str]) -> None:
         wishes = [scene.wish(title=f"lesson-{n % 2}") for n in range(8)]
         await asyncio.gather(*map(scene.ask, wishes))
         await runner.run("# eight\nwait playing = 8\nshow sessions\nshow boxes sort=playing")
-        at = said.index("> show sessions")
-        shown = {line.split()[0]: int(line.split()[4]) for line in said[at + 2 : at + 10]}
+        at = printed.index("> show sessions")
+        shown = {line.split()[0]: int(line.split()[4]) for line in printed[at + 2 : at + 10]}
         assert shown == {one["session"]: one["box"] for one in scene.of("box.setup")}
-        first = int(said[said.index("> show boxes sort=playing") + 2].split()[0])
+        first = int(printed[printed.index("> show boxes sort=playing") + 2].split()[0])
         await runner.run(f"drain {first} fan is loud\nshow boxes state=draining")
-        assert said[-1].split()[:2] == [str(first), "draining"] and said[-1].endswith("ann")
+        assert printed[-1].split()[:2] == [str(first), "draining"] and printed[-1].endswith("ann")
         await runner.run(f"why {wishes[0].session}")
-        assert any("under the mark" in line for line in said[-8:])
-        del said[:]
+        assert any("under the mark" in line for line in printed[-8:])
+        del printed[:]
         with pytest.raises(ScriptError, match="line 2: not understood: fly 7"):
             await runner.run("show overview\nfly 7")
         with pytest.raises(ScriptError, match="line 1: show one of"):
@@ -147,29 +147,29 @@
         with pytest.raises(ScriptError, match=r"playing is 8 after"):
             await runner.run("wait playing > 99")
 
-    runner_scene(story)
+    runner_scene(scenario)
 
 
 def test_a_cost_is_confirmed_in_a_script() -> None:
-    async def story(scene: Scene, runner: ScriptRunner, said: list[str]) -> None:
+    async def scenario(scene: Scene, runner: ScriptRunner, printed: list[str]) -> None:
         holders = scene.holders("lesson-0")
         for box in holders:
             await runner.run(f"drain {box}")
-        assert "without a holder" in said[-2] and said[-1].startswith("repeat with")
+        assert "without a holder" in printed[-2] and printed[-1].startswith("repeat with")
         await runner.run("confirm")
-        assert said[-1].startswith("done")
+        assert printed[-1].startswith("done")
         assert (await scene.ask(scene.wish())).status == 503
         await runner.run(f"undrain {holders[0]}")
         assert (await scene.ask(scene.wish())).status == 200
 
-    runner_scene(story, drains_at_once="9")
+    runner_scene(scenario, drains_at_once="9")
 
 
-# --- the screen, by Textual's own pilot ---
+# --- the screen, driven by Textual's pilot ---
 
 
 def screen_scene(
-    story: Callable[[Scene, ConsoleApp, Any], Awaitable[None]], size: tuple[int, int] = (80, 24)
+    scenario: Callable[[Scene, ConsoleApp, Any], Awaitable[None]], size: tuple[int, int] = (80, 24)
 ) -> None:
     async def run(scene: Scene, ann: Any) -> None:
         ann.close()
@@ -181,13 +181,13 @@
                     and app.console_client.client.follower.projection is not None
                 )
             )
-            await story(scene, app, pilot)
+            await scenario(scene, app, pilot)
 
-    control_scene(run, replace(SitePlan(), times=QUICK, fronts=1))
+    control_scene(run, replace(SitePlan(), times=FAST_TIMES, fronts=1))
 
 
 def on_screen(app: ConsoleApp) -> str:
-    """The text that the terminal shows."""
+    """Returns the text on the terminal."""
     app.draw()
     strips = app.screen._compositor.render_strips()
     return "\n".join("".join(segment.text for segment in strip) for strip in strips)
@@ -204,7 +204,7 @@
 
 
 def test_keys_lead_through_views_and_a_drain() -> None:
-    async def story(scene: Scene, app: ConsoleApp, pilot: Any) -> None:
+    async def scenario(scene: Scene, app: ConsoleApp, pilot: Any) -> None:
         wishes = [scene.wish(title=f"lesson-{n % 3}") for n in range(30)]
         await asyncio.gather(*map(scene.ask, wishes))
         shown = await until_shown(app, pilot, "30 playing")
@@ -234,11 +234,11 @@
         shown = await until_shown(app, pilot, "[5 log]")
         assert len(shown.splitlines()) == 10
 
-    screen_scene(story)
+    screen_scene(scenario)
 
 
 def test_a_front_that_restarts_under_the_console_is_found_again() -> None:
-    async def story(scene: Scene, app: ConsoleApp, pilot: Any) -> None:
+    async def scenario(scene: Scene, app: ConsoleApp, pilot: Any) -> None:
         await asyncio.gather(*(scene.ask(scene.wish()) for _ in range(3)))
         await until_shown(app, pilot, "3 playing")
         scene.trace.write("front.down", front="front-0")
@@ -249,23 +249,23 @@
         shown = await until_shown(app, pilot, "0 playing")
         assert "live" in shown.splitlines()[0]
 
-    screen_scene(story)
+    screen_scene(scenario)
 
 
 def test_the_cursor_stays_with_its_session_when_others_come() -> None:
-    async def story(scene: Scene, app: ConsoleApp, pilot: Any) -> None:
-        await asyncio.gather(*(scene.ask(replace_session(scene, f"m{n}")) for n in range(3)))
+    async def scenario(scene: Scene, app: ConsoleApp, pilot: Any) -> None:
+        await asyncio.gather(*(scene.ask(request_for_session(scene, f"m{n}")) for n in range(3)))
         await until_shown(app, pilot, "3 playing")
         await pilot.press("2", "down")
         assert app._key_at_cursor() == "m1"
-        await asyncio.gather(*(scene.ask(replace_session(scene, f"a{n}")) for n in range(4)))
+        await asyncio.gather(*(scene.ask(request_for_session(scene, f"a{n}")) for n in range(4)))
         await until_shown(app, pilot, "a3")
         assert app._key_at_cursor() == "m1" and app.cursor == 5
 
-    screen_scene(story)
+    screen_scene(scenario)
 
 
-def replace_session(scene: Scene, session: str) -> Any:
+def request_for_session(scene: Scene, session: str) -> Any:
     return scene.site.wish(session, "lesson-0", "training")
 
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Orders as decisions, the list with drains laid over it, and the socket: once, in order, and true."""
+"""Tests of the decisions on orders, of drains applied to the endpoint list, and of the control socket."""
 
 from __future__ import annotations
 
@@ -41,21 +41,21 @@
 from tests.scene import Scene, play
 from tests.sockets import until
 
-BOXES = frozenset(range(1, 7))
+SERVERS = frozenset(range(1, 7))
 HOLDERS = {"a": [1, 2, 3], "b": [2, 3, 4], "c": [4, 5, 6]}
 SITE = SiteSnapshot(
-    ready=BOXES,
-    known=BOXES,
+    ready=SERVERS,
+    known=SERVERS,
     holders=HOLDERS,
-    playing=dict.fromkeys(BOXES, 2),
-    carried_kb=dict.fromkeys(BOXES, 100.0),
-    capacity_kb=dict.fromkeys(BOXES, 1_000.0),
+    playing=dict.fromkeys(SERVERS, 2),
+    carried_kb=dict.fromkeys(SERVERS, 100.0),
+    capacity_kb=dict.fromkeys(SERVERS, 1_000.0),
     sessions=frozenset(["s1"]),
 )
 
 
-class Counter_:
-    """Ids and a clock for commands."""
+class CommandSender:
+    """Sends commands with ids and a clock to an order book."""
 
     def __init__(self, rules: OrderRules | None = None) -> None:
         self.orders, self.now, self.number = Orders(rules), 0.0, 0
@@ -69,52 +69,52 @@
 
 
 def test_a_drain_that_leaves_a_lesson_without_holder_costs_a_word_first() -> None:
-    desk = Counter_(OrderRules(burst=10))
-    assert desk.do(CommandKind.DRAIN, "4").outcome is Outcome.DONE
-    assert desk.do(CommandKind.DRAIN, "5").outcome is Outcome.DONE
-    asked = desk.do(CommandKind.DRAIN, "6")
-    assert asked.outcome is Outcome.CONFIRM and asked.cost["lessons"] == ["c"] and "c" in asked.says
-    assert desk.do(CommandKind.DRAIN, "6", cost_digest="guessed").outcome is Outcome.CONFIRM
-    assert desk.do(CommandKind.DRAIN, "6", cost_digest=asked.cost_digest).outcome is Outcome.DONE
-    assert {int(box) for box in desk.orders.drains} == {4, 5, 6}
+    sender = CommandSender(OrderRules(burst=10))
+    assert sender.do(CommandKind.DRAIN, "4").outcome is Outcome.DONE
+    assert sender.do(CommandKind.DRAIN, "5").outcome is Outcome.DONE
+    offer = sender.do(CommandKind.DRAIN, "6")
+    assert offer.outcome is Outcome.CONFIRM and offer.cost["lessons"] == ["c"] and "c" in offer.says
+    assert sender.do(CommandKind.DRAIN, "6", cost_digest="guessed").outcome is Outcome.CONFIRM
+    assert sender.do(CommandKind.DRAIN, "6", cost_digest=offer.cost_digest).outcome is Outcome.DONE
+    assert {int(server) for server in sender.orders.drains} == {4, 5, 6}
 
 
 def test_a_drain_under_what_the_site_carries_costs_a_word_and_more_than_agreed_another() -> None:
-    full = replace(SITE, carried_kb=dict.fromkeys(BOXES, 750.0), holders={})
-    desk = Counter_()
-    asked = desk.do(CommandKind.DRAIN, "1", full)
-    assert asked.outcome is Outcome.CONFIRM and asked.cost["short_kb"] == 500.0
-    worse = replace(full, carried_kb=dict.fromkeys(BOXES, 800.0))
-    assert desk.do(CommandKind.DRAIN, "1", worse, cost_digest=asked.cost_digest).outcome is Outcome.CONFIRM
-    better = replace(full, carried_kb=dict.fromkeys(BOXES, 740.0))
-    assert desk.do(CommandKind.DRAIN, "1", better, cost_digest=asked.cost_digest).outcome is Outcome.DONE
+    full = replace(SITE, carried_kb=dict.fromkeys(SERVERS, 750.0), holders={})
+    sender = CommandSender()
+    offer = sender.do(CommandKind.DRAIN, "1", full)
+    assert offer.outcome is Outcome.CONFIRM and offer.cost["short_kb"] == 500.0
+    worse = replace(full, carried_kb=dict.fromkeys(SERVERS, 800.0))
+    assert sender.do(CommandKind.DRAIN, "1", worse, cost_digest=offer.cost_digest).outcome is Outcome.CONFIRM
+    better = replace(full, carried_kb=dict.fromkeys(SERVERS, 740.0))
+    assert sender.do(CommandKind.DRAIN, "1", better, cost_digest=offer.cost_digest).outcome is Outcome.DONE
 
 
 def test_several_drains_are_paced_and_take_effect_in_turn() -> None:
-    desk = Counter_(OrderRules(pace_ms=1_000.0, burst=2))
+    sender = CommandSender(OrderRules(pace_ms=1_000.0, burst=2))
     site = replace(SITE, holders={})
-    outcomes = [desk.do(CommandKind.DRAIN, str(box), site).outcome for box in (1, 2, 3, 4)]
+    outcomes = [sender.do(CommandKind.DRAIN, str(server), site).outcome for server in (1, 2, 3, 4)]
     assert outcomes == [Outcome.DONE, Outcome.DONE, Outcome.QUEUED, Outcome.QUEUED]
-    assert desk.do(CommandKind.DRAIN, "3", site, by="bob").outcome is Outcome.ALREADY
-    assert desk.orders.start_due_drains(1_999.0) == []
-    due = desk.orders.next_deadline(0.0)
+    assert sender.do(CommandKind.DRAIN, "3", site, by="bob").outcome is Outcome.ALREADY
+    assert sender.orders.start_due_drains(1_999.0) == []
+    due = sender.orders.next_deadline(0.0)
     assert (
         due is not None
-        and desk.orders.start_due_drains(due) == [3, 4]
-        and desk.orders.next_deadline(due) is None
+        and sender.orders.start_due_drains(due) == [3, 4]
+        and sender.orders.next_deadline(due) is None
     )
 
 
 def test_undo_takes_back_what_stands_since_and_nothing_else() -> None:
-    desk = Counter_()
-    desk.do(CommandKind.DRAIN, "1", id="first")
-    assert desk.do(CommandKind.UNDO, "first").outcome is Outcome.DONE and not desk.orders.drains
-    desk.do(CommandKind.HOLD, "a", id="hold")
-    desk.do(CommandKind.UNHOLD, "a", by="bob")
-    desk.do(CommandKind.HOLD, "a", by="bob", reason="bob's own")
-    undone = desk.do(CommandKind.UNDO, "hold")
-    assert undone.outcome is Outcome.REFUSED and desk.orders.holds["a"].by == "bob"
-    assert desk.do(CommandKind.UNDO, "never given").outcome is Outcome.REFUSED
+    sender = CommandSender()
+    sender.do(CommandKind.DRAIN, "1", id="first")
+    assert sender.do(CommandKind.UNDO, "first").outcome is Outcome.DONE and not sender.orders.drains
+    sender.do(CommandKind.HOLD, "a", id="hold")
+    sender.do(CommandKind.UNHOLD, "a", by="bob")
+    sender.do(CommandKind.HOLD, "a", by="bob", reason="bob's own")
+    undone = sender.do(CommandKind.UNDO, "hold")
+    assert undone.outcome is Outcome.REFUSED and sender.orders.holds["a"].by == "bob"
+    assert sender.do(CommandKind.UNDO, "never given").outcome is Outcome.REFUSED
 
 
 @pytest.mark.parametrize(
@@ -125,70 +125,78 @@
     ],
 )  # fmt: skip
 def test_what_is_refused(do: CommandKind, target: str, most: int) -> None:
-    desk = Counter_()
-    assert desk.do(do, target, limit=most).outcome is Outcome.REFUSED and desk.orders.version == 0
+    sender = CommandSender()
+    assert sender.do(do, target, limit=most).outcome is Outcome.REFUSED and sender.orders.version == 0
 
 
 class OrdersStory(RuleBasedStateMachine):
-    """Any commands, repeated, restarted, timed: an id is done once, and files say what stands."""
+    """Any commands, repetitions and restarts: an id is carried out once, and stored orders are complete."""
 
     @initialize()
     def begin(self) -> None:
-        self.desk = Counter_(OrderRules(pace_ms=100.0, burst=2, remembered=50))
-        self.given: dict[str, tuple[CommandKind, str, dict[str, Any]]] = {}
-        self.drains: set[int] = set()
-        self.began: list[float] = []
+        self.sender = CommandSender(OrderRules(pace_ms=100.0, burst=2, remembered=50))
+        self.commands_by_id: dict[str, tuple[CommandKind, str, dict[str, Any]]] = {}
+        self.drained_servers: set[int] = set()
+        self.start_times_ms: list[float] = []
 
     @rule(
-        do=st.sampled_from([CommandKind.DRAIN, CommandKind.DRAIN, CommandKind.UNDRAIN]), box=st.integers(1, 6)
+        do=st.sampled_from([CommandKind.DRAIN, CommandKind.DRAIN, CommandKind.UNDRAIN]),
+        server=st.integers(1, 6),
     )
-    def drain(self, do: CommandKind, box: int) -> None:
-        result = self.desk.do(do, str(box))
+    def drain(self, do: CommandKind, server: int) -> None:
+        result = self.sender.do(do, str(server))
         if result.outcome is Outcome.CONFIRM:
-            result = self.desk.do(do, str(box), cost_digest=result.cost_digest)
+            result = self.sender.do(do, str(server), cost_digest=result.cost_digest)
             assert result.outcome is not Outcome.CONFIRM
-        self.given[f"c{self.desk.number}"] = (do, str(box), result.to_plain())
+        self.commands_by_id[f"c{self.sender.number}"] = (do, str(server), result.to_plain())
         if result.outcome is Outcome.DONE and do is CommandKind.DRAIN:
-            self.drains.add(box)
-            self.began.append(self.desk.now)
+            self.drained_servers.add(server)
+            self.start_times_ms.append(self.sender.now)
         elif do is CommandKind.UNDRAIN:
-            self.drains.discard(box)
+            self.drained_servers.discard(server)
         elif result.outcome is Outcome.QUEUED:
-            assert str(box) in self.desk.orders.waiting
+            assert str(server) in self.sender.orders.waiting
 
     @rule(number=st.integers(0, 20))
-    def repeated(self, number: int) -> None:
-        """Its connection had dropped: the same answer, and nothing done."""
-        if self.given:
-            id = sorted(self.given)[number % len(self.given)]
-            do, target, said = self.given[id]
-            version = self.desk.orders.version
-            again = self.desk.orders.handle_command(self.desk.now, 0, Command(id, "ann", do, target), SITE)
-            assert again.to_plain()["outcome"] == said["outcome"] and self.desk.orders.version == version
+    def repeat_command(self, number: int) -> None:
+        """A command is sent again after a lost connection: the same answer, and no change."""
+        if self.commands_by_id:
+            id = sorted(self.commands_by_id)[number % len(self.commands_by_id)]
+            do, target, answer = self.commands_by_id[id]
+            version = self.sender.orders.version
+            repeated = self.sender.orders.handle_command(
+                self.sender.now, 0, Command(id, "ann", do, target), SITE
+            )
+            assert (
+                repeated.to_plain()["outcome"] == answer["outcome"] and self.sender.orders.version == version
+            )
 
     @rule(after=st.sampled_from([0.0, 50.0, 300.0]))
     def time(self, after: float) -> None:
-        self.desk.now += after
-        for box in self.desk.orders.start_due_drains(self.desk.now):
-            self.drains.add(box)
-            self.began.append(self.desk.now)
+        self.sender.now += after
+        for server in self.sender.orders.start_due_drains(self.sender.now):
+            self.drained_servers.add(server)
+            self.start_times_ms.append(self.sender.now)
 
     @rule()
-    def restarted(self) -> None:
-        plain = json.loads(json.dumps(self.desk.orders.to_plain()))
-        again = Orders.from_plain(plain, self.desk.orders.rules)
-        assert again.to_plain() == plain
-        began = self.desk.orders._recent_starts_ms
-        self.desk.orders = again
-        again._recent_starts_ms = began
+    def restart(self) -> None:
+        plain = json.loads(json.dumps(self.sender.orders.to_plain()))
+        restored = Orders.from_plain(plain, self.sender.orders.rules)
+        assert restored.to_plain() == plain
+        recent_starts_ms = self.sender.orders._recent_starts_ms
+        self.sender.orders = restored
+        restored._recent_starts_ms = recent_starts_ms
 
     @invariant()
-    def as_given(self) -> None:
-        if hasattr(self, "desk"):
-            orders = self.desk.orders
-            assert {int(box) for box in orders.drains} == self.drains
+    def orders_match_commands(self) -> None:
+        if hasattr(self, "sender"):
+            orders = self.sender.orders
+            assert {int(server) for server in orders.drains} == self.drained_servers
             assert not set(orders.drains) & set(orders.waiting)
-            assert all(sum(at - 200.0 < other <= at for other in self.began) <= 2 for at in self.began)
+            assert all(
+                sum(at - 200.0 < other <= at for other in self.start_times_ms) <= 2
+                for at in self.start_times_ms
+            )
 
 
 OrdersStory.TestCase.settings = hypothesis_settings(max_examples=100, stateful_step_count=30)
@@ -196,21 +204,21 @@
 
 
 class OverlayStory(RuleBasedStateMachine):
-    """The module's view is the list with drains over it, whatever order both come in."""
+    """The published states are those of the list with drains applied, in any order of updates and orders."""
 
     @initialize()
     def begin(self) -> None:
         self.drained: set[int] = set()
         self.overlay = Overlay(self.drained.__contains__)
         self.listed: dict[int, ServerState] = {}
-        self.told: dict[int, ServerState] = {}
+        self.published: dict[int, ServerState] = {}
 
-    def tell(self, update: EndpointListUpdate | None) -> None:
+    def publish(self, update: EndpointListUpdate | None) -> None:
         if update is None:
             return
         if update.kind in (EndpointListKind.FULL, EndpointListKind.CACHED):
-            self.told = {}
-        self.told |= {one.server: one.state for one in update.entries}
+            self.published = {}
+        self.published |= {one.server: one.state for one in update.entries}
 
     @rule(
         states=st.dictionaries(st.integers(1, 4), st.sampled_from(list(ServerState)), max_size=4),
@@ -224,22 +232,22 @@
         elif kind is EndpointListKind.FULL:
             self.listed = {}
         self.listed |= states
-        entries = tuple(entry(box, state=state) for box, state in states.items())
-        self.tell(self.overlay.apply_list_update(EndpointListUpdate(kind, 1, entries)))
+        entries = tuple(entry(server, state=state) for server, state in states.items())
+        self.publish(self.overlay.apply_list_update(EndpointListUpdate(kind, 1, entries)))
 
-    @rule(box=st.integers(1, 5), drain=st.booleans())
-    def order(self, box: int, drain: bool) -> None:
-        (self.drained.add if drain else self.drained.discard)(box)
-        self.tell(self.overlay.on_orders_changed())
+    @rule(server=st.integers(1, 5), drain=st.booleans())
+    def order(self, server: int, drain: bool) -> None:
+        (self.drained.add if drain else self.drained.discard)(server)
+        self.publish(self.overlay.on_orders_changed())
         assert self.overlay.on_orders_changed() is None
 
     @invariant()
-    def laid_over(self) -> None:
+    def drains_are_applied(self) -> None:
         if hasattr(self, "overlay"):
-            for box, state in self.listed.items():
-                drained = state is ServerState.READY and box in self.drained
-                assert self.told[box] is (ServerState.DRAINING if drained else state)
-            assert set(self.told) == set(self.listed)
+            for server, state in self.listed.items():
+                drained = state is ServerState.READY and server in self.drained
+                assert self.published[server] is (ServerState.DRAINING if drained else state)
+            assert set(self.published) == set(self.listed)
 
 
 TestOverlayStory = OverlayStory.TestCase
@@ -267,18 +275,18 @@
 
 # --- sockets ---
 
-QUICK = SiteTimes(tell=200.0, seen_after=50.0, set_up=(2.0, 6.0), idle=20_000.0, orphan=300.0)
+FAST_TIMES = SiteTimes(tell=200.0, seen_after=50.0, set_up=(2.0, 6.0), idle=20_000.0, orphan=300.0)
 CONTROL = "[control]\nsocket = run/{name}.sock\njournal = {name}-journal\norders = {name}.json"
 
 
-def control_scene(story: Any, plan: SitePlan | None = None, **more: str) -> None:
+def control_scene(scenario: Any, plan: SitePlan | None = None, **more: str) -> None:
     lines = CONTROL.format(name="front-0")
     lines += "".join(f"\n{key.replace('_', '-')} = {value}" for key, value in more.items())
 
     async def run(scene: Scene) -> None:
-        await story(scene, await client(scene))
+        await scenario(scene, await client(scene))
 
-    play(run, plan or replace(SitePlan(), times=QUICK, fronts=1), extra=lines)
+    play(run, plan or replace(SitePlan(), times=FAST_TIMES, fronts=1), extra=lines)
 
 
 async def client(scene: Scene, operator: str = "ann", watch: bool = True) -> ControlClient:
@@ -290,8 +298,8 @@
     return made
 
 
-def the_same(scene: Scene, watcher: ControlClient) -> bool:
-    """Whether what is shown is what the host holds now."""
+def shows_front_state(scene: Scene, watcher: ControlClient) -> bool:
+    """Whether the watcher's projection matches the sessions that the front holds now."""
     picture, host = watcher.follower.projection, scene.fronts[0].core.sessions
     assert picture is not None
     shown = {row.session: (row.phase, row.server, row.rung) for row in picture.sessions.values()}
@@ -307,10 +315,10 @@
 
 
 def test_a_watcher_shows_what_the_front_holds_and_why() -> None:
-    async def story(scene: Scene, ann: ControlClient) -> None:
+    async def scenario(scene: Scene, ann: ControlClient) -> None:
         wishes = [scene.wish(title=f"lesson-{number % 3}") for number in range(12)]
         await asyncio.gather(*map(scene.ask, wishes))
-        await until(lambda: the_same(scene, ann))
+        await until(lambda: shows_front_state(scene, ann))
         picture = ann.follower.projection
         assert picture is not None and len(picture.sessions) == 12 and picture.answers["plays"] == 12
         rows = (await ann.ask("why", session=wishes[0].session))["rows"]
@@ -322,16 +330,16 @@
         boxes = (await ann.ask("boxes"))["rows"]
         assert sum(row["playing"] for row in boxes) == 12 and all(len(row["load"]) == 5 for row in boxes)
         await scene.http("DELETE", f"/lessons/{wishes[0].title}/session", wishes[0])
-        await until(lambda: len(picture.sessions) == 11 and the_same(scene, ann))
+        await until(lambda: len(picture.sessions) == 11 and shows_front_state(scene, ann))
         found = (await ann.ask("events", what="ended", lesson=wishes[0].title))["rows"]
         assert found[0][11] == "ended by its viewer"
         ann.close()
 
-    control_scene(story)
+    control_scene(scenario)
 
 
 def test_nothing_new_reaches_a_drained_box_though_the_list_says_ready() -> None:
-    async def story(scene: Scene, ann: ControlClient) -> None:
+    async def scenario(scene: Scene, ann: ControlClient) -> None:
         first = await scene.first_choice()
         burst = [asyncio.ensure_future(scene.ask(scene.wish())) for _ in range(20)]
         answer = await ann.ask("drain", target=str(first), reason="fan is loud")
@@ -341,7 +349,7 @@
         await asyncio.gather(*burst)
         replies = await asyncio.gather(*(scene.ask(scene.wish()) for _ in range(10)))
         assert {reply.status for reply in replies} == {200}
-        # What was out when the drain came may arrive within the grace; after it nothing does.
+        # Requests in flight when the drain came may arrive within the grace period, later ones must not.
         assert len(scene.of("box.setup", box=first)) - begun <= 20
         sent = len(scene.of("box.setup", box=first))
         await asyncio.gather(*(scene.ask(scene.wish()) for _ in range(10)))
@@ -351,15 +359,15 @@
         assert (await bob.ask("undrain", target=str(first)))["outcome"] == "done"
         await asyncio.gather(*(scene.ask(scene.wish()) for _ in range(3)))
         assert len(scene.of("box.setup", box=first)) > sent
-        await until(lambda: the_same(scene, bob) and the_same(scene, ann))
+        await until(lambda: shows_front_state(scene, bob) and shows_front_state(scene, ann))
         for one in (ann, bob):
             one.close()
 
-    control_scene(story)
+    control_scene(scenario)
 
 
 def test_drain_undrain_drain_within_a_moment_and_gone_wins() -> None:
-    async def story(scene: Scene, ann: ControlClient) -> None:
+    async def scenario(scene: Scene, ann: ControlClient) -> None:
         first = await scene.first_choice()
         for do in ("drain", "undrain", "drain"):
             assert (await ann.ask(do, target=str(first)))["outcome"] == "done"
@@ -375,18 +383,18 @@
         assert first not in scene.fronts[0].core.sessions._servers.states
         ann.close()
 
-    control_scene(story, drains_at_once="5")
+    control_scene(scenario, drains_at_once="5")
 
 
 def test_holds_limits_and_an_end_with_a_reason() -> None:
-    async def story(scene: Scene, ann: ControlClient) -> None:
+    async def scenario(scene: Scene, ann: ControlClient) -> None:
         plays = scene.wish(play_s=10.0)
         watching = asyncio.ensure_future(scene.viewers.watch(plays))
         await until(lambda: scene.of("box.segment"))
         await ann.ask("hold", target="lesson-0", reason="wrong film")
         held = await scene.ask(scene.wish())
         assert held.status == 503 and b"wrong film" in held.body and held.headers.get("retry-after") == "5"
-        assert (await scene.ask(plays)).status == 200  # who plays, plays on
+        assert (await scene.ask(plays)).status == 200  # a session that plays continues
         await ann.ask("end", target=plays.session, reason="asked to leave")
         assert (await watching).ended == "asked to leave"
         await ann.ask("unhold", target="lesson-0")
@@ -399,20 +407,20 @@
             "limit of 2 sessions for lesson lesson-0": 2,
         }
         assert overview["caps"] == {"lesson:lesson-0": 2} and overview["holds"] == {}
-        await until(lambda: the_same(scene, ann))
+        await until(lambda: shows_front_state(scene, ann))
         ann.close()
 
-    control_scene(story)
+    control_scene(scenario)
 
 
 def test_a_front_killed_and_back_keeps_drains_and_commands_done_once() -> None:
-    async def story(scene: Scene, ann: ControlClient) -> None:
+    async def scenario(scene: Scene, ann: ControlClient) -> None:
         first = await scene.first_choice()
         done = await ann.ask("drain", id="the-drain", target=str(first))
         scene.trace.write("front.down", front="front-0")
         scene.fronts.pop().kill()
         await until(lambda: not ann.connected)
-        assert ann.follower.projection is not None  # what was shown stays, with its age
+        assert ann.follower.projection is not None  # the projection stays, with its age
         await scene.start_front(0)
         await until(lambda: ann.connected and ann.connections == 2)
         again = await ann.ask("drain", id="the-drain", target=str(first))
@@ -422,16 +430,16 @@
         wish = scene.wish()
         assert (await scene.ask(wish)).status == 200
         assert scene.of("box.setup", session=wish.session)[0]["box"] != first
-        await until(lambda: the_same(scene, ann))
+        await until(lambda: shows_front_state(scene, ann))
         picture = ann.follower.projection
         assert picture is not None and picture.servers[first].drained_by == "ann"
         ann.close()
 
-    control_scene(story)
+    control_scene(scenario)
 
 
 def test_a_watcher_that_stops_reading_misses_some_and_is_told() -> None:
-    async def story(scene: Scene, ann: ControlClient) -> None:
+    async def scenario(scene: Scene, ann: ControlClient) -> None:
         assert ann._transport is not None
         ann._transport.pause_reading()
         journal = scene.fronts[0].core.sessions.journal
@@ -440,7 +448,7 @@
         assert control is not None
         channel = control._channel
         assert channel is not None
-        for number in range(20_000):  # far more than the socket and its bound hold
+        for number in range(20_000):  # far more than the socket and the queue hold
             journal.add(number, EventKind.ASKED, session=f"x{number % 50}", why="w" * 400)
             if number % 2_000 == 0:
                 await until(lambda: channel._flush_timer is None)
@@ -461,7 +469,7 @@
         assert ann.follower.projection == picture
         ann.close()
 
-    control_scene(story)
+    control_scene(scenario)
 
 
 def test_a_watcher_that_reads_again_hears_of_it_though_nothing_new_happens(tmp_path: Path) -> None:
@@ -476,7 +484,7 @@
         def gauges(self) -> dict[str, Any]:
             return {}
 
-    async def story() -> None:
+    async def scenario() -> None:
         desk = Desk()
         channel = ControlServer(desk, tmp_path / "quiet.sock", gauges_s=1e6)
         desk.journal.watchers += [desk.projection.apply, channel.on_journal_entry]
@@ -486,22 +494,22 @@
         await until(lambda: ann.follower.projection is not None)
         assert ann._transport is not None
         ann._transport.pause_reading()
-        (there,) = channel.clients
-        while there.is_writable:  # a little more than it takes at once, and no more
+        (connection,) = channel.clients
+        while connection.is_writable:  # just enough to fill the transport's buffer
             for _ in range(100):
                 desk.journal.add(0, EventKind.ASKED, session="x", why="w" * 200)
             await until(lambda: channel._flush_timer is None)
-        for _ in range(6_000):  # past the bound of what waits for it
+        for _ in range(6_000):  # exceeds the bound of pending entries
             desk.journal.add(0, EventKind.ASKED, session="x")
         await until(lambda: channel._flush_timer is None)
-        assert there.has_missed_entries
+        assert connection.has_missed_entries
         ann._transport.resume_reading()
         await until(lambda: ann.follower.missed_count > 0)
         await until(lambda: ann.follower.projection == desk.projection)
         ann.close()
         channel.close()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -520,7 +528,7 @@
     ],
 )
 def test_bad_lines_get_one_clear_error(line: bytes, error: str) -> None:
-    async def story(scene: Scene, ann: ControlClient) -> None:
+    async def scenario(scene: Scene, ann: ControlClient) -> None:
         path = scene.site.folder / "run" / "front-0.sock"
         reader, writer = await asyncio.open_unix_connection(str(path))
         writer.write(b'{"hello": 1, "operator": "eve"}\n')
@@ -535,11 +543,11 @@
         eve.close()
         ann.close()
 
-    control_scene(story, operators="ann, bob")
+    control_scene(scenario, operators="ann, bob")
 
 
 def test_a_socket_in_use_and_damaged_orders_stop_a_front_with_one_clear_error() -> None:
-    async def story(scene: Scene, ann: ControlClient) -> None:
+    async def scenario(scene: Scene, ann: ControlClient) -> None:
         path = scene.site.folder / "run" / "front-0.sock"
         assert oct(os.stat(path).st_mode & 0o777) == "0o600"
         with pytest.raises(OSError, match="another process listens on this socket already"):
@@ -551,13 +559,13 @@
             await start_front(scene.site.config(0, extra=scene.extra))
         ann.close()
 
-    control_scene(story)
+    control_scene(scenario)
 
 
 def test_an_order_that_cannot_be_written_down_is_not_given() -> None:
-    async def story(scene: Scene, ann: ControlClient) -> None:
+    async def scenario(scene: Scene, ann: ControlClient) -> None:
         file = scene.site.folder / "front-0.json"
-        file.mkdir()  # no file can take its place
+        file.mkdir()  # a directory, so that the file can't be written
         with pytest.raises(ControlError, match="can't be written down"):
             await ann.ask("hold", target="lesson-0")
         assert (await scene.ask(scene.wish())).status == 200
@@ -566,4 +574,4 @@
         assert (await scene.ask(scene.wish())).status == 503
         ann.close()
 
-    control_scene(story)
+    control_scene(scenario)
