--- a/fernweir/appliance/unit.py
+++ b/fernweir/appliance/unit.py
@@ -228,7 +228,7 @@
 
     def _follow(self, number: int) -> None:
         name = f"front-{number}"
-        client = ControlClient(self.layout.front_socket(number), "unit", watch=True, longest_pause_s=0.2)
+        client = ControlClient(self.layout.front_socket(number), "unit", watch=True, max_backoff_s=0.2)
         taken = self.merger.since(name)
         client.resume_from(taken.journal, taken.number)
         client.follower.on_entry = lambda entry: self.merger.entry(name, client.journal, entry)
--- a/fernweir/control/client.py
+++ b/fernweir/control/client.py
@@ -32,7 +32,7 @@
     """
 
     def __init__(
-        self, path: Path, operator: str, *, watch: bool = False, longest_pause_s: float = _MAX_BACKOFF_S
+        self, path: Path, operator: str, *, watch: bool = False, max_backoff_s: float = _MAX_BACKOFF_S
     ) -> None:
         self.path, self.operator = path, operator
         self.loop = asyncio.get_running_loop()
@@ -43,7 +43,7 @@
         self.last_message_at_s = 0.0
         self.connections = 0
         self.on_change: Callable[[], None] = lambda: None
-        self._is_watcher, self._max_backoff_s = watch, longest_pause_s
+        self._is_watcher, self._max_backoff_s = watch, max_backoff_s
         self._id_numbers = itertools.count(1)
         self._id_prefix = secrets.token_hex(4)
         self._pending: dict[str, tuple[dict[str, Any], asyncio.Future[dict[str, Any]]]] = {}
--- a/fernweir/rehearsal/kills.py
+++ b/fernweir/rehearsal/kills.py
@@ -61,7 +61,7 @@
             "fronts = 2", "fronts = 2\nrestarts = 1000\nfirst-pause = 50 ms\nlongest-pause = 500 ms"
         ))  # fmt: skip
         self._start()
-        self.client = ControlClient(self.layout.socket, "ann", watch=True, longest_pause_s=0.1)
+        self.client = ControlClient(self.layout.socket, "ann", watch=True, max_backoff_s=0.1)
         self.client.start()
         await self.client.wait_ready(_BACK_S)
         await self._all_ready()
@@ -159,7 +159,7 @@
         )
 
     async def _front_stands(self, where: str, socket: Path, name: str) -> None:
-        client = ControlClient(socket, "probe", longest_pause_s=0.1)
+        client = ControlClient(socket, "probe", max_backoff_s=0.1)
         client.start()
         try:
             await client.wait_ready(20.0)
--- a/tests/test_appliance.py
+++ b/tests/test_appliance.py
@@ -441,7 +441,7 @@
 
     async def story() -> None:
         process = run()
-        ann = ControlClient(layout.socket, "ann", watch=True, longest_pause_s=0.2)
+        ann = ControlClient(layout.socket, "ann", watch=True, max_backoff_s=0.2)
         ann.start()
         try:
             await ann.wait_ready(30.0)
