--- a/fernweir/console/script.py
+++ b/fernweir/console/script.py
@@ -43,10 +43,10 @@
 
 @dataclass(slots=True)
 class ScriptRunner:
-    """Runs the lines of a script through `link`; `say` is called with each line to print."""
+    """Runs the lines of a script through `console_client`; `print_line` is called with each line to print."""
 
-    link: ConsoleClient
-    say: Callable[[str], None]
+    console_client: ConsoleClient
+    print_line: Callable[[str], None]
     columns: int = 80
     wait_s: float = 30.0
     how_to_confirm: str = "repeat with `confirm` to do it all the same"
@@ -59,7 +59,7 @@
             stripped = line.strip()
             if not stripped or stripped.startswith("#"):
                 continue
-            self.say(f"> {clean(stripped)}")
+            self.print_line(f"> {clean(stripped)}")
             try:
                 await self._run_line(shlex.split(stripped))
             except (ScriptError, ControlError, ValueError) as error:
@@ -70,7 +70,7 @@
         if verb == "show":
             await self._show(arguments)
         elif verb == "why" and len(arguments) == 1:
-            rows = (await self.link.client.ask("why", session=arguments[0]))["rows"]
+            rows = (await self.console_client.client.ask("why", session=arguments[0]))["rows"]
             self._print(views.why([from_row(row) for row in rows], self.columns))
         elif verb == "wait" and len(arguments) == 3:
             await self._wait(*arguments)
@@ -95,18 +95,18 @@
         if len(fields) != len(arguments) - 1:
             raise ScriptError("after the view come FIELD=VALUE")
         row_filter = RowFilter(fields.pop("search", ""), fields.pop("sort", ""), fields or None)
-        state = await self.link.wait_synced()
+        state = await self.console_client.wait_synced()
         self._print(VIEWS[arguments[0]](state, row_filter, self.columns))
 
     async def _send_command(self, verb: str, **fields: Any) -> None:
-        response = await self.link.client.ask(verb, **fields)
+        response = await self.console_client.client.ask(verb, **fields)
         self.results.append(response)
         self._last_command, self._cost_digest = (verb, fields), str(response.get("mark", ""))
-        self.say(f"{response['outcome']}: {clean(str(response['says']))}")
+        self.print_line(f"{response['outcome']}: {clean(str(response['says']))}")
         if response.get("missing"):
-            self.say(f"NOT YET AT {', '.join(response['missing'])}")
+            self.print_line(f"NOT YET AT {', '.join(response['missing'])}")
         if self._cost_digest:
-            self.say(self.how_to_confirm)
+            self.print_line(self.how_to_confirm)
 
     async def _wait(self, measure: str, comparison: str, count: str) -> None:
         if measure not in _MEASURES or comparison not in _COMPARISONS:
@@ -114,7 +114,7 @@
         try:
             async with asyncio.timeout(self.wait_s):
                 while True:
-                    value = _MEASURES[measure](await self.link.wait_synced())
+                    value = _MEASURES[measure](await self.console_client.wait_synced())
                     if _COMPARISONS[comparison](value, int(count)):
                         return
                     await asyncio.sleep(0.02)
@@ -123,7 +123,7 @@
 
     def _print(self, view: views.View) -> None:
         for line in [*view.head, *view.rows]:
-            self.say(line)
+            self.print_line(line)
 
 
 _MEASURES: dict[str, Callable[[ConsoleState], int]] = {
--- a/fernweir/rehearsal/consoleday.py
+++ b/fernweir/rehearsal/consoleday.py
@@ -186,7 +186,7 @@
         answer = await self._type(runner, f"drain {box} rehearsal")
         while answer["outcome"] == "queued" or (answer["outcome"] == "already" and "waits" in answer["says"]):
             await asyncio.sleep(0.05)
-            row = runner.link.refresh().projection.servers.get(box)
+            row = runner.console_client.refresh().projection.servers.get(box)
             if row is not None and row.drained_by:
                 break
         self._open.setdefault(box, self.loop.time() * 1000.0)
@@ -247,7 +247,7 @@
 
     async def _hold_and_end(self) -> None:
         await self._type(self.bob, "hold lesson-1 rehearsal")
-        rows = list(self.ann.link.refresh().projection.sessions.values())
+        rows = list(self.ann.console_client.refresh().projection.sessions.values())
         playing = [one.session for one in rows if one.phase == "playing"]
         if playing:
             await self._type(self.bob, f"end {self.dice.choice(playing)} rehearsal")
