--- a/fernweir/control/desk.py
+++ b/fernweir/control/desk.py
@@ -119,12 +119,15 @@
         self._front, self._file = front, file
 
     def may_act(self, operator: str, uid: int) -> bool:
+        """Whether an operator may give commands."""
         return not self.settings.operators or operator in self.settings.operators
 
     def gauges(self) -> dict[str, Any]:
+        """Returns the present loads of servers and what is served."""
         return self._front.gauges()
 
     def handle(self, operator: str, may_act: bool, request: Request, reply: Reply) -> None:
+        """Answers a request; calls `reply` exactly once, now or later."""
         if isinstance(request, ChangeOrders):
             self._handle_change(operator, may_act, request, reply)
         elif isinstance(request, RetryProcess):
@@ -194,9 +197,8 @@
             reply({**result.to_plain(), **missing_fronts})
 
         if is_repeated:
-            self._front.apply_orders(
-                self.orders, on_applied
-            )  # the first time may have failed before this point
+            # The first attempt may have ended before the orders were applied.
+            self._front.apply_orders(self.orders, on_applied)
         elif result.outcome is Outcome.CONFIRM:
             reply(result.to_plain())
         else:
@@ -220,7 +222,7 @@
 
     def _apply_command(self, command: Command, result: Result, on_done: Callable[[list[str]], None]) -> None:
         details = {"by": command.by, "id": command.id, "outcome": str(result.outcome), **self.orders.tables()}
-        reason = f"{command.do} {command.target}: {result.says}"
+        reason = f"{command.do} {command.target}: {result.message}"
         self.journal.add(
             self._front.now(), EventKind.ORDER, why=reason, session=_session_of(command), more=details
         )
@@ -241,9 +243,9 @@
         before = self.orders.to_plain()
         started = self.orders.start_due_drains(now)
         if started and self._store_orders(before, lambda response: None):
-            boxes = ", ".join(str(box) for box in started)
+            servers = ", ".join(str(server) for server in started)
             self.journal.add(
-                now, EventKind.ORDER, why=f"drain begins: box {boxes}", more=self.orders.tables()
+                now, EventKind.ORDER, why=f"drain begins: box {servers}", more=self.orders.tables()
             )
             self._apply_orders(lambda missing: None)
         elif self.orders.waiting:
--- a/fernweir/control/orders.py
+++ b/fernweir/control/orders.py
@@ -77,15 +77,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """The answer to a command. Only CONFIRM has `cost` and `cost_digest`; `says` is text for operators."""
+    """The answer to a command. Only CONFIRM has `cost` and `cost_digest`; `message` is for operators."""
 
     outcome: Outcome
-    says: str
+    message: str
     cost: Mapping[str, Any] = field(default_factory=dict)
     cost_digest: str = ""
 
     def to_plain(self) -> dict[str, Any]:
-        plain: dict[str, Any] = {"outcome": str(self.outcome), "says": self.says}
+        plain: dict[str, Any] = {"outcome": str(self.outcome), "says": self.message}
         if self.cost_digest:
             plain |= {"cost": dict(self.cost), "mark": self.cost_digest}
         return plain
@@ -238,6 +238,7 @@
     # --- queries of the front ---
 
     def drained(self, server: int) -> bool:
+        """Whether a drain of the server is in force."""
         return str(server) in self.drains
 
     def rejection_reason(self, title: str, tenant: str, playing: Mapping[str, int]) -> str:
@@ -257,6 +258,8 @@
     # --- state files ---
 
     def to_plain(self) -> dict[str, Any]:
+        """Returns the orders in the format of the state file."""
+
         def table(orders: Mapping[str, Order]) -> dict[str, Any]:
             return {key: _encode_order(one) for key, one in orders.items()}
 
@@ -476,7 +479,7 @@
         return len(self._recent_starts_ms) < self.rules.burst
 
     def _remember_answer(self, id: str, result: Result) -> None:
-        self.answered[id] = {"outcome": str(result.outcome), "says": result.says}
+        self.answered[id] = {"outcome": str(result.outcome), "says": result.message}
         while len(self.answered) > self.rules.remembered:
             oldest, _ = self.answered.popitem(last=False)
             self._undo.pop(oldest, None)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -73,7 +73,7 @@
     assert sender.do(CommandKind.DRAIN, "4").outcome is Outcome.DONE
     assert sender.do(CommandKind.DRAIN, "5").outcome is Outcome.DONE
     offer = sender.do(CommandKind.DRAIN, "6")
-    assert offer.outcome is Outcome.CONFIRM and offer.cost["lessons"] == ["c"] and "c" in offer.says
+    assert offer.outcome is Outcome.CONFIRM and offer.cost["lessons"] == ["c"] and "c" in offer.message
     assert sender.do(CommandKind.DRAIN, "6", cost_digest="guessed").outcome is Outcome.CONFIRM
     assert sender.do(CommandKind.DRAIN, "6", cost_digest=offer.cost_digest).outcome is Outcome.DONE
     assert {int(server) for server in sender.orders.drains} == {4, 5, 6}
