--- a/fernweir/cli/console.py
+++ b/fernweir/cli/console.py
@@ -14,7 +14,7 @@
 import click
 
 from fernweir.console import views
-from fernweir.console.link import ConsoleClient
+from fernweir.console.client import ConsoleClient
 from fernweir.console.script import ScriptError, ScriptRunner
 from fernweir.console.views import VIEWS, RowFilter
 from fernweir.control.client import ControlError
--- a/fernweir/console/app.py
+++ b/fernweir/console/app.py
@@ -19,7 +19,7 @@
 from textual.widgets import Input, Static
 
 from fernweir.console import views
-from fernweir.console.link import ConsoleClient
+from fernweir.console.client import ConsoleClient
 from fernweir.console.text import clean, fit
 from fernweir.console.views import SORTS, VIEWS, RowFilter, View
 from fernweir.control.client import ControlError
--- a/fernweir/console/script.py
+++ b/fernweir/console/script.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 from fernweir.console import views
-from fernweir.console.link import ConsoleClient
+from fernweir.console.client import ConsoleClient
 from fernweir.console.live import ConsoleState
 from fernweir.console.text import clean
 from fernweir.console.views import VIEWS, RowFilter
--- a/fernweir/rehearsal/consoleday.py
+++ b/fernweir/rehearsal/consoleday.py
@@ -18,7 +18,7 @@
 from fernweir.appliance.unit import Unit
 from fernweir.audit import Auditor, audit_lines
 from fernweir.audit.printed import Drained, Printed, TraceBook
-from fernweir.console.link import ConsoleClient
+from fernweir.console.client import ConsoleClient
 from fernweir.console.script import ScriptRunner
 from fernweir.rehearsal.badday import free_port
 from fernweir.rehearsal.site import RehearsalSite, SitePlan
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -16,7 +16,7 @@
 
 from fernweir.console import views
 from fernweir.console.app import ConsoleApp
-from fernweir.console.link import ConsoleClient
+from fernweir.console.client import ConsoleClient
 from fernweir.console.live import ConsoleState
 from fernweir.console.script import ScriptError, ScriptRunner
 from fernweir.console.text import bar, clean, fit, sparkline, width
