--- a/fernweir/console/client.py
+++ b/fernweir/console/client.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from fernweir.appliance.layout import Layout
-from fernweir.console.live import ConsoleState
+from fernweir.console.state import ConsoleState
 from fernweir.control.client import ControlClient, ControlError
 from fernweir.journal.events import EntryError, from_row
 
--- a/fernweir/console/script.py
+++ b/fernweir/console/script.py
@@ -24,7 +24,7 @@
 
 from fernweir.console import views
 from fernweir.console.client import ConsoleClient
-from fernweir.console.live import ConsoleState
+from fernweir.console.state import ConsoleState
 from fernweir.console.text import clean
 from fernweir.console.views import VIEWS, RowFilter
 from fernweir.control.client import ControlError
--- a/fernweir/console/views.py
+++ b/fernweir/console/views.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
-from fernweir.console.live import ConsoleState
+from fernweir.console.state import ConsoleState
 from fernweir.console.text import bar, clean, clock, fit, row, sparkline
 from fernweir.journal.events import ANSWERS, Entry, EventKind
 from fernweir.journal.state_projection import ServerRow, SessionRow
--- a/fernweir/rehearsal/hours.py
+++ b/fernweir/rehearsal/hours.py
@@ -18,7 +18,7 @@
 
 import orjson
 
-from fernweir.console.live import History
+from fernweir.console.state import History
 from fernweir.control.channel import snapshot_lines
 from fernweir.control.follow import Follower
 from fernweir.control.orders import Order, Orders
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -17,8 +17,8 @@
 from fernweir.console import views
 from fernweir.console.app import ConsoleApp
 from fernweir.console.client import ConsoleClient
-from fernweir.console.live import ConsoleState
 from fernweir.console.script import ScriptError, ScriptRunner
+from fernweir.console.state import ConsoleState
 from fernweir.console.text import bar, clean, fit, sparkline, width
 from fernweir.console.views import VIEWS, RowFilter
 from fernweir.journal.events import EventKind
--- a/tests/test_rehearsals.py
+++ b/tests/test_rehearsals.py
@@ -11,7 +11,7 @@
 
 from fernweir.audit.printed import Drained, Printed, TraceBook
 from fernweir.console import views
-from fernweir.console.live import ConsoleState
+from fernweir.console.state import ConsoleState
 from fernweir.journal import state_projection
 from fernweir.journal.events import EventKind
 from fernweir.journal.state_projection import StateProjection
