--- /dev/null
+++ b/fernweir/front/server_client.py
@@ -0,0 +1,398 @@
+"""The front's client for media servers: set-ups, rungs, releases, health checks and notice streams.
+
+Does the I/O for the dispatcher's commands and reports each outcome to the session manager.
+"""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from random import Random
+from urllib.parse import quote
+
+from fernweir.front.commands import ChangeRung, ReleaseSession, SendHealthCheck, SetUp, SetUpResult
+from fernweir.front.dispatcher import Dispatcher, InvalidServerReplyError
+from fernweir.front.endpoint_list import EndpointList
+from fernweir.front.response_classification import classify_reply, load_report
+from fernweir.front.rungsync import RungSync, Send
+from fernweir.front.server_notices import NoticeError, NoticeStreamState, SessionNotice
+from fernweir.http.client import Call, Origin, Outcome, Pool, Reply
+from fernweir.http.parse import ResponseHead
+from fernweir.http.sse import EventReader
+from fernweir.interface import RESULT_LABELS, Result
+
+MERGE_PATCH = "application/merge-patch+json"  # RFC 7396
+ChannelFence = tuple[str, int]  # the channel and the fence under which a front controls a session
+
+
+@dataclass(frozen=True, slots=True)
+class ServerTimeouts:
+    """Timeouts and backoffs of requests to servers, in seconds.
+
+    A notice stream that is silent for `stream_silence_s` is reopened; one whose server has had no playing
+    session for `stream_unused_s` is closed.
+    """
+
+    health_check_s: float = 0.25
+    request_s: float = 1.0
+    stream_silence_s: float = 3.0
+    stream_unused_s: float = 30.0
+    reconnect_backoff_s: float = 0.05
+    max_reconnect_backoff_s: float = 2.0
+
+
+class ServerClient:
+    """Carries out commands towards servers and reports their outcome to the session manager."""
+
+    def __init__(
+        self,
+        core: Dispatcher,
+        pool: Pool,
+        stream_pool: Pool,
+        endpoint_list: EndpointList,
+        control_token: Callable[[], str],
+        timeouts: ServerTimeouts | None = None,
+        seed: int = 0,
+    ) -> None:
+        self.core, self.pool, self.endpoint_list = core, pool, endpoint_list
+        self.stream_pool = stream_pool  # a pool of their own, so that notice streams cannot delay set-ups
+        self.timeouts = timeouts or ServerTimeouts()
+        self._control_token = control_token
+        self._rng = Random(seed)
+        self._rung_sync = RungSync()
+        self._rung_timer_at: float | None = None
+        self._streams: dict[int, _NoticeStream] = {}
+        self.closed = False
+
+    # --- commands ---
+
+    def set_up(self, command: SetUp) -> None:
+        """Sends a set-up and reports its end to the session manager exactly once."""
+        core, session_manager, session_id = self.core, self.core.sessions, command.request.session_id
+        sent_at = core.now()
+        origin = self.endpoint_list.address(command.server)
+        codec = core.set_up_codecs[command.request.protocol]
+
+        def on_reply(reply: Reply) -> None:
+            result, reason = classify_reply(reply)
+            payload = None
+            if result is Result.OK:
+                try:
+                    payload = codec.accept(command, reply)
+                except InvalidServerReplyError as error:
+                    result, reason = Result.ERROR, str(error)
+            now = core.now()
+            if result is not Result.OK:
+                core.log.info(
+                    "set-up failed", session=session_id, box=command.server, attempt=command.attempt,
+                    result=RESULT_LABELS[result], why=reason,
+                )  # fmt: skip
+            set_up_result = SetUpResult(result, now - sent_at, load_report(reply), payload, reason)
+            session_manager.on_attempt_finished(now, session_id, command.attempt, set_up_result)
+            core.schedule_step()
+            if result is Result.OK:
+                self._open_notice_stream(command.server)
+
+        if origin is None:
+            core.loop.call_soon(on_reply, Reply(Outcome.UNWANTED, detail="no address"))
+            return
+        request = codec.request(command)
+        self.pool.request(
+            origin,
+            request.method,
+            request.target,
+            on_reply,
+            headers=request.headers,
+            body=request.body,
+            timeout_s=command.timeout_ms / 1000.0,
+            wanted=lambda: session_manager.is_attempt_wanted(session_id, command.attempt),
+        )
+
+    def change_rung(self, command: ChangeRung) -> None:
+        """Sends a session's new rung, now or when the one in flight has ended."""
+        send = self._rung_sync.set_rung(command.session_id, command.attempt, command.server, command.rung)
+        if send is not None:
+            self._send_rung(send)
+
+    def release(self, command: ReleaseSession) -> None:
+        """Asks a server to end a session that is no longer wanted."""
+        self._rung_sync.forget(command.session_id, command.attempt)
+        self._end_session(command, self._channel_fence(command.session_id), may_retry=True)
+
+    def check_health(self, command: SendHealthCheck) -> None:
+        """Sends a health check and reports its end to the session manager exactly once."""
+        core, sent_at = self.core, self.core.now()
+
+        def on_reply(reply: Reply) -> None:
+            result, _ = classify_reply(reply)
+            now = core.now()
+            core.sessions.on_health_check_finished(
+                now, command.server, result, now - sent_at, load_report(reply)
+            )
+            core.schedule_step()
+
+        origin = self.endpoint_list.address(command.server)
+        if origin is None:
+            core.loop.call_soon(on_reply, Reply(Outcome.UNREACHED, detail="no address"))
+        else:
+            self.pool.request(origin, "GET", "/probe", on_reply, timeout_s=self.timeouts.health_check_s)
+
+    def claim_channel(
+        self, server: int, channel: str, fence: int, overlap_ms: float, on_reply: Callable[[Reply], None],
+        adopt: Sequence[tuple[str, int]] = (),
+    ) -> None:  # fmt: skip
+        """Claims a channel at a server under a fence; `on_reply` is called once, after this has returned.
+
+        `adopt` has the sessions that this front set up there outside any channel and that join this one.
+        """
+        origin = self.endpoint_list.address(server)
+        if origin is None:
+            self.core.loop.call_soon(on_reply, Reply(Outcome.UNREACHED, detail="no address"))
+            return
+        target = f"/channels?channel={quote(channel, safe='')}"
+        body = json.dumps({"fence": fence, "overlap_ms": overlap_ms, "adopt": list(adopt)}).encode()
+        self._request(origin, "PUT", target, on_reply, body)
+
+    def release_unowned_session(
+        self, server: int, session_id: str, attempt: int, reason: str, channel_fence: ChannelFence
+    ) -> None:
+        """Asks a server to end a session that runs there and that this front does not own."""
+        self._end_session(ReleaseSession(session_id, attempt, server, reason), channel_fence, may_retry=True)
+
+    def open_notice_stream(self, server: int) -> None:
+        """Opens a server's notice stream if it is not open, as for sessions that were taken over there."""
+        self._open_notice_stream(server)
+
+    def close(self) -> None:
+        """Closes all notice streams and stops all retries."""
+        self.closed = True
+        for stream in list(self._streams.values()):
+            stream.stop()
+
+    # --- rungs, releases and requests ---
+
+    def _send_rung(self, send: Send) -> None:
+        core = self.core
+
+        def on_reply(reply: Reply) -> None:
+            result, reason = classify_reply(reply)
+            if reply.status == 404 and reply.outcome is Outcome.ANSWERED:
+                self._rung_sync.forget(send.session_id, send.attempt)
+                core.sessions.on_session_ended(core.now(), send.session_id, send.attempt, Result.RESET)
+                core.schedule_step()
+                return
+            delivered = result is Result.OK
+            if not delivered:
+                core.log.info("rung change failed", session=send.session_id, box=send.server, why=reason)
+            next_send = self._rung_sync.on_send_finished(core.now(), send, delivered)
+            if next_send is not None:
+                self._send_rung(next_send)
+            self._schedule_rung_retries()
+
+        origin = self.endpoint_list.address(send.server)
+        if origin is None:
+            self._rung_sync.forget(send.session_id, send.attempt)
+            return
+        body = json.dumps({"rung": send.rung}).encode()
+        self._request(
+            origin,
+            "PATCH",
+            _session_target(send.session_id, send.attempt),
+            on_reply,
+            body,
+            self._channel_fence(send.session_id),
+        )
+
+    def _schedule_rung_retries(self) -> None:
+        deadline = self._rung_sync.next_deadline()
+        if deadline is not None and deadline != self._rung_timer_at and not self.closed:
+            self._rung_timer_at = deadline
+            self.core.loop.call_at(deadline / 1000.0, self._on_rung_timer)
+
+    def _on_rung_timer(self) -> None:
+        self._rung_timer_at = None
+        for send in [] if self.closed else self._rung_sync.pop_due(self.core.now()):
+            self._send_rung(send)
+        self._schedule_rung_retries()
+
+    def _end_session(
+        self, command: ReleaseSession, channel_fence: ChannelFence | None, may_retry: bool
+    ) -> None:
+        def on_reply(reply: Reply) -> None:
+            # One retry, in case the reply was lost; after that the server's own idle limit ends the session.
+            if may_retry and reply.outcome is not Outcome.ANSWERED and not self.closed:
+                self.core.loop.call_later(
+                    self.timeouts.request_s, self._end_session, command, channel_fence, False
+                )
+
+        origin, target = (
+            self.endpoint_list.address(command.server),
+            _session_target(command.session_id, command.attempt),
+        )
+        if origin is None:
+            return
+        if command.may_finish_segment and may_retry:
+            body = json.dumps({"end": command.reason}).encode()
+            self._request(origin, "PATCH", target, on_reply, body, channel_fence)
+        else:
+            self._request(origin, "DELETE", target, on_reply, channel_fence=channel_fence)
+
+    def _request(
+        self, origin: Origin, method: str, target: str, on_reply: Callable[[Reply], None], body: bytes = b"",
+        channel_fence: ChannelFence | None = None,
+    ) -> None:  # fmt: skip
+        headers = [("authorization", f"Bearer {self._control_token()}")]
+        if body:
+            headers.append(("content-type", MERGE_PATCH))
+        if channel_fence is not None:
+            headers.append(("fernweir-fence", f"{channel_fence[0]};{channel_fence[1]}"))
+        self.pool.request(
+            origin, method, target, on_reply, headers=headers, body=body, timeout_s=self.timeouts.request_s
+        )
+
+    def _channel_fence(self, session_id: str) -> ChannelFence | None:
+        return (
+            self.core.channel_ownership.fence(session_id) if self.core.channel_ownership is not None else None
+        )
+
+    def _open_notice_stream(self, server: int) -> None:
+        if server not in self._streams and not self.closed:
+            _NoticeStream(self, server)
+
+
+def _session_target(session_id: str, attempt: int) -> str:
+    return f"/sessions/{quote(session_id, safe='')}?attempt={attempt}"
+
+
+class _NoticeStream:
+    """One server's notice stream, which is reopened for as long as sessions play there."""
+
+    def __init__(self, client: ServerClient, server: int) -> None:
+        self.client, self.server = client, server
+        self.core, self.session_manager = client.core, client.core.sessions
+        self.state = NoticeStreamState()
+        self._reader = EventReader()
+        self._stream_request: Call | None = None
+        self._reconnects = 0
+        self._last_received_at = self._last_used_at = self.core.loop.time()
+        self._stopped = self._reported_silent = False
+        client._streams[server] = self  # until `stop`, which `_open` may call
+        self._open()
+        self._check_silence()
+
+    def stop(self) -> None:
+        self._stopped = True
+        self.client._streams.pop(self.server, None)
+        self.session_manager.on_server_silence_changed(self.server, False)
+        if self._stream_request is not None:
+            self._stream_request.cancel()
+
+    def _open(self) -> None:
+        origin = self.client.endpoint_list.address(self.server)
+        if self._stopped:
+            return
+        if origin is None:
+            self._report_server_lost("not listed")
+            return
+        self.state.on_stream_opened(self.session_manager.sessions_playing_at(self.server))
+        self._reader = EventReader()
+        headers = [
+            ("authorization", f"Bearer {self.client._control_token()}"),
+            ("accept", "text/event-stream"),
+        ]
+        self._stream_request = self.client.stream_pool.request(
+            origin,
+            "GET",
+            "/notes",
+            self._on_stream_ended,
+            headers=headers,
+            on_head=self._on_head,
+            on_data=self._on_data,
+        )
+
+    def _on_head(self, head: ResponseHead) -> None:
+        self._on_received()
+        if head.status != 200 and self._stream_request is not None:
+            self.core.log.warning("notice stream refused", box=self.server, status=head.status)
+
+    def _on_received(self) -> None:
+        self._last_received_at = self.core.loop.time()
+        if self._reported_silent:
+            self._reported_silent = False
+            self.session_manager.on_server_silence_changed(self.server, False)
+
+    def _on_data(self, data: bytes) -> None:
+        self._on_received()
+        try:
+            events = self._reader.feed(data)
+        except ValueError:
+            events = []
+            if self._stream_request is not None:
+                self._stream_request.cancel()
+        now = self.core.now()
+        for event in events:
+            try:
+                updates = self.state.handle(event)
+            except NoticeError as error:
+                self.core.log.warning("server notice skipped", box=self.server, why=str(error))
+                continue
+            if self.state.hello_received:
+                self._reconnects = 0
+            for update in updates:
+                if isinstance(update, SessionNotice):
+                    self.session_manager.on_server_notice(
+                        now, update.session_id, update.attempt, update.kind, update.level
+                    )
+                else:
+                    self.client._rung_sync.forget(update.session_id, update.attempt)
+                    self.session_manager.on_session_ended(
+                        now, update.session_id, update.attempt, update.result
+                    )
+        if events:
+            self.core.schedule_step()
+
+    def _on_stream_ended(self, reply: Reply) -> None:
+        self._stream_request = None
+        if self._stopped:
+            return
+        if reply.outcome is Outcome.REFUSED:
+            self._report_server_lost(reply.detail)
+            return
+        timeouts = self.client.timeouts
+        backoff_s = min(
+            timeouts.reconnect_backoff_s * 2.0**self._reconnects, timeouts.max_reconnect_backoff_s
+        )
+        self._reconnects += 1
+        # A server that stays silent on new streams too keeps its viewers waiting as well.
+        if self._reconnects > 2:
+            self._report_silent()
+        self.core.loop.call_later(backoff_s * (0.5 + self.client._rng.random()), self._open)
+
+    def _report_server_lost(self, reason: str) -> None:
+        """Nothing accepts connections there any more: the process and its sessions are gone."""
+        session_count = self.session_manager.on_server_lost(self.core.now(), self.server)
+        self.core.log.info("server lost", box=self.server, sessions=session_count, why=reason)
+        self.stop()
+        self.core.schedule_step()
+
+    def _report_silent(self) -> None:
+        if not self._reported_silent:
+            self._reported_silent = True
+            self.session_manager.on_server_silence_changed(self.server, True)
+
+    def _check_silence(self) -> None:
+        if self._stopped:
+            return
+        now, timeouts = self.core.loop.time(), self.client.timeouts
+        if self.session_manager.sessions_playing_at(self.server):
+            self._last_used_at = now
+        elif now - self._last_used_at > timeouts.stream_unused_s:
+            self.stop()
+            return
+        if now - self._last_received_at > timeouts.stream_silence_s:
+            self._report_silent()
+            self._last_received_at = now
+            if self._stream_request is not None:
+                self._stream_request.cancel()
+        self.core.loop.call_later(timeouts.stream_silence_s / 4.0, self._check_silence)
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from fernweir.front import peering as front_peering
-from fernweir.front.boxlist import BoxList, read_document
+from fernweir.front.endpoint_list import EndpointList, read_document
 from fernweir.interface import Idempotency, Settings
 from fernweir.node import peering as node_peering
 from fernweir.peers import foresight, lateness, peer, replacing, weighing
@@ -61,7 +61,7 @@
 from fernweir.peers.wire.frames import Frames, frame
 from fernweir.peers.wire.seal import Opened, Seal, SealRules
 from tests.golden_peers import plain
-from tests.helpers import BUDGET, CLASS, COLD, SETTINGS
+from tests.helpers import CLASS, RETRY_BUDGET, SETTINGS, SLOW_START
 
 KEYS = (bytes(range(32)), bytes(range(64, 128)))
 LIFE = 1_700_000_000_123
@@ -398,7 +398,9 @@
 
 def _all_settings() -> Settings:
     classes = [replace(CLASS, name=str(effect.value), idempotency=effect) for effect in Idempotency]
-    return replace(SETTINGS, classes=tuple(classes), slow_start=COLD, retry_budget=BUDGET, front_index=3)
+    return replace(
+        SETTINGS, classes=tuple(classes), slow_start=SLOW_START, retry_budget=RETRY_BUDGET, front_index=3
+    )
 
 
 def _few_settings() -> Settings:
@@ -408,14 +410,14 @@
 
 def _box_list() -> bytes:
     """A held list as a front gives it to a peer that lacks it."""
-    boxes = BoxList(SETTINGS)
+    boxes = EndpointList(SETTINGS)
     box = {"box": 1, "host": "10.0.0.1", "port": 8_001, "state": "ready", "boot": "b-1", "age_s": 5.5}
     lines = [{**box, "cell": 1, "kind": 0, "weight": 1.5}]
     lines += [{**box, "box": 2, "state": "draining", "cell": 2, "boot": "", "age_s": None}]
     lines += [{**box, "box": 3, "state": "gone", "cell": 3}]
     told = {"epoch": "e-1", "version": 7, "boxes": lines}
     told["lessons"] = [{"title": "title-1", "cell": 1, "copies": 2}, {"title": "a.b", "cell": 0, "copies": 1}]
-    boxes.take_whole(0.0, read_document(json.dumps(told)))
+    boxes.apply_full(0.0, read_document(json.dumps(told)))
     return boxes.to_cache()
 
 
--- a/tests/test_node_crossing_servers.py
+++ b/tests/test_node_crossing_servers.py
@@ -1,4 +1,4 @@
-"""Crossings on a node's connections to media servers, forced: whatever meets, in either order."""
+"""Races on a node's connections to media servers, forced in either order."""
 
 from __future__ import annotations
 
@@ -19,33 +19,33 @@
 from tests.node_scene import PLAIN, FarLine, FarServer, FarViewer, Stage, staged
 
 
-def let_go(stage: Stage, fd: int) -> None:
+def release_descriptor(stage: Stage, fd: int) -> None:
     stage.loop.selected.held.discard(fd)
 
 
-def answered(stage: Stage, viewer: FarViewer, id: str) -> str:
-    """Turns until the viewer has its answer: what it says."""
-    stage.loop.until(lambda: viewer.look() is not None and id in stage.answers)
+def wait_for_answer(stage: Stage, viewer: FarViewer, id: str) -> str:
+    """Runs until the viewer has its answer. Returns the description, or the cause as text."""
+    stage.loop.until(lambda: viewer.poll() is not None and id in stage.answers)
     return stage.answers[id].sdp or str(stage.answers[id].cause)
 
 
 def line_of(stage: Stage, id: str) -> FarLine:
-    """Turns until a set-up is at a media server: the connection that it came on last."""
+    """Runs until a media server has a set-up. Returns the connection on which it arrived last."""
     stage.loop.until(lambda: stage.sent_to(id))
     return stage.far[stage.sent_to(id)[-1]].line_of(id)
 
 
-def heard(stage: Stage, line: FarLine, *frames: Frame) -> None:
-    """A media server says this in one piece, and the node takes it."""
+def deliver_frames(stage: Stage, line: FarLine, *frames: Frame) -> None:
+    """Sends frames from a media server in one write, and runs until the node has handled them."""
     fd = stage.loop.near(line.sock)
     line.write(b"".join(map(encode_frame, frames)))
     stage.loop.arrived(fd)
     stage.loop.settle()
 
 
-def tell(stage: Stage, *lines: dict[str, Any]) -> None:
-    """One event of the feed, taken by the node."""
-    (feed,) = stage.feed.look()
+def send_feed_event(stage: Stage, *lines: dict[str, Any]) -> None:
+    """Sends one event of the feed, and runs until the node has applied it."""
+    (feed,) = stage.feed.poll()
     last = stage.node.feed.last_sequence_number + 1
     members = {"index": last, "snapshot": False, "endpoints": list(lines)}
     feed.write(json.dumps({"n": last, "members": members}).encode() + b"\n")
@@ -54,7 +54,7 @@
 
 def test_a_connection_goes_onward_only() -> None:
     state = ConnectionState()
-    state.drain()  # one that is being made is not blamed
+    state.drain()  # has no effect while connecting
     assert state.is_connecting and not state.may_write and not state.begin_close()
     assert state.open() and not state.open()
     assert state.may_start_request and state.may_write
@@ -69,58 +69,58 @@
 
 @pytest.mark.parametrize("turns", range(5))
 def test_the_connect_time_ends_in_each_turn_of_a_connection_that_comes_up(turns: int) -> None:
-    """It is up before its time ends, and carries its set-up; or it is given up, and carries nothing."""
+    """The connection is established in time and carries its set-up, or it is cancelled and carries none."""
     with staged(servers=2) as stage:
         viewer = stage.far_viewer()
-        viewer.send(wish := stage.setup())
-        let_go(stage, stage.connecting())
+        viewer.send(request := stage.setup())
+        release_descriptor(stage, stage.hold_next_connect())
         stage.loop.turn(turns)
         stage.loop.jump(stage.node.server_pool.connect_timeout_s * 1000.0)
         stage.loop.turn(2)
-        line = line_of(stage, wish.id)
+        line = line_of(stage, request.id)
         stage.loop.settle()
-        assert len(stage.sent_to(wish.id)) == 1
-        line.answer(wish.id)
-        assert answered(stage, viewer, wish.id) == f"{line.server.name} {wish.id}\r\n"
+        assert len(stage.sent_to(request.id)) == 1
+        line.answer(request.id)
+        assert wait_for_answer(stage, viewer, request.id) == f"{line.server.name} {request.id}\r\n"
         lines = [line for far in stage.far.values() for line in far.lines]
         given_up = "connect_failed" in stage.log.getvalue()
         assert given_up is (len(lines) == 2) and given_up is (turns < 2)
-        assert not [one for one in lines if one is not line and one.heard]
+        assert not [one for one in lines if one is not line and one.received]
 
 
 @pytest.mark.parametrize("how", ["release", "reset"])
 def test_a_viewer_who_leaves_while_the_connection_comes_up_leaves_nothing_behind(how: str) -> None:
     with staged() as stage:
         viewer = stage.far_viewer()
-        viewer.send(wish := stage.setup())
-        fd = stage.connecting()
-        viewer.send(Message("release", wish.id, cause=16)) if how == "release" else viewer.reset()
+        viewer.send(request := stage.setup())
+        fd = stage.hold_next_connect()
+        viewer.send(Message("release", request.id, cause=16)) if how == "release" else viewer.reset()
         stage.loop.until(lambda: not stage.node.dispatcher.sessions.session_count)
-        stage.tally()  # no attempt and no timer of it waits for the connection
-        let_go(stage, fd)
+        stage.check_settled()  # no attempt or timer waits for the connection
+        release_descriptor(stage, fd)
         stage.loop.advance(2_000.0)
-        assert stage.sent_to(wish.id) == []
+        assert stage.sent_to(request.id) == []
 
 
 @pytest.mark.parametrize("status", ["draining", "removed"])
 def test_a_server_taken_off_the_list_while_its_connection_comes_up_is_not_waited_for(status: str) -> None:
     with staged(servers=2) as stage:
         viewer = stage.far_viewer()
-        viewer.send(wish := stage.setup())
-        fd = stage.connecting()
+        viewer.send(request := stage.setup())
+        fd = stage.hold_next_connect()
         ((server, endpoint),) = stage.node.server_pool.endpoints.items()
         name = stage.node.feed.names[server]
-        tell(stage, stage.line(name, status))
+        send_feed_event(stage, stage.line(name, status))
         if status == "removed":
-            let_go(stage, fd)  # it is given up, and its descriptor the next one's
-        assert wish.id not in endpoint.attempts  # ended though the connection is still on its way
-        line = line_of(stage, wish.id)  # elsewhere, with the first one held
+            release_descriptor(stage, fd)  # it is cancelled, and its descriptor is reused by the next one
+        assert request.id not in endpoint.attempts  # ended although the connect is still in progress
+        line = line_of(stage, request.id)  # elsewhere, with the first one held
         assert line.server.name != name
-        let_go(stage, fd)
+        release_descriptor(stage, fd)
         stage.loop.settle()
-        line.answer(wish.id)
-        assert answered(stage, viewer, wish.id).startswith(line.server.name)
-        assert len(stage.sent_to(wish.id)) == 1
+        line.answer(request.id)
+        assert wait_for_answer(stage, viewer, request.id).startswith(line.server.name)
+        assert len(stage.sent_to(request.id)) == 1
 
 
 @pytest.mark.parametrize("first", ["stop", "up"])
@@ -128,14 +128,14 @@
     stage = Stage()
     viewer = stage.far_viewer()
     viewer.send(stage.setup())
-    let_go(stage, stage.connecting())
+    release_descriptor(stage, stage.hold_next_connect())
     stage.loop.turn({"stop": 2, "up": 3}[first])
     stage.node.shutdown()
     stage.loop.settle()
     line = stage.far["s-0"].accept()
     assert line is not None
-    stage.loop.until(lambda: line.look() is not None and line.over)
-    assert len(line.heard) == (0 if first == "stop" else 1)
+    stage.loop.until(lambda: line.poll() is not None and line.over)
+    assert len(line.received) == (0 if first == "stop" else 1)
     for endpoint in stage.node.server_pool.endpoints.values():
         assert not endpoint.attempts and not endpoint.connections and not endpoint.broken_attempts
     stage.finish()
@@ -144,28 +144,28 @@
 @pytest.mark.parametrize("how", ["end", "reset"])
 @pytest.mark.parametrize("first", ["end", "set-up"])
 def test_a_set_up_that_crosses_the_end_of_its_idle_connection(how: str, first: str) -> None:
-    """What the kernel refused never ran, and nobody is blamed; what it took may have run."""
+    """A write that the kernel rejected never ran and is no server error; an accepted one may have run."""
     with staged(servers=2) as stage:
         viewer = stage.far_viewer()
-        id, line = stage.stands(viewer)
+        id, line = stage.establish_session(viewer)
         line.release(id, 16)
-        stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
+        stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         fd = stage.loop.near(line.sock)
         stage.loop.selected.held.add(fd)
         line.close() if how == "end" else line.reset()
         stage.loop.arrived(fd)
         if first == "end":
-            let_go(stage, fd)
+            release_descriptor(stage, fd)
             stage.loop.settle()
-        viewer.send(wish := stage.setup())
+        viewer.send(request := stage.setup())
         if first == "set-up":
             stage.loop.until(lambda: stage.node.dispatcher.sessions.metrics.set_ups == 2)
-            let_go(stage, fd)
-        new = line_of(stage, wish.id)
-        new.answer(wish.id)
-        assert answered(stage, viewer, wish.id) == f"{new.server.name} {wish.id}\r\n"
-        assert len(stage.sent_to(wish.id)) == 1
-        unknown = (how, first) == ("end", "set-up")  # it may have run: as an error, and tried elsewhere
+            release_descriptor(stage, fd)
+        new = line_of(stage, request.id)
+        new.answer(request.id)
+        assert wait_for_answer(stage, viewer, request.id) == f"{new.server.name} {request.id}\r\n"
+        assert len(stage.sent_to(request.id)) == 1
+        unknown = (how, first) == ("end", "set-up")  # it may have run: an error, and retried elsewhere
         assert ("set-up failed" in stage.log.getvalue()) is unknown
         assert (new.server is line.server) is not unknown
 
@@ -173,85 +173,85 @@
 def test_a_set_up_whose_every_connection_breaks_before_it_is_written_never_ran() -> None:
     with staged(servers=2) as stage:
         viewer = stage.far_viewer()
-        viewer.send(wish := stage.setup())
+        viewer.send(request := stage.setup())
         breaks = 0
         while "set-up failed" not in stage.log.getvalue():
-            fd = stage.connecting()
+            fd = stage.hold_next_connect()
             (server,) = stage.node.server_pool.endpoints
             line = stage.far[stage.node.feed.names[server]].accept()
             assert line is not None and breaks < 9
             line.reset()
             stage.loop.arrived(fd, events=select.POLLERR)
-            let_go(stage, fd)
+            release_descriptor(stage, fd)
             stage.loop.turn(4)
             breaks += 1
         assert '"result": "connect_failed"' in stage.log.getvalue() and breaks == 3
-        new = line_of(stage, wish.id)
-        new.answer(wish.id)
-        assert answered(stage, viewer, wish.id) == f"{new.server.name} {wish.id}\r\n"
-        assert len(stage.sent_to(wish.id)) == 1 and new.server is not line.server
+        new = line_of(stage, request.id)
+        new.answer(request.id)
+        assert wait_for_answer(stage, viewer, request.id) == f"{new.server.name} {request.id}\r\n"
+        assert len(stage.sent_to(request.id)) == 1 and new.server is not line.server
 
 
 @pytest.mark.parametrize("cause", [34, 47])
 @pytest.mark.parametrize("word", ["release", "answer"])
 @pytest.mark.parametrize("second", ["out", "stands"])
-def test_a_late_word_on_an_attempt_isnt_taken_for_the_next_at_the_same_server(
+def test_a_late_message_of_an_attempt_is_not_attributed_to_the_next_attempt(
     cause: int, word: str, second: str
 ) -> None:
-    """Both have one id; they differ by their connections."""
+    """Both attempts have the same id; only their connections differ."""
     with staged() as stage:
         viewer = stage.far_viewer()
         id, line = stage.set_up(viewer)
         line.release(id, cause)
         stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
         new = next((one for one in stage.far["s-0"].lines if one is not line), line)
-        line.ended.clear()  # what it ended is the first attempt, and the id stands for the second from now
+        line.ended.clear()  # it ended the first attempt; the id now belongs to the second one
         late = Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((cause,))})
         if word == "answer":
             late = Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: b"late\r\n"})
         if second == "out":
-            heard(stage, line, late)
+            deliver_frames(stage, line, late)
             assert id in stage.node.client_requests.open_requests and len(stage.sent_to(id)) == 2
         new.answer(id)
-        assert answered(stage, viewer, id) == f"s-0 {id}\r\n"
+        assert wait_for_answer(stage, viewer, id) == f"s-0 {id}\r\n"
         if second == "stands":
-            heard(stage, line, late)
+            deliver_frames(stage, line, late)
         assert stage.node.dispatcher.sessions.session_count == 1
-        new.release(id, 16)  # its own connection's word counts
-        stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
+        new.release(id, 16)  # a message on its own connection is accepted
+        stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
 
 
 def test_a_release_goes_where_the_set_up_that_follows_it_is_read_after_it() -> None:
     with staged() as stage:
         viewer = stage.far_viewer()
-        other, busy = stage.set_up(viewer)  # an older connection, with something open
+        other, busy = stage.set_up(viewer)  # an older connection with an open set-up
         id, line = stage.set_up(viewer)
-        line.reset()  # it may stand there, for all that anybody knows
+        line.reset()  # the server may have set up the session
         stage.loop.until(lambda: len(stage.far["s-0"].setups()) == 3)
         new = stage.far["s-0"].line_of(id)
-        assert [one.type for one in new.heard] == [FrameType.RELEASE, FrameType.SETUP]
+        assert [one.type for one in new.received] == [FrameType.RELEASE, FrameType.SETUP]
         new.answer(id)
-        answered(stage, viewer, id)
+        wait_for_answer(stage, viewer, id)
         busy.answer(other)
-        answered(stage, viewer, other)
+        wait_for_answer(stage, viewer, other)
 
 
 @pytest.mark.parametrize("how", ["order", "reset"])
-def test_of_connections_idle_at_once_the_last_one_stays_to_hear_a_session_by(how: str) -> None:
-    """However its server answers the end of the other: it hears on the last, and another isn't made."""
+def test_the_last_idle_connection_of_a_server_with_sessions_stays_open(how: str) -> None:
+    """However the server answers the close of the other one, no replacement is opened."""
     with staged(settings=replace(PLAIN, report_interval_ms=60_000.0)) as stage:
-        stage.node.server_pool.idle_timeout_ms = 8_000.0  # idle before silence is looked into
+        stage.node.server_pool.idle_timeout_ms = 8_000.0  # idle before the silence timeout
         viewer = stage.far_viewer()
         (first, one), (second, other) = stage.set_up(viewer), stage.set_up(viewer)
         one.answer(first)
         other.answer(second)
         for id in (first, second):
-            answered(stage, viewer, id)
+            wait_for_answer(stage, viewer, id)
         stage.loop.jump(stage.node.server_pool.idle_timeout_ms * 0.6)
         stage.loop.settle()
         (endpoint,) = stage.node.server_pool.endpoints.values()
         assert [connection.is_usable for connection in endpoint.connections].count(True) == 1
-        stage.loop.until(lambda: [line.look() for line in (one, other)] and one.over != other.over)
+        stage.loop.until(lambda: [line.poll() for line in (one, other)] and one.over != other.over)
         (one if one.over else other).close() if how == "order" else (one if one.over else other).reset()
         stage.loop.until(lambda: len(endpoint.connections) == 1)
         stage.loop.settle()
@@ -259,19 +259,19 @@
 
 
 def test_many_servers_of_a_node_with_few_descriptors_keep_to_their_part_of_them() -> None:
-    """What is unused longest goes; viewers and the feed keep their own part, and sessions are heard on."""
+    """The longest unused connections close; viewers, the feed and servers with sessions keep theirs."""
     with staged(servers=6, sockets=18) as stage:
         viewer, servers = stage.far_viewer(), stage.node.server_pool
         servers.idle_timeout_ms = inf
         most = 0
         for title in range(8):
-            wishes = [stage.setup(key=f"{title:016x}") for _ in range(3)]
-            viewer.send(*wishes)  # a connection to itself for each
-            for id in [one.id for one in wishes]:
+            requests = [stage.setup(key=f"{title:016x}") for _ in range(3)]
+            viewer.send(*requests)  # a separate connection for each
+            for id in [one.id for one in requests]:
                 line = line_of(stage, id)
                 line.answer(id)
-                answered(stage, viewer, id)
-                if title:  # the first ones go on
+                wait_for_answer(stage, viewer, id)
+                if title:  # the first ones continue
                     line.release(id, 16)
             most = max(most, sum(len(one.connections) for one in servers.endpoints.values()))
             stage.loop.until(lambda: stage.node.dispatcher.sessions.session_count == 3)
@@ -279,7 +279,7 @@
         stage.loop.advance(2.5 * CHECK_INTERVAL_MS)
         for far in stage.far.values():
             for line in far.lines:
-                if line.look() is not None and line.over:
+                if line.poll() is not None and line.over:
                     line.close()
         stage.loop.settle()
         endpoints = servers.endpoints.values()
@@ -300,14 +300,14 @@
 def test_the_end_of_a_session_at_a_silent_server_is_told_in_time_whatever_the_settings(
     tell_ms: float, connect_ms: float, asked: bool
 ) -> None:
-    """Its machine vanished, and nobody says so: what stood there is over, and told to be within 8 s.
+    """The machine vanished without notice, so the end of its sessions has to be announced within 8 s.
 
-    Nor may the connection of a set-up, waited for as long as its settings say, hold that up.
+    The connect of a set-up, which may take as long as the settings allow, must not delay that.
     """
     with staged(settings=replace(PLAIN, report_interval_ms=tell_ms)) as stage:
         stage.node.server_pool.connect_timeout_s = connect_ms / 1000.0
         loop, viewer = stage.loop, stage.far_viewer()
-        id, line = stage.stands(viewer)
+        id, line = stage.establish_session(viewer)
         line.ended.add(id)
         last = loop.clock
         while stage.node.dispatcher.sessions.session(id) is not None:
@@ -318,11 +318,11 @@
             assert loop.clock < last + 8.0
             if asked and loop.clock > last + 3.5:
                 asked = False
-                viewer.send(stage.setup(), stage.setup())  # the second finds no connection free
+                viewer.send(stage.setup(), stage.setup())  # the second one finds no free connection
                 loop.until(lambda: len(stage.node.client_requests.open_requests) == 2)
-        loop.until(lambda: viewer.look() is not None and id in stage.ends)
+        loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         assert stage.ends[id].cause == 41
-        loop.advance(4_000.0)  # what was asked has its answer
+        loop.advance(4_000.0)  # the requests have their answers
 
 
 @pytest.mark.parametrize("before", ["connecting", "idle"])
@@ -330,51 +330,51 @@
     with staged() as stage:
         viewer, old, new = stage.far_viewer(), stage.far["s-0"], FarServer("s-0")
         if before == "connecting":
-            viewer.send(wish := stage.setup())
-            fd = stage.connecting()
+            viewer.send(request := stage.setup())
+            fd = stage.hold_next_connect()
         else:
-            id, line = stage.stands(viewer)
+            id, line = stage.establish_session(viewer)
             line.release(id, 16)
-            stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
+            stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         stage.far["s-0"] = stage.servers["s-0"] = new
-        tell(stage, stage.line("s-0"))
+        send_feed_event(stage, stage.line("s-0"))
         if before == "connecting":
-            let_go(stage, fd)
+            release_descriptor(stage, fd)
         else:
-            viewer.send(wish := stage.setup())
-        line_of(stage, wish.id).answer(wish.id)
-        answered(stage, viewer, wish.id)
-        assert wish.id in new.setups() and wish.id not in old.setups()
+            viewer.send(request := stage.setup())
+        line_of(stage, request.id).answer(request.id)
+        wait_for_answer(stage, viewer, request.id)
+        assert request.id in new.setups() and request.id not in old.setups()
         old.close()
 
 
 def test_a_session_of_a_gone_server_isnt_kept_by_a_connection_that_reaches_its_successor() -> None:
     with staged() as stage:
         viewer = stage.far_viewer()
-        id, line = stage.stands(viewer)
-        line.ended.add(id)  # its process ends
+        id, line = stage.establish_session(viewer)
+        line.ended.add(id)  # the process ends
         line.reset()
-        fd = stage.connecting()  # to hear of its session: whoever listens there takes it
-        tell(stage, stage.line("s-0", "removed"), stage.line("s-0") | {"name": "s-new"})
-        let_go(stage, fd)
-        stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
+        fd = stage.hold_next_connect()  # to receive its messages; the new listener accepts it
+        send_feed_event(stage, stage.line("s-0", "removed"), stage.line("s-0") | {"name": "s-new"})
+        release_descriptor(stage, fd)
+        stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         assert stage.ends[id].cause == 41
-        assert not [one for one in stage.far["s-0"].lines if one is not line and one.heard]
+        assert not [one for one in stage.far["s-0"].lines if one is not line and one.received]
 
 
-def kinds(line: FarLine) -> list[FrameType]:
-    return [one.type for one in line.heard]
+def received_types(line: FarLine) -> list[FrameType]:
+    return [one.type for one in line.received]
 
 
-def elsewhere(stage: Stage, id: str, line: FarLine) -> FarLine:
-    """Turns until a set-up is out a second time: the connection of that."""
+def wait_for_second_attempt(stage: Stage, id: str, line: FarLine) -> FarLine:
+    """Runs until a set-up is in flight a second time. Returns the connection of that attempt."""
     stage.loop.until(lambda: len(stage.sent_to(id)) == 2)
     (new,) = [one for far in stage.far.values() for one in far.lines if one is not line and id in one.setups]
     return new
 
 
-def both(stage: Stage, *fds: int) -> None:
-    """All of these are ready in the kernel; then the loop sees them in this order, in one turn."""
+def poll_together(stage: Stage, *fds: int) -> None:
+    """Waits until all descriptors are ready, then polls them in this order in one iteration."""
     stage.loop.arrived(*fds)
     stage.loop.selected.first = list(fds)
     stage.loop.selected.held.difference_update(fds)
@@ -382,7 +382,7 @@
 
 
 @pytest.mark.parametrize("first", ["answer", "time"])
-def test_an_answer_its_copy_and_the_end_of_its_time_make_one_end(first: str) -> None:
+def test_a_duplicated_answer_and_its_timeout_give_one_result(first: str) -> None:
     with staged(servers=2) as stage:
         viewer = stage.far_viewer()
         id, line = stage.set_up(viewer)
@@ -398,10 +398,10 @@
         if first == "time":
             stage.loop.turn()
             assert id not in endpoint.attempts
-        both(stage, fd)
+        poll_together(stage, fd)
         if first == "time":
-            elsewhere(stage, id, line).answer(id)
-        answered(stage, viewer, id)
+            wait_for_second_attempt(stage, id, line).answer(id)
+        wait_for_answer(stage, viewer, id)
         stage.loop.settle()
         assert stage.node.dispatcher.sessions.session_count == 1 and len(stage.sent_to(id)) == (
             1 if first == "answer" else 2
@@ -418,39 +418,43 @@
             Frame(FrameType.ANSWER, id, {ParameterCode.DESCRIPTION: b"one\r\n"}),
             Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((cause,))}),
         ]
-        heard(stage, line, *(words if first == "answer" else words[::-1]))
-        if first == "answer":  # it stood, and is over
-            assert answered(stage, viewer, id) == "one\r\n"
-            stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
+        deliver_frames(stage, line, *(words if first == "answer" else words[::-1]))
+        if first == "answer":  # the session was established and has ended
+            assert wait_for_answer(stage, viewer, id) == "one\r\n"
+            stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
             assert stage.ends[id].cause == (16 if cause == 16 else 41)
             return
-        new = elsewhere(stage, id, line)  # it ended, and the word behind it is nobody's
+        new = wait_for_second_attempt(
+            stage, id, line
+        )  # the attempt ended, and the message behind it is ignored
         new.answer(id)
-        assert answered(stage, viewer, id) == f"{new.server.name} {id}\r\n"
-        if cause in (16, 31, 99):  # no word of a set-up's end: what may run is released
-            stage.loop.until(lambda: line.look() is not None and FrameType.RELEASE in kinds(line))
+        assert wait_for_answer(stage, viewer, id) == f"{new.server.name} {id}\r\n"
+        if cause in (16, 31, 99):  # these causes do not end a set-up, so it is released
+            stage.loop.until(lambda: line.poll() is not None and FrameType.RELEASE in received_types(line))
 
 
 @pytest.mark.parametrize("first", ["viewer", "server"])
 def test_a_release_by_the_viewer_and_one_by_the_server_in_one_turn_end_it_once(first: str) -> None:
     with staged() as stage:
         viewer = stage.far_viewer()
-        id, line = stage.stands(viewer)
+        id, line = stage.establish_session(viewer)
         fds = [stage.loop.near(viewer.sock), stage.loop.near(line.sock)]
         stage.loop.selected.held.update(fds)
         viewer.send(Message("release", id, cause=16))
         line.release(id, 16)
-        both(stage, *(fds if first == "viewer" else fds[::-1]))
+        poll_together(stage, *(fds if first == "viewer" else fds[::-1]))
         stage.loop.settle()
-        assert not stage.node.dispatcher.sessions.session_count and FrameType.RELEASE not in kinds(line)
+        assert not stage.node.dispatcher.sessions.session_count and FrameType.RELEASE not in received_types(
+            line
+        )
         viewer.send(Message("ping", "0" * 16, cause=0))
-        stage.loop.until(lambda: viewer.look() is not None and viewer.raw[-1].type == "pong")
-        assert not [one for one in viewer.raw if one.type == "release" and one.cause != 16]
+        stage.loop.until(lambda: viewer.poll() is not None and viewer.messages[-1].type == "pong")
+        assert not [one for one in viewer.messages if one.type == "release" and one.cause != 16]
 
 
 @pytest.mark.parametrize("meets", ["set-up", "answer"])
 def test_a_server_killed_in_the_turn_of_a_set_up_or_an_answer(meets: str) -> None:
-    """What its process had answered stood and is over; what it had not answered is tried elsewhere."""
+    """An answered session was established and has ended; an unanswered set-up is retried elsewhere."""
     with staged(servers=2) as stage:
         viewer = stage.far_viewer()
         id, line = stage.set_up(viewer)
@@ -461,21 +465,21 @@
             stage.loop.arrived(fd)
         line.server.kill()
         stage.loop.arrived(fd, events=select.POLLHUP)
-        both(stage, fd)
-        if meets == "answer":  # whether it is still read after the reset is the kernel's
-            stage.loop.until(lambda: viewer.look() or len(stage.sent_to(id)) == 2)
+        poll_together(stage, fd)
+        if meets == "answer":  # the kernel decides whether it is still read after the reset
+            stage.loop.until(lambda: viewer.poll() or len(stage.sent_to(id)) == 2)
         if id not in stage.answers:
-            new = elsewhere(stage, id, line)
+            new = wait_for_second_attempt(stage, id, line)
             new.answer(id)
-            assert answered(stage, viewer, id) == f"{new.server.name} {id}\r\n"
+            assert wait_for_answer(stage, viewer, id) == f"{new.server.name} {id}\r\n"
             return
-        stage.loop.advance(250.0)  # a refused connection is proof, read at the next upkeep
-        stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
+        stage.loop.advance(250.0)  # a refused connection is proof, evaluated at the next upkeep
+        stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
         assert stage.ends[id].cause == 41 and len(stage.sent_to(id)) == 1
 
 
-def test_a_late_word_after_the_connection_of_what_stands_broke_leaves_nothing_at_the_server() -> None:
-    """Nobody can tell whose word it is then: the session is over for both."""
+def test_a_late_release_after_the_session_connection_broke_leaves_no_session() -> None:
+    """It is ambiguous which attempt the message belongs to, so the session ends on both sides."""
     with staged() as stage:
         viewer = stage.far_viewer()
         id, line = stage.set_up(viewer)
@@ -484,19 +488,19 @@
         (new,) = [one for one in stage.far["s-0"].lines if one is not line]
         line.ended.clear()
         new.answer(id)
-        answered(stage, viewer, id)
+        wait_for_answer(stage, viewer, id)
         fd = stage.loop.near(new.sock)
         new.reset()
         stage.loop.arrived(fd)
         stage.loop.settle()
-        heard(stage, line, Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((34,))}))
-        stage.loop.until(lambda: viewer.look() is not None and id in stage.ends)
-        stage.loop.until(lambda: not stage.far["s-0"].standing())
+        deliver_frames(stage, line, Frame(FrameType.RELEASE, id, {ParameterCode.CAUSE: bytes((34,))}))
+        stage.loop.until(lambda: viewer.poll() is not None and id in stage.ends)
+        stage.loop.until(lambda: not stage.far["s-0"].active_sessions())
 
 
 @pytest.mark.parametrize("first", ["the refusal", "the session"])
 def test_what_a_server_refused_before_it_held_anything_does_not_end_what_it_holds(first: str) -> None:
-    """Its process ended and another listens: a session that plays there by the platform's word is its own."""
+    """A new process listens there, and a session that the platform assigns to it belongs to it."""
     with staged() as stage:
         viewer, server = stage.far_viewer(), stage.far["s-0"]
         there = server.address
@@ -514,6 +518,6 @@
             viewer.send(plays)
             stage.loop.until(lambda: stage.node.dispatcher.sessions.session(plays.id))
         stage.loop.advance(600.0)
-        lost = first == "the session"  # a refusal while it is held is proof
+        lost = first == "the session"  # a refused connection while the session is placed there is proof
         assert ("server lost" in stage.log.getvalue()) is lost
         assert (stage.node.dispatcher.sessions.session(plays.id) is None) is lost
