--- a/fernweir/appliance/unit.py
+++ b/fernweir/appliance/unit.py
@@ -17,10 +17,10 @@
 from fernweir.appliance.logs import open_log, rotate
 from fernweir.appliance.merge import Merger
 from fernweir.appliance.supervise import Child, Say, Start, State, SuperviseRules, Supervisor, Terminate
-from fernweir.control.channel import Channel
+from fernweir.control.channel import ControlServer
 from fernweir.control.client import ControlClient, ControlError
-from fernweir.control.desk import DeskRules, OrderDesk, load_orders
-from fernweir.control.orders import Orders, SiteNow
+from fernweir.control.desk import OrderService, OrderServiceSettings, load_orders
+from fernweir.control.orders import Orders, SiteSnapshot
 from fernweir.control.statefile import StateFileError
 from fernweir.journal.disk import JournalFolder
 from fernweir.journal.store import Journal, JournalConfig
@@ -106,14 +106,14 @@
             self.log.warning("journal is not whole", why=note)
         self.merger = Merger(self.journal)
         self.merger.recover()
-        rules = DeskRules(tuple(self.config.unit.operators))
-        self.desk = OrderDesk(self.config.unit.name, self.journal, orders, self, rules, self.layout.orders)
+        rules = OrderServiceSettings(tuple(self.config.unit.operators))
+        self.desk = OrderService(self.config.unit.name, self.journal, orders, self, rules, self.layout.orders)
         for entry in self.journal.entries(self.journal.first):
-            self.desk.picture.apply(entry)
-        for front in list(self.desk.picture.fronts):
-            self.merger.gone(front, self.wall())  # none of them runs yet
-        self.channel = Channel(self.desk, self.layout.socket, mode=self.config.unit.mode)
-        self.journal.watchers.append(self.channel.entry)
+            self.desk.projection.apply(entry)
+        for front in list(self.desk.projection.fronts):
+            self.merger.gone(front, self.wall_time_ms())  # none of them runs yet
+        self.channel = ControlServer(self.desk, self.layout.socket, mode=self.config.unit.mode)
+        self.journal.watchers.append(self.channel.on_journal_entry)
         for number in range(1, self.config.unit.fronts + 1):
             self._follow(number)
         self.desk.start_orders()
@@ -139,7 +139,7 @@
             process.process.wait()
             process.forget()
         self._processes.clear()
-        self.channel.stop()
+        self.channel.close()
         self.folder.close()
         self._lock.give_back()
 
@@ -147,8 +147,8 @@
 
     def exited(self, name: str, how: str) -> None:
         self._processes.pop(name, None)
-        if name in self.clients and name in self.desk.picture.fronts:
-            self.merger.gone(name, self.wall())
+        if name in self.clients and name in self.desk.projection.fronts:
+            self.merger.gone(name, self.wall_time_ms())
         for command in self.supervisor.exited(self._now(), name, how):
             if isinstance(command, Say):
                 self.log.warning(command.text, child=command.name)
@@ -228,9 +228,9 @@
 
     def _follow(self, number: int) -> None:
         name = f"front-{number}"
-        client = ControlClient(self.layout.front_socket(number), "unit", watch=True, longest_pause_s=0.2)
+        client = ControlClient(self.layout.front_socket(number), "unit", watch=True, max_backoff_s=0.2)
         taken = self.merger.since(name)
-        client.follow_from(taken.journal, taken.number)
+        client.resume_from(taken.journal, taken.number)
         client.follower.on_entry = lambda entry: self.merger.entry(name, client.journal, entry)
         client.follower.on_snapshot = lambda picture: self.merger.snapshot(name, client.journal, picture)
         client.on_greeting = lambda: self._greeted(name)
@@ -244,7 +244,7 @@
         """
         client = self.clients[name]
         if client.hello.get("pid") != self._pid(name):
-            client.drop()
+            client.abort_connection()
             return
         task = asyncio.ensure_future(self._push(name, self.desk.orders))
         self._tasks.add(task)
@@ -263,23 +263,23 @@
             return False
         return bool(answer["version"] >= orders.version)
 
-    # --- control.desk.Hands ---
+    # --- control.desk.FrontControl ---
 
     def now(self) -> float:
         return self._now()
 
-    def wall(self) -> int:
+    def wall_time_ms(self) -> int:
         return int(self._now() + self.offset_ms)
 
-    def site(self, then: Callable[[SiteNow], None]) -> None:
+    def request_site(self, then: Callable[[SiteSnapshot], None]) -> None:
         async def gather() -> None:
             answers = await asyncio.gather(*(self._ask(name, "site") for name in self._alive()))
             plains = [answer["site"] for answer in answers if answer is not None]
-            then(SiteNow.together(plains, frozenset(self.desk.picture.servers)))
+            then(SiteSnapshot.merge(plains, frozenset(self.desk.projection.servers)))
 
         self._spawn(gather())
 
-    def orders_changed(self, orders: Orders, then: Callable[[list[str]], None]) -> None:
+    def apply_orders(self, orders: Orders, then: Callable[[list[str]], None]) -> None:
         async def push() -> None:
             names = self._alive()
             taken = await asyncio.gather(*(self._push(name, orders) for name in names))
@@ -287,8 +287,8 @@
 
         self._spawn(push())
 
-    def end(self, id: str, session: str, why: str) -> None:
-        for row in list(self.desk.picture.sessions.values()):
+    def end_session(self, id: str, session: str, why: str) -> None:
+        for row in list(self.desk.projection.sessions.values()):
             if row.session == session and row.front in self.clients:
                 ask = self._ask(row.front, "end", id=f"{id}.{row.front}", target=session, reason=why)
                 self._spawn(ask)
@@ -331,7 +331,7 @@
             ],
         }
 
-    def retry(self, name: str) -> bool:
+    def retry_process(self, name: str) -> bool:
         done = self.supervisor.retry(self._now(), name)
         self._run()
         return done
--- a/fernweir/rehearsal/kills.py
+++ b/fernweir/rehearsal/kills.py
@@ -61,9 +61,9 @@
             "fronts = 2", "fronts = 2\nrestarts = 1000\nfirst-pause = 50 ms\nlongest-pause = 500 ms"
         ))  # fmt: skip
         self._start()
-        self.client = ControlClient(self.layout.socket, "ann", watch=True, longest_pause_s=0.1)
+        self.client = ControlClient(self.layout.socket, "ann", watch=True, max_backoff_s=0.1)
         self.client.start()
-        await self.client.ready(_BACK_S)
+        await self.client.wait_ready(_BACK_S)
         await self._all_ready()
         viewers = asyncio.ensure_future(self._viewers())
         try:
@@ -159,10 +159,10 @@
         )
 
     async def _front_stands(self, where: str, socket: Path, name: str) -> None:
-        client = ControlClient(socket, "probe", longest_pause_s=0.1)
+        client = ControlClient(socket, "probe", max_backoff_s=0.1)
         client.start()
         try:
-            await client.ready(20.0)
+            await client.wait_ready(20.0)
             end = time.monotonic() + 10.0
             while True:
                 boxes = (await client.ask("boxes"))["rows"]
