--- a/fernweir/journal/__init__.py
+++ b/fernweir/journal/__init__.py
@@ -1,1 +1,1 @@
-"""The journal of events: what a front did with each session, and the state that follows from it."""
+"""The journal of a front: session events, their storage, and the state derived from them."""
--- a/fernweir/journal/disk.py
+++ b/fernweir/journal/disk.py
@@ -1,9 +1,9 @@
 """Stores a journal's segments in a folder: block files of frames, and the newest rows as JSON lines.
 
 A frame is the length and CRC32C of a segment, the numbers of its first and last entry, and the segment.
-Reading a file ends at the first truncated or damaged frame: the journal is a record for people, so a gap is
-reported and is not fatal. The checksum covers the segment alone; where the numbers of adjacent frames are not
-consecutive, the numbers of the rows are used.
+Reading a file ends at the first truncated or damaged frame: the journal is a record for operators, so a gap
+is reported and is not fatal. The checksum covers only the segment and not the numbers: where the numbers of
+adjacent frames are not consecutive, the numbers of the rows are used.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _SegmentLocation:
-    """Where a segment is stored: number of the file, offset and size in bytes, CRC32C."""
+    """The location of a segment: number of its file, offset and size in bytes, and CRC32C."""
 
     file_number: int
     offset: int
@@ -63,7 +63,7 @@
 
     Attributes:
         folder: The folder.
-        problems: What was found damaged or missing when the folder was opened.
+        problems: Descriptions of the damaged and missing data that was found when the folder was opened.
 
     Args:
         folder: The folder; `open` creates it if it does not exist.
@@ -114,7 +114,7 @@
         return journal_id, segments, newest
 
     def append_segment(self, first: int, last: int, data: bytes) -> object:
-        """Appends a sealed segment and removes the newest rows, which it contains.
+        """Appends a sealed segment and removes the stored newest rows, all of which the segment contains.
 
         Args:
             first: Number of its first entry.
@@ -125,7 +125,7 @@
             A handle for `read_segment`.
 
         Raises:
-            OSError: It could not be written.
+            OSError: The segment could not be written.
         """
         file = self._files[-1] if self._files else None
         if self._block_descriptor is None or file is None or file.size >= self._file_bytes:
@@ -137,7 +137,7 @@
         try:
             _write_all(self._block_descriptor, frame)
         except OSError:
-            # A partly written frame must not stay between complete ones, nor leave a gap in its place.
+            # A partly written frame must neither remain between complete frames nor leave a gap there.
             os.ftruncate(self._block_descriptor, offset)
             os.lseek(self._block_descriptor, offset, os.SEEK_SET)
             raise
@@ -150,7 +150,7 @@
         """Returns the bytes of a segment.
 
         Raises:
-            OSError: It cannot be read, or its bytes are damaged.
+            OSError: The segment cannot be read, or its bytes are damaged.
         """
         assert isinstance(handle, _SegmentLocation)
         path = self._path(handle.file_number)
@@ -165,7 +165,7 @@
         """Stores one entry until its segment is sealed.
 
         Raises:
-            OSError: It could not be written.
+            OSError: The entry could not be written.
         """
         if self._row_descriptor is None:
             self._replace_rows([])
@@ -199,7 +199,7 @@
         return self.folder / f"journal-{file_number:012d}.blocks"
 
     def _block_files(self) -> list[tuple[int, str]]:
-        """Returns numbers and names of the block files, oldest first."""
+        """Returns the numbers and names of the block files, oldest first."""
         matches = (_BLOCK_FILE_NAME.fullmatch(name) for name in os.listdir(self.folder))
         return sorted((int(match[1]), match[0]) for match in matches if match)
 
@@ -230,7 +230,7 @@
         data = path.read_bytes()
         if not data.startswith(_MAGIC):
             if data and not _MAGIC.startswith(data):
-                self.problems.append(f"{path.name}: not a journal")
+                self.problems.append(f"{path.name}: not a journal file")
             return [], 0
         frames: list[_Frame] = []
         offset = len(_MAGIC)
@@ -238,18 +238,19 @@
             size, crc, first, last = _FRAME_HEADER.unpack_from(data, offset)
             start = offset + _FRAME_HEADER.size
             segment = data[start : start + size]
-            # Size 0 is damage: zeros that a lost write left would otherwise be frames of empty segments.
+            # Size 0 is treated as damage: zero bytes left by a lost write would otherwise be read as
+            # frames of empty segments.
             if not size or len(segment) < size or _crc32c(segment) != crc:
                 break
             frames.append(_Frame(first, last, _SegmentLocation(number, start, size, crc)))
             offset = start + size
         if offset < len(data):
             skipped = len(data) - offset
-            self.problems.append(f"{path.name}: damaged at byte {offset}, {skipped} bytes passed over")
+            self.problems.append(f"{path.name}: damaged at byte {offset}, {skipped} bytes skipped")
         return self._correct_numbers(path.name, data, frames), len(data)
 
     def _correct_numbers(self, name: str, data: bytes, frames: list[_Frame]) -> list[_Frame]:
-        """Takes the numbers of frames from their rows where adjacent frames do not confirm them."""
+        """Returns the frames, with the numbers of their rows where adjacent frames do not confirm theirs."""
         corrected: list[_Frame] = []
         unconfirmed = _unconfirmed_frames(frames)
         for index, frame in enumerate(frames):
@@ -259,30 +260,32 @@
                 numbers = _numbers_of_rows(segment) or (frame.first, frame.last)
                 if numbers != (frame.first, frame.last):
                     frame_offset = location.offset - _FRAME_HEADER.size
-                    self.problems.append(f"{name}: damaged numbers at byte {frame_offset}")
+                    self.problems.append(f"{name}: damaged entry numbers at byte {frame_offset}")
                     frame = _Frame(*numbers, location)
             corrected.append(frame)
         return corrected
 
     def _read_rows(self, sealed_to: int) -> list[Entry]:
-        """Returns the stored rows that are in no segment: those with numbers above `sealed_to`."""
+        """Returns the stored rows that no segment contains: those with numbers above `sealed_to`."""
         try:
             lines = (self.folder / _ROW_FILE_NAME).read_bytes().split(b"\n")
         except FileNotFoundError:
             return []
         entries: list[Entry] = []
-        for line in lines[:-1]:  # a last line without its end was truncated when the process was killed
+        for line in lines[:-1]:  # a last line without a line feed was truncated when the process was killed
             try:
                 entry = from_row(orjson.loads(line))
             except (ValueError, EntryError):
-                self.problems.append("newest.rows: a row can't be read, those behind it are passed over")
+                self.problems.append(
+                    "newest.rows: a row cannot be read; it and the rows after it are skipped"
+                )
                 break
             if entry.number > sealed_to:
                 entries.append(entry)
         return entries
 
     def _replace_rows(self, entries: Iterable[Entry]) -> None:
-        """Replaces the file of newest rows by one with these entries."""
+        """Replaces the file of the newest rows with one that contains these entries."""
         if self._row_descriptor is not None:
             os.close(self._row_descriptor)
             self._row_descriptor = None
@@ -307,7 +310,7 @@
 
 
 def _unconfirmed_frames(frames: Sequence[_Frame]) -> set[int]:
-    """Returns the indexes of the first and last frame, and of adjacent ones that are not consecutive."""
+    """Returns the indexes of the first and last frame, and of adjacent frames that are not consecutive."""
     unconfirmed = {0, len(frames) - 1}
     for index in range(1, len(frames)):
         if frames[index].first != frames[index - 1].last + 1:
@@ -325,7 +328,11 @@
 
 
 def _write_all(descriptor: int, data: bytes) -> None:
-    """Writes all the data, or raises OSError: a write to a full disk may store a part first."""
+    """Writes all the data in a loop, because a single write may store only part of it, e.g. on a full disk.
+
+    Raises:
+        OSError: The data could not be written; part of it may have been.
+    """
     remaining = memoryview(data)
     while remaining:
         remaining = remaining[os.write(descriptor, remaining) :]
--- a/fernweir/journal/events.py
+++ b/fernweir/journal/events.py
@@ -1,7 +1,7 @@
 """The events of the journal: one entry for each step of a session, a server or an operator's order.
 
-Entries record what was carried out, in the order in which it was carried out; they contain no later
-inference. On the wire and on disk an entry is a JSON array, see `to_row`.
+Entries record actions in the order in which they were carried out; they contain nothing that was inferred
+later. On the wire and on disk an entry is a JSON array, see `to_row`.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 class EventKind(StrEnum):
     """The kind of an event; the value is stored."""
 
-    FRONT = "front"  # a front started (`why` is "up") or stopped ("down"); its earlier sessions are over
+    FRONT = "front"  # a front started (`why` is "up") or stopped ("down"); its earlier sessions have ended
     ASKED = "asked"  # a session began: the first request with its token was accepted
     SETUP = "setup"  # an attempt was sent to a server; `why` is the reason for choosing it
     FAILED_TRY = "failed-try"  # the attempt ended without playing
@@ -25,10 +25,10 @@
     PLAYS = "plays"  # a request was answered: the session plays
     REFUSED = "refused"  # a request was answered: rejected
     FAILED = "failed"  # a request was answered: failed
-    CONFLICT = "conflict"  # a request was answered: another request with its session contradicts it
-    ENDED = "ended"  # the session is over, at a server if it played, for the reason `why`
-    BOX = "box"  # a server's state in the endpoint list, or by an operator's order, is `why`
-    LOST = "lost"  # nothing listens at a server, and its sessions are over
+    CONFLICT = "conflict"  # a request was answered: it contradicts another request of its session
+    ENDED = "ended"  # the session ended for the reason `why`; `server` is set if it played
+    BOX = "box"  # the state of a server changed to `why`, in the endpoint list or by an operator's order
+    LOST = "lost"  # a server refuses connections, and its sessions have ended
     SILENT = "silent"  # a server with sessions sends nothing
     HEARD = "heard"  # a silent server sends again
     ORDER = "order"  # an operator's order was carried out
@@ -42,7 +42,7 @@
     """One event. Fields that do not apply are empty, or -1 if they are numbers.
 
     Entries are never changed. The class is not frozen, because creating frozen instances would take a third
-    of the time that an entry costs.
+    of the time that is needed to add an entry.
 
     Attributes:
         number: Sequence number; grows by one within a journal.
@@ -101,7 +101,7 @@
 
 
 class EntryError(ValueError):
-    """A row is not an entry; the text says why."""
+    """Raised when a row or a segment is not valid; the message gives the reason."""
 
 
 def from_row(row: object) -> Entry:
@@ -111,17 +111,17 @@
         EntryError: The row is not an entry.
     """
     if not isinstance(row, list) or not _MIN_FIELDS <= len(row) <= _MAX_FIELDS:
-        raise EntryError("not an entry")
+        raise EntryError("the row is not a list with the fields of an entry")
     number, at, what, front, session, title, cls, tenant, server, attempt, rung, why, *rest = row
     texts = (front, session, title, cls, tenant, why)
     numbers = (number, at, server, attempt, rung)
     if not all(type(text) is str for text in texts) or not all(type(value) is int for value in numbers):
-        raise EntryError("an entry's field is of the wrong type")
+        raise EntryError("a field of the row has the wrong type")
     more = rest[0] if rest else {}
     if not isinstance(more, dict):
-        raise EntryError("an entry's rest is no object")
+        raise EntryError("the last field of the row must be an object with details")
     try:
         kind = EventKind(what)
     except ValueError:
-        raise EntryError(f"unknown kind {what!r}") from None
+        raise EntryError(f"unknown event kind {what!r}") from None
     return Entry(number, at, kind, front, session, title, cls, tenant, server, attempt, rung, why, more)
--- a/fernweir/journal/segment.py
+++ b/fernweir/journal/segment.py
@@ -1,9 +1,10 @@
 """Sealed segments of the journal: compressed rows, with an index for queries by field.
 
 Fields with few values (kind, server, title, tenant, class, reason, front) have one bitmap for each value: a
-Python int with one bit for each entry, so that a query on several fields takes a few ANDs, and one without
-matches decodes nothing. Sessions have many values with few entries each: a sorted array of 32-bit hashes with
-their offsets. As hashes can collide, decoded entries are compared with the query. Free of I/O.
+Python int with one bit for each entry, so that a query on several fields needs only a few AND operations,
+and a query without matches decodes nothing. Sessions have many values with few entries each: a sorted array
+of 32-bit hashes with their offsets. As hashes can collide, decoded entries are compared with the query. This
+module performs no I/O.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 from fernweir.journal.events import Entry, EntryError, to_row
 
-# The attributes of an entry by the words of queries, which are part of the control protocol.
+# The attributes of an entry by the field names of queries, which are part of the control protocol.
 ATTRIBUTE_OF_FIELD: Mapping[str, str] = {
     "what": "what",
     "box": "server",
@@ -29,7 +30,7 @@
     "why": "why",
     "front": "front",
 }
-_COMPRESSION_LEVEL = 1  # segments are sealed on the event loop that serves viewers: speed before size
+_COMPRESSION_LEVEL = 1  # fast rather than small: segments are sealed on the event loop that serves viewers
 _BITMAP_BYTES = 120  # approximate cost of one value's bitmap, with its key
 _HASH_BYTES = 6  # a hash and its offset
 _INDEX_BYTES = 200  # approximate cost of an empty index
@@ -38,13 +39,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Query:
-    """Filters of entries, all of which must hold.
+    """Filters for entries; an entry matches if all of them hold.
 
     Attributes:
         session: The session; None for any.
         equal: Values by field, see `ATTRIBUTE_OF_FIELD`.
         since: Earliest wall time in milliseconds.
-        until: Wall time in milliseconds before which the entries must be.
+        until: Exclusive upper limit of the wall time in milliseconds.
     """
 
     session: str | None = None
@@ -53,7 +54,7 @@
     until: int = _FOREVER_MS
 
     def matches(self, entry: Entry) -> bool:
-        """Whether all filters hold for an entry."""
+        """Returns whether all filters hold for an entry."""
         if not self.since <= entry.at < self.until:
             return False
         if self.session is not None and entry.session != self.session:
@@ -67,11 +68,11 @@
 
 
 class Index:
-    """Finds which entries of a segment may match a query; exact but for sessions.
+    """Finds the entries of a segment that may match a query; exact except for hash collisions of sessions.
 
     Args:
-        entries: Objects with a `session` and the attributes of the fields.
-        attribute_of_field: The fields with a bitmap for each value, and the attributes that have them.
+        entries: Objects with a `session` and the attributes that `attribute_of_field` names.
+        attribute_of_field: The attribute of each field that has a bitmap for each of its values.
     """
 
     __slots__ = ("_bitmaps", "_hashes", "_offsets", "size")
@@ -96,7 +97,7 @@
         self._offsets = array("H", (offset for _, offset in hashed))
 
     def size_bytes(self) -> int:
-        """Returns about how much memory the index takes, in bytes."""
+        """Returns the approximate memory of the index in bytes."""
         return len(self._bitmaps) * _BITMAP_BYTES + len(self._hashes) * _HASH_BYTES + _INDEX_BYTES
 
     def find(self, query: Query) -> int:
@@ -110,10 +111,10 @@
             bitmap &= self._session_bitmap(session_hash(query.session))
         return bitmap
 
-    def _session_bitmap(self, wanted: int) -> int:
+    def _session_bitmap(self, hash_value: int) -> int:
         bitmap = 0
-        position = bisect_left(self._hashes, wanted)
-        while position < len(self._hashes) and self._hashes[position] == wanted:
+        position = bisect_left(self._hashes, hash_value)
+        while position < len(self._hashes) and self._hashes[position] == hash_value:
             bitmap |= 1 << self._offsets[position]
             position += 1
         return bitmap
@@ -133,7 +134,7 @@
 
 
 def decode_segment(data: bytes) -> list[Any]:
-    """Returns the rows of a segment, none of which has been checked; see `from_row`.
+    """Returns the rows of a segment without validating them; see `from_row`.
 
     Raises:
         EntryError: The bytes are not a segment.
@@ -141,7 +142,7 @@
     try:
         rows = orjson.loads(zlib.decompress(data))
     except (zlib.error, ValueError) as error:
-        raise EntryError(f"segment: {error}") from None
+        raise EntryError(f"the segment cannot be decoded: {error}") from None
     if not isinstance(rows, list):
-        raise EntryError("segment: no list")
+        raise EntryError("the segment must be a list of rows")
     return rows
--- a/fernweir/journal/state_projection.py
+++ b/fernweir/journal/state_projection.py
@@ -1,7 +1,7 @@
-"""The present state of a front, as a projection of its journal.
+"""The current state of a front, as a projection of its journal.
 
-A watcher gets a snapshot of a projection and the entries after it, and applies them with this same code. Two
-projections with equal `to_plain` show the same state.
+A watcher gets a snapshot of a projection and the entries after it, and applies them with the same code. Two
+projections whose `to_plain` is equal represent the same state.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from fernweir.journal.events import ANSWERS, Entry, EventKind
 
-# The attributes of rows by the names under which snapshots and answers have them, in the order of both.
+# The attributes of rows by their names in snapshots and replies, in the order in which both list them.
 SESSION_ATTRIBUTES: Mapping[str, str] = {
     "session": "session",
     "front": "front",
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class SessionRow:
-    """A session that is not over.
+    """A session that has not ended.
 
     Attributes:
         session: Its id.
@@ -56,7 +56,7 @@
         server: Number of its server; -1 if it has none.
         attempt: Number of its last attempt; -1 if there was none.
         rung: Its rung; -1 if it has none.
-        why: Reason of the last attempt or of its failure.
+        why: Reason for the last attempt or for its failure.
     """
 
     session: str
@@ -88,16 +88,16 @@
 
 @dataclass(slots=True)
 class ServerRow:
-    """A server: its state by the endpoint list, by orders, and its sessions.
+    """A server: its state according to the endpoint list and to orders, and the counts of its sessions.
 
     Attributes:
         server: Its number.
         listed: Its state in the endpoint list.
         drained_by: The operator who ordered it to drain; empty if none did.
         start: Identifies one incarnation of the server.
-        silent: Whether it has sessions and sends nothing.
-        playing: How many sessions play there.
-        out: How many attempts are in flight there.
+        silent: Whether it has sessions but sends nothing.
+        playing: Number of sessions that play on it.
+        out: Number of attempts in flight to it.
     """
 
     server: int
@@ -124,31 +124,31 @@
 
     @property
     def state(self) -> str:
-        """Its state in the endpoint list, or "draining" by an operator's order."""
+        """Its state in the endpoint list, or "draining" if it is ready and an operator ordered a drain."""
         return "draining" if self.drained_by and self.listed == "ready" else self.listed
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is known of the server that needs a row."""
+        """Whether the server has no state for which a row is needed."""
         return self.listed == "unlisted" and not (self.playing or self.out or self.drained_by)
 
 
 @dataclass(slots=True)
 class StateProjection:
-    """The state that the entries of a journal add up to.
+    """The state that results from applying the entries of a journal.
 
     Attributes:
         number: Number of the last entry that was applied.
         at: Latest wall time of the entries in milliseconds.
-        sessions: Sessions that are not over, by front and id.
+        sessions: Sessions that have not ended, by front and id.
         servers: Servers by number.
         answers: Counts of answers by kind.
         by_class: Counts of answers by class and kind, separated by a space.
         refusals: Counts of rejections and failures by reason.
-        fronts: Wall time since when each front is up.
-        holds: The operator who held a title, by title.
-        caps: Upper limits of sessions, by what they limit.
-        orders: The latest orders as text, the newest last.
+        fronts: Wall time in milliseconds at which each running front started.
+        holds: The operator who placed a hold on a title, by title.
+        caps: Upper limits of sessions, by the target that they limit.
+        orders: The latest orders as text, newest last.
     """
 
     number: int = 0
@@ -164,7 +164,7 @@
     orders: list[str] = field(default_factory=list)
 
     def apply(self, entry: Entry) -> None:
-        """Applies an entry, unless it or a later one was applied before."""
+        """Applies an entry; ignores one whose number is not greater than that of the last applied entry."""
         if entry.number <= self.number:
             return
         self.number = entry.number
@@ -220,7 +220,7 @@
             return
         has_other_fronts = bool(set(self.fronts) - {entry.front})
         if not has_other_fronts:
-            # Nobody followed the endpoint list meanwhile; all its servers will be reported again.
+            # No front followed the endpoint list in the meantime; all its servers will be reported again.
             self.servers = {
                 row.server: ServerRow(row.server, drained_by=row.drained_by)
                 for row in self.servers.values()
@@ -272,7 +272,7 @@
             row.rung = entry.rung
 
     def _on_moved(self, entry: Entry) -> None:
-        """Changes nothing: the end of the attempt is an entry of its own."""
+        """Changes nothing: the end of the attempt is recorded as a separate entry."""
 
     def _on_answered(self, entry: Entry) -> None:
         self.answers[entry.what] += 1
@@ -309,7 +309,7 @@
         self._server(entry.server).silent = entry.what is EventKind.SILENT
 
     def _on_order(self, entry: Entry) -> None:
-        """Records an order; `more` has all drains, holds and caps that are in force after it."""
+        """Records an order; `more` contains all drains, holds and caps that are in effect after it."""
         more = entry.more
         self.orders.append(f"{entry.at} {more.get('by', '')}: {entry.why}")
         del self.orders[:-_MAX_ORDERS]
@@ -321,7 +321,7 @@
             self.caps = {str(target): int(limit) for target, limit in more["caps"].items()}
 
     def _replace_drains(self, operators: Mapping[str, Any]) -> None:
-        """Marks the servers that drain, and none besides; `operators` has who ordered it, by server."""
+        """Replaces the set of draining servers; `operators` maps each to the operator who ordered it."""
         for row in self.servers.values():
             row.drained_by = ""
         for number, operator in operators.items():
@@ -341,7 +341,7 @@
             self._release_server(row)
 
     def _release_server(self, row: SessionRow) -> None:
-        """Subtracts a session or its attempt from the counts of its server."""
+        """Subtracts a session or its attempt in flight from the counts of its server."""
         if row.server < 0 or row.phase == "asked":
             return
         server = self._server(row.server)
--- a/fernweir/journal/store.py
+++ b/fernweir/journal/store.py
@@ -1,9 +1,9 @@
 """The journal: appends entries, bounds them in memory and on disk, and finds them by field and time.
 
-The newest entries are kept as objects; each full run of them is sealed into a segment. A `SegmentStore` keeps
-the sealed segments for longer than memory does. When it fails (the disk is full), the journal continues in
-memory, reports the fault once, and tries again with the next segment. The oldest entries are dropped first;
-`first` is the oldest that remains.
+The newest entries are stored as objects; once there are enough of them, they are sealed into a segment. A
+`SegmentStore` retains the sealed segments for longer than memory does. When it fails (e.g. the disk is full),
+the journal continues in memory, reports the fault once, and retries with the next segment. The oldest entries
+are dropped first; `first` is the number of the oldest that remains.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from fernweir.journal.segment import Index, Query, decode_segment, encode_segment, set_bits
 
 _JOURNAL_ID_BYTES = 8
-_SEGMENT_OVERHEAD_BYTES = 300  # approximate cost of a sealed segment besides its data and index
+_SEGMENT_OVERHEAD_BYTES = 300  # approximate memory of a sealed segment without its data and index
 _FOREVER_MS = 1 << 62
 _UNLIMITED = -1
 
@@ -33,10 +33,10 @@
 
 
 class SegmentStore(Protocol):
-    """Stores sealed segments and the newest rows beyond the end of the process. Its methods raise OSError."""
+    """Stores sealed segments and the newest rows across restarts. Its methods raise OSError."""
 
     def append_segment(self, first: int, last: int, data: bytes) -> object:
-        """Stores a sealed segment, drops the newest rows, which it contains, and returns its handle."""
+        """Stores a sealed segment, drops the stored newest rows, and returns the segment's handle."""
 
     def read_segment(self, handle: object) -> bytes:
         """Returns the bytes of a segment."""
@@ -53,9 +53,9 @@
     """Settings of a journal.
 
     Attributes:
-        segment_entries: How many entries make a segment.
+        segment_entries: Number of entries in a segment.
         max_memory_bytes: Upper limit of sealed segments and their indexes in memory.
-        max_decoded_segments: How many decoded segments are cached.
+        max_decoded_segments: Upper limit of cached decoded segments.
     """
 
     segment_entries: int = 512
@@ -64,7 +64,7 @@
 
 
 class EventFields(TypedDict, total=False):
-    """The fields of an entry that an event may have; see `Entry`."""
+    """The optional fields of an entry; see `Entry`."""
 
     session: str
     title: str
@@ -95,7 +95,10 @@
 
 @dataclass(slots=True)
 class _ScanBudget:
-    """How many segments a query may still read, and before which entry it stopped when none was left."""
+    """The number of segments that a query may still read.
+
+    `stopped_at` is the entry before which the query stopped because no segment was left.
+    """
 
     segments_left: int = _UNLIMITED
     stopped_at: int | None = None
@@ -105,16 +108,16 @@
 
 
 class Journal:
-    """A journal of one front or unit.
+    """The journal of one front or unit.
 
     Attributes:
-        front: Name of the front that entries get by default.
-        config: Settings.
-        segment_store: Where segments are stored; None for a journal in memory.
-        wall_offset_ms: Wall time less the loop's clock, in milliseconds.
+        front: Name of the front that is recorded in entries by default.
+        config: Settings of the journal.
+        segment_store: The store of the segments; None for a journal that exists only in memory.
+        wall_offset_ms: Wall time minus the time of the event loop's clock, in milliseconds.
         id: Identifies the journal; entry numbers are meaningful only within it.
         last: Number of the newest entry.
-        fault: Why the segment store fails at present; empty if it does not.
+        fault: The reason why the segment store currently fails; empty if it works.
         on_fault: Called with the reason when the store fails or an entry cannot be read, and with an empty
             text when the store works again.
         watchers: Called with each entry that is appended.
@@ -144,14 +147,14 @@
 
     @property
     def first(self) -> int:
-        """The number of the oldest entry that can still be found."""
+        """The number of the oldest entry that has not been dropped."""
         if self._sealed:
             return self._sealed[0].first
         return self._newest[0].number if self._newest else self.last + 1
 
     @property
     def memory_bytes(self) -> int:
-        """About how much memory the sealed segments and their indexes take, in bytes."""
+        """The approximate memory of the sealed segments and their indexes in bytes."""
         return self._sealed_bytes
 
     def __len__(self) -> int:
@@ -169,9 +172,9 @@
         """Appends an event and returns its entry.
 
         Args:
-            now: Time of the loop's clock in milliseconds.
+            now: Time of the event loop's clock in milliseconds.
             what: The kind of the event.
-            front: Name of the front; by default the journal's own.
+            front: Name of the front; by default the `front` of the journal.
             more: Further details.
             fields: The other fields of the entry.
         """
@@ -188,7 +191,7 @@
         return entry
 
     def restore(self, journal_id: str, sealed: Sequence[StoredSegment], newest: Sequence[Entry]) -> None:
-        """Continues the journal that an earlier process stored; its segments are read on demand.
+        """Continues the journal that an earlier process stored; its segments are read only when needed.
 
         Args:
             journal_id: The id of the journal.
@@ -227,14 +230,14 @@
     ) -> tuple[list[Entry], int | None]:
         """Finds entries as `find` does, but reads a limited number of segments.
 
-        Reading a segment blocks the caller's event loop for most of a millisecond, so a query whose matches
-        are spread over a day must not delay viewers.
+        Reading a segment blocks the caller's event loop for most of a millisecond, so the limit
+        prevents a query with matches spread over a day from delaying viewers.
 
         Args:
             query: The filters.
             limit: Upper limit of entries.
             before: Number that the entries must be less than; None for no limit.
-            max_segments: Upper limit of segments that are read.
+            max_segments: Upper limit of segments to read.
 
         Returns:
             The entries, newest first, and the `before` to continue with; None if there are no more.
@@ -268,7 +271,7 @@
         """Yields the entries of a segment at the offsets of a bitmap, newest first."""
         rows = self._decode(sealed)
         for offset in set_bits(bitmap, newest_first=True):
-            # Only these rows are converted to entries: a segment has hundreds of others.
+            # Converts only the candidate rows: a segment has hundreds of others.
             entry = self._entry_of_row(rows[offset]) if offset < len(rows) else None
             if entry is not None:
                 yield entry
@@ -296,7 +299,7 @@
         self._enforce_limits()
 
     def _call_store(self, operation: Callable[[SegmentStore], object]) -> object | None:
-        """Calls the store and reports when it starts or stops failing; a failure never stops the front."""
+        """Calls the store and reports when it starts or stops failing; failures are not raised."""
         assert self.segment_store is not None
         try:
             result = operation(self.segment_store)
@@ -311,7 +314,7 @@
         return result
 
     def _enforce_limits(self) -> None:
-        """Frees memory: first data and then indexes of stored segments, then whole segments."""
+        """Frees memory: first the data and then the indexes of stored segments, then complete segments."""
         stored_from = self.segment_store.first_number() if self.segment_store is not None else 0
         while self._sealed and self._sealed[0].handle is not None and self._sealed[0].first < stored_from:
             self._drop_oldest()  # the store has deleted it
@@ -336,7 +339,7 @@
         self._rows.pop(sealed.first, None)
 
     def _index(self, sealed: _SealedSegment) -> Index:
-        """Returns the index of a segment; one that was freed is rebuilt, and cached if memory allows it."""
+        """Returns the index of a segment; a freed index is rebuilt, and cached if memory allows it."""
         if sealed.index is not None:
             return sealed.index
         entries = self._entries(sealed)
@@ -356,11 +359,11 @@
         try:
             return from_row(row)
         except EntryError as error:
-            self.on_fault(f"an entry can't be read: {error}")
+            self.on_fault(f"an entry cannot be read: {error}")
             return None
 
     def _decode(self, sealed: _SealedSegment) -> list[Any]:
-        """Returns the rows of a segment from the cache, from memory or from the store; none if it fails."""
+        """Returns the rows of a segment from the cache, memory or the store; none if reading fails."""
         cached = self._rows.get(sealed.first)
         if cached is not None:
             self._rows.move_to_end(sealed.first)
@@ -372,7 +375,7 @@
                 data = self.segment_store.read_segment(sealed.handle)
             rows = decode_segment(data)
         except (OSError, EntryError) as error:
-            self.on_fault(f"entries {sealed.first} to {sealed.last} can't be read: {error}")
+            self.on_fault(f"entries {sealed.first} to {sealed.last} cannot be read: {error}")
             rows = []
         self._rows[sealed.first] = rows
         if len(self._rows) > self.config.max_decoded_segments:
@@ -381,6 +384,6 @@
 
 
 def _time_range(entries: Sequence[Entry]) -> tuple[int, int]:
-    """Returns the earliest wall time of the entries, and the first one after all of them."""
+    """Returns the half-open range of the entries' wall times: the earliest, and the latest plus 1 ms."""
     times = [entry.at for entry in entries]
     return min(times), max(times) + 1
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal against a plain list: asked by any field, bounded, restarted, cut off, damaged, out of disk."""
+"""Tests of the journal: queries compared with a scan of a list, limits, restarts, damage and a full disk."""
 
 from __future__ import annotations
 
@@ -48,35 +48,35 @@
     st.integers(1, 70),
 )
 @hypothesis_settings(max_examples=150)
-def test_it_finds_what_a_plain_scan_finds(
+def test_queries_find_what_a_plain_scan_finds(
     rows: list[Any], session: str | None, equal: dict[str, object], since: int, span: int, limit: int,
     before: int,
 ) -> None:  # fmt: skip
     journal, plain, now = Journal("f", SMALL), [], 0.0
-    for what, name, lesson, box, why, step in rows:
+    for what, name, title, server, why, step in rows:
         now += step
-        plain.append(journal.add(now, what, session=name, title=lesson, server=box, why=why))
-    question = Query(session, equal, since, since + span)
-    expected = [one for one in reversed(plain) if question.matches(one) and one.number < before]
-    assert journal.find(question, limit, before) == expected[:limit]
+        plain.append(journal.add(now, what, session=name, title=title, server=server, why=why))
+    query = Query(session, equal, since, since + span)
+    expected = [entry for entry in reversed(plain) if query.matches(entry) and entry.number < before]
+    assert journal.find(query, limit, before) == expected[:limit]
     assert list(journal.entries(3, 20)) == plain[2:19]
     paged, following = [], before
-    while following is not None:  # the same, a few segments at a time
-        page, following = journal.search(question, limit, following, max_segments=1)
+    while following is not None:  # the same query, one segment at a time
+        page, following = journal.search(query, limit, following, max_segments=1)
         paged += page
     assert paged == expected
 
 
-def test_memory_stays_under_its_bound_and_the_oldest_leave_first() -> None:
-    rules = JournalConfig(segment_entries=64, max_memory_bytes=60_000)
-    journal = Journal("f", rules)
+def test_memory_stays_under_its_limit_and_the_oldest_entries_are_dropped_first() -> None:
+    config = JournalConfig(segment_entries=64, max_memory_bytes=60_000)
+    journal = Journal("f", config)
     fill(journal, 20_000)
-    assert journal.memory_bytes <= rules.max_memory_bytes and 1 < journal.first < 20_000
-    assert [one.number for one in journal.entries(0)] == list(range(journal.first, 20_001))
+    assert journal.memory_bytes <= config.max_memory_bytes and 1 < journal.first < 20_000
+    assert [entry.number for entry in journal.entries(0)] == list(range(journal.first, 20_001))
     assert journal.find(Query("s1")) == [] and journal.find(Query("s19999"))[0].number == 20_000
 
 
-def test_what_leaves_memory_is_read_from_disk_until_the_disk_is_bounded_too(tmp_path: Path) -> None:
+def test_entries_dropped_from_memory_are_read_from_disk_up_to_the_disk_limit(tmp_path: Path) -> None:
     folder = JournalFolder(tmp_path, max_bytes=60_000, file_bytes=10_000)
     journal = Journal("f", JournalConfig(segment_entries=64, max_memory_bytes=30_000), folder)
     journal.restore(*folder.open())
@@ -89,28 +89,28 @@
     folder.close()
 
 
-@pytest.mark.parametrize("cut", [0, 1, 30])
-def test_killed_and_opened_again_it_has_what_was_written(tmp_path: Path, cut: int) -> None:
+@pytest.mark.parametrize("truncated_bytes", [0, 1, 30])
+def test_entries_written_before_a_kill_are_restored(tmp_path: Path, truncated_bytes: int) -> None:
     folder = JournalFolder(tmp_path)
     journal = Journal("f", SMALL, folder)
     journal.restore(*folder.open())
     fill(journal, 83)
     expected = list(journal.entries(0))
-    if cut:  # a kill may leave part of the newest row
+    if truncated_bytes:  # a kill may leave only a part of the newest row
         size = (tmp_path / "newest.rows").stat().st_size
-        os.truncate(tmp_path / "newest.rows", size - cut)
+        os.truncate(tmp_path / "newest.rows", size - truncated_bytes)
         expected.pop()
     for _ in range(3):
-        again = JournalFolder(tmp_path)
-        life = Journal("f", SMALL, again)
-        life.restore(*again.open())
-        assert list(life.entries(0)) == expected and again.problems == []
-        expected.append(life.add(500.0, EventKind.FRONT, why="up"))
-        assert life.find(Query("s40"))[0].number == 41
-        again.close()
+        reopened = JournalFolder(tmp_path)
+        restored = Journal("f", SMALL, reopened)
+        restored.restore(*reopened.open())
+        assert list(restored.entries(0)) == expected and reopened.problems == []
+        expected.append(restored.add(500.0, EventKind.FRONT, why="up"))
+        assert restored.find(Query("s40"))[0].number == 41
+        reopened.close()
 
 
-def test_damage_is_said_and_the_rest_is_kept(tmp_path: Path) -> None:
+def test_damage_is_reported_and_intact_entries_are_restored(tmp_path: Path) -> None:
     folder = JournalFolder(tmp_path, file_bytes=500)
     journal = Journal("f", SMALL, folder)
     journal.restore(*folder.open())
@@ -121,16 +121,16 @@
     data[-3] ^= 0xFF
     files[1].write_bytes(data)
     files[2].write_bytes(b"what is this")
-    again = JournalFolder(tmp_path, file_bytes=500)
-    life = Journal("f", SMALL, again)
-    life.restore(*again.open())
-    assert len(again.problems) >= 2 and "damaged at byte" in again.problems[0]
-    numbers = [one.number for one in life.entries(0)]
+    reopened = JournalFolder(tmp_path, file_bytes=500)
+    restored = Journal("f", SMALL, reopened)
+    restored.restore(*reopened.open())
+    assert len(reopened.problems) >= 2 and "damaged at byte" in reopened.problems[0]
+    numbers = [entry.number for entry in restored.entries(0)]
     assert numbers[0] == 1 and numbers[-1] == 200 and 100 < len(numbers) < 200
-    again.close()
+    reopened.close()
 
 
-def test_zeros_that_a_lost_write_left_are_no_frames(tmp_path: Path) -> None:
+def test_zero_bytes_left_by_a_lost_write_are_not_read_as_frames(tmp_path: Path) -> None:
     folder = JournalFolder(tmp_path)
     journal = Journal("f", SMALL, folder)
     journal.restore(*folder.open())
@@ -138,16 +138,16 @@
     folder.close()
     with open(next(tmp_path.glob("*.blocks")), "ab") as file:
         file.write(bytes(100))
-    again = JournalFolder(tmp_path)
-    life = Journal("f", SMALL, again)
-    life.restore(*again.open())
-    assert [one.number for one in life.entries(0)] == list(range(1, 21)) and life.last == 20
-    assert "100 bytes passed over" in again.problems[0]
-    again.close()
+    reopened = JournalFolder(tmp_path)
+    restored = Journal("f", SMALL, reopened)
+    restored.restore(*reopened.open())
+    assert [entry.number for entry in restored.entries(0)] == list(range(1, 21)) and restored.last == 20
+    assert "100 bytes skipped" in reopened.problems[0]
+    reopened.close()
 
 
-def test_a_full_disk_is_said_once_and_the_journal_goes_on(tmp_path: Path) -> None:
-    class Full(JournalFolder):
+def test_a_full_disk_is_reported_once_and_the_journal_continues(tmp_path: Path) -> None:
+    class FullDiskFolder(JournalFolder):
         full = False
 
         def append_row(self, entry: Entry) -> None:
@@ -160,18 +160,18 @@
                 raise OSError(errno.ENOSPC, "No space left on device")
             return super().append_segment(first, last, data)
 
-    folder, said = Full(tmp_path), []
+    folder, faults = FullDiskFolder(tmp_path), []
     journal = Journal("f", SMALL, folder)
-    journal.on_fault = said.append
+    journal.on_fault = faults.append
     journal.restore(*folder.open())
     fill(journal, 20)
     folder.full = True
     fill(journal, 40, 20)
-    assert said == ["No space left on device"]
+    assert faults == ["No space left on device"]
     assert len(list(journal.entries(0))) == 60 and journal.find(Query("s30"))
     folder.full = False
     fill(journal, 16, 60)
-    assert said == ["No space left on device", ""] and journal.fault == ""
+    assert faults == ["No space left on device", ""] and journal.fault == ""
     folder.close()
 
 
@@ -188,22 +188,22 @@
         [1, 2, "plays", "", "", "", "", "", 1, 1, 1, "", []],
     ],
 )
-def test_rows_that_are_no_entries(row: Any) -> None:
+def test_rows_that_are_not_entries_are_rejected(row: Any) -> None:
     with pytest.raises(EntryError):
         from_row(row)
 
 
-def test_text_that_is_no_unicode_does_not_stop_the_journal(tmp_path: Path) -> None:
+def test_lone_surrogates_are_escaped_and_do_not_stop_the_journal(tmp_path: Path) -> None:
     folder = JournalFolder(tmp_path)
     journal = Journal("f", SMALL, folder)
     journal.restore(*folder.open())
     for _ in range(20):
         journal.add(0.0, EventKind.REFUSED, session="s", tenant="t\ud800", why="w\udfff\x00")
-    assert {one.tenant for one in journal.entries(1)} == {"t\\ud800"}
+    assert {entry.tenant for entry in journal.entries(1)} == {"t\\ud800"}
     folder.close()
 
 
-def test_an_entry_survives_its_row() -> None:
+def test_an_entry_equals_the_one_decoded_from_its_row() -> None:
     journal = Journal("f")
     entry = journal.add(
         1.5, EventKind.SETUP, session="s", title="l", server=3, more={"passed": [[1, "full"]]}
@@ -211,16 +211,16 @@
     assert from_row(to_row(entry)) == entry
 
 
-def test_a_front_that_came_back_ends_its_sessions_of_before_and_nobody_elses() -> None:
-    journal, picture = Journal("", SMALL), StateProjection()
-    journal.watchers.append(picture.apply)
+def test_a_restarted_front_ends_only_its_own_earlier_sessions() -> None:
+    journal, projection = Journal("", SMALL), StateProjection()
+    journal.watchers.append(projection.apply)
     for front in ("f1", "f2"):
         journal.add(0.0, EventKind.FRONT, front=front, why="up")
         journal.add(0.0, EventKind.ASKED, front=front, session="same-id", title="l", cls="c")
         journal.add(0.0, EventKind.SETUP, front=front, session="same-id", server=1, attempt=0, rung=2)
         journal.add(0.0, EventKind.STARTED, front=front, session="same-id", server=1, attempt=0, rung=2)
-    assert picture.servers[1].playing == 2 and len(picture.sessions) == 2
+    assert projection.servers[1].playing == 2 and len(projection.sessions) == 2
     journal.add(0.0, EventKind.FRONT, front="f1", why="up")
-    assert list(picture.sessions) == ["f2/same-id"] and picture.servers[1].playing == 1
+    assert list(projection.sessions) == ["f2/same-id"] and projection.servers[1].playing == 1
     journal.add(0.0, EventKind.FRONT, front="f2", why="down")
-    assert picture.sessions == {} and picture.servers == {} and list(picture.fronts) == ["f1"]
+    assert projection.sessions == {} and projection.servers == {} and list(projection.fronts) == ["f1"]
