--- a/fernweir/config/__init__.py
+++ b/fernweir/config/__init__.py
@@ -1,4 +1,4 @@
-"""Settings: INI read by the standard library, checked by schemas, every mistake named with its line."""
+"""Settings files: INI parsed by the standard library and validated with schemas; errors name their line."""
 
 from fernweir.config.front import FrontConfig, load_front
 from fernweir.config.ini import ConfigError, Problem
--- a/fernweir/config/front.py
+++ b/fernweir/config/front.py
@@ -1,6 +1,6 @@
-"""The settings of a front, and the controller's `Settings` made of them.
+"""The settings of a front, and the controller's `Settings` derived from them.
 
-Times are milliseconds, rates kB/s and sizes bytes, whatever units the file has.
+Times are in milliseconds, rates in kB/s and sizes in bytes, regardless of the units in the file.
 """
 
 from __future__ import annotations
@@ -53,7 +53,7 @@
 
 
 class FrontSection(Section):
-    """The front itself: its name, addresses, place among the fronts, and times of its event loop."""
+    """The front itself: its name, its addresses, its position among the fronts, and its timing."""
 
     name: Name
     listen: Address
@@ -69,7 +69,7 @@
 
 
 class ListSection(Section):
-    """The endpoint list: its URL, a file that caches it, and how long its stream may be silent."""
+    """The endpoint list: its URL, the file that caches it, and the longest silence of its stream."""
 
     url: HttpUrl
     cache: str | None = None
@@ -77,7 +77,7 @@
 
 
 class TokensSection(Section):
-    """Keys and claims of tokens: of viewers, and those that the front issues for servers."""
+    """Keys and claims of the tokens of viewers and of the tokens that the front issues for servers."""
 
     keys: str
     sign_with: str | None = None
@@ -93,7 +93,7 @@
 
 
 class FleetSection(Section):
-    """The servers: zones, racks, streams by type of server, and rates of links and uplinks."""
+    """The servers: numbers of zones and racks, streams by type of server, rates of links and uplinks."""
 
     cells: Positive
     racks: Positive
@@ -103,7 +103,7 @@
 
 
 class LadderSection(Section):
-    """The bitrate ladder: rate and utility of each rung, lowest first, and the cost of a switch."""
+    """The bitrate ladder: rate and utility of each rung, lowest first, and the cost of changing the rung."""
 
     rates: RatesKb
     worths: Ratios
@@ -111,7 +111,7 @@
 
 
 class ReportsSection(Section):
-    """Load reports: their fields, interval and delay, and whether the front may check health."""
+    """Load reports: their fields, interval and delay, and whether the front may send health checks."""
 
     fields: Names = Field(default_factory=list)
     tell: Millis = 0.0
@@ -120,7 +120,7 @@
 
 
 class RulesSection(Section):
-    """Limits of attempts and retries, the retry budget, and slow start."""
+    """Limits of attempts and retries, the retry budget, and the slow start of servers."""
 
     attempts: Positive | None = None
     retry_after_max: Millis | None = None
@@ -177,7 +177,7 @@
 
 
 class EntitlementSection(Section):
-    """The entitlement server that leases seats; without this section every valid token may play."""
+    """The entitlement server that leases seats; without this section a valid token is sufficient."""
 
     url: HttpUrl
     ledger: str
@@ -190,10 +190,10 @@
 
 
 class IntrospectionSection(Section):
-    """The server for token introspection (RFC 7662); without this section a valid signature suffices.
+    """The server for token introspection (RFC 7662); without this section a valid signature is sufficient.
 
-    With `tokens` set to `all` signed tokens are introspected too, with `opaque` only those without claims.
-    `believe` and `disbelieve` are the positive and the negative cache TTL.
+    If `tokens` is `all`, signed tokens are introspected too; if it is `opaque`, only tokens without claims.
+    `believe` is the TTL of positive results in the cache and `disbelieve` that of negative results.
     """
 
     url: HttpUrl
@@ -206,10 +206,10 @@
 
 
 class ControlSection(Section):
-    """The control socket, operators' orders and the journal; without this section there are none.
+    """The control socket, operators' orders and the journal; without this section the front has none of them.
 
-    `operators` may give orders, or everybody if none is named; `mode` decides who may connect. A `led` front
-    follows the orders of a unit, and `orders` is the unit's file then.
+    `operators` lists who may give orders; if it is empty, everybody may. `mode` sets the permissions of the
+    socket. A front with `led` follows the orders of a unit; `orders` is the file of the unit in this case.
     """
 
     socket: str
@@ -225,7 +225,7 @@
 
 
 class LogSection(Section):
-    """Format and level of the log."""
+    """The format and the level of the log."""
 
     format: Literal["json", "text"] = "json"
     level: Literal["debug", "info", "warning", "error"] = "info"
@@ -233,7 +233,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FrontConfig:
-    """All settings of a front; relative paths are resolved against the folder of its file."""
+    """All settings of a front; relative paths are resolved against the folder of the settings file."""
 
     folder: Path
     front: FrontSection
@@ -249,16 +249,16 @@
     plays_unanswered: frozenset[str]
     class_names: dict[str, int]
     settings: Settings
-    sections: dict[str, dict[str, str]]  # as they stand in the file
+    sections: dict[str, dict[str, str]]  # the unparsed values of the file
 
     def path(self, name: str) -> Path:
-        """Returns the path of a file that the settings name."""
+        """Returns the path of a file that is named in the settings."""
         return self.folder / name
 
 
 @dataclass(frozen=True, slots=True)
 class _Sections:
-    """The sections of a file; None for one that is missing or has problems."""
+    """The sections of a file; a section that is missing or has problems is None."""
 
     front: FrontSection | None
     endpoint_list: ListSection | None
@@ -346,13 +346,13 @@
 
 
 def _present(section: SectionT | None) -> SectionT:
-    """Returns a section that a file without problems has."""
+    """Returns a section that is always present in a file without problems."""
     assert section is not None
     return section
 
 
 def _check_sections(reader: SectionReader, sections: _Sections, folder: Path) -> None:
-    """Adds problems between values of one or several sections."""
+    """Adds the problems that concern more than one value, in one or several sections."""
     if sections.peers is not None:
         check_peers(reader, sections.peers, folder)
     if not any(name.startswith("class.") for name in reader.file.sections):
@@ -393,10 +393,12 @@
 
 
 def _check_reports(reader: SectionReader, reports: ReportsSection) -> None:
-    known = ("active", "waiting", "cpu", "avg_ms", "rps", "err_rps", "x0", "x1")
+    known_fields = ("active", "waiting", "cpu", "avg_ms", "rps", "err_rps", "x0", "x1")
     for field in reports.fields:
-        if field not in known:
-            reader.add_problem("reports", "fields", f"unknown field {field}; known are {', '.join(known)}")
+        if field not in known_fields:
+            reader.add_problem(
+                "reports", "fields", f"unknown field {field}; known are {', '.join(known_fields)}"
+            )
 
 
 def _controller_settings(sections: _Sections) -> Settings:
--- a/fernweir/config/ini.py
+++ b/fernweir/config/ini.py
@@ -13,11 +13,11 @@
 from pydantic import BaseModel, ConfigDict, ValidationError
 from pydantic_core import ErrorDetails
 
-_MAX_SHOWN_VALUE = 60  # characters of a wrong value that a problem shows
+_MAX_SHOWN_VALUE = 60  # characters of an invalid value that are shown in a problem
 
 
 class Section(BaseModel):
-    """One section. A key is written as its field, or with hyphens in place of the underscores."""
+    """Base class of section schemas. Keys have the names of the fields, with hyphens or underscores."""
 
     model_config = ConfigDict(
         extra="forbid",
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One problem of a file; `line` is 0 if no line of the file causes it."""
+    """A problem of a file; `line` is 0 if the problem does not belong to a line."""
 
     section: str
     key: str
@@ -43,7 +43,7 @@
 
 
 class ConfigError(Exception):
-    """Settings cannot be used; `problems` has all reasons, in the order of their lines."""
+    """Raised when settings are not valid; `problems` contains all problems, ordered by line."""
 
     def __init__(self, path: str, problems: Iterable[Problem]) -> None:
         self.path = path
@@ -52,21 +52,21 @@
 
 
 class IniFile:
-    """A parsed INI text with the line of each section and key.
+    """A parsed INI text, with the line number of each section and key.
 
     Args:
         text: The text.
-        path: The name of the file in errors.
+        path: The name of the file in error messages.
 
     Raises:
-        ConfigError: The text cannot be parsed, or has a section or key twice.
+        ConfigError: The text cannot be parsed, or contains a section or key twice.
     """
 
     def __init__(self, text: str, path: str = "settings") -> None:
         self.path = path
         parser = _Parser()
         try:
-            parser.read_file(parser.numbered(text), path)
+            parser.read_file(parser.numbered_lines(text), path)
         except configparser.DuplicateOptionError as error:
             problem = Problem(error.section, error.option, error.lineno or 0, "given twice")
             raise ConfigError(path, [problem]) from None
@@ -77,29 +77,32 @@
                 path, [Problem("", "", error.lineno, "a line before the first section")]
             ) from None
         except configparser.ParsingError as error:
-            lines = [Problem("", "", line, f"can't be read: {source}") for line, source in error.errors]
-            raise ConfigError(path, lines) from None
+            problems = [Problem("", "", line, f"can't be read: {source}") for line, source in error.errors]
+            raise ConfigError(path, problems) from None
         self.sections: dict[str, dict[str, str]] = {
             name: dict(parser.items(name)) for name in parser.sections()
         }
         self.lines = parser.lines
 
     def line(self, section: str, key: str = "") -> int:
-        """Returns the line of a key, else that of its section, else 0."""
+        """Returns the line number of a key, otherwise that of its section, otherwise 0."""
         return self.lines.get((section, key)) or self.lines.get((section, ""), 0)
 
 
 class _Parser(configparser.ConfigParser):
-    """Records the lines of sections and keys while it parses; a second parser might disagree with it."""
+    """A parser that records the lines of sections and keys.
+
+    The lines are recorded during parsing because a second parser might interpret the text differently.
+    """
 
     def __init__(self) -> None:
-        # No file can have a section of this name, whose keys would apply to all others.
+        # The keys of the default section apply to all others; no file can contain a section of this name.
         super().__init__(interpolation=None, strict=True, default_section="\n")
         self.lines: dict[tuple[str, str], int] = {}
         self._line_number = 0
 
-    def numbered(self, text: str) -> Iterator[str]:
-        """Yields the lines of a text and records after each whether it began a section."""
+    def numbered_lines(self, text: str) -> Iterator[str]:
+        """Yields the lines of a text, and records the line number of each section that begins."""
         section_count = 0
         for number, line in enumerate(io.StringIO(text), 1):
             self._line_number = number
@@ -111,7 +114,7 @@
         self._line_number = 0
 
     def optionxform(self, optionstr: str) -> str:
-        """Records the line of a key that is parsed, and returns the key unchanged."""
+        """Records the line of the key that is being parsed, and returns the key unchanged."""
         if self._line_number:
             self.lines.setdefault((self.sections()[-1], optionstr), self._line_number)
         return optionstr
@@ -121,11 +124,11 @@
 
 
 class SectionReader:
-    """Reads the sections of a file one by one and collects all problems.
+    """Reads the sections of a file one by one and collects their problems.
 
     Attributes:
-        file: The file.
-        problems: The problems found so far.
+        file: The parsed file.
+        problems: The problems that have been found so far.
     """
 
     def __init__(self, file: IniFile) -> None:
@@ -138,12 +141,12 @@
         """Reads a section.
 
         Args:
-            name: Its name.
-            schema: Its keys.
-            required: Whether it must be there if one of its keys must.
+            name: The name of the section.
+            schema: The schema of the section.
+            required: Whether the section must be present if one of its keys is required.
 
         Returns:
-            The section; None if it has problems, or is missing and required.
+            The section; None if it has problems, or if it is required and missing.
         """
         self._known_names.append(name)
         values = self.file.sections.get(name)
@@ -160,7 +163,7 @@
             return None
 
     def read_sections(self, prefix: str, schema: type[SectionT]) -> dict[str, SectionT]:
-        """Reads all sections `prefix.NAME`; returns those without problems by NAME, in the file's order."""
+        """Reads all sections `prefix.NAME`; returns the valid ones by NAME, in the file's order."""
         self._known_names.append(f"{prefix}.NAME")
         sections = {}
         for name in self.file.sections:
@@ -171,14 +174,14 @@
         return sections
 
     def add_problem(self, section: str, key: str, text: str) -> None:
-        """Adds a problem of a key, or of a section if the key is empty."""
+        """Adds a problem of a key, or of the section if the key is empty."""
         self.problems.append(Problem(section, key, self.file.line(section, key), text))
 
     def raise_problems(self) -> None:
-        """Ends the reading.
+        """Raises the collected problems; called after all sections have been read.
 
         Raises:
-            ConfigError: There are problems, or sections that nobody read.
+            ConfigError: There are problems, or sections that were not read.
         """
         for name in self.file.sections:
             if name not in self._read_names:
@@ -206,7 +209,7 @@
     """Reads an INI file.
 
     Raises:
-        ConfigError: It cannot be read or parsed.
+        ConfigError: The file cannot be read or parsed.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -222,6 +225,6 @@
 
 
 def _hint(name: str, known_names: list[str], template: str) -> str:
-    """Returns the template with the known name that is most like a wrong one; empty if none is."""
+    """Returns the template filled with the known name most similar to `name`; empty if none is similar."""
     close = difflib.get_close_matches(name, known_names, 1)
     return template.format(close[0]) if close else ""
--- a/fernweir/config/units.py
+++ b/fernweir/config/units.py
@@ -1,7 +1,7 @@
 """Values of settings with their units, as pydantic types.
 
-A number without a unit is rejected where a unit is needed. Validators leave values alone that are not text,
-such as defaults, for pydantic to check.
+A number without a unit is rejected where a unit is required. Validators return values that are not text, such
+as defaults, unchanged; pydantic checks those.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 def _quantity_parser(factors: Mapping[str, float], quantity: str) -> BeforeValidator:
-    """Returns a validator of numbers with a unit, which converts them by the factor of the unit."""
+    """Returns a validator that multiplies a number by the factor of its unit."""
 
     def parse(value: object) -> object:
         if not isinstance(value, str):
@@ -42,7 +42,7 @@
         return value
     match = _NUMBER.fullmatch(value.strip())
     if match is None or match[2] not in ("", "%"):
-        raise ValueError("not a share: write 0.1 or 10%")
+        raise ValueError("not a ratio: write 0.1 or 10%")
     return float(match[1]) / (100.0 if match[2] else 1.0)
 
 
@@ -66,7 +66,7 @@
 
 
 def split_list(value: object) -> object:
-    """Returns the parts of a text that commas separate; empty parts are left out."""
+    """Returns the parts of a comma-separated text without the empty ones."""
     if not isinstance(value, str):
         return value
     return [part.strip() for part in value.split(",") if part.strip()]
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Settings: what is wrong is named with section, key and line, all of it in one go."""
+"""Tests of the settings: all problems of a file are reported together, with section, key and line."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     return [str(problem) for problem in caught.value.problems]
 
 
-def test_the_example_is_good() -> None:
+def test_the_example_is_valid() -> None:
     config = load_front(EXAMPLE)
     briefing = config.settings.classes[config.class_names["briefing"]]
     assert (briefing.latency_objective_ms, briefing.lowest_rung, briefing.idempotency) == (
@@ -31,7 +31,7 @@
     assert config.settings.slow_start is not None and config.settings.slow_start.window_ms == 8000.0
 
 
-def test_every_mistake_is_named_with_its_line() -> None:
+def test_all_problems_are_reported_with_their_lines() -> None:
     text = EXAMPLE.read_text()
     lines = text.splitlines()
     changes = {
@@ -51,9 +51,9 @@
     lines += ["[flet]", "x = 1"]
     found = "\n".join(problems("\n".join(lines)))
     for key, number in numbers.items():
-        written = changes[key].partition("=")[0].strip()
+        changed_key = changes[key].partition("=")[0].strip()
         if key not in ("ordinal",):
-            assert f"line {number}: " in found and written in found, (key, found)
+            assert f"line {number}: " in found and changed_key in found, (key, found)
     assert "meant silence?" in found and "[flet]: unknown section; meant [fleet]?" in found
     assert found.count("\n") >= len(changes) - 1
 
@@ -68,7 +68,7 @@
         ("", "at least one class"),
     ],
 )
-def test_files_that_are_no_settings(text: str, word: str) -> None:
+def test_invalid_files_are_rejected(text: str, word: str) -> None:
     assert word in "\n".join(problems(text))
 
 
@@ -84,7 +84,7 @@
         ("probes = yes", "probes = maybe", "write yes or no"),
     ],
 )
-def test_values_that_do_not_fit(old: str, new: str, word: str) -> None:
+def test_invalid_values_are_rejected(old: str, new: str, word: str) -> None:
     text = EXAMPLE.read_text()
     assert old in text
     assert word in "\n".join(problems(text.replace(old, new, 1)))
