--- a/fernweir/config/front.py
+++ b/fernweir/config/front.py
@@ -165,7 +165,7 @@
     waiting: Positive = 10_000
 
 
-class BoxesSection(Section):
+class ServersSection(Section):
     """Limits and timeouts of connections to servers."""
 
     connections: Positive = 64
@@ -240,7 +240,7 @@
     list: ListSection
     tokens: TokensSection
     http: HttpSection
-    servers: BoxesSection
+    servers: ServersSection
     log: LogSection
     entitlement: EntitlementSection | None
     introspection: IntrospectionSection | None
@@ -268,7 +268,7 @@
     reports: ReportsSection | None
     rules: RulesSection | None
     http: HttpSection | None
-    servers: BoxesSection | None
+    servers: ServersSection | None
     log: LogSection | None
     entitlement: EntitlementSection | None
     introspection: IntrospectionSection | None
@@ -331,7 +331,7 @@
         reports=reader.read_section("reports", ReportsSection, required=False),
         rules=reader.read_section("rules", RulesSection, required=False),
         http=reader.read_section("http", HttpSection, required=False),
-        servers=reader.read_section("boxes", BoxesSection, required=False),
+        servers=reader.read_section("boxes", ServersSection, required=False),
         log=reader.read_section("log", LogSection, required=False),
         entitlement=_read_optional(reader, "entitlement", EntitlementSection),
         introspection=_read_optional(reader, "introspection", IntrospectionSection),
--- a/tests/golden_names.py
+++ b/tests/golden_names.py
@@ -38,7 +38,7 @@
     "rules": front.RulesSection,
     "class.NAME": front.ClassSection,
     "http": front.HttpSection,
-    "boxes": front.BoxesSection,
+    "boxes": front.ServersSection,
     "entitlement": front.EntitlementSection,
     "introspection": front.IntrospectionSection,
     "control": front.ControlSection,
