--- a/bench/golden_state_samples.py
+++ b/bench/golden_state_samples.py
@@ -104,8 +104,8 @@
 
     one = {"title": "l1", "cls": "film", "tenant": "t1"}
     add(EventKind.FRONT, why="up")
-    add(EventKind.BOX, server=1, why="ready", more={"start": "7"})
-    add(EventKind.BOX, server=2, why="draining")
+    add(EventKind.SERVER, server=1, why="ready", more={"start": "7"})
+    add(EventKind.SERVER, server=2, why="draining")
     add(EventKind.ASKED, session="s1", **one)
     add(EventKind.SETUP, session="s1", server=1, attempt=0, rung=2, why="least loaded", **one)
     add(EventKind.FAILED_TRY, session="s1", server=1, attempt=0, why="timeout", **one)
@@ -124,8 +124,8 @@
     add(EventKind.MOVED, session="s1", server=2, **one)
     more = {"by": "ann", "drains": {"1": "ann"}, "holds": {"l2": "bob"}, "caps": {"tenant:t1": 4}}
     add(EventKind.ORDER, why="drain 1: done", more=more)
-    add(EventKind.BOX, server=3, why="gone")
-    add(EventKind.BOX, server=3, why="unlisted")
+    add(EventKind.SERVER, server=3, why="gone")
+    add(EventKind.SERVER, server=3, why="unlisted")
     return day
 
 
--- a/fernweir/appliance/merge.py
+++ b/fernweir/appliance/merge.py
@@ -62,7 +62,12 @@
         for box in picture.servers.values():
             if box.listed != "unlisted":
                 self._add(
-                    front, at, EventKind.BOX, {"start": box.start, **mark}, server=box.server, why=box.listed
+                    front,
+                    at,
+                    EventKind.SERVER,
+                    {"start": box.start, **mark},
+                    server=box.server,
+                    why=box.listed,
                 )
             if box.silent:
                 self._add(front, at, EventKind.SILENT, mark, server=box.server)
--- a/fernweir/front/session_journal.py
+++ b/fernweir/front/session_journal.py
@@ -138,10 +138,10 @@
                 self._last_listed[entry.server] = state
                 start = f"{entry.started_at:.0f}" if entry.started_at else ""
                 reason = SERVER_STATE_LABELS[entry.state]
-                self.record_server(EventKind.BOX, entry.server, reason=reason, details={"start": start})
+                self.record_server(EventKind.SERVER, entry.server, reason=reason, details={"start": start})
 
     def _record_unlisted(self, update: EndpointListUpdate) -> None:
         listed = {entry.server for entry in update.entries}
         for server in [server for server in self._last_listed if server not in listed]:
             del self._last_listed[server]
-            self.record_server(EventKind.BOX, server, reason="unlisted")
+            self.record_server(EventKind.SERVER, server, reason="unlisted")
--- a/fernweir/journal/events.py
+++ b/fernweir/journal/events.py
@@ -27,7 +27,7 @@
     FAILED = "failed"  # a request was answered: failed
     CONFLICT = "conflict"  # a request was answered: it contradicts another request of its session
     ENDED = "ended"  # the session ended for the reason `why`; `server` is set if it played
-    BOX = "box"  # the state of a server changed to `why`, in the endpoint list or by an operator's order
+    SERVER = "box"  # a server's state became `why`, in the endpoint list or by an operator's order
     LOST = "lost"  # a server refuses connections, and its sessions have ended
     SILENT = "silent"  # a server with sessions sends nothing
     HEARD = "heard"  # a silent server sends again
--- a/fernweir/journal/state_projection.py
+++ b/fernweir/journal/state_projection.py
@@ -364,7 +364,7 @@
         EventKind.RUNG: _on_rung_changed,
         EventKind.MOVED: _on_moved,
         EventKind.ENDED: _on_ended,
-        EventKind.BOX: _on_server_listed,
+        EventKind.SERVER: _on_server_listed,
         EventKind.LOST: _on_server_lost,
         EventKind.SILENT: _on_silence_changed,
         EventKind.HEARD: _on_silence_changed,
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -50,7 +50,7 @@
     journal.watchers += [shown.picture.apply, shown.history.add]
     journal.add(0.0, EventKind.FRONT, why="up")
     for box in range(1, boxes + 1):
-        journal.add(1.0, EventKind.BOX, server=box, why="ready", more={"start": str(box)})
+        journal.add(1.0, EventKind.SERVER, server=box, why="ready", more={"start": str(box)})
     for number in range(count):
         named = {"session": f"s{number:05d}{HOSTILE}", "title": f"lesson-{number % 5}{HOSTILE}", "cls": "c"}
         journal.add(2.0, EventKind.ASKED, **named)
