--- a/bench/golden_state_samples.py
+++ b/bench/golden_state_samples.py
@@ -119,7 +119,7 @@
     add(EventKind.CONFLICT, session="s4", why="other title", **one)
     add(EventKind.ENDED, session="s2", why="refused", **one)
     add(EventKind.SILENT, server=2)
-    add(EventKind.HEARD, server=2)
+    add(EventKind.RESUMED, server=2)
     add(EventKind.LOST, server=1)
     add(EventKind.MOVED, session="s1", server=2, **one)
     more = {"by": "ann", "drains": {"1": "ann"}, "holds": {"l2": "bob"}, "caps": {"tenant:t1": 4}}
--- a/fernweir/front/server_states.py
+++ b/fernweir/front/server_states.py
@@ -59,7 +59,7 @@
             self.silent.add(server)
         else:
             self.silent.discard(server)
-        self._journal.record_server(EventKind.SILENT if is_silent else EventKind.HEARD, server)
+        self._journal.record_server(EventKind.SILENT if is_silent else EventKind.RESUMED, server)
 
     def _apply(self, update: EndpointListUpdate) -> None:
         self._context.events.append(update)
--- a/fernweir/journal/events.py
+++ b/fernweir/journal/events.py
@@ -30,7 +30,7 @@
     SERVER = "box"  # a server's state became `why`, in the endpoint list or by an operator's order
     LOST = "lost"  # a server refuses connections, and its sessions have ended
     SILENT = "silent"  # a server with sessions sends nothing
-    HEARD = "heard"  # a silent server sends again
+    RESUMED = "heard"  # a silent server sends again
     ORDER = "order"  # an operator's order was carried out
 
 
--- a/fernweir/journal/state_projection.py
+++ b/fernweir/journal/state_projection.py
@@ -367,7 +367,7 @@
         EventKind.SERVER: _on_server_listed,
         EventKind.LOST: _on_server_lost,
         EventKind.SILENT: _on_silence_changed,
-        EventKind.HEARD: _on_silence_changed,
+        EventKind.RESUMED: _on_silence_changed,
         EventKind.ORDER: _on_order,
         **dict.fromkeys(ANSWERS, _on_answered),
     }
