--- a/bench/golden_state_samples.py
+++ b/bench/golden_state_samples.py
@@ -108,7 +108,7 @@
     add(EventKind.SERVER, server=2, why="draining")
     add(EventKind.ASKED, session="s1", **one)
     add(EventKind.SETUP, session="s1", server=1, attempt=0, rung=2, why="least loaded", **one)
-    add(EventKind.FAILED_TRY, session="s1", server=1, attempt=0, why="timeout", **one)
+    add(EventKind.ATTEMPT_FAILED, session="s1", server=1, attempt=0, why="timeout", **one)
     add(EventKind.SETUP, session="s1", server=2, attempt=1, rung=1, why="next", **one)
     add(EventKind.STARTED, session="s1", server=2, attempt=1, rung=1, **one)
     add(EventKind.PLAYS, session="s1", **one)
--- a/bench/journal.py
+++ b/bench/journal.py
@@ -51,7 +51,7 @@
             plain.append(journal.add(at, EventKind.SETUP, why="2th in order, first under the mark", more=more,
                                      **place, **named))  # fmt: skip
             if dice.random() < 0.0005:
-                plain.append(journal.add(at, EventKind.FAILED_TRY, why="reset: broken", **place, **named))
+                plain.append(journal.add(at, EventKind.ATTEMPT_FAILED, why="reset: broken", **place, **named))
             plain.append(journal.add(at, EventKind.STARTED, more={"took_ms": 20.1}, **place, **named))
             plain.append(journal.add(at, EventKind.PLAYS, server=place["server"], **named))
         plain.append(journal.add(at, EventKind.ENDED, why="over", **named))
--- a/fernweir/front/session_journal.py
+++ b/fernweir/front/session_journal.py
@@ -54,7 +54,7 @@
         if self.journal is None:
             return
         request = record.request
-        is_at_server = record.phase in _PHASES_AT_SERVER or kind is EventKind.FAILED_TRY
+        is_at_server = record.phase in _PHASES_AT_SERVER or kind is EventKind.ATTEMPT_FAILED
         self.journal.add(
             self._context.now,
             kind,
@@ -117,7 +117,7 @@
         if self.journal is not None:
             reason = RESULT_LABELS[outcome.result] + (f": {outcome.reason}" if outcome.reason else "")
             details: dict[str, object] = {"took_ms": round(outcome.duration_ms, 1)}
-            self.record_session(EventKind.FAILED_TRY, record, reason=reason, details=details)
+            self.record_session(EventKind.ATTEMPT_FAILED, record, reason=reason, details=details)
 
     def take_rejection_details(self, record: SessionRecord) -> dict[str, object]:
         """Returns the controller's reason for a rejection as journal details; empty without a journal."""
--- a/fernweir/journal/events.py
+++ b/fernweir/journal/events.py
@@ -18,7 +18,7 @@
     FRONT = "front"  # a front started (`why` is "up") or stopped ("down"); its earlier sessions have ended
     ASKED = "asked"  # a session began: the first request with its token was accepted
     SETUP = "setup"  # an attempt was sent to a server; `why` is the reason for choosing it
-    FAILED_TRY = "failed-try"  # the attempt ended without playing
+    ATTEMPT_FAILED = "failed-try"  # the attempt ended without playing
     STARTED = "started"  # the session plays at a server
     RUNG = "rung"  # the session changed to `rung`; `why` says who requested it
     MOVED = "moved"  # the session was taken from its server and will be requested again
--- a/fernweir/journal/state_projection.py
+++ b/fernweir/journal/state_projection.py
@@ -359,7 +359,7 @@
         EventKind.FRONT: _on_front,
         EventKind.ASKED: _on_asked,
         EventKind.SETUP: _on_set_up,
-        EventKind.FAILED_TRY: _on_attempt_failed,
+        EventKind.ATTEMPT_FAILED: _on_attempt_failed,
         EventKind.STARTED: _on_started,
         EventKind.RUNG: _on_rung_changed,
         EventKind.MOVED: _on_moved,
