--- a/bench/golden_state_samples.py
+++ b/bench/golden_state_samples.py
@@ -92,7 +92,7 @@
         )
         for number, what in enumerate(EventKind, 1)
     ]  # fmt: skip
-    return [*full, Entry(len(full) + 1, 5, EventKind.ASKED)]
+    return [*full, Entry(len(full) + 1, 5, EventKind.REQUESTED)]
 
 
 def day_entries() -> list[Entry]:
@@ -106,14 +106,14 @@
     add(EventKind.FRONT, why="up")
     add(EventKind.SERVER, server=1, why="ready", more={"start": "7"})
     add(EventKind.SERVER, server=2, why="draining")
-    add(EventKind.ASKED, session="s1", **one)
+    add(EventKind.REQUESTED, session="s1", **one)
     add(EventKind.SETUP, session="s1", server=1, attempt=0, rung=2, why="least loaded", **one)
     add(EventKind.ATTEMPT_FAILED, session="s1", server=1, attempt=0, why="timeout", **one)
     add(EventKind.SETUP, session="s1", server=2, attempt=1, rung=1, why="next", **one)
     add(EventKind.STARTED, session="s1", server=2, attempt=1, rung=1, **one)
     add(EventKind.PLAYS, session="s1", **one)
     add(EventKind.RUNG, session="s1", server=2, attempt=1, rung=2, why="room", **one)
-    add(EventKind.ASKED, session="s2", **one)
+    add(EventKind.REQUESTED, session="s2", **one)
     add(EventKind.REFUSED, session="s2", why="no room", **one)
     add(EventKind.FAILED, session="s3", why="time is over", **one)
     add(EventKind.CONFLICT, session="s4", why="other title", **one)
--- a/bench/journal.py
+++ b/bench/journal.py
@@ -42,7 +42,7 @@
         number += 1
         named = {"session": f"s{number}", "title": f"lesson-{number % 40}", "cls": "c", "tenant": "t"}
         at = number * 30.0
-        plain.append(journal.add(at, EventKind.ASKED, **named))
+        plain.append(journal.add(at, EventKind.REQUESTED, **named))
         if dice.random() < 0.1:
             plain.append(journal.add(at, EventKind.REFUSED, why="no box has room", **named))
         else:
--- a/fernweir/appliance/merge.py
+++ b/fernweir/appliance/merge.py
@@ -75,7 +75,7 @@
             fields: dict[str, Any] = {
                 "session": row.session, "title": row.title, "cls": row.cls, "tenant": row.tenant
             }  # fmt: skip
-            self._add(front, at, EventKind.ASKED, mark, **fields)
+            self._add(front, at, EventKind.REQUESTED, mark, **fields)
             if row.phase != "asked":
                 fields |= {"server": row.server, "attempt": row.attempt, "rung": row.rung}
                 self._add(front, at, EventKind.SETUP, mark, why=row.why, **fields)
--- a/fernweir/front/session_requests.py
+++ b/fernweir/front/session_requests.py
@@ -142,7 +142,7 @@
     def _begin_session(self, now: float, request: SessionRequest) -> None:
         record = self._table.create(now, request)
         self._table.add_ticket(record, request.ticket)
-        self._journal.record_session(EventKind.ASKED, record)
+        self._journal.record_session(EventKind.REQUESTED, record)
         if self._context.checks_entitlement:
             record.phase = SessionPhase.AWAITING_ENTITLEMENT
             deadline = now + request.max_wait_ms * self._context.limits.entitlement_wait_ratio
--- a/fernweir/journal/events.py
+++ b/fernweir/journal/events.py
@@ -16,7 +16,7 @@
     """The kind of an event; the value is stored."""
 
     FRONT = "front"  # a front started (`why` is "up") or stopped ("down"); its earlier sessions have ended
-    ASKED = "asked"  # a session began: the first request with its token was accepted
+    REQUESTED = "asked"  # a session began: the first request with its token was accepted
     SETUP = "setup"  # an attempt was sent to a server; `why` is the reason for choosing it
     ATTEMPT_FAILED = "failed-try"  # the attempt ended without playing
     STARTED = "started"  # the session plays at a server
--- a/fernweir/journal/state_projection.py
+++ b/fernweir/journal/state_projection.py
@@ -357,7 +357,7 @@
 
     _HANDLERS: ClassVar[dict[EventKind, Callable[[StateProjection, Entry], None]]] = {
         EventKind.FRONT: _on_front,
-        EventKind.ASKED: _on_asked,
+        EventKind.REQUESTED: _on_asked,
         EventKind.SETUP: _on_set_up,
         EventKind.ATTEMPT_FAILED: _on_attempt_failed,
         EventKind.STARTED: _on_started,
--- a/tests/fuzzing/journal.py
+++ b/tests/fuzzing/journal.py
@@ -20,7 +20,7 @@
 from tests.fuzzing import Finding, Tape, Target, same
 
 RULES = JournalConfig(segment_entries=8, max_memory_bytes=12_000, max_decoded_segments=2)
-_WHATS = (EventKind.ASKED, EventKind.PLAYS, EventKind.REFUSED, EventKind.SERVER)
+_WHATS = (EventKind.REQUESTED, EventKind.PLAYS, EventKind.REFUSED, EventKind.SERVER)
 
 
 class Disk:
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -516,7 +516,7 @@
         desk.start()
         started = {"title": "l1", "cls": "film", "tenant": "t1", "server": 1, "attempt": 0, "rung": 2}
         journal.add(10.0, EventKind.SERVER, server=1, why="ready", more={"start": "7"})
-        journal.add(20.0, EventKind.ASKED, session="s1", title="l1", cls="film", tenant="t1")
+        journal.add(20.0, EventKind.REQUESTED, session="s1", title="l1", cls="film", tenant="t1")
         journal.add(30.0, EventKind.SETUP, session="s1", why="least loaded", **started)
         journal.add(40.0, EventKind.STARTED, session="s1", **started)
         with tempfile.TemporaryDirectory() as name:
--- a/tests/test_appliance.py
+++ b/tests/test_appliance.py
@@ -229,7 +229,7 @@
         picture, journal, id = self.pictures[name], self.fronts[name], f"s{session}"
         row = picture.sessions.get(f"{name}/{id}")
         if row is None:
-            journal.add(self.count, EventKind.ASKED, session=id, title="l", cls="c")
+            journal.add(self.count, EventKind.REQUESTED, session=id, title="l", cls="c")
         elif row.phase == "asked":
             journal.add(self.count, EventKind.SETUP, session=id, server=box, attempt=0, rung=1)
         elif row.phase == "out":
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -53,7 +53,7 @@
         journal.add(1.0, EventKind.SERVER, server=box, why="ready", more={"start": str(box)})
     for number in range(count):
         named = {"session": f"s{number:05d}{HOSTILE}", "title": f"lesson-{number % 5}{HOSTILE}", "cls": "c"}
-        journal.add(2.0, EventKind.ASKED, **named)
+        journal.add(2.0, EventKind.REQUESTED, **named)
         if number % 4 == 3:
             journal.add(3.0, EventKind.REFUSED, why=f"no box has room {HOSTILE}", **named)
             journal.add(3.0, EventKind.ENDED, why="refused", **named)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -424,7 +424,7 @@
         channel = control._channel
         assert channel is not None
         for number in range(20_000):  # far more than the socket and its bound hold
-            journal.add(number, EventKind.ASKED, session=f"x{number % 50}", why="w" * 400)
+            journal.add(number, EventKind.REQUESTED, session=f"x{number % 50}", why="w" * 400)
             if number % 2_000 == 0:
                 await until(lambda: channel._timer is None)
         assert (await scene.request_session(scene.wish())).status == 200
@@ -472,10 +472,10 @@
         (there,) = channel.clients
         while there.has_room:  # a little more than it takes at once, and no more
             for _ in range(100):
-                desk.journal.add(0, EventKind.ASKED, session="x", why="w" * 200)
+                desk.journal.add(0, EventKind.REQUESTED, session="x", why="w" * 200)
             await until(lambda: channel._timer is None)
         for _ in range(6_000):  # past the bound of what waits for it
-            desk.journal.add(0, EventKind.ASKED, session="x")
+            desk.journal.add(0, EventKind.REQUESTED, session="x")
         await until(lambda: channel._timer is None)
         assert there.missed
         ann._transport.resume_reading()
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -527,7 +527,7 @@
         for one in self.journal.entries(1):
             again.apply(one)
         assert again == self.projection and +self.projection.answers == self.replies
-        begun = Counter(one.session for one in self.journal.entries(1) if one.what is EventKind.ASKED)
+        begun = Counter(one.session for one in self.journal.entries(1) if one.what is EventKind.REQUESTED)
         ended = Counter(one.session for one in self.journal.entries(1) if one.what is EventKind.ENDED)
         assert begun - ended == Counter(session_id for session_id in self.harness.manager._table.by_id)
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -19,7 +19,7 @@
 from fernweir.journal.store import Journal, JournalConfig
 
 ENTRIES = st.tuples(
-    st.sampled_from([EventKind.ASKED, EventKind.PLAYS, EventKind.REFUSED]),
+    st.sampled_from([EventKind.REQUESTED, EventKind.PLAYS, EventKind.REFUSED]),
     st.sampled_from(["", "a", "b", "c"]),
     st.sampled_from(["l0", "l1"]),
     st.integers(-1, 2),
@@ -216,7 +216,7 @@
     journal.watchers.append(projection.apply)
     for front in ("f1", "f2"):
         journal.add(0.0, EventKind.FRONT, front=front, why="up")
-        journal.add(0.0, EventKind.ASKED, front=front, session="same-id", title="l", cls="c")
+        journal.add(0.0, EventKind.REQUESTED, front=front, session="same-id", title="l", cls="c")
         journal.add(0.0, EventKind.SETUP, front=front, session="same-id", server=1, attempt=0, rung=2)
         journal.add(0.0, EventKind.STARTED, front=front, session="same-id", server=1, attempt=0, rung=2)
     assert projection.servers[1].playing == 2 and len(projection.sessions) == 2
--- a/tests/test_rehearsals.py
+++ b/tests/test_rehearsals.py
@@ -92,7 +92,7 @@
         named = {"session": f"s{number}", "title": "l", "cls": "c"}
         place = {"server": number, "attempt": 0, "rung": 1}
         journal.add(0.0, EventKind.SERVER, server=number, why="ready")
-        journal.add(0.0, EventKind.ASKED, **named)
+        journal.add(0.0, EventKind.REQUESTED, **named)
         journal.add(0.0, EventKind.SETUP, **place, **named)
         journal.add(0.0, EventKind.STARTED, **place, **named)
     journal.add(0.0, EventKind.SILENT, server=2)
