--- a/fernweir/journal/state_projection.py
+++ b/fernweir/journal/state_projection.py
@@ -228,13 +228,13 @@
             }
         self.fronts[entry.front] = entry.at
 
-    def _on_asked(self, entry: Entry) -> None:
+    def _on_requested(self, entry: Entry) -> None:
         self._remove_session(entry)
         self.sessions[_session_key(entry)] = SessionRow(
             entry.session, entry.front, entry.title, entry.cls, entry.tenant, "asked", entry.at
         )
 
-    def _on_set_up(self, entry: Entry) -> None:
+    def _on_attempt_sent(self, entry: Entry) -> None:
         row = self.sessions.get(_session_key(entry))
         if row is None:
             return
@@ -357,8 +357,8 @@
 
     _HANDLERS: ClassVar[dict[EventKind, Callable[[StateProjection, Entry], None]]] = {
         EventKind.FRONT: _on_front,
-        EventKind.REQUESTED: _on_asked,
-        EventKind.SETUP: _on_set_up,
+        EventKind.REQUESTED: _on_requested,
+        EventKind.SETUP: _on_attempt_sent,
         EventKind.ATTEMPT_FAILED: _on_attempt_failed,
         EventKind.STARTED: _on_started,
         EventKind.RUNG: _on_rung_changed,
