--- a/fernweir/front/peer_view.py
+++ b/fernweir/front/peer_view.py
@@ -12,7 +12,7 @@
 from fernweir.front.dispatcher import Dispatcher
 from fernweir.front.session_manager import SessionPhase, SessionRecord
 from fernweir.interface import EndpointListUpdate
-from fernweir.peers.port import Act, Deed, Listener, Terms
+from fernweir.peers.port import AuditEvent, AuditRecord, Listener, Terms
 
 
 class ServerList(Protocol):
@@ -46,18 +46,18 @@
 
     # --- queries and orders of peers ---
 
-    def listen(self, listener: Listener) -> None:
+    def set_listener(self, listener: Listener) -> None:
         """Sets the listener, and notifies it of the list that was received before, if there is one."""
         self._listener = listener
         # A listener of a later incarnation of the peers' part has not received the list.
         if self._list_received_at_ms is not None:
-            listener.list_told(self._core.now(), self._list.list_rows(), self._list_received_at_ms)
+            listener.on_endpoint_list(self._core.now(), self._list.list_rows(), self._list_received_at_ms)
 
-    def load(self) -> int:
+    def session_count(self) -> int:
         """Returns the number of sessions."""
         return self._core.sessions.session_count
 
-    def out(self) -> list[str]:
+    def sessions_in_flight(self) -> list[str]:
         """Returns the ids of the sessions with an attempt in flight."""
         return [
             session_id
@@ -65,11 +65,11 @@
             if record.phase is SessionPhase.IN_FLIGHT
         ]
 
-    def holds(self, session: str) -> bool:
+    def has_session(self, session: str) -> bool:
         """Whether the session is stored here, in any phase."""
         return self._core.sessions.session(session) is not None
 
-    def terms(self) -> Terms:
+    def limits(self) -> Terms:
         """Returns the rates of rungs in the class with the highest rates, and the retry budget."""
         settings = self._core.sessions.settings
         max_multiplier = max((one.rate_multiplier for one in settings.classes), default=1.0)
@@ -81,7 +81,7 @@
             else Terms(rungs, budget.window_ms, budget.min_retries, budget.retry_ratio)
         )
 
-    def hold_back(self, why: str, wait_ms: float) -> None:
+    def block_new_sessions(self, why: str, wait_ms: float) -> None:
         """Rejects new sessions with this reason and Retry-After; an empty reason accepts them again."""
         self._core.sessions.new_sessions_blocked = (why, wait_ms) if why else None
 
@@ -89,22 +89,27 @@
 
     def on_attempt_started(self, now: float, record: SessionRecord) -> None:
         """Reports the attempt to the listener."""
-        self._report(now, Deed.SETUP, record)
+        self._report(now, AuditEvent.SETUP, record)
 
     def on_session_updated(self, now: float, record: SessionRecord) -> None:
         """Does nothing: only fronts with channels report it."""
 
     def on_session_moved(self, now: float, record: SessionRecord) -> None:
         """Reports the migration to the listener."""
-        self._report(now, Deed.MOVE, record)
+        self._report(now, AuditEvent.MOVE, record)
 
     def on_request_rejected(self, now: float, request: SessionRequest, reason: str) -> None:
         """Reports the rejection to the listener."""
         if self._listener is not None:
-            act = Act(
-                now, Deed.REFUSED, request.session_id, request.title_name, request.tenant, outcome=reason
+            act = AuditRecord(
+                now,
+                AuditEvent.REFUSED,
+                request.session_id,
+                request.title_name,
+                request.tenant,
+                outcome=reason,
             )
-            self._listener.acted(act)
+            self._listener.on_audit_record(act)
 
     def on_session_closed(self, now: float, record: SessionRecord, reason: str) -> None:
         """Does nothing: only fronts with channels report it."""
@@ -113,18 +118,20 @@
         """Reports the list to the listener, and each server that has begun to drain."""
         draining, self._list_received_at_ms = self._list.draining(), self._wall_ms()
         if self._listener is not None:
-            self._listener.list_told(now, self._list.list_rows(), self._list_received_at_ms)
+            self._listener.on_endpoint_list(now, self._list.list_rows(), self._list_received_at_ms)
             for server in sorted(draining - self._draining):
                 number, suffix = self._list.named(server)
-                self._listener.acted(Act(now, Deed.DRAIN, box=number, outcome=f"heard{suffix}"))
+                self._listener.on_audit_record(
+                    AuditRecord(now, AuditEvent.DRAIN, box=number, outcome=f"heard{suffix}")
+                )
         self._draining = draining
 
-    def _report(self, now: float, deed: Deed, record: SessionRecord) -> None:
+    def _report(self, now: float, deed: AuditEvent, record: SessionRecord) -> None:
         if self._listener is not None:
             request, (number, suffix) = record.request, self._list.named(record.server)
             outcome = f"try {record.attempt}{suffix}"
-            self._listener.acted(
-                Act(
+            self._listener.on_audit_record(
+                AuditRecord(
                     now,
                     deed,
                     request.session_id,
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -52,9 +52,9 @@
 from fernweir.peers.lease.messages import Recall
 from fernweir.peers.lease.rules import KeeperSet
 from fernweir.peers.members.messages import Nack, Record, State
-from fernweir.peers.members.table import Roster, part_of
+from fernweir.peers.members.table import MemberTable, part_of
 from fernweir.peers.peer import KINDS
-from fernweir.peers.port import Act, Deed, SessionStatus, Terms
+from fernweir.peers.port import AuditEvent, AuditRecord, SessionStatus, Terms
 from fernweir.peers.wire import keys
 from fernweir.peers.wire.codec import Codec
 from fernweir.peers.wire.conversation import Conversation
@@ -174,11 +174,11 @@
 )
 ACTS = tuple(
     (
-        Act(1_000.0 + 10.3 * number, deed, f"session-{number}", f"title-{number % 2}",
+        AuditRecord(1_000.0 + 10.3 * number, deed, f"session-{number}", f"title-{number % 2}",
             f"t\u00e9nant-{number}", number - 1, f"outcome-{number % 3}"),
         RESTED[number % 2],
     )
-    for number, deed in enumerate(Deed)
+    for number, deed in enumerate(AuditEvent)
 )  # fmt: skip
 
 
@@ -245,9 +245,14 @@
 
 def _selects() -> list[Select]:
     """Each field that a question can name, and each kind of version, by value and as runs."""
-    wanted = [Select(), Select(deeds=(Deed.MOVE, Deed.LEASE)), Select(session="session-2"), Select(box=3)]
+    wanted = [
+        Select(),
+        Select(deeds=(AuditEvent.MOVE, AuditEvent.LEASE)),
+        Select(session="session-2"),
+        Select(box=3),
+    ]
     wanted += [Select(title="title-1"), Select(tenant="t\u00e9nant-4"), Select(outcome="outcome-1")]
-    wanted += [Select(since=1_010.0, until=1_030.0), Select(deeds=(Deed.REFUSED,), context=20)]
+    wanted += [Select(since=1_010.0, until=1_030.0), Select(deeds=(AuditEvent.REFUSED,), context=20)]
     for kind in ("program", "settings", "epoch", "boxes", "keys", "format", "unknown"):
         wanted += [Select(kind=kind, value=value_of(RESTED[0], kind)), Select(kind=kind, runs=True)]
     return wanted
@@ -378,11 +383,11 @@
 HELD = tuple(_held(f"front-{number}", LIFE + number, 10 * number, number) for number in range(20))
 
 
-def _roster_sums() -> list[int]:
-    roster = Roster("front-0", 100)
+def _table_checksums() -> list[int]:
+    table = MemberTable("front-0", 100)
     for number in range(40):
-        roster.put(0.0, Record(f"front-{number}", State(number % 4), LIFE, number, "host", 4_000 + number))
-    return roster.sums
+        table.put(0.0, Record(f"front-{number}", State(number % 4), LIFE, number, "host", 4_000 + number))
+    return table.checksums
 
 
 # --- what the rest of a front gives to its peers ---
@@ -434,7 +439,7 @@
 
 def _found(number: int) -> Found:
     return Found(
-        "front-a", LIFE, number, number + 1, When(1.0 + number, 2.0 + number), Deed.REFUSED, "session",
+        "front-a", LIFE, number, number + 1, When(1.0 + number, 2.0 + number), AuditEvent.REFUSED, "session",
         "title", "tenant", 5, "outcome", RESTED[0], Sure.MAYBE, True,
         (_found(number - 1),) if number else (), When(0.25, 0.5),
     )  # fmt: skip
@@ -468,7 +473,7 @@
 
 def _weighed(order: Mapping[str, Any]) -> dict[str, Any]:
     port: Any = SimpleNamespace(
-        terms=lambda: Terms((100.0, 250.5), 10_000.0, 5.0, 0.1),
+        limits=lambda: Terms((100.0, 250.5), 10_000.0, 5.0, 0.1),
         racks=lambda: [("rack-1", frozenset((0, 1)), 10_000.0)],
     )
     part = weighing.Weighing("front-a", LIFE, port, 0.0)
@@ -530,7 +535,7 @@
     "fact.summary.key": _made(lambda: [str(sketches.key("title", "title-1")), str(sketches.key("box", "5"))]),
     "facts.codes": _made(lambda: [total(HELD), codes(HELD, 8), [bucket_of(one.owner, 8) for one in HELD]]),
     "members.parts": _made(lambda: [part_of(f"front-{number}") for number in range(8)]),
-    "members.sums": _made(_roster_sums),
+    "members.sums": _made(_table_checksums),
     "late.content": _made(lambda: [content_of(RESTED[1], kind) for kind in Kind]),
     "channel.name": _made(
         lambda: [cut.channel_of("front-a", LIFE, f"session-{number}", 16) for number in range(8)]
--- a/tests/peers_mutants/lease.py
+++ b/tests/peers_mutants/lease.py
@@ -9,16 +9,16 @@
 MUTANTS = [
     Mutant(
         "a lease counted from the answer",
-        _AT + "getting.py",
-        "attempt.asked_at + self._rules.own_ms)",
-        "now + self._rules.own_ms)",
+        _AT + "acquisition.py",
+        "attempt.asked_at + self._rules.validity_ms)",
+        "now + self._rules.validity_ms)",
         40,
     ),
     Mutant(
         "a renewal counted from the answer",
-        _AT + "keeping.py",
-        "until = renewal.asked_at + self._rules.own_ms",
-        "until = now + self._rules.own_ms",
+        _AT + "held_leases.py",
+        "until = renewal.asked_at + self._rules.validity_ms",
+        "until = now + self._rules.validity_ms",
         40,
     ),
     Mutant(
@@ -53,14 +53,14 @@
     Mutant(
         "a renewal accepted after the lapse with the same fence",
         _AT + "holder.py",
-        "        self._keeping.lapse(now)\n        if sender",
+        "        self._held_leases.expire(now)\n        if sender",
         "        if sender",
         20,
         2,
     ),
     Mutant(
         "answers of an old ballot counted",
-        _AT + "getting.py",
+        _AT + "acquisition.py",
         "            found = self._running(item.channel, item.ballot)\n"
         "            if found is None or item.fence != found[1].fence:",
         "            want = self.wants.get(item.channel)\n"
@@ -71,8 +71,8 @@
     Mutant(
         "a keeper that counts from its promise",
         _AT + "keeper.py",
-        "record.until, record.touched = now + span_ms, now",
-        "record.until, record.touched = record.promised_at + span_ms, now",
+        "record.until, record.touched_at = now + span_ms, now",
+        "record.until, record.touched_at = record.promised_at + span_ms, now",
         5,
     ),
     Mutant(
@@ -93,8 +93,8 @@
     ),
     Mutant(
         "the same fence minted twice",
-        _AT + "getting.py",
-        "max(want.floor, self._minted)",
+        _AT + "acquisition.py",
+        "max(want.floor, self._last_fence)",
         "want.floor",
         100,
         2,
@@ -102,7 +102,7 @@
     Mutant(
         "a forgotten channel's fence forgotten with it",
         _AT + "records.py",
-        "self.know(self.by_channel.pop(channel).fence)",
+        "self.raise_floor(self.by_channel.pop(channel).fence)",
         "self.by_channel.pop(channel)",
         10,
     ),
@@ -123,7 +123,7 @@
     Mutant(
         "a keeper that asks nobody what it forgot",
         _AT + "keeper.py",
-        "        self.know(message.floor)",
+        "        self.raise_floor(message.floor)",
         "        pass",
         40,
         2,
