--- a/bench/golden_state_samples.py
+++ b/bench/golden_state_samples.py
@@ -92,7 +92,7 @@
         )
         for number, what in enumerate(EventKind, 1)
     ]  # fmt: skip
-    return [*full, Entry(len(full) + 1, 5, EventKind.ASKED)]
+    return [*full, Entry(len(full) + 1, 5, EventKind.REQUESTED)]
 
 
 def day_entries() -> list[Entry]:
@@ -104,28 +104,28 @@
 
     one = {"title": "l1", "cls": "film", "tenant": "t1"}
     add(EventKind.FRONT, why="up")
-    add(EventKind.BOX, server=1, why="ready", more={"start": "7"})
-    add(EventKind.BOX, server=2, why="draining")
-    add(EventKind.ASKED, session="s1", **one)
+    add(EventKind.SERVER, server=1, why="ready", more={"start": "7"})
+    add(EventKind.SERVER, server=2, why="draining")
+    add(EventKind.REQUESTED, session="s1", **one)
     add(EventKind.SETUP, session="s1", server=1, attempt=0, rung=2, why="least loaded", **one)
-    add(EventKind.FAILED_TRY, session="s1", server=1, attempt=0, why="timeout", **one)
+    add(EventKind.ATTEMPT_FAILED, session="s1", server=1, attempt=0, why="timeout", **one)
     add(EventKind.SETUP, session="s1", server=2, attempt=1, rung=1, why="next", **one)
     add(EventKind.STARTED, session="s1", server=2, attempt=1, rung=1, **one)
     add(EventKind.PLAYS, session="s1", **one)
     add(EventKind.RUNG, session="s1", server=2, attempt=1, rung=2, why="room", **one)
-    add(EventKind.ASKED, session="s2", **one)
+    add(EventKind.REQUESTED, session="s2", **one)
     add(EventKind.REFUSED, session="s2", why="no room", **one)
     add(EventKind.FAILED, session="s3", why="time is over", **one)
     add(EventKind.CONFLICT, session="s4", why="other title", **one)
     add(EventKind.ENDED, session="s2", why="refused", **one)
     add(EventKind.SILENT, server=2)
-    add(EventKind.HEARD, server=2)
+    add(EventKind.RESUMED, server=2)
     add(EventKind.LOST, server=1)
     add(EventKind.MOVED, session="s1", server=2, **one)
     more = {"by": "ann", "drains": {"1": "ann"}, "holds": {"l2": "bob"}, "caps": {"tenant:t1": 4}}
     add(EventKind.ORDER, why="drain 1: done", more=more)
-    add(EventKind.BOX, server=3, why="gone")
-    add(EventKind.BOX, server=3, why="unlisted")
+    add(EventKind.SERVER, server=3, why="gone")
+    add(EventKind.SERVER, server=3, why="unlisted")
     return day
 
 
