--- a/fernweir/appliance/unit.py
+++ b/fernweir/appliance/unit.py
@@ -103,7 +103,7 @@
             self._lock.give_back()
             raise UnitError(str(error)) from None
         for note in self.folder.problems:
-            self.log.warning("journal is not whole", why=note)
+            self.log.warning("journal is incomplete", why=note)
         self.merger = Merger(self.journal)
         self.merger.recover()
         rules = OrderServiceSettings(tuple(self.config.unit.operators))
@@ -375,9 +375,9 @@
 
     def _trouble(self, why: str) -> None:
         if why:
-            self.log.error("journal is not kept", why=why)
+            self.log.error("journal cannot be written", why=why)
         else:
-            self.log.info("journal is kept again")
+            self.log.info("journal is written again")
 
 
 def _commands(config: UnitConfig) -> dict[str, tuple[list[str], tuple[str, int] | None]]:
