--- a/fernweir/appliance/supervise.py
+++ b/fernweir/appliance/supervise.py
@@ -1,9 +1,10 @@
-"""When a unit's processes are started, given up and stopped: free of I/O, drawn from a seed.
+"""Decides when the child processes of a unit are started, restarted, given up and stopped.
 
-A child is started once all that it needs has been ready once; it is ready when its shell says so. One that
-ends, or isn't ready in time, is started again after a pause that grows with each failure in a row; too many
-within a while, and it is given up until an operator says `retry`. A stop goes the other way round: what
-others needed stops last. Times are milliseconds.
+A pure state machine without I/O; its random numbers come from a seed. A child is started when all its
+dependencies have been ready at least once; the caller reports when it is ready. A child that exits, or isn't
+ready in time, is restarted after an exponential backoff. After too many exits within the restart window it is
+given up until an operator requests a retry. Children stop in reverse order: a dependency stops after all
+children that depend on it. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -16,38 +17,40 @@
 
 
 class State(StrEnum):
-    WAITING = "waiting"  # for what it needs
+    WAITING = "waiting"  # for its dependencies
     STARTING = "starting"
     READY = "ready"
-    PAUSED = "paused"  # before it is started again
+    PAUSED = "paused"  # in backoff before a restart
     GIVEN_UP = "given-up"
     STOPPING = "stopping"
     STOPPED = "stopped"
 
 
 @dataclass(frozen=True, slots=True)
-class Child:
-    """`needs` are names of others, which come up first and go down last."""
+class ChildSpec:
+    """A child process; `depends_on` names children that start before it and stop after it."""
 
     name: str
-    needs: tuple[str, ...] = ()
+    depends_on: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class SuperviseRules:
-    """Pauses double from `first_pause_ms` to `longest_pause_ms`, each drawn down to half of it.
+class SupervisorSettings:
+    """Backoff, restart limit and timeouts of a supervisor.
 
-    Ready for `steady_ms`, a child begins anew with the first pause. `restarts` within `window_ms` are
-    the cap. A child is killed when it isn't ready within `ready_ms`, or not gone within `stop_ms`.
+    The backoff doubles from `initial_backoff_ms` to `max_backoff_ms`; jitter reduces it by up to half. An
+    exit after `stable_ms` of readiness starts again with the initial backoff. A child that exits more than
+    `max_restarts` times within `restart_window_ms` is given up. A child is killed if it is not ready within
+    `ready_timeout_ms`, or has not exited within `stop_timeout_ms` of a termination request.
     """
 
-    first_pause_ms: float = 250.0
-    longest_pause_ms: float = 30_000.0
-    steady_ms: float = 60_000.0
-    restarts: int = 10
-    window_ms: float = 600_000.0
-    ready_ms: float = 20_000.0
-    stop_ms: float = 15_000.0
+    initial_backoff_ms: float = 250.0
+    max_backoff_ms: float = 30_000.0
+    stable_ms: float = 60_000.0
+    max_restarts: int = 10
+    restart_window_ms: float = 600_000.0
+    ready_timeout_ms: float = 20_000.0
+    stop_timeout_ms: float = 15_000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,155 +69,179 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
-    """For the log and the console."""
+class LogMessage:
+    """A message about a child, for the log."""
 
     name: str
     text: str
 
 
-Command = Start | Terminate | Kill | Say
+Command = Start | Terminate | Kill | LogMessage
 
 
 @dataclass(slots=True)
-class Row:
-    """What is known of one child."""
+class ChildStatus:
+    """State and restart history of one child."""
 
-    child: Child
+    spec: ChildSpec
     state: State = State.WAITING
-    since: float = 0.0
-    due: float | None = None  # when something must be done about it
-    failures: int = 0  # in a row
+    state_since: float = 0.0
+    deadline: float | None = None  # when `step` has to act on the child again
+    consecutive_failures: int = 0
     starts: int = 0
-    been_ready: bool = False
+    was_ready: bool = False
     killed: bool = False
-    ended: deque[float] = field(default_factory=deque)
+    exit_times: deque[float] = field(default_factory=deque)
     last_end: str = ""
 
 
 class Supervisor:
-    """Tell it what happened, then carry out what `step` returns; `next_due` says when to call it again."""
-
-    def __init__(self, children: Sequence[Child], rules: SuperviseRules | None = None, seed: int = 0) -> None:
-        self.rules = rules or SuperviseRules()
-        self.rows = {child.name: Row(child) for child in children}
-        if len(self.rows) != len(children):
-            raise ValueError("two children of one name")
-        for child in children:
-            unknown = set(child.needs) - set(self.rows)
-            if unknown:
-                raise ValueError(f"{child.name} needs {', '.join(sorted(unknown))}, which is no child")
-        self._order = _in_order(children)
-        self._dice = Random(f"supervise {seed}")
+    """Supervises the children of one unit.
+
+    The caller reports events, then carries out the commands that `step` returns. `next_deadline` returns when
+    `step` has to be called again.
+    """
+
+    def __init__(
+        self, specs: Sequence[ChildSpec], settings: SupervisorSettings | None = None, seed: int = 0
+    ) -> None:
+        self.settings = settings or SupervisorSettings()
+        self.children = {spec.name: ChildStatus(spec) for spec in specs}
+        if len(self.children) != len(specs):
+            raise ValueError("two children have the same name")
+        for spec in specs:
+            unknown_names = set(spec.depends_on) - set(self.children)
+            if unknown_names:
+                raise ValueError(
+                    f"child {spec.name} depends on {', '.join(sorted(unknown_names))}, which is not a child"
+                )
+        self._order = _dependency_order(specs)
+        self._rng = Random(f"supervise {seed}")
         self.stopping = False
 
-    # --- what happened ---
+    # --- events ---
 
-    def ready(self, now: float, name: str) -> None:
-        row = self.rows[name]
-        if row.state is State.STARTING:
-            row.been_ready = True
-            self._enter(now, row, State.READY, None)
+    def on_ready(self, now: float, name: str) -> None:
+        status = self.children[name]
+        if status.state is State.STARTING:
+            status.was_ready = True
+            self._transition(now, status, State.READY, None)
 
-    def exited(self, now: float, name: str, how: str) -> list[Command]:
-        """A child's process has ended, whyever."""
-        row = self.rows[name]
-        row.last_end = how
-        if row.state is State.STOPPING or self.stopping:
-            self._enter(now, row, State.STOPPED, None)
+    def on_exit(self, now: float, name: str, reason: str) -> list[Command]:
+        """Handles the exit of a child's process, whatever the reason."""
+        status = self.children[name]
+        status.last_end = reason
+        if status.state is State.STOPPING or self.stopping:
+            self._transition(now, status, State.STOPPED, None)
             return []
-        if row.state not in (State.STARTING, State.READY):
+        if status.state not in (State.STARTING, State.READY):
             return []
-        steady = row.state is State.READY and now - row.since >= self.rules.steady_ms
-        row.failures = 1 if steady else row.failures + 1
-        row.ended.append(now)
-        while row.ended and row.ended[0] <= now - self.rules.window_ms:
-            row.ended.popleft()
-        if len(row.ended) > self.rules.restarts:
-            self._enter(now, row, State.GIVEN_UP, None)
-            return [Say(name, f"given up: {how}, {len(row.ended)} ends within the window")]
-        pause = min(self.rules.first_pause_ms * 2.0 ** (row.failures - 1), self.rules.longest_pause_ms)
-        pause *= self._dice.uniform(0.5, 1.0)
-        self._enter(now, row, State.PAUSED, now + pause)
-        return [Say(name, f"{how}; starts again in {pause / 1000.0:.1f} s")]
+        was_stable = status.state is State.READY and now - status.state_since >= self.settings.stable_ms
+        status.consecutive_failures = 1 if was_stable else status.consecutive_failures + 1
+        status.exit_times.append(now)
+        while status.exit_times and status.exit_times[0] <= now - self.settings.restart_window_ms:
+            status.exit_times.popleft()
+        if len(status.exit_times) > self.settings.max_restarts:
+            self._transition(now, status, State.GIVEN_UP, None)
+            return [
+                LogMessage(
+                    name, f"given up: {reason}, {len(status.exit_times)} exits within the restart window"
+                )
+            ]
+        backoff_ms = min(
+            self.settings.initial_backoff_ms * 2.0 ** (status.consecutive_failures - 1),
+            self.settings.max_backoff_ms,
+        )
+        backoff_ms *= self._rng.uniform(0.5, 1.0)
+        self._transition(now, status, State.PAUSED, now + backoff_ms)
+        return [LogMessage(name, f"{reason}; restarts in {backoff_ms / 1000.0:.1f} s")]
 
     def retry(self, now: float, name: str) -> bool:
-        """An operator wants one that was given up, or that pauses, started now."""
-        row = self.rows.get(name)
-        if row is None or self.stopping or row.state not in (State.GIVEN_UP, State.PAUSED):
+        """Starts a child that was given up, or is in backoff, at once; returns False for any other child."""
+        status = self.children.get(name)
+        if status is None or self.stopping or status.state not in (State.GIVEN_UP, State.PAUSED):
             return False
-        row.ended.clear()
-        row.failures = 0
-        self._enter(now, row, State.PAUSED, now)
+        status.exit_times.clear()
+        status.consecutive_failures = 0
+        self._transition(now, status, State.PAUSED, now)
         return True
 
     def stop(self, now: float) -> None:
-        """All children are to end, in order."""
+        """Begins to stop all children in reverse order of their dependencies."""
         self.stopping = True
-        for row in self.rows.values():
-            if row.state in (State.WAITING, State.PAUSED, State.GIVEN_UP):
-                self._enter(now, row, State.STOPPED, None)
+        for status in self.children.values():
+            if status.state in (State.WAITING, State.PAUSED, State.GIVEN_UP):
+                self._transition(now, status, State.STOPPED, None)
 
-    # --- what to do ---
+    # --- commands ---
 
     @property
     def stopped(self) -> bool:
-        return self.stopping and all(row.state is State.STOPPED for row in self.rows.values())
+        return self.stopping and all(status.state is State.STOPPED for status in self.children.values())
 
     def step(self, now: float) -> list[Command]:
-        out: list[Command] = []
+        commands: list[Command] = []
         for name in self._order:
-            row = self.rows[name]
+            status = self.children[name]
             if self.stopping:
-                self._step_down(now, row, out)
-            elif row.state is State.WAITING:
-                if all(self.rows[need].been_ready for need in row.child.needs):
-                    self._start(now, row, out)
-            elif row.state is State.PAUSED and row.due is not None and row.due <= now:
-                self._start(now, row, out)
-            elif row.state is State.STARTING and row.due is not None and row.due <= now:
-                row.due = None
-                out += [Say(name, f"not ready within {self.rules.ready_ms / 1000.0:.0f} s"), Kill(name)]
-        return out
-
-    def next_due(self) -> float | None:
-        return min((row.due for row in self.rows.values() if row.due is not None), default=None)
-
-    # --- pieces ---
-
-    def _start(self, now: float, row: Row, out: list[Command]) -> None:
-        row.starts += 1
-        self._enter(now, row, State.STARTING, now + self.rules.ready_ms)
-        out.append(Start(row.child.name))
-
-    def _step_down(self, now: float, row: Row, out: list[Command]) -> None:
-        name = row.child.name
-        if row.state in (State.STARTING, State.READY):
-            if all(other.state is State.STOPPED for other in self._users(name)):
-                self._enter(now, row, State.STOPPING, now + self.rules.stop_ms)
-                out.append(Terminate(name))
-        elif row.state is State.STOPPING and row.due is not None and row.due <= now:
-            row.due = None
-            out += [Say(name, f"not gone within {self.rules.stop_ms / 1000.0:.0f} s"), Kill(name)]
-
-    def _users(self, name: str) -> list[Row]:
-        return [row for row in self.rows.values() if name in row.child.needs]
-
-    def _enter(self, now: float, row: Row, state: State, due: float | None) -> None:
-        row.state, row.since, row.due = state, now, due
-
-
-def _in_order(children: Sequence[Child]) -> list[str]:
-    """Each after all that it needs. ValueError if they need each other."""
-    needs = {child.name: set(child.needs) for child in children}
+                self._stop_child(now, status, commands)
+            elif status.state is State.WAITING:
+                if all(self.children[dependency].was_ready for dependency in status.spec.depends_on):
+                    self._start_child(now, status, commands)
+            elif status.state is State.PAUSED and status.deadline is not None and status.deadline <= now:
+                self._start_child(now, status, commands)
+            elif status.state is State.STARTING and status.deadline is not None and status.deadline <= now:
+                status.deadline = None
+                commands += [
+                    LogMessage(name, f"not ready within {self.settings.ready_timeout_ms / 1000.0:.0f} s"),
+                    Kill(name),
+                ]
+        return commands
+
+    def next_deadline(self) -> float | None:
+        return min(
+            (status.deadline for status in self.children.values() if status.deadline is not None),
+            default=None,
+        )
+
+    # --- helpers ---
+
+    def _start_child(self, now: float, status: ChildStatus, commands: list[Command]) -> None:
+        status.starts += 1
+        self._transition(now, status, State.STARTING, now + self.settings.ready_timeout_ms)
+        commands.append(Start(status.spec.name))
+
+    def _stop_child(self, now: float, status: ChildStatus, commands: list[Command]) -> None:
+        name = status.spec.name
+        if status.state in (State.STARTING, State.READY):
+            if all(other.state is State.STOPPED for other in self._dependents(name)):
+                self._transition(now, status, State.STOPPING, now + self.settings.stop_timeout_ms)
+                commands.append(Terminate(name))
+        elif status.state is State.STOPPING and status.deadline is not None and status.deadline <= now:
+            status.deadline = None
+            commands += [
+                LogMessage(name, f"did not exit within {self.settings.stop_timeout_ms / 1000.0:.0f} s"),
+                Kill(name),
+            ]
+
+    def _dependents(self, name: str) -> list[ChildStatus]:
+        return [status for status in self.children.values() if name in status.spec.depends_on]
+
+    def _transition(self, now: float, status: ChildStatus, state: State, deadline: float | None) -> None:
+        status.state, status.state_since, status.deadline = state, now, deadline
+
+
+def _dependency_order(specs: Sequence[ChildSpec]) -> list[str]:
+    """Returns the names, each after all its dependencies. Raises ValueError if a cycle exists."""
+    depends_on = {spec.name: set(spec.depends_on) for spec in specs}
     order: list[str] = []
-    while needs:
-        free = [name for name, left in needs.items() if not left]
-        if not free:
-            raise ValueError(f"{', '.join(sorted(needs))} need each other")
-        for name in free:
-            del needs[name]
-        for left in needs.values():
-            left.difference_update(free)
-        order += free
+    while depends_on:
+        startable = [name for name, remaining in depends_on.items() if not remaining]
+        if not startable:
+            raise ValueError(f"{', '.join(sorted(depends_on))} depend on each other")
+        for name in startable:
+            del depends_on[name]
+        for remaining in depends_on.values():
+            remaining.difference_update(startable)
+        order += startable
     return order
--- a/fernweir/appliance/unit.py
+++ b/fernweir/appliance/unit.py
@@ -16,7 +16,15 @@
 from fernweir.appliance.layout import Lock, UnitConfig, UnitError, migrate
 from fernweir.appliance.logs import open_log, rotate
 from fernweir.appliance.merge import Merger
-from fernweir.appliance.supervise import Child, Say, Start, State, SuperviseRules, Supervisor, Terminate
+from fernweir.appliance.supervise import (
+    ChildSpec,
+    LogMessage,
+    Start,
+    State,
+    Supervisor,
+    SupervisorSettings,
+    Terminate,
+)
 from fernweir.control.channel import ControlServer
 from fernweir.control.client import ControlClient, ControlError
 from fernweir.control.desk import OrderService, OrderServiceSettings, load_orders
@@ -72,17 +80,17 @@
         self._processes: dict[str, _Process] = {}
         self._commands = _commands(config)
         unit = config.unit
-        rules = SuperviseRules(
-            first_pause_ms=unit.first_pause,
-            longest_pause_ms=unit.longest_pause,
-            restarts=unit.restarts,
-            window_ms=unit.restarts_within,
+        rules = SupervisorSettings(
+            initial_backoff_ms=unit.first_pause,
+            max_backoff_ms=unit.longest_pause,
+            max_restarts=unit.restarts,
+            restart_window_ms=unit.restarts_within,
         )
         boxes = tuple(name for name in self._commands if name.startswith("box-"))
         needs = {"list": boxes, **{name: ("list",) for name in self._commands if name.startswith("front-")}}
         if config.trial is None:
             needs = {}
-        children = [Child(name, needs.get(name, ())) for name in self._commands]
+        children = [ChildSpec(name, needs.get(name, ())) for name in self._commands]
         self.supervisor = Supervisor(children, rules, seed=os.getpid())
         self.clients: dict[str, ControlClient] = {}
         self._timers: set[asyncio.TimerHandle] = set()
@@ -149,8 +157,8 @@
         self._processes.pop(name, None)
         if name in self.clients and name in self.desk.projection.fronts:
             self.merger.gone(name, self.wall_time_ms())
-        for command in self.supervisor.exited(self._now(), name, how):
-            if isinstance(command, Say):
+        for command in self.supervisor.on_exit(self._now(), name, how):
+            if isinstance(command, LogMessage):
                 self.log.warning(command.text, child=command.name)
         self._run()
 
@@ -158,7 +166,7 @@
         for command in self.supervisor.step(self._now()):
             if isinstance(command, Start):
                 self._start(command.name)
-            elif isinstance(command, Say):
+            elif isinstance(command, LogMessage):
                 self.log.warning(command.text, child=command.name)
             elif (process := self._processes.get(command.name)) is not None:
                 process.process.send_signal(
@@ -170,7 +178,7 @@
         if self._wake is not None:
             self._wake.cancel()
             self._wake = None
-        due = self.supervisor.next_due()
+        due = self.supervisor.next_deadline()
         if due is not None:
             self._wake = self.loop.call_at(due / 1000.0, self._run)
 
@@ -207,13 +215,13 @@
                 task = asyncio.ensure_future(self.loop.create_connection(asyncio.Protocol, *address))
                 self._tasks.add(task)
                 task.add_done_callback(connected)
-        if self.supervisor.rows[name].state is State.STARTING:
+        if self.supervisor.children[name].state is State.STARTING:
             self._later(_POLL_S, lambda: self._poll(name, process))
 
     def _is_ready(self, name: str) -> None:
-        if self.supervisor.rows[name].state is State.STARTING:
+        if self.supervisor.children[name].state is State.STARTING:
             self.log.info("child is ready", child=name)
-            self.supervisor.ready(self._now(), name)
+            self.supervisor.on_ready(self._now(), name)
             self._run()
 
     def _rotate(self) -> None:
@@ -315,17 +323,17 @@
         }
 
     def unit(self) -> Mapping[str, Any]:
-        rows = self.supervisor.rows.values()
+        rows = self.supervisor.children.values()
         return {
             "name": self.config.unit.name,
             "pid": os.getpid(),
             "children": [
                 {
-                    "name": row.child.name,
+                    "name": row.spec.name,
                     "state": str(row.state),
                     "starts": row.starts,
                     "last_end": row.last_end,
-                    "pid": self._pid(row.child.name),
+                    "pid": self._pid(row.spec.name),
                 }
                 for row in rows
             ],
--- a/tests/test_appliance.py
+++ b/tests/test_appliance.py
@@ -1,4 +1,4 @@
-"""A unit: when its processes start and stop, its fronts' journals as one, its folder, and all of it alive."""
+"""Tests of a unit: supervision, the merged journal, the folder's layout and backups, and a running unit."""
 
 from __future__ import annotations
 
@@ -23,7 +23,16 @@
 from fernweir.appliance.logs import open_log, rotate
 from fernweir.appliance.make import Wish, make_unit
 from fernweir.appliance.merge import Merger
-from fernweir.appliance.supervise import Child, Kill, Say, Start, State, SuperviseRules, Supervisor, Terminate
+from fernweir.appliance.supervise import (
+    ChildSpec,
+    Kill,
+    LogMessage,
+    Start,
+    State,
+    Supervisor,
+    SupervisorSettings,
+    Terminate,
+)
 from fernweir.config.ini import ConfigError
 from fernweir.control.client import ControlClient
 from fernweir.control.desk import KIND, load_orders
@@ -35,23 +44,23 @@
 
 # --- supervision ---
 
-CHILDREN = [Child("box"), Child("list", ("box",)), Child("front", ("list",))]
-RULES = SuperviseRules(
-    first_pause_ms=100.0, longest_pause_ms=1_000.0, steady_ms=5_000.0, restarts=3, window_ms=60_000.0,
-    ready_ms=2_000.0, stop_ms=1_000.0,
+CHILDREN = [ChildSpec("box"), ChildSpec("list", ("box",)), ChildSpec("front", ("list",))]
+RULES = SupervisorSettings(
+    initial_backoff_ms=100.0, max_backoff_ms=1_000.0, stable_ms=5_000.0, max_restarts=3,
+    restart_window_ms=60_000.0, ready_timeout_ms=2_000.0, stop_timeout_ms=1_000.0,
 )  # fmt: skip
 
 
-class Unit:
-    """A supervisor, a clock, and which processes run."""
+class SimulatedUnit:
+    """A supervisor with a simulated clock and simulated processes."""
 
-    def __init__(self, rules: SuperviseRules = RULES) -> None:
+    def __init__(self, rules: SupervisorSettings = RULES) -> None:
         self.supervisor, self.now = Supervisor(CHILDREN, rules, 1), 0.0
         self.alive: list[str] = []
-        self.said: list[str] = []
+        self.messages: list[str] = []
 
     def step(self, after: float = 0.0) -> list[str]:
-        """What was done, as `start box` and so on."""
+        """Advances the clock and returns the commands, such as `start box`."""
         self.now += after
         done = []
         for command in self.supervisor.step(self.now):
@@ -63,26 +72,26 @@
                 assert command.name in self.alive
                 done.append(f"{type(command).__name__.lower()} {command.name}")
             else:
-                self.said.append(command.text)
+                self.messages.append(command.text)
         return done
 
-    def end(self, name: str, how: str = "ended with 1") -> None:
+    def end(self, name: str, reason: str = "ended with 1") -> None:
         self.alive.remove(name)
-        said = self.supervisor.exited(self.now, name, how)
-        self.said += [one.text for one in said if isinstance(one, Say)]
+        commands = self.supervisor.on_exit(self.now, name, reason)
+        self.messages += [command.text for command in commands if isinstance(command, LogMessage)]
 
     def ready(self, name: str) -> None:
-        self.supervisor.ready(self.now, name)
+        self.supervisor.on_ready(self.now, name)
 
 
-def test_it_starts_in_order_and_stops_the_other_way_round() -> None:
-    unit = Unit()
+def test_children_start_in_dependency_order_and_stop_in_reverse() -> None:
+    unit = SimulatedUnit()
     assert unit.step() == ["start box"] and unit.step() == []
     unit.ready("box")
     assert unit.step() == ["start list"]
     unit.ready("list")
     unit.end("box")
-    assert unit.step() == ["start front"]  # what it needs was ready once: that is enough
+    assert unit.step() == ["start front"]  # its dependency has been ready once, which is enough
     unit.ready("front")
     unit.supervisor.stop(unit.now)
     assert unit.step() == ["terminate front"] and unit.step(500.0) == []
@@ -93,59 +102,63 @@
     assert unit.step() == [] and unit.supervisor.stopped
 
 
-def test_pauses_grow_until_it_is_steady_and_too_many_ends_give_it_up() -> None:
-    unit = Unit(replace(RULES, restarts=100))
+def test_backoff_grows_until_the_child_is_stable_and_too_many_exits_give_it_up() -> None:
+    unit = SimulatedUnit(replace(RULES, max_restarts=100))
     unit.step()
-    pauses = []
+    backoffs_ms = []
     for _ in range(6):
         unit.end("box")
-        due = unit.supervisor.next_due()
-        assert due is not None
-        pauses.append(due - unit.now)
-        assert unit.step(due - unit.now) == ["start box"]
-    assert all(50.0 * 2**n <= pause <= 100.0 * 2**n for n, pause in enumerate(pauses[:4]))
-    assert max(pauses) <= 1_000.0
+        deadline = unit.supervisor.next_deadline()
+        assert deadline is not None
+        backoffs_ms.append(deadline - unit.now)
+        assert unit.step(deadline - unit.now) == ["start box"]
+    assert all(50.0 * 2**n <= backoff_ms <= 100.0 * 2**n for n, backoff_ms in enumerate(backoffs_ms[:4]))
+    assert max(backoffs_ms) <= 1_000.0
     unit.ready("box")
     unit.now += 6_000.0
     unit.end("box")
-    due = unit.supervisor.next_due()
-    assert due is not None and due - unit.now <= 100.0
+    deadline = unit.supervisor.next_deadline()
+    assert deadline is not None and deadline - unit.now <= 100.0
 
-    unit = Unit()
+    unit = SimulatedUnit()
     unit.step()
     for _ in range(3):
         unit.end("box")
         assert unit.step(1_000.0) == ["start box"]
     unit.end("box")
-    assert unit.supervisor.rows["box"].state is State.GIVEN_UP and "given up" in unit.said[-1]
+    assert unit.supervisor.children["box"].state is State.GIVEN_UP and "given up" in unit.messages[-1]
     assert unit.step(100_000.0) == []
     assert unit.supervisor.retry(unit.now, "box") and unit.step() == ["start box"]
     assert not unit.supervisor.retry(unit.now, "box")
 
 
-def test_one_that_is_not_ready_in_time_is_killed_and_counts_as_failed() -> None:
-    unit = Unit()
+def test_a_child_that_is_not_ready_in_time_is_killed_and_counts_as_failed() -> None:
+    unit = SimulatedUnit()
     unit.step()
     assert unit.step(2_000.0) == ["kill box"] and unit.step(1.0) == []
     unit.end("box", "killed by signal 9")
-    assert unit.supervisor.rows["box"].failures == 1 and unit.step(100.0) == ["start box"]
+    assert unit.supervisor.children["box"].consecutive_failures == 1 and unit.step(100.0) == ["start box"]
 
 
 @pytest.mark.parametrize(
     "children",
-    [[Child("a"), Child("a")], [Child("a", ("b",))], [Child("a", ("b",)), Child("b", ("a",))]],
+    [
+        [ChildSpec("a"), ChildSpec("a")],
+        [ChildSpec("a", ("b",))],
+        [ChildSpec("a", ("b",)), ChildSpec("b", ("a",))],
+    ],
 )
-def test_children_that_cannot_be(children: list[Child]) -> None:
+def test_duplicate_unknown_and_cyclic_children_are_rejected(children: list[ChildSpec]) -> None:
     with pytest.raises(ValueError, match=r"a"):
         Supervisor(children)
 
 
-class SuperviseStory(RuleBasedStateMachine):
-    """Ends, readiness, stops at any moment: never two of one child, never one left over."""
+class SupervisorStateMachine(RuleBasedStateMachine):
+    """Exits, readiness and stops at any moment: a child never runs twice, and none outlives the stop."""
 
     @initialize()
     def begin(self) -> None:
-        self.unit = Unit(replace(RULES, restarts=5))
+        self.unit = SimulatedUnit(replace(RULES, max_restarts=5))
 
     @rule(after=st.sampled_from([0.0, 60.0, 900.0, 2_500.0]))
     def time(self, after: float) -> None:
@@ -172,7 +185,7 @@
     @invariant()
     def agrees(self) -> None:
         if hasattr(self, "unit"):
-            for name, row in self.unit.supervisor.rows.items():
+            for name, row in self.unit.supervisor.children.items():
                 runs = row.state in (State.STARTING, State.READY, State.STOPPING)
                 assert runs == (name in self.unit.alive)
 
@@ -182,13 +195,13 @@
             for _ in range(8):
                 self.unit.step(1_100.0)
                 for name in list(self.unit.alive):
-                    if self.unit.supervisor.rows[name].state is State.STOPPING:
+                    if self.unit.supervisor.children[name].state is State.STOPPING:
                         self.unit.end(name)
             assert self.unit.supervisor.stopped and self.unit.alive == []
 
 
-SuperviseStory.TestCase.settings = hypothesis_settings(max_examples=100, stateful_step_count=30)
-TestSuperviseStory = SuperviseStory.TestCase
+SupervisorStateMachine.TestCase.settings = hypothesis_settings(max_examples=100, stateful_step_count=30)
+TestSupervisorStateMachine = SupervisorStateMachine.TestCase
 
 
 # --- journals as one ---
