--- a/tests/test_appliance.py
+++ b/tests/test_appliance.py
@@ -22,7 +22,7 @@
 from fernweir.appliance.layout import Layout, Lock, UnitError, load_unit, migrate, read_format
 from fernweir.appliance.logs import open_log, rotate
 from fernweir.appliance.make import Wish, make_unit
-from fernweir.appliance.merge import Merger
+from fernweir.appliance.merge import JournalMerger
 from fernweir.appliance.supervise import (
     ChildSpec,
     Kill,
@@ -204,43 +204,43 @@
 TestSupervisorStateMachine = SupervisorStateMachine.TestCase
 
 
-# --- journals as one ---
+# --- the merged journal ---
 
 
-class MergeStory(RuleBasedStateMachine):
-    """Fronts that live, die and lose their journals; a unit that dies: one picture, each entry once."""
+class MergeStateMachine(RuleBasedStateMachine):
+    """Fronts exit and lose their journals, and the unit restarts: one projection, each entry merged once."""
 
     @initialize()
     def begin(self) -> None:
         self.fronts = {name: Journal(name, JournalConfig(segment_entries=8)) for name in ("f1", "f2")}
-        self.pictures = {name: StateProjection() for name in self.fronts}
+        self.projections = {name: StateProjection() for name in self.fronts}
         for name, journal in self.fronts.items():
-            journal.watchers.append(self.pictures[name].apply)
+            journal.watchers.append(self.projections[name].apply)
             journal.add(0.0, EventKind.FRONT, why="up")
         self.sent = dict.fromkeys(self.fronts, ("", 0))
         self.rows: list[Any] = []
-        self.unit()
+        self.start_unit()
         self.count = 0
 
-    def unit(self) -> None:
-        """A life of the unit: its own journal is what it was."""
+    def start_unit(self) -> None:
+        """Starts the unit again with the entries that its journal had."""
         self.journal = Journal("", JournalConfig(segment_entries=8))
         self.journal.restore("unit", [], list(self.rows))
-        self.picture = StateProjection()
+        self.projection = StateProjection()
         for entry in self.rows:
-            self.picture.apply(entry)
-        self.journal.watchers += [self.picture.apply, self.rows.append]
-        self.merger = Merger(self.journal)
+            self.projection.apply(entry)
+        self.journal.watchers += [self.projection.apply, self.rows.append]
+        self.merger = JournalMerger(self.journal)
         self.merger.recover()
         self.connected: set[str] = set()
-        for name in list(self.picture.fronts):
-            self.merger.gone(name, 0)
+        for name in list(self.projection.fronts):
+            self.merger.mark_front_down(name, 0)
 
     @rule(name=st.sampled_from(["f1", "f2"]), session=st.integers(0, 3), box=st.integers(1, 3))
     def happens(self, name: str, session: int, box: int) -> None:
         self.count += 1
-        picture, journal, id = self.pictures[name], self.fronts[name], f"s{session}"
-        row = picture.sessions.get(f"{name}/{id}")
+        projection, journal, id = self.projections[name], self.fronts[name], f"s{session}"
+        row = projection.sessions.get(f"{name}/{id}")
         if row is None:
             journal.add(self.count, EventKind.REQUESTED, session=id, title="l", cls="c")
         elif row.phase == "asked":
@@ -259,56 +259,59 @@
         self.catch_up(name)
 
     def catch_up(self, name: str) -> None:
-        """As the channel does: entries after the last one taken, or a snapshot."""
-        journal, taken = self.fronts[name], self.merger.since(name)
-        if taken.journal == journal.id and taken.number <= journal.last:
-            for entry in journal.entries(max(taken.number - 1, 0)):  # some twice, as after a dropped line
-                self.merger.entry(name, journal.id, entry)
+        """Sends the entries after the last merged one, or a snapshot, as the channel does."""
+        journal, position = self.fronts[name], self.merger.position_of(name)
+        if position.journal == journal.id and position.number <= journal.last:
+            # One entry is sent twice, as after a lost connection.
+            for entry in journal.entries(max(position.number - 1, 0)):
+                self.merger.add_entry(name, journal.id, entry)
         else:
-            picture = StateProjection.from_plain(self.pictures[name].to_plain())
-            self.merger.snapshot(name, journal.id, picture)
+            projection = StateProjection.from_plain(self.projections[name].to_plain())
+            self.merger.add_snapshot(name, journal.id, projection)
 
     @rule(name=st.sampled_from(["f1", "f2"]))
     def front_dies(self, name: str) -> None:
         self.connected.discard(name)
-        self.merger.gone(name, 0)
+        self.merger.mark_front_down(name, 0)
         self.fronts[name].add(0.0, EventKind.FRONT, why="up")
 
     @rule(name=st.sampled_from(["f1", "f2"]))
     def loses_its_journal(self, name: str) -> None:
         self.front_dies(name)
         self.fronts[name] = Journal(name, JournalConfig(segment_entries=8))
-        self.pictures[name] = StateProjection()
-        self.fronts[name].watchers.append(self.pictures[name].apply)
+        self.projections[name] = StateProjection()
+        self.fronts[name].watchers.append(self.projections[name].apply)
         self.fronts[name].add(0.0, EventKind.FRONT, why="up")
 
     @rule()
     def unit_dies(self) -> None:
-        """And its fronts with it: a front that outlives its unit is not listened to."""
+        """The fronts restart too: the unit ignores a front that an earlier process of it started."""
         for journal in self.fronts.values():
             journal.add(0.0, EventKind.FRONT, why="up")
-        self.unit()
+        self.start_unit()
 
     @invariant()
     def one_picture(self) -> None:
         if not hasattr(self, "merger"):
             return
         for name in self.connected:
-            shown = {row.session: (row.phase, row.server) for row in self.picture.sessions.values()
+            shown = {row.session: (row.phase, row.server) for row in self.projection.sessions.values()
                      if row.front == name}  # fmt: skip
-            held = {row.session: (row.phase, row.server) for row in self.pictures[name].sessions.values()}
-            assert shown == held
-        gone = {row.front for row in self.picture.sessions.values()} - self.connected
-        assert not gone, "sessions of a front that nobody hears"
+            expected = {
+                row.session: (row.phase, row.server) for row in self.projections[name].sessions.values()
+            }
+            assert shown == expected
+        gone = {row.front for row in self.projection.sessions.values()} - self.connected
+        assert not gone, "sessions of a front that is not connected"
         numbers = [entry.number for entry in self.rows]
         assert numbers == list(range(1, len(numbers) + 1))
-        marks = [(e.front, e.more["j"], e.more["n"]) for e in self.rows
+        origins = [(e.front, e.more["j"], e.more["n"]) for e in self.rows
                  if "n" in e.more and e.what is EventKind.PLAYS]  # fmt: skip
-        assert len(marks) == len(set(marks)), "an answer counted twice"
+        assert len(origins) == len(set(origins)), "an entry was merged twice"
 
 
-MergeStory.TestCase.settings = hypothesis_settings(max_examples=100, stateful_step_count=30)
-TestMergeStory = MergeStory.TestCase
+MergeStateMachine.TestCase.settings = hypothesis_settings(max_examples=100, stateful_step_count=30)
+TestMergeStateMachine = MergeStateMachine.TestCase
 
 
 # --- the folder ---
@@ -493,8 +496,8 @@
             front.start()
             await front.wait_ready()
             await until(lambda: front.follower.projection is not None)
-            picture = front.follower.projection
-            assert picture is not None and picture.servers[1].state == "draining"
+            projection = front.follower.projection
+            assert projection is not None and projection.servers[1].state == "draining"
             orders = (await ann.ask("events", what="order", limit=500))["rows"]
             assert sum("drain 1" in row[11] for row in orders) == 1
             front.close()
