--- a/fernweir/appliance/doctor.py
+++ b/fernweir/appliance/doctor.py
@@ -13,7 +13,14 @@
 from enum import StrEnum
 from pathlib import Path
 
-from fernweir.appliance.layout import SOCKET_PATH_BYTES, Layout, UnitConfig, UnitError, load_unit, read_format
+from fernweir.appliance.layout import (
+    MAX_SOCKET_PATH_BYTES,
+    Layout,
+    UnitConfig,
+    UnitError,
+    load_unit,
+    read_format,
+)
 from fernweir.config.front import FrontConfig, load_front
 from fernweir.config.ini import ConfigError
 from fernweir.control.desk import load_orders
@@ -143,7 +150,7 @@
     if front.control is None or not front.control.led:
         helps = "[control] needs socket, orders = state/orders.json and led = yes"
         yield Finding(Grade.BAD, about, "is not led by the unit", helps)
-    elif len(os.fsencode(front.path(front.control.socket))) > SOCKET_PATH_BYTES:
+    elif len(os.fsencode(front.path(front.control.socket))) > MAX_SOCKET_PATH_BYTES:
         yield Finding(Grade.BAD, about, "its socket's path is too long", "move the unit to a shorter path")
     host, port = front.front.listen
     taken = _taken(host, port)
--- a/fernweir/appliance/layout.py
+++ b/fernweir/appliance/layout.py
@@ -1,4 +1,7 @@
-"""Where a unit keeps what, and its own settings. `FORMAT` names the layout; see `migrate`."""
+"""The files of a unit's folder, the unit's settings, its lock, and the migration of older folders.
+
+`FORMAT` is the version of the layout; `migrate` brings older ones up to it.
+"""
 
 from __future__ import annotations
 
@@ -18,11 +21,11 @@
 
 FORMAT = 2
 _FORMAT_KIND = "fernweir unit"
-SOCKET_PATH_BYTES = 107  # what the kernel takes for a Unix socket's name
+MAX_SOCKET_PATH_BYTES = 107  # the kernel's limit for the path of a Unix socket
 
 
 class UnitError(Exception):
-    """The unit can't do what it was asked; the text says why and what helps."""
+    """Raised when an operation on a unit fails; the text names the reason and, if there is one, a remedy."""
 
 
 class UnitSection(Section):
@@ -40,7 +43,7 @@
 
 
 class TrialSection(Section):
-    """Simulated boxes and list, for a first look; left out, the list of `front-N.ini` is real."""
+    """Simulated servers and list, for trials. Without this section, the list in `front-N.ini` is real."""
 
     boxes: Count
     list: Address
@@ -67,7 +70,7 @@
 
     @property
     def fleet_key(self) -> Path:
-        """What fronts of the unit that know one another seal their messages with."""
+        """The key with which the fronts of the unit seal their messages to each other."""
         return self.root / "fleet.key"
 
     @property
@@ -118,7 +121,10 @@
 
 
 def load_unit(root: Path) -> UnitConfig:
-    """ConfigError names every mistake; UnitError if the folder is no unit."""
+    """Loads the settings of a unit.
+
+    Raises ConfigError, which names every mistake, or UnitError if the folder is not a unit.
+    """
     layout = Layout(root)
     if not layout.unit_ini.exists():
         raise UnitError(f"{root}: no unit.ini; make a unit with `fernweir appliance init {root}`")
@@ -136,14 +142,14 @@
 
 
 class Lock:
-    """Held while a unit runs; the kernel lets go of it whatever way the unit ends."""
+    """A file lock that a unit holds while it runs; the kernel releases it however the process ends."""
 
     def __init__(self, layout: Layout) -> None:
         self._layout = layout
         self._handle: int | None = None
 
-    def take(self) -> None:
-        """UnitError if a unit runs on this folder already."""
+    def acquire(self) -> None:
+        """Acquires the lock. Raises UnitError if a unit already runs on this folder."""
         self._layout.run.mkdir(parents=True, exist_ok=True)
         handle = os.open(self._layout.lock, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
@@ -156,21 +162,26 @@
         os.write(handle, f"{os.getpid()}\n".encode())
         self._handle = handle
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         if self._handle is not None:
             os.close(self._handle)
             self._handle = None
 
 
 def read_format(layout: Layout) -> int:
-    """The layout's format; a folder without a mark is of the first. UnitError for a newer one."""
+    """Returns the layout's format; a folder without a format file has format 1.
+
+    Raises UnitError if the format is newer than `FORMAT` or can't be read.
+    """
     try:
         state = read_state(layout.format, _FORMAT_KIND)
     except (StateFileError, OSError) as error:
         raise UnitError(str(error)) from None
     number = 1 if state is None else int(state["format"])
     if number > FORMAT:
-        raise UnitError(f"{layout.root}: made by a newer fernweir, format {number}; this one knows {FORMAT}")
+        raise UnitError(
+            f"{layout.root}: made by a newer fernweir, format {number}; this one reads formats up to {FORMAT}"
+        )
     return number
 
 
@@ -178,8 +189,8 @@
     write_state(layout.format, _FORMAT_KIND, {"format": FORMAT})
 
 
-def _orders_to_second(layout: Layout) -> None:
-    """Format 1 kept its orders at the root, without caps and answers."""
+def _migrate_orders_to_format_2(layout: Layout) -> None:
+    """Migrates format 1, which stored the orders at the root, without caps and answers."""
     old = layout.root / "orders.json"
     if old.exists() and not layout.orders.exists():
         try:
@@ -190,15 +201,18 @@
     old.unlink(missing_ok=True)
 
 
-_STEPS: dict[int, Callable[[Layout], None]] = {1: _orders_to_second}
+_MIGRATIONS: dict[int, Callable[[Layout], None]] = {1: _migrate_orders_to_format_2}
 
 
 def migrate(layout: Layout) -> list[str]:
-    """Brings the state to this format, one format at a time; what was done. Safe to be killed in."""
+    """Migrates the state to `FORMAT`, one format at a time, and returns what was done.
+
+    A migration that was killed continues when it is run again.
+    """
     done = []
     number = read_format(layout)
     while number < FORMAT:
-        _STEPS[number](layout)
+        _MIGRATIONS[number](layout)
         number += 1
         done.append(f"state brought to format {number}")
     if done or not layout.format.exists():
--- a/fernweir/appliance/logs.py
+++ b/fernweir/appliance/logs.py
@@ -1,7 +1,7 @@
-"""Logs of children: each appends to a file of its own, which is copied away and emptied when it is large.
+"""Log files of child processes, rotated by copying and truncating.
 
-A pipe through the unit would make a slow unit slow its fronts. What is written between copy and emptying,
-a few microseconds, can be lost.
+Each child appends to its own file. A pipe through the unit is not used, because a slow unit would then slow
+down its fronts. Lines written between the copy and the truncation, a few microseconds, can be lost.
 """
 
 from __future__ import annotations
@@ -12,19 +12,22 @@
 
 
 def open_log(path: Path) -> int:
-    """A handle to append by; the writer goes on at the new end after `rotate`."""
+    """Opens a log for appending and returns its descriptor; it stays valid after `rotate`."""
     path.parent.mkdir(parents=True, exist_ok=True)
     return os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
 
 
-def rotate(path: Path, size: int, keep: int) -> bool:
-    """Copies a log of over `size` bytes away, as `.1`, and empties it; at most `keep` copies stay."""
+def rotate(path: Path, max_bytes: int, max_copies: int) -> bool:
+    """Copies a log of over `max_bytes` to `.1` and truncates it; at most `max_copies` copies remain.
+
+    Returns whether the log was rotated.
+    """
     try:
-        if path.stat().st_size <= size:
+        if path.stat().st_size <= max_bytes:
             return False
     except FileNotFoundError:
         return False
-    for number in range(keep - 1, 0, -1):
+    for number in range(max_copies - 1, 0, -1):
         older = path.with_name(f"{path.name}.{number}")
         if older.exists():
             os.replace(older, path.with_name(f"{path.name}.{number + 1}"))
--- a/fernweir/appliance/make.py
+++ b/fernweir/appliance/make.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from fernweir.appliance.layout import SOCKET_PATH_BYTES, Layout, UnitError, write_format
+from fernweir.appliance.layout import MAX_SOCKET_PATH_BYTES, Layout, UnitError, write_format
 from fernweir.config.front import load_front
 from fernweir.config.ini import ConfigError
 from fernweir.tokens.key_generation import generate_key_set
@@ -57,9 +57,9 @@
         raise UnitError(f"{root}: is not empty; nothing was changed")
     layout = Layout(root)
     longest = len(os.fsencode(layout.front_socket(wish.fronts)))
-    if longest > SOCKET_PATH_BYTES:
+    if longest > MAX_SOCKET_PATH_BYTES:
         raise UnitError(
-            f"{root}: the path is too long for a socket in it, by {longest - SOCKET_PATH_BYTES} bytes"
+            f"{root}: the path is too long for a socket in it, by {longest - MAX_SOCKET_PATH_BYTES} bytes"
         )
     if not wish.boxes and not wish.list_url:
         raise UnitError("say where the list of boxes is, or how many simulated boxes to try with")
--- a/fernweir/appliance/unit.py
+++ b/fernweir/appliance/unit.py
@@ -105,7 +105,7 @@
         self._tasks: set[asyncio.Task[Any]] = set()
 
     async def start(self) -> None:
-        self._lock.take()
+        self._lock.acquire()
         try:
             for step in migrate(self.layout):
                 self.log.info(step)
@@ -115,7 +115,7 @@
             self.journal.on_fault = self._on_journal_fault
             self.journal.restore(*self.folder.open())
         except (StateFileError, OSError) as error:
-            self._lock.give_back()
+            self._lock.release()
             raise UnitError(str(error)) from None
         for problem in self.folder.problems:
             self.log.warning("journal is incomplete", why=problem)
@@ -158,7 +158,7 @@
         self._processes.clear()
         self.channel.close()
         self.folder.close()
-        self._lock.give_back()
+        self._lock.release()
 
     # --- children ---
 
--- a/tests/test_appliance.py
+++ b/tests/test_appliance.py
@@ -372,21 +372,21 @@
     assert "damaged" in bad()["state"]
 
 
-def test_a_second_unit_on_one_folder_is_refused(tmp_path: Path) -> None:
+def test_a_second_unit_on_the_same_folder_is_rejected(tmp_path: Path) -> None:
     layout = Layout(made(tmp_path))
     first = Lock(layout)
-    first.take()
+    first.acquire()
     with pytest.raises(UnitError, match=f"runs here already, process {os.getpid()}"):
-        Lock(layout).take()
-    first.give_back()
+        Lock(layout).acquire()
+    first.release()
     second = Lock(layout)
-    second.take()
-    second.give_back()
+    second.acquire()
+    second.release()
 
 
-def test_an_older_state_is_brought_up_to_date_and_a_newer_one_refused(tmp_path: Path) -> None:
+def test_an_older_state_is_migrated_and_a_newer_one_rejected(tmp_path: Path) -> None:
     layout = Layout(made(tmp_path))
-    layout.format.unlink()  # the first format had no mark, and its orders at the root
+    layout.format.unlink()  # format 1 had no format file, and stored its orders at the root
     first = {"format": 1, "version": 4, "drains": {"2": ["ann", 7]}, "holds": {"lesson-1": ["bob", 8]}}
     write_state(layout.root / "orders.json", KIND, first)
     assert read_format(layout) == 1 and migrate(layout) == ["state brought to format 2"]
@@ -398,7 +398,7 @@
         migrate(layout)
 
 
-def test_a_backup_comes_back_as_it_was_and_a_damaged_one_does_not(tmp_path: Path) -> None:
+def test_a_backup_restores_all_files_and_a_damaged_one_is_rejected(tmp_path: Path) -> None:
     root, file = made(tmp_path), tmp_path / "unit.backup"
     layout = Layout(root)
     write_state(layout.orders, KIND, {"format": 1, "version": 1, "drains": {"1": ["ann", 7]}, "holds": {}})
@@ -408,38 +408,38 @@
     layout.orders.unlink()
     (root / "keys.json").write_text("lost")
     lock = Lock(layout)
-    lock.take()
+    lock.acquire()
     with pytest.raises(UnitError, match="runs here already"):
         restore(root, file)
-    lock.give_back()
-    assert "as their checksums say" in restore(root, file)[0]
+    lock.release()
+    assert "match their checksums" in restore(root, file)[0]
     after = {path.relative_to(root): path.read_bytes() for path in root.rglob("*") if path.is_file()}
     assert after == before and load_orders(layout.orders).drained(1)
-    kept = root.with_name("u.before-restore")
-    assert (kept / "keys.json").read_text() == "lost"
+    previous = root.with_name("u.before-restore")
+    assert (previous / "keys.json").read_text() == "lost"
     data = file.read_bytes()
-    for cut in (0, 20, len(data) // 2, len(data) - 30):
-        file.write_bytes(data[:cut])
+    for length in (0, 20, len(data) // 2, len(data) - 30):
+        file.write_bytes(data[:length])
         with pytest.raises(UnitError):
             restore(root, file)
     file.write_bytes(data[:-200] + bytes(byte ^ 0x55 for byte in data[-200:-190]) + data[-190:])
     with pytest.raises(UnitError):
         check(file)
-    assert load_orders(layout.orders).drained(1)  # nothing was touched
-    with pytest.raises(UnitError, match="is there already"):
+    assert load_orders(layout.orders).drained(1)  # the unit is unchanged
+    with pytest.raises(UnitError, match="already exists"):
         back_up(root, file)
 
 
-def test_logs_are_bounded_while_their_writers_go_on(tmp_path: Path) -> None:
+def test_logs_stay_bounded_while_their_writers_continue(tmp_path: Path) -> None:
     path = tmp_path / "front-1.log"
     handle = open_log(path)
     for number in range(10):
         os.write(handle, b"x" * 90 + b"%09d\n" % number)
         rotate(path, 250, 2)
     os.close(handle)
-    sizes = {one.name: one.stat().st_size for one in tmp_path.iterdir()}
+    sizes = {file.name: file.stat().st_size for file in tmp_path.iterdir()}
     assert set(sizes) == {"front-1.log", "front-1.log.1", "front-1.log.2"} and max(sizes.values()) <= 300
-    assert path.read_bytes().startswith(b"x" * 90)  # written at the new beginning, not past a hole
+    assert path.read_bytes().startswith(b"x" * 90)  # written at the new start, without a sparse gap
 
 
 # --- alive ---
