--- a/fernweir/appliance/make.py
+++ b/fernweir/appliance/make.py
@@ -37,20 +37,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
-    """What `init` is asked for. A port of 0 is a free one; `boxes` of 0 is a unit for a real list."""
+class UnitOptions:
+    """Options of a new unit.
+
+    `port` is the first port; 0 selects free ones. With `simulated_servers` of 0 the unit uses a real list.
+    """
 
     name: str
     fronts: int = 1
     host: str = "127.0.0.1"
     port: int = 8100
-    boxes: int = 0
+    simulated_servers: int = 0
     list_url: str = ""
     issuer: str = "entitlement"
     operators: tuple[str, ...] = ()
 
 
-def make_unit(root: Path, wish: Wish) -> list[str]:
+def create_unit(root: Path, wish: UnitOptions) -> list[str]:
     """The files that were made. UnitError, with nothing left behind, if it can't be done."""
     root = root.absolute()
     if root.exists() and any(root.iterdir()):
@@ -61,7 +64,7 @@
         raise UnitError(
             f"{root}: the path is too long for a socket in it, by {longest - MAX_SOCKET_PATH_BYTES} bytes"
         )
-    if not wish.boxes and not wish.list_url:
+    if not wish.simulated_servers and not wish.list_url:
         raise UnitError("say where the list of boxes is, or how many simulated boxes to try with")
     fresh = not root.exists()
     try:
@@ -72,14 +75,14 @@
         raise UnitError(str(error)) from None
 
 
-def _make(layout: Layout, wish: Wish) -> list[str]:
+def _make(layout: Layout, wish: UnitOptions) -> list[str]:
     for folder in (layout.root, layout.state, layout.run, layout.log):
         folder.mkdir(parents=True, exist_ok=True)
         folder.chmod(0o700)
     ports = _Ports(wish.host, wish.port)
     front_ports = [ports.take() for _ in range(wish.fronts)]
-    list_port = ports.take() if wish.boxes else 0
-    box_ports = [ports.take() for _ in range(wish.boxes)]
+    list_port = ports.take() if wish.simulated_servers else 0
+    box_ports = [ports.take() for _ in range(wish.simulated_servers)]
     peer_ports = [ports.take() for _ in range(wish.fronts)] if wish.fronts > 1 else []
     ports.close()
     _write(layout.keys, generate_key_set("k1") + "\n")
@@ -90,7 +93,7 @@
     for number, port in enumerate(front_ports, 1):
         text = _front_ini(wish, number, port, list_url) + _peers_ini(wish, number, peer_ports)
         _write(layout.front_ini(number), text)
-    if wish.boxes:
+    if wish.simulated_servers:
         _write(layout.trial_list, _trial_list(wish, box_ports))
     user = os.environ.get("USER", "fernweir")
     service = _SERVICE.format(name=wish.name, python=sys.executable, root=layout.root, user=user)
@@ -131,7 +134,7 @@
         file.write(text)
 
 
-def _unit_ini(wish: Wish, list_port: int, box_ports: list[int]) -> str:
+def _unit_ini(wish: UnitOptions, list_port: int, box_ports: list[int]) -> str:
     lines = [
         "; A unit of fernweir. docs/appliance.md explains each key.",
         "[unit]",
@@ -140,20 +143,20 @@
     ]
     if wish.operators:
         lines.append(f"operators = {', '.join(wish.operators)}")
-    if wish.boxes:
+    if wish.simulated_servers:
         lines += [
             "",
             "; Simulated boxes to try with: leave this section out for real ones.",
             "[trial]",
-            f"boxes = {wish.boxes}",
+            f"boxes = {wish.simulated_servers}",
             f"list = {wish.host}:{list_port}",
             f"first-port = {box_ports[0]}",
         ]
     return "\n".join(lines) + "\n"
 
 
-def _front_ini(wish: Wish, number: int, port: int, list_url: str) -> str:
-    cells = max(wish.boxes, 1) if wish.boxes else 16
+def _front_ini(wish: UnitOptions, number: int, port: int, list_url: str) -> str:
+    cells = max(wish.simulated_servers, 1) if wish.simulated_servers else 16
     operators = f"\noperators = unit, {', '.join(wish.operators)}" if wish.operators else ""
     return f"""; Front {number} of the unit. docs/operating.md explains each key; set [fleet] to your boxes.
 [front]
@@ -174,10 +177,10 @@
 
 [fleet]
 cells = {cells}
-racks = {cells if wish.boxes else 2}
+racks = {cells if wish.simulated_servers else 2}
 streams = 30
 link = 12 MB/s
-uplink = {12 if wish.boxes else 67} MB/s
+uplink = {12 if wish.simulated_servers else 67} MB/s
 
 [ladder]
 rates = 150 kB/s, 300 kB/s, 500 kB/s, 800 kB/s, 1.2 MB/s
@@ -215,7 +218,7 @@
 """
 
 
-def _peers_ini(wish: Wish, number: int, ports: list[int]) -> str:
+def _peers_ini(wish: UnitOptions, number: int, ports: list[int]) -> str:
     """Fronts of one unit know one another; a front that is alone knows nobody."""
     if not ports:
         return ""
@@ -232,13 +235,14 @@
 """
 
 
-def _trial_list(wish: Wish, box_ports: list[int]) -> str:
+def _trial_list(wish: UnitOptions, box_ports: list[int]) -> str:
     boxes = [
         {"box": number, "host": wish.host, "port": port, "cell": number - 1}
         for number, port in enumerate(box_ports, 1)
     ]
-    copies = min(3, wish.boxes)
+    copies = min(3, wish.simulated_servers)
     lessons = [
-        {"title": f"lesson-{number}", "cell": number % wish.boxes, "copies": copies} for number in range(1, 7)
+        {"title": f"lesson-{number}", "cell": number % wish.simulated_servers, "copies": copies}
+        for number in range(1, 7)
     ]
     return json.dumps({"boxes": boxes, "lessons": lessons}, indent=1) + "\n"
--- a/fernweir/cli/appliance.py
+++ b/fernweir/cli/appliance.py
@@ -12,7 +12,7 @@
 from fernweir.appliance.backup import restore as put_back
 from fernweir.appliance.doctor import Grade, look_over
 from fernweir.appliance.layout import UnitError, load_unit
-from fernweir.appliance.make import Wish, make_unit
+from fernweir.appliance.make import UnitOptions, create_unit
 from fernweir.appliance.unit import run_unit
 from fernweir.config.ini import ConfigError
 from fernweir.front.logs import set_up_logs
@@ -52,9 +52,9 @@
     if not trial_boxes and list_url is None:
         list_url = click.prompt("Where the list of boxes is (empty: try with 4 simulated boxes)", default="")
         trial_boxes = 0 if list_url else 4
-    wish = Wish(name, fronts, host, port, trial_boxes, list_url or "", issuer, operators)
+    wish = UnitOptions(name, fronts, host, port, trial_boxes, list_url or "", issuer, operators)
     try:
-        made = make_unit(root, wish)
+        made = create_unit(root, wish)
     except UnitError as error:
         _fail(error)
     for file in made:
--- a/fernweir/rehearsal/kills.py
+++ b/fernweir/rehearsal/kills.py
@@ -20,8 +20,7 @@
 from typing import Any
 
 from fernweir.appliance.layout import Layout, load_unit
-from fernweir.appliance.make import Wish as UnitWish
-from fernweir.appliance.make import make_unit
+from fernweir.appliance.make import UnitOptions, create_unit
 from fernweir.config.front import load_front
 from fernweir.control.client import ControlClient, ControlError
 from fernweir.standin.trace import Trace
@@ -55,7 +54,9 @@
         self._over = False
 
     async def run(self) -> KillsResult:
-        make_unit(self.root, UnitWish("kills", fronts=2, port=0, boxes=4, issuer="rehearsal"))
+        create_unit(
+            self.root, UnitOptions("kills", fronts=2, port=0, simulated_servers=4, issuer="rehearsal")
+        )
         ini = self.layout.unit_ini
         ini.write_text(ini.read_text().replace(
             "fronts = 2", "fronts = 2\nrestarts = 1000\nfirst-pause = 50 ms\nlongest-pause = 500 ms"
--- a/tests/test_appliance.py
+++ b/tests/test_appliance.py
@@ -21,7 +21,7 @@
 from fernweir.appliance.doctor import Grade, look_over
 from fernweir.appliance.layout import Layout, Lock, UnitError, load_unit, migrate, read_format
 from fernweir.appliance.logs import open_log, rotate
-from fernweir.appliance.make import Wish, make_unit
+from fernweir.appliance.make import UnitOptions, create_unit
 from fernweir.appliance.merge import JournalMerger
 from fernweir.appliance.supervise import (
     ChildSpec,
@@ -319,7 +319,7 @@
 
 def made(tmp_path: Path, **more: Any) -> Path:
     root = tmp_path / "u"
-    make_unit(root, Wish("yard", port=0, boxes=2, issuer="rehearsal", **more))
+    create_unit(root, UnitOptions("yard", port=0, simulated_servers=2, issuer="rehearsal", **more))
     return root
 
 
@@ -332,11 +332,11 @@
     grades = {one.about: one.grade for one in look_over(root, least_free=0)}
     assert set(grades.values()) == {Grade.GOOD}
     with pytest.raises(UnitError, match="is not empty; nothing was changed"):
-        make_unit(root, Wish("yard", boxes=1))
+        create_unit(root, UnitOptions("yard", simulated_servers=1))
     with pytest.raises(UnitError, match="too long for a socket"):
-        make_unit(tmp_path / ("d" * 100), Wish("yard", port=0, boxes=1))
+        create_unit(tmp_path / ("d" * 100), UnitOptions("yard", port=0, simulated_servers=1))
     with pytest.raises(UnitError, match="where the list of boxes is"):
-        make_unit(tmp_path / "v", Wish("yard"))
+        create_unit(tmp_path / "v", UnitOptions("yard"))
     assert not (tmp_path / "v").exists()
     with pytest.raises(UnitError, match=r"no unit\.ini"):
         load_unit(tmp_path / "nowhere")
