--- a/fernweir/appliance/__init__.py
+++ b/fernweir/appliance/__init__.py
@@ -1,1 +1,1 @@
-"""One unit that runs a site: its files, its processes, its orders."""
+"""A unit, which runs the fronts of a site: its folder, its processes, its orders and its backups."""
--- a/fernweir/appliance/doctor.py
+++ b/fernweir/appliance/doctor.py
@@ -1,4 +1,4 @@
-"""Looks a unit over and names what is wrong, and what helps. Changes nothing."""
+"""Diagnoses a unit: reports problems with their remedies. The checks are read-only."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 from fernweir.control.statefile import StateFileError
 from fernweir.front.program import read_keyring
 
-_LEAST_FREE = 512 << 20
-_LAPSE_S = 14 * 86_400.0
-_AHEAD_S = 60.0
+_MIN_FREE_BYTES = 512 << 20
+_EXPIRY_WARNING_S = 14 * 86_400.0
+_MAX_CLOCK_SKEW_S = 60.0
 
 
 class Grade(StrEnum):
@@ -40,146 +40,162 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """`about` is what was looked at; `helps` is empty if all is well."""
+    """The result of one check: `subject` is what was checked; `remedy` is empty if nothing is wrong."""
 
     grade: Grade
-    about: str
-    says: str
-    helps: str = ""
+    subject: str
+    message: str
+    remedy: str = ""
 
 
-def look_over(
-    root: Path, *, now: Callable[[], float] = time.time, least_free: int = _LEAST_FREE
+def diagnose_unit(
+    root: Path, *, now: Callable[[], float] = time.time, min_free_bytes: int = _MIN_FREE_BYTES
 ) -> list[Finding]:
-    """All findings, in the order in which one would look."""
+    """Returns the findings of all checks, the basic ones first."""
     root = root.absolute()
     try:
         config = load_unit(root)
     except (UnitError, ConfigError) as error:
-        return [Finding(Grade.BAD, "unit.ini", str(error), "mend the file, or make the unit anew")]
+        return [Finding(Grade.BAD, "unit.ini", str(error), "correct the file, or create the unit again")]
     layout = config.layout
-    findings = [*_permissions(layout), *_state(layout), *_disk(layout, least_free), *_clock(layout, now())]
-    findings += _running(layout)
-    running = any(one.about == "running" and one.says.startswith("process") for one in findings)
+    findings = [
+        *_check_permissions(layout),
+        *_check_state(layout),
+        *_check_disk(layout, min_free_bytes),
+        *_check_clock(layout, now()),
+    ]
+    findings += _check_running(layout)
+    is_running = any(
+        finding.subject == "running" and finding.message.startswith("process") for finding in findings
+    )
     for number in range(1, config.unit.fronts + 1):
-        findings += _front(config, number, now(), running)
+        findings += _check_front(config, number, now(), is_running)
     return findings
 
 
-def _permissions(layout: Layout) -> Iterator[Finding]:
-    wrong = []
+def _check_permissions(layout: Layout) -> Iterator[Finding]:
+    problems = []
     for path in (layout.root, layout.state, layout.run):
         if path.exists() and path.stat().st_mode & 0o077:
-            wrong.append(f"{path.name or path} is open to others")
+            problems.append(f"{path.name or path} can be accessed by others")
     if layout.keys.exists() and layout.keys.stat().st_mode & 0o077:
-        wrong.append("keys.json can be read by others")
+        problems.append("keys.json can be read by others")
     for path in (layout.state, layout.run, layout.log):
         if not os.access(path, os.W_OK | os.X_OK):
-            wrong.append(f"{path.name} can't be written to")
-    if wrong:
-        helps = "chmod 700 folders and 600 keys.json; run as the owner"
-        yield Finding(Grade.BAD, "permissions", "; ".join(wrong), helps)
+            problems.append(f"{path.name} can't be written to")
+    if problems:
+        remedy = "chmod 700 folders and 600 keys.json; run as the owner"
+        yield Finding(Grade.BAD, "permissions", "; ".join(problems), remedy)
     else:
-        yield Finding(Grade.GOOD, "permissions", "only the owner has a way in")
+        yield Finding(Grade.GOOD, "permissions", "only the owner has access")
 
 
-def _state(layout: Layout) -> Iterator[Finding]:
+def _check_state(layout: Layout) -> Iterator[Finding]:
     try:
         number = read_format(layout)
         orders = load_orders(layout.orders)
     except (UnitError, StateFileError, OSError) as error:
-        helps = "stop the unit, `fernweir appliance restore` a backup"
-        yield Finding(Grade.BAD, "state", str(error), helps)
+        remedy = "stop the unit, `fernweir appliance restore` a backup"
+        yield Finding(Grade.BAD, "state", str(error), remedy)
         return
-    stand = f"{len(orders.drains)} drains, {len(orders.holds)} holds, {len(orders.caps)} limits stand"
-    yield Finding(Grade.GOOD, "state", f"format {number}; {stand}")
+    orders_in_force = (
+        f"{len(orders.drains)} drains, {len(orders.holds)} holds, {len(orders.caps)} limits in force"
+    )
+    yield Finding(Grade.GOOD, "state", f"format {number}; {orders_in_force}")
 
 
-def _disk(layout: Layout, least: int) -> Iterator[Finding]:
+def _check_disk(layout: Layout, min_free_bytes: int) -> Iterator[Finding]:
     usage = shutil.disk_usage(layout.root)
-    says = f"{usage.free >> 20} MiB free of {usage.total >> 20}"
-    if usage.free < least:
-        yield Finding(Grade.BAD, "disk", says, "make room: the journal and orders can't be kept without")
+    message = f"{usage.free >> 20} MiB free of {usage.total >> 20}"
+    if usage.free < min_free_bytes:
+        yield Finding(
+            Grade.BAD,
+            "disk",
+            message,
+            "free some space: the journal and the orders can't be written without it",
+        )
     else:
-        yield Finding(Grade.GOOD, "disk", says)
+        yield Finding(Grade.GOOD, "disk", message)
 
 
-def _clock(layout: Layout, now: float) -> Iterator[Finding]:
-    """A file of ours from the future: the clock was put back, or is wrong now."""
-    newest, whose = 0.0, ""
+def _check_clock(layout: Layout, now: float) -> Iterator[Finding]:
+    """Looks for a file of the unit that was modified in the future: the clock was set back, or is wrong."""
+    newest, newest_name = 0.0, ""
     for path in [*layout.state.rglob("*"), *layout.log.rglob("*")]:
         try:
-            at = path.stat().st_mtime
+            modified_at = path.stat().st_mtime
         except FileNotFoundError:
             continue
-        if at > newest:
-            newest, whose = at, path.name
-    if newest > now + _AHEAD_S:
-        says = f"{whose} was written {newest - now:.0f} s after now"
-        yield Finding(Grade.WARN, "clock", says, "set the clock; tokens are judged by it")
+        if modified_at > newest:
+            newest, newest_name = modified_at, path.name
+    if newest > now + _MAX_CLOCK_SKEW_S:
+        message = f"{newest_name} was written {newest - now:.0f} s after now"
+        yield Finding(Grade.WARN, "clock", message, "set the clock; the expiry of tokens depends on it")
     else:
         yield Finding(Grade.GOOD, "clock", "nothing was written in the future")
 
 
-def _running(layout: Layout) -> Iterator[Finding]:
+def _check_running(layout: Layout) -> Iterator[Finding]:
     try:
-        handle = os.open(layout.lock, os.O_RDONLY)
+        descriptor = os.open(layout.lock, os.O_RDONLY)
     except OSError:
         yield Finding(Grade.GOOD, "running", "the unit does not run")
         return
     try:
-        fcntl.flock(handle, fcntl.LOCK_SH | fcntl.LOCK_NB)
+        fcntl.flock(descriptor, fcntl.LOCK_SH | fcntl.LOCK_NB)
     except OSError:
-        pid = os.read(handle, 20).decode("ascii", "replace").strip()
+        pid = os.read(descriptor, 20).decode("ascii", "replace").strip()
         yield Finding(Grade.GOOD, "running", f"process {pid}")
     else:
         yield Finding(Grade.GOOD, "running", "the unit does not run")
     finally:
-        os.close(handle)
+        os.close(descriptor)
 
 
-def _front(config: UnitConfig, number: int, now: float, running: bool) -> Iterator[Finding]:
-    about = f"front-{number}"
+def _check_front(config: UnitConfig, number: int, now: float, is_running: bool) -> Iterator[Finding]:
+    subject = f"front-{number}"
     try:
         front = load_front(config.layout.front_ini(number))
         keyring = read_keyring(front)
     except ConfigError as error:
-        yield Finding(Grade.BAD, about, str(error), "mend the settings; `fernweir check-config` names all")
+        yield Finding(
+            Grade.BAD, subject, str(error), "correct the settings; `fernweir check-config` lists all mistakes"
+        )
         return
-    yield from _keys(front, about, keyring.sign_with, now)
+    yield from _check_keys(front, subject, keyring.sign_with, now)
     if front.control is None or not front.control.led:
-        helps = "[control] needs socket, orders = state/orders.json and led = yes"
-        yield Finding(Grade.BAD, about, "is not led by the unit", helps)
+        remedy = "[control] needs socket, orders = state/orders.json and led = yes"
+        yield Finding(Grade.BAD, subject, "is not led by the unit", remedy)
     elif len(os.fsencode(front.path(front.control.socket))) > MAX_SOCKET_PATH_BYTES:
-        yield Finding(Grade.BAD, about, "its socket's path is too long", "move the unit to a shorter path")
+        yield Finding(Grade.BAD, subject, "its socket's path is too long", "move the unit to a shorter path")
     host, port = front.front.listen
-    taken = _taken(host, port)
-    if running and not taken:
-        yield Finding(Grade.BAD, about, f"nobody listens on {host}:{port}", f"see log/{about}.log")
-    elif taken and not running:
-        helps = "stop who listens there, or change listen"
-        yield Finding(Grade.BAD, about, f"{host}:{port} is taken", helps)
+    port_in_use = _is_port_in_use(host, port)
+    if is_running and not port_in_use:
+        yield Finding(Grade.BAD, subject, f"no process listens on {host}:{port}", f"see log/{subject}.log")
+    elif port_in_use and not is_running:
+        remedy = "stop the process that listens there, or change `listen`"
+        yield Finding(Grade.BAD, subject, f"{host}:{port} is in use by another process", remedy)
     else:
-        yield Finding(Grade.GOOD, about, f"{host}:{port} is " + ("answered" if taken else "free"))
+        yield Finding(Grade.GOOD, subject, f"{host}:{port} is " + ("answered" if port_in_use else "free"))
 
 
-def _keys(front: FrontConfig, about: str, sign_with: str, now: float) -> Iterator[Finding]:
-    """Keys may carry `exp`, seconds since the epoch, as some issuers add it to a JWK."""
+def _check_keys(front: FrontConfig, subject: str, sign_with: str, now: float) -> Iterator[Finding]:
+    """Checks `exp`, seconds since the epoch, which some issuers add to a JWK."""
     keys = json.loads(front.path(front.tokens.keys).read_text(encoding="utf-8"))["keys"]
     for key in keys:
-        lapses = key.get("exp")
-        if not isinstance(lapses, int | float):
+        expires_at_s = key.get("exp")
+        if not isinstance(expires_at_s, int | float):
             continue
-        left = lapses - now
-        if left <= 0.0:
+        remaining_s = expires_at_s - now
+        if remaining_s <= 0.0:
             grade = Grade.BAD if key["kid"] == sign_with else Grade.WARN
-            yield Finding(grade, about, f"key {key['kid']} has lapsed", "add a new key, then sign with it")
-        elif left < _LAPSE_S:
-            says = f"key {key['kid']} lapses in {left / 86_400.0:.1f} days"
-            yield Finding(Grade.WARN, about, says, "add a new key everywhere, then sign with it")
+            yield Finding(grade, subject, f"key {key['kid']} has expired", "add a new key, then sign with it")
+        elif remaining_s < _EXPIRY_WARNING_S:
+            message = f"key {key['kid']} expires in {remaining_s / 86_400.0:.1f} days"
+            yield Finding(Grade.WARN, subject, message, "add a new key everywhere, then sign with it")
 
 
-def _taken(host: str, port: int) -> bool:
+def _is_port_in_use(host: str, port: int) -> bool:
     if port == 0:
         return False
     with socket.socket() as sock:
--- a/fernweir/cli/appliance.py
+++ b/fernweir/cli/appliance.py
@@ -10,7 +10,7 @@
 
 from fernweir.appliance.backup import back_up, check
 from fernweir.appliance.backup import restore as put_back
-from fernweir.appliance.doctor import Grade, look_over
+from fernweir.appliance.doctor import Grade, diagnose_unit
 from fernweir.appliance.layout import UnitError, load_unit
 from fernweir.appliance.make import UnitOptions, create_unit
 from fernweir.appliance.unit import run_unit
@@ -79,12 +79,12 @@
 @click.argument("root", type=_ROOT)
 def doctor(root: Path) -> None:
     """Look the unit in ROOT over and name what is wrong. Exit code 1 if something is."""
-    findings = look_over(root)
-    for one in findings:
-        click.echo(f"{one.grade:<5} {one.about:<12} {one.says}")
-        if one.helps:
-            click.echo(f"{'':<18} -> {one.helps}")
-    sys.exit(1 if any(one.grade is Grade.BAD for one in findings) else 0)
+    findings = diagnose_unit(root)
+    for finding in findings:
+        click.echo(f"{finding.grade:<5} {finding.subject:<12} {finding.message}")
+        if finding.remedy:
+            click.echo(f"{'':<18} -> {finding.remedy}")
+    sys.exit(1 if any(finding.grade is Grade.BAD for finding in findings) else 0)
 
 
 @appliance.command("backup")
--- a/tests/test_appliance.py
+++ b/tests/test_appliance.py
@@ -18,7 +18,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from fernweir.appliance.backup import back_up, check, restore
-from fernweir.appliance.doctor import Grade, look_over
+from fernweir.appliance.doctor import Grade, diagnose_unit
 from fernweir.appliance.layout import Layout, Lock, UnitError, load_unit, migrate, read_format
 from fernweir.appliance.logs import open_log, rotate
 from fernweir.appliance.make import UnitOptions, create_unit
@@ -317,63 +317,64 @@
 # --- the folder ---
 
 
-def made(tmp_path: Path, **more: Any) -> Path:
+def create_test_unit(tmp_path: Path, **options: Any) -> Path:
+    """Creates a unit with two simulated servers and returns its folder."""
     root = tmp_path / "u"
-    create_unit(root, UnitOptions("yard", port=0, simulated_servers=2, issuer="rehearsal", **more))
+    create_unit(root, UnitOptions("yard", port=0, simulated_servers=2, issuer="rehearsal", **options))
     return root
 
 
-def test_a_new_unit_is_whole_and_closed_to_others(tmp_path: Path) -> None:
-    root = made(tmp_path, fronts=2, operators=("ann",))
+def test_a_new_unit_is_complete_and_private(tmp_path: Path) -> None:
+    root = create_test_unit(tmp_path, fronts=2, operators=("ann",))
     config = load_unit(root)
     assert config.unit.fronts == 2 and config.trial is not None and config.trial.boxes == 2
     assert oct((root / "keys.json").stat().st_mode & 0o777) == "0o600"
     assert "Restart=always" in (root / "fernweir-unit.service").read_text()
-    grades = {one.about: one.grade for one in look_over(root, least_free=0)}
+    grades = {finding.subject: finding.grade for finding in diagnose_unit(root, min_free_bytes=0)}
     assert set(grades.values()) == {Grade.GOOD}
     with pytest.raises(UnitError, match="is not empty; nothing was changed"):
         create_unit(root, UnitOptions("yard", simulated_servers=1))
     with pytest.raises(UnitError, match="too long for a socket"):
         create_unit(tmp_path / ("d" * 100), UnitOptions("yard", port=0, simulated_servers=1))
-    with pytest.raises(UnitError, match="where the list of boxes is"):
+    with pytest.raises(UnitError, match="the URL of the server list"):
         create_unit(tmp_path / "v", UnitOptions("yard"))
     assert not (tmp_path / "v").exists()
     with pytest.raises(UnitError, match=r"no unit\.ini"):
         load_unit(tmp_path / "nowhere")
 
 
-def test_the_doctor_names_what_is_wrong(tmp_path: Path) -> None:
-    root = made(tmp_path)
+def test_the_doctor_reports_each_problem(tmp_path: Path) -> None:
+    root = create_test_unit(tmp_path)
 
-    def bad(**more: Any) -> dict[str, str]:
-        return {one.about: one.says for one in look_over(root, **{"least_free": 0, **more})
-                if one.grade is not Grade.GOOD}  # fmt: skip
+    def problems(**more: Any) -> dict[str, str]:
+        findings = diagnose_unit(root, **{"min_free_bytes": 0, **more})
+        return {finding.subject: finding.message for finding in findings if finding.grade is not Grade.GOOD}
 
     (root / "keys.json").chmod(0o644)
-    assert "keys.json can be read by others" in bad()["permissions"]
+    assert "keys.json can be read by others" in problems()["permissions"]
     (root / "keys.json").chmod(0o600)
-    assert "MiB free" in bad(least_free=1 << 60)["disk"]
-    assert "after now" in bad(now=lambda: 1e9)["clock"]
+    assert "MiB free" in problems(min_free_bytes=1 << 60)["disk"]
+    assert "after now" in problems(now=lambda: 1e9)["clock"]
     keys = json.loads((root / "keys.json").read_text())
-    for left, says in ((86_400, "lapses in 1.0 days"), (-5, "has lapsed")):
-        keys["keys"][0]["exp"] = 2e9 + left
+    for remaining_s, message in ((86_400, "expires in 1.0 days"), (-5, "has expired")):
+        keys["keys"][0]["exp"] = 2e9 + remaining_s
         (root / "keys.json").write_text(json.dumps(keys))
-        assert says in bad(now=lambda: 2e9)["front-1"]
+        assert message in problems(now=lambda: 2e9)["front-1"]
     del keys["keys"][0]["exp"]
     (root / "keys.json").write_text(json.dumps(keys))
     front = Layout(root).front_ini(1)
     text = front.read_text()
     front.write_text(text.replace("led = yes", "led = no"))
-    assert "not led" in bad()["front-1"]
+    assert "not led" in problems()["front-1"]
     front.write_text(text.replace("tell = 2 s", "tell = often"))
-    assert "tell" in bad()["front-1"]
+    assert "tell" in problems()["front-1"]
     front.write_text(text)
     Layout(root).orders.write_bytes(b"half a fi")
-    assert "damaged" in bad()["state"]
+    assert "damaged" in problems()["state"]
 
 
 def test_a_second_unit_on_the_same_folder_is_rejected(tmp_path: Path) -> None:
-    layout = Layout(made(tmp_path))
+    layout = Layout(create_test_unit(tmp_path))
     first = Lock(layout)
     first.acquire()
     with pytest.raises(UnitError, match=f"runs here already, process {os.getpid()}"):
@@ -385,7 +386,7 @@
 
 
 def test_an_older_state_is_migrated_and_a_newer_one_rejected(tmp_path: Path) -> None:
-    layout = Layout(made(tmp_path))
+    layout = Layout(create_test_unit(tmp_path))
     layout.format.unlink()  # format 1 had no format file, and stored its orders at the root
     first = {"format": 1, "version": 4, "drains": {"2": ["ann", 7]}, "holds": {"lesson-1": ["bob", 8]}}
     write_state(layout.root / "orders.json", KIND, first)
@@ -399,7 +400,7 @@
 
 
 def test_a_backup_restores_all_files_and_a_damaged_one_is_rejected(tmp_path: Path) -> None:
-    root, file = made(tmp_path), tmp_path / "unit.backup"
+    root, file = create_test_unit(tmp_path), tmp_path / "unit.backup"
     layout = Layout(root)
     write_state(layout.orders, KIND, {"format": 1, "version": 1, "drains": {"1": ["ann", 7]}, "holds": {}})
     back_up(root, file)
@@ -432,53 +433,53 @@
 
 def test_logs_stay_bounded_while_their_writers_continue(tmp_path: Path) -> None:
     path = tmp_path / "front-1.log"
-    handle = open_log(path)
+    descriptor = open_log(path)
     for number in range(10):
-        os.write(handle, b"x" * 90 + b"%09d\n" % number)
+        os.write(descriptor, b"x" * 90 + b"%09d\n" % number)
         rotate(path, 250, 2)
-    os.close(handle)
+    os.close(descriptor)
     sizes = {file.name: file.stat().st_size for file in tmp_path.iterdir()}
     assert set(sizes) == {"front-1.log", "front-1.log.1", "front-1.log.2"} and max(sizes.values()) <= 300
     assert path.read_bytes().startswith(b"x" * 90)  # written at the new start, without a sparse gap
 
 
-# --- alive ---
+# --- a running unit ---
 
 
-def test_a_unit_whose_processes_are_killed_comes_back_and_its_drains_stand(tmp_path: Path) -> None:
-    root = made(tmp_path)
+def test_a_unit_whose_processes_are_killed_recovers_and_keeps_its_drains(tmp_path: Path) -> None:
+    root = create_test_unit(tmp_path)
     layout = Layout(root)
 
-    def run() -> subprocess.Popen[bytes]:
+    def start_unit() -> subprocess.Popen[bytes]:
         with open(tmp_path / "unit.log", "ab") as log:
             return subprocess.Popen(
                 [sys.executable, "-m", "fernweir", "appliance", "run", str(root)], stdout=log, stderr=log
             )
 
-    async def story() -> None:
-        process = run()
+    async def scenario() -> None:
+        process = start_unit()
         ann = ControlClient(layout.socket, "ann", watch=True, max_backoff_s=0.2)
         ann.start()
         try:
             await ann.wait_ready(30.0)
 
             async def children() -> dict[str, Any]:
-                return {one["name"]: one for one in (await ann.ask("unit"))["unit"]["children"]}
+                return {child["name"]: child for child in (await ann.ask("unit"))["unit"]["children"]}
 
             async def all_ready() -> dict[str, Any]:
                 while True:
                     rows = await children()
-                    if all(one["state"] == "ready" for one in rows.values()):
+                    if all(child["state"] == "ready" for child in rows.values()):
                         return rows
                     await asyncio.sleep(0.05)
 
             rows = await all_ready()
             assert list(rows) == ["box-1", "box-2", "list", "front-1"]
             await until(lambda: len(ann.follower.projection.servers) == 2)  # type: ignore[union-attr]
-            asked = await ann.ask("drain", id="d1", target="1")
-            if asked["outcome"] == "confirm":
-                asked = await ann.ask("drain", id="d1", target="1", mark=asked["mark"])
-            assert asked["outcome"] == "done" and "missing" not in asked
+            reply = await ann.ask("drain", id="d1", target="1")
+            if reply["outcome"] == "confirm":
+                reply = await ann.ask("drain", id="d1", target="1", mark=reply["mark"])
+            assert reply["outcome"] == "done" and "missing" not in reply
             os.kill(rows["front-1"]["pid"], signal.SIGKILL)
             while (await children())["front-1"]["pid"] == rows["front-1"]["pid"]:
                 await asyncio.sleep(0.05)
@@ -488,10 +489,10 @@
             process.send_signal(signal.SIGKILL)
             process.wait()
             await until(lambda: not ann.connected)
-            process = run()  # as the service manager does
+            process = start_unit()  # as a service manager does
             await until(lambda: ann.connected)
             await all_ready()
-            assert (await ann.ask("drain", id="d1", target="1"))["says"] == asked["says"]
+            assert (await ann.ask("drain", id="d1", target="1"))["says"] == reply["says"]
             front = ControlClient(layout.front_socket(1), "ann", watch=True)
             front.start()
             await front.wait_ready()
@@ -506,11 +507,11 @@
             process.terminate()
             assert process.wait() == 0, (tmp_path / "unit.log").read_text()[-2000:]
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_settings_of_a_unit_that_are_wrong(tmp_path: Path) -> None:
-    root = made(tmp_path)
+def test_invalid_settings_of_a_unit_are_reported(tmp_path: Path) -> None:
+    root = create_test_unit(tmp_path)
     ini = Layout(root).unit_ini
     ini.write_text(ini.read_text().replace("fronts = 1", "fronts = none\nfront = 3"))
     with pytest.raises(ConfigError, match=r"fronts(.|\n)*front"):
