--- a/fernweir/cli/__init__.py
+++ b/fernweir/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: `fernweir COMMAND --help` explains each."""
+"""The command line; `fernweir COMMAND --help` describes each command."""
 
 from fernweir.cli.main import main
 
--- a/fernweir/cli/appliance.py
+++ b/fernweir/cli/appliance.py
@@ -1,4 +1,4 @@
-"""Commands of a unit: init, run, doctor, backup, restore."""
+"""Commands for a unit: init, run, doctor, backup, restore."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import click
 
 from fernweir.appliance.backup import back_up, check
-from fernweir.appliance.backup import restore as put_back
+from fernweir.appliance.backup import restore as restore_backup
 from fernweir.appliance.doctor import Grade, diagnose_unit
 from fernweir.appliance.layout import UnitError, load_unit
 from fernweir.appliance.make import UnitOptions, create_unit
@@ -28,39 +28,43 @@
 
 @click.group()
 def appliance() -> None:
-    """Make and run a unit: one folder, one process that runs a site's fronts."""
+    """Create and run a unit: a folder, and a process that runs the fronts of a site."""
 
 
 @appliance.command("init")
 @click.argument("root", type=_ROOT)
-@click.option("--name", help="The unit's name; asked for if left out.")
+@click.option("--name", help="The unit's name; prompted for if omitted.")
 @click.option("--fronts", default=1, show_default=True, type=click.IntRange(1, 32))
 @click.option("--host", default="127.0.0.1", show_default=True, help="Address to listen on.")
 @click.option("--port", default=8100, show_default=True, type=click.IntRange(0, 65_000),
-              help="First port; those after it are used too. 0: free ones.")  # fmt: skip
-@click.option("--list", "list_url", help="Where the list of boxes is, http://host:port/path.")
-@click.option("--trial-boxes", default=0, type=click.IntRange(0, 64), help="Simulated boxes to try with.")
-@click.option("--issuer", default="entitlement", show_default=True, help="Who issues session tokens.")
-@click.option("--operator", "operators", multiple=True, help="May act at the console; repeat. None: all.")
+              help="First port; the following ones are used too. 0: any free ports.")  # fmt: skip
+@click.option("--list", "list_url", help="URL of the server list, http://host:port/path.")
+@click.option(
+    "--trial-boxes", default=0, type=click.IntRange(0, 64), help="Number of simulated servers for a trial."
+)
+@click.option("--issuer", default="entitlement", show_default=True, help="Issuer of the session tokens.")
+@click.option(
+    "--operator", "operators", multiple=True, help="Name that may give commands; repeat. Default: everyone."
+)
 def init(
     root: Path, name: str | None, fronts: int, host: str, port: int, list_url: str | None, trial_boxes: int,
     issuer: str, operators: tuple[str, ...],
 ) -> None:  # fmt: skip
-    """Make a unit in ROOT: settings, keys, state, a service file."""
+    """Create a unit in ROOT: settings, keys, state and a service file."""
     if name is None:
         name = click.prompt("Name of the unit", default=root.absolute().name)
     if not trial_boxes and list_url is None:
-        list_url = click.prompt("Where the list of boxes is (empty: try with 4 simulated boxes)", default="")
+        list_url = click.prompt("URL of the server list (empty: 4 simulated servers)", default="")
         trial_boxes = 0 if list_url else 4
-    wish = UnitOptions(name, fronts, host, port, trial_boxes, list_url or "", issuer, operators)
+    options = UnitOptions(name, fronts, host, port, trial_boxes, list_url or "", issuer, operators)
     try:
-        made = create_unit(root, wish)
+        files = create_unit(root, options)
     except UnitError as error:
         _fail(error)
-    for file in made:
+    for file in files:
         click.echo(f"  {file}")
-    click.echo(f"Made. Run it:      fernweir appliance run {root}")
-    click.echo(f"Then look at it:   fernweir console {root}")
+    click.echo(f"Created. Run it:   fernweir appliance run {root}")
+    click.echo(f"Then watch it:     fernweir console {root}")
 
 
 @appliance.command("run")
@@ -78,7 +82,7 @@
 @appliance.command("doctor")
 @click.argument("root", type=_ROOT)
 def doctor(root: Path) -> None:
-    """Look the unit in ROOT over and name what is wrong. Exit code 1 if something is."""
+    """Check the unit in ROOT and report problems. Exit code 1 if there are any."""
     findings = diagnose_unit(root)
     for finding in findings:
         click.echo(f"{finding.grade:<5} {finding.subject:<12} {finding.message}")
@@ -91,7 +95,7 @@
 @click.argument("root", type=_ROOT)
 @click.argument("file", type=_FILE)
 def backup(root: Path, file: Path) -> None:
-    """Write a backup of the unit in ROOT to FILE, also while it runs. It holds the keys: guard it."""
+    """Write a backup of the unit in ROOT to FILE, also while it runs. It contains the keys: protect it."""
     try:
         manifest = back_up(root, file)
     except UnitError as error:
@@ -105,13 +109,13 @@
 @click.argument("file", type=_FILE)
 @click.option("--check", "only_check", is_flag=True, help="Only check FILE.")
 def restore(root: Path, file: Path, only_check: bool) -> None:
-    """Put the backup in FILE in the place of ROOT, which must not run."""
+    """Replace the unit in ROOT, which must not run, with the backup in FILE."""
     try:
         if only_check:
             manifest, files = check(file)
-            click.echo(f"{len(files)} files, format {manifest['format']}, all as their checksums say")
+            click.echo(f"{len(files)} files, format {manifest['format']}, all checksums match")
             return
-        for done in put_back(root, file):
-            click.echo(done)
+        for step in restore_backup(root, file):
+            click.echo(step)
     except UnitError as error:
         _fail(error)
--- a/fernweir/cli/front.py
+++ b/fernweir/cli/front.py
@@ -1,4 +1,4 @@
-"""Commands around one front: serve, check-config, audit, replay, new-keys."""
+"""Commands for a single front: serve, check-config, audit, replay, new-keys."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 @click.argument("settings", type=_FILE)
 @click.option("--until-eof", is_flag=True, hidden=True, help="Stop when standard input ends.")
 def serve_command(settings: Path, until_eof: bool) -> None:
-    """Run a front by its SETTINGS until SIGTERM.
+    """Run a front with SETTINGS until SIGTERM.
 
-    Exit code 0: all that was taken was answered. 1: some was not. 2: the settings are wrong.
+    Exit code 0: all accepted requests were answered. 1: some were not. 2: the settings are invalid.
     """
     try:
         config = load_front(settings)
@@ -43,7 +43,7 @@
 @click.command("check-config")
 @click.argument("settings", type=_FILE)
 def check_config(settings: Path) -> None:
-    """Check SETTINGS and the keys that they name; every mistake is listed."""
+    """Check SETTINGS and the keys that they refer to, and list every mistake."""
     try:
         config = load_front(settings)
         keyring = read_keyring(config)
@@ -59,7 +59,7 @@
 @click.command("audit")
 @click.argument("trace", type=_FILE)
 def audit_command(trace: Path) -> None:
-    """Judge the six rules from a TRACE. Exit code 1 if one is broken, 2 if it can't be read."""
+    """Check the six rules against a TRACE. Exit code 1 if one is violated, 2 if the trace can't be read."""
     try:
         with open(trace, encoding="utf-8") as file:
             auditor = audit_lines(file)
@@ -73,26 +73,26 @@
 @click.command("replay")
 @click.argument("record", type=_FILE)
 def replay_command(record: Path) -> None:
-    """Feed a front's RECORD to a fresh module. Exit code 1 if it decides otherwise."""
+    """Replay a front's RECORD on a new instance. Exit code 1 if its decisions differ."""
     try:
         with open(record, encoding="utf-8") as file:
             count, difference = replay(file)
     except (OSError, RecordError) as error:
         click.echo(f"{record}: {error}", err=True)
         sys.exit(2)
-    click.echo(difference or f"{count} batches, all decided alike")
+    click.echo(difference or f"{count} batches, all decisions are the same")
     sys.exit(1 if difference else 0)
 
 
 @click.command("new-keys")
 @click.argument("file", type=_FILE)
-@click.option("--kid", "kids", multiple=True, default=("k1",), show_default=True, help="A key's id; repeat.")
+@click.option("--kid", "kids", multiple=True, default=("k1",), show_default=True, help="Id of a key; repeat.")
 def new_keys(file: Path, kids: tuple[str, ...]) -> None:
-    """Write FILE, a JWK Set of fresh secrets, readable by its owner only."""
+    """Write a JWK Set of new secrets to FILE, readable by its owner only."""
     try:
-        handle = os.open(file, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
+        descriptor = os.open(file, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600)
     except FileExistsError:
-        click.echo(f"{file}: is there already", err=True)
+        click.echo(f"{file}: already exists", err=True)
         sys.exit(2)
-    with open(handle, "w", encoding="utf-8") as out:
+    with open(descriptor, "w", encoding="utf-8") as out:
         out.write(generate_key_set(*kids) + "\n")
--- a/fernweir/cli/ledger.py
+++ b/fernweir/cli/ledger.py
@@ -1,4 +1,4 @@
-"""Offline commands on a seat log; the front that owns it must not run."""
+"""Offline commands for a seat log. The front that owns the log must not run."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 def _read(folder: Path) -> tuple[DiskFileStore, RecoveredLog, SeatTable]:
     files = DiskFileStore(folder)
-    found = recover_log(files)
-    return files, found, rebuild_table(found.snapshot, found.records)
+    log = recover_log(files)
+    return files, log, rebuild_table(log.snapshot, log.records)
 
 
 def _seat_document(record: SeatRecord) -> dict[str, object]:
-    """A seat as `dump` prints it; the keys and their order are a format."""
+    """Returns a seat as `dump` prints it; the keys and their order are a fixed format."""
     return {
         "session": record.session_id,
         "generation": record.generation,
@@ -40,7 +40,7 @@
     }
 
 
-def _reporting(command: Callable[[Path], None]) -> Callable[[Path], None]:
+def _with_error_report(command: Callable[[Path], None]) -> Callable[[Path], None]:
     @wraps(command)
     def run(folder: Path) -> None:
         try:
@@ -54,27 +54,25 @@
 
 @click.group()
 def ledger() -> None:
-    """Look into the seat log of a front that does not run."""
+    """Inspect or compact the seat log of a front that does not run."""
 
 
 @ledger.command("verify")
 @click.argument("folder", type=_FOLDER)
-@_reporting
+@_with_error_report
 def verify(folder: Path) -> None:
-    """Check every record. Exit code 2 if something is damaged; a torn tail is normal after a crash."""
-    _, found, table = _read(folder)
-    held = sum(bool(seat.lease_id) for seat in table.values())
-    click.echo(f"{len(found.records)} records after the snapshot, newest {found.last_sequence}")
-    click.echo(f"{len(table)} seats, {held} held")
-    if found.torn_segment:
-        click.echo(
-            f"{found.torn_segment}: a torn tail of {found.torn_bytes} bytes, cut off at the next start"
-        )
+    """Check every record. Exit code 2 if one is damaged; a torn tail is normal after a crash."""
+    _, log, table = _read(folder)
+    occupied = sum(bool(seat.lease_id) for seat in table.values())
+    click.echo(f"{len(log.records)} records after the snapshot, newest {log.last_sequence}")
+    click.echo(f"{len(table)} seats, {occupied} held")
+    if log.torn_segment:
+        click.echo(f"{log.torn_segment}: a torn tail of {log.torn_bytes} bytes, cut off at the next start")
 
 
 @ledger.command("dump")
 @click.argument("folder", type=_FOLDER)
-@_reporting
+@_with_error_report
 def dump(folder: Path) -> None:
     """Print each seat as a line of JSON."""
     for seat in _read(folder)[2].values():
@@ -83,9 +81,9 @@
 
 @ledger.command("compact")
 @click.argument("folder", type=_FOLDER)
-@_reporting
+@_with_error_report
 def compact_command(folder: Path) -> None:
-    """Replace all records by one snapshot of what they come to."""
-    files, found, table = _read(folder)
-    compact_log(files, encode_table(table), found.last_sequence)
-    click.echo(f"{len(found.records)} records became one snapshot of {len(table)} seats")
+    """Replace all records with one snapshot of the seats that result from them."""
+    files, log, table = _read(folder)
+    compact_log(files, encode_table(table), log.last_sequence)
+    click.echo(f"{len(log.records)} records became one snapshot of {len(table)} seats")
--- a/fernweir/cli/main.py
+++ b/fernweir/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line's root: what each command needs is loaded when it is called, and no sooner."""
+"""The root of the command line, which imports the module of a command only when the command is called."""
 
 from __future__ import annotations
 
@@ -7,28 +7,31 @@
 
 import click
 
-# Command: where it stands, and its line in the help. What a front node needs nothing of is not loaded for it.
+# The location and the help line of each command. A front node imports nothing that only other commands need.
 COMMANDS = {
-    "appliance": ("fernweir.cli.appliance:appliance", "A unit that runs a site's fronts."),
-    "ask": ("fernweir.cli.console:ask", "A single question to, or command for, a unit or a front."),
-    "audit": ("fernweir.cli.front:audit_command", "Judge the six rules from a TRACE."),
-    "check-config": ("fernweir.cli.front:check_config", "Check SETTINGS and the keys that they name."),
-    "console": ("fernweir.cli.console:console", "The operator's picture of a unit or a front."),
-    "ledger": ("fernweir.cli.ledger:ledger", "The seat log of a front: verify, dump, compact."),
+    "appliance": (
+        "fernweir.cli.appliance:appliance",
+        "Create and run a unit, which runs the fronts of a site.",
+    ),
+    "ask": ("fernweir.cli.console:ask", "Send a single query or command to a unit or a front."),
+    "audit": ("fernweir.cli.front:audit_command", "Check the six rules against a TRACE."),
+    "check-config": ("fernweir.cli.front:check_config", "Check SETTINGS and the keys that they refer to."),
+    "console": ("fernweir.cli.console:console", "Show the operator console of a unit or a front."),
+    "ledger": ("fernweir.cli.ledger:ledger", "Verify, dump or compact the seat log of a front."),
     "new-keys": ("fernweir.cli.front:new_keys", "Write a JWK Set of fresh secrets."),
     "node": ("fernweir.cli.main:node", "Run a front node on the platform's protocol (ROUTER_CONFIG)."),
     "rehearse": (
         "fernweir.cli.rehearse:rehearse",
-        "Play days of trouble on simulated servers, and judge them.",
+        "Run fault scenarios on simulated servers and check the results.",
     ),
     "replay": ("fernweir.cli.front:replay_command", "Feed a front's RECORD to a fresh module."),
     "serve": ("fernweir.cli.front:serve_command", "Run a front by its SETTINGS until SIGTERM."),
-    "standin": ("fernweir.cli.standin:standin", "Simulated counterparts, each alone."),
+    "standin": ("fernweir.cli.standin:standin", "Run one simulated counterpart of a front."),
 }
 
 
 class LazyGroup(click.Group):
-    """Lists commands by `COMMANDS`; imports the one that is called."""
+    """Lists the commands of `COMMANDS` and imports only the one that is called."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         return sorted(COMMANDS)
@@ -51,17 +54,17 @@
 )
 @click.version_option(package_name="fernweir", prog_name="fernweir", message="%(prog)s %(version)s")
 def main() -> None:
-    """A session front: places video sessions on streaming servers and shapes them.
+    """A session front: places video sessions on streaming servers and adapts their bit rates.
 
-    Start with `fernweir rehearse bad-day`, which plays a day of trouble on simulated servers and judges it.
+    Start with `fernweir rehearse bad-day`, which injects faults on simulated servers and checks the rules.
     """
 
 
 @click.command("node")
 def node() -> None:
-    """Run a front node on the platform's protocol, by the file that ROUTER_CONFIG names, until SIGTERM.
+    """Run a front node on the platform's protocol, configured by the file in ROUTER_CONFIG, until SIGTERM.
 
-    Exit code 0: it was told to stop. 2: the configuration can't be used, or the address can't be had.
+    Exit code 0: it was asked to stop. 2: the configuration is invalid, or the address is not available.
     """
     from fernweir.node.program import main as run
 
--- a/fernweir/cli/standin.py
+++ b/fernweir/cli/standin.py
@@ -1,4 +1,4 @@
-"""Commands that start one stand-in alone: a simulated box, the list server, viewers."""
+"""Commands that run one simulated counterpart of a front: a server, the list server, or viewers."""
 
 from __future__ import annotations
 
@@ -43,32 +43,34 @@
         raise click.ClickException(f"{path}: {error}") from None
 
 
-async def _until_signal(until_eof: bool = False) -> None:
-    over = asyncio.Event()
+async def _wait_for_stop(until_eof: bool = False) -> None:
+    stopping = asyncio.Event()
     if until_eof:
-        stop_at_eof(over)
+        stop_at_eof(stopping)
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, over.set)
-    await over.wait()
+        loop.add_signal_handler(number, stopping.set)
+    await stopping.wait()
 
 
 @click.group()
 def standin() -> None:
-    """Start one simulated server, or viewers, alone. The trace goes to standard output."""
+    """Run one simulated server, list server or set of viewers. The trace goes to standard output."""
 
 
 @standin.command("box")
-@click.option("--number", default=1, show_default=True, help="The box's number in the list.")
+@click.option("--number", default=1, show_default=True, help="The server's number in the list.")
 @click.option("--listen", type=_Address(), default="127.0.0.1:0", show_default=True)
 @click.option("--keys", type=_FILE, required=True, help="JWK Set that the fronts sign with.")
 @click.option("--ladder", default="150,300,500,800,1200", show_default=True, help="Rates in kB/s.")
 @click.option("--class", "classes", multiple=True, default=("briefing:1.4", "training:1.0"),
-              show_default=True, help="NAME:SCALE of its rates; repeat.")  # fmt: skip
-@click.option("--link", default=12_000.0, show_default=True, help="Link, kB/s.")
+              show_default=True, help="NAME:SCALE, with the factor of the rates; repeat.")  # fmt: skip
+@click.option("--link", default=12_000.0, show_default=True, help="Capacity of the link, kB/s.")
 @click.option("--streams", default=30, show_default=True)
 @click.option("--until-eof", is_flag=True, hidden=True)
-@click.option("--trace", type=click.Path(path_type=Path, dir_okay=False), help="Append the trace here.")
+@click.option(
+    "--trace", type=click.Path(path_type=Path, dir_okay=False), help="Append the trace to this file."
+)
 @click.option(
     "--script", type=_FILE, help='JSON lines: {"at": SECONDS, "behaviour": {...}} or "do": "die"/"restart".'
 )
@@ -76,11 +78,11 @@
     number: int, listen: tuple[str, int], keys: Path, ladder: str, classes: tuple[str, ...], link: float,
     streams: int, until_eof: bool, trace: Path | None, script: Path | None,
 ) -> None:  # fmt: skip
-    """A simulated lesson box."""
+    """Run a simulated server."""
     try:
         rates = tuple(float(part) for part in ladder.split(","))
-        kinds = {
-            name: SiteClass(name, float(scale)) for name, scale in (one.rsplit(":", 1) for one in classes)
+        site_classes = {
+            name: SiteClass(name, float(scale)) for name, scale in (text.rsplit(":", 1) for text in classes)
         }
         steps = (
             [json.loads(line) for line in script.read_text().splitlines() if line.strip()] if script else []
@@ -90,15 +92,15 @@
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        offset = time.time() - loop.time()
-        site = Site(rates, kinds, _keyring(keys), [Rack(link)], wall_offset_s=offset)
+        wall_offset_s = time.time() - loop.time()
+        site = Site(rates, site_classes, _keyring(keys), [Rack(link)], wall_offset_s=wall_offset_s)
         out = sys.stdout if trace is None else open(trace, "a", encoding="utf-8", buffering=1)  # noqa: SIM115
         box = Box(BoxSpec(number, 0, link, streams), site, Trace(out, loop.time), number)
         box.address = listen
         await box.start()
         click.echo(f"box {number} listens on {box.address[0]}:{box.address[1]}", err=True)
         playing = asyncio.ensure_future(_play_script(box, steps))
-        await _until_signal(until_eof)
+        await _wait_for_stop(until_eof)
         playing.cancel()
         box.die("stopped")
 
@@ -106,9 +108,9 @@
 
 
 async def _play_script(box: Box, steps: list[dict[str, Any]]) -> None:
-    begun = asyncio.get_running_loop().time()
+    started_at = asyncio.get_running_loop().time()
     for step in steps:
-        await asyncio.sleep(max(begun + float(step["at"]) - asyncio.get_running_loop().time(), 0.0))
+        await asyncio.sleep(max(started_at + float(step["at"]) - asyncio.get_running_loop().time(), 0.0))
         if "behaviour" in step:
             box.behaviour = Behaviour(**step["behaviour"])
         if step.get("do") == "die":
@@ -123,18 +125,18 @@
 @click.option("--keys", type=_FILE, required=True, help="JWK Set that the fronts sign with.")
 @click.option("--until-eof", is_flag=True, hidden=True)
 def list_command(file: Path, listen: tuple[str, int], keys: Path, until_eof: bool) -> None:
-    """The list server; FILE is a list document (see docs/protocols.md), read again on SIGHUP."""
+    """Run the list server; FILE is a list document (see docs/protocols.md), reloaded on SIGHUP."""
 
     def load() -> tuple[list[Line], list[dict[str, object]]]:
         document = json.loads(file.read_text())
         now = asyncio.get_running_loop().time()
         lines = [
             Line(
-                one["box"], one["host"], one["port"], one.get("state", "ready"), one.get("boot", ""),
-                now - one["age_s"] if "age_s" in one else None, one["cell"], one.get("kind", 0),
-                one.get("weight", 1.0),
+                row["box"], row["host"], row["port"], row.get("state", "ready"), row.get("boot", ""),
+                now - row["age_s"] if "age_s" in row else None, row["cell"], row.get("kind", 0),
+                row.get("weight", 1.0),
             )
-            for one in document["boxes"]
+            for row in document["boxes"]
         ]  # fmt: skip
         return lines, document.get("lessons", [])
 
@@ -149,7 +151,7 @@
             try:
                 lines, server.lessons = load()
             except (OSError, ValueError, KeyError, TypeError) as error:
-                click.echo(f"{file}: not taken: {error!r}", err=True)
+                click.echo(f"{file}: not loaded: {error!r}", err=True)
                 return
             server.replace(lines)
 
@@ -157,36 +159,38 @@
         await server.start()
         click.echo(f"list of {len(server.lines)} boxes on {server.url}", err=True)
         loop.add_signal_handler(signal.SIGHUP, reload)
-        await _until_signal(until_eof)
+        await _wait_for_stop(until_eof)
         server.stop()
 
     asyncio.run(run())
 
 
 @standin.command("viewer")
-@click.option("--front", "fronts", type=_Address(), multiple=True, required=True, help="A front; repeat.")
+@click.option(
+    "--front", "fronts", type=_Address(), multiple=True, required=True, help="Address of a front; repeat."
+)
 @click.option("--keys", type=_FILE, required=True, help="JWK Set of the token issuer.")
 @click.option("--issuer", default="rehearsal", show_default=True)
 @click.option("--title", required=True)
 @click.option("--class", "cls", default="training", show_default=True)
-@click.option("--top", default=4, show_default=True, help="Highest rung that the viewers can use.")
+@click.option("--top", default=4, show_default=True, help="Highest rung that the viewers can play.")
 @click.option("--count", default=1, show_default=True)
-@click.option("--rate", default=2.0, show_default=True, help="Viewers a second.")
-@click.option("--play", default=5.0, show_default=True, help="Seconds that each watches.")
+@click.option("--rate", default=2.0, show_default=True, help="Viewers per second.")
+@click.option("--play", default=5.0, show_default=True, help="Seconds that each viewer watches.")
 @click.option(
-    "--deadline", default=4000.0, show_default=True, help="Milliseconds that each waits for an answer."
+    "--deadline", default=4000.0, show_default=True, help="Milliseconds that each viewer waits for an answer."
 )
 @click.option("--seed", default=1, show_default=True)
 def viewer_command(
     fronts: tuple[tuple[str, int], ...], keys: Path, issuer: str, title: str, cls: str, top: int, count: int,
     rate: float, play: float, deadline: float, seed: int,
 ) -> None:  # fmt: skip
-    """Simulated viewers; exit code 1 if one of them saw nothing."""
+    """Run simulated viewers. Exit code 1 if one of them played nothing."""
     keyring = _keyring(keys)
 
     async def run() -> int:
         loop = asyncio.get_running_loop()
-        dice = Random(seed)
+        rng = Random(seed)
         viewers = Viewers(
             {f"front-{index}": front for index, front in enumerate(fronts)},
             Trace(sys.stdout, loop.time),
@@ -199,12 +203,12 @@
                 iss=issuer, aud="fernweir-front", iat=now, exp=now + 3600, sub=f"viewer-{number}",
                 jti=f"v{seed}-{now}-{number}", title=title, cls=cls, top=top,
             )  # fmt: skip
-            wish = Wish(claims.jti, keyring.sign(claims), title, cls, play, deadline)
-            tasks.append(asyncio.ensure_future(viewers.watch(wish)))
-            await asyncio.sleep(dice.expovariate(rate))
-        shown = await asyncio.gather(*tasks)
+            request = Wish(claims.jti, keyring.sign(claims), title, cls, play, deadline)
+            tasks.append(asyncio.ensure_future(viewers.watch(request)))
+            await asyncio.sleep(rng.expovariate(rate))
+        results = await asyncio.gather(*tasks)
         viewers.close()
-        click.echo(f"{sum(one.played_s > 0 for one in shown)} of {count} played", err=True)
-        return 0 if all(one.played_s > 0 for one in shown) else 1
+        click.echo(f"{sum(result.played_s > 0 for result in results)} of {count} played", err=True)
+        return 0 if all(result.played_s > 0 for result in results) else 1
 
     sys.exit(asyncio.run(run()))
