--- a/fernweir/dash/build.py
+++ b/fernweir/dash/build.py
@@ -1,4 +1,4 @@
-"""Makes the MPD of a recorded title: one video AdaptationSet with a rung a Representation."""
+"""Builds the MPD of a recorded title: one video AdaptationSet with one Representation per rung."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Title:
-    """What a presentation is made of; bandwidths are bits a second, lowest rung first."""
+    """The properties of a presentation; bandwidths are in bits per second, lowest rung first."""
 
     name: str
     length_s: float
@@ -20,18 +20,19 @@
 
 
 def rung_id(rung: int) -> str:
-    """The Representation id of a rung."""
+    """Returns the Representation id of a rung."""
     return f"r{rung}"
 
 
 def rung_of(rep_id: str) -> int:
-    """The rung of a Representation id; ValueError if it is none."""
+    """Returns the rung of a Representation id. Raises ValueError if the id is not that of a rung."""
     if not rep_id.startswith("r") or not rep_id[1:].isdigit() or len(rep_id) > 4:
         raise ValueError(f"not a rung: {rep_id[:20]}")
     return int(rep_id[1:])
 
 
 def build_mpd(title: Title) -> Mpd:
+    """Builds a static MPD whose segments are addressed by number."""
     template = Element(
         "SegmentTemplate",
         {
@@ -42,14 +43,14 @@
             "initialization": "$RepresentationID$/init.mp4",
         },
     )
-    reps = [
-        Element("Representation", {"id": rung_id(rung), "bandwidth": str(rate), "codecs": "avc1.64001f"})
-        for rung, rate in enumerate(title.bandwidths)
+    representations = [
+        Element("Representation", {"id": rung_id(rung), "bandwidth": str(bandwidth), "codecs": "avc1.64001f"})
+        for rung, bandwidth in enumerate(title.bandwidths)
     ]
-    group = Element(
+    adaptation_set = Element(
         "AdaptationSet", {"contentType": "video", "mimeType": "video/mp4", "segmentAlignment": "true"}
     )
-    group.children = [template, *reps]
+    adaptation_set.children = [template, *representations]
     root = Element(
         "MPD",
         {
@@ -61,5 +62,5 @@
         },
     )
     program = Element("ProgramInformation", children=[Element("Title", text=title.name)])
-    root.children = [program, Element("Period", {"id": "1"}, [group])]
+    root.children = [program, Element("Period", {"id": "1"}, [adaptation_set])]
     return Mpd(root)
--- a/fernweir/dash/mpd.py
+++ b/fernweir/dash/mpd.py
@@ -1,7 +1,7 @@
-"""The MPD as typed views over its elements (ISO/IEC 23009-1, clause 5.3).
+"""Typed views over the elements of an MPD (ISO/IEC 23009-1, clause 5.3).
 
-A view owns no data: it reads and writes the element below it. What the model doesn't name is therefore
-still there when the document is written. Times are seconds, bandwidths bits a second.
+A view owns no data: it reads and writes the element below it, so elements and attributes without a view are
+preserved when the document is written. Times are in seconds, bandwidths in bits per second.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 
 
 class MpdError(ValueError):
-    """The document isn't an MPD as taken here."""
+    """Raised for a document that is not an MPD, or uses features that are not supported."""
 
 
 def parse_duration(text: str) -> float:
-    """Seconds of an xs:duration. Years and months, which have no fixed length, are refused."""
+    """Returns the seconds of an xs:duration. Years and months, which have no fixed length, are rejected."""
     match = _DURATION.fullmatch(text.strip())
     if match is None or text.strip().lstrip("-") in ("P", "PT") or match[2] or match[3]:
         raise MpdError(f"not a duration: {text[:40]}")
@@ -37,11 +37,12 @@
 
 
 def format_duration(seconds: float) -> str:
+    """Returns an xs:duration."""
     return f"PT{seconds:.3f}".rstrip("0").rstrip(".") + "S"
 
 
 class Node:
-    """A view of one element."""
+    """A view of an element."""
 
     __slots__ = ("element",)
 
@@ -58,7 +59,10 @@
             self.element.attrs[name] = value
 
     def number(self, name: str, default: int | None = None) -> int:
-        """An unsigned integer attribute. MpdError when it is missing without default, or none."""
+        """Returns an unsigned integer attribute.
+
+        Raises MpdError if the attribute is not an integer, or is missing and has no default.
+        """
         text = self.element.attrs.get(name)
         if text is None and default is not None:
             return default
@@ -71,7 +75,7 @@
         return None if text is None else parse_duration(text)
 
     def sub(self, local: str) -> str:
-        """The name for a new child, under the prefix that this element uses."""
+        """Returns the name of a new child, with the prefix that this element uses."""
         prefix, colon, _ = self.element.name.rpartition(":")
         return f"{prefix}{colon}{local}"
 
@@ -99,7 +103,7 @@
 
 
 class Descriptor(Node):
-    """EssentialProperty or SupplementalProperty (5.8.4)."""
+    """An EssentialProperty or SupplementalProperty (5.8.4)."""
 
     __slots__ = ()
 
@@ -109,7 +113,7 @@
 
 
 class SegmentTemplate(Node):
-    """5.3.9.4, with `$Number$` by duration or by SegmentTimeline."""
+    """A SegmentTemplate (5.3.9.4) with `$Number$`, by constant duration or by SegmentTimeline."""
 
     __slots__ = ()
 
@@ -118,56 +122,58 @@
         return max(self.number("timescale", 1), 1)
 
     def segments(self, period_s: float | None, limit: int = 1_000_000) -> list[Segment]:
-        """The media segments of a period of that length; MpdError when the count isn't bounded."""
+        """Returns the media segments of a period. Raises MpdError if their number is not bounded."""
         first = self.number("startNumber", 1)
         timeline = self.element.first("SegmentTimeline")
         if timeline is not None:
             return list(self._by_timeline(timeline, first, period_s, limit))
-        length = self.number("duration")
-        if not length or period_s is None:
-            raise MpdError("SegmentTemplate without a bound on its segments")
-        count = ceil(period_s * self.timescale / length - 1e-9)
+        segment_duration = self.number("duration")
+        if not segment_duration or period_s is None:
+            raise MpdError("SegmentTemplate without a bound on the number of its segments")
+        count = ceil(period_s * self.timescale / segment_duration - 1e-9)
         if count > limit:
             raise MpdError("too many segments")
-        return [Segment(first + i, i * length, length / self.timescale) for i in range(count)]
+        return [
+            Segment(first + i, i * segment_duration, segment_duration / self.timescale) for i in range(count)
+        ]
 
     def _by_timeline(
         self, timeline: Element, number: int, period_s: float | None, limit: int
     ) -> Iterator[Segment]:
-        runs = [Node(child) for child in timeline.all("S")]
+        entries = [Node(child) for child in timeline.all("S")]
         time = 0
-        for index, run in enumerate(runs):
-            time, length = run.number("t", time), run.number("d")
-            repeat = int(run.get("r", "0")) if re.fullmatch(r"-?\d{1,9}", run.get("r", "0")) else None
-            if repeat is None or not length:
-                raise MpdError("SegmentTimeline with a bad S")
+        for index, entry in enumerate(entries):
+            time, segment_duration = entry.number("t", time), entry.number("d")
+            repeat = int(entry.get("r", "0")) if re.fullmatch(r"-?\d{1,9}", entry.get("r", "0")) else None
+            if repeat is None or not segment_duration:
+                raise MpdError("SegmentTimeline with an invalid S element")
             if repeat < 0:
                 # "Up to the next S, or the end of the period" (5.3.9.6).
-                end = runs[index + 1].number("t", 0) if index + 1 < len(runs) else None
+                end = entries[index + 1].number("t", 0) if index + 1 < len(entries) else None
                 if end is None and period_s is None:
                     raise MpdError("SegmentTimeline without end")
-                stop = end if end is not None else (period_s or 0.0) * self.timescale
-                repeat = max(ceil((stop - time) / length - 1e-9), 1) - 1
+                end_time = end if end is not None else (period_s or 0.0) * self.timescale
+                repeat = max(ceil((end_time - time) / segment_duration - 1e-9), 1) - 1
             if repeat > limit:
                 raise MpdError("too many segments")
             for _ in range(repeat + 1):
-                yield Segment(number, time, length / self.timescale)
-                number, time, limit = number + 1, time + length, limit - 1
+                yield Segment(number, time, segment_duration / self.timescale)
+                number, time, limit = number + 1, time + segment_duration, limit - 1
             if limit < 0:
                 raise MpdError("too many segments")
 
-    def address(self, pattern: str, rep: Representation, segment: Segment | None = None) -> str:
-        """An address with its identifiers filled in (5.3.9.4.4). An unknown one is an MpdError."""
+    def address(self, pattern: str, representation: Representation, segment: Segment | None = None) -> str:
+        """Replaces the identifiers in an address (5.3.9.4.4). Raises MpdError for an unknown one."""
 
         def fill(match: re.Match[str]) -> str:
             if match[1]:
-                return rep.id
+                return representation.id
             if match[2] is None:
                 return "$"
             if match[2] != "Bandwidth" and segment is None:
                 raise MpdError(f"${match[2]}$ without a segment")
-            value = rep.bandwidth if segment is None else {
-                "Number": segment.number, "Time": segment.time, "Bandwidth": rep.bandwidth
+            value = representation.bandwidth if segment is None else {
+                "Number": segment.number, "Time": segment.time, "Bandwidth": representation.bandwidth
             }[match[2]]  # fmt: skip
             return f"{value:0{int(match[3] or 1)}d}"
 
@@ -203,7 +209,7 @@
         return [Representation(child) for child in self.element.all("Representation")]
 
     def keep(self, ids: set[str]) -> None:
-        """Leaves out all Representations but these."""
+        """Removes all Representations except those with these ids."""
         self.element.children = [
             child
             for child in self.element.children
@@ -242,22 +248,28 @@
         return [child.text.strip() for child in self.element.all("Location")]
 
     def period_s(self, period: Period) -> float | None:
-        own = period.duration("duration")
-        return own if own is not None else self.duration("mediaPresentationDuration")
+        period_duration_s = period.duration("duration")
+        return (
+            period_duration_s if period_duration_s is not None else self.duration("mediaPresentationDuration")
+        )
 
     def put_first(self, local: str, text: str, **attrs: str) -> None:
-        """Replaces all children of that name by one, in its place of the schema's order (5.3.1.3)."""
+        """Replaces all children of that name with one, at its position in the schema's order (5.3.1.3)."""
         order = ["ProgramInformation", "BaseURL", "Location"]
-        kept = [child for child in self.element.children if child.local != local]
-        at = sum(1 for child in kept if child.local in order[: order.index(local)])
-        self.element.children = [*kept[:at], Element(self.sub(local), attrs, text=text), *kept[at:]]
+        remaining = [child for child in self.element.children if child.local != local]
+        position = sum(1 for child in remaining if child.local in order[: order.index(local)])
+        self.element.children = [
+            *remaining[:position],
+            Element(self.sub(local), attrs, text=text),
+            *remaining[position:],
+        ]
 
     def write(self) -> bytes:
         return write_xml(self.element)
 
 
 def read_mpd(data: bytes) -> Mpd:
-    """Reads and checks a document. MpdError says what is wrong with it."""
+    """Parses and validates a document. Raises MpdError, which names the defect."""
     try:
         root = read_xml(data)
     except XmlError as error:
@@ -269,29 +281,38 @@
     if not mpd.periods:
         raise MpdError("MPD without a Period")
     for period in mpd.periods:
-        for group in period.sets:
-            for rep in group.representations:
-                if not rep.id or rep.bandwidth <= 0:
+        for adaptation_set in period.sets:
+            for representation in adaptation_set.representations:
+                if not representation.id or representation.bandwidth <= 0:
                     raise MpdError("Representation without id or bandwidth")
     return mpd
 
 
-def segment_template(period: Period, group: AdaptationSet, rep: Representation) -> SegmentTemplate:
-    """The template in force for a Representation: lower levels add to and override higher ones (5.3.9.1)."""
-    found = [template for level in (period, group, rep) if (template := level.template()) is not None]
-    if not found:
+def segment_template(
+    period: Period, adaptation_set: AdaptationSet, representation: Representation
+) -> SegmentTemplate:
+    """Returns the effective template of a Representation.
+
+    Lower levels extend and override higher ones (5.3.9.1).
+    """
+    templates = [
+        template
+        for level in (period, adaptation_set, representation)
+        if (template := level.template()) is not None
+    ]
+    if not templates:
         raise MpdError("no SegmentTemplate")
-    merged = Element(found[-1].element.name)
-    for template in found:
+    merged = Element(templates[-1].element.name)
+    for template in templates:
         merged.attrs.update(template.element.attrs)
         for child in template.element.children:
-            merged.children = [one for one in merged.children if one.local != child.local]
+            merged.children = [existing for existing in merged.children if existing.local != child.local]
             merged.children.append(child)
     return SegmentTemplate(merged)
 
 
 def base_url(document_url: str, *levels: Node) -> str:
-    """The base of addresses after each level's first BaseURL (5.6.4)."""
+    """Returns the base URL that results from the first BaseURL of each level (5.6.4)."""
     url = document_url
     for level in levels:
         if urls := level.base_urls():
--- a/fernweir/dash/urlparam.py
+++ b/fernweir/dash/urlparam.py
@@ -14,27 +14,30 @@
 
 
 def put_query(mpd: Mpd, query: str) -> None:
-    """Makes every segment request of the presentation carry `query`.
+    """Adds `query` to every segment request of the presentation.
 
-    The property goes to each AdaptationSet; one that is there already is replaced.
+    The property is added to each AdaptationSet, where it replaces an existing one.
     """
     for period in mpd.periods:
-        for group in period.sets:
-            kept = [
+        for adaptation_set in period.sets:
+            remaining = [
                 child
-                for child in group.element.children
+                for child in adaptation_set.element.children
                 if not (child.local == "EssentialProperty" and child.attrs.get("schemeIdUri") == SCHEME)
             ]
             info = Element(
                 "up:UrlQueryInfo",
                 {"xmlns:up": NAMESPACE, "queryTemplate": "$querypart$", "queryString": query},
             )
-            prop = Element(group.sub("EssentialProperty"), {"schemeIdUri": SCHEME}, [info])
-            group.element.children = [prop, *kept]
+            descriptor = Element(adaptation_set.sub("EssentialProperty"), {"schemeIdUri": SCHEME}, [info])
+            adaptation_set.element.children = [descriptor, *remaining]
 
 
 def segment_query(levels: list[Node], mpd_query: str) -> str:
-    """The query string that a client adds to segment requests, from the lowest level that has the scheme."""
+    """Returns the query string that a client adds to segment requests.
+
+    It comes from the lowest level that has a property of the scheme.
+    """
     for level in reversed(levels):
         for local in ("EssentialProperty", "SupplementalProperty"):
             for descriptor in level.descriptors(local):
@@ -54,11 +57,11 @@
     initial = "&".join(part for part in parts if part)
     values = dict(parse_qsl(initial, keep_blank_values=True))
 
-    def one(match: re.Match[str]) -> str:
+    def replace(match: re.Match[str]) -> str:
         if match[0] == "$$":
             return "$"
         if match[1] is None:
             return initial
         return f"{match[1]}={quote(values.get(match[1], ''), safe='')}"
 
-    return _PART.sub(one, template)
+    return _PART.sub(replace, template)
--- a/fernweir/dash/xml.py
+++ b/fernweir/dash/xml.py
@@ -1,8 +1,9 @@
-"""Just enough XML 1.0 for an MPD: elements, attributes, text, comments passed over.
+"""A reader and writer for the subset of XML 1.0 that an MPD needs: elements, attributes and text.
 
-No document type, no entities but the five predefined and character references, no processing
-instructions: what an MPD doesn't need can't be used against its reader. Names keep their prefixes as
-written, and what isn't understood is kept, so a document survives a read and a write.
+Comments are skipped. Document types, entities other than the five predefined ones and character references,
+and processing instructions are rejected, because an MPD doesn't need them and they are a means of attack.
+Names keep their prefixes as written and unknown elements are preserved, so the content of a
+document survives reading and writing it.
 """
 
 from __future__ import annotations
@@ -27,12 +28,12 @@
 
 
 class XmlError(ValueError):
-    """The text isn't XML as taken here; the message names the place."""
+    """Raised for text outside the supported subset of XML; the message names the position."""
 
 
 @dataclass(slots=True)
 class Element:
-    """`text` is the character data before the first child, `tail` what follows the element."""
+    """An element; `text` is the character data before the first child, `tail` that after the element."""
 
     name: str
     attrs: dict[str, str] = field(default_factory=dict)
@@ -55,36 +56,39 @@
 def read_xml(
     data: bytes, *, max_bytes: int = 4_194_304, max_depth: int = 64, max_elements: int = 100_000
 ) -> Element:
-    """The root element of a UTF-8 document. Raises XmlError, for anything over a limit too."""
+    """Parses a UTF-8 document and returns its root element.
+
+    Raises XmlError if the document is malformed or exceeds a limit.
+    """
     if len(data) > max_bytes:
         raise XmlError("document too large")
     try:
         text = data.decode("utf-8-sig")
     except UnicodeDecodeError as error:
         raise XmlError(f"not UTF-8 at byte {error.start}") from None
-    if bad := _FORBIDDEN.search(text):
-        raise XmlError(f"forbidden character at {bad.start()}")
+    if forbidden := _FORBIDDEN.search(text):
+        raise XmlError(f"forbidden character at {forbidden.start()}")
     text = text.replace("\r\n", "\n").replace("\r", "\n")
     declaration = _DECLARATION.match(text)
-    pos = declaration.end() if declaration else 0
+    position = declaration.end() if declaration else 0
     root: Element | None = None
     stack: list[Element] = []
     last: Element | None = None  # the element whose tail is being read
-    count = 0
+    element_count = 0
     while True:
-        start = text.find("<", pos)
-        run = text[pos : start if start >= 0 else len(text)]
-        if run:
-            _add_text(stack, last, _unescape(run, pos), pos)
+        start = text.find("<", position)
+        character_data = text[position : start if start >= 0 else len(text)]
+        if character_data:
+            _add_text(stack, last, _unescape(character_data, position), position)
         if start < 0:
             break
         match = _MARKUP.match(text, start)
         if match is None:
-            raise XmlError(f"{_what(text, start)} at {start}")
-        pos = match.end()
+            raise XmlError(f"{_describe_markup(text, start)} at {start}")
+        position = match.end()
         if match["name"]:
-            count += 1
-            if count > max_elements or len(stack) >= max_depth:
+            element_count += 1
+            if element_count > max_elements or len(stack) >= max_depth:
                 raise XmlError(f"too many or too deep elements at {start}")
             element = Element(match["name"], _attributes(match["attrs"], start))
             if stack:
@@ -109,17 +113,17 @@
     return root
 
 
-def _what(text: str, start: int) -> str:
+def _describe_markup(text: str, start: int) -> str:
     head = text[start : start + 9]
     if head.startswith("<!DOCTYPE") or head.startswith("<!ENTITY"):
-        return "document type or entity declaration refused"
-    return "processing instruction refused" if head.startswith("<?") else "malformed markup"
+        return "document type or entity declaration rejected"
+    return "processing instruction rejected" if head.startswith("<?") else "malformed markup"
 
 
-def _add_text(stack: list[Element], last: Element | None, text: str, pos: int) -> None:
+def _add_text(stack: list[Element], last: Element | None, text: str, position: int) -> None:
     if not stack:
         if text.strip(" \t\n"):
-            raise XmlError(f"text outside the root element at {pos}")
+            raise XmlError(f"text outside the root element at {position}")
     elif last is not None and last is not stack[-1]:
         last.tail += text
     else:
@@ -128,14 +132,14 @@
 
 def _attributes(text: str, start: int) -> dict[str, str]:
     attrs: dict[str, str] = {}
-    pos = 0
-    while match := _ATTR.match(text, pos):
+    position = 0
+    while match := _ATTR.match(text, position):
         name, value = match[1], match[2] if match[2] is not None else match[3]
         if name in attrs:
             raise XmlError(f"repeated attribute {name} at {start}")
         attrs[name] = _unescape(value.replace("\n", " ").replace("\t", " "), start)
-        pos = match.end()
-    if text[pos:].strip(" \t\n"):
+        position = match.end()
+    if text[position:].strip(" \t\n"):
         raise XmlError(f"malformed attribute at {start}")
     return attrs
 
@@ -144,7 +148,7 @@
     if "&" not in text:
         return text
 
-    def one(match: re.Match[str]) -> str:
+    def replace(match: re.Match[str]) -> str:
         if match[3] in _PREDEFINED:
             return _PREDEFINED[match[3]]
         code = int(match[1]) if match[1] else int(match[2], 16) if match[2] else -1
@@ -158,7 +162,7 @@
             raise XmlError(f"unknown entity or character reference at {start}")
         return chr(code)
 
-    return _REFERENCE.sub(one, text)
+    return _REFERENCE.sub(replace, text)
 
 
 def _escape(text: str) -> str:
@@ -170,7 +174,7 @@
 
 
 def write_xml(root: Element) -> bytes:
-    """The document as UTF-8 with a declaration."""
+    """Returns the document in UTF-8 with an XML declaration."""
     out = ['<?xml version="1.0" encoding="UTF-8"?>\n']
     _write(root, out)
     return "".join(out).encode()
--- a/tests/test_dash.py
+++ b/tests/test_dash.py
@@ -1,4 +1,4 @@
-"""MPDs: read as mpegdash reads them, written as they came, and nothing else taken from XML."""
+"""Tests of the MPD reader and writer against mpegdash, and of the XML that the reader rejects."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 """
 
 
-def test_a_rich_document_is_understood_and_kept() -> None:
+def test_a_rich_document_is_parsed_and_preserved() -> None:
     mpd = read_mpd(RICH)
     period = mpd.periods[0]
     group = period.sets[0]
@@ -61,8 +61,8 @@
     assert ET.canonicalize(mpd.write(), strip_text=True) == ET.canonicalize(RICH, strip_text=True)
 
 
-def test_mpegdash_reads_the_same() -> None:
-    """The oracle agrees on what we write and what we read."""
+def test_mpegdash_reads_the_same_values() -> None:
+    """mpegdash reads the same values from our output and from our input."""
     mpd = build_mpd(Title("a <b> & c", 61.0, 2.0, [100, 200, 400]))
     put_query(mpd, "token=a.b-c&x=1")
     mpd.put_first("BaseURL", "http://127.0.0.1:1/", serviceLocation="box-1")
@@ -92,20 +92,20 @@
 
 
 @given(ELEMENTS)
-def test_what_is_written_is_read_back_and_by_another_reader_too(root: Element) -> None:
+def test_written_documents_are_read_back_here_and_by_elementtree(root: Element) -> None:
     data = write_xml(root)
     assert read_xml(data) == root
     assert ET.fromstring(data).tag == root.name
 
 
 @given(st.text("<>/a =\"'&;!-[]?#x1:CDAT", max_size=40))
-def test_what_another_reader_refuses_is_refused(rubbish: str) -> None:
-    data = f"<a>{rubbish}</a>".encode()
+def test_markup_that_elementtree_rejects_is_rejected(markup: str) -> None:
+    data = f"<a>{markup}</a>".encode()
     try:
         ours = read_xml(data)
     except XmlError:
         return
-    if ":" not in rubbish and "]]>" not in rubbish:  # prefixes are kept as written, not resolved
+    if ":" not in markup and "]]>" not in markup:  # prefixes are kept as written, not resolved
         assert ET.fromstring(data).tag == ours.name
 
 
@@ -127,7 +127,7 @@
         (b"<a>" + b" " * 5_000_000, "too large"),
     ],
 )
-def test_xml_that_is_refused(data: bytes, word: str) -> None:
+def test_unsupported_and_malformed_xml_is_rejected(data: bytes, word: str) -> None:
     with pytest.raises(XmlError, match=word):
         read_xml(data)
 
@@ -141,13 +141,13 @@
         ((b"Period", b"Perio"), "without a Period"),
     ],
 )
-def test_documents_that_are_no_mpd(change: tuple[bytes, bytes], word: str) -> None:
+def test_documents_that_are_not_an_mpd_are_rejected(change: tuple[bytes, bytes], word: str) -> None:
     with pytest.raises(MpdError, match=word):
         read_mpd(RICH.replace(*change))
 
 
 @pytest.mark.parametrize("bad", ["r='x'", "r='-1'", "d='0'", "t='-1' d='2'", "d='1' r='999999999'"])
-def test_timelines_without_bound_are_refused(bad: str) -> None:
+def test_unbounded_or_invalid_timelines_are_rejected(bad: str) -> None:
     body = RICH.replace(
         b'<S t="5" d="20" r="1"/><S d="10"/><S t="60" d="20" r="-1"/>', f"<S {bad}/>".encode()
     )
@@ -173,7 +173,7 @@
             parse_duration(bad)
 
 
-def test_the_query_of_annex_i() -> None:
+def test_query_parameters_of_annex_i() -> None:
     mpd = build_mpd(Title("t", 10, 2, [100]))
     levels = [mpd, mpd.periods[0], mpd.periods[0].sets[0]]
     assert segment_query(list(levels), "m=1") == ""
