--- a/fernweir/dash/mpd.py
+++ b/fernweir/dash/mpd.py
@@ -208,7 +208,7 @@
     def representations(self) -> list[Representation]:
         return [Representation(child) for child in self.element.all("Representation")]
 
-    def keep(self, ids: set[str]) -> None:
+    def keep_representations(self, ids: set[str]) -> None:
         """Removes all Representations except those with these ids."""
         self.element.children = [
             child
@@ -221,7 +221,7 @@
     __slots__ = ()
 
     @property
-    def sets(self) -> list[AdaptationSet]:
+    def adaptation_sets(self) -> list[AdaptationSet]:
         return [AdaptationSet(child) for child in self.element.all("AdaptationSet")]
 
 
@@ -253,7 +253,7 @@
             period_duration_s if period_duration_s is not None else self.duration("mediaPresentationDuration")
         )
 
-    def put_first(self, local: str, text: str, **attrs: str) -> None:
+    def replace_child(self, local: str, text: str, **attrs: str) -> None:
         """Replaces all children of that name with one, at its position in the schema's order (5.3.1.3)."""
         order = ["ProgramInformation", "BaseURL", "Location"]
         remaining = [child for child in self.element.children if child.local != local]
@@ -281,7 +281,7 @@
     if not mpd.periods:
         raise MpdError("MPD without a Period")
     for period in mpd.periods:
-        for adaptation_set in period.sets:
+        for adaptation_set in period.adaptation_sets:
             for representation in adaptation_set.representations:
                 if not representation.id or representation.bandwidth <= 0:
                     raise MpdError("Representation without id or bandwidth")
--- a/fernweir/dash/urlparam.py
+++ b/fernweir/dash/urlparam.py
@@ -19,7 +19,7 @@
     The property is added to each AdaptationSet, where it replaces an existing one.
     """
     for period in mpd.periods:
-        for adaptation_set in period.sets:
+        for adaptation_set in period.adaptation_sets:
             remaining = [
                 child
                 for child in adaptation_set.element.children
--- a/fernweir/front/manifest.py
+++ b/fernweir/front/manifest.py
@@ -89,7 +89,7 @@
             mpd = read_mpd(body)
             found: set[int] = set()
             for period in mpd.periods:
-                for adaptation_set in period.sets:
+                for adaptation_set in period.adaptation_sets:
                     rungs = [
                         (rung_of(representation.id), representation.bandwidth)
                         for representation in adaptation_set.representations
@@ -109,10 +109,10 @@
     ) -> bytes:
         mpd = read_mpd(manifest.body)
         for period in mpd.periods:
-            for adaptation_set in period.sets:
-                adaptation_set.keep({rung_id(rung) for rung in range(lowest, highest + 1)})
-        mpd.put_first("BaseURL", base_url, serviceLocation=service_location)
-        mpd.put_first("Location", _LOCATION_PLACEHOLDER)
+            for adaptation_set in period.adaptation_sets:
+                adaptation_set.keep_representations({rung_id(rung) for rung in range(lowest, highest + 1)})
+        mpd.replace_child("BaseURL", base_url, serviceLocation=service_location)
+        mpd.replace_child("Location", _LOCATION_PLACEHOLDER)
         put_query(mpd, _QUERY_PLACEHOLDER)
         return mpd.write()
 
--- a/fernweir/standin/viewer.py
+++ b/fernweir/standin/viewer.py
@@ -209,7 +209,7 @@
 
     def __init__(self, mpd: Mpd) -> None:
         period = mpd.periods[0]
-        group = period.sets[0]
+        group = period.adaptation_sets[0]
         self._reps = sorted(group.representations, key=lambda one: one.bandwidth)
         if not self._reps:
             raise MpdError("no Representation")
@@ -266,7 +266,7 @@
         return sorted(
             rung_of(rep.id)
             for period in mpd.periods
-            for group in period.sets
+            for group in period.adaptation_sets
             for rep in group.representations
         )
     except (MpdError, ValueError):
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -737,7 +737,7 @@
         [
             [[rep.id, rep.bandwidth] for rep in group.representations]
             for period in mpd.periods
-            for group in period.sets
+            for group in period.adaptation_sets
         ],
     ]
 
--- a/tests/test_dash.py
+++ b/tests/test_dash.py
@@ -46,7 +46,7 @@
 def test_a_rich_document_is_parsed_and_preserved() -> None:
     mpd = read_mpd(RICH)
     period = mpd.periods[0]
-    group = period.sets[0]
+    group = period.adaptation_sets[0]
     first, second = group.representations
     assert mpd.title == "Café & <Tee>" and mpd.period_s(period) == 10.0
     assert mpd.duration("mediaPresentationDuration") == 60.5
@@ -65,10 +65,10 @@
     """mpegdash reads the same values from our output and from our input."""
     mpd = build_mpd(Title("a <b> & c", 61.0, 2.0, [100, 200, 400]))
     put_query(mpd, "token=a.b-c&x=1")
-    mpd.put_first("BaseURL", "http://127.0.0.1:1/", serviceLocation="box-1")
+    mpd.replace_child("BaseURL", "http://127.0.0.1:1/", serviceLocation="box-1")
     theirs = MPEGDASHParser.parse(mpd.write().decode())
     group = theirs.periods[0].adaptation_sets[0]
-    ours = mpd.periods[0].sets[0].representations
+    ours = mpd.periods[0].adaptation_sets[0].representations
     assert [(one.id, one.bandwidth) for one in group.representations] == [(r.id, r.bandwidth) for r in ours]
     assert theirs.base_urls[0].base_url_value == "http://127.0.0.1:1/"
     assert theirs.base_urls[0].service_location == "box-1"
@@ -155,7 +155,7 @@
         body.replace(b' duration="PT10S"', b"").replace(b' mediaPresentationDuration="PT1M0.5S"', b"")
     )
     period = mpd.periods[0]
-    group = period.sets[0]
+    group = period.adaptation_sets[0]
     with pytest.raises(MpdError):
         segment_template(period, group, group.representations[0]).segments(None)
 
@@ -175,12 +175,12 @@
 
 def test_query_parameters_of_annex_i() -> None:
     mpd = build_mpd(Title("t", 10, 2, [100]))
-    levels = [mpd, mpd.periods[0], mpd.periods[0].sets[0]]
+    levels = [mpd, mpd.periods[0], mpd.periods[0].adaptation_sets[0]]
     assert segment_query(list(levels), "m=1") == ""
     put_query(mpd, "token=abc")
     put_query(mpd, "token=abd")
     assert segment_query(list(levels), "m=1") == "token=abd"
-    info = mpd.periods[0].sets[0].element.first("EssentialProperty").first("UrlQueryInfo")  # type: ignore[union-attr]
+    info = mpd.periods[0].adaptation_sets[0].element.first("EssentialProperty").first("UrlQueryInfo")  # type: ignore[union-attr]
     assert info is not None
     info.attrs.update(useMPDUrlQuery="true", queryTemplate="a=$$&$query:m$&$query:none$&$querypart$")
     assert segment_query(list(levels), "m=1%20") == "a=$&m=1%20&none=&m=1%20&token=abd"
@@ -193,7 +193,7 @@
     for query in ("token=a", "token=b"):
         text = cache.render(manifest, 1, 1, "http://h/", "box-1", "http://f/?a=1&b=2", query)
         mpd = read_mpd(text)
-        group = mpd.periods[0].sets[0]
+        group = mpd.periods[0].adaptation_sets[0]
         assert [rep.id for rep in group.representations] == ["r1"]
         assert segment_query([mpd, group], "") == query and mpd.locations == ["http://f/?a=1&b=2"]
     short = build_mpd(Title("t", 10, 2, [100, 200])).write()
