--- a/fernweir/appliance/doctor.py
+++ b/fernweir/appliance/doctor.py
@@ -33,6 +33,8 @@
 
 
 class Grade(StrEnum):
+    """The severity of a finding."""
+
     GOOD = "good"
     WARN = "warn"
     BAD = "bad"
--- a/fernweir/appliance/layout.py
+++ b/fernweir/appliance/layout.py
@@ -29,6 +29,8 @@
 
 
 class UnitSection(Section):
+    """Settings of the unit itself."""
+
     name: str
     fronts: Positive
     operators: Names = Field(default_factory=list)
@@ -115,6 +117,8 @@
 
 @dataclass(frozen=True, slots=True)
 class UnitConfig:
+    """The settings of a unit and the paths of its folder."""
+
     layout: Layout
     unit: UnitSection
     trial: TrialSection | None
@@ -163,6 +167,7 @@
         self._handle = handle
 
     def release(self) -> None:
+        """Releases the lock, if it is held."""
         if self._handle is not None:
             os.close(self._handle)
             self._handle = None
@@ -186,6 +191,7 @@
 
 
 def write_format(layout: Layout) -> None:
+    """Records that the folder has the present format."""
     write_state(layout.format, _FORMAT_KIND, {"format": FORMAT})
 
 
--- a/fernweir/appliance/merge.py
+++ b/fernweir/appliance/merge.py
@@ -43,6 +43,7 @@
                 )
 
     def position_of(self, front: str) -> JournalPosition:
+        """Returns the last merged entry of a front; number 0 if there is none."""
         return self.positions.get(front, JournalPosition())
 
     def add_entry(self, front: str, journal: str, entry: Entry) -> None:
--- a/fernweir/appliance/supervise.py
+++ b/fernweir/appliance/supervise.py
@@ -17,6 +17,8 @@
 
 
 class State(StrEnum):
+    """The state of a child."""
+
     WAITING = "waiting"  # for its dependencies
     STARTING = "starting"
     READY = "ready"
@@ -55,16 +57,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
+    """Start the child's process."""
+
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class Terminate:
+    """Send SIGTERM to the child's process."""
+
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class Kill:
+    """Send SIGKILL to the child's process."""
+
     name: str
 
 
@@ -122,6 +130,7 @@
     # --- events ---
 
     def on_ready(self, now: float, name: str) -> None:
+        """Handles that a child has become ready."""
         status = self.children[name]
         if status.state is State.STARTING:
             status.was_ready = True
@@ -177,9 +186,11 @@
 
     @property
     def stopped(self) -> bool:
+        """Whether all children have stopped after `stop`."""
         return self.stopping and all(status.state is State.STOPPED for status in self.children.values())
 
     def step(self, now: float) -> list[Command]:
+        """Returns the commands that are due now."""
         commands: list[Command] = []
         for name in self._order:
             status = self.children[name]
@@ -199,6 +210,7 @@
         return commands
 
     def next_deadline(self) -> float | None:
+        """Returns when `step` has to be called again, or None if only an event can cause a command."""
         return min(
             (status.deadline for status in self.children.values() if status.deadline is not None),
             default=None,
--- a/fernweir/appliance/unit.py
+++ b/fernweir/appliance/unit.py
@@ -105,6 +105,7 @@
         self._tasks: set[asyncio.Task[Any]] = set()
 
     async def start(self) -> None:
+        """Acquires the lock, recovers the state, opens the control socket and starts the children."""
         self._lock.acquire()
         try:
             for step in migrate(self.layout):
@@ -145,6 +146,7 @@
         await self.all_stopped.wait()
 
     def close(self) -> None:
+        """Kills remaining children and releases all resources."""
         for timer in [*self._timers, *([self._step_timer] if self._step_timer else [])]:
             timer.cancel()
         for task in self._tasks:
@@ -163,6 +165,7 @@
     # --- children ---
 
     def on_child_exited(self, name: str, reason: str) -> None:
+        """Handles the exit of a child's process."""
         self._processes.pop(name, None)
         if name in self.clients and name in self.order_service.projection.fronts:
             self.merger.mark_front_down(name, self.wall_time_ms())
@@ -373,7 +376,7 @@
                 return await self.clients[name].ask(command_name, **fields)
         except (TimeoutError, ControlError) as error:
             self.log.warning(
-                "front does not answer", front=name, do=command_name, why=str(error) or "in time"
+                "front does not answer", front=name, do=command_name, why=str(error) or "no answer in time"
             )
             return None
 
--- a/tests/test_appliance.py
+++ b/tests/test_appliance.py
@@ -347,8 +347,9 @@
     root = create_test_unit(tmp_path)
 
     def problems(**more: Any) -> dict[str, str]:
-        findings = diagnose_unit(root, **{"min_free_bytes": 0, **more})
-        return {finding.subject: finding.message for finding in findings if finding.grade is not Grade.GOOD}
+        return {finding.subject: finding.message
+                for finding in diagnose_unit(root, **{"min_free_bytes": 0, **more})
+                if finding.grade is not Grade.GOOD}  # fmt: skip
 
     (root / "keys.json").chmod(0o644)
     assert "keys.json can be read by others" in problems()["permissions"]
