--- a/fernweir/peers/owning.py
+++ b/fernweir/peers/channel_manager.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OwningRules:
+class ChannelManagerRules:
     """`parts` channels a front, or none: its sessions stay its own; `copies` standbys each. Times in ms.
 
     A copy older than `stale_ms` is tried for though its owner is not known to be dead: it may be cut off, or
@@ -111,11 +111,11 @@
     asked: bool = False
 
 
-class Owning:
+class ChannelManager:
     """`now` is ms throughout. `on_message` takes the messages of `channel` but for the directory's."""
 
     def __init__(
-        self, me: str, life: int, rules: OwningRules, holder: Holder, port: Port, seed: int,
+        self, me: str, life: int, rules: ChannelManagerRules, holder: Holder, port: Port, seed: int,
         changed: Callable[[], None],
     ) -> None:  # fmt: skip
         self.me, self.life, self.rules = me, life, rules
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -27,6 +27,7 @@
 from fernweir.peers.channel.messages import KINDS as CHANNEL_KINDS
 from fernweir.peers.channel.messages import Registered, There, Unregistered, Where
 from fernweir.peers.channel.rules import DirectoryRules
+from fernweir.peers.channel_manager import Changed, ChannelManager, ChannelManagerRules, Steers, Yields
 from fernweir.peers.facts.messages import KINDS as FACT_KINDS
 from fernweir.peers.facts.rules import FactRules
 from fernweir.peers.facts.store import Facts
@@ -52,7 +53,6 @@
 from fernweir.peers.members.messages import KINDS as MEMBER_KINDS
 from fernweir.peers.members.messages import Gossip
 from fernweir.peers.members.rules import MemberRules
-from fernweir.peers.owning import Changed, Owning, OwningRules, Steers, Yields
 from fernweir.peers.parts import Parts
 from fernweir.peers.port import AuditEvent, AuditRecord, Port, SessionStatus
 from fernweir.peers.recording import Recording, Rested, Trouble
@@ -92,7 +92,7 @@
     members: MemberRules = field(default_factory=MemberRules)
     facts: FactRules = field(default_factory=FactRules)
     lease: LeaseRules = field(default_factory=LeaseRules)
-    owning: OwningRules = field(default_factory=OwningRules)
+    channels: ChannelManagerRules = field(default_factory=ChannelManagerRules)
     directory: DirectoryRules = field(default_factory=DirectoryRules)
     forward: ForwardRules = field(default_factory=ForwardRules)
     finding: FindRules = field(default_factory=FindRules)
@@ -145,7 +145,9 @@
         self.holder = Holder(me.name, me.life, rules.lease, seed, sets)
         self.keeper = Keeper(me.name, me.life, rules.lease, now, sets)  # nobody asks one that is not named
         self.replacing = Replacing(me.name, self.facts, self.holder, self.keeper, first)
-        self.owning = Owning(me.name, me.life, rules.owning, self.holder, port, seed, self._claimed)
+        self.channels = ChannelManager(
+            me.name, me.life, rules.channels, self.holder, port, seed, self._claimed
+        )
         self.directory = Directory(me.name, me.life, rules.directory, seed)
         self.forward = Forward(rules.forward)
         store = store or Store(me.name, rules.acts)
@@ -158,16 +160,16 @@
         )
         keeping: tuple[Part, ...] = (self.keeper,)
         self._parts = Parts(
-            (self.members, self.facts, self.holder, self.owning, self.directory, self.forward, self.recording,
-             self.lateness, *keeping),
-            {self.owning: (self.holder,), self.lateness: (self.facts, *keeping)},
+            (self.members, self.facts, self.holder, self.channels, self.directory, self.forward,
+             self.recording, self.lateness, *keeping),
+            {self.channels: (self.holder,), self.lateness: (self.facts, *keeping)},
         )  # fmt: skip
         self._at = self._parts.at
         self._routes: dict[type[Message], tuple[Part, ...]] = {}
         leases: tuple[Part, ...] = (self.holder, *keeping)
         for kinds, heard in (
             (MEMBER_KINDS, (self.members,)), (FACT_KINDS, (self.facts,)), (LEASE_KINDS, leases),
-            (CHANNEL_KINDS, (self.owning,)), (_DIRECTORY, (self.directory,)),
+            (CHANNEL_KINDS, (self.channels,)), (_DIRECTORY, (self.directory,)),
             (FORWARD_KINDS, (self.forward,)), (ACT_KINDS, (self.recording,)), (LATE_KINDS, (self.lateness,)),
         ):  # fmt: skip
             self._routes.update(dict.fromkeys(kinds, heard))
@@ -182,7 +184,7 @@
         self._boxes: set[int] = set()
         self._draining = 0
         self._started = self._leaving = self._displaced = False
-        self._shares = rules.owning.parts > 0  # sessions may be another front's: it has channels
+        self._shares = rules.channels.parts > 0  # sessions may be another front's: it has channels
         self._changed = changed
         port.set_listener(self)
 
@@ -194,7 +196,7 @@
             self._join_by = now + self.rules.join_ms
             self._hold("join", "joining its peers", _STALE_MS)
         self._at(self.lateness).mine(now, self.recording.versions, urgent=False)
-        self._at(self.owning).start(now)
+        self._at(self.channels).start(now)
         self._at(self.facts)
         self.replacing.start(now)
         self._started = True
@@ -208,12 +210,12 @@
         """Hands on what stands here; `left` says when that is done, `go` ends."""
         self._leaving = True
         self._say_load(now)
-        self._at(self.owning).leave(now)
+        self._at(self.channels).leave(now)
         self._settle(now)
 
     @property
     def left(self) -> bool:
-        return self.owning.left
+        return self.channels.left
 
     def go(self, now: float) -> None:
         self._at(self.recording).close(now)
@@ -240,7 +242,7 @@
         return {name: self.members.life(name) for name in self.members.alive()}
 
     def fence(self, now: float, session: str) -> tuple[str, int] | None:
-        return self.owning.fence(now, session)
+        return self.channels.fence(now, session)
 
     def ask(self, now: float, question: Question, then: Callable[[dict[str, Any]], None]) -> None:
         """Asks the acts of all fronts, within what it may touch; `then` is called once, as JSON has it."""
@@ -334,22 +336,22 @@
     # --- the front's listener ---
 
     def on_session_status(self, now: float, standing: SessionStatus) -> None:
-        self._at(self.owning).stands(now, standing)
+        self._at(self.channels).stands(now, standing)
         self.foresight.stands(now, standing)
-        self.weighing.stands(now, standing, self.owning.channel(standing.session))
-        if not self.owning.in_channel(standing.session):  # of the others it tells by `Steers`
+        self.weighing.stands(now, standing, self.channels.channel(standing.session))
+        if not self.channels.in_channel(standing.session):  # of the others it tells by `Steers`
             self._at(self.directory).register(now, standing.session)
         self._changed()
 
     def on_session_ended(self, now: float, session: str) -> None:
-        self._at(self.owning).over(now, session)
+        self._at(self.channels).over(now, session)
         self._at(self.directory).unregister(now, session)
         self.foresight.over(now, session)
         self.weighing.over(now, session)
         self._changed()
 
     def on_session_failed(self, now: float, session: str) -> None:
-        if self._at(self.owning).failed(now, session):
+        if self._at(self.channels).failed(now, session):
             self._at(self.directory).unregister(now, session)
             self._changed()
 
@@ -357,7 +359,7 @@
         self._record(act)
         if act.deed is AuditEvent.SETUP and self._shares:
             # From here on nobody else may set it up: told before the first byte leaves.
-            self._at(self.owning).placed(act.at, act.session, act.box)
+            self._at(self.channels).placed(act.at, act.session, act.box)
             self._at(self.directory).register(act.at, act.session)
         self._changed()  # its block is to be copied in time, whatever else happens
 
@@ -386,8 +388,8 @@
         while self._parts.giving:
             if self._parts.gives(self.lateness):
                 self._at(self.lateness).run(now)
-            if self._parts.gives(self.owning):
-                self._at(self.owning).run(now)
+            if self._parts.gives(self.channels):
+                self._at(self.channels).run(now)
             for effect in self._parts.take_effects():
                 if isinstance(effect, Event):
                     self._do(now, effect)
@@ -398,7 +400,7 @@
 
     def _do(self, now: float, event: Event) -> None:
         if isinstance(event, LeaseAcquired | LeaseRenewed | LeaseLost | LeaseUnavailable):
-            self._at(self.owning).lease(now, event)
+            self._at(self.channels).lease(now, event)
             if isinstance(event, LeaseAcquired):
                 self._record(AuditRecord(now, AuditEvent.LEASE, outcome=event.lease.channel))
         elif isinstance(event, Joined) and event.name == self.me.name:
@@ -456,7 +458,7 @@
             self._at(self.lateness).seen(now, event.owner, event.versions, event.age_ms)
         elif isinstance(event, Resign):
             self._hold("late", event.why, event.wait_ms)
-            self._at(self.owning).resign(now, not event.why)
+            self._at(self.channels).resign(now, not event.why)
         elif isinstance(event, Said):
             self._tell(event.text, **event.fields)
             if event.shut_out:
@@ -468,7 +470,7 @@
 
     def _claimed(self) -> None:
         """A box has answered a claim."""
-        self._at(self.owning)
+        self._at(self.channels)
         self._changed()
 
     def _tell(self, text: str, **fields: object) -> None:
@@ -504,7 +506,7 @@
         """A process of that name was there before, and is gone without anybody having missed it."""
         before, self._processes[name] = self._processes.get(name, life), life
         if before != life:
-            self._at(self.owning).died(now, name)
+            self._at(self.channels).died(now, name)
             self._at(self.forward).gone(now, name)
             self._at(self.recording).gone(now, name)
 
@@ -514,7 +516,7 @@
         self._processes.pop(name, None)
         self._members_changed(now)
         self._out.append(Forgotten(name))
-        self._at(self.owning).died(now, name)
+        self._at(self.channels).died(now, name)
         self._at(self.forward).gone(now, name)
         self._at(self.recording).gone(now, name)
         self._tell("peer died" if died else "peer left", name=name)
@@ -524,7 +526,7 @@
             # Two fronts with one name: the one with the lower life takes nothing new until the other is gone.
             self._displaced = self.members.displaced
             self._hold("name", "another front has this name" if self._displaced else "", _STALE_MS)
-        self._at(self.owning).fronts(now, [self._candidate(now, name) for name in self.members.alive()])
+        self._at(self.channels).fronts(now, [self._candidate(now, name) for name in self.members.alive()])
 
     def _candidate(self, now: float, name: str) -> Candidate:
         if name == self.me.name:  # as others know it, or heirs would not agree on their order
@@ -578,8 +580,8 @@
         session, rules = seeking.request.session, self.rules.finding
         alive = self.members.alive()
         to = place(
-            rules, me=self.me.name, alive=alive.__contains__, hint=self.owning.whereabouts(now, session),
-            between=self.owning.between(session), registered=registered, lost=lost, asked=asked,
+            rules, me=self.me.name, alive=alive.__contains__, hint=self.channels.whereabouts(now, session),
+            between=self.channels.between(session), registered=registered, lost=lost, asked=asked,
         )  # fmt: skip
         if to is None:
             return False
@@ -609,7 +611,7 @@
                 self._carry(now, seeking, answer.why)
                 return
             answer = between_owners(self.rules.finding, event.number)
-        elif answer.kind == "none" and self.owning.stood(now, seeking.request.session):
+        elif answer.kind == "none" and self.channels.stood(now, seeking.request.session):
             # Its front has begun anew since, and knows nothing: an heir is on its way to it.
             answer = between_owners(self.rules.finding, event.number)
         seeking.then(now, None if answer.kind == "none" else answer)
@@ -625,7 +627,7 @@
 
     def _not_here(self, now: float, carried: Carried, session: str) -> Carried:
         """A request that was carried to this front, which does not hold its session, or no more."""
-        if self.owning.between(session):
+        if self.channels.between(session):
             return between_owners(self.rules.finding, carried.number)
-        hint = self.owning.whereabouts(now, session)
+        hint = self.channels.whereabouts(now, session)
         return carried if hint is None else msgspec.structs.replace(carried, kind="elsewhere", why=hint)
--- a/fernweir/peers/settings.py
+++ b/fernweir/peers/settings.py
@@ -9,11 +9,11 @@
 from fernweir.config.peers import PeersSection
 from fernweir.peers.acts.versions import Versions, keys_digest, settings_digest
 from fernweir.peers.channel.rules import HandoffRules, ReplicaRules, TakeoverRules
+from fernweir.peers.channel_manager import ChannelManagerRules
 from fernweir.peers.facts.rules import FactRules
 from fernweir.peers.late.rules import LateRules
 from fernweir.peers.lease.rules import LeaseRules
 from fernweir.peers.link.rules import LinkRules
-from fernweir.peers.owning import OwningRules
 from fernweir.peers.peer import PeerRules
 
 # Settings that differ between fronts whose settings are otherwise the same.
@@ -69,7 +69,7 @@
     lease = LeaseRules(
         lease_ms=section.lease, longest_ms=section.lease, drift=section.drift, renew_ms=section.lease / 3.0
     )
-    owning = OwningRules(
+    channel_rules = ChannelManagerRules(
         parts=section.parts if channels else 0,
         copies=section.standbys,
         stale_ms=section.lease,
@@ -90,6 +90,6 @@
         keepers=tuple(section.keepers),
         keepers_version=section.keepers_version,
         lease=lease,
-        owning=owning,
+        channels=channel_rules,
         facts=facts,
     )
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -24,13 +24,13 @@
 from fernweir.peers.acts.versions import Versions, boxes_digest
 from fernweir.peers.base import Address, Effect, Event, Message, Send
 from fernweir.peers.channel.rules import DirectoryRules, HandoffRules, ReplicaRules
+from fernweir.peers.channel_manager import ChannelManagerRules
 from fernweir.peers.facts.rules import FactRules
 from fernweir.peers.forward.desk import ForwardRules
 from fernweir.peers.forward.messages import Carried, Carry
 from fernweir.peers.lease.rules import LeaseRules
 from fernweir.peers.members.events import Me
 from fernweir.peers.members.rules import MemberRules
-from fernweir.peers.owning import OwningRules
 from fernweir.peers.peer import KINDS, Peer, PeerRules, Relived
 from fernweir.peers.port import AuditEvent, AuditRecord, ClaimResult, Listener, SessionStatus, Terms
 from fernweir.peers.wire.codec import Codec
@@ -47,7 +47,7 @@
     members=MemberRules(max_members=32),
     facts=FactRules(keys=16, owner_bytes=4_096, owners=32, keep_ms=5_000.0),
     lease=LeaseRules(max_records=64, max_channels=64),
-    owning=OwningRules(
+    channels=ChannelManagerRules(
         parts=2, gone_most=64,
         replica=ReplicaRules(copies_most=16, sessions_most=64, bytes_most=65_536, payloads_bytes=65_536,
                              payload_most=16_384, keep_ms=10_000.0),
--- a/tests/peers_mutants/joint.py
+++ b/tests/peers_mutants/joint.py
@@ -11,7 +11,7 @@
 
 from tests.peers_mutants import Mutant, broken
 
-_OWNING, _PEER = "fernweir/peers/owning.py", "fernweir/peers/peer.py"
+_CHANNEL_MANAGER, _PEER = "fernweir/peers/channel_manager.py", "fernweir/peers/peer.py"
 _PEERING = "fernweir/front/peering.py"
 _TAKEOVER = "fernweir/peers/channel/takeover.py"
 
@@ -21,10 +21,10 @@
 MUTANTS = [
     Mutant(
         "an attempt leaves without its session being put into a channel", _PEER,
-        "            self._at(self.owning).placed(act.at, act.session, act.box)\n", "", 2,
+        "            self._at(self.channels).placed(act.at, act.session, act.box)\n", "", 2,
     ),
     Mutant(
-        "a channel that was another's is not replaced by a new one", _OWNING,
+        "a channel that was another's is not replaced by a new one", _CHANNEL_MANAGER,
         "            self._own_anew(now, cut.part % self.rules.parts, cut.part + self.rules.parts)\n",
         "            pass\n", 6,
     ),
@@ -34,11 +34,11 @@
         "        return []\n        there", 20, faults=2,
     ),
     Mutant(
-        "an end seen here is not told to the taking over of its channel", _OWNING,
+        "an end seen here is not told to the taking over of its channel", _CHANNEL_MANAGER,
         "            self.handoff.takeover.learn(now, channel, session, None)\n", "", 30, faults=2,
     ),
     Mutant(
-        "who hears that another has the lease keeps the sessions", _OWNING,
+        "who hears that another has the lease keeps the sessions", _CHANNEL_MANAGER,
         "            self._holder.release(now, channel)\n            self._let_go(now, channel, by)\n",
         "            self._holder.release(now, channel)\n", 10,
     ),
@@ -51,30 +51,30 @@
         "            self._client.open_notice_stream(standing.box)\n", "", 12,
     ),
     Mutant(
-        "a session goes to its heir and stays with its owner", _OWNING,
+        "a session goes to its heir and stays with its owner", _CHANNEL_MANAGER,
         "            self._port.relinquish_session(now, session)\n"
         "            self._forget(session)\n            if to:",
         "            self._forget(session)\n            if to:", 6,
     ),
     Mutant(
-        "what one front gives up it releases under a fence of no channel", _OWNING,
+        "what one front gives up it releases under a fence of no channel", _CHANNEL_MANAGER,
         "            under = (event.channel, event.fence)\n", "            under = (event.channel, 1)\n", 20,
     ),
     Mutant(
-        "a lapsed channel's sessions are let go at once", _OWNING,
+        "a lapsed channel's sessions are let go at once", _CHANNEL_MANAGER,
         'if why == "taken" or self._leaving:', "if True:", 10,
     ),
     Mutant(
-        "an heir claims no box", _OWNING,
+        "an heir claims no box", _CHANNEL_MANAGER,
         "        self._port.claim_channel(box, event.channel, event.fence, event.overlap_ms, then)\n", "", 8,
     ),
     Mutant(
-        "standbys are not told of what stands", _OWNING,
+        "standbys are not told of what stands", _CHANNEL_MANAGER,
         "        self.replica.change(now, channel, standing)\n        self.handoff.change",
         "        self.handoff.change", 8,
     ),
     Mutant(
-        "what is over keeps its place in the table of attempts", _OWNING,
+        "what is over keeps its place in the table of attempts", _CHANNEL_MANAGER,
         "        self._placed.pop(session, None)\n", "", 1,
     ),
     Mutant(
--- a/tests/test_peers_parts.py
+++ b/tests/test_peers_parts.py
@@ -9,8 +9,8 @@
 
 from fernweir.peers import peer
 from fernweir.peers.base import Effect, Part
+from fernweir.peers.channel_manager import ChannelManager
 from fernweir.peers.lateness import Lateness
-from fernweir.peers.owning import Owning
 from fernweir.peers.parts import Parts
 from fernweir.rehearsal.fleet.plan import FleetPlan
 from fernweir.rehearsal.fleet.schedule import Fault, Kind
@@ -44,7 +44,7 @@
 
 
 def _within(part: Part) -> list[Effect]:
-    if isinstance(part, Owning):
+    if isinstance(part, ChannelManager):
         return part.replica.take_effects() + part.handoff.take_effects()
     return part.stragglers.take_effects() if isinstance(part, Lateness) else []
 
@@ -67,7 +67,7 @@
     assert found(replace(DAY, seed=9, rate=12.0, faults=(LOSS, KILL))) == []
 
 
-@pytest.mark.parametrize("deaf", ["owning", "recording", "facts", "directory"])
+@pytest.mark.parametrize("deaf", ["channelmanager", "recording", "facts", "directory"])
 def test_a_touch_that_is_forgotten_is_found(deaf: str, monkeypatch: pytest.MonkeyPatch) -> None:
     real = Parts.at
 
