--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -42,7 +42,6 @@
 from fernweir.peers.forward.messages import Carried, Carry
 from fernweir.peers.late.messages import KINDS as LATE_KINDS
 from fernweir.peers.late.rules import LateRules
-from fernweir.peers.lateness import PLEA, VERSIONS, Lateness, Resign, Said
 from fernweir.peers.lease.events import LeaseAcquired, LeaseLost, LeaseRenewed, LeaseUnavailable
 from fernweir.peers.lease.holder import Holder
 from fernweir.peers.lease.keeper import Keeper
@@ -57,6 +56,7 @@
 from fernweir.peers.port import AuditEvent, AuditRecord, Port, SessionStatus
 from fernweir.peers.recording import Recording, Rested, Trouble
 from fernweir.peers.replacing import KEEPERS, SETTLED, Replacing
+from fernweir.peers.straggler_control import PLEA, VERSIONS, Resign, Said, StragglerControl
 from fernweir.peers.weighing import TALLY, Weighing
 
 KINDS = (MEMBER_KINDS, FACT_KINDS, LEASE_KINDS, CHANNEL_KINDS, FORWARD_KINDS, ACT_KINDS, LATE_KINDS)
@@ -155,14 +155,14 @@
         self._wall_ms = wall_ms
         self.foresight = Foresight(me.name, me.life, rules.foresight, now, self.recording.clocks)
         self.weighing = Weighing(me.name, me.life, port, now)
-        self.lateness = Lateness(
+        self.stragglers = StragglerControl(
             me.name, me.life, rules.late, now, self.facts, self.keeper, rules.keepers, port, versions
         )
         keeping: tuple[Part, ...] = (self.keeper,)
         self._parts = Parts(
             (self.members, self.facts, self.holder, self.channels, self.directory, self.forward,
-             self.recording, self.lateness, *keeping),
-            {self.channels: (self.holder,), self.lateness: (self.facts, *keeping)},
+             self.recording, self.stragglers, *keeping),
+            {self.channels: (self.holder,), self.stragglers: (self.facts, *keeping)},
         )  # fmt: skip
         self._at = self._parts.at
         self._routes: dict[type[Message], tuple[Part, ...]] = {}
@@ -170,7 +170,8 @@
         for kinds, heard in (
             (MEMBER_KINDS, (self.members,)), (FACT_KINDS, (self.facts,)), (LEASE_KINDS, leases),
             (CHANNEL_KINDS, (self.channels,)), (_DIRECTORY, (self.directory,)),
-            (FORWARD_KINDS, (self.forward,)), (ACT_KINDS, (self.recording,)), (LATE_KINDS, (self.lateness,)),
+            (FORWARD_KINDS, (self.forward,)), (ACT_KINDS, (self.recording,)),
+            (LATE_KINDS, (self.stragglers,)),
         ):  # fmt: skip
             self._routes.update(dict.fromkeys(kinds, heard))
         self._seeking: dict[str, list[Seeking]] = {}
@@ -195,7 +196,7 @@
         if seeds and self._shares:  # until it knows others, what stands there would begin here once more
             self._join_by = now + self.rules.join_ms
             self._hold("join", "joining its peers", _STALE_MS)
-        self._at(self.lateness).mine(now, self.recording.versions, urgent=False)
+        self._at(self.stragglers).mine(now, self.recording.versions, urgent=False)
         self._at(self.channels).start(now)
         self._at(self.facts)
         self.replacing.start(now)
@@ -318,7 +319,7 @@
                 self._at(self.facts).drop(now, key)
             # Where no lease is wanted, having none says nothing of the way to the others.
             leases = not self._shares or bool(self.holder.current_leases(now))
-            self._at(self.lateness).leases(now, leases)
+            self._at(self.stragglers).leases(now, leases)
         self._parts.tick(now)
         self._settle(now)
 
@@ -373,7 +374,7 @@
         urgent = draining > self._draining or not here >= self._boxes
         self._draining, self._boxes = draining, here
         self._at(self.recording).list_told(rows, told_at)
-        self._at(self.lateness).mine(now, self.recording.versions, urgent)
+        self._at(self.stragglers).mine(now, self.recording.versions, urgent)
         self._changed()
 
     # --- pieces ---
@@ -386,8 +387,8 @@
         """Carries events from part to part until none is left; what is for oneself is heard at once."""
         self._now = max(self._now, now)
         while self._parts.giving:
-            if self._parts.gives(self.lateness):
-                self._at(self.lateness).run(now)
+            if self._parts.gives(self.stragglers):
+                self._at(self.stragglers).run(now)
             if self._parts.gives(self.channels):
                 self._at(self.channels).run(now)
             for effect in self._parts.take_effects():
@@ -441,7 +442,7 @@
             if key == _HEAD:
                 self._at(self.recording).heard_head(now, event.owner, event.life, value)
             elif key in (VERSIONS, PLEA):
-                self._at(self.lateness).told(now, event.owner, key, value)
+                self._at(self.stragglers).told(now, event.owner, key, value)
             elif key in (KEEPERS, SETTLED):
                 self._replace(now, event.owner, key, value)
             elif key == TALLY:
@@ -455,7 +456,7 @@
             self.foresight.gone(event.owner)
             self.weighing.gone(event.owner)
         elif isinstance(event, Rested):
-            self._at(self.lateness).seen(now, event.owner, event.versions, event.age_ms)
+            self._at(self.stragglers).seen(now, event.owner, event.versions, event.age_ms)
         elif isinstance(event, Resign):
             self._hold("late", event.why, event.wait_ms)
             self._at(self.channels).resign(now, not event.why)
@@ -498,7 +499,7 @@
         lives = self.lives()
         self._at(self.directory).members(now, lives)
         self._at(self.recording).members(now, lives)
-        self._at(self.lateness).fleet(now, lives)
+        self._at(self.stragglers).fleet(now, lives)
         self.foresight.fleet(lives)
         self._look(now)
 
@@ -532,7 +533,7 @@
         if name == self.me.name:  # as others know it, or heirs would not agree on their order
             sessions = self._said.sessions if self._said is not None else 0
             return Candidate(name, sessions, now - self._born, leaving=self._closed)
-        late = name in self.lateness.out()
+        late = name in self.stragglers.out()
         fact = self.facts.get(name, _LOAD)
         if fact is None:
             return Candidate(name, 0, 0.0, late=late)
@@ -551,7 +552,7 @@
             self.replacing.look(now)
         elif self.replacing.told(now, owner, key, value):
             self._tell("keepers are replaced", by=", ".join(self.replacing.names))
-            self._at(self.lateness).keepers(now, self.replacing.names)
+            self._at(self.stragglers).keepers(now, self.replacing.names)
 
     def _say_load(self, now: float) -> None:
         """Only what differs enough to change a choice: every fact goes to all fronts."""
--- a/fernweir/peers/lateness.py
+++ b/fernweir/peers/straggler_control.py
@@ -50,7 +50,7 @@
     shut_out: str = ""
 
 
-class Lateness:
+class StragglerControl:
     """`now` is ms. Events: `Resign`, `Said`."""
 
     def __init__(
--- a/tests/test_peers_parts.py
+++ b/tests/test_peers_parts.py
@@ -10,8 +10,8 @@
 from fernweir.peers import peer
 from fernweir.peers.base import Effect, Part
 from fernweir.peers.channel_manager import ChannelManager
-from fernweir.peers.lateness import Lateness
 from fernweir.peers.parts import Parts
+from fernweir.peers.straggler_control import StragglerControl
 from fernweir.rehearsal.fleet.plan import FleetPlan
 from fernweir.rehearsal.fleet.schedule import Fault, Kind
 from fernweir.rehearsal.fleet.virtual import play
@@ -46,7 +46,7 @@
 def _within(part: Part) -> list[Effect]:
     if isinstance(part, ChannelManager):
         return part.replica.take_effects() + part.handoff.take_effects()
-    return part.stragglers.take_effects() if isinstance(part, Lateness) else []
+    return part.stragglers.take_effects() if isinstance(part, StragglerControl) else []
 
 
 def found(plan: FleetPlan) -> list[str]:
