--- a/fernweir/peers/recording.py
+++ b/fernweir/peers/audit_recorder.py
@@ -39,7 +39,7 @@
     age_ms: float
 
 
-class Recording:
+class AuditRecorder:
     """`wall_ms` gives how far the wall clock is ahead of `now`.
 
     Events: `Missing`, `Shortened`, `Tampered`; `Rested` for each block of another that is kept.
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -21,6 +21,7 @@
 from fernweir.peers.acts.rules import ActRules
 from fernweir.peers.acts.store import Store
 from fernweir.peers.acts.versions import Versions
+from fernweir.peers.audit_recorder import AuditRecorder, Rested, Trouble
 from fernweir.peers.base import Address, Effect, Event, Message, Part, Send
 from fernweir.peers.channel.directory import Directory, Found
 from fernweir.peers.channel.heirs import Candidate
@@ -54,7 +55,6 @@
 from fernweir.peers.members.rules import MemberRules
 from fernweir.peers.parts import Parts
 from fernweir.peers.port import AuditEvent, AuditRecord, Port, SessionStatus
-from fernweir.peers.recording import Recording, Rested, Trouble
 from fernweir.peers.replacing import KEEPERS, SETTLED, Replacing
 from fernweir.peers.straggler_control import PLEA, VERSIONS, Resign, Said, StragglerControl
 from fernweir.peers.weighing import TALLY, Weighing
@@ -151,9 +151,9 @@
         self.directory = Directory(me.name, me.life, rules.directory, seed)
         self.forward = Forward(rules.forward)
         store = store or Store(me.name, rules.acts)
-        self.recording = Recording(me.name, me.life, rules.acts, seed, versions, wall_ms, store)
+        self.audit = AuditRecorder(me.name, me.life, rules.acts, seed, versions, wall_ms, store)
         self._wall_ms = wall_ms
-        self.foresight = Foresight(me.name, me.life, rules.foresight, now, self.recording.clocks)
+        self.foresight = Foresight(me.name, me.life, rules.foresight, now, self.audit.clocks)
         self.weighing = Weighing(me.name, me.life, port, now)
         self.stragglers = StragglerControl(
             me.name, me.life, rules.late, now, self.facts, self.keeper, rules.keepers, port, versions
@@ -161,7 +161,7 @@
         keeping: tuple[Part, ...] = (self.keeper,)
         self._parts = Parts(
             (self.members, self.facts, self.holder, self.channels, self.directory, self.forward,
-             self.recording, self.stragglers, *keeping),
+             self.audit, self.stragglers, *keeping),
             {self.channels: (self.holder,), self.stragglers: (self.facts, *keeping)},
         )  # fmt: skip
         self._at = self._parts.at
@@ -170,7 +170,7 @@
         for kinds, heard in (
             (MEMBER_KINDS, (self.members,)), (FACT_KINDS, (self.facts,)), (LEASE_KINDS, leases),
             (CHANNEL_KINDS, (self.channels,)), (_DIRECTORY, (self.directory,)),
-            (FORWARD_KINDS, (self.forward,)), (ACT_KINDS, (self.recording,)),
+            (FORWARD_KINDS, (self.forward,)), (ACT_KINDS, (self.audit,)),
             (LATE_KINDS, (self.stragglers,)),
         ):  # fmt: skip
             self._routes.update(dict.fromkeys(kinds, heard))
@@ -196,7 +196,7 @@
         if seeds and self._shares:  # until it knows others, what stands there would begin here once more
             self._join_by = now + self.rules.join_ms
             self._hold("join", "joining its peers", _STALE_MS)
-        self._at(self.stragglers).mine(now, self.recording.versions, urgent=False)
+        self._at(self.stragglers).mine(now, self.audit.versions, urgent=False)
         self._at(self.channels).start(now)
         self._at(self.facts)
         self.replacing.start(now)
@@ -219,7 +219,7 @@
         return self.channels.left
 
     def go(self, now: float) -> None:
-        self._at(self.recording).close(now)
+        self._at(self.audit).close(now)
         self._say_head(now, urgent=True)
         self._at(self.members).leave(now)
         self._settle(now)
@@ -257,7 +257,7 @@
             estimate = {**estimate_to_plain(allowed.estimate), "failed": failed}
             then({**answer_to_plain(answer), "estimate": estimate})
 
-        asked = self._at(self.recording).ask(
+        asked = self._at(self.audit).ask(
             now, question, self.lives(), answered, allowed.planned, allowed.budget, allowed.known
         )
         if not asked:
@@ -285,8 +285,8 @@
         What was carried elsewhere may have been done there: who waits for it is told to come again.
         Operators' questions are answered with what has come.
         """
-        self.recording.questions.close(now)
-        self.recording.take_effects()
+        self.audit.questions.close(now)
+        self.audit.take_effects()
         sought = [one for waiting in self._seeking.values() for one in waiting]
         carried, self._seeking, self._carried = self._carried, {}, {}
         for number, seeking in carried.items():
@@ -309,7 +309,7 @@
             self._look(now)
             self._replace(now)
             self._say_head(now, urgent=False)
-            tally = self.weighing.say(now, self.recording.versions.epoch)
+            tally = self.weighing.say(now, self.audit.versions.epoch)
             if tally is not None:
                 self._at(self.facts).put(now, TALLY, tally)
             said, gone = self.foresight.publish(now)
@@ -365,16 +365,16 @@
         self._changed()  # its block is to be copied in time, whatever else happens
 
     def _record(self, act: AuditRecord) -> None:
-        self._at(self.recording).add(act)
-        self.foresight.acted(act, self.recording.versions)
+        self._at(self.audit).add(act)
+        self.foresight.acted(act, self.audit.versions)
 
     def on_endpoint_list(self, now: float, rows: Sequence[tuple[int, Any]], told_at: float) -> None:
         draining = sum(1 for number, row in rows if number >= 0 and row[0] == "draining")
         here = {number for number, _ in rows}
         urgent = draining > self._draining or not here >= self._boxes
         self._draining, self._boxes = draining, here
-        self._at(self.recording).list_told(rows, told_at)
-        self._at(self.stragglers).mine(now, self.recording.versions, urgent)
+        self._at(self.audit).list_told(rows, told_at)
+        self._at(self.stragglers).mine(now, self.audit.versions, urgent)
         self._changed()
 
     # --- pieces ---
@@ -440,7 +440,7 @@
         elif isinstance(event, FactChanged):
             key, value = event.fact.key, event.fact.value
             if key == _HEAD:
-                self._at(self.recording).heard_head(now, event.owner, event.life, value)
+                self._at(self.audit).heard_head(now, event.owner, event.life, value)
             elif key in (VERSIONS, PLEA):
                 self._at(self.stragglers).told(now, event.owner, key, value)
             elif key in (KEEPERS, SETTLED):
@@ -498,7 +498,7 @@
         self._at(self.facts).peers(now, others)
         lives = self.lives()
         self._at(self.directory).members(now, lives)
-        self._at(self.recording).members(now, lives)
+        self._at(self.audit).members(now, lives)
         self._at(self.stragglers).fleet(now, lives)
         self.foresight.fleet(lives)
         self._look(now)
@@ -509,7 +509,7 @@
         if before != life:
             self._at(self.channels).died(now, name)
             self._at(self.forward).gone(now, name)
-            self._at(self.recording).gone(now, name)
+            self._at(self.audit).gone(now, name)
 
     def _gone(self, now: float, name: str, life: int, died: bool) -> None:
         if name in self.members.alive() and self.members.life(name) != life:
@@ -519,7 +519,7 @@
         self._out.append(Forgotten(name))
         self._at(self.channels).died(now, name)
         self._at(self.forward).gone(now, name)
-        self._at(self.recording).gone(now, name)
+        self._at(self.audit).gone(now, name)
         self._tell("peer died" if died else "peer left", name=name)
 
     def _look(self, now: float) -> None:
@@ -568,7 +568,7 @@
         return self._leaving or not self._shares
 
     def _say_head(self, now: float, urgent: bool) -> None:
-        head = self._at(self.recording).new_head(now)
+        head = self._at(self.audit).new_head(now)
         if head is not None:
             self._at(self.facts).put(now, _HEAD, head, urgent)
 
--- a/fernweir/rehearsal/fleet/inside.py
+++ b/fernweir/rehearsal/fleet/inside.py
@@ -80,7 +80,7 @@
     for what, table in (
         ("tries", manager._tries), ("turns", manager._turns), ("undecided channels", manager._new),
         ("seeking", peer._seeking), ("carried", peer._carried), ("finds", peer.directory._finds),
-        ("questions", peer.recording._asked), ("stale fronts", peer.stragglers.out()),
+        ("questions", peer.audit._asked), ("stale fronts", peer.stragglers.out()),
     ):  # fmt: skip
         wrong += [f"{what} left: {', '.join(map(str, table))[:200]}"] if table else []
     if front.core.sessions.observer is None:
--- a/tests/test_node_peers.py
+++ b/tests/test_node_peers.py
@@ -121,13 +121,13 @@
         try:
             await fleet.wait_for_log_event(process, "peer joined")
             await until(lambda: (told := versions(peers, "n7")) is not None and told.boxes)
-            mine, theirs = peers.peer.recording.versions, versions(peers, "n7")
+            mine, theirs = peers.peer.audit.versions, versions(peers, "n7")
             assert theirs is not None and theirs.boxes == mine.boxes and theirs.settings == mine.settings
 
             answer = await fleet.ask()
             assert answer.type == "answer" and answer.sdp is not None
             life = peers.peer.members.life("n7")
-            await until(lambda: peers.peer.recording.store.shelf("n7", life))
+            await until(lambda: peers.peer.audit.store.shelf("n7", life))
         finally:
             process.kill()
             await process.wait()
@@ -171,9 +171,9 @@
             msgspec.json.encode({"n": 6, "members": {"index": 10, "endpoints": [line]}})
         )
         assert update is not None
-        before = peers.peer.recording.versions.boxes
+        before = peers.peer.audit.versions.boxes
         node.endpoint_watcher.apply_update(update)
-        assert peers.peer.recording.versions.boxes != before
+        assert peers.peer.audit.versions.boxes != before
         told: list[dict[str, Any]] = []
         peers.questions.ask({"question": "acts", "deed": "drain"}, told.append)
         await until(lambda: told)
--- a/tests/test_peers_fleet.py
+++ b/tests/test_peers_fleet.py
@@ -174,7 +174,7 @@
         wish = scene.wish(play_s=60.0)
         assert (await scene.request_session(wish, front=0)).status == 200
         life = peers[0].peer.me.life
-        await until(lambda: any(one.peer.recording.store.shelf("front-0", life) for one in peers[1:]))
+        await until(lambda: any(one.peer.audit.store.shelf("front-0", life) for one in peers[1:]))
         await until(lambda: "front-0" in peers[1].peer.foresight.catalogue.owners())
         scene.trace.write("front.down", front="front-0")
         scene.fronts[0].kill()
--- a/tests/test_peers_parts.py
+++ b/tests/test_peers_parts.py
@@ -67,7 +67,7 @@
     assert found(replace(DAY, seed=9, rate=12.0, faults=(LOSS, KILL))) == []
 
 
-@pytest.mark.parametrize("deaf", ["channelmanager", "recording", "facts", "directory"])
+@pytest.mark.parametrize("deaf", ["channelmanager", "auditrecorder", "facts", "directory"])
 def test_a_touch_that_is_forgotten_is_found(deaf: str, monkeypatch: pytest.MonkeyPatch) -> None:
     real = Parts.at
 
