--- a/fernweir/peers/replacing.py
+++ b/fernweir/peers/keeper_reconfiguration.py
@@ -25,7 +25,7 @@
     names: Annotated[tuple[Name, ...], msgspec.Meta(min_length=1, max_length=15)]
 
 
-class Replacing:
+class KeeperReconfiguration:
     """`now` is ms; `look` is called every now and then."""
 
     def __init__(self, me: str, facts: Facts, holder: Holder, keeper: Keeper, first: KeeperSet) -> None:
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -41,6 +41,7 @@
 from fernweir.peers.forward.desk import Answered, Forward, ForwardRules, Wanted
 from fernweir.peers.forward.messages import KINDS as FORWARD_KINDS
 from fernweir.peers.forward.messages import Carried, Carry
+from fernweir.peers.keeper_reconfiguration import KEEPERS, SETTLED, KeeperReconfiguration
 from fernweir.peers.late.messages import KINDS as LATE_KINDS
 from fernweir.peers.late.rules import LateRules
 from fernweir.peers.lease.events import LeaseAcquired, LeaseLost, LeaseRenewed, LeaseUnavailable
@@ -55,7 +56,6 @@
 from fernweir.peers.members.rules import MemberRules
 from fernweir.peers.parts import Parts
 from fernweir.peers.port import AuditEvent, AuditRecord, Port, SessionStatus
-from fernweir.peers.replacing import KEEPERS, SETTLED, Replacing
 from fernweir.peers.straggler_control import PLEA, VERSIONS, Resign, Said, StragglerControl
 from fernweir.peers.weighing import TALLY, Weighing
 
@@ -144,7 +144,7 @@
         self.facts = Facts(me.name, me.life, rules.facts, seed)
         self.holder = Holder(me.name, me.life, rules.lease, seed, sets)
         self.keeper = Keeper(me.name, me.life, rules.lease, now, sets)  # nobody asks one that is not named
-        self.replacing = Replacing(me.name, self.facts, self.holder, self.keeper, first)
+        self.keeper_sets = KeeperReconfiguration(me.name, self.facts, self.holder, self.keeper, first)
         self.channels = ChannelManager(
             me.name, me.life, rules.channels, self.holder, port, seed, self._claimed
         )
@@ -199,7 +199,7 @@
         self._at(self.stragglers).mine(now, self.audit.versions, urgent=False)
         self._at(self.channels).start(now)
         self._at(self.facts)
-        self.replacing.start(now)
+        self.keeper_sets.start(now)
         self._started = True
         self._settle(now)
 
@@ -549,10 +549,10 @@
         for part in (self.holder, self.keeper, self.facts):
             self._at(part)
         if not key:
-            self.replacing.look(now)
-        elif self.replacing.told(now, owner, key, value):
-            self._tell("keepers are replaced", by=", ".join(self.replacing.names))
-            self._at(self.stragglers).keepers(now, self.replacing.names)
+            self.keeper_sets.look(now)
+        elif self.keeper_sets.told(now, owner, key, value):
+            self._tell("keepers are replaced", by=", ".join(self.keeper_sets.names))
+            self._at(self.stragglers).keepers(now, self.keeper_sets.names)
 
     def _say_load(self, now: float) -> None:
         """Only what differs enough to change a choice: every fact goes to all fronts."""
--- a/tests/golden_peers.py
+++ b/tests/golden_peers.py
@@ -33,6 +33,7 @@
 import fernweir.peers.estimate.summary
 import fernweir.peers.facts.messages
 import fernweir.peers.forward.messages
+import fernweir.peers.keeper_reconfiguration
 import fernweir.peers.late.events
 import fernweir.peers.late.messages
 import fernweir.peers.lease.messages
@@ -40,7 +41,6 @@
 import fernweir.peers.members.messages
 import fernweir.peers.peer
 import fernweir.peers.port
-import fernweir.peers.replacing
 import fernweir.peers.weighing
 import fernweir.peers.wire.seal  # noqa: F401 - each module is used as an attribute of `peers`
 from fernweir import peers
@@ -138,7 +138,7 @@
     "late.seen": peers.late.messages.Seen,
     # Values of facts.
     "fact.load": peers.peer.Load,
-    "fact.keepers": peers.replacing._Set,
+    "fact.keepers": peers.keeper_reconfiguration._Set,
     "fact.tally": peers.estimate.loads.Load,
     "fact.summary": peers.estimate.summary.Summary,
     "fact.summary.shard": peers.estimate.summary.Shard,
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -293,10 +293,10 @@
         self.kept[key] = value
 
 
-def _replacing(facts: _Facts, first: KeeperSet) -> replacing.Replacing:
+def _replacing(facts: _Facts, first: KeeperSet) -> replacing.KeeperReconfiguration:
     holder = SimpleNamespace(change=lambda now, sets: None)
     keeper = SimpleNamespace(change=lambda now, sets: True, settled=lambda now: True)
-    made: Any = replacing.Replacing
+    made: Any = replacing.KeeperReconfiguration
     return made("front-b", facts, holder, keeper, first)  # type: ignore[no-any-return]
 
 
--- a/tests/test_peers_fleet.py
+++ b/tests/test_peers_fleet.py
@@ -271,7 +271,7 @@
         assert front.peers is not None
         fronts = [*peers[:3], front.peers]
         new = KeeperSet(2, ("front-1", "front-2", "front-3"))
-        await until(lambda: all(one.peer.replacing.sets == (new,) for one in fronts), 60.0)
+        await until(lambda: all(one.peer.keeper_sets.sets == (new,) for one in fronts), 60.0)
         # Nobody lost a lease by it, and the new ones grant alone: two of them, without the old.
         assert all(held[one.peer.me.name] <= set(one.peer.channels.owned()) for one in peers[:3])
         await until(lambda: len(fronts[3].peer.channels.owned()) >= 2)
