--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -36,8 +36,6 @@
 from fernweir.peers.facts.table import Dropped as FactDropped
 from fernweir.peers.facts.table import Gone as FactsGone
 from fernweir.peers.finding import FindRules, Seeking, between_owners, place, unreachable
-from fernweir.peers.foresight import PREFIX, Allowed, Foresight, ForesightRules, refused_to_plain
-from fernweir.peers.foresight import to_plain as estimate_to_plain
 from fernweir.peers.forward.desk import Answered, Forward, ForwardRules, Wanted
 from fernweir.peers.forward.messages import KINDS as FORWARD_KINDS
 from fernweir.peers.forward.messages import Carried, Carry
@@ -56,6 +54,8 @@
 from fernweir.peers.members.rules import MemberRules
 from fernweir.peers.parts import Parts
 from fernweir.peers.port import AuditEvent, AuditRecord, Port, SessionStatus
+from fernweir.peers.query_planning import PREFIX, Allowed, QueryPlanner, QueryPlannerRules, refused_to_plain
+from fernweir.peers.query_planning import to_plain as estimate_to_plain
 from fernweir.peers.straggler_control import PLEA, VERSIONS, Resign, Said, StragglerControl
 from fernweir.peers.weighing import TALLY, Weighing
 
@@ -98,7 +98,7 @@
     finding: FindRules = field(default_factory=FindRules)
     acts: ActRules = field(default_factory=ActRules)
     late: LateRules = field(default_factory=LateRules)
-    foresight: ForesightRules = field(default_factory=ForesightRules)
+    query_planner: QueryPlannerRules = field(default_factory=QueryPlannerRules)
 
 
 @dataclass(frozen=True, slots=True)
@@ -153,7 +153,7 @@
         store = store or Store(me.name, rules.acts)
         self.audit = AuditRecorder(me.name, me.life, rules.acts, seed, versions, wall_ms, store)
         self._wall_ms = wall_ms
-        self.foresight = Foresight(me.name, me.life, rules.foresight, now, self.audit.clocks)
+        self.query_planner = QueryPlanner(me.name, me.life, rules.query_planner, now, self.audit.clocks)
         self.weighing = Weighing(me.name, me.life, port, now)
         self.stragglers = StragglerControl(
             me.name, me.life, rules.late, now, self.facts, self.keeper, rules.keepers, port, versions
@@ -247,13 +247,13 @@
 
     def ask(self, now: float, question: Question, then: Callable[[dict[str, Any]], None]) -> None:
         """Asks the acts of all fronts, within what it may touch; `then` is called once, as JSON has it."""
-        allowed = self.foresight.allow(now, question, self._wall_ms(), self.rules.acts.deadline_ms)
+        allowed = self.query_planner.allow(now, question, self._wall_ms(), self.rules.acts.deadline_ms)
         if not isinstance(allowed, Allowed):
             then(refused_to_plain(allowed, self._wall_ms()))
             return
 
         def answered(answer: Answer) -> None:
-            failed = self.foresight.settle(self._now, allowed, answer)
+            failed = self.query_planner.settle(self._now, allowed, answer)
             estimate = {**estimate_to_plain(allowed.estimate), "failed": failed}
             then({**answer_to_plain(answer), "estimate": estimate})
 
@@ -261,7 +261,7 @@
             now, question, self.lives(), answered, allowed.planned, allowed.budget, allowed.known
         )
         if not asked:
-            self.foresight.settle(now, allowed, Answer(question, self._wall_ms()))
+            self.query_planner.settle(now, allowed, Answer(question, self._wall_ms()))
             then({"ok": False, "error": "as many questions run already as may: ask again later"})
         self._settle(now)
 
@@ -312,7 +312,7 @@
             tally = self.weighing.say(now, self.audit.versions.epoch)
             if tally is not None:
                 self._at(self.facts).put(now, TALLY, tally)
-            said, gone = self.foresight.publish(now)
+            said, gone = self.query_planner.publish(now)
             for key, data in said.items():
                 self._at(self.facts).put(now, key, data)
             for key in gone:
@@ -338,7 +338,7 @@
 
     def on_session_status(self, now: float, standing: SessionStatus) -> None:
         self._at(self.channels).stands(now, standing)
-        self.foresight.stands(now, standing)
+        self.query_planner.stands(now, standing)
         self.weighing.stands(now, standing, self.channels.channel(standing.session))
         if not self.channels.in_channel(standing.session):  # of the others it tells by `Steers`
             self._at(self.directory).register(now, standing.session)
@@ -347,7 +347,7 @@
     def on_session_ended(self, now: float, session: str) -> None:
         self._at(self.channels).over(now, session)
         self._at(self.directory).unregister(now, session)
-        self.foresight.over(now, session)
+        self.query_planner.over(now, session)
         self.weighing.over(now, session)
         self._changed()
 
@@ -366,7 +366,7 @@
 
     def _record(self, act: AuditRecord) -> None:
         self._at(self.audit).add(act)
-        self.foresight.acted(act, self.audit.versions)
+        self.query_planner.acted(act, self.audit.versions)
 
     def on_endpoint_list(self, now: float, rows: Sequence[tuple[int, Any]], told_at: float) -> None:
         draining = sum(1 for number, row in rows if number >= 0 and row[0] == "draining")
@@ -419,7 +419,7 @@
             self._at(self.directory).register(now, event.session, event.fence)
         elif isinstance(event, Yields):
             self._at(self.directory).cede(event.session)
-            self.foresight.over(now, event.session)
+            self.query_planner.over(now, event.session)
             self.weighing.over(now, event.session)
         elif isinstance(event, Changed):
             said = f"{event.what} {event.channel}"[:200]
@@ -448,12 +448,12 @@
             elif key == TALLY:
                 self.weighing.told(now, event.owner, event.life, value)
             elif key.startswith(PREFIX):
-                self.foresight.told(now, event.owner, event.life, key, value)
+                self.query_planner.told(now, event.owner, event.life, key, value)
         elif isinstance(event, FactDropped):
             if event.key.startswith(PREFIX):
-                self.foresight.dropped(event.owner, event.key)
+                self.query_planner.dropped(event.owner, event.key)
         elif isinstance(event, FactsGone):
-            self.foresight.gone(event.owner)
+            self.query_planner.gone(event.owner)
             self.weighing.gone(event.owner)
         elif isinstance(event, Rested):
             self._at(self.stragglers).seen(now, event.owner, event.versions, event.age_ms)
@@ -500,7 +500,7 @@
         self._at(self.directory).members(now, lives)
         self._at(self.audit).members(now, lives)
         self._at(self.stragglers).fleet(now, lives)
-        self.foresight.fleet(lives)
+        self.query_planner.fleet(lives)
         self._look(now)
 
     def _restarted(self, now: float, name: str, life: int) -> None:
--- a/fernweir/peers/program.py
+++ b/fernweir/peers/program.py
@@ -242,7 +242,7 @@
             return
         now = self._core.now()
         late = now - self._timer_at
-        self.peer.foresight.felt(now, late)
+        self.peer.query_planner.felt(now, late)
         if late > _LATE_MS:
             self.peer.stood(now, late)
         if now >= self._refusals_at:
--- a/fernweir/peers/foresight.py
+++ b/fernweir/peers/query_planning.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ForesightRules:
+class QueryPlannerRules:
     shards: ShardRules = field(default_factory=ShardRules)
     estimate: EstimateRules = field(default_factory=EstimateRules)
     catalogue: CatalogueRules = field(default_factory=CatalogueRules)
@@ -59,10 +59,10 @@
     known: frozenset[tuple[str, int]]  # of which anything was known: only of these is any left out
 
 
-class Foresight:
+class QueryPlanner:
     """`now` is ms. `publish` gives the facts that are to be said, and those that are to go."""
 
-    def __init__(self, me: str, life: int, rules: ForesightRules, now: float, clocks: Clocks) -> None:
+    def __init__(self, me: str, life: int, rules: QueryPlannerRules, now: float, clocks: Clocks) -> None:
         self.me, self.rules = me, rules
         self.catalogue = Catalogue(rules.catalogue)
         self.feedback = Feedback(rules.feedback)
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -353,7 +353,7 @@
 def _published() -> bytes:
     """The facts in which a front sums up its record and what stands there, from acts and sessions."""
     clocks: Any = SimpleNamespace()
-    part = foresight.Foresight("front-a", LIFE, foresight.ForesightRules(), 0.0, clocks)
+    part = foresight.QueryPlanner("front-a", LIFE, foresight.QueryPlannerRules(), 0.0, clocks)
     for act, rested in ACTS:
         part.acted(act, rested)
     for number in range(3):
--- a/tests/test_peers_fleet.py
+++ b/tests/test_peers_fleet.py
@@ -14,9 +14,9 @@
 from fernweir.peers.acts.rules import ActRules
 from fernweir.peers.channel.directory import Found
 from fernweir.peers.estimate.limits import Refused
-from fernweir.peers.foresight import Allowed, Foresight, ForesightRules
 from fernweir.peers.lease.rules import KeeperSet
 from fernweir.peers.program import Peers
+from fernweir.peers.query_planning import Allowed, QueryPlanner, QueryPlannerRules
 from fernweir.rehearsal.site import SitePlan
 from fernweir.standin.leases import LeaseDesk
 from fernweir.standin.site import SiteTimes
@@ -175,7 +175,7 @@
         assert (await scene.request_session(wish, front=0)).status == 200
         life = peers[0].peer.me.life
         await until(lambda: any(one.peer.audit.store.shelf("front-0", life) for one in peers[1:]))
-        await until(lambda: "front-0" in peers[1].peer.foresight.catalogue.owners())
+        await until(lambda: "front-0" in peers[1].peer.query_planner.catalogue.owners())
         scene.trace.write("front.down", front="front-0")
         scene.fronts[0].kill()
         await until(lambda: all("front-0" not in one.peer.members.alive() for one in peers[1:]))
@@ -192,7 +192,7 @@
         # What it would touch was told before it was put; one over its budget is not put at all.
         low, guess, high = answer["estimate"]["rows"]
         assert low <= guess <= high and high >= 1 and answer["estimate"]["failed"] == []
-        peers[1].peer.foresight.pressed(scene.fronts[1].core.now(), 1.0)  # viewers come first
+        peers[1].peer.query_planner.pressed(scene.fronts[1].core.now(), 1.0)  # viewers come first
         told.clear()
         peers[1].questions.ask({"question": "acts"}, told.append)
         assert told[0]["ok"] is False and "viewers come first" in told[0]["error"]
@@ -323,9 +323,9 @@
 
 
 def test_questions_give_way_as_timers_come_late() -> None:
-    rules = ForesightRules()
+    rules = QueryPlannerRules()
     clocks = Clocks("a", 1, ActRules(), 0)
-    foresight = Foresight("a", 1, rules, 0.0, clocks)
+    foresight = QueryPlanner("a", 1, rules, 0.0, clocks)
     question = parse({"question": "acts"})
     foresight.felt(0.0, rules.usual_ms)  # as late as timers are
     first = foresight.allow(0.0, question, 0.0, 1_000.0)
