--- a/fernweir/peers/weighing.py
+++ b/fernweir/peers/order_estimation.py
@@ -71,7 +71,7 @@
     heirs: Names
 
 
-class Weighing:
+class OrderEstimator:
     """`now` is ms. `told` takes the facts `tally` of others, `say` gives the own one when it is time."""
 
     def __init__(self, me: str, life: int, port: Port, now: float) -> None:
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -52,12 +52,12 @@
 from fernweir.peers.members.messages import KINDS as MEMBER_KINDS
 from fernweir.peers.members.messages import Gossip
 from fernweir.peers.members.rules import MemberRules
+from fernweir.peers.order_estimation import TALLY, OrderEstimator
 from fernweir.peers.parts import Parts
 from fernweir.peers.port import AuditEvent, AuditRecord, Port, SessionStatus
 from fernweir.peers.query_planning import PREFIX, Allowed, QueryPlanner, QueryPlannerRules, refused_to_plain
 from fernweir.peers.query_planning import to_plain as estimate_to_plain
 from fernweir.peers.straggler_control import PLEA, VERSIONS, Resign, Said, StragglerControl
-from fernweir.peers.weighing import TALLY, Weighing
 
 KINDS = (MEMBER_KINDS, FACT_KINDS, LEASE_KINDS, CHANNEL_KINDS, FORWARD_KINDS, ACT_KINDS, LATE_KINDS)
 _DIRECTORY = (Registered, Unregistered, Where, There)
@@ -154,7 +154,7 @@
         self.audit = AuditRecorder(me.name, me.life, rules.acts, seed, versions, wall_ms, store)
         self._wall_ms = wall_ms
         self.query_planner = QueryPlanner(me.name, me.life, rules.query_planner, now, self.audit.clocks)
-        self.weighing = Weighing(me.name, me.life, port, now)
+        self.order_estimator = OrderEstimator(me.name, me.life, port, now)
         self.stragglers = StragglerControl(
             me.name, me.life, rules.late, now, self.facts, self.keeper, rules.keepers, port, versions
         )
@@ -267,7 +267,7 @@
 
     def weigh(self, now: float, order: Mapping[str, Any]) -> dict[str, Any]:
         """What an order would touch, as JSON has it."""
-        return self.weighing.ask(now, order, self.lives())
+        return self.order_estimator.ask(now, order, self.lives())
 
     def find(self, now: float, request: Carry, then: Callable[[float, Carried | None], None]) -> None:
         """Answers a request for a session not held here; `then` is called once: None if it may begin here."""
@@ -309,7 +309,7 @@
             self._look(now)
             self._replace(now)
             self._say_head(now, urgent=False)
-            tally = self.weighing.say(now, self.audit.versions.epoch)
+            tally = self.order_estimator.say(now, self.audit.versions.epoch)
             if tally is not None:
                 self._at(self.facts).put(now, TALLY, tally)
             said, gone = self.query_planner.publish(now)
@@ -339,7 +339,7 @@
     def on_session_status(self, now: float, standing: SessionStatus) -> None:
         self._at(self.channels).stands(now, standing)
         self.query_planner.stands(now, standing)
-        self.weighing.stands(now, standing, self.channels.channel(standing.session))
+        self.order_estimator.stands(now, standing, self.channels.channel(standing.session))
         if not self.channels.in_channel(standing.session):  # of the others it tells by `Steers`
             self._at(self.directory).register(now, standing.session)
         self._changed()
@@ -348,7 +348,7 @@
         self._at(self.channels).over(now, session)
         self._at(self.directory).unregister(now, session)
         self.query_planner.over(now, session)
-        self.weighing.over(now, session)
+        self.order_estimator.over(now, session)
         self._changed()
 
     def on_session_failed(self, now: float, session: str) -> None:
@@ -420,7 +420,7 @@
         elif isinstance(event, Yields):
             self._at(self.directory).cede(event.session)
             self.query_planner.over(now, event.session)
-            self.weighing.over(now, event.session)
+            self.order_estimator.over(now, event.session)
         elif isinstance(event, Changed):
             said = f"{event.what} {event.channel}"[:200]
             self._record(AuditRecord(now, AuditEvent.HANDOFF, outcome=said))
@@ -446,7 +446,7 @@
             elif key in (KEEPERS, SETTLED):
                 self._replace(now, event.owner, key, value)
             elif key == TALLY:
-                self.weighing.told(now, event.owner, event.life, value)
+                self.order_estimator.told(now, event.owner, event.life, value)
             elif key.startswith(PREFIX):
                 self.query_planner.told(now, event.owner, event.life, key, value)
         elif isinstance(event, FactDropped):
@@ -454,7 +454,7 @@
                 self.query_planner.dropped(event.owner, event.key)
         elif isinstance(event, FactsGone):
             self.query_planner.gone(event.owner)
-            self.weighing.gone(event.owner)
+            self.order_estimator.gone(event.owner)
         elif isinstance(event, Rested):
             self._at(self.stragglers).seen(now, event.owner, event.versions, event.age_ms)
         elif isinstance(event, Resign):
--- a/tests/golden_peers.py
+++ b/tests/golden_peers.py
@@ -39,9 +39,9 @@
 import fernweir.peers.lease.messages
 import fernweir.peers.link.rules
 import fernweir.peers.members.messages
+import fernweir.peers.order_estimation
 import fernweir.peers.peer
 import fernweir.peers.port
-import fernweir.peers.weighing
 import fernweir.peers.wire.seal  # noqa: F401 - each module is used as an attribute of `peers`
 from fernweir import peers
 
@@ -150,11 +150,11 @@
     "question.after_drain": peers.acts.plan.AfterDrain,
     "question.refusal": peers.acts.plan.Refusal,
     "question.acts": peers.acts.plan.Acts,
-    "order.limit": peers.weighing.Limit,
-    "order.drain_rack": peers.weighing._Drain,
-    "order.raise_epoch": peers.weighing._Raise,
-    "order.restart_front": peers.weighing._Restart,
-    "order.move_channels": peers.weighing._Move,
+    "order.limit": peers.order_estimation.Limit,
+    "order.drain_rack": peers.order_estimation._Drain,
+    "order.raise_epoch": peers.order_estimation._Raise,
+    "order.restart_front": peers.order_estimation._Restart,
+    "order.move_channels": peers.order_estimation._Move,
 }
 """From stable names to the structs that cross a wire or a disk. The names stay when classes are renamed."""
 
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -476,7 +476,7 @@
         limits=lambda: Terms((100.0, 250.5), 10_000.0, 5.0, 0.1),
         racks=lambda: [("rack-1", frozenset((0, 1)), 10_000.0)],
     )
-    part = weighing.Weighing("front-a", LIFE, port, 0.0)
+    part = weighing.OrderEstimator("front-a", LIFE, port, 0.0)
     for number in range(3):
         part.stands(1_000.0 * number, _standing(number), f"channel-{number}")
     part.say(3_000.0, 9)
--- a/tests/test_peers_fleet.py
+++ b/tests/test_peers_fleet.py
@@ -215,7 +215,7 @@
         for number, wish in enumerate(wishes):
             assert (await scene.request_session(wish, front=number % 3)).status == 200
         asker = peers[0]
-        loads = asker.peer.weighing._loads
+        loads = asker.peer.order_estimator._loads
         await until(lambda: sum(load.sessions for load, _ in loads.values()) == 12)
         told: list[dict[str, Any]] = []
         for order in (
