--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -35,7 +35,6 @@
 from fernweir.peers.facts.table import Changed as FactChanged
 from fernweir.peers.facts.table import Dropped as FactDropped
 from fernweir.peers.facts.table import Gone as FactsGone
-from fernweir.peers.finding import FindRules, Seeking, between_owners, place, unreachable
 from fernweir.peers.forward.desk import Answered, Forward, ForwardRules, Wanted
 from fernweir.peers.forward.messages import KINDS as FORWARD_KINDS
 from fernweir.peers.forward.messages import Carried, Carry
@@ -57,6 +56,7 @@
 from fernweir.peers.port import AuditEvent, AuditRecord, Port, SessionStatus
 from fernweir.peers.query_planning import PREFIX, Allowed, QueryPlanner, QueryPlannerRules, refused_to_plain
 from fernweir.peers.query_planning import to_plain as estimate_to_plain
+from fernweir.peers.session_lookup import FindRules, Seeking, between_owners, place, unreachable
 from fernweir.peers.straggler_control import PLEA, VERSIONS, Resign, Said, StragglerControl
 
 KINDS = (MEMBER_KINDS, FACT_KINDS, LEASE_KINDS, CHANNEL_KINDS, FORWARD_KINDS, ACT_KINDS, LATE_KINDS)
@@ -95,7 +95,7 @@
     channels: ChannelManagerRules = field(default_factory=ChannelManagerRules)
     directory: DirectoryRules = field(default_factory=DirectoryRules)
     forward: ForwardRules = field(default_factory=ForwardRules)
-    finding: FindRules = field(default_factory=FindRules)
+    session_lookup: FindRules = field(default_factory=FindRules)
     acts: ActRules = field(default_factory=ActRules)
     late: LateRules = field(default_factory=LateRules)
     query_planner: QueryPlannerRules = field(default_factory=QueryPlannerRules)
@@ -290,7 +290,7 @@
         sought = [one for waiting in self._seeking.values() for one in waiting]
         carried, self._seeking, self._carried = self._carried, {}, {}
         for number, seeking in carried.items():
-            seeking.then(now, unreachable(self.rules.finding, number))
+            seeking.then(now, unreachable(self.rules.session_lookup, number))
         return sought
 
     # --- the driver ---
@@ -578,7 +578,7 @@
         self, now: float, seeking: Seeking, registered: str | None, *, lost: bool = False, asked: bool
     ) -> bool:
         """Whether the request's place is known; it is on its way there, or answered, then."""
-        session, rules = seeking.request.session, self.rules.finding
+        session, rules = seeking.request.session, self.rules.session_lookup
         alive = self.members.alive()
         to = place(
             rules, me=self.me.name, alive=alive.__contains__, hint=self.channels.whereabouts(now, session),
@@ -598,23 +598,23 @@
         number = self.forward.number()
         wait = max(seeking.request.wait_ms - (now - seeking.since), 0.0)
         request = msgspec.structs.replace(seeking.request, number=number, wait_ms=wait)
-        if seeking.hops <= self.rules.finding.hops and self._at(self.forward).ask(now, front, request):
+        if seeking.hops <= self.rules.session_lookup.hops and self._at(self.forward).ask(now, front, request):
             self._carried[number] = seeking
         else:
-            seeking.then(now, unreachable(self.rules.finding, number))
+            seeking.then(now, unreachable(self.rules.session_lookup, number))
 
     def _answer(self, now: float, seeking: Seeking, event: Answered) -> None:
         answer = event.answer
         if answer is None:
-            answer = unreachable(self.rules.finding, event.number)
+            answer = unreachable(self.rules.session_lookup, event.number)
         elif answer.kind == "elsewhere":
             if answer.why in self.members.alive() and answer.why != self.me.name:
                 self._carry(now, seeking, answer.why)
                 return
-            answer = between_owners(self.rules.finding, event.number)
+            answer = between_owners(self.rules.session_lookup, event.number)
         elif answer.kind == "none" and self.channels.stood(now, seeking.request.session):
             # Its front has begun anew since, and knows nothing: an heir is on its way to it.
-            answer = between_owners(self.rules.finding, event.number)
+            answer = between_owners(self.rules.session_lookup, event.number)
         seeking.then(now, None if answer.kind == "none" else answer)
 
     def _carry_out(self, event: Wanted) -> None:
@@ -629,6 +629,6 @@
     def _not_here(self, now: float, carried: Carried, session: str) -> Carried:
         """A request that was carried to this front, which does not hold its session, or no more."""
         if self.channels.between(session):
-            return between_owners(self.rules.finding, carried.number)
+            return between_owners(self.rules.session_lookup, carried.number)
         hint = self.channels.whereabouts(now, session)
         return carried if hint is None else msgspec.structs.replace(carried, kind="elsewhere", why=hint)
