--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -276,7 +276,7 @@
 ) -> Peers:  # fmt: skip
     from fernweir.front.peering import Peering
     from fernweir.peers.program import Beginning, Peers, read_keys
-    from fernweir.peers.reach import Reach
+    from fernweir.peers.session_routing import SessionRouting
     from fernweir.peers.settings import first_versions, link_rules, peer_rules
 
     def wall_ms() -> float:
@@ -306,7 +306,7 @@
     )
     port = Peering(core, endpoint_list, server_client, config.class_names, wall_ms)
     peers = await Peers.start(core, port, beginning, wall_ms, nonce)
-    core.channel_ownership = core.session_locator = Reach(core, port, peers, config.settings)
+    core.channel_ownership = core.session_locator = SessionRouting(core, port, peers, config.settings)
     return peers
 
 
--- a/fernweir/peers/reach.py
+++ b/fernweir/peers/session_routing.py
@@ -12,7 +12,7 @@
 from fernweir.peers.program import Peers
 
 
-class Reach:
+class SessionRouting:
     """The core's `Owner` and `Finder`, of a front whose sessions are in channels."""
 
     def __init__(self, core: Dispatcher, port: Peering, peers: Peers, settings: Settings) -> None:
