--- a/fernweir/peers/forward/desk.py
+++ b/fernweir/peers/forward/forwarder.py
@@ -45,7 +45,7 @@
     due: float
 
 
-class Forward:
+class Forwarder:
     """`ask` and `answer` are called by whoever joins it to a front. Times are ms."""
 
     def __init__(self, rules: ForwardRules | None = None) -> None:
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -35,7 +35,7 @@
 from fernweir.peers.facts.table import Changed as FactChanged
 from fernweir.peers.facts.table import Dropped as FactDropped
 from fernweir.peers.facts.table import Gone as FactsGone
-from fernweir.peers.forward.desk import Answered, Forward, ForwardRules, Wanted
+from fernweir.peers.forward.forwarder import Answered, Forwarder, ForwardRules, Wanted
 from fernweir.peers.forward.messages import KINDS as FORWARD_KINDS
 from fernweir.peers.forward.messages import Carried, Carry
 from fernweir.peers.keeper_reconfiguration import KEEPERS, SETTLED, KeeperReconfiguration
@@ -95,7 +95,7 @@
     channels: ChannelManagerRules = field(default_factory=ChannelManagerRules)
     directory: DirectoryRules = field(default_factory=DirectoryRules)
     forward: ForwardRules = field(default_factory=ForwardRules)
-    session_lookup: FindRules = field(default_factory=FindRules)
+    lookup: FindRules = field(default_factory=FindRules)
     acts: ActRules = field(default_factory=ActRules)
     late: LateRules = field(default_factory=LateRules)
     query_planner: QueryPlannerRules = field(default_factory=QueryPlannerRules)
@@ -149,7 +149,7 @@
             me.name, me.life, rules.channels, self.holder, port, seed, self._claimed
         )
         self.directory = Directory(me.name, me.life, rules.directory, seed)
-        self.forward = Forward(rules.forward)
+        self.forwarder = Forwarder(rules.forward)
         store = store or Store(me.name, rules.acts)
         self.audit = AuditRecorder(me.name, me.life, rules.acts, seed, versions, wall_ms, store)
         self._wall_ms = wall_ms
@@ -160,7 +160,7 @@
         )
         keeping: tuple[Part, ...] = (self.keeper,)
         self._parts = Parts(
-            (self.members, self.facts, self.holder, self.channels, self.directory, self.forward,
+            (self.members, self.facts, self.holder, self.channels, self.directory, self.forwarder,
              self.audit, self.stragglers, *keeping),
             {self.channels: (self.holder,), self.stragglers: (self.facts, *keeping)},
         )  # fmt: skip
@@ -170,7 +170,7 @@
         for kinds, heard in (
             (MEMBER_KINDS, (self.members,)), (FACT_KINDS, (self.facts,)), (LEASE_KINDS, leases),
             (CHANNEL_KINDS, (self.channels,)), (_DIRECTORY, (self.directory,)),
-            (FORWARD_KINDS, (self.forward,)), (ACT_KINDS, (self.audit,)),
+            (FORWARD_KINDS, (self.forwarder,)), (ACT_KINDS, (self.audit,)),
             (LATE_KINDS, (self.stragglers,)),
         ):  # fmt: skip
             self._routes.update(dict.fromkeys(kinds, heard))
@@ -290,7 +290,7 @@
         sought = [one for waiting in self._seeking.values() for one in waiting]
         carried, self._seeking, self._carried = self._carried, {}, {}
         for number, seeking in carried.items():
-            seeking.then(now, unreachable(self.rules.session_lookup, number))
+            seeking.then(now, unreachable(self.rules.lookup, number))
         return sought
 
     # --- the driver ---
@@ -508,7 +508,7 @@
         before, self._processes[name] = self._processes.get(name, life), life
         if before != life:
             self._at(self.channels).died(now, name)
-            self._at(self.forward).gone(now, name)
+            self._at(self.forwarder).gone(now, name)
             self._at(self.audit).gone(now, name)
 
     def _gone(self, now: float, name: str, life: int, died: bool) -> None:
@@ -518,7 +518,7 @@
         self._members_changed(now)
         self._out.append(Forgotten(name))
         self._at(self.channels).died(now, name)
-        self._at(self.forward).gone(now, name)
+        self._at(self.forwarder).gone(now, name)
         self._at(self.audit).gone(now, name)
         self._tell("peer died" if died else "peer left", name=name)
 
@@ -578,7 +578,7 @@
         self, now: float, seeking: Seeking, registered: str | None, *, lost: bool = False, asked: bool
     ) -> bool:
         """Whether the request's place is known; it is on its way there, or answered, then."""
-        session, rules = seeking.request.session, self.rules.session_lookup
+        session, rules = seeking.request.session, self.rules.lookup
         alive = self.members.alive()
         to = place(
             rules, me=self.me.name, alive=alive.__contains__, hint=self.channels.whereabouts(now, session),
@@ -595,33 +595,33 @@
 
     def _carry(self, now: float, seeking: Seeking, front: str) -> None:
         seeking.hops += 1
-        number = self.forward.number()
+        number = self.forwarder.number()
         wait = max(seeking.request.wait_ms - (now - seeking.since), 0.0)
         request = msgspec.structs.replace(seeking.request, number=number, wait_ms=wait)
-        if seeking.hops <= self.rules.session_lookup.hops and self._at(self.forward).ask(now, front, request):
+        if seeking.hops <= self.rules.lookup.hops and self._at(self.forwarder).ask(now, front, request):
             self._carried[number] = seeking
         else:
-            seeking.then(now, unreachable(self.rules.session_lookup, number))
+            seeking.then(now, unreachable(self.rules.lookup, number))
 
     def _answer(self, now: float, seeking: Seeking, event: Answered) -> None:
         answer = event.answer
         if answer is None:
-            answer = unreachable(self.rules.session_lookup, event.number)
+            answer = unreachable(self.rules.lookup, event.number)
         elif answer.kind == "elsewhere":
             if answer.why in self.members.alive() and answer.why != self.me.name:
                 self._carry(now, seeking, answer.why)
                 return
-            answer = between_owners(self.rules.session_lookup, event.number)
+            answer = between_owners(self.rules.lookup, event.number)
         elif answer.kind == "none" and self.channels.stood(now, seeking.request.session):
             # Its front has begun anew since, and knows nothing: an heir is on its way to it.
-            answer = between_owners(self.rules.session_lookup, event.number)
+            answer = between_owners(self.rules.lookup, event.number)
         seeking.then(now, None if answer.kind == "none" else answer)
 
     def _carry_out(self, event: Wanted) -> None:
         def then(now: float, carried: Carried) -> None:
             if carried.kind == "none":
                 carried = self._not_here(now, carried, event.request.session)
-            self._at(self.forward).answer(now, event.sender, event.request.number, carried)
+            self._at(self.forwarder).answer(now, event.sender, event.request.number, carried)
             self._changed()
 
         self._port.execute_forwarded(event.request, then)
@@ -629,6 +629,6 @@
     def _not_here(self, now: float, carried: Carried, session: str) -> Carried:
         """A request that was carried to this front, which does not hold its session, or no more."""
         if self.channels.between(session):
-            return between_owners(self.rules.session_lookup, carried.number)
+            return between_owners(self.rules.lookup, carried.number)
         hint = self.channels.whereabouts(now, session)
         return carried if hint is None else msgspec.structs.replace(carried, kind="elsewhere", why=hint)
--- a/fernweir/peers/session_routing.py
+++ b/fernweir/peers/session_routing.py
@@ -26,7 +26,7 @@
             then(None if carried is None else self._port.to_session_reply(ask, carried))
 
         request = Carry(
-            self._peers.peer.forward.number(),
+            self._peers.peer.forwarder.number(),
             "ask",
             ask.session_id,
             ask.protocol,
@@ -44,7 +44,10 @@
         def end(now: float, carried: Carried | None) -> None:
             then(None if carried is not None and carried.kind == "refused" else carried is not None)
 
-        number, wait_ms = self._peers.peer.forward.number(), self._core.sessions.limits.blocked_retry_after_ms
+        number, wait_ms = (
+            self._peers.peer.forwarder.number(),
+            self._core.sessions.limits.blocked_retry_after_ms,
+        )
         request = Carry(number, what, jti, "", "", "", "", 0, "", wait_ms)
         self._peers.peer.find(self._core.now(), request, end)
         self._peers.kick()
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -26,7 +26,7 @@
 from fernweir.peers.channel.rules import DirectoryRules, HandoffRules, ReplicaRules
 from fernweir.peers.channel_manager import ChannelManagerRules
 from fernweir.peers.facts.rules import FactRules
-from fernweir.peers.forward.desk import ForwardRules
+from fernweir.peers.forward.forwarder import ForwardRules
 from fernweir.peers.forward.messages import Carried, Carry
 from fernweir.peers.lease.rules import LeaseRules
 from fernweir.peers.members.events import Me
@@ -326,7 +326,7 @@
         what = self.tape.below(8)
         if what == 0:
             request = Carry(
-                peer.forward.number(),
+                peer.forwarder.number(),
                 "ask",
                 self.tape.one(SESSIONS),
                 "dash",
--- a/tests/peers_mutants/fuzz.py
+++ b/tests/peers_mutants/fuzz.py
@@ -18,7 +18,7 @@
 _REQUESTS = "fernweir/front/session_requests.py"
 _SEAT_REQUESTS, _SEAT_OPERATIONS = "fernweir/seats/lease_requests.py", "fernweir/seats/lease_operations.py"
 _SEAT_ACQUISITION = "fernweir/seats/acquisition.py"
-_DESK, _TABLE = "fernweir/peers/forward/desk.py", "fernweir/peers/members/table.py"
+_FORWARDER, _TABLE = "fernweir/peers/forward/forwarder.py", "fernweir/peers/members/table.py"
 
 BY_TARGET: dict[str, list[Mutant]] = {
     "lines": [
@@ -176,13 +176,17 @@
     "peer": [
         Mutant(
             "carried without a bound",
-            _DESK,
+            _FORWARDER,
             "if len(self._in) > self.rules.most:",
             "if len(self._in) < 0:",
             57,
         ),
         Mutant(
-            "any answer ends a request", _DESK, "if out is not None and out.to == sender:", "if sender:", 57
+            "any answer ends a request",
+            _FORWARDER,
+            "if out is not None and out.to == sender:",
+            "if sender:",
+            57,
         ),
         Mutant(
             "members without a bound",
--- a/tests/test_peers_forward.py
+++ b/tests/test_peers_forward.py
@@ -9,7 +9,7 @@
 import pytest
 
 from fernweir.peers.base import Send
-from fernweir.peers.forward.desk import Answered, Forward, ForwardRules, Wanted
+from fernweir.peers.forward.forwarder import Answered, Forwarder, ForwardRules, Wanted
 from fernweir.peers.forward.messages import Carried, Carry
 
 RULES = ForwardRules(spare=30.0, most=8, least_wait=20.0)
@@ -20,7 +20,7 @@
 
 
 def test_an_answer_once_though_doubled_late_or_from_somebody_else() -> None:
-    asker, owner = Forward(RULES), Forward(RULES)
+    asker, owner = Forwarder(RULES), Forwarder(RULES)
     request = carry(asker.number())
     assert asker.ask(0.0, "b", request)
     (send,) = asker.take_effects()
@@ -42,7 +42,7 @@
 
 
 def test_no_answer_in_time_a_dead_owner_and_too_many() -> None:
-    asker = Forward(RULES)
+    asker = Forwarder(RULES)
     assert asker.ask(0.0, "b", carry(1, 500.0)) and asker.ask(0.0, "c", carry(2, 400.0))
     assert not asker.ask(0.0, "c", carry(3, 49.0))  # no time is left for a way there and back
     assert asker.next_deadline() == 370.0
@@ -58,7 +58,7 @@
     for number in range(10, 18):
         assert asker.ask(400.0, "b", carry(number))
     assert not asker.ask(400.0, "b", carry(18)) and asker.turned_down == 2
-    owner = Forward(RULES)
+    owner = Forwarder(RULES)
     for number in range(100):  # a peer that asks without end costs a bounded table
         owner.on_message(0.0, "a", carry(number))
     assert len(owner._in) == RULES.most
@@ -71,7 +71,7 @@
     """Two desks, a network that loses, doubles and delays, and what a slow model expects of it."""
 
     dice: Random
-    desks: dict[str, Forward] = field(default_factory=dict)
+    desks: dict[str, Forwarder] = field(default_factory=dict)
     wire: list[tuple[float, str, str, object]] = field(default_factory=list)
     ends: Counter[tuple[str, int]] = field(default_factory=Counter)
     done: Counter[tuple[str, str, int]] = field(default_factory=Counter)
@@ -100,7 +100,7 @@
 def test_drawn_requests_end_once_and_in_time(seed: int) -> None:
     dice = Random(seed)
     world = _World(dice)
-    world.desks = {name: Forward(ForwardRules(most=64)) for name in "ab"}
+    world.desks = {name: Forwarder(ForwardRules(most=64)) for name in "ab"}
     asked: set[tuple[str, int]] = set()
     now = 0.0
     while now < 6_000.0:
