--- a/tests/golden_peers.py
+++ b/tests/golden_peers.py
@@ -174,7 +174,7 @@
     # struct or enum, by module below `fernweir.peers` and name: why it has no sample
     "base.Message": "base class of messages, is never sent itself",
     "acts.plan._Asked": "base class of questions, is never sent itself",
-    "weighing._Asked": "base class of orders, is never sent itself",
+    "order_estimation._Asked": "base class of orders, is never sent itself",
     "estimate.parts.Part": "a step of an estimate, never encoded",
     "estimate.bounds.Bound": "a quantity within one process; shown as a list, which formats.json has",
     "estimate.bounds.Planned": "a plan of reads within one process, never encoded",
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -21,7 +21,7 @@
 from fernweir.front.endpoint_list import EndpointList, read_document
 from fernweir.interface import Idempotency, Settings
 from fernweir.node import peering as node_peering
-from fernweir.peers import foresight, lateness, peer, replacing, weighing
+from fernweir.peers import keeper_reconfiguration, order_estimation, peer, query_planning, straggler_control
 from fernweir.peers.acts import desk, plan, segment, versions
 from fernweir.peers.acts.answers import Answerer, value_of
 from fernweir.peers.acts.block import Sealed, read, records, seal
@@ -293,24 +293,24 @@
         self.kept[key] = value
 
 
-def _replacing(facts: _Facts, first: KeeperSet) -> replacing.KeeperReconfiguration:
-    holder = SimpleNamespace(change=lambda now, sets: None)
-    keeper = SimpleNamespace(change=lambda now, sets: True, settled=lambda now: True)
-    made: Any = replacing.KeeperReconfiguration
+def _keeper_reconfiguration(facts: _Facts, first: KeeperSet) -> keeper_reconfiguration.KeeperReconfiguration:
+    holder = SimpleNamespace(change_keepers=lambda now, sets: None)
+    keeper = SimpleNamespace(change_keepers=lambda now, sets: True, has_settled=lambda now: True)
+    made: Any = keeper_reconfiguration.KeeperReconfiguration
     return made("front-b", facts, holder, keeper, first)  # type: ignore[no-any-return]
 
 
 def _keepers() -> bytes:
     facts = _Facts()
-    _replacing(facts, KeeperSet(7, ("front-a", "front-b", "front-c"))).start(0.0)
-    return facts.kept[replacing.KEEPERS]
+    _keeper_reconfiguration(facts, KeeperSet(7, ("front-a", "front-b", "front-c"))).start(0.0)
+    return facts.kept[keeper_reconfiguration.KEEPERS]
 
 
 def _read_keepers(data: bytes) -> Any:
     """The newest set once it was told, and what this keeper of it says in turn: that it is settled."""
     facts = _Facts()
-    part = _replacing(facts, KeeperSet(1, ("front-a",)))
-    part.told(0.0, "front-a", replacing.KEEPERS, data)
+    part = _keeper_reconfiguration(facts, KeeperSet(1, ("front-a",)))
+    part.told(0.0, "front-a", keeper_reconfiguration.KEEPERS, data)
     return [plain(part.sets), plain(facts.kept)]
 
 
@@ -353,7 +353,7 @@
 def _published() -> bytes:
     """The facts in which a front sums up its record and what stands there, from acts and sessions."""
     clocks: Any = SimpleNamespace()
-    part = foresight.QueryPlanner("front-a", LIFE, foresight.QueryPlannerRules(), 0.0, clocks)
+    part = query_planning.QueryPlanner("front-a", LIFE, query_planning.QueryPlannerRules(), 0.0, clocks)
     for act, rested in ACTS:
         part.acted(act, rested)
     for number in range(3):
@@ -468,7 +468,7 @@
 
 
 def _refusal() -> dict[str, Any]:
-    return foresight.refused_to_plain(Refused("too much", _estimate(NARROWED), NARROWED, 99.6), 1_000.0)
+    return query_planning.refused_to_plain(Refused("too much", _estimate(NARROWED), NARROWED, 99.6), 1_000.0)
 
 
 def _weighed(order: Mapping[str, Any]) -> dict[str, Any]:
@@ -476,7 +476,7 @@
         limits=lambda: Terms((100.0, 250.5), 10_000.0, 5.0, 0.1),
         racks=lambda: [("rack-1", frozenset((0, 1)), 10_000.0)],
     )
-    part = weighing.OrderEstimator("front-a", LIFE, port, 0.0)
+    part = order_estimation.OrderEstimator("front-a", LIFE, port, 0.0)
     for number in range(3):
         part.stands(1_000.0 * number, _standing(number), f"channel-{number}")
     part.say(3_000.0, 9)
@@ -521,8 +521,9 @@
     "acts.digest.keys": _made(lambda: versions.keys_digest([("two", b"2"), ("one", b"1"), ("two", b"2")])),
     "fact.keys": _made(
         lambda: [
-            peer._LOAD, peer._HEAD, replacing.KEEPERS, replacing.SETTLED, lateness.VERSIONS, lateness.PLEA,
-            weighing.TALLY, foresight.PREFIX,
+            peer._LOAD, peer._HEAD, keeper_reconfiguration.KEEPERS, keeper_reconfiguration.SETTLED,
+            straggler_control.VERSIONS, straggler_control.PLEA,
+            order_estimation.TALLY, query_planning.PREFIX,
         ]
     ),
     "fact.keepers": Format(_keepers, _read_keepers),
@@ -556,7 +557,7 @@
     "answer.still": _made(lambda: _answer(plan.parse({"question": "still", "at": 5.0, "value": "ab"}))),
     "answer.after_drain": _made(lambda: _answer(plan.parse({"question": "after-drain", "box": 5}))),
     "answer.refusal": _made(lambda: _answer(plan.parse({"question": "refusal", "session": "s"}))),
-    "answer.estimate": _made(lambda: foresight.to_plain(_estimate(NARROWED))),
+    "answer.estimate": _made(lambda: query_planning.to_plain(_estimate(NARROWED))),
     "answer.refused": _made(_refusal),
     **{f"answer.order.{name}": _made(lambda order=order: _weighed(order)) for name, order in ORDERS.items()},
 }  # fmt: skip
