--- a/fernweir/peers/channel_manager.py
+++ b/fernweir/peers/channel_manager.py
@@ -1,11 +1,12 @@
-"""The channels at one front: which it owns under which lease, whose copies it keeps, what it inherits.
+"""Manages the channels of one front: the leases it holds, the replicas it stores, and what it takes over.
 
-Joins leases, copies, hand-off and taking over to the front's port. It decides nothing of its own: who
-inherits is `channel.heirs`, what a box's list proves `channel.reconcile`, who owns the keepers' majority. No
-I/O and no clock; the port's answers come back with the time.
+Connects leases, replicas, hand-off and takeover to the port of the front. The decisions are made elsewhere:
+`channel.heirs` chooses successors, `channel.reconcile` evaluates the session list of a server, and a majority
+of the keepers grants ownership. The manager has no I/O and no clock; the replies of the port contain the
+time.
 
-A session is in a channel if it was set up under that channel's lease, or came with it. What was set up while
-there was no lease is in none, and ends with this front.
+A session belongs to a channel if it was set up under the lease of that channel or was taken over with it. A
+session that was set up without a lease belongs to no channel, and ends when its front ends.
 """
 
 from __future__ import annotations
@@ -40,54 +41,62 @@
 from fernweir.peers.lease.holder import Holder
 from fernweir.peers.port import ClaimResult, Port, SessionStatus
 
-_SPARED_MS = 1_000.0
+_LIVE_OWNER_DELAY_MS = 1_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class ChannelManagerRules:
-    """`parts` channels a front, or none: its sessions stay its own; `copies` standbys each. Times in ms.
-
-    A copy older than `stale_ms` is tried for though its owner is not known to be dead: it may be cut off, or
-    stand still. Heirs that are not first leave it to the first for `patience_ms`, a lease, after the owner's
-    last word. `look_ms` is how often that, and who the standbys are, is looked at. What another front took is
-    remembered for `gone_ms`, for viewers who come here still; the channel of what is over for `release_ms`,
-    in which a release that was lost is said again.
+    """The settings of `ChannelManager`. Times are in ms.
+
+    Attributes:
+        parts: The number of channels of a front. With 0, sessions cannot move to another front.
+        standbys: The number of standbys of each channel.
+        review_ms: The interval at which standbys and stale replicas are checked.
+        stale_ms: The age of a replica after which this front tries to take over its channel even if the
+            owner is not known to be dead: it may be partitioned or stalled.
+        successor_wait_ms: The time after the last message of an owner, one lease, in which only its first
+            successor may try to take over.
+        release_retention_ms: How long the channel of an ended session is stored, so that a lost release can
+            be repeated.
+        relinquished_retention_ms: How long the new owner of a relinquished session is stored, for viewers
+            whose requests still arrive here.
+        max_relinquished: The maximum number of stored relinquished sessions.
     """
 
     parts: int = 8
-    copies: int = 2
-    look_ms: float = 500.0
+    standbys: int = 2
+    review_ms: float = 500.0
     stale_ms: float = 8_000.0
-    patience_ms: float = 6_000.0
-    release_ms: float = 5_000.0
-    gone_ms: float = 60_000.0
-    gone_most: int = 65_536
+    successor_wait_ms: float = 6_000.0
+    release_retention_ms: float = 5_000.0
+    relinquished_retention_ms: float = 60_000.0
+    max_relinquished: int = 65_536
     replica: ReplicaRules = field(default_factory=ReplicaRules)
     takeover: TakeoverRules = field(default_factory=TakeoverRules)
     handoff: HandoffRules = field(default_factory=HandoffRules)
-    heirs: HeirRules = field(default_factory=HeirRules)
+    successors: HeirRules = field(default_factory=HeirRules)
     spread: SpreadRules = field(default_factory=SpreadRules)
 
 
 @dataclass(frozen=True, slots=True)
-class Steers(Event):
-    """This front steers a session from now on."""
+class SessionAcquired(Event):
+    """This front controls a session from now on."""
 
     session: str
     fence: int
 
 
 @dataclass(frozen=True, slots=True)
-class Yields(Event):
-    """It is another's from now on, whose name is empty where it is not known; or it is over."""
+class SessionRelinquished(Event):
+    """A session has ended, or belongs to front `to` from now on; `to` is empty if that is unknown."""
 
     session: str
     to: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Changed(Event):
-    """A channel has changed hands here: `what` is inherited, handed, lost."""
+class ChannelChanged(Event):
+    """This front got or lost a channel: `what` is "inherited", "handed" or "lost"."""
 
     channel: str
     fence: int
@@ -97,63 +106,73 @@
 
 
 @dataclass(slots=True)
-class _Try:
-    """A channel whose lease is asked for from `due` on, to be acted on `after_ms` after it is got.
+class _LeaseAttempt:
+    """A lease to request at `due`; the takeover begins `after_ms` after the lease is granted.
 
-    Its owner is believed lost at `since`: one that proves to have had it later has it still.
+    The owner was presumed lost at `since`. If a replica proves that the owner was alive later, the attempt is
+    cancelled.
     """
 
     owner: str
     since: float
     due: float
     after_ms: float = 0.0
-    dead: bool = False  # its owner's process is known to be gone, though one of its name may be there again
-    asked: bool = False
+    # The process of the owner has ended, even if another process with its name is running.
+    is_owner_dead: bool = False
+    is_requested: bool = False
 
 
 class ChannelManager:
-    """`now` is ms throughout. `on_message` takes the messages of `channel` but for the directory's."""
+    """Manages the channels of one front. `now` is in ms.
+
+    `on_message` handles the messages of `fernweir.peers.channel` except for those of the directory.
+    """
 
     def __init__(
         self, me: str, life: int, rules: ChannelManagerRules, holder: Holder, port: Port, seed: int,
-        changed: Callable[[], None],
+        on_changed: Callable[[], None],
     ) -> None:  # fmt: skip
         self.me, self.life, self.rules = me, life, rules
-        self._holder, self._port, self._wake = holder, port, changed
+        self._holder, self._port, self._on_changed = holder, port, on_changed
         self._out = Outbox()
         self.replica = Replica(me, rules.replica, seed)
         takeover = Takeover(rules.takeover)
         self.handoff = Handoff(me, rules.handoff, seed, takeover, port.server_numbers, self.replica.fence)
-        self._sessions: dict[str, dict[str, SessionStatus]] = {}  # of each channel held
-        self._owns: dict[int, str] = {}  # by part: the channels in which new sessions begin
-        self._channel: dict[str, str] = {}  # of each session, also of one whose attempt is out
-        self._outside: dict[str, SessionStatus] = {}  # stands here in no channel: there was no lease
-        self._placed: dict[str, int] = {}  # at which box an attempt of this front's was made last
-        self._last: OrderedDict[str, tuple[str, float]] = OrderedDict()  # of what is over, to release it by
-        self._fences: dict[str, int] = {}  # under which each channel is held, or was until it was handed on
-        self._tries: dict[str, _Try] = {}
-        self._spared: dict[str, float] = {}  # until when a stale copy's channel is left to its living owner
-        self._turns: dict[str, tuple[float, int]] = {}  # when a channel that was got is acted for, its fence
+        self._sessions: dict[str, dict[str, SessionStatus]] = {}  # by owned channel
+        self._own_channels: dict[int, str] = {}  # by part; new sessions join these
+        self._channel_by_session: dict[str, str] = {}  # includes attempts in flight
+        # Sessions that play here and belong to no channel, because there was no lease.
+        self._unassigned: dict[str, SessionStatus] = {}
+        self._server_by_session: dict[str, int] = {}  # server of this front's last attempt
+        # Channels of ended sessions, for repeated releases, each with its expiry.
+        self._releasable: OrderedDict[str, tuple[str, float]] = OrderedDict()
+        # The fence of each owned channel, and of each that was handed off.
+        self._fences: dict[str, int] = {}
+        self._lease_attempts: dict[str, _LeaseAttempt] = {}
+        # Until when the channel of a stale replica is left to its owner, which is alive.
+        self._deferred_until: dict[str, float] = {}
+        # The start and the fence of each takeover whose lease is granted.
+        self._pending_takeovers: dict[str, tuple[float, int]] = {}
         self._seed = seed
-        self._new: set[str] = set()  # inherited, and nothing settled of them yet
-        self._gone: dict[str, tuple[str, float]] = {}
-        self._dead: set[str] = set()
+        self._unsettled: set[str] = set()  # taken over, first result pending
+        self._relinquished: dict[str, tuple[str, float]] = {}
+        self._dead_fronts: set[str] = set()
         self._fronts: dict[str, Candidate] = {}
-        self._leaving = self._resigned = False
-        self._look_at = 0.0
+        self._leaving = self._is_shut_out = False
+        self._next_review_at = 0.0
 
-    # --- what the front asks ---
+    # --- queries of the front ---
 
     def start(self, now: float) -> None:
-        """Asks for the leases of this life's own channels."""
+        """Requests the leases of the channels of this incarnation."""
         for part in range(self.rules.parts):
-            self._own_anew(now, part)
+            self._request_own_channel(now, part)
 
     def fence(self, now: float, session: str) -> tuple[str, int] | None:
-        """The channel and fence under which a session may be steered now; None for none."""
-        channel = self._channel.get(session)
-        if channel is None and session in self._last:
-            channel = self._last[session][0]
+        """Returns the channel and fence under which a session may be controlled now, or None."""
+        channel = self._channel_by_session.get(session)
+        if channel is None and session in self._releasable:
+            channel = self._releasable[session][0]
         if channel is None:
             return None
         lease = self._holder.current_lease(now, channel)
@@ -163,181 +182,195 @@
             return channel, self._fences.get(channel, 0)
         return None
 
-    def channel(self, session: str) -> str:
-        """The channel that a session is in; empty for none."""
-        return self._channel.get(session, "")
+    def channel_for(self, session: str) -> str:
+        """Returns the channel of a session; empty if it belongs to none."""
+        return self._channel_by_session.get(session, "")
 
-    def in_channel(self, session: str) -> bool:
-        return session in self._channel
+    def is_in_channel(self, session: str) -> bool:
+        """Whether the session belongs to a channel."""
+        return session in self._channel_by_session
 
-    def owned(self) -> Mapping[str, Mapping[str, SessionStatus]]:
-        """Channels held, with what stands in each."""
+    def owned_channels(self) -> Mapping[str, Mapping[str, SessionStatus]]:
+        """Returns the owned channels with the status of each session that plays in them."""
         return self._sessions
 
-    def whereabouts(self, now: float, session: str) -> str | None:
-        """A front that is likely to hold a session which is not held here; None if nothing is known."""
-        if (gone := self._gone.get(session)) is not None:
+    def likely_owner(self, now: float, session: str) -> str | None:
+        """Returns the front that probably owns a session that this front lacks; None if unknown."""
+        if (gone := self._relinquished.get(session)) is not None:
             return gone[0]
-        copy = self._copy_with(session)
+        copy = self._find_replica(session)
         return copy.owner if copy is not None else None
 
-    def between(self, session: str) -> bool:
-        """Whether it is known to stand, and nobody owns it just now: it must not begin anew."""
-        copy = self._copy_with(session)
+    def is_between_owners(self, session: str) -> bool:
+        """Whether a session plays but has no owner at the moment, and so must not be set up again."""
+        copy = self._find_replica(session)
         if copy is None:
             return False
-        return copy.channel in self._tries or copy.channel in self._turns or copy.owner in self._dead
-
-    def stood(self, now: float, session: str) -> bool:
-        """Whether a copy that is not old says that it stands at another front."""
-        copy = self._copy_with(session)
-        return copy is not None and copy.age_ms(now) < self.rules.stale_ms + self.rules.patience_ms
-
-    # --- what happens at the front ---
-
-    def placed(self, now: float, session: str, box: int) -> None:
-        """An attempt is about to leave: from here on it is in this front's channel, or in none."""
-        self._placed[session] = box
-        known = self._channel.get(session)
+        return (
+            copy.channel in self._lease_attempts
+            or copy.channel in self._pending_takeovers
+            or copy.owner in self._dead_fronts
+        )
+
+    def has_recent_replica(self, now: float, session: str) -> bool:
+        """Whether a recent replica shows that the session plays at another front."""
+        copy = self._find_replica(session)
+        return copy is not None and copy.age_ms(now) < self.rules.stale_ms + self.rules.successor_wait_ms
+
+    # --- notifications of the front ---
+
+    def on_attempt_started(self, now: float, session: str, box: int) -> None:
+        """Assigns the session of an attempt that is about to be sent to a channel, if there is a lease."""
+        self._server_by_session[session] = box
+        known = self._channel_by_session.get(session)
         if known is not None:
             self.handoff.takeover.attempted(known, session, box)
             return
-        cut = parse(channel_of(self.me, self.life, session, self.rules.parts)) if self._owns else None
-        channel = self._owns.get(cut.part, "") if cut is not None else ""
+        parsed = (
+            parse(channel_of(self.me, self.life, session, self.rules.parts)) if self._own_channels else None
+        )
+        channel = self._own_channels.get(parsed.part, "") if parsed is not None else ""
         if self._holder.current_lease(now, channel) is not None and self.handoff.may_steer(channel):
-            self._channel[session] = channel
+            self._channel_by_session[session] = channel
             self.handoff.takeover.attempted(channel, session, box)
 
-    def stands(self, now: float, standing: SessionStatus) -> None:
-        channel = self._channel.get(standing.session)
+    def on_session_status(self, now: float, status: SessionStatus) -> None:
+        """Records and replicates the status of a session that plays here."""
+        channel = self._channel_by_session.get(status.session)
         if channel is None:
-            self._outside[standing.session] = standing
+            self._unassigned[status.session] = status
             return
         held = self._sessions.get(channel)
         if held is None and not self.handoff.may_finish(now, channel):
-            # Its lease was lost while the attempt was out: the heir finds it at its box, and decides.
-            self._port.relinquish_session(now, standing.session)
-            self._forget(standing.session)
+            # The lease was lost while the attempt was in flight. The successor finds the session in the list
+            # of its server, and decides about it.
+            self._port.relinquish_session(now, status.session)
+            self._forget(status.session)
             return
-        if held is not None and held.get(standing.session) == standing:
+        if held is not None and held.get(status.session) == status:
             return
-        new = held is None or standing.session not in held
+        new = held is None or status.session not in held
         if held is not None:
-            held[standing.session] = standing
-        self.replica.change(now, channel, standing)
-        self.handoff.change(now, channel, standing)
+            held[status.session] = status
+        self.replica.change(now, channel, status)
+        self.handoff.change(now, channel, status)
         if new:
             if held is not None and len(held) == 1:
                 self.replica.standbys(now, channel, self._standbys(channel))
-            self._out.add(Steers(standing.session, self._fences.get(channel, 0)))
+            self._out.add(SessionAcquired(status.session, self._fences.get(channel, 0)))
 
-    def failed(self, now: float, session: str) -> bool:
-        """The attempt to begin one has ended here. False if it stands all the same, as it was inherited."""
-        if session in self._sessions.get(self._channel.get(session, ""), {}):
+    def on_attempt_failed(self, now: float, session: str) -> bool:
+        """Records that a set-up failed. Returns False if the session plays, because it was taken over."""
+        if session in self._sessions.get(self._channel_by_session.get(session, ""), {}):
             return False
-        self.over(now, session)
+        self.on_session_ended(now, session)
         return True
 
-    def over(self, now: float, session: str) -> None:
-        """A session, or the attempt to begin one, has ended here."""
+    def on_session_ended(self, now: float, session: str) -> None:
+        """Records that a session or the attempt to set it up has ended here."""
         channel = self._forget(session)
         if channel is None:
             return
-        self._release_by(now, session, channel)
+        self._remember_channel(now, session, channel)
         if self._sessions.get(channel, {}).pop(session, None) is not None:
-            self._out.add(Yields(session))
-            # Where its channel is claimed anew, a box's list from before must not bring it back.
+            self._out.add(SessionRelinquished(session))
+            # If the channel is being claimed again, an earlier list of a server must not restore the session.
             self.handoff.takeover.learn(now, channel, session, None)
         self.replica.end(now, channel, session)
         self.handoff.end(now, channel, session)
 
-    # --- what is known of other fronts ---
+    # --- other fronts ---
 
-    def fronts(self, now: float, candidates: Iterable[Candidate]) -> None:
-        """All fronts believed alive, this one included, with what heirs are chosen by."""
+    def update_fronts(self, now: float, candidates: Iterable[Candidate]) -> None:
+        """Sets all live fronts, this one included, with the data by which successors are chosen."""
         self._fronts = {one.name: one for one in candidates}
-        self._dead -= set(self._fronts)
-        closed = "leaving" if self._leaving else "shut out" if self._resigned else ""
+        self._dead_fronts -= set(self._fronts)
+        closed = "leaving" if self._leaving else "shut out" if self._is_shut_out else ""
         closed = closed if self.rules.parts else "has no channels"
         self.handoff.room(self.rules.handoff.sessions_most, closed)
 
-    def died(self, now: float, name: str) -> None:
-        """A front is believed dead, or has left: what is copied here of its channels is tried for."""
-        self._dead.add(name)
+    def on_front_died(self, now: float, name: str) -> None:
+        """Tries to take over the channels of a front that died or left, if it has replicas of them."""
+        self._dead_fronts.add(name)
         self._fronts.pop(name, None)
         self.handoff.died(now, name)
         copies = (self.replica.copy(channel) for channel in self.replica.copies())
-        self._try(now, [copy for copy in copies if copy is not None and copy.owner == name])
+        self._schedule_lease_attempts(
+            now, [copy for copy in copies if copy is not None and copy.owner == name]
+        )
 
-    def leave(self, now: float) -> None:
-        """Hands on all that is held; see `left`."""
+    def drain(self, now: float) -> None:
+        """Hands off all owned channels; `is_drained` is True when that is done."""
         self._leaving = True
-        self.fronts(now, self._fronts.values())
-        for channel in list(self._tries):
-            self._drop_try(now, channel)
-        for channel, standings in list(self._sessions.items()):
+        self.update_fronts(now, self._fronts.values())
+        for channel in list(self._lease_attempts):
+            self._cancel_lease_attempt(now, channel)
+        for channel, statuses in list(self._sessions.items()):
             lease = self._holder.current_lease(now, channel)
-            order = self._heirs(channel, len(standings), self.me)
-            if lease is None or not standings or not order:
+            order = self._successors(channel, len(statuses), self.me)
+            if lease is None or not statuses or not order:
                 self._holder.release(now, channel)
                 self._sessions.pop(channel, None)
             else:
-                self.handoff.offer(now, channel, lease.fence, standings, order)
-        for channel in self._owns.values():  # asked for and not granted yet
+                self.handoff.offer(now, channel, lease.fence, statuses, order)
+        for channel in self._own_channels.values():  # requested and not granted yet
             if channel not in self._sessions:
                 self._holder.release(now, channel)
 
-    def resign(self, now: float, over: bool) -> None:
-        """Hands on what is held, though this front stays: it is shut out, until that is over."""
-        self._resigned = not over
-        self.fronts(now, self._fronts.values())
+    def on_shut_out(self, now: float, over: bool) -> None:
+        """Hands off the channels while this front is shut out; `over` ends that."""
+        self._is_shut_out = not over
+        self.update_fronts(now, self._fronts.values())
         if over:
             for part in range(self.rules.parts):
-                if part in self._owns and self._owns[part] not in self._sessions:
-                    self._holder.want(now, self._owns[part])
+                if part in self._own_channels and self._own_channels[part] not in self._sessions:
+                    self._holder.want(now, self._own_channels[part])
             return
-        for channel in list(self._tries):
-            self._drop_try(now, channel)
-        for channel, standings in list(self._sessions.items()):
+        for channel in list(self._lease_attempts):
+            self._cancel_lease_attempt(now, channel)
+        for channel, statuses in list(self._sessions.items()):
             lease, order = (
                 self._holder.current_lease(now, channel),
-                self._heirs(channel, len(standings), self.me),
+                self._successors(channel, len(statuses), self.me),
             )
-            if lease is not None and standings and order:
-                self.handoff.offer(now, channel, lease.fence, standings, order)
+            if lease is not None and statuses and order:
+                self.handoff.offer(now, channel, lease.fence, statuses, order)
 
     @property
-    def left(self) -> bool:
-        """Whether nothing is on its way to an heir any more."""
+    def is_drained(self) -> bool:
+        """Whether all hand-offs have ended after `drain`."""
         return self._leaving and not self.handoff.giving()
 
     # --- leases ---
 
-    def lease(self, now: float, event: LeaseAcquired | LeaseRenewed | LeaseLost | LeaseUnavailable) -> None:
+    def on_lease_event(
+        self, now: float, event: LeaseAcquired | LeaseRenewed | LeaseLost | LeaseUnavailable
+    ) -> None:
         if isinstance(event, LeaseAcquired):
-            self._got(now, event.lease.channel, event.lease.fence)
+            self._on_lease_acquired(now, event.lease.channel, event.lease.fence)
         elif isinstance(event, LeaseLost):
-            self._lost(now, event.channel, event.fence, event.why)
+            self._on_lease_lost(now, event.channel, event.fence, event.why)
         elif isinstance(event, LeaseUnavailable):
             self.handoff.taken(now, event.channel, event.by, event.fence)
-            self._taken(now, event.channel, event.by)
-
-    def _taken(self, now: float, channel: str, by: str) -> None:
-        """Another has, or waits for, a lease that is asked for here."""
-        tried = self._tries.get(channel)
-        if tried is not None and by not in (tried.owner, self.me, ""):
-            self._drop_try(now, channel)  # another heir was first
-        elif tried is not None and by == tried.owner and by in self._fronts and not tried.dead:
-            # It lives, and has the lease: this front is not its standby any more, and missed that word.
-            self._drop_try(now, channel)
-            self._spared[channel] = now + _SPARED_MS
+            self._on_lease_unavailable(now, event.channel, event.by)
+
+    def _on_lease_unavailable(self, now: float, channel: str, by: str) -> None:
+        """Reacts to front `by`, which holds or waits for a lease that this front requested."""
+        attempt = self._lease_attempts.get(channel)
+        if attempt is not None and by not in (attempt.owner, self.me, ""):
+            self._cancel_lease_attempt(now, channel)  # another successor was first
+        elif attempt is not None and by == attempt.owner and by in self._fronts and not attempt.is_owner_dead:
+            # The owner is alive and holds the lease. This front is no longer its standby, and missed the
+            # message.
+            self._cancel_lease_attempt(now, channel)
+            self._deferred_until[channel] = now + _LIVE_OWNER_DELAY_MS
         elif (
             channel in self._sessions
             and by not in (self.me, "")
             and not self._holder.current_lease(now, channel)
         ):
             self._holder.release(now, channel)
-            self._let_go(now, channel, by)
+            self._relinquish_channel(now, channel, by)
 
     # --- base.Part ---
 
@@ -346,66 +379,72 @@
         self.handoff.on_message(now, sender, message)
 
     def tick(self, now: float) -> None:
-        if now >= self._look_at:
-            self._look_at = now + self.rules.look_ms
-            self._look(now)
-        for channel, tried in list(self._tries.items()):
+        if now >= self._next_review_at:
+            self._next_review_at = now + self.rules.review_ms
+            self._review(now)
+        for channel, attempt in list(self._lease_attempts.items()):
             copy = self.replica.copy(channel)
-            if copy is None or copy.owner != tried.owner:
-                self._drop_try(now, channel)  # another heir was first
-            elif copy.as_of is not None and copy.as_of > tried.since:
-                self._drop_try(now, channel)  # it was cut off or stood still, and its lease outlived that
-            elif not tried.asked and now >= tried.due:
-                tried.asked = True
+            if copy is None or copy.owner != attempt.owner:
+                self._cancel_lease_attempt(now, channel)  # another successor was first
+            elif copy.as_of is not None and copy.as_of > attempt.since:
+                # The owner was partitioned or stalled, and its lease did not expire.
+                self._cancel_lease_attempt(now, channel)
+            elif not attempt.is_requested and now >= attempt.due:
+                attempt.is_requested = True
                 self._holder.want(now, channel, self.replica.fence(channel))
-        for channel, (due, fence) in list(self._turns.items()):
+        for channel, (due, fence) in list(self._pending_takeovers.items()):
             if now >= due:
-                del self._turns[channel]
-                self._turn(now, channel, fence)
+                del self._pending_takeovers[channel]
+                self._take_over_replica(now, channel, fence)
         self.replica.tick(now)
         self.handoff.tick(now)
-        self._run(now)
+        self._process_effects(now)
 
     def next_deadline(self) -> float | None:
-        dues = [self._look_at, self.replica.next_deadline(), self.handoff.next_deadline()]
-        dues += [tried.due for tried in self._tries.values() if not tried.asked]
-        dues += [due for due, _ in self._turns.values()]
+        dues = [self._next_review_at, self.replica.next_deadline(), self.handoff.next_deadline()]
+        dues += [attempt.due for attempt in self._lease_attempts.values() if not attempt.is_requested]
+        dues += [due for due, _ in self._pending_takeovers.values()]
         return min(due for due in dues if due is not None)
 
     def take_effects(self) -> list[Effect]:
         return self._out.take_effects()
 
-    # --- pieces: own events of the parts ---
+    # --- events of replicas and hand-offs ---
 
     def run(self, now: float) -> None:
-        """Carries out what the parts said since the last call."""
-        self._run(now)
+        """Handles the events of replicas and hand-offs since the last call."""
+        self._process_effects(now)
 
-    def _run(self, now: float) -> None:
+    def _process_effects(self, now: float) -> None:
         while effects := self.replica.take_effects() + self.handoff.take_effects():
             for effect in effects:
                 if isinstance(effect, Event):
-                    self._do(now, effect)
+                    self._handle_event(now, effect)
                 else:
                     self._out.add(effect)
 
-    def _do(self, now: float, event: Event) -> None:
+    def _handle_event(self, now: float, event: Event) -> None:
         if isinstance(event, Claim):
             for box in event.boxes:
-                self._claim(event, box)
+                self._claim_server(event, box)
         elif isinstance(event, Inherited):
-            self._inherited(now, event)
+            self._on_inherited(now, event)
         elif isinstance(event, Settled):
-            self._settled(now, event)
+            self._on_settled(now, event)
         elif isinstance(event, Outdone):
-            # Keepers that all forgot may have granted too low a fence; if another holds it, they say so.
+            # Keepers that lost their state may have granted too low a fence. If another front holds the
+            # lease, they reject the request.
             self._holder.want(now, event.channel, event.fence)
         elif isinstance(event, Outdated):
-            self._let_go(now, event.channel, "")
+            self._relinquish_channel(now, event.channel, "")
         elif isinstance(event, NeedPayload):
             self.replica.payload(now, event.digest, self._port.payload(event.digest))
         elif isinstance(event, Freeze):
-            out = [one for one in self._port.sessions_in_flight() if self._channel.get(one) == event.channel]
+            out = [
+                one
+                for one in self._port.sessions_in_flight()
+                if self._channel_by_session.get(one) == event.channel
+            ]
             self.handoff.frozen(now, event.channel, out)
         elif isinstance(event, ReleaseLease):
             self._holder.release(now, event.channel)
@@ -415,208 +454,221 @@
             self._holder.release(now, event.channel)
         elif isinstance(event, HandedOn):
             sessions = len(self._sessions.get(event.channel, ()))
-            self._out.add(Changed(event.channel, event.fence, "handed", sessions, event.heir))
-            self._let_go(now, event.channel, event.heir)
+            self._out.add(ChannelChanged(event.channel, event.fence, "handed", sessions, event.heir))
+            self._relinquish_channel(now, event.channel, event.heir)
         elif isinstance(event, TakenBack):
-            standings = {one.session: one for one in event.standings}
-            self._let_go(now, event.channel, "")
-            self._begin(now, event.channel, event.fence, standings)
+            statuses = {one.session: one for one in event.standings}
+            self._relinquish_channel(now, event.channel, "")
+            self._begin_takeover(now, event.channel, event.fence, statuses)
         elif isinstance(event, Finished):
-            self._new.discard(event.channel)  # nothing stood in it
+            self._unsettled.discard(event.channel)  # it had no sessions
         else:
             assert isinstance(event, Copied | OverlapOver | HandedOver | NoHeir | Lapsed)
 
-    def _claim(self, event: Claim, box: int) -> None:
+    def _claim_server(self, event: Claim, box: int) -> None:
         def then(now: float, claimed: ClaimResult) -> None:
             self.handoff.claimed(now, event.channel, claimed)
-            self._run(now)
-            self._wake()
+            self._process_effects(now)
+            self._on_changed()
 
         self._port.claim_channel(box, event.channel, event.fence, event.overlap_ms, then)
 
-    # --- pieces: leases that come and go ---
+    # --- leases: acquired and lost ---
 
-    def _got(self, now: float, channel: str, fence: int) -> None:
-        tried = self._tries.pop(channel, None)
+    def _on_lease_acquired(self, now: float, channel: str, fence: int) -> None:
+        attempt = self._lease_attempts.pop(channel, None)
         self._fences[channel] = fence
         if self.handoff.leased(now, channel, fence):
-            self._run(now)
+            self._process_effects(now)
             return
-        if channel in self._sessions:  # held already: a box knew a higher fence
+        if channel in self._sessions:  # owned already; a server had a higher fence
             self.replica.own(now, channel, fence, self._sessions[channel].values())
-            self._begin(now, channel, fence, self._sessions[channel])
+            self._begin_takeover(now, channel, fence, self._sessions[channel])
             return
-        copy = self.replica.copy(channel) if tried is not None else None
-        if copy is not None and tried is not None:
-            self._turns[channel] = (now + tried.after_ms, fence)
-        elif self._mine(channel) and not self._leaving:
-            self._own(now, channel, fence)
+        copy = self.replica.copy(channel) if attempt is not None else None
+        if copy is not None and attempt is not None:
+            self._pending_takeovers[channel] = (now + attempt.after_ms, fence)
+        elif self._is_own(channel) and not self._leaving:
+            self._add_channel(now, channel, fence)
         else:
             self._holder.release(now, channel)
 
-    def _turn(self, now: float, channel: str, fence: int) -> None:
+    def _take_over_replica(self, now: float, channel: str, fence: int) -> None:
         """The lease has been here for a while, so that not all channels are claimed in one moment."""
         lease, copy = self._holder.current_lease(now, channel), self.replica.copy(channel)
         if lease is None or lease.fence != fence:
             return
-        if copy is None:  # its owner has told this front meanwhile that it keeps no copy any more
+        if copy is None:  # meanwhile the owner removed this front from its standbys
             self._holder.release(now, channel)
         else:
-            self._begin(now, channel, fence, dict(copy.standings))
-
-    def _begin(self, now: float, channel: str, fence: int, standings: Mapping[str, SessionStatus]) -> None:
-        self.handoff.takeover.begin(now, channel, fence, standings, listed=self._port.server_numbers())
-        for session, where in self._channel.items():  # also what is out, and stands nowhere yet
-            if where == channel and session in self._placed:
-                self.handoff.takeover.attempted(channel, session, self._placed[session])
-        self._run(now)
+            self._begin_takeover(now, channel, fence, dict(copy.standings))
 
-    def _own_anew(self, now: float, part: int, number: int | None = None) -> None:
-        """The channel of a part, under a number that it never had in this life; none once all are used."""
+    def _begin_takeover(
+        self, now: float, channel: str, fence: int, statuses: Mapping[str, SessionStatus]
+    ) -> None:
+        self.handoff.takeover.begin(now, channel, fence, statuses, listed=self._port.server_numbers())
+        for session, where in self._channel_by_session.items():  # attempts in flight, too
+            if where == channel and session in self._server_by_session:
+                self.handoff.takeover.attempted(channel, session, self._server_by_session[session])
+        self._process_effects(now)
+
+    def _request_own_channel(self, now: float, part: int, number: int | None = None) -> None:
+        """Requests the channel of a part under a number that this incarnation has not used, if any."""
         number = part if number is None else number
         if number >= PARTS_MOST:
-            self._owns.pop(part, None)
+            self._own_channels.pop(part, None)
             return
-        self._owns[part] = f"{self.me}:{self.life}/{number}"
-        self._holder.want(now, self._owns[part])
+        self._own_channels[part] = f"{self.me}:{self.life}/{number}"
+        self._holder.want(now, self._own_channels[part])
 
-    def _own(self, now: float, channel: str, fence: int, standings: Iterable[SessionStatus] = ()) -> None:
-        """`standings` are in doubt or not: what standbys are to know until it is settled."""
+    def _add_channel(
+        self, now: float, channel: str, fence: int, statuses: Iterable[SessionStatus] = ()
+    ) -> None:
+        """Adds a channel; standbys get `statuses`, confirmed or not, until the takeover settles."""
         self._sessions.setdefault(channel, {})
         self._fences[channel] = fence
-        self.replica.own(now, channel, fence, standings)
-        self.replica.standbys(now, channel, self._standbys(channel) if standings else [])
+        self.replica.own(now, channel, fence, statuses)
+        self.replica.standbys(now, channel, self._standbys(channel) if statuses else [])
 
-    def _lost(self, now: float, channel: str, fence: int, why: str) -> None:
+    def _on_lease_lost(self, now: float, channel: str, fence: int, why: str) -> None:
         if why in ("released", "handed"):
             return
         self.handoff.lost(now, channel)
-        self._turns.pop(channel, None)
-        self._new.discard(channel)
-        standings = self._sessions.get(channel)
-        if standings is None:
+        self._pending_takeovers.pop(channel, None)
+        self._unsettled.discard(channel)
+        statuses = self._sessions.get(channel)
+        if statuses is None:
             return
-        self._out.add(Changed(channel, fence, "lost", len(standings), why))
+        self._out.add(ChannelChanged(channel, fence, "lost", len(statuses), why))
         if why == "taken" or self._leaving:
-            self._let_go(now, channel, "")
+            self._relinquish_channel(now, channel, "")
             return
-        # Lapsed, and perhaps nobody else's, as when no keeper can be reached: what stands is kept and its
-        # viewers are answered, but nothing is steered until the lease is back, or another has it.
+        # The lease expired, perhaps without a new holder, for example because no keeper is reachable. The
+        # sessions stay and their viewers get replies, but no session is controlled until this front has the
+        # lease again, or another front has it.
         self.replica.cede(now, channel)
-        if standings or self._mine(channel):
+        if statuses or self._is_own(channel):
             self._holder.want(now, channel, fence)
         else:
             del self._sessions[channel]
 
-    def _let_go(self, now: float, channel: str, to: str) -> None:
-        """All of a channel is another's, or nobody's: neither boxes nor viewers are told anything."""
-        self._new.discard(channel)
+    def _relinquish_channel(self, now: float, channel: str, to: str) -> None:
+        """Relinquishes all sessions of a channel to `to`, or to nobody, without any message about them."""
+        self._unsettled.discard(channel)
         for session in list(self._sessions.pop(channel, {})):
             self._port.relinquish_session(now, session)
             self._forget(session)
             if to:
-                self._gone[session] = (to, now + self.rules.gone_ms)
-                if len(self._gone) > self.rules.gone_most:
-                    del self._gone[next(iter(self._gone))]
-            self._out.add(Yields(session, to))
+                self._relinquished[session] = (to, now + self.rules.relinquished_retention_ms)
+                if len(self._relinquished) > self.rules.max_relinquished:
+                    del self._relinquished[next(iter(self._relinquished))]
+            self._out.add(SessionRelinquished(session, to))
         self.replica.cede(now, channel)
-        cut = parse(channel)
-        if cut is not None and self._mine(channel) and not self._leaving:
-            # What was its own is its heir's until nothing stands in it: new sessions go into another.
-            self._own_anew(now, cut.part % self.rules.parts, cut.part + self.rules.parts)
+        parsed = parse(channel)
+        if parsed is not None and self._is_own(channel) and not self._leaving:
+            # The successor owns the channel until its last session ends, so new sessions need another
+            # channel.
+            self._request_own_channel(now, parsed.part % self.rules.parts, parsed.part + self.rules.parts)
 
-    # --- pieces: what is inherited ---
+    # --- takeovers ---
 
-    def _inherited(self, now: float, event: Inherited) -> None:
-        self._own(now, event.channel, event.fence, event.standings)
-        self._new.add(event.channel)
+    def _on_inherited(self, now: float, event: Inherited) -> None:
+        self._add_channel(now, event.channel, event.fence, event.standings)
+        self._unsettled.add(event.channel)
 
-    def _settled(self, now: float, event: Settled) -> None:
+    def _on_settled(self, now: float, event: Settled) -> None:
         held = self._sessions.get(event.channel)
         if held is None:
             return
-        for standing in event.take:
-            self._take(now, event.channel, held, standing)
-        if event.channel in self._new:
-            self._new.discard(event.channel)
-            self._out.add(Changed(event.channel, event.fence, "inherited", len(event.take)))
+        for status in event.take:
+            self._adopt_session(now, event.channel, held, status)
+        if event.channel in self._unsettled:
+            self._unsettled.discard(event.channel)
+            self._out.add(ChannelChanged(event.channel, event.fence, "inherited", len(event.take)))
         for session in event.over:
             self.replica.end(now, event.channel, session)
-        for standing in event.gone:
-            held_now = held.get(standing.session)
-            if held_now is not None and (held_now.box, held_now.attempt) == (standing.box, standing.attempt):
-                self._port.on_session_missing(now, standing.session, standing.attempt)
+        for status in event.gone:
+            held_now = held.get(status.session)
+            if held_now is not None and (held_now.box, held_now.attempt) == (status.box, status.attempt):
+                self._port.on_session_missing(now, status.session, status.attempt)
         for box, session, attempt in event.give_up:
-            if self._channel.get(session) == event.channel and self._placed.get(session) == box:
-                continue  # this front's own doing, whatever a copy knows
+            if (
+                self._channel_by_session.get(session) == event.channel
+                and self._server_by_session.get(session) == box
+            ):
+                continue  # an attempt of this front, whatever a replica has
             under = (event.channel, event.fence)
             self._port.release_attempt(
                 now, box, session, attempt, "nobody can prove that it is wanted", under
             )
 
-    def _take(
-        self, now: float, channel: str, held: dict[str, SessionStatus], standing: SessionStatus
+    def _adopt_session(
+        self, now: float, channel: str, held: dict[str, SessionStatus], status: SessionStatus
     ) -> None:
-        session = standing.session
-        self._gone.pop(session, None)
+        session = status.session
+        self._relinquished.pop(session, None)
         if self._port.has_session(session):
-            if self._channel.get(session) == channel:
-                held[session] = standing
+            if self._channel_by_session.get(session) == channel:
+                held[session] = status
                 return
-            # Its viewer came here meanwhile and it began anew: one of the two is too many.
+            # The viewer arrived here meanwhile and the session was set up again, so the other one is
+            # released.
             under = (channel, self._fences.get(channel, 0))
-            self._port.release_attempt(now, standing.box, session, standing.attempt, "began anew", under)
+            self._port.release_attempt(now, status.box, session, status.attempt, "began anew", under)
             self.replica.end(now, channel, session)
             return
-        payload = self._port.payload(standing.payload) or self.replica.payload_of(standing.payload)
-        self._channel[session] = channel
-        held[session] = standing
-        if self._port.adopt_session(now, standing, payload):
-            self.replica.change(now, channel, standing)
-            self._out.add(Steers(session, self._fences.get(channel, 0)))
-        else:  # its box or its lesson is gone
+        payload = self._port.payload(status.payload) or self.replica.payload_of(status.payload)
+        self._channel_by_session[session] = channel
+        held[session] = status
+        if self._port.adopt_session(now, status, payload):
+            self.replica.change(now, channel, status)
+            self._out.add(SessionAcquired(session, self._fences.get(channel, 0)))
+        else:  # its server or its title is unknown
             self._forget(session)
             held.pop(session, None)
             self.replica.end(now, channel, session)
 
-    # --- pieces: looking around ---
+    # --- periodic review ---
 
-    def _look(self, now: float) -> None:
-        for channel, standings in self._sessions.items():
-            # Nobody need keep nothing: a front that is idle costs its peers nothing by its channels.
-            names = self._standbys(channel) if standings or self.handoff.takeover.begun(channel) else []
+    def _review(self, now: float) -> None:
+        for channel, statuses in self._sessions.items():
+            # An empty channel needs no standbys, so that the channels of an idle front cost its peers
+            # nothing.
+            names = self._standbys(channel) if statuses or self.handoff.takeover.begun(channel) else []
             self.replica.standbys(now, channel, names)
         lost = []
         for channel in self.replica.copies():
             copy = self.replica.copy(channel)
-            if copy is None or channel in self._tries:
+            if copy is None or channel in self._lease_attempts:
                 continue
-            dead = copy.owner in self._dead and copy.owner not in self._fronts
-            spared = now < self._spared.get(channel, 0.0)
+            dead = copy.owner in self._dead_fronts and copy.owner not in self._fronts
+            spared = now < self._deferred_until.get(channel, 0.0)
             if dead or (copy.age_ms(now) > self.rules.stale_ms and not spared):
                 lost.append(copy)
-        self._try(now, lost)
-        self._spared = {channel: until for channel, until in self._spared.items() if now < until}
-        self._adopt(now)
-        for session in [one for one, (_, until) in self._gone.items() if until <= now]:
-            del self._gone[session]
-        # An inherited channel in which nothing stands any more is let go; the own ones are used again.
-        for channel, standings in list(self._sessions.items()):
-            busy = self.handoff.takeover.begun(channel) or channel in self._channel.values()
-            if not standings and not self._mine(channel) and not busy:
+        self._schedule_lease_attempts(now, lost)
+        self._deferred_until = {
+            channel: until for channel, until in self._deferred_until.items() if now < until
+        }
+        self._assign_sessions(now)
+        for session in [one for one, (_, until) in self._relinquished.items() if until <= now]:
+            del self._relinquished[session]
+        # Releases channels that were taken over and are empty now. Own channels are reused.
+        for channel, statuses in list(self._sessions.items()):
+            busy = self.handoff.takeover.begun(channel) or channel in self._channel_by_session.values()
+            if not statuses and not self._is_own(channel) and not busy:
                 self._sessions.pop(channel)
                 self.replica.over(now, channel)
                 self._holder.release(now, channel)
 
-    def _try(self, now: float, lost: Iterable[Copy]) -> None:
-        """Asks for what these are copies of, where this front may inherit it; who is first asks first."""
+    def _schedule_lease_attempts(self, now: float, lost: Iterable[Copy]) -> None:
+        """Schedules requests for the leases of these replicas, in the order of the successors."""
         ranks: dict[str, int] = {}
         mine: dict[str, Copy] = {}
         for copy in lost:
-            order = self._heirs(copy.channel, len(copy.standings), copy.owner)
-            taking = copy.channel in self._turns or self.handoff.takeover.begun(copy.channel)
-            free = not (self._leaving or self._resigned or taking)
-            if free and copy.channel not in self._tries and copy.standings and self.me in order:
+            order = self._successors(copy.channel, len(copy.standings), copy.owner)
+            taking = copy.channel in self._pending_takeovers or self.handoff.takeover.begun(copy.channel)
+            free = not (self._leaving or self._is_shut_out or taking)
+            if free and copy.channel not in self._lease_attempts and copy.standings and self.me in order:
                 ranks[copy.channel], mine[copy.channel] = order.index(self.me), copy
         losses = [
             Loss(
@@ -626,86 +678,92 @@
             for channel, copy in mine.items()
         ]  # fmt: skip
         for turn in spread(0.0, losses, self.rules.spread, self._seed, max(len(self._fronts), 1)):
-            # Two who ask at once keep each other from it: whoever is not first leaves it to the first until
-            # the lease that was held when the owner last spoke has lapsed.
+            # Two fronts that request a lease at once can block each other. All but the first successor wait
+            # until the lease has expired that was valid at the last message of the owner.
             due, rank, owner = now, ranks[turn.channel], mine[turn.channel].owner
             if rank:
-                spoke = now - min(mine[turn.channel].age_ms(now), self.rules.patience_ms)
-                due = max(now, spoke + self.rules.patience_ms) + wait_ms(rank, self.rules.heirs)
-            self._tries[turn.channel] = _Try(owner, now, due, turn.at, dead=owner in self._dead)
+                spoke = now - min(mine[turn.channel].age_ms(now), self.rules.successor_wait_ms)
+                due = max(now, spoke + self.rules.successor_wait_ms) + wait_ms(rank, self.rules.successors)
+            self._lease_attempts[turn.channel] = _LeaseAttempt(
+                owner, now, due, turn.at, is_owner_dead=owner in self._dead_fronts
+            )
 
-    def _adopt(self, now: float) -> None:
-        """What began while there was no lease comes into a channel once there is one: it has heirs then."""
-        if self._leaving or self._resigned or not self._owns:
+    def _assign_sessions(self, now: float) -> None:
+        """Moves sessions that were set up without a lease into a channel, so that they have successors."""
+        if self._leaving or self._is_shut_out or not self._own_channels:
             return
         groups: dict[tuple[str, int], list[SessionStatus]] = {}
-        for standing in self._outside.values():
-            cut = parse(channel_of(self.me, self.life, standing.session, self.rules.parts))
-            channel = self._owns.get(cut.part, "") if cut is not None else ""
+        for status in self._unassigned.values():
+            parsed = parse(channel_of(self.me, self.life, status.session, self.rules.parts))
+            channel = self._own_channels.get(parsed.part, "") if parsed is not None else ""
             if channel in self._sessions and self._holder.current_lease(now, channel) is not None:
-                groups.setdefault((channel, standing.box), []).append(standing)
-        for (channel, box), standings in groups.items():
+                groups.setdefault((channel, status.box), []).append(status)
+        for (channel, box), statuses in groups.items():
             lease = self._holder.current_lease(now, channel)
             if lease is not None and self.handoff.may_steer(channel):
-                self._ask_to_adopt(channel, lease.fence, box, standings)
+                self._claim_for_sessions(channel, lease.fence, box, statuses)
 
-    def _ask_to_adopt(self, channel: str, fence: int, box: int, standings: Sequence[SessionStatus]) -> None:
+    def _claim_for_sessions(
+        self, channel: str, fence: int, box: int, statuses: Sequence[SessionStatus]
+    ) -> None:
         def then(now: float, claimed: ClaimResult) -> None:
             lease = self._holder.current_lease(now, channel)
             if not claimed.accepted or lease is None or lease.fence != fence or channel not in self._sessions:
                 return
             listed = {(session, attempt) for session, attempt, _ in claimed.sessions}
-            for asked in standings:
-                standing = self._outside.get(asked.session)
-                if standing is not None and (standing.session, standing.attempt) in listed:
-                    del self._outside[standing.session]
-                    self._channel[standing.session] = channel
-                    self.handoff.takeover.attempted(channel, standing.session, standing.box)
-                    self.stands(now, standing)
-            self._wake()
-
-        adopt = [(standing.session, standing.attempt) for standing in standings]
+            for asked in statuses:
+                status = self._unassigned.get(asked.session)
+                if status is not None and (status.session, status.attempt) in listed:
+                    del self._unassigned[status.session]
+                    self._channel_by_session[status.session] = channel
+                    self.handoff.takeover.attempted(channel, status.session, status.box)
+                    self.on_session_status(now, status)
+            self._on_changed()
+
+        adopt = [(status.session, status.attempt) for status in statuses]
         self._port.claim_channel(box, channel, fence, 0.0, then, adopt)
 
-    def _drop_try(self, now: float, channel: str) -> None:
-        tried = self._tries.pop(channel, None)
+    def _cancel_lease_attempt(self, now: float, channel: str) -> None:
+        attempt = self._lease_attempts.pop(channel, None)
         taken = channel in self._sessions or self.handoff.takeover.begun(channel)
-        if tried is not None and tried.asked and not taken:
+        if attempt is not None and attempt.is_requested and not taken:
             self._holder.release(now, channel)
 
-    def _heirs(self, channel: str, sessions: int, owner: str) -> list[str]:
-        """Who may follow an owner, alike at all who know the same of the fronts."""
+    def _successors(self, channel: str, sessions: int, owner: str) -> list[str]:
+        """Returns the possible successors of an owner: equal at all fronts with the same membership view."""
         fit = [one for one in self._fronts.values() if one.name != owner]
-        keepers = standbys(channel, fit, self.rules.copies)
+        keepers = standbys(channel, fit, self.rules.standbys)
         named = [
             Candidate(one.name, one.load, one.age_ms, one.late, one.leaving, one.name in keepers)
             for one in fit
         ]
-        return heirs(channel, named, self.rules.heirs, max(sessions, 1))
+        return heirs(channel, named, self.rules.successors, max(sessions, 1))
 
     def _standbys(self, channel: str) -> list[str]:
         others = [one for one in self._fronts.values() if one.name != self.me]
-        return standbys(channel, others, self.rules.copies)
+        return standbys(channel, others, self.rules.standbys)
 
-    def _mine(self, channel: str) -> bool:
-        cut = parse(channel)
-        return cut is not None and self._owns.get(cut.part % max(self.rules.parts, 1)) == channel
+    def _is_own(self, channel: str) -> bool:
+        parsed = parse(channel)
+        return (
+            parsed is not None and self._own_channels.get(parsed.part % max(self.rules.parts, 1)) == channel
+        )
 
     def _forget(self, session: str) -> str | None:
-        self._placed.pop(session, None)
-        self._outside.pop(session, None)
-        return self._channel.pop(session, None)
-
-    def _release_by(self, now: float, session: str, channel: str) -> None:
-        """For a while what is over here may still be released at its box, under this channel's fence."""
-        self._last[session] = (channel, now + self.rules.release_ms)
-        self._last.move_to_end(session)
-        while self._last and next(iter(self._last.values()))[1] <= now:
-            self._last.popitem(last=False)
-        if len(self._last) > self.rules.gone_most:
-            self._last.popitem(last=False)
-
-    def _copy_with(self, session: str) -> Copy | None:
+        self._server_by_session.pop(session, None)
+        self._unassigned.pop(session, None)
+        return self._channel_by_session.pop(session, None)
+
+    def _remember_channel(self, now: float, session: str, channel: str) -> None:
+        """Stores the channel of an ended session, so that a release can be repeated under its fence."""
+        self._releasable[session] = (channel, now + self.rules.release_retention_ms)
+        self._releasable.move_to_end(session)
+        while self._releasable and next(iter(self._releasable.values()))[1] <= now:
+            self._releasable.popitem(last=False)
+        if len(self._releasable) > self.rules.max_relinquished:
+            self._releasable.popitem(last=False)
+
+    def _find_replica(self, session: str) -> Copy | None:
         for channel in self.replica.copies():
             copy = self.replica.copy(channel)
             if copy is not None and session in copy.standings:
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -28,7 +28,13 @@
 from fernweir.peers.channel.messages import KINDS as CHANNEL_KINDS
 from fernweir.peers.channel.messages import Registered, There, Unregistered, Where
 from fernweir.peers.channel.rules import DirectoryRules
-from fernweir.peers.channel_manager import Changed, ChannelManager, ChannelManagerRules, Steers, Yields
+from fernweir.peers.channel_manager import (
+    ChannelChanged,
+    ChannelManager,
+    ChannelManagerRules,
+    SessionAcquired,
+    SessionRelinquished,
+)
 from fernweir.peers.facts.messages import KINDS as FACT_KINDS
 from fernweir.peers.facts.rules import FactRules
 from fernweir.peers.facts.store import Facts
@@ -211,12 +217,12 @@
         """Hands on what stands here; `left` says when that is done, `go` ends."""
         self._leaving = True
         self._say_load(now)
-        self._at(self.channels).leave(now)
+        self._at(self.channels).drain(now)
         self._settle(now)
 
     @property
     def left(self) -> bool:
-        return self.channels.left
+        return self.channels.is_drained
 
     def go(self, now: float) -> None:
         self._at(self.audit).close(now)
@@ -337,22 +343,22 @@
     # --- the front's listener ---
 
     def on_session_status(self, now: float, standing: SessionStatus) -> None:
-        self._at(self.channels).stands(now, standing)
+        self._at(self.channels).on_session_status(now, standing)
         self.query_planner.stands(now, standing)
-        self.order_estimator.stands(now, standing, self.channels.channel(standing.session))
-        if not self.channels.in_channel(standing.session):  # of the others it tells by `Steers`
+        self.order_estimator.stands(now, standing, self.channels.channel_for(standing.session))
+        if not self.channels.is_in_channel(standing.session):  # of the others it tells by `SessionAcquired`
             self._at(self.directory).register(now, standing.session)
         self._changed()
 
     def on_session_ended(self, now: float, session: str) -> None:
-        self._at(self.channels).over(now, session)
+        self._at(self.channels).on_session_ended(now, session)
         self._at(self.directory).unregister(now, session)
         self.query_planner.over(now, session)
         self.order_estimator.over(now, session)
         self._changed()
 
     def on_session_failed(self, now: float, session: str) -> None:
-        if self._at(self.channels).failed(now, session):
+        if self._at(self.channels).on_attempt_failed(now, session):
             self._at(self.directory).unregister(now, session)
             self._changed()
 
@@ -360,7 +366,7 @@
         self._record(act)
         if act.deed is AuditEvent.SETUP and self._shares:
             # From here on nobody else may set it up: told before the first byte leaves.
-            self._at(self.channels).placed(act.at, act.session, act.box)
+            self._at(self.channels).on_attempt_started(act.at, act.session, act.box)
             self._at(self.directory).register(act.at, act.session)
         self._changed()  # its block is to be copied in time, whatever else happens
 
@@ -401,7 +407,7 @@
 
     def _do(self, now: float, event: Event) -> None:
         if isinstance(event, LeaseAcquired | LeaseRenewed | LeaseLost | LeaseUnavailable):
-            self._at(self.channels).lease(now, event)
+            self._at(self.channels).on_lease_event(now, event)
             if isinstance(event, LeaseAcquired):
                 self._record(AuditRecord(now, AuditEvent.LEASE, outcome=event.lease.channel))
         elif isinstance(event, Joined) and event.name == self.me.name:
@@ -415,13 +421,13 @@
             self._gone(now, event.name, event.life, isinstance(event, Died))
         elif isinstance(event, Clash):
             self._tell("another front has this name", address=f"{event.address[0]}:{event.address[1]}")
-        elif isinstance(event, Steers):
+        elif isinstance(event, SessionAcquired):
             self._at(self.directory).register(now, event.session, event.fence)
-        elif isinstance(event, Yields):
+        elif isinstance(event, SessionRelinquished):
             self._at(self.directory).cede(event.session)
             self.query_planner.over(now, event.session)
             self.order_estimator.over(now, event.session)
-        elif isinstance(event, Changed):
+        elif isinstance(event, ChannelChanged):
             said = f"{event.what} {event.channel}"[:200]
             self._record(AuditRecord(now, AuditEvent.HANDOFF, outcome=said))
             self._tell(
@@ -459,7 +465,7 @@
             self._at(self.stragglers).seen(now, event.owner, event.versions, event.age_ms)
         elif isinstance(event, Resign):
             self._hold("late", event.why, event.wait_ms)
-            self._at(self.channels).resign(now, not event.why)
+            self._at(self.channels).on_shut_out(now, not event.why)
         elif isinstance(event, Said):
             self._tell(event.text, **event.fields)
             if event.shut_out:
@@ -507,7 +513,7 @@
         """A process of that name was there before, and is gone without anybody having missed it."""
         before, self._processes[name] = self._processes.get(name, life), life
         if before != life:
-            self._at(self.channels).died(now, name)
+            self._at(self.channels).on_front_died(now, name)
             self._at(self.forwarder).gone(now, name)
             self._at(self.audit).gone(now, name)
 
@@ -517,7 +523,7 @@
         self._processes.pop(name, None)
         self._members_changed(now)
         self._out.append(Forgotten(name))
-        self._at(self.channels).died(now, name)
+        self._at(self.channels).on_front_died(now, name)
         self._at(self.forwarder).gone(now, name)
         self._at(self.audit).gone(now, name)
         self._tell("peer died" if died else "peer left", name=name)
@@ -527,7 +533,9 @@
             # Two fronts with one name: the one with the lower life takes nothing new until the other is gone.
             self._displaced = self.members.displaced
             self._hold("name", "another front has this name" if self._displaced else "", _STALE_MS)
-        self._at(self.channels).fronts(now, [self._candidate(now, name) for name in self.members.alive()])
+        self._at(self.channels).update_fronts(
+            now, [self._candidate(now, name) for name in self.members.alive()]
+        )
 
     def _candidate(self, now: float, name: str) -> Candidate:
         if name == self.me.name:  # as others know it, or heirs would not agree on their order
@@ -581,8 +589,8 @@
         session, rules = seeking.request.session, self.rules.lookup
         alive = self.members.alive()
         to = place(
-            rules, me=self.me.name, alive=alive.__contains__, hint=self.channels.whereabouts(now, session),
-            between=self.channels.between(session), registered=registered, lost=lost, asked=asked,
+            rules, me=self.me.name, alive=alive.__contains__, hint=self.channels.likely_owner(now, session),
+            between=self.channels.is_between_owners(session), registered=registered, lost=lost, asked=asked,
         )  # fmt: skip
         if to is None:
             return False
@@ -612,7 +620,7 @@
                 self._carry(now, seeking, answer.why)
                 return
             answer = between_owners(self.rules.lookup, event.number)
-        elif answer.kind == "none" and self.channels.stood(now, seeking.request.session):
+        elif answer.kind == "none" and self.channels.has_recent_replica(now, seeking.request.session):
             # Its front has begun anew since, and knows nothing: an heir is on its way to it.
             answer = between_owners(self.rules.lookup, event.number)
         seeking.then(now, None if answer.kind == "none" else answer)
@@ -628,7 +636,7 @@
 
     def _not_here(self, now: float, carried: Carried, session: str) -> Carried:
         """A request that was carried to this front, which does not hold its session, or no more."""
-        if self.channels.between(session):
+        if self.channels.is_between_owners(session):
             return between_owners(self.rules.lookup, carried.number)
-        hint = self.channels.whereabouts(now, session)
+        hint = self.channels.likely_owner(now, session)
         return carried if hint is None else msgspec.structs.replace(carried, kind="elsewhere", why=hint)
--- a/fernweir/peers/settings.py
+++ b/fernweir/peers/settings.py
@@ -71,9 +71,9 @@
     )
     channel_rules = ChannelManagerRules(
         parts=section.parts if channels else 0,
-        copies=section.standbys,
+        standbys=section.standbys,
         stale_ms=section.lease,
-        patience_ms=section.lease,
+        successor_wait_ms=section.lease,
         replica=replace(ReplicaRules(), drift=section.drift, beat_ms=section.lease / 4.0),
         takeover=TakeoverRules(),
         handoff=replace(HandoffRules(), overlap_ms=section.overlap, drift=section.drift),
--- a/fernweir/rehearsal/fleet/inside.py
+++ b/fernweir/rehearsal/fleet/inside.py
@@ -54,7 +54,9 @@
 
 def _owner(peers: Mapping[str, Peer], session: str, channel: str, front: str) -> list[str]:
     """A session in a channel is its owner's, under the box's eyes, its own, and its registrars'."""
-    owners = [name for name, peer in peers.items() if session in peer.channels.owned().get(channel, {})]
+    owners = [
+        name for name, peer in peers.items() if session in peer.channels.owned_channels().get(channel, {})
+    ]
     if owners != [front]:
         return [f"{session} in {channel} is {front}'s at its box, and held in it by {owners or 'nobody'}"]
     named = {}
@@ -70,15 +72,17 @@
     """Tables that hold what is dead, or never ends."""
     manager, held = peer.channels, front.core.sessions.records()
     wrong = [f"its table of {what} has {one}, which it does not hold" for what, names in (
-        ("channels", manager._channel), ("attempts", manager._placed), ("registered", peer.directory._own),
+        ("channels", manager._channel_by_session), ("attempts", manager._server_by_session),
+        ("registered", peer.directory._own),
     ) for one in names if one not in held]  # fmt: skip
-    for channel, standings in manager.owned().items():
+    for channel, standings in manager.owned_channels().items():
         wrong += [f"{one} stands in {channel}, and is not held" for one in standings if one not in held]
-    mine = [channel for channel in manager.owned() if manager._mine(channel)]
+    mine = [channel for channel in manager.owned_channels() if manager._is_own(channel)]
     if len(mine) != parts:
         wrong.append(f"has {len(mine)} channels of its own, of {parts}")
     for what, table in (
-        ("tries", manager._tries), ("turns", manager._turns), ("undecided channels", manager._new),
+        ("tries", manager._lease_attempts), ("turns", manager._pending_takeovers),
+        ("undecided channels", manager._unsettled),
         ("seeking", peer._seeking), ("carried", peer._carried), ("finds", peer.directory._finds),
         ("questions", peer.audit._asked), ("stale fronts", peer.stragglers.out()),
     ):  # fmt: skip
--- a/fernweir/rehearsal/fleet/virtual.py
+++ b/fernweir/rehearsal/fleet/virtual.py
@@ -170,7 +170,7 @@
         end = self.loop.time() + _OWNING_S
         while self.loop.time() < end:
             peers = [front.peers for front in self.fronts.values() if front.peers is not None]
-            if all(len(one.peer.channels.owned()) >= self.plan.peers.parts for one in peers):
+            if all(len(one.peer.channels.owned_channels()) >= self.plan.peers.parts for one in peers):
                 return
             await asyncio.sleep(0.1)
         self.result.broken.append("liveness: not all fronts own their channels")
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -48,7 +48,7 @@
     facts=FactRules(keys=16, owner_bytes=4_096, owners=32, keep_ms=5_000.0),
     lease=LeaseRules(max_records=64, max_channels=64),
     channels=ChannelManagerRules(
-        parts=2, gone_most=64,
+        parts=2, max_relinquished=64,
         replica=ReplicaRules(copies_most=16, sessions_most=64, bytes_most=65_536, payloads_bytes=65_536,
                              payload_most=16_384, keep_ms=10_000.0),
         handoff=HandoffRules(takes_most=4, sessions_most=64),
--- a/tests/peers_mutants/joint.py
+++ b/tests/peers_mutants/joint.py
@@ -21,11 +21,12 @@
 MUTANTS = [
     Mutant(
         "an attempt leaves without its session being put into a channel", _PEER,
-        "            self._at(self.channels).placed(act.at, act.session, act.box)\n", "", 2,
+        "            self._at(self.channels).on_attempt_started(act.at, act.session, act.box)\n", "", 2,
     ),
     Mutant(
         "a channel that was another's is not replaced by a new one", _CHANNEL_MANAGER,
-        "            self._own_anew(now, cut.part % self.rules.parts, cut.part + self.rules.parts)\n",
+        "            self._request_own_channel"
+        "(now, parsed.part % self.rules.parts, parsed.part + self.rules.parts)\n",
         "            pass\n", 6,
     ),
     Mutant(
@@ -39,7 +40,8 @@
     ),
     Mutant(
         "who hears that another has the lease keeps the sessions", _CHANNEL_MANAGER,
-        "            self._holder.release(now, channel)\n            self._let_go(now, channel, by)\n",
+        "            self._holder.release(now, channel)\n"
+        "            self._relinquish_channel(now, channel, by)\n",
         "            self._holder.release(now, channel)\n", 10,
     ),
     Mutant(
@@ -70,12 +72,12 @@
     ),
     Mutant(
         "standbys are not told of what stands", _CHANNEL_MANAGER,
-        "        self.replica.change(now, channel, standing)\n        self.handoff.change",
+        "        self.replica.change(now, channel, status)\n        self.handoff.change",
         "        self.handoff.change", 8,
     ),
     Mutant(
         "what is over keeps its place in the table of attempts", _CHANNEL_MANAGER,
-        "        self._placed.pop(session, None)\n", "", 1,
+        "        self._server_by_session.pop(session, None)\n", "", 1,
     ),
     Mutant(
         "requests that were answered by another front are kept", _PEER,
--- a/tests/test_peers_fleet.py
+++ b/tests/test_peers_fleet.py
@@ -43,7 +43,7 @@
         seeds.append(f"{host}:{port}")
     peers = [front.peers for front in scene.fronts if front.peers is not None]
     await until(lambda: all(len(one.peer.members.alive()) == count for one in peers))
-    await until(lambda: all(len(one.peer.channels.owned()) >= 2 for one in peers))
+    await until(lambda: all(len(one.peer.channels.owned_channels()) >= 2 for one in peers))
     return peers
 
 
@@ -161,7 +161,7 @@
         scene.fronts[2] = front
         again = front.peers
         assert again is not None and again.peer.me.life < life
-        await until(lambda: len(again.peer.channels.owned()) >= 2)
+        await until(lambda: len(again.peer.channels.owned_channels()) >= 2)
         assert again.peer.me.life > life
         await until(lambda: all(one.peer.members.life("front-2") > life for one in peers[:2]))
 
@@ -248,7 +248,7 @@
         assert (await scene.request_session(wish, front=0)).status == 503
         assert scene.records_of("box.setup")  # it was tried, in a channel of this front's
         peer = peers[0].peer
-        assert not peer.channels.in_channel(wish.session)
+        assert not peer.channels.is_in_channel(wish.session)
         peer.directory.find(scene.fronts[0].core.now(), wish.session)
         told = [effect for effect in peer.directory.take_effects() if isinstance(effect, Found)]
         assert not any(found.owner == "front-0" for found in told)
@@ -261,7 +261,7 @@
         peers = await fleet(scene, 4)
         wish = scene.wish(play_s=60.0)
         assert (await scene.request_session(wish, front=0)).status == 200
-        held = {one.peer.me.name: set(one.peer.channels.owned()) for one in peers[:3]}
+        held = {one.peer.me.name: set(one.peer.channels.owned_channels()) for one in peers[:3]}
         scene.trace.write("front.down", front="front-3")
         assert await scene.fronts[3].stop(10.0)
         keepers = "keepers = front-0, front-1, front-2"
@@ -273,8 +273,8 @@
         new = KeeperSet(2, ("front-1", "front-2", "front-3"))
         await until(lambda: all(one.peer.keeper_sets.sets == (new,) for one in fronts), 60.0)
         # Nobody lost a lease by it, and the new ones grant alone: two of them, without the old.
-        assert all(held[one.peer.me.name] <= set(one.peer.channels.owned()) for one in peers[:3])
-        await until(lambda: len(fronts[3].peer.channels.owned()) >= 2)
+        assert all(held[one.peer.me.name] <= set(one.peer.channels.owned_channels()) for one in peers[:3])
+        await until(lambda: len(fronts[3].peer.channels.owned_channels()) >= 2)
         scene.trace.write("front.down", front="front-0")
         scene.fronts[0].kill()
         hosts = [one.core.sessions for one in scene.fronts[1:]]
@@ -297,7 +297,7 @@
             assert front.peers is not None
             again.append(front.peers)
             await until(lambda: "front-2" in peers[0].peer.members.alive())
-            await until(lambda: len(again[-1].peer.channels.owned()) >= 2)
+            await until(lambda: len(again[-1].peer.channels.owned_channels()) >= 2)
             if turn == 0:
                 scene.trace.write("front.up", front="front-2")
                 wish = scene.wish(play_s=60.0)
