--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -106,7 +106,7 @@
         """Ends at once: connections are aborted, and nothing more is sent."""
         self.list_follower.stop()
         if self.peers is not None:
-            self.peers.cut()
+            self.peers.abort()
         if self.control is not None:
             self.control.stop()
         if self.introspection is not None:
--- a/fernweir/peers/audit_recorder.py
+++ b/fernweir/peers/audit_recorder.py
@@ -1,7 +1,7 @@
-"""The record of a front among its peers: its acts with the versions they rested on, copies, and questions.
+"""The audit log of a front: its records with the versions they were based on, its replicas, and queries.
 
-Joins the parts of `acts`: what is added to the chain, who holds copies, what heads are spread. Nothing is
-decided here.
+Connects the parts of `fernweir.peers.acts`: the chain of blocks, their replicas at peers, and the published
+heads. The decisions are made in those parts.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 from fernweir.peers.base import Effect, Event, Message, Outbox
 from fernweir.peers.port import AuditRecord
 
-Trouble = Missing | Shortened | Tampered
+Fault = Missing | Shortened | Tampered
 
 
 @dataclass(frozen=True, slots=True)
-class Rested(Event):
-    """An act of a peer, at most so old, rested on these versions."""
+class VersionsObserved(Event):
+    """The versions on which an audit record of a peer was based; `age_ms` is its maximum age."""
 
     owner: str
     versions: Versions
@@ -40,9 +40,9 @@
 
 
 class AuditRecorder:
-    """`wall_ms` gives how far the wall clock is ahead of `now`.
+    """Maintains the audit log. `wall_ms` returns the offset of the wall clock from `now`.
 
-    Events: `Missing`, `Shortened`, `Tampered`; `Rested` for each block of another that is kept.
+    Events: `Missing`, `Shortened`, `Tampered`; `VersionsObserved` for each stored block of a peer.
     """
 
     def __init__(
@@ -57,47 +57,54 @@
         self.copies = Copies(me, life, rules, self.chain, self.store)
         self.clocks = Clocks(me, life, rules, seed)
         self.questions = Questions(me, life, rules, seed, self.copies, self.clocks)
-        self._asked: dict[int, Callable[[Answer], None]] = {}
-        self._head = b""
-        self.copies.on_kept = self._kept
+        self._pending_queries: dict[int, Callable[[Answer], None]] = {}
+        self._published_head = b""
+        self.copies.on_kept = self._on_block_stored
 
     def add(self, act: AuditRecord) -> None:
+        """Adds a record to the audit log of this front."""
         self.chain.add(act, self.versions)
 
-    def list_told(self, rows: Sequence[tuple[int, Any]], told_at: float) -> None:
-        """The list of boxes has this content from now on."""
+    def on_endpoint_list(self, rows: Sequence[tuple[int, Any]], told_at: float) -> None:
+        """Records the new content of the endpoint list in the versions."""
         self.versions = replace(self.versions, boxes=boxes_digest(rows), boxes_told_at=max(int(told_at), 0))
 
-    def members(self, now: float, lives: Mapping[str, int]) -> None:
+    def update_members(self, now: float, lives: Mapping[str, int]) -> None:
+        """Sets the live fronts with their incarnations."""
         self.copies.members(now, lives)
         self.clocks.peers(now, lives)
 
-    def gone(self, now: float, name: str) -> None:
+    def on_front_gone(self, now: float, name: str) -> None:
+        """Ends the requests to a front that is gone."""
         self.questions.gone(now, name)
 
-    def ask(
+    def query(
         self, now: float, question: Question, fronts: Mapping[str, int], then: Callable[[Answer], None],
         planned: Mapping[tuple[str, int], tuple[float, float]] | None, budget: Budget,
         known: Collection[tuple[str, int]],
     ) -> bool:  # fmt: skip
-        """`then` is called once, at the question's deadline at the latest. False if too many run."""
+        """Queries the audit logs of the fronts. Returns False if too many queries are running.
+
+        `then` is called once, at the deadline of the query at the latest.
+        """
         number = self.questions.ask(now, question, fronts, self._wall_ms(), planned, budget, known)
         if number is not None:
-            self._asked[number] = then
+            self._pending_queries[number] = then
         return number is not None
 
-    def new_head(self, now: float) -> bytes | None:
-        """What is to be spread of the chain's end, if that has changed."""
-        if (self.chain.digest, self.chain.final) == (self._head, False):
+    def take_changed_head(self, now: float) -> bytes | None:
+        """Returns the head of the audit log for publication, or None if it has not changed."""
+        if (self.chain.digest, self.chain.final) == (self._published_head, False):
             return None
-        self._head = self.chain.digest
+        self._published_head = self.chain.digest
         return self.copies.head(now)
 
-    def heard_head(self, now: float, owner: str, life: int, data: bytes) -> None:
+    def on_head(self, now: float, owner: str, life: int, data: bytes) -> None:
+        """Handles the published head of the audit log of a peer."""
         self.copies.heard_head(now, owner, life, data)
 
     def close(self, now: float) -> None:
-        """The front ends in order: its last block says so."""
+        """Completes the audit log with a block that is marked as final."""
         self.copies.flush(now, final=True)
 
     # --- base.Part ---
@@ -111,7 +118,7 @@
             self.questions.on_message(now, sender, message)
 
     def tick(self, now: float) -> None:
-        self.chain.wall(now, round(self._wall_ms()), _WALL_DOUBT_MS)
+        self.chain.wall(now, round(self._wall_ms()), _WALL_READING_ERROR_MS)
         self.copies.tick(now)
         self.clocks.tick(now)
         self.questions.tick(now)
@@ -128,16 +135,16 @@
             + self._out.take_effects()
         )
         for effect in effects:
-            if isinstance(effect, Answered) and effect.id in self._asked:
-                self._asked.pop(effect.id)(effect.answer)
+            if isinstance(effect, Answered) and effect.id in self._pending_queries:
+                self._pending_queries.pop(effect.id)(effect.answer)
         return [effect for effect in effects if not isinstance(effect, Answered)]
 
-    def _kept(self, now: float, sealed: Sealed) -> None:
-        """What the newest act of a block rested on; as old as the clocks can prove at the least."""
+    def _on_block_stored(self, now: float, sealed: Sealed) -> None:
+        """Reports the versions of the newest record in a block, with its maximum age by the clocks."""
         block = sealed.block
         if block.bases:
             when = self.clocks.own(block.front, block.life, block.until)
-            self._out.add(Rested(block.front, block.versions[block.bases[-1]], now - when.earliest))
+            self._out.add(VersionsObserved(block.front, block.versions[block.bases[-1]], now - when.earliest))
 
 
-_WALL_DOUBT_MS = 1.0  # between two readings of the clocks; what the wall clock is worth is not known here
+_WALL_READING_ERROR_MS = 1.0  # between two readings of the clocks, without the error of the wall clock itself
--- a/fernweir/peers/forward/__init__.py
+++ b/fernweir/peers/forward/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that came to a front whose session is another's, carried there and answered through here."""
+"""Forwarding of requests to the front that owns their session."""
--- a/fernweir/peers/forward/forwarder.py
+++ b/fernweir/peers/forward/forwarder.py
@@ -1,7 +1,7 @@
-"""Both ends of a carried request: each gets one answer at the front it came to, or none in its time.
+"""Both ends of a forwarded request, which ends once: with a reply or with a timeout.
 
-A pure machine. A request that is sent twice is carried out once; one whose owner says nothing is given up
-when its time is over, and never asked elsewhere: it may have been carried out.
+A pure state machine. A duplicate request is executed once. A request without a reply ends with its timeout
+and is not sent to another front, because it may have been executed.
 """
 
 from __future__ import annotations
@@ -16,24 +16,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardRules:
-    """Times in ms. `spare` is kept of a viewer's wait for the way back; tables hold `most` requests each."""
+    """The settings of a forwarder. Times are in ms.
 
-    spare: float = 30.0
-    most: int = 4_096
-    least_wait: float = 20.0
+    `reply_margin_ms` of the wait of a viewer is reserved for the way back. The tables of sent and received
+    requests hold `max_requests` each.
+    """
+
+    reply_margin_ms: float = 30.0
+    max_requests: int = 4_096
+    min_wait_ms: float = 20.0
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted(Event):
-    """A request to be carried out here; its end goes to `answer` under this sender and number."""
+class RequestReceived(Event):
+    """A request to execute here; its reply goes to `send_reply` with this sender and its number."""
 
     sender: str
     request: Carry
 
 
 @dataclass(frozen=True, slots=True)
-class Answered(Event):
-    """The end of a request made here; None if the other front said nothing in time, or is gone."""
+class RequestEnded(Event):
+    """The end of a request of this front; `answer` is None after a timeout, or if the other front is gone."""
 
     number: int
     answer: Carried | None
@@ -46,80 +50,84 @@
 
 
 class Forwarder:
-    """`ask` and `answer` are called by whoever joins it to a front. Times are ms."""
+    """Sends requests to other fronts, and receives theirs. Times are in ms."""
 
     def __init__(self, rules: ForwardRules | None = None) -> None:
         self.rules = rules or ForwardRules()
-        self.turned_down = 0
-        self._out: dict[int, _Out] = {}
-        self._due: list[tuple[float, int]] = []
-        self._in: OrderedDict[tuple[str, int], Carried | None] = OrderedDict()
-        self._next = 1
-        self._box = Outbox()
+        self.rejected_count = 0
+        self._sent: dict[int, _Out] = {}
+        self._deadlines: list[tuple[float, int]] = []
+        self._received: OrderedDict[tuple[str, int], Carried | None] = OrderedDict()
+        self._next_number = 1
+        self._effects = Outbox()
 
     def __len__(self) -> int:
-        return len(self._out)
-
-    def number(self) -> int:
-        """For the next request; numbers are this front's own, and the other end knows them by its name."""
-        self._next += 1
-        return self._next - 1
-
-    def ask(self, now: float, to: str, request: Carry) -> bool:
-        """Carries a request to its session's owner. False if too many are out, or its time is too short."""
-        wait = request.wait_ms - self.rules.spare
-        if len(self._out) >= self.rules.most or wait < self.rules.least_wait:
-            self.turned_down += 1
+        """Returns the number of requests in flight."""
+        return len(self._sent)
+
+    def next_number(self) -> int:
+        """Returns a new request number, which is unique for this front."""
+        self._next_number += 1
+        return self._next_number - 1
+
+    def send_request(self, now: float, to: str, request: Carry) -> bool:
+        """Sends a request to the owner of its session.
+
+        Returns False if too many requests are in flight, or if the wait of the viewer is too short.
+        """
+        wait = request.wait_ms - self.rules.reply_margin_ms
+        if len(self._sent) >= self.rules.max_requests or wait < self.rules.min_wait_ms:
+            self.rejected_count += 1
             return False
-        self._out[request.number] = _Out(to, now + wait)
-        heapq.heappush(self._due, (now + wait, request.number))
-        self._box.add(Send(to, request, reliable=True))
+        self._sent[request.number] = _Out(to, now + wait)
+        heapq.heappush(self._deadlines, (now + wait, request.number))
+        self._effects.add(Send(to, request, reliable=True))
         return True
 
-    def answer(self, now: float, sender: str, number: int, answer: Carried) -> None:
-        """The end of a request that was carried out here; a second one changes nothing."""
-        if self._in.get((sender, number), answer) is None:
-            self._in[sender, number] = answer
-            self._box.add(Send(sender, answer, reliable=True))
+    def send_reply(self, now: float, sender: str, number: int, answer: Carried) -> None:
+        """Sends the reply to a request that was executed here; a second reply is ignored."""
+        if self._received.get((sender, number), answer) is None:
+            self._received[sender, number] = answer
+            self._effects.add(Send(sender, answer, reliable=True))
 
-    def gone(self, now: float, name: str) -> None:
-        """A front is dead: what it was asked has no answer, and what it asked needs none."""
-        for number in [number for number, out in self._out.items() if out.to == name]:
-            del self._out[number]
-            self._box.add(Answered(number, None))
-        for key in [key for key in self._in if key[0] == name]:
-            del self._in[key]
+    def on_front_gone(self, now: float, name: str) -> None:
+        """Ends the requests to a dead front, and removes the requests from it."""
+        for number in [number for number, out in self._sent.items() if out.to == name]:
+            del self._sent[number]
+            self._effects.add(RequestEnded(number, None))
+        for key in [key for key in self._received if key[0] == name]:
+            del self._received[key]
 
     # --- base.Part ---
 
     def on_message(self, now: float, sender: str, message: Message) -> None:
         if isinstance(message, Carry):
             key = (sender, message.number)
-            if key in self._in:
-                done = self._in[key]
+            if key in self._received:
+                done = self._received[key]
                 if done is not None:
-                    self._box.add(Send(sender, done, reliable=True))
+                    self._effects.add(Send(sender, done, reliable=True))
                 return
-            self._in[key] = None
-            if len(self._in) > self.rules.most:
-                self._in.popitem(last=False)
-            self._box.add(Wanted(sender, message))
+            self._received[key] = None
+            if len(self._received) > self.rules.max_requests:
+                self._received.popitem(last=False)
+            self._effects.add(RequestReceived(sender, message))
         elif isinstance(message, Carried):
-            out = self._out.get(message.number)
+            out = self._sent.get(message.number)
             if out is not None and out.to == sender:
-                del self._out[message.number]
-                self._box.add(Answered(message.number, message))
+                del self._sent[message.number]
+                self._effects.add(RequestEnded(message.number, message))
 
     def tick(self, now: float) -> None:
-        while self._due and (self._due[0][0] <= now or self._due[0][1] not in self._out):
-            _, number = heapq.heappop(self._due)
-            if self._out.pop(number, None) is not None:
-                self._box.add(Answered(number, None))
+        while self._deadlines and (self._deadlines[0][0] <= now or self._deadlines[0][1] not in self._sent):
+            _, number = heapq.heappop(self._deadlines)
+            if self._sent.pop(number, None) is not None:
+                self._effects.add(RequestEnded(number, None))
 
     def next_deadline(self) -> float | None:
-        while self._due and self._due[0][1] not in self._out:
-            heapq.heappop(self._due)
-        return self._due[0][0] if self._due else None
+        while self._deadlines and self._deadlines[0][1] not in self._sent:
+            heapq.heappop(self._deadlines)
+        return self._deadlines[0][0] if self._deadlines else None
 
     def take_effects(self) -> list[Effect]:
-        return self._box.take_effects()
+        return self._effects.take_effects()
--- a/fernweir/peers/forward/messages.py
+++ b/fernweir/peers/forward/messages.py
@@ -1,4 +1,4 @@
-"""What passes between the front a viewer came to and the one that owns its session."""
+"""Messages between the front that received a request and the front that owns its session."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 class Carry(Message, frozen=True, tag="carry"):
-    """A viewer's request. `what` is `ask`, `look` (does it play?) or `end`; `wait_ms` from the sending on."""
+    """A forwarded request of a viewer.
+
+    `what` is `ask`, `look` (whether the session plays) or `end`. `wait_ms` counts from the time it is sent.
+    """
 
     number: Number
     what: Annotated[str, Meta(pattern="^(ask|look|end)$")]
@@ -30,10 +33,11 @@
 
 
 class Carried(Message, frozen=True, tag="carried"):
-    """Its answer. `kind` is one of the host's kinds of answers; `done` for `look` and `end`; `none` where the
-    session is not held there, and `elsewhere` where it was, and `why` names the front that has it since.
+    """The reply to a forwarded request.
 
-    `data` is what the viewer is answered from, left out where `digest` alone will do.
+    `kind` is that of a session reply, or `done` for `look` and `end`, `none` if the front does not have the
+    session, or `elsewhere` if it had it and the front named in `why` has it now. `data` is the payload that
+    the reply to the viewer is built from; it is omitted if `digest` is sufficient.
     """
 
     number: Number
--- a/fernweir/peers/keeper_reconfiguration.py
+++ b/fernweir/peers/keeper_reconfiguration.py
@@ -1,8 +1,8 @@
-"""Which keepers are in force, and how others come in their place while leases are held.
+"""Replaces the set of keepers while leases are held.
 
-The newest set that any front has in its settings is spread as a fact. From when a front hears of it, the set
-before and the new one are both in force for it, a majority of each; keepers of the new set say when they
-know all that the old one may have granted, and once a majority of them has, the new one stands alone.
+The newest set in the settings of any front is published as a fact. A front that receives it uses the previous
+and the new set together, and needs a majority of each. Each keeper of the new set publishes when it has every
+lease that the previous set may have granted. When a majority of them has, the new set is used alone.
 """
 
 from __future__ import annotations
@@ -26,56 +26,58 @@
 
 
 class KeeperReconfiguration:
-    """`now` is ms; `look` is called every now and then."""
+    """Tracks the sets of keepers in use. `now` is in ms; `update` has to be called periodically."""
 
     def __init__(self, me: str, facts: Facts, holder: Holder, keeper: Keeper, first: KeeperSet) -> None:
         self.me = me
         self.sets: tuple[KeeperSet, ...] = (first,)
         self._facts, self._holder, self._keeper = facts, holder, keeper
-        self._taken = True  # by this front's own keeper
+        self._is_applied = True  # to the keeper of this front
         self._settled: dict[str, int] = {}
 
     @property
     def names(self) -> tuple[str, ...]:
-        """Keepers of the newest set."""
+        """The keepers of the newest set."""
         return self.sets[-1].names
 
     def start(self, now: float) -> None:
-        self._say(now)
+        """Publishes the set from the settings."""
+        self._publish(now)
 
-    def told(self, now: float, owner: str, key: str, value: bytes) -> bool:
-        """A peer's fact; whether a newer set came by it. What can't be one is passed over."""
+    def on_fact(self, now: float, owner: str, key: str, value: bytes) -> bool:
+        """Handles a fact of a peer, and returns whether it has a newer set. A malformed fact is discarded."""
         try:
             if key == SETTLED:
                 if len(self._settled) < 64 or owner in self._settled:
                     self._settled[owner] = msgspec.msgpack.decode(value, type=int)
                 return False
-            told = msgspec.msgpack.decode(value, type=_Set)
-            found = KeeperSet(told.version, told.names)
+            decoded = msgspec.msgpack.decode(value, type=_Set)
+            received = KeeperSet(decoded.version, decoded.names)
         except (msgspec.DecodeError, ValueError):
             return False
-        if found.version <= self.sets[-1].version:
+        if received.version <= self.sets[-1].version:
             return False
-        self.sets, self._taken = (self.sets[-1], found), False
-        self._say(now)
-        self.look(now)
+        self.sets, self._is_applied = (self.sets[-1], received), False
+        self._publish(now)
+        self.update(now)
         return True
 
-    def look(self, now: float) -> None:
+    def update(self, now: float) -> None:
+        """Applies the sets in use, and ends the transition once the new set has settled."""
         self._holder.change_keepers(now, self.sets)
-        self._taken = self._taken or self._keeper.change_keepers(now, self.sets)
+        self._is_applied = self._is_applied or self._keeper.change_keepers(now, self.sets)
         newest = self.sets[-1]
-        if len(self.sets) < 2 or not self._taken:
+        if len(self.sets) < 2 or not self._is_applied:
             return
-        said = self._settled.get(self.me) == newest.version
-        if self.me in newest.names and not said and self._keeper.has_settled(now):
+        is_published = self._settled.get(self.me) == newest.version
+        if self.me in newest.names and not is_published and self._keeper.has_settled(now):
             self._settled[self.me] = newest.version
             self._facts.put(now, SETTLED, msgspec.msgpack.encode(newest.version))
-        ready = sum(self._settled.get(name) == newest.version for name in newest.names)
-        if ready >= newest.majority:
-            self.sets, self._taken = (newest,), False
-            self.look(now)
+        settled_count = sum(self._settled.get(name) == newest.version for name in newest.names)
+        if settled_count >= newest.majority:
+            self.sets, self._is_applied = (newest,), False
+            self.update(now)
 
-    def _say(self, now: float) -> None:
+    def _publish(self, now: float) -> None:
         newest = self.sets[-1]
         self._facts.put(now, KEEPERS, msgspec.msgpack.encode(_Set(newest.version, newest.names)))
--- a/fernweir/peers/order_estimation.py
+++ b/fernweir/peers/order_estimation.py
@@ -1,8 +1,9 @@
-"""What an order would touch, told before it is given: loads of fronts joined to estimates of orders.
+"""Estimates the impact of an order of an operator before it is given.
 
-Each front says by box and channel what stands there. An order of an operator (drain a rack, raise the least
-epoch of settings, restart a front, move channels) is weighed on that, with the age of what it rests on, and
-its first wave is named where it is over a limit. Nothing is carried out here.
+Each front publishes its sessions by server and channel. The impact of an order (drain a rack, raise the
+minimum epoch of the settings, restart a front, move channels) is estimated from that, with the age of the
+data. If the impact exceeds a limit, the estimate contains the first wave of the order. No order is executed
+here.
 """
 
 from __future__ import annotations
@@ -31,9 +32,9 @@
 from fernweir.peers.port import Port, SessionStatus
 
 TALLY = "tally"
-_SAY_MS = 10_000.0
-_FEW = 3
-_MOST_FRONTS = 1_024
+_PUBLISH_INTERVAL_MS = 10_000.0
+_MAX_UNPUBLISHED_CHANGE = 3
+_MAX_FRONTS = 1_024
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=256)]
 Names = Annotated[tuple[Name, ...], msgspec.Meta(min_length=1, max_length=4_096)]
 Over = Annotated[float, msgspec.Meta(gt=0.0, le=86_400_000.0)]
@@ -41,7 +42,7 @@
 
 
 class Limit(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What one wave may do at its upper bound; `uplink` and `ration` are shares."""
+    """The limits for the upper bounds of one wave; `uplink` and `ration` are ratios."""
 
     sessions: Most = 1e9
     setups_s: Most = 1e9
@@ -72,97 +73,100 @@
 
 
 class OrderEstimator:
-    """`now` is ms. `told` takes the facts `tally` of others, `say` gives the own one when it is time."""
+    """Estimates orders from the published loads of all fronts. `now` is in ms."""
 
     def __init__(self, me: str, life: int, port: Port, now: float) -> None:
         self.me, self.life = me, life
         self._port = port
-        self._terms = port.limits()
+        self._limits = port.limits()
         self._channels: dict[str, str] = {}
         self._tally = Tally(
             me,
             life,
             lambda session: self._channels.get(session, ""),
-            self._terms.rung_kbps,
+            self._limits.rung_kbps,
             ShardRules(),
             now,
         )
         self._loads: dict[str, tuple[FrontLoad, float]] = {}
-        self._say_at = now
-        self._said, self._said_sessions = b"", 0
+        self._publish_at = now
+        self._published, self._published_sessions = b"", 0
 
-    def stands(self, now: float, standing: SessionStatus, channel: str) -> None:
+    def on_session_status(self, now: float, standing: SessionStatus, channel: str) -> None:
+        """Adds a playing session to the load of this front."""
         self._channels[standing.session] = channel
         self._tally.stands(now, standing)
 
-    def over(self, now: float, session: str) -> None:
+    def on_session_ended(self, now: float, session: str) -> None:
+        """Removes an ended session from the load of this front."""
         self._tally.over(now, session)
         self._channels.pop(session, None)
 
-    def say(self, now: float, epoch: int) -> bytes | None:
-        """The fact that is to be put; None if it is not time, or nothing changed."""
-        # What others take for growth allows for a few sessions at any rate; more than that is news.
-        grown = abs(len(self._channels) - self._said_sessions) > _FEW
-        if now < self._say_at and not grown:
+    def publish(self, now: float, epoch: int) -> bytes | None:
+        """Returns the load of this front for publication; None if it is not time, or nothing changed."""
+        # The estimates of peers allow for growth by a few sessions; a larger change is published at once.
+        has_changed = abs(len(self._channels) - self._published_sessions) > _MAX_UNPUBLISHED_CHANGE
+        if now < self._publish_at and not has_changed:
             return None
-        self._say_at, self._said_sessions = now + _SAY_MS, len(self._channels)
-        data = self._tally.load(now, epoch, self._terms.budget_free)
+        self._publish_at, self._published_sessions = now + _PUBLISH_INTERVAL_MS, len(self._channels)
+        data = self._tally.load(now, epoch, self._limits.budget_free)
         self._loads[self.me] = (read_load(self.me, self.life, data, 0.0), now)
-        if data == self._said:
+        if data == self._published:
             return None
-        self._said = data
+        self._published = data
         return data
 
-    def told(self, now: float, owner: str, life: int, data: bytes) -> None:
-        """A peer's load; what can't be one is passed over."""
-        if len(self._loads) >= _MOST_FRONTS and owner not in self._loads:
+    def on_load(self, now: float, owner: str, life: int, data: bytes) -> None:
+        """Stores the load of a peer; a malformed load is discarded."""
+        if len(self._loads) >= _MAX_FRONTS and owner not in self._loads:
             return
         try:
             self._loads[owner] = (read_load(owner, life, data, 0.0), now)
         except (ValueError, msgspec.DecodeError):
             self._loads.pop(owner, None)
 
-    def gone(self, owner: str) -> None:
+    def on_front_gone(self, owner: str) -> None:
+        """Removes the load of a peer that is gone."""
         self._loads.pop(owner, None)
 
-    def ask(self, now: float, plain: Mapping[str, Any], fronts: Mapping[str, int]) -> dict[str, Any]:
-        """The estimate of an order, and its first wave, as JSON has them; or what is wrong with it."""
+    def estimate(self, now: float, plain: Mapping[str, Any], fronts: Mapping[str, int]) -> dict[str, Any]:
+        """Returns the estimate of an order and its first wave as JSON data, or the error in the order."""
         try:
             asked = msgspec.convert(dict(plain), _Drain | _Raise | _Restart | _Move)
         except msgspec.ValidationError as error:
             return {"ok": False, "error": str(error)}
-        order, fleet = _order(asked), self._fleet(now, fronts)
-        told = weigh(order, fleet, OrderRules())
+        order, fleet = _order(asked), self._fleet_view(now, fronts)
+        impact = weigh(order, fleet, OrderRules())
         limit = asked.limit
         rules = WaveRules(Cost(limit.sessions, limit.setups_s, limit.ration, limit.uplink), small=1.0)
         waves = in_waves(order, lambda: fleet, OrderRules(), rules)
         wave = waves.next(now)
         return {
-            "sessions": _plain(told.sessions), "channels": _plain(told.channels),
-            "fronts": _plain(told.fronts), "setups_s": _plain(told.setups_s),
-            "uplinks_kbps": {rack: _plain(bound) for rack, bound in told.uplinks},
-            "ration": _plain(told.ration), "state_bytes": _plain(told.state),
-            "age_ms": round(told.age_ms, 1), "missing": list(told.missing),
+            "sessions": _plain(impact.sessions), "channels": _plain(impact.channels),
+            "fronts": _plain(impact.fronts), "setups_s": _plain(impact.setups_s),
+            "uplinks_kbps": {rack: _plain(bound) for rack, bound in impact.uplinks},
+            "ration": _plain(impact.ration), "state_bytes": _plain(impact.state),
+            "age_ms": round(impact.age_ms, 1), "missing": list(impact.missing),
             "first_wave": list(wave.units) if wave is not None else [], "left": waves.left, "why": waves.why,
         }  # fmt: skip
 
-    def _fleet(self, now: float, fronts: Mapping[str, int]) -> FleetView:
+    def _fleet_view(self, now: float, fronts: Mapping[str, int]) -> FleetView:
         loads = [
-            replace(load, age_ms=load.age_ms + max(now - heard, 0.0))
-            for name, (load, heard) in self._loads.items()
+            replace(load, age_ms=load.age_ms + max(now - received_at, 0.0))
+            for name, (load, received_at) in self._loads.items()
             if name in fronts
         ]
-        drawn: dict[int, float] = {}
+        load_kbps: dict[int, float] = {}
         for load in loads:
             for box in load.boxes:
-                drawn[box.box] = drawn.get(box.box, 0.0) + box.kbps
+                load_kbps[box.box] = load_kbps.get(box.box, 0.0) + box.kbps
         racks = tuple(
-            RackView(rack, boxes, uplink, sum(drawn.get(box, 0.0) for box in boxes))
+            RackView(rack, boxes, uplink, sum(load_kbps.get(box, 0.0) for box in boxes))
             for rack, boxes, uplink in self._port.racks()
         )
-        terms = self._terms
-        ration = Ration(terms.budget_span_ms, terms.budget_free, terms.budget_share)
-        return FleetView(tuple(loads), racks, ration, tuple(fronts), max(terms.rung_kbps, default=1_000.0))
+        limits = self._limits
+        ration = Ration(limits.budget_span_ms, limits.budget_free, limits.budget_share)
+        return FleetView(tuple(loads), racks, ration, tuple(fronts), max(limits.rung_kbps, default=1_000.0))
 
 
 def _order(asked: _Drain | _Raise | _Restart | _Move) -> Order:
--- a/fernweir/peers/parts.py
+++ b/fernweir/peers/parts.py
@@ -1,8 +1,8 @@
-"""The parts of one front's peers, with what is known of each: when it is due, if it may give effects.
+"""Tracks which parts of a peer may have effects, and caches their deadlines.
 
-Most messages are for one part. The others are neither asked again when they are due nor for effects: they
-are where they were. So whatever is done to a part is done through `at`, and reading is all that may be done
-without it. One that was touched for nothing costs a look; one that was changed untouched comes late.
+Most messages concern one part. The deadlines and effects of the others are not read again, because they did
+not change. Every call that may change a part must therefore go through `touch`; only reads may bypass it. An
+unnecessary touch costs one check, but a change without a touch delays the timers and effects of the part.
 """
 
 from __future__ import annotations
@@ -16,56 +16,62 @@
 
 
 class Parts:
-    """`moves` names the parts that a part itself acts on, beside those in `parts` order."""
+    """The parts in the order in which they run.
 
-    def __init__(self, parts: Sequence[Part], moves: Mapping[Part, Sequence[Part]]) -> None:
+    `touched_with` has for a part the other parts that it calls itself.
+    """
+
+    def __init__(self, parts: Sequence[Part], touched_with: Mapping[Part, Sequence[Part]]) -> None:
         self._all = tuple(parts)
-        self._moves = {part: (part, *moves.get(part, ())) for part in parts}
-        self._dues: dict[Part, float] = {}
-        self._moved = set(parts)  # when they are due may have changed
-        self._giving = set(parts)  # they may have effects
-        self._first: float | None = None
-
-    def at(self, part: _P) -> _P:
-        """That part, to do something to it."""
-        moves = self._moves[part]
-        self._moved.update(moves)
-        self._giving.update(moves)
+        self._touched_with = {part: (part, *touched_with.get(part, ())) for part in parts}
+        self._deadlines: dict[Part, float] = {}
+        self._timer_changed = set(parts)  # their deadlines may have changed
+        self._may_have_effects = set(parts)
+        self._first_deadline: float | None = None
+
+    def touch(self, part: _P) -> _P:
+        """Returns the part for a call that may change it."""
+        touched_with = self._touched_with[part]
+        self._timer_changed.update(touched_with)
+        self._may_have_effects.update(touched_with)
         return part
 
     @property
-    def giving(self) -> bool:
-        return bool(self._giving)
+    def has_effects(self) -> bool:
+        """Whether any part may have effects."""
+        return bool(self._may_have_effects)
 
-    def gives(self, part: Part) -> bool:
-        return part in self._giving
+    def may_have_effects(self, part: Part) -> bool:
+        """Whether the part may have effects."""
+        return part in self._may_have_effects
 
     def tick(self, now: float) -> None:
-        """Ticks each part that is due."""
+        """Calls `tick` of each part whose deadline has passed."""
         for part in self._all:
-            due = self._due(part) if part in self._moved else self._dues.get(part)
+            due = self._update_deadline(part) if part in self._timer_changed else self._deadlines.get(part)
             if due is not None and due <= now:
-                self.at(part).tick(now)
+                self.touch(part).tick(now)
 
     def next_deadline(self) -> float | None:
-        if self._moved:
-            for part in tuple(self._moved):
-                self._due(part)
-            self._first = min(self._dues.values(), default=None)
-        return self._first
+        """Returns the earliest deadline of all parts."""
+        if self._timer_changed:
+            for part in tuple(self._timer_changed):
+                self._update_deadline(part)
+            self._first_deadline = min(self._deadlines.values(), default=None)
+        return self._first_deadline
 
     def take_effects(self) -> list[Effect]:
-        """All effects of the parts, in their order."""
-        if not self._giving:
+        """Returns all effects of the parts, in the order of the parts, and removes them."""
+        if not self._may_have_effects:
             return []
-        giving, self._giving = self._giving, set()
-        return [effect for part in self._all if part in giving for effect in part.take_effects()]
+        pending, self._may_have_effects = self._may_have_effects, set()
+        return [effect for part in self._all if part in pending for effect in part.take_effects()]
 
-    def _due(self, part: Part) -> float | None:
-        self._moved.discard(part)
+    def _update_deadline(self, part: Part) -> float | None:
+        self._timer_changed.discard(part)
         due = part.next_deadline()
         if due is None:
-            self._dues.pop(part, None)
+            self._deadlines.pop(part, None)
         else:
-            self._dues[part] = due
+            self._deadlines[part] = due
         return due
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -1,8 +1,7 @@
-"""One front among its peers: joins the parts, and is itself a state machine without I/O or clock.
+"""Connects the parts of a peer: a state machine without I/O or clock.
 
-Messages go to the part whose kind they are, events from one part to those that need them. What is decided
-is decided in the parts; what is done to the front goes through its port. `take_effects`
-gives what is to be sent.
+A message is passed to the part that handles its type, and an event of one part to the parts that need it. The
+parts make the decisions, and act on the front through its port. `take_effects` returns the messages to send.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
 from fernweir.peers.acts.rules import ActRules
 from fernweir.peers.acts.store import Store
 from fernweir.peers.acts.versions import Versions
-from fernweir.peers.audit_recorder import AuditRecorder, Rested, Trouble
+from fernweir.peers.audit_recorder import AuditRecorder, Fault, VersionsObserved
 from fernweir.peers.base import Address, Effect, Event, Message, Part, Send
 from fernweir.peers.channel.directory import Directory, Found
 from fernweir.peers.channel.heirs import Candidate
@@ -41,7 +40,7 @@
 from fernweir.peers.facts.table import Changed as FactChanged
 from fernweir.peers.facts.table import Dropped as FactDropped
 from fernweir.peers.facts.table import Gone as FactsGone
-from fernweir.peers.forward.forwarder import Answered, Forwarder, ForwardRules, Wanted
+from fernweir.peers.forward.forwarder import Forwarder, ForwardRules, RequestEnded, RequestReceived
 from fernweir.peers.forward.messages import KINDS as FORWARD_KINDS
 from fernweir.peers.forward.messages import Carried, Carry
 from fernweir.peers.keeper_reconfiguration import KEEPERS, SETTLED, KeeperReconfiguration
@@ -60,26 +59,41 @@
 from fernweir.peers.order_estimation import TALLY, OrderEstimator
 from fernweir.peers.parts import Parts
 from fernweir.peers.port import AuditEvent, AuditRecord, Port, SessionStatus
-from fernweir.peers.query_planning import PREFIX, Allowed, QueryPlanner, QueryPlannerRules, refused_to_plain
+from fernweir.peers.query_planning import PREFIX, Admitted, QueryPlanner, QueryPlannerRules, refused_to_plain
 from fernweir.peers.query_planning import to_plain as estimate_to_plain
-from fernweir.peers.session_lookup import FindRules, Seeking, between_owners, place, unreachable
-from fernweir.peers.straggler_control import PLEA, VERSIONS, Resign, Said, StragglerControl
+from fernweir.peers.session_lookup import (
+    LookupRules,
+    PendingLookup,
+    between_owners_reply,
+    choose_destination,
+    unreachable_reply,
+)
+from fernweir.peers.straggler_control import (
+    PLEA,
+    VERSIONS,
+    LogRequested,
+    NewSessionsBlocked,
+    StragglerControl,
+)
 
 KINDS = (MEMBER_KINDS, FACT_KINDS, LEASE_KINDS, CHANNEL_KINDS, FORWARD_KINDS, ACT_KINDS, LATE_KINDS)
 _DIRECTORY = (Registered, Unregistered, Where, There)
 _LOAD, _HEAD = "load", "acts.head"
-_STALE_MS = 1_000.0
-TROUBLE_TEXTS: dict[type[Trouble], str] = {
+_NOTICE_INTERVAL_MS = 1_000.0
+FAULT_TEXTS: dict[type[Fault], str] = {
     Missing: "record of acts missing",
     Shortened: "record of acts shortened",
     Tampered: "record of acts tampered",
 }
-"""What is logged for trouble with a front's record; operators watch for these texts."""
+"""The log texts for faults of the audit log of a front; operators match these texts."""
 
 
 class Load(msgspec.Struct, frozen=True, array_like=True):
-    """What a front says of itself for the choice of heirs: sessions held, ms since start, and `leaving` if
-    it is none: it ends, or has no channels."""
+    """The load of a front, by which successors are chosen.
+
+    It has the number of sessions, the ms since the start, and `leaving` if the front cannot be a successor
+    because it stops or has no channels.
+    """
 
     sessions: int
     age_ms: float
@@ -88,8 +102,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerRules:
-    """Times in ms. `load_ms` is how often a front says how loaded it is, and how far its record goes. One
-    that can reach no peer takes new sessions after `join_ms`, as if it stood alone."""
+    """The settings of a peer. Times are in ms.
+
+    `load_ms` is the interval at which a front publishes its load and the head of its audit log. A front that
+    cannot reach any peer accepts new sessions after `join_ms`, like a front without peers.
+    """
 
     keepers: tuple[str, ...]
     keepers_version: int = 1
@@ -101,39 +118,47 @@
     channels: ChannelManagerRules = field(default_factory=ChannelManagerRules)
     directory: DirectoryRules = field(default_factory=DirectoryRules)
     forward: ForwardRules = field(default_factory=ForwardRules)
-    lookup: FindRules = field(default_factory=FindRules)
+    lookup: LookupRules = field(default_factory=LookupRules)
     acts: ActRules = field(default_factory=ActRules)
     late: LateRules = field(default_factory=LateRules)
     query_planner: QueryPlannerRules = field(default_factory=QueryPlannerRules)
 
 
 @dataclass(frozen=True, slots=True)
-class Relived(Event):
-    """This front must live on under a later life: an earlier process of its name is known in a higher one."""
+class IncarnationSuperseded(Event):
+    """The peers know this name in a higher incarnation `life`, so this front must continue under that one."""
 
     life: int
 
 
 @dataclass(frozen=True, slots=True)
-class Forgotten(Event):
-    """A peer is gone: nothing is to wait for it on the links."""
+class PeerGone(Event):
+    """A peer is gone: the links must not keep messages for it."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
-class Told(Event):
-    """Something for the log of the front: what happened, and its figures."""
+class LogRecord(Event):
+    """A record for the log of the front: the event and its fields."""
 
     text: str
     fields: Mapping[str, object] = field(default_factory=dict)
 
 
 class Peer:
-    """`changed` is called when there is something to take though the driver did not call.
-
-    `versions` are those this front begins with, `wall_ms` how far the wall clock is ahead of `now`. `store`
-    keeps records of acts beyond this life of the front, if it is given.
+    """The state machine of a front among its peers.
+
+    Args:
+        me: The identity of this front.
+        rules: The settings.
+        port: The operations of the front.
+        seed: The seed of all random numbers.
+        now: The current time in ms.
+        changed: Called when effects are available outside a call by the driver.
+        versions: The versions at the start of this front.
+        wall_ms: Returns the offset of the wall clock from `now`.
+        store: Stores audit logs beyond this incarnation of the front.
     """
 
     def __init__(
@@ -141,18 +166,18 @@
         versions: Versions, wall_ms: Callable[[], float], store: Store | None = None,
     ) -> None:  # fmt: skip
         self.me, self.rules, self._port = me, rules, port
-        self._born = now
+        self._started_at = now
         self._now = now
-        self._out: list[Effect] = []
+        self._effects: list[Effect] = []
         first = KeeperSet(rules.keepers_version, rules.keepers)
         sets = (first,)
         self.members = Members(me, rules.members, seed)
         self.facts = Facts(me.name, me.life, rules.facts, seed)
         self.holder = Holder(me.name, me.life, rules.lease, seed, sets)
-        self.keeper = Keeper(me.name, me.life, rules.lease, now, sets)  # nobody asks one that is not named
+        self.keeper = Keeper(me.name, me.life, rules.lease, now, sets)  # unused unless configured
         self.keeper_sets = KeeperReconfiguration(me.name, self.facts, self.holder, self.keeper, first)
         self.channels = ChannelManager(
-            me.name, me.life, rules.channels, self.holder, port, seed, self._claimed
+            me.name, me.life, rules.channels, self.holder, port, seed, self._on_claim_reply
         )
         self.directory = Directory(me.name, me.life, rules.directory, seed)
         self.forwarder = Forwarder(rules.forward)
@@ -164,384 +189,400 @@
         self.stragglers = StragglerControl(
             me.name, me.life, rules.late, now, self.facts, self.keeper, rules.keepers, port, versions
         )
-        keeping: tuple[Part, ...] = (self.keeper,)
+        keeper_parts: tuple[Part, ...] = (self.keeper,)
         self._parts = Parts(
             (self.members, self.facts, self.holder, self.channels, self.directory, self.forwarder,
-             self.audit, self.stragglers, *keeping),
-            {self.channels: (self.holder,), self.stragglers: (self.facts, *keeping)},
+             self.audit, self.stragglers, *keeper_parts),
+            {self.channels: (self.holder,), self.stragglers: (self.facts, *keeper_parts)},
         )  # fmt: skip
-        self._at = self._parts.at
+        self._touch = self._parts.touch
         self._routes: dict[type[Message], tuple[Part, ...]] = {}
-        leases: tuple[Part, ...] = (self.holder, *keeping)
-        for kinds, heard in (
+        leases: tuple[Part, ...] = (self.holder, *keeper_parts)
+        for kinds, handlers in (
             (MEMBER_KINDS, (self.members,)), (FACT_KINDS, (self.facts,)), (LEASE_KINDS, leases),
             (CHANNEL_KINDS, (self.channels,)), (_DIRECTORY, (self.directory,)),
             (FORWARD_KINDS, (self.forwarder,)), (ACT_KINDS, (self.audit,)),
             (LATE_KINDS, (self.stragglers,)),
         ):  # fmt: skip
-            self._routes.update(dict.fromkeys(kinds, heard))
-        self._seeking: dict[str, list[Seeking]] = {}
-        self._carried: dict[int, Seeking] = {}
-        self._load_at = now
-        self._said: Load | None = None
-        self._join_by: float | None = None
-        self._held: dict[str, tuple[str, float]] = {}  # why no new session may begin, by cause
-        self._stale: dict[str, float] = {}
-        self._processes: dict[str, int] = {}  # the life in which each peer was seen last
-        self._boxes: set[int] = set()
-        self._draining = 0
+            self._routes.update(dict.fromkeys(kinds, handlers))
+        self._pending_lookups: dict[str, list[PendingLookup]] = {}
+        self._forwarded: dict[int, PendingLookup] = {}
+        self._next_publish_at = now
+        self._published_load: Load | None = None
+        self._join_deadline: float | None = None
+        self._block_reasons: dict[str, tuple[str, float]] = {}  # reason and wait, by cause
+        self._conflict_notified_until: dict[str, float] = {}
+        self._known_lives: dict[str, int] = {}  # last incarnation of each peer
+        self._servers: set[int] = set()
+        self._draining_count = 0
         self._started = self._leaving = self._displaced = False
-        self._shares = rules.channels.parts > 0  # sessions may be another front's: it has channels
-        self._changed = changed
+        self._has_channels = rules.channels.parts > 0  # else sessions cannot move between fronts
+        self._on_changed = changed
         port.set_listener(self)
 
-    # --- the front's program ---
+    # --- calls of the front's program ---
 
     def start(self, now: float, seeds: Sequence[Address]) -> None:
-        self._at(self.members).join(now, seeds)
-        if seeds and self._shares:  # until it knows others, what stands there would begin here once more
-            self._join_by = now + self.rules.join_ms
-            self._hold("join", "joining its peers", _STALE_MS)
-        self._at(self.stragglers).mine(now, self.audit.versions, urgent=False)
-        self._at(self.channels).start(now)
-        self._at(self.facts)
+        """Joins the fleet, and requests the leases of the channels."""
+        self._touch(self.members).join(now, seeds)
+        # Until the front has joined, a session that plays at a peer would be set up here again.
+        if seeds and self._has_channels:
+            self._join_deadline = now + self.rules.join_ms
+            self._set_block_reason("join", "joining its peers", _NOTICE_INTERVAL_MS)
+        self._touch(self.stragglers).set_own_versions(now, self.audit.versions, urgent=False)
+        self._touch(self.channels).start(now)
+        self._touch(self.facts)
         self.keeper_sets.start(now)
         self._started = True
-        self._settle(now)
+        self._process_effects(now)
 
-    def stood(self, now: float, late_ms: float) -> None:
-        """The driver's timer came this late: this front stood still, or is slow."""
-        self._at(self.members).on_stall(now, late_ms)
+    def on_stall(self, now: float, late_ms: float) -> None:
+        """Records that the timer of the driver was `late_ms` late: this front stalled or is slow."""
+        self._touch(self.members).on_stall(now, late_ms)
 
-    def leave(self, now: float) -> None:
-        """Hands on what stands here; `left` says when that is done, `go` ends."""
+    def drain(self, now: float) -> None:
+        """Hands off all channels. `is_drained` is True when that is done; `shutdown` comes after it."""
         self._leaving = True
-        self._say_load(now)
-        self._at(self.channels).drain(now)
-        self._settle(now)
+        self._publish_load(now)
+        self._touch(self.channels).drain(now)
+        self._process_effects(now)
 
     @property
-    def left(self) -> bool:
+    def is_drained(self) -> bool:
+        """Whether all hand-offs have ended after `drain`."""
         return self.channels.is_drained
 
-    def go(self, now: float) -> None:
-        self._at(self.audit).close(now)
-        self._say_head(now, urgent=True)
-        self._at(self.members).leave(now)
-        self._settle(now)
+    def shutdown(self, now: float) -> None:
+        """Completes the audit log, and leaves the members."""
+        self._touch(self.audit).close(now)
+        self._publish_head(now, urgent=True)
+        self._touch(self.members).leave(now)
+        self._process_effects(now)
 
-    def stale(self, now: float, name: str, address: Address | None = None) -> None:
-        """A front sends under an earlier life than its name is known in, as after a clock was set back.
+    def on_stale_sender(self, now: float, name: str, address: Address | None = None) -> None:
+        """Notifies a front that sends under an outdated incarnation, for example after a clock was set back.
 
-        Nothing of it is taken until it lives on above that life; it is told, once a second at the most, where
-        it sent from: of two fronts with one name it is not the one whose address is known.
+        Its messages are discarded until it continues under a higher incarnation. The notice goes to the
+        address that it sent from, at most once a second: if two fronts have the same name, the known address
+        is that of the other one.
         """
         member = self.members.table().get(name)
-        if member is None or now < self._stale.get(name, 0.0):
+        if member is None or now < self._conflict_notified_until.get(name, 0.0):
             return
-        if len(self._stale) >= self.rules.members.max_members:
-            self._stale.clear()
-        self._stale[name] = now + _STALE_MS
-        self._out.append(Send(address or member.address, Gossip((member.record,))))
+        if len(self._conflict_notified_until) >= self.rules.members.max_members:
+            self._conflict_notified_until.clear()
+        self._conflict_notified_until[name] = now + _NOTICE_INTERVAL_MS
+        self._effects.append(Send(address or member.address, Gossip((member.record,))))
 
     def lives(self) -> Mapping[str, int]:
-        """Fronts believed alive, with their lives."""
+        """Returns the live fronts with their incarnations."""
         return {name: self.members.life(name) for name in self.members.alive()}
 
     def fence(self, now: float, session: str) -> tuple[str, int] | None:
+        """Returns the channel and fence under which a session may be controlled now, or None."""
         return self.channels.fence(now, session)
 
-    def ask(self, now: float, question: Question, then: Callable[[dict[str, Any]], None]) -> None:
-        """Asks the acts of all fronts, within what it may touch; `then` is called once, as JSON has it."""
-        allowed = self.query_planner.allow(now, question, self._wall_ms(), self.rules.acts.deadline_ms)
-        if not isinstance(allowed, Allowed):
-            then(refused_to_plain(allowed, self._wall_ms()))
+    def query(self, now: float, question: Question, then: Callable[[dict[str, Any]], None]) -> None:
+        """Queries the audit logs of all fronts within a budget; `then` is called once with the JSON reply."""
+        admitted = self.query_planner.admit(now, question, self._wall_ms(), self.rules.acts.deadline_ms)
+        if not isinstance(admitted, Admitted):
+            then(refused_to_plain(admitted, self._wall_ms()))
             return
 
-        def answered(answer: Answer) -> None:
-            failed = self.query_planner.settle(self._now, allowed, answer)
-            estimate = {**estimate_to_plain(allowed.estimate), "failed": failed}
+        def on_answer(answer: Answer) -> None:
+            failed = self.query_planner.settle(self._now, admitted, answer)
+            estimate = {**estimate_to_plain(admitted.estimate), "failed": failed}
             then({**answer_to_plain(answer), "estimate": estimate})
 
-        asked = self._at(self.audit).ask(
-            now, question, self.lives(), answered, allowed.planned, allowed.budget, allowed.known
+        asked = self._touch(self.audit).query(
+            now, question, self.lives(), on_answer, admitted.planned, admitted.budget, admitted.known
         )
         if not asked:
-            self.query_planner.settle(now, allowed, Answer(question, self._wall_ms()))
+            self.query_planner.settle(now, admitted, Answer(question, self._wall_ms()))
             then({"ok": False, "error": "as many questions run already as may: ask again later"})
-        self._settle(now)
+        self._process_effects(now)
 
-    def weigh(self, now: float, order: Mapping[str, Any]) -> dict[str, Any]:
-        """What an order would touch, as JSON has it."""
-        return self.order_estimator.ask(now, order, self.lives())
+    def estimate_order(self, now: float, order: Mapping[str, Any]) -> dict[str, Any]:
+        """Returns the estimated impact of an order as JSON data."""
+        return self.order_estimator.estimate(now, order, self.lives())
 
     def find(self, now: float, request: Carry, then: Callable[[float, Carried | None], None]) -> None:
-        """Answers a request for a session not held here; `then` is called once: None if it may begin here."""
-        seeking = Seeking(request, now, then)
-        if not self._place(now, seeking, None, asked=False):
-            waiting = self._seeking.setdefault(request.session, [])
-            waiting.append(seeking)
+        """Finds the owner of a session that this front lacks, and forwards the request to it.
+
+        `then` is called once with the reply, or with None if the session may be set up here.
+        """
+        lookup = PendingLookup(request, now, then)
+        if not self._route_request(now, lookup, None, asked=False):
+            waiting = self._pending_lookups.setdefault(request.session, [])
+            waiting.append(lookup)
             if len(waiting) == 1:
-                self._at(self.directory).find(now, request.session)
-        self._settle(now)
+                self._touch(self.directory).find(now, request.session)
+        self._process_effects(now)
 
-    def end(self, now: float) -> list[Seeking]:
-        """This life is over: gives the requests whose place was still sought, for the next to find.
+    def close(self, now: float) -> list[PendingLookup]:
+        """Ends this incarnation and returns the pending lookups for the next one.
 
-        What was carried elsewhere may have been done there: who waits for it is told to come again.
-        Operators' questions are answered with what has come.
+        A forwarded request may have been executed, so its viewer has to retry. Queries of operators end with
+        the results that have arrived.
         """
         self.audit.questions.close(now)
         self.audit.take_effects()
-        sought = [one for waiting in self._seeking.values() for one in waiting]
-        carried, self._seeking, self._carried = self._carried, {}, {}
-        for number, seeking in carried.items():
-            seeking.then(now, unreachable(self.rules.lookup, number))
-        return sought
+        pending = [one for waiting in self._pending_lookups.values() for one in waiting]
+        carried, self._pending_lookups, self._forwarded = self._forwarded, {}, {}
+        for number, lookup in carried.items():
+            lookup.then(now, unreachable_reply(self.rules.lookup, number))
+        return pending
 
-    # --- the driver ---
+    # --- calls of the driver ---
 
-    def heard(self, now: float, sender: str, life: int, message: Message) -> None:
-        """What follows comes with the next `take_effects`: several messages are often heard in one turn."""
+    def on_message(self, now: float, sender: str, life: int, message: Message) -> None:
+        """Handles a message. Its effects wait for `take_effects`, since messages arrive in batches."""
         self._now = max(self._now, now)
         self._route(now, sender, message)
 
     def tick(self, now: float) -> None:
-        if self._join_by is not None and now >= self._join_by:
-            self._joined()
-        if now >= self._load_at:
-            self._load_at = now + self.rules.load_ms
-            self._say_load(now)
-            self._look(now)
-            self._replace(now)
-            self._say_head(now, urgent=False)
-            tally = self.order_estimator.say(now, self.audit.versions.epoch)
+        if self._join_deadline is not None and now >= self._join_deadline:
+            self._on_joined()
+        if now >= self._next_publish_at:
+            self._next_publish_at = now + self.rules.load_ms
+            self._publish_load(now)
+            self._update_candidates(now)
+            self._update_keepers(now)
+            self._publish_head(now, urgent=False)
+            tally = self.order_estimator.publish(now, self.audit.versions.epoch)
             if tally is not None:
-                self._at(self.facts).put(now, TALLY, tally)
-            said, gone = self.query_planner.publish(now)
-            for key, data in said.items():
-                self._at(self.facts).put(now, key, data)
-            for key in gone:
-                self._at(self.facts).drop(now, key)
-            # Where no lease is wanted, having none says nothing of the way to the others.
-            leases = not self._shares or bool(self.holder.current_leases(now))
-            self._at(self.stragglers).leases(now, leases)
+                self._touch(self.facts).put(now, TALLY, tally)
+            changed, dropped = self.query_planner.publish(now)
+            for key, data in changed.items():
+                self._touch(self.facts).put(now, key, data)
+            for key in dropped:
+                self._touch(self.facts).drop(now, key)
+            # A front that requests no lease is not partitioned because it has none.
+            leases = not self._has_channels or bool(self.holder.current_leases(now))
+            self._touch(self.stragglers).on_lease_status(now, leases)
         self._parts.tick(now)
-        self._settle(now)
+        self._process_effects(now)
 
     def next_deadline(self) -> float | None:
-        first = self._load_at if self._join_by is None else min(self._load_at, self._join_by)
+        first = (
+            self._next_publish_at
+            if self._join_deadline is None
+            else min(self._next_publish_at, self._join_deadline)
+        )
         due = self._parts.next_deadline()
         return first if due is None else min(first, due)
 
     def take_effects(self) -> list[Effect]:
-        """What is to be sent, and what is to be logged."""
-        self._settle(self._now)
-        out, self._out = self._out, []
+        """Returns the messages to send and the events for the driver, and removes them."""
+        self._process_effects(self._now)
+        out, self._effects = self._effects, []
         return out
 
-    # --- the front's listener ---
+    # --- notifications of the front (port.Listener) ---
 
     def on_session_status(self, now: float, standing: SessionStatus) -> None:
-        self._at(self.channels).on_session_status(now, standing)
-        self.query_planner.stands(now, standing)
-        self.order_estimator.stands(now, standing, self.channels.channel_for(standing.session))
-        if not self.channels.is_in_channel(standing.session):  # of the others it tells by `SessionAcquired`
-            self._at(self.directory).register(now, standing.session)
-        self._changed()
+        self._touch(self.channels).on_session_status(now, standing)
+        self.query_planner.on_session_status(now, standing)
+        self.order_estimator.on_session_status(now, standing, self.channels.channel_for(standing.session))
+        if not self.channels.is_in_channel(standing.session):  # else `SessionAcquired` registers it
+            self._touch(self.directory).register(now, standing.session)
+        self._on_changed()
 
     def on_session_ended(self, now: float, session: str) -> None:
-        self._at(self.channels).on_session_ended(now, session)
-        self._at(self.directory).unregister(now, session)
-        self.query_planner.over(now, session)
-        self.order_estimator.over(now, session)
-        self._changed()
+        self._touch(self.channels).on_session_ended(now, session)
+        self._touch(self.directory).unregister(now, session)
+        self.query_planner.on_session_ended(now, session)
+        self.order_estimator.on_session_ended(now, session)
+        self._on_changed()
 
     def on_session_failed(self, now: float, session: str) -> None:
-        if self._at(self.channels).on_attempt_failed(now, session):
-            self._at(self.directory).unregister(now, session)
-            self._changed()
-
-    def on_audit_record(self, act: AuditRecord) -> None:
-        self._record(act)
-        if act.deed is AuditEvent.SETUP and self._shares:
-            # From here on nobody else may set it up: told before the first byte leaves.
-            self._at(self.channels).on_attempt_started(act.at, act.session, act.box)
-            self._at(self.directory).register(act.at, act.session)
-        self._changed()  # its block is to be copied in time, whatever else happens
-
-    def _record(self, act: AuditRecord) -> None:
-        self._at(self.audit).add(act)
-        self.query_planner.acted(act, self.audit.versions)
+        if self._touch(self.channels).on_attempt_failed(now, session):
+            self._touch(self.directory).unregister(now, session)
+            self._on_changed()
+
+    def on_audit_record(self, record: AuditRecord) -> None:
+        self._record(record)
+        if record.deed is AuditEvent.SETUP and self._has_channels:
+            # Registered before the request is sent, so that no other front sets up the session.
+            self._touch(self.channels).on_attempt_started(record.at, record.session, record.box)
+            self._touch(self.directory).register(record.at, record.session)
+        self._on_changed()  # the driver has to schedule the replication of the block
+
+    def _record(self, record: AuditRecord) -> None:
+        self._touch(self.audit).add(record)
+        self.query_planner.add_audit_record(record, self.audit.versions)
 
     def on_endpoint_list(self, now: float, rows: Sequence[tuple[int, Any]], told_at: float) -> None:
         draining = sum(1 for number, row in rows if number >= 0 and row[0] == "draining")
-        here = {number for number, _ in rows}
-        urgent = draining > self._draining or not here >= self._boxes
-        self._draining, self._boxes = draining, here
-        self._at(self.audit).list_told(rows, told_at)
-        self._at(self.stragglers).mine(now, self.audit.versions, urgent)
-        self._changed()
+        listed = {number for number, _ in rows}
+        urgent = draining > self._draining_count or not listed >= self._servers
+        self._draining_count, self._servers = draining, listed
+        self._touch(self.audit).on_endpoint_list(rows, told_at)
+        self._touch(self.stragglers).set_own_versions(now, self.audit.versions, urgent)
+        self._on_changed()
 
-    # --- pieces ---
+    # --- messages and events ---
 
     def _route(self, now: float, sender: str, message: Message) -> None:
         for part in self._routes.get(type(message), ()):
-            self._at(part).on_message(now, sender, message)
+            self._touch(part).on_message(now, sender, message)
 
-    def _settle(self, now: float) -> None:
-        """Carries events from part to part until none is left; what is for oneself is heard at once."""
+    def _process_effects(self, now: float) -> None:
+        """Handles events until none is left. Messages to this front itself are delivered immediately."""
         self._now = max(self._now, now)
-        while self._parts.giving:
-            if self._parts.gives(self.stragglers):
-                self._at(self.stragglers).run(now)
-            if self._parts.gives(self.channels):
-                self._at(self.channels).run(now)
+        while self._parts.has_effects:
+            if self._parts.may_have_effects(self.stragglers):
+                self._touch(self.stragglers).run(now)
+            if self._parts.may_have_effects(self.channels):
+                self._touch(self.channels).run(now)
             for effect in self._parts.take_effects():
                 if isinstance(effect, Event):
-                    self._do(now, effect)
+                    self._handle_event(now, effect)
                 elif effect.to == self.me.name:
                     self._route(now, self.me.name, effect.message)
                 else:
-                    self._out.append(effect)
+                    self._effects.append(effect)
 
-    def _do(self, now: float, event: Event) -> None:
+    def _handle_event(self, now: float, event: Event) -> None:
         if isinstance(event, LeaseAcquired | LeaseRenewed | LeaseLost | LeaseUnavailable):
-            self._at(self.channels).on_lease_event(now, event)
+            self._touch(self.channels).on_lease_event(now, event)
             if isinstance(event, LeaseAcquired):
                 self._record(AuditRecord(now, AuditEvent.LEASE, outcome=event.lease.channel))
         elif isinstance(event, Joined) and event.name == self.me.name:
-            self._out.append(Relived(event.life))
+            self._effects.append(IncarnationSuperseded(event.life))
         elif isinstance(event, Joined):
-            self._joined()
-            self._restarted(now, event.name, event.life)
+            self._on_joined()
+            self._on_peer_restarted(now, event.name, event.life)
             self._members_changed(now)
-            self._tell("peer joined", name=event.name)
+            self._log("peer joined", name=event.name)
         elif isinstance(event, Died | Left):
-            self._gone(now, event.name, event.life, isinstance(event, Died))
+            self._on_peer_gone(now, event.name, event.life, isinstance(event, Died))
         elif isinstance(event, Clash):
-            self._tell("another front has this name", address=f"{event.address[0]}:{event.address[1]}")
+            self._log("another front has this name", address=f"{event.address[0]}:{event.address[1]}")
         elif isinstance(event, SessionAcquired):
-            self._at(self.directory).register(now, event.session, event.fence)
+            self._touch(self.directory).register(now, event.session, event.fence)
         elif isinstance(event, SessionRelinquished):
-            self._at(self.directory).cede(event.session)
-            self.query_planner.over(now, event.session)
-            self.order_estimator.over(now, event.session)
+            self._touch(self.directory).cede(event.session)
+            self.query_planner.on_session_ended(now, event.session)
+            self.order_estimator.on_session_ended(now, event.session)
         elif isinstance(event, ChannelChanged):
-            said = f"{event.what} {event.channel}"[:200]
-            self._record(AuditRecord(now, AuditEvent.HANDOFF, outcome=said))
-            self._tell(
+            outcome = f"{event.what} {event.channel}"[:200]
+            self._record(AuditRecord(now, AuditEvent.HANDOFF, outcome=outcome))
+            self._log(
                 f"channel {event.what}", channel=event.channel, fence=event.fence, sessions=event.sessions,
                 other=event.other,
             )  # fmt: skip
         elif isinstance(event, Found):
-            for seeking in self._seeking.pop(event.session, []):
-                self._place(now, seeking, event.owner, lost=event.lost, asked=True)
-        elif isinstance(event, Wanted):
-            self._carry_out(event)
-        elif isinstance(event, Answered):
-            carried = self._carried.pop(event.number, None)
-            if carried is not None:
-                self._answer(now, carried, event)
+            for lookup in self._pending_lookups.pop(event.session, []):
+                self._route_request(now, lookup, event.owner, lost=event.lost, asked=True)
+        elif isinstance(event, RequestReceived):
+            self._execute_request(event)
+        elif isinstance(event, RequestEnded):
+            forwarded = self._forwarded.pop(event.number, None)
+            if forwarded is not None:
+                self._on_forward_reply(now, forwarded, event)
         elif isinstance(event, FactChanged):
             key, value = event.fact.key, event.fact.value
             if key == _HEAD:
-                self._at(self.audit).heard_head(now, event.owner, event.life, value)
+                self._touch(self.audit).on_head(now, event.owner, event.life, value)
             elif key in (VERSIONS, PLEA):
-                self._at(self.stragglers).told(now, event.owner, key, value)
+                self._touch(self.stragglers).on_fact(now, event.owner, key, value)
             elif key in (KEEPERS, SETTLED):
-                self._replace(now, event.owner, key, value)
+                self._update_keepers(now, event.owner, key, value)
             elif key == TALLY:
-                self.order_estimator.told(now, event.owner, event.life, value)
+                self.order_estimator.on_load(now, event.owner, event.life, value)
             elif key.startswith(PREFIX):
-                self.query_planner.told(now, event.owner, event.life, key, value)
+                self.query_planner.on_summary(now, event.owner, event.life, key, value)
         elif isinstance(event, FactDropped):
             if event.key.startswith(PREFIX):
-                self.query_planner.dropped(event.owner, event.key)
+                self.query_planner.on_summary_dropped(event.owner, event.key)
         elif isinstance(event, FactsGone):
-            self.query_planner.gone(event.owner)
-            self.order_estimator.gone(event.owner)
-        elif isinstance(event, Rested):
-            self._at(self.stragglers).seen(now, event.owner, event.versions, event.age_ms)
-        elif isinstance(event, Resign):
-            self._hold("late", event.why, event.wait_ms)
-            self._at(self.channels).on_shut_out(now, not event.why)
-        elif isinstance(event, Said):
-            self._tell(event.text, **event.fields)
+            self.query_planner.on_front_gone(event.owner)
+            self.order_estimator.on_front_gone(event.owner)
+        elif isinstance(event, VersionsObserved):
+            self._touch(self.stragglers).on_peer_versions(now, event.owner, event.versions, event.age_ms)
+        elif isinstance(event, NewSessionsBlocked):
+            self._set_block_reason("late", event.why, event.wait_ms)
+            self._touch(self.channels).on_shut_out(now, not event.why)
+        elif isinstance(event, LogRequested):
+            self._log(event.text, **event.fields)
             if event.shut_out:
                 self._record(AuditRecord(now, AuditEvent.SHUTOUT, outcome=event.shut_out))
-        elif isinstance(event, Trouble):
-            self._tell(TROUBLE_TEXTS[type(event)], owner=event.owner, life=event.life)
+        elif isinstance(event, Fault):
+            self._log(FAULT_TEXTS[type(event)], owner=event.owner, life=event.life)
         elif isinstance(event, Suspected | Cleared):
-            self._tell("peer suspected" if isinstance(event, Suspected) else "peer cleared", name=event.name)
+            self._log("peer suspected" if isinstance(event, Suspected) else "peer cleared", name=event.name)
 
-    def _claimed(self) -> None:
-        """A box has answered a claim."""
-        self._at(self.channels)
-        self._changed()
+    def _on_claim_reply(self) -> None:
+        """A server has replied to a claim."""
+        self._touch(self.channels)
+        self._on_changed()
 
-    def _tell(self, text: str, **fields: object) -> None:
-        self._out.append(Told(text, fields))
+    def _log(self, text: str, **fields: object) -> None:
+        self._effects.append(LogRecord(text, fields))
 
-    # --- pieces: members ---
+    # --- members ---
 
-    def _joined(self) -> None:
-        if self._join_by is not None:
-            self._join_by = None
-            self._hold("join", "", 0.0)
+    def _on_joined(self) -> None:
+        if self._join_deadline is not None:
+            self._join_deadline = None
+            self._set_block_reason("join", "", 0.0)
 
-    def _hold(self, cause: str, why: str, wait_ms: float) -> None:
-        """No new sessions as long as any cause has a reason."""
+    def _set_block_reason(self, cause: str, why: str, wait_ms: float) -> None:
+        """Blocks new sessions as long as any cause has a reason."""
         if why:
-            self._held[cause] = (why, wait_ms)
+            self._block_reasons[cause] = (why, wait_ms)
         else:
-            self._held.pop(cause, None)
-        self._port.block_new_sessions(*next(iter(self._held.values()), ("", 0.0)))
+            self._block_reasons.pop(cause, None)
+        self._port.block_new_sessions(*next(iter(self._block_reasons.values()), ("", 0.0)))
 
     def _members_changed(self, now: float) -> None:
         alive = self.members.alive()
         others = [name for name in alive if name != self.me.name]
-        self._at(self.facts).peers(now, others)
+        self._touch(self.facts).peers(now, others)
         lives = self.lives()
-        self._at(self.directory).members(now, lives)
-        self._at(self.audit).members(now, lives)
-        self._at(self.stragglers).fleet(now, lives)
-        self.query_planner.fleet(lives)
-        self._look(now)
-
-    def _restarted(self, now: float, name: str, life: int) -> None:
-        """A process of that name was there before, and is gone without anybody having missed it."""
-        before, self._processes[name] = self._processes.get(name, life), life
+        self._touch(self.directory).members(now, lives)
+        self._touch(self.audit).update_members(now, lives)
+        self._touch(self.stragglers).update_fronts(now, lives)
+        self.query_planner.update_fronts(lives)
+        self._update_candidates(now)
+
+    def _on_peer_restarted(self, now: float, name: str, life: int) -> None:
+        """Handles a restarted peer whose previous process ended without being detected."""
+        before, self._known_lives[name] = self._known_lives.get(name, life), life
         if before != life:
-            self._at(self.channels).on_front_died(now, name)
-            self._at(self.forwarder).gone(now, name)
-            self._at(self.audit).gone(now, name)
+            self._touch(self.channels).on_front_died(now, name)
+            self._touch(self.forwarder).on_front_gone(now, name)
+            self._touch(self.audit).on_front_gone(now, name)
 
-    def _gone(self, now: float, name: str, life: int, died: bool) -> None:
+    def _on_peer_gone(self, now: float, name: str, life: int, died: bool) -> None:
         if name in self.members.alive() and self.members.life(name) != life:
-            return  # an earlier life, after the present one was known
-        self._processes.pop(name, None)
+            return  # an earlier incarnation
+        self._known_lives.pop(name, None)
         self._members_changed(now)
-        self._out.append(Forgotten(name))
-        self._at(self.channels).on_front_died(now, name)
-        self._at(self.forwarder).gone(now, name)
-        self._at(self.audit).gone(now, name)
-        self._tell("peer died" if died else "peer left", name=name)
+        self._effects.append(PeerGone(name))
+        self._touch(self.channels).on_front_died(now, name)
+        self._touch(self.forwarder).on_front_gone(now, name)
+        self._touch(self.audit).on_front_gone(now, name)
+        self._log("peer died" if died else "peer left", name=name)
 
-    def _look(self, now: float) -> None:
+    def _update_candidates(self, now: float) -> None:
         if self.members.displaced != self._displaced:
-            # Two fronts with one name: the one with the lower life takes nothing new until the other is gone.
+            # Of two fronts with one name, the one with the lower incarnation accepts no new session until the
+            # other one is gone.
             self._displaced = self.members.displaced
-            self._hold("name", "another front has this name" if self._displaced else "", _STALE_MS)
-        self._at(self.channels).update_fronts(
+            self._set_block_reason(
+                "name", "another front has this name" if self._displaced else "", _NOTICE_INTERVAL_MS
+            )
+        self._touch(self.channels).update_fronts(
             now, [self._candidate(now, name) for name in self.members.alive()]
         )
 
     def _candidate(self, now: float, name: str) -> Candidate:
-        if name == self.me.name:  # as others know it, or heirs would not agree on their order
-            sessions = self._said.sessions if self._said is not None else 0
-            return Candidate(name, sessions, now - self._born, leaving=self._closed)
-        late = name in self.stragglers.out()
+        if name == self.me.name:  # as published: all fronts need the same order of successors
+            sessions = self._published_load.sessions if self._published_load is not None else 0
+            return Candidate(name, sessions, now - self._started_at, leaving=self._rejects_channels)
+        late = name in self.stragglers.shut_out_fronts()
         fact = self.facts.get(name, _LOAD)
         if fact is None:
             return Candidate(name, 0, 0.0, late=late)
@@ -552,91 +593,103 @@
         age = load.age_ms + max(now - fact.at, 0.0)
         return Candidate(name, max(load.sessions, 0), max(age, 0.0), late=late, leaving=load.leaving)
 
-    def _replace(self, now: float, owner: str = "", key: str = "", value: bytes = b"") -> None:
-        """Keepers that come in place of others: by a fact, or by having settled since."""
+    def _update_keepers(self, now: float, owner: str = "", key: str = "", value: bytes = b"") -> None:
+        """Updates the set of keepers, from a fact of a peer or because a new set has settled."""
         for part in (self.holder, self.keeper, self.facts):
-            self._at(part)
+            self._touch(part)
         if not key:
-            self.keeper_sets.look(now)
-        elif self.keeper_sets.told(now, owner, key, value):
-            self._tell("keepers are replaced", by=", ".join(self.keeper_sets.names))
-            self._at(self.stragglers).keepers(now, self.keeper_sets.names)
-
-    def _say_load(self, now: float) -> None:
-        """Only what differs enough to change a choice: every fact goes to all fronts."""
-        sessions, said = self._port.session_count(), self._said
-        near = said is not None and abs(said.sessions - sessions) <= max(4, said.sessions // 8)
-        if said is None or not near or said.leaving != self._closed:
-            self._said = Load(sessions, now - self._born, self._closed)
-            self._at(self.facts).put(now, _LOAD, msgspec.msgpack.encode(self._said), urgent=self._leaving)
+            self.keeper_sets.update(now)
+        elif self.keeper_sets.on_fact(now, owner, key, value):
+            self._log("keepers are replaced", by=", ".join(self.keeper_sets.names))
+            self._touch(self.stragglers).update_keepers(now, self.keeper_sets.names)
+
+    def _publish_load(self, now: float) -> None:
+        """Publishes the load if it changed enough to matter, since every fact is sent to all fronts."""
+        sessions, published = self._port.session_count(), self._published_load
+        is_similar = published is not None and abs(published.sessions - sessions) <= max(
+            4, published.sessions // 8
+        )
+        if published is None or not is_similar or published.leaving != self._rejects_channels:
+            self._published_load = Load(sessions, now - self._started_at, self._rejects_channels)
+            self._touch(self.facts).put(
+                now, _LOAD, msgspec.msgpack.encode(self._published_load), urgent=self._leaving
+            )
 
     @property
-    def _closed(self) -> bool:
-        """Whether it inherits nothing."""
-        return self._leaving or not self._shares
+    def _rejects_channels(self) -> bool:
+        """Whether this front cannot be a successor."""
+        return self._leaving or not self._has_channels
 
-    def _say_head(self, now: float, urgent: bool) -> None:
-        head = self._at(self.audit).new_head(now)
+    def _publish_head(self, now: float, urgent: bool) -> None:
+        head = self._touch(self.audit).take_changed_head(now)
         if head is not None:
-            self._at(self.facts).put(now, _HEAD, head, urgent)
+            self._touch(self.facts).put(now, _HEAD, head, urgent)
 
-    # --- pieces: requests for sessions held elsewhere ---
+    # --- requests for sessions of other fronts ---
 
-    def _place(
-        self, now: float, seeking: Seeking, registered: str | None, *, lost: bool = False, asked: bool
+    def _route_request(
+        self, now: float, lookup: PendingLookup, registered: str | None, *, lost: bool = False, asked: bool
     ) -> bool:
-        """Whether the request's place is known; it is on its way there, or answered, then."""
-        session, rules = seeking.request.session, self.rules.lookup
+        """Forwards or ends a request. Returns False if its destination is not known yet."""
+        session, rules = lookup.request.session, self.rules.lookup
         alive = self.members.alive()
-        to = place(
-            rules, me=self.me.name, alive=alive.__contains__, hint=self.channels.likely_owner(now, session),
-            between=self.channels.is_between_owners(session), registered=registered, lost=lost, asked=asked,
+        destination = choose_destination(
+            rules, me=self.me.name, alive=alive.__contains__,
+            known_owner=self.channels.likely_owner(now, session),
+            is_between_owners=self.channels.is_between_owners(session), registered=registered,
+            is_owner_lost=lost, has_asked_registrars=asked,
         )  # fmt: skip
-        if to is None:
+        if destination is None:
             return False
-        if to.front:
-            self._carry(now, seeking, to.front)
+        if destination.front:
+            self._forward_request(now, lookup, destination.front)
         else:
-            number = seeking.request.number
-            seeking.then(now, between_owners(rules, number) if to.wait_ms else None)
+            number = lookup.request.number
+            lookup.then(now, between_owners_reply(rules, number) if destination.wait_ms else None)
         return True
 
-    def _carry(self, now: float, seeking: Seeking, front: str) -> None:
-        seeking.hops += 1
-        number = self.forwarder.number()
-        wait = max(seeking.request.wait_ms - (now - seeking.since), 0.0)
-        request = msgspec.structs.replace(seeking.request, number=number, wait_ms=wait)
-        if seeking.hops <= self.rules.lookup.hops and self._at(self.forwarder).ask(now, front, request):
-            self._carried[number] = seeking
+    def _forward_request(self, now: float, lookup: PendingLookup, front: str) -> None:
+        lookup.hops += 1
+        number = self.forwarder.next_number()
+        wait = max(lookup.request.wait_ms - (now - lookup.started_at), 0.0)
+        request = msgspec.structs.replace(lookup.request, number=number, wait_ms=wait)
+        if lookup.hops <= self.rules.lookup.max_hops and self._touch(self.forwarder).send_request(
+            now, front, request
+        ):
+            self._forwarded[number] = lookup
         else:
-            seeking.then(now, unreachable(self.rules.lookup, number))
+            lookup.then(now, unreachable_reply(self.rules.lookup, number))
 
-    def _answer(self, now: float, seeking: Seeking, event: Answered) -> None:
+    def _on_forward_reply(self, now: float, lookup: PendingLookup, event: RequestEnded) -> None:
         answer = event.answer
         if answer is None:
-            answer = unreachable(self.rules.lookup, event.number)
+            answer = unreachable_reply(self.rules.lookup, event.number)
         elif answer.kind == "elsewhere":
             if answer.why in self.members.alive() and answer.why != self.me.name:
-                self._carry(now, seeking, answer.why)
+                self._forward_request(now, lookup, answer.why)
                 return
-            answer = between_owners(self.rules.lookup, event.number)
-        elif answer.kind == "none" and self.channels.has_recent_replica(now, seeking.request.session):
-            # Its front has begun anew since, and knows nothing: an heir is on its way to it.
-            answer = between_owners(self.rules.lookup, event.number)
-        seeking.then(now, None if answer.kind == "none" else answer)
+            answer = between_owners_reply(self.rules.lookup, event.number)
+        elif answer.kind == "none" and self.channels.has_recent_replica(now, lookup.request.session):
+            # The owner was restarted and lost the session. A successor will take it over.
+            answer = between_owners_reply(self.rules.lookup, event.number)
+        lookup.then(now, None if answer.kind == "none" else answer)
 
-    def _carry_out(self, event: Wanted) -> None:
+    def _execute_request(self, event: RequestReceived) -> None:
         def then(now: float, carried: Carried) -> None:
             if carried.kind == "none":
-                carried = self._not_here(now, carried, event.request.session)
-            self._at(self.forwarder).answer(now, event.sender, event.request.number, carried)
-            self._changed()
+                carried = self._reply_for_missing_session(now, carried, event.request.session)
+            self._touch(self.forwarder).send_reply(now, event.sender, event.request.number, carried)
+            self._on_changed()
 
         self._port.execute_forwarded(event.request, then)
 
-    def _not_here(self, now: float, carried: Carried, session: str) -> Carried:
-        """A request that was carried to this front, which does not hold its session, or no more."""
+    def _reply_for_missing_session(self, now: float, carried: Carried, session: str) -> Carried:
+        """Returns the reply to a forwarded request for a session that this front lacks."""
         if self.channels.is_between_owners(session):
-            return between_owners(self.rules.lookup, carried.number)
-        hint = self.channels.likely_owner(now, session)
-        return carried if hint is None else msgspec.structs.replace(carried, kind="elsewhere", why=hint)
+            return between_owners_reply(self.rules.lookup, carried.number)
+        known_owner = self.channels.likely_owner(now, session)
+        return (
+            carried
+            if known_owner is None
+            else msgspec.structs.replace(carried, kind="elsewhere", why=known_owner)
+        )
--- a/fernweir/peers/query_planning.py
+++ b/fernweir/peers/query_planning.py
@@ -1,9 +1,9 @@
-"""What a question will touch, told before it is put, and held to: estimates joined to the record of acts.
+"""Estimates the cost of a query of the audit logs before it runs, and admits or rejects it.
 
-A front's own acts go into its summaries, which are facts; those of others come as facts. Each front's rows
-are stamped on its own clock, so that a question's span is taken to that clock for each, as wide as what is
-known of the two clocks makes it. What a question may touch is set aside by its upper bounds; one over the
-budget is refused with its estimate and the narrower form that would be let through.
+The audit records of a front are summarized, and the summaries are exchanged as facts. The rows of each front
+have the times of its own clock, so the time range of a query is converted to each clock and widened by the
+uncertainty of the two clocks. The upper bounds of the estimate are reserved for a query. A query over the
+budget is rejected with its estimate and a narrower query that would be admitted.
 """
 
 from __future__ import annotations
@@ -32,35 +32,37 @@
 from fernweir.peers.port import AuditRecord, SessionStatus
 
 PREFIX = "shard."
-_ACT_BYTES = 76  # of an act in a block, as measured (docs/measurements.md)
+_ACT_BYTES = 76  # size of a record in a block (docs/measurements.md)
 _STANDING_BYTES = 120
 
 
 @dataclass(frozen=True, slots=True)
 class QueryPlannerRules:
+    """The settings of `QueryPlanner`."""
+
     shards: ShardRules = field(default_factory=ShardRules)
     estimate: EstimateRules = field(default_factory=EstimateRules)
     catalogue: CatalogueRules = field(default_factory=CatalogueRules)
     feedback: FeedbackRules = field(default_factory=FeedbackRules)
     limits: LimitRules = field(default_factory=LimitRules)
-    usual_ms: float = 5.0  # that a timer may be late on a front with time to spare
-    full_ms: float = 100.0  # and by which nothing is left for questions
-    calm_ms: float = 1_000.0
+    usual_timer_delay_ms: float = 5.0  # normal delay without load
+    max_timer_delay_ms: float = 100.0  # at this delay, queries get nothing
+    pressure_half_life_ms: float = 1_000.0
 
 
 @dataclass(frozen=True, slots=True)
-class Allowed:
-    """It may be put: with this budget, to these shards alone (None: to all)."""
+class Admitted:
+    """An admitted query with its budget, and the time ranges by front and incarnation to read (None: all)."""
 
     ticket: int
     estimate: Estimate
     budget: Budget
     planned: Mapping[tuple[str, int], tuple[float, float]] | None
-    known: frozenset[tuple[str, int]]  # of which anything was known: only of these is any left out
+    known: frozenset[tuple[str, int]]  # with summaries; only these may be omitted
 
 
 class QueryPlanner:
-    """`now` is ms. `publish` gives the facts that are to be said, and those that are to go."""
+    """Estimates and admits queries. `now` is in ms."""
 
     def __init__(self, me: str, life: int, rules: QueryPlannerRules, now: float, clocks: Clocks) -> None:
         self.me, self.rules = me, rules
@@ -69,75 +71,90 @@
         self._clocks = clocks
         self._estimator = Estimator(rules.estimate, self.feedback)
         self._limits = Limits(rules.limits, now)
-        self._own = Summarizer(me, life, rules.shards, now)
-        self._publish_at = now  # at once: who is known at all is estimated, though it does more since
-        self._said: dict[str, bytes] = {}
-        self._felt, self._felt_at = 0.0, now
+        self._summarizer = Summarizer(me, life, rules.shards, now)
+        self._publish_at = now  # at once, so that others can estimate this front
+        self._published: dict[str, bytes] = {}
+        self._timer_pressure, self._timer_pressure_at = 0.0, now
         self._lives: Mapping[str, int] = {me: life}
 
-    # --- what happens here ---
+    # --- this front ---
 
-    def acted(self, act: AuditRecord, versions: Versions) -> None:
+    def add_audit_record(self, act: AuditRecord, versions: Versions) -> None:
+        """Adds a record of the audit log of this front to its summaries."""
         row = Row(
             act.at, str(act.deed), act.session, act.title, act.box, act.tenant, versions.boxes.hex(),
             act.outcome,
         )  # fmt: skip
-        self._own.add(act.at, row, _ACT_BYTES)
+        self._summarizer.add(act.at, row, _ACT_BYTES)
 
-    def stands(self, now: float, standing: SessionStatus) -> None:
-        self._own.stands(now, standing, _STANDING_BYTES)
+    def on_session_status(self, now: float, standing: SessionStatus) -> None:
+        """Adds a playing session of this front to its summaries."""
+        self._summarizer.stands(now, standing, _STANDING_BYTES)
 
-    def over(self, now: float, session: str) -> None:
-        self._own.over(now, session)
+    def on_session_ended(self, now: float, session: str) -> None:
+        """Removes an ended session of this front from its summaries."""
+        self._summarizer.over(now, session)
 
     def publish(self, now: float) -> tuple[dict[str, bytes], list[str]]:
-        """Facts that changed, and keys of those that are no more, if it is time to say them."""
+        """Returns the summaries that changed, and the keys of those to drop, if it is time to publish."""
         if now < self._publish_at:
             return {}, []
-        summaries = {PREFIX + one.shard.name: encode(one) for one in self._own.summaries(now)}
-        changed = {key: data for key, data in summaries.items() if self._said.get(key) != data}
-        gone = [key for key in self._said if key not in summaries]
-        self._said = summaries
+        summaries = {PREFIX + one.shard.name: encode(one) for one in self._summarizer.summaries(now)}
+        changed = {key: data for key, data in summaries.items() if self._published.get(key) != data}
+        gone = [key for key in self._published if key not in summaries]
+        self._published = summaries
         size = sum(map(len, changed.values()))
         self._publish_at = now + publish_after(len(self._lives), size, self.rules.shards)
-        for key, data in summaries.items():  # its own are known at once
+        for key, data in summaries.items():  # those of this front are available at once
             self.catalogue.told(now, self.me, self._lives[self.me], key, data)
         return changed, gone
 
-    # --- what is known of others ---
+    # --- other fronts ---
 
-    def fleet(self, lives: Mapping[str, int]) -> None:
+    def update_fronts(self, lives: Mapping[str, int]) -> None:
+        """Sets the live fronts with their incarnations."""
         self._lives = {**lives, self.me: self._lives[self.me]}
 
-    def told(self, now: float, owner: str, life: int, key: str, data: bytes) -> None:
+    def on_summary(self, now: float, owner: str, life: int, key: str, data: bytes) -> None:
+        """Stores a summary of a peer."""
         self.catalogue.told(now, owner, life, key, data)
 
-    def dropped(self, owner: str, key: str) -> None:
+    def on_summary_dropped(self, owner: str, key: str) -> None:
+        """Removes a summary that a peer dropped."""
         self.catalogue.dropped(owner, key)
 
-    def gone(self, owner: str) -> None:
+    def on_front_gone(self, owner: str) -> None:
+        """Removes the summaries of a peer that is gone."""
         self.catalogue.gone(owner)
 
-    def pressed(self, now: float, pressure: float) -> None:
-        """How hard serving viewers presses, 0 to 1: it goes before any question."""
+    def set_pressure(self, now: float, pressure: float) -> None:
+        """Sets the load by viewers, 0 to 1, which has priority over queries."""
         self._limits.pressed(now, pressure)
 
-    def felt(self, now: float, late_ms: float) -> None:
-        """A timer came this late: the front has more to do than it can, and questions give way.
+    def on_timer_delay(self, now: float, late_ms: float) -> None:
+        """Derives the pressure on this front from the delay of a timer, so that queries yield to viewers.
 
-        The worst counts, and half as much `calm_ms` later, so that one late timer is soon forgotten.
+        The pressure is the maximum of the delays, which decays by half each `pressure_half_life_ms`, so that
+        a single late timer has a short effect.
         """
         rules = self.rules
-        self._felt *= 0.5 ** (max(now - self._felt_at, 0.0) / rules.calm_ms)
-        self._felt_at = now
-        self._felt = max(self._felt, max(late_ms - rules.usual_ms, 0.0) / rules.full_ms)
-        self._limits.pressed(now, min(self._felt, 1.0))
+        self._timer_pressure *= 0.5 ** (max(now - self._timer_pressure_at, 0.0) / rules.pressure_half_life_ms)
+        self._timer_pressure_at = now
+        self._timer_pressure = max(
+            self._timer_pressure, max(late_ms - rules.usual_timer_delay_ms, 0.0) / rules.max_timer_delay_ms
+        )
+        self._limits.pressed(now, min(self._timer_pressure, 1.0))
+
+    # --- queries ---
 
-    # --- questions ---
+    def admit(
+        self, now: float, question: Question, wall_offset_ms: float, deadline_ms: float
+    ) -> Admitted | Refused:
+        """Admits a query, or rejects it with a narrower one.
 
-    def allow(self, now: float, question: Question, wall: float, deadline_ms: float) -> Allowed | Refused:
-        """`wall`: how far this front's wall clock, in which the question has its times, is ahead."""
-        query = query_of(question, wall)
+        The times of the question are wall times; `wall_offset_ms` is the offset of the wall clock from `now`.
+        """
+        query = query_of(question, wall_offset_ms)
         estimate = self.estimate(now, query)
 
         def narrow(wide: Query, fits: Callable[[Estimate], bool]) -> Query | None:
@@ -155,13 +172,13 @@
             for summaries in self.catalogue.believed().values()
             for one in summaries
         )
-        return Allowed(granted.ticket, estimate, budget, self._planned(question, estimate), known)
+        return Admitted(granted.ticket, estimate, budget, self._planned_reads(question, estimate), known)
 
     def estimate(self, now: float, query: Query) -> Estimate:
-        """For every front by its own clock, and all of it together."""
+        """Returns the sum of the estimates for all fronts, each on its own clock."""
         parts = []
         for front in query.fronts or tuple({**dict.fromkeys(self.catalogue.owners()), **self._lives}):
-            since, until = self._span(front, query.since, query.until)
+            since, until = self._local_span(front, query.since, query.until)
             asked = replace(query, fronts=(front,), since=since, until=until)
             parts.append(self._estimator.estimate(asked, self.catalogue, (front,), now))
         sums = {name: sum((getattr(one, name) for one in parts), Bound()) for name in QUANTITIES}
@@ -173,12 +190,12 @@
             doubtful=any(one.doubtful for one in parts),
         )  # fmt: skip
 
-    def settle(self, now: float, allowed: Allowed, answer: Answer) -> list[str]:
-        """What it touched; the quantities whose upper bounds did not hold."""
-        estimate, rows = allowed.estimate, sum(said.rows for said in answer.shards)
+    def settle(self, now: float, admitted: Admitted, answer: Answer) -> list[str]:
+        """Records the actual cost. Returns the quantities that exceeded their upper bounds."""
+        estimate, rows = admitted.estimate, sum(said.rows for said in answer.shards)
         actual = Actual(
             fronts=len({said.owner for said in answer.shards}),
-            shards=round(estimate.shards.guess),  # the record is asked by life of a front, not by shard
+            shards=round(estimate.shards.guess),  # the audit log is read by incarnation, not by shard
             rows=rows,
             bytes=rows * _ACT_BYTES,
             holding=round(estimate.holding.guess),
@@ -186,38 +203,36 @@
             answer=round(estimate.answer.guess),
             whole=answer.whole,
         )
-        self._limits.settle(now, allowed.ticket, actual)
+        self._limits.settle(now, admitted.ticket, actual)
         return self.feedback.record(estimate, actual)
 
-    # --- pieces ---
-
-    def _span(self, front: str, since: float, until: float) -> tuple[float, float]:
+    def _local_span(self, front: str, since: float, until: float) -> tuple[float, float]:
         life = self._lives.get(front, 0)
         low = since if isinf(since) else self._clocks.theirs(front, life, When(since, since)).earliest
         high = until if isinf(until) else self._clocks.theirs(front, life, When(until, until)).latest
         return low, high
 
-    def _planned(
+    def _planned_reads(
         self, question: Question, estimate: Estimate
     ) -> dict[tuple[str, int], tuple[float, float]] | None:
         if isinstance(question, Still):
-            return None  # how long after others: every front has to be asked
+            return None  # compares fronts, so all have to be queried
         hulls: dict[tuple[str, int], tuple[float, float]] = {}
         for one in estimate.plan:
             key = (one.shard.front, one.shard.life)
             low, high = hulls.get(key, (inf, -inf))
             hulls[key] = (min(low, one.since), max(high, inf if one.tail else one.until))
-        for front in estimate.missing:  # nothing is known of it: all of it
+        for front in estimate.missing:  # without summaries, everything is read
             hulls[front, self._lives.get(front, 0)] = (-inf, inf)
         return hulls
 
 
-def query_of(question: Question, wall: float) -> Query:
-    """The rows that a question reads, with times on the asking front's own clock."""
+def query_of(question: Question, wall_offset_ms: float) -> Query:
+    """Returns the query that selects the rows of a question, with times on the clock of this front."""
     if isinstance(question, Refusal):
-        return Query(session=question.session)  # what it had heard before goes with it
-    since = question.since - wall if question.since is not None else -inf
-    until = question.until - wall if question.until is not None else inf
+        return Query(session=question.session)  # includes the records before the rejection
+    since = question.since - wall_offset_ms if question.since is not None else -inf
+    until = question.until - wall_offset_ms if question.until is not None else inf
     if isinstance(question, AfterDrain):
         return Query(box=question.box, since=since, until=until)
     version = question.value if question.kind == "boxes" and isinstance(question.value, str) else None
@@ -232,7 +247,7 @@
 
 
 def to_plain(estimate: Estimate) -> dict[str, Any]:
-    """An estimate as JSON has it: [low, guess, high] of each, and the age of what it rests on in ms."""
+    """Returns an estimate as JSON data: [low, guess, high] of each quantity, and the data's age in ms."""
     plain: dict[str, Any] = {
         name: [round(value.low, 1), round(value.guess, 1), round(value.high, 1)]
         for name in ("fronts", "shards", "rows", "bytes", "found")
@@ -244,19 +259,20 @@
     }  # fmt: skip
 
 
-def refused_to_plain(refused: Refused, wall: float) -> dict[str, Any]:
+def refused_to_plain(refused: Refused, wall_offset_ms: float) -> dict[str, Any]:
+    """Returns a rejection as JSON data."""
     plain: dict[str, Any] = {"ok": False, "error": f"not put: {refused.why}"}
     if refused.estimate is not None:
         plain["estimate"] = to_plain(refused.estimate)
     if refused.wait_ms is not None:
         plain["wait_ms"] = round(refused.wait_ms)
     if refused.narrower is not None:
-        plain["narrower"] = _question(refused.narrower, wall)
+        plain["narrower"] = _question(refused.narrower, wall_offset_ms)
     return plain
 
 
-def _question(query: Query, wall: float) -> dict[str, Any]:
-    """A narrower form, as the question that it is; of several fronts one has to be chosen."""
+def _question(query: Query, wall_offset_ms: float) -> dict[str, Any]:
+    """Returns a narrower query as a question. Only the first of its fronts can be named."""
     plain: dict[str, Any] = {"question": "acts"}
     for name in ("deed", "session", "title", "box", "tenant", "outcome"):
         if getattr(query, name) is not None:
@@ -266,7 +282,7 @@
     if query.fronts:
         plain["front"] = query.fronts[0]
     if not isinf(query.since):
-        plain["since"] = query.since + wall
+        plain["since"] = query.since + wall_offset_ms
     if not isinf(query.until):
-        plain["until"] = query.until + wall
+        plain["until"] = query.until + wall_offset_ms
     return plain
--- a/fernweir/peers/session_lookup.py
+++ b/fernweir/peers/session_lookup.py
@@ -1,10 +1,9 @@
-"""Where a viewer's request goes whose session this front does not hold: here, to its owner, or away for now.
+"""Decides where a request for a session of another front goes: here, to the owner, or back with a retry time.
 
-A decision and its table; no I/O, no clock. Asked in order: what this front let go lately, the copies it
-keeps, then the registrars of the session. A session that stands, and that nobody owns at this moment, must
-not begin a second time: its viewer is told to come again. What no registrar could answer begins here, as
-it would at a front that stands alone: the chance of a second set-up is the chance that all its registrars
-are silent at once.
+The module has no I/O and no clock. The sources are, in this order: the sessions that this front relinquished
+recently, its replicas, and the registrars of the session. A session that plays but has no owner now must not
+be set up a second time, so its viewer has to retry. If no registrar replies, the session is set up here, as
+at a front without peers: the probability of a second set-up is that of all registrars failing at once.
 """
 
 from __future__ import annotations
@@ -16,58 +15,62 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FindRules:
-    """`again_ms` is when a viewer comes again whose session is between two owners; a request is carried on
-    `hops` times at the most."""
+class LookupRules:
+    """The settings of a lookup.
 
-    again_ms: float = 1_000.0
-    hops: int = 3
+    `retry_after_ms` is the retry time for a session between two owners. A request is forwarded at most
+    `max_hops` times.
+    """
+
+    retry_after_ms: float = 1_000.0
+    max_hops: int = 3
 
 
 @dataclass(frozen=True, slots=True)
-class To:
-    """Carry it to this front; or begin here, if it is empty; or refuse with this wait."""
+class Destination:
+    """The front to forward a request to; empty to set up the session here, or to reject it with `wait_ms`."""
 
     front: str = ""
     wait_ms: float = 0.0
 
 
-def place(
-    rules: FindRules, *, me: str, alive: Callable[[str], bool], hint: str | None, between: bool,
-    registered: str | None, lost: bool, asked: bool,
-) -> To | None:  # fmt: skip
-    """What becomes of a request; None while the registrars have not been `asked`.
+def choose_destination(
+    rules: LookupRules, *, me: str, alive: Callable[[str], bool], known_owner: str | None,
+    is_between_owners: bool, registered: str | None, is_owner_lost: bool, has_asked_registrars: bool,
+) -> Destination | None:  # fmt: skip
+    """Returns the destination of a request, or None if the registrars have to be asked first.
 
-    `hint` is the owner by what this front knows itself, `registered` by what registrars said, who know it
-    as `lost` if its owner is gone and no heir has spoken yet.
+    `known_owner` is the owner according to this front, `registered` the owner according to the registrars.
+    `is_owner_lost` means that the registrars know that the owner is gone and no successor has registered yet.
     """
-    if between:
-        return To(wait_ms=rules.again_ms)
-    if hint is not None and hint != me and alive(hint):
-        return To(hint)
-    if not asked:
+    if is_between_owners:
+        return Destination(wait_ms=rules.retry_after_ms)
+    if known_owner is not None and known_owner != me and alive(known_owner):
+        return Destination(known_owner)
+    if not has_asked_registrars:
         return None
-    if lost:
-        return To(wait_ms=rules.again_ms)
+    if is_owner_lost:
+        return Destination(wait_ms=rules.retry_after_ms)
     if registered is None or registered == me:
-        return To()
-    return To(registered) if alive(registered) else To(wait_ms=rules.again_ms)
+        return Destination()
+    return Destination(registered) if alive(registered) else Destination(wait_ms=rules.retry_after_ms)
 
 
-def unreachable(rules: FindRules, number: int) -> Carried:
-    """What a viewer is told whose session's front said nothing: it may have been carried out there."""
-    return Carried(number, "refused", "the session's front does not answer", rules.again_ms)
+def unreachable_reply(rules: LookupRules, number: int) -> Carried:
+    """Returns the reply if the owner did not reply; it may have executed the request."""
+    return Carried(number, "refused", "the session's front does not answer", rules.retry_after_ms)
 
 
-def between_owners(rules: FindRules, number: int) -> Carried:
-    return Carried(number, "refused", "the session is between two fronts", rules.again_ms)
+def between_owners_reply(rules: LookupRules, number: int) -> Carried:
+    """Returns the reply if the session has no owner at the moment."""
+    return Carried(number, "refused", "the session is between two fronts", rules.retry_after_ms)
 
 
 @dataclass(slots=True)
-class Seeking:
-    """A request whose place is not known yet, and who hears of its end."""
+class PendingLookup:
+    """A request whose destination is not known yet, and the callback for its end."""
 
     request: Carry
-    since: float
+    started_at: float
     then: Callable[[float, Carried | None], None]
     hops: int = 0
--- a/fernweir/peers/straggler_control.py
+++ b/fernweir/peers/straggler_control.py
@@ -1,7 +1,8 @@
-"""What a front and its peers act on: joins stragglers to facts, to keepers and to the front.
+"""Applies the decisions of the straggler detection to facts, keepers and the front.
 
-`late` decides who is late and who is out; this carries it out. A front that is out is granted no lease and
-believed nothing but its plea; the front itself takes nothing new and hands on what stands.
+`fernweir.peers.late` decides which fronts are stale and which are shut out. A front that is shut out gets no
+lease, and its peers accept no fact from it but the request to return (`PLEA`). The front itself accepts no
+new session and hands off its channels.
 """
 
 from __future__ import annotations
@@ -34,16 +35,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Resign(Event):
-    """This front takes nothing new and hands on what stands, for this reason; an empty one ends it."""
+class NewSessionsBlocked(Event):
+    """This front must reject new sessions and hand off its channels; an empty `why` ends that."""
 
     why: str
     wait_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Said(Event):
-    """For the log, and the record of acts where somebody was shut out."""
+class LogRequested(Event):
+    """A record for the log; `shut_out` names a front for the audit log."""
 
     text: str
     fields: Mapping[str, object] = field(default_factory=dict)
@@ -51,7 +52,7 @@
 
 
 class StragglerControl:
-    """`now` is ms. Events: `Resign`, `Said`."""
+    """Applies straggler decisions. `now` is in ms. Events: `NewSessionsBlocked`, `LogRequested`."""
 
     def __init__(
         self, me: str, life: int, rules: LateRules, now: float, facts: Facts, keeper: Keeper | None,
@@ -63,34 +64,36 @@
         self._versions = versions
         self._out = Outbox()
 
-    def fleet(self, now: float, lives: Mapping[str, int]) -> None:
+    def update_fronts(self, now: float, lives: Mapping[str, int]) -> None:
+        """Sets the live fronts with their incarnations."""
         self.stragglers.fleet(now, lives)
 
-    def mine(self, now: float, versions: Versions, urgent: bool) -> None:
-        """What this front acts on from now on; urgent if boxes drain or went by it."""
+    def set_own_versions(self, now: float, versions: Versions, urgent: bool) -> None:
+        """Sets and publishes the versions of this front; urgent if servers began to drain or were removed."""
         self._versions = versions
         self._facts.put(now, VERSIONS, msgspec.msgpack.encode(versions), urgent=urgent)
         self.stragglers.versions(now, self.me, versions, urgent)
 
-    def told(self, now: float, owner: str, key: str, value: bytes) -> None:
-        """A peer's fact about what it acts on, or its plea to come back."""
+    def on_fact(self, now: float, owner: str, key: str, value: bytes) -> None:
+        """Handles a fact of a peer: its versions, or its request to return."""
         versions = _versions(value)
         if versions is not None and key in (VERSIONS, PLEA):
             self.stragglers.versions(now, owner, versions)
 
-    def seen(self, now: float, owner: str, versions: Versions, age_ms: float) -> None:
-        """What an act of a peer rested on, by its record."""
+    def on_peer_versions(self, now: float, owner: str, versions: Versions, age_ms: float) -> None:
+        """Handles the versions that an audit record of a peer was based on."""
         self.stragglers.evidence(now, owner, versions, age_ms)
 
-    def keepers(self, now: float, names: tuple[str, ...]) -> None:
-        """Who decides on shutting out from now on."""
+    def update_keepers(self, now: float, names: tuple[str, ...]) -> None:
+        """Sets the keepers, which vote on shutting fronts out."""
         self.stragglers.keepers(now, names)
 
-    def leases(self, now: float, held: bool) -> None:
+    def on_lease_status(self, now: float, held: bool) -> None:
+        """Sets whether this front holds a lease, or needs none."""
         self.stragglers.leases(now, held)
 
-    def out(self) -> frozenset[str]:
-        """Who takes no part in the choice of heirs."""
+    def shut_out_fronts(self) -> frozenset[str]:
+        """Returns the fronts that are shut out, which cannot be successors."""
         return self.stragglers.shut_out()
 
     # --- base.Part ---
@@ -105,35 +108,35 @@
         return self.stragglers.next_deadline()
 
     def run(self, now: float) -> None:
-        """Carries out what was decided since the last call."""
+        """Applies the decisions since the last call."""
         while effects := self.stragglers.take_effects():
             for effect in effects:
                 if isinstance(effect, Event):
-                    self._do(now, effect)
+                    self._handle_event(now, effect)
                 else:
                     self._out.add(effect)
 
     def take_effects(self) -> list[Effect]:
         return self._out.take_effects()
 
-    # --- pieces ---
+    # --- decisions ---
 
-    def _do(self, now: float, event: Event) -> None:
+    def _handle_event(self, now: float, event: Event) -> None:
         if isinstance(event, BringUp):
             self._bring_up(now, event)
         elif isinstance(event, Apply):
             self._apply(now, event)
         elif isinstance(event, ShutOut | Back):
-            self._shut_out()
+            self._apply_shut_out()
             out, why = (event.name, event.why) if isinstance(event, ShutOut) else ("", "")
             what = "peer is shut out" if out else "peer is back"
-            self._out.add(Said(what, {"name": event.name, "why": why}, out))
+            self._out.add(LogRequested(what, {"name": event.name, "why": why}, out))
         elif isinstance(event, Refrain):
-            self._out.add(Resign(event.why, event.wait_ms))
-            self._out.add(Said("takes no new sessions" if event.why else "takes sessions again",
+            self._out.add(NewSessionsBlocked(event.why, event.wait_ms))
+            self._out.add(LogRequested("takes no new sessions" if event.why else "takes sessions again",
                                {"why": event.why}))  # fmt: skip
         elif isinstance(event, NewsSuspect):
-            self._out.add(Said("news is suspect" if event.why else "news is no longer suspect",
+            self._out.add(LogRequested("news is suspect" if event.why else "news is no longer suspect",
                                {"what": str(event.what), "why": event.why}))  # fmt: skip
         elif isinstance(event, Plead):
             if event.data:
@@ -144,20 +147,22 @@
             assert isinstance(event, BroughtUp)
 
     def _bring_up(self, now: float, event: BringUp) -> None:
-        """The list is given as it is here; settings and keys are files, which the late front has to read."""
+        """Sends a stale front the endpoint list. It has to read settings and keys from its own files."""
         if content_of(self._versions, event.what) != event.content:
             return
         data = self._port.endpoint_list_document() if event.what is Kind.BOXES else b""
         if event.what is Kind.BOXES and not data:
-            return  # fronts of this kind have their list from one source alone
+            return  # fronts of this kind accept their list from one source only
         self.stragglers.supply(now, event.name, event.what, event.content, data)
-        self._out.add(Said("peer is brought up", {"name": event.name, "what": str(event.what)}))
+        self._out.add(LogRequested("peer is brought up", {"name": event.name, "what": str(event.what)}))
 
     def _apply(self, now: float, event: Apply) -> None:
-        taken = event.what is Kind.BOXES and self._port.adopt_endpoint_list(now, event.data, event.content)
-        self._out.add(Said("brought up by a peer", {"what": str(event.what), "by": event.by, "taken": taken}))
+        applied = event.what is Kind.BOXES and self._port.adopt_endpoint_list(now, event.data, event.content)
+        self._out.add(
+            LogRequested("brought up by a peer", {"what": str(event.what), "by": event.by, "taken": applied})
+        )
 
-    def _shut_out(self) -> None:
+    def _apply_shut_out(self) -> None:
         names = self.stragglers.shut_out()
         self._facts.refuse({name: frozenset((PLEA,)) for name in names if name != self.me})
         if self._keeper is not None:
@@ -167,5 +172,5 @@
 def _versions(value: bytes) -> Versions | None:
     try:
         return msgspec.msgpack.decode(value, type=Versions)
-    except msgspec.DecodeError:  # a later format, or a peer that is wrong
+    except msgspec.DecodeError:  # a later format, or a faulty peer
         return None
--- a/fernweir/rehearsal/fleet/inside.py
+++ b/fernweir/rehearsal/fleet/inside.py
@@ -83,8 +83,8 @@
     for what, table in (
         ("tries", manager._lease_attempts), ("turns", manager._pending_takeovers),
         ("undecided channels", manager._unsettled),
-        ("seeking", peer._seeking), ("carried", peer._carried), ("finds", peer.directory._finds),
-        ("questions", peer.audit._asked), ("stale fronts", peer.stragglers.out()),
+        ("seeking", peer._pending_lookups), ("carried", peer._forwarded), ("finds", peer.directory._finds),
+        ("questions", peer.audit._pending_queries), ("stale fronts", peer.stragglers.shut_out_fronts()),
     ):  # fmt: skip
         wrong += [f"{what} left: {', '.join(map(str, table))[:200]}"] if table else []
     if front.core.sessions.observer is None:
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -31,7 +31,7 @@
 from fernweir.peers.lease.rules import LeaseRules
 from fernweir.peers.members.events import Me
 from fernweir.peers.members.rules import MemberRules
-from fernweir.peers.peer import KINDS, Peer, PeerRules, Relived
+from fernweir.peers.peer import KINDS, IncarnationSuperseded, Peer, PeerRules
 from fernweir.peers.port import AuditEvent, AuditRecord, ClaimResult, Listener, SessionStatus, Terms
 from fernweir.peers.wire.codec import Codec
 from tests.fuzzing import Finding, Tape, Target
@@ -54,7 +54,7 @@
         handoff=HandoffRules(takes_most=4, sessions_most=64),
     ),
     directory=DirectoryRules(own_most=64, entries_most=128, finds_most=32),
-    forward=ForwardRules(most=64),
+    forward=ForwardRules(max_requests=64),
     acts=ActRules(own_bytes=65_536, peer_bytes=65_536, copies_bytes=131_072, owners=16, asked=2, samples=16),
 )  # fmt: skip
 VERSIONS = Versions("1", b"s", 0, b"b", 0, b"k", 1)
@@ -251,7 +251,7 @@
                 if isinstance(effect, Send):
                     sent += 1
                     self.send(name, effect)
-                elif isinstance(effect, Relived):
+                elif isinstance(effect, IncarnationSuperseded):
                     self.begin(name, effect.life)
                     return
             if due is None or due > self.now:
@@ -275,7 +275,7 @@
         if to == self.gone:
             return
         life = self.peers[sender].me.life if sender in self.peers else 7
-        self.peers[to].heard(self.now, sender, life, what)
+        self.peers[to].on_message(self.now, sender, life, what)
         self.settle(to)
 
     # --- events ---
@@ -326,7 +326,7 @@
         what = self.tape.below(8)
         if what == 0:
             request = Carry(
-                peer.forwarder.number(),
+                peer.forwarder.next_number(),
                 "ask",
                 self.tape.one(SESSIONS),
                 "dash",
@@ -339,21 +339,21 @@
             )
             peer.find(self.now, request, lambda now, answer: None)
         elif what == 1:
-            peer.stood(self.now, 2_000.0)
+            peer.on_stall(self.now, 2_000.0)
         elif what == 2:
-            peer.stale(self.now, self.tape.one(("a", "b", "x")))
+            peer.on_stale_sender(self.now, self.tape.one(("a", "b", "x")))
         elif what == 3:
             port = self.ports[name]
             port.list += 1 + self.tape.below(2)
             peer.on_endpoint_list(self.now, _rows(port.list), self.now)
         elif what == 4:
-            peer.leave(self.now)
+            peer.drain(self.now)
         elif what == 5:
-            peer.go(self.now)
+            peer.shutdown(self.now)
             self.settle(name)
             self.begin(name)
         elif what == 6:
-            peer.ask(self.now, parse(self.tape.one(QUESTIONS)), lambda answer: None)
+            peer.query(self.now, parse(self.tape.one(QUESTIONS)), lambda answer: None)
         elif self.gone:
             name, self.gone = self.gone, ""
             self.ports[name].plays.clear()
@@ -395,7 +395,7 @@
                 *CHANNELS[:2],
             )
             who = f"z{dice.randrange(10_000)}" if many else sender
-            self.peers[name].heard(self.now, who, 7, self._read(message(dice, kind, words)))
+            self.peers[name].on_message(self.now, who, 7, self._read(message(dice, kind, words)))
             if number % 10 == 0:
                 self.settle(name)
         self.settle(name)
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -310,7 +310,7 @@
     """The newest set once it was told, and what this keeper of it says in turn: that it is settled."""
     facts = _Facts()
     part = _keeper_reconfiguration(facts, KeeperSet(1, ("front-a",)))
-    part.told(0.0, "front-a", keeper_reconfiguration.KEEPERS, data)
+    part.on_fact(0.0, "front-a", keeper_reconfiguration.KEEPERS, data)
     return [plain(part.sets), plain(facts.kept)]
 
 
@@ -355,10 +355,10 @@
     clocks: Any = SimpleNamespace()
     part = query_planning.QueryPlanner("front-a", LIFE, query_planning.QueryPlannerRules(), 0.0, clocks)
     for act, rested in ACTS:
-        part.acted(act, rested)
+        part.add_audit_record(act, rested)
     for number in range(3):
-        part.stands(1_000.0 * number, _standing(number))
-    part.over(4_000.0, "session-1")
+        part.on_session_status(1_000.0 * number, _standing(number))
+    part.on_session_ended(4_000.0, "session-1")
     return msgspec.msgpack.encode(part.publish(5_000.0)[0])
 
 
@@ -478,9 +478,9 @@
     )
     part = order_estimation.OrderEstimator("front-a", LIFE, port, 0.0)
     for number in range(3):
-        part.stands(1_000.0 * number, _standing(number), f"channel-{number}")
-    part.say(3_000.0, 9)
-    return part.ask(4_000.0, order, {"front-a": LIFE, "front-b": 2})
+        part.on_session_status(1_000.0 * number, _standing(number), f"channel-{number}")
+    part.publish(3_000.0, 9)
+    return part.estimate(4_000.0, order, {"front-a": LIFE, "front-b": 2})
 
 
 ORDERS: dict[str, dict[str, Any]] = {
@@ -552,7 +552,7 @@
         lambda: versions.settings_digest({"platform": node_settings(_all_settings())}, ())
     ),
     "log.record_trouble": _made(
-        lambda: [peer.TROUBLE_TEXTS[kind] for kind in (Missing, Shortened, Tampered)]
+        lambda: [peer.FAULT_TEXTS[kind] for kind in (Missing, Shortened, Tampered)]
     ),
     "answer.still": _made(lambda: _answer(plan.parse({"question": "still", "at": 5.0, "value": "ab"}))),
     "answer.after_drain": _made(lambda: _answer(plan.parse({"question": "after-drain", "box": 5}))),
--- a/tests/peers_mutants/fuzz.py
+++ b/tests/peers_mutants/fuzz.py
@@ -177,8 +177,8 @@
         Mutant(
             "carried without a bound",
             _FORWARDER,
-            "if len(self._in) > self.rules.most:",
-            "if len(self._in) < 0:",
+            "if len(self._received) > self.rules.max_requests:",
+            "if len(self._received) < 0:",
             57,
         ),
         Mutant(
--- a/tests/peers_mutants/joint.py
+++ b/tests/peers_mutants/joint.py
@@ -1,7 +1,7 @@
-"""Mistakes where the parts are joined, and at the front's side; found by drawn days of whole fleets.
+"""Mutants of the code that connects the parts, and of the port; simulated fleets must detect each.
 
-Leases are short, so that cuts and halts outlast them. `DAYS` says for each what days are drawn: fronts, and
-the kinds of faults if not all. `faults` is how many must meet for the mistake to show.
+Leases are short, so that partitions and stalls outlast them. `DAYS` has the options of the simulated fleets
+for a mutant. `faults` is the number of faults that must coincide for the mutant to show.
 """
 
 from __future__ import annotations
@@ -20,91 +20,93 @@
 
 MUTANTS = [
     Mutant(
-        "an attempt leaves without its session being put into a channel", _PEER,
-        "            self._at(self.channels).on_attempt_started(act.at, act.session, act.box)\n", "", 2,
+        "an attempt is sent without assigning its session to a channel", _PEER,
+        "            self._touch(self.channels).on_attempt_started(record.at, record.session, record.box)\n",
+        "", 2,
     ),
     Mutant(
-        "a channel that was another's is not replaced by a new one", _CHANNEL_MANAGER,
+        "a relinquished channel is not replaced by a new one", _CHANNEL_MANAGER,
         "            self._request_own_channel"
         "(now, parsed.part % self.rules.parts, parsed.part + self.rules.parts)\n",
         "            pass\n", 6,
     ),
     Mutant(
-        "what a second list lacks is held on", _TAKEOVER,
+        "sessions that a second list lacks are kept", _TAKEOVER,
         "        if taken.held:\n            return []\n        there",
         "        return []\n        there", 20, faults=2,
     ),
     Mutant(
-        "an end seen here is not told to the taking over of its channel", _CHANNEL_MANAGER,
+        "the takeover of a channel ignores the end of a session", _CHANNEL_MANAGER,
         "            self.handoff.takeover.learn(now, channel, session, None)\n", "", 30, faults=2,
     ),
     Mutant(
-        "who hears that another has the lease keeps the sessions", _CHANNEL_MANAGER,
+        "a front keeps the sessions although another front has the lease", _CHANNEL_MANAGER,
         "            self._holder.release(now, channel)\n"
         "            self._relinquish_channel(now, channel, by)\n",
         "            self._holder.release(now, channel)\n", 10,
     ),
     Mutant(
-        "an heir does not register what it takes over", _PEER,
-        "self._at(self.directory).register(now, event.session, event.fence)", "pass", 10,
+        "a successor does not register the sessions that it takes over", _PEER,
+        "self._touch(self.directory).register(now, event.session, event.fence)", "pass", 10,
     ),
     Mutant(
-        "an heir does not listen to the boxes of what it takes over", _PEERING,
+        "a successor opens no notice streams for the sessions that it takes over", _PEERING,
         "            self._client.open_notice_stream(standing.box)\n", "", 12,
     ),
     Mutant(
-        "a session goes to its heir and stays with its owner", _CHANNEL_MANAGER,
+        "a session moves to a successor and stays with its owner", _CHANNEL_MANAGER,
         "            self._port.relinquish_session(now, session)\n"
         "            self._forget(session)\n            if to:",
         "            self._forget(session)\n            if to:", 6,
     ),
     Mutant(
-        "what one front gives up it releases under a fence of no channel", _CHANNEL_MANAGER,
+        "sessions are released under a fence of no channel", _CHANNEL_MANAGER,
         "            under = (event.channel, event.fence)\n", "            under = (event.channel, 1)\n", 20,
     ),
     Mutant(
-        "a lapsed channel's sessions are let go at once", _CHANNEL_MANAGER,
+        "the sessions of an expired channel are relinquished at once", _CHANNEL_MANAGER,
         'if why == "taken" or self._leaving:', "if True:", 10,
     ),
     Mutant(
-        "an heir claims no box", _CHANNEL_MANAGER,
+        "a successor claims no server", _CHANNEL_MANAGER,
         "        self._port.claim_channel(box, event.channel, event.fence, event.overlap_ms, then)\n", "", 8,
     ),
     Mutant(
-        "standbys are not told of what stands", _CHANNEL_MANAGER,
+        "the status of sessions is not replicated", _CHANNEL_MANAGER,
         "        self.replica.change(now, channel, status)\n        self.handoff.change",
         "        self.handoff.change", 8,
     ),
     Mutant(
-        "what is over keeps its place in the table of attempts", _CHANNEL_MANAGER,
+        "ended sessions stay in the table of attempts", _CHANNEL_MANAGER,
         "        self._server_by_session.pop(session, None)\n", "", 1,
     ),
     Mutant(
-        "requests that were answered by another front are kept", _PEER,
-        "self._carried.pop(event.number, None)", "self._carried.get(event.number)", 2,
+        "forwarded requests stay in the table after their reply", _PEER,
+        "self._forwarded.pop(event.number, None)", "self._forwarded.get(event.number)", 2,
     ),
     Mutant(
-        "requests whose place was found are kept", _PEER,
-        "self._seeking.pop(event.session, [])", "list(self._seeking.get(event.session, []))", 1,
+        "lookups stay in the table after their end", _PEER,
+        "self._pending_lookups.pop(event.session, [])",
+        "list(self._pending_lookups.get(event.session, []))", 1,
     ),
 ]  # fmt: skip
 
 DAYS: dict[str, dict[str, Any]] = {
-    "what a second list lacks is held on": {"play_s": (2.0, 6.0)},
-    "an end seen here is not told to the taking over of its channel": {"play_s": (2.0, 6.0)},
-    "an heir does not register what it takes over": {"kinds": ("kill", "stop")},
-    "an heir claims no box": {"kinds": ("kill", "stop")},
-    "standbys are not told of what stands": {"kinds": ("kill", "stop")},
-    "a channel that was another's is not replaced by a new one": {"kinds": _APART},
-    "who hears that another has the lease keeps the sessions": {"kinds": _APART},
-    "an heir does not listen to the boxes of what it takes over": {"kinds": _LOSSES},
-    "a session goes to its heir and stays with its owner": {"kinds": _APART},
-    "a lapsed channel's sessions are let go at once": {"kinds": _APART},
+    "sessions that a second list lacks are kept": {"play_s": (2.0, 6.0)},
+    "the takeover of a channel ignores the end of a session": {"play_s": (2.0, 6.0)},
+    "a successor does not register the sessions that it takes over": {"kinds": ("kill", "stop")},
+    "a successor claims no server": {"kinds": ("kill", "stop")},
+    "the status of sessions is not replicated": {"kinds": ("kill", "stop")},
+    "a relinquished channel is not replaced by a new one": {"kinds": _APART},
+    "a front keeps the sessions although another front has the lease": {"kinds": _APART},
+    "a successor opens no notice streams for the sessions that it takes over": {"kinds": _LOSSES},
+    "a session moves to a successor and stays with its owner": {"kinds": _APART},
+    "the sessions of an expired channel are relinquished at once": {"kinds": _APART},
 }
 
 
 def find(mutant: Mutant) -> tuple[int, str]:
-    """The first seed whose day breaks something, and what; 0 if none of its seeds does."""
+    """Returns the first seed whose simulation violates a rule, and the violation; 0 if none does."""
     with broken(mutant, "fernweir."):
         plan = importlib.import_module("fernweir.rehearsal.fleet.plan")
         schedule = importlib.import_module("fernweir.rehearsal.fleet.schedule")
--- a/tests/test_node_peers.py
+++ b/tests/test_node_peers.py
@@ -100,7 +100,7 @@
             await scenario(fleet, node, peers)
             assert not fleet.faults
         finally:
-            peers.cut()
+            peers.abort()
             await peers.links.stop()
             node.shutdown()
 
@@ -346,7 +346,7 @@
             while self._sent and self._sent[0][0] <= self.now:
                 _, _, to, sender, message = heappop(self._sent)
                 if to in self.peers and sender in self.peers:
-                    self.peers[to].heard(self.now, sender, 1, message)
+                    self.peers[to].on_message(self.now, sender, 1, message)
             for peer in self.peers.values():
                 due = peer.next_deadline()
                 if due is not None and due <= self.now:
--- a/tests/test_peers_fleet.py
+++ b/tests/test_peers_fleet.py
@@ -16,7 +16,7 @@
 from fernweir.peers.estimate.limits import Refused
 from fernweir.peers.lease.rules import KeeperSet
 from fernweir.peers.program import Peers
-from fernweir.peers.query_planning import Allowed, QueryPlanner, QueryPlannerRules
+from fernweir.peers.query_planning import Admitted, QueryPlanner, QueryPlannerRules
 from fernweir.rehearsal.site import SitePlan
 from fernweir.standin.leases import LeaseDesk
 from fernweir.standin.site import SiteTimes
@@ -47,16 +47,16 @@
     return peers
 
 
-def copied(one: Peers) -> int:
-    """Sessions of others that this front has whole copies of, with what their viewers are answered from."""
+def replicated_sessions(one: Peers) -> int:
+    """Returns the number of sessions in complete replicas of this front whose payload it has, too."""
     replica = one.peer.channels.replica
     copies = [copy for channel in replica.copies() if (copy := replica.copy(channel)) is not None]
     standings = [each for copy in copies if copy.whole for each in copy.standings.values()]
     return sum(replica.payload_of(each.payload) is not None for each in standings)
 
 
-async def reach(scene: Scene, wish: Wish, front: int, method: str = "GET") -> None:
-    """Asks as viewers do: again while it is refused for now."""
+async def request_until_accepted(scene: Scene, wish: Wish, front: int, method: str = "GET") -> None:
+    """Sends a request, and retries it while the reply is 503, as viewers do."""
     resource = "session" if method == "DELETE" else "manifest.mpd"
     for _ in range(500):
         reply = await scene.http(method, f"/lessons/{wish.title}/{resource}", wish, front=front)
@@ -66,38 +66,38 @@
     assert reply.status in (200, 204), reply
 
 
-def test_a_killed_front_s_sessions_go_on_and_any_front_reaches_them() -> None:
-    async def story(scene: Scene) -> None:
+def test_sessions_of_a_killed_front_continue_and_any_front_reaches_them() -> None:
+    async def scenario(scene: Scene) -> None:
         peers = await fleet(scene)
         wishes = [scene.wish(f"lesson-{number % 3}", play_s=60.0) for number in range(9)]
         for wish in wishes:
             assert (await scene.request_session(wish, front=0)).status == 200
         path = "/lessons/lesson-0/manifest.mpd"
         first = wishes[0]
-        # At a front that does not hold it: carried to its owner, and no second set-up.
+        # A front that does not own the session forwards the request to the owner, without a second set-up.
         assert (await scene.http("GET", path, first, front=1)).status == 200
         assert (await scene.http("HEAD", path, first, front=2)).status == 200
         assert len(scene.records_of("box.setup", session=first.session)) == 1
         hosts = [front.core.sessions for front in scene.fronts]
         assert [host.session_count for host in hosts] == [9, 0, 0]
-        await until(lambda: all(copied(one) >= 9 for one in peers[1:]))
+        await until(lambda: all(replicated_sessions(one) >= 9 for one in peers[1:]))
         scene.trace.write("front.down", front="front-0")
         scene.fronts[0].kill()
         await until(lambda: hosts[1].session_count + hosts[2].session_count == 9)
         for wish in wishes:
             at = 1 if hosts[1].session(wish.session) is None else 2
-            await reach(scene, wish, at)
+            await request_until_accepted(scene, wish, at)
         assert len(scene.records_of("box.setup")) == 9 and not scene.records_of("box.end")
-        # The heir steers: its viewer's end reaches the box.
-        await reach(scene, first, 1, "DELETE")
+        # The successor controls the session: the end by its viewer reaches the server.
+        await request_until_accepted(scene, first, 1, "DELETE")
         await until(lambda: bool(scene.records_of("box.end", session=first.session)))
         assert all(one["accepted"] for one in scene.records_of("box.steer"))
 
-    play(story, PLAN, fronts=0)
+    play(scenario, PLAN, fronts=0)
 
 
-def test_a_stopped_front_hands_its_sessions_on_and_none_ends() -> None:
-    async def story(scene: Scene) -> None:
+def test_a_stopped_front_hands_off_its_sessions_and_none_ends() -> None:
+    async def scenario(scene: Scene) -> None:
         peers = await fleet(scene)
         wishes = [scene.wish(f"lesson-{number % 3}", play_s=60.0) for number in range(9)]
         for wish in wishes:
@@ -106,27 +106,27 @@
         leaving = peers[0]
         scene.trace.write("front.down", front="front-0")
         assert await scene.fronts[0].stop(10.0)
-        assert leaving.peer.left and hosts[0].session_count == 0
+        assert leaving.peer.is_drained and hosts[0].session_count == 0
         assert hosts[1].session_count + hosts[2].session_count == 9
         for wish in wishes:
-            await reach(scene, wish, 1)
-            await reach(scene, wish, 2)
+            await request_until_accepted(scene, wish, 1)
+            await request_until_accepted(scene, wish, 2)
         assert len(scene.records_of("box.setup")) == 9 and not scene.records_of("box.end")
         claims = scene.records_of("box.claim")
         assert claims and all(one["accepted"] for one in claims)
         await until(lambda: all("front-0" not in one.peer.members.alive() for one in peers[1:]))
 
-    play(story, PLAN, fronts=0)
+    play(scenario, PLAN, fronts=0)
 
 
 def test_seats_move_with_sessions_and_are_never_doubled() -> None:
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         peers = await fleet(scene)
         wishes = [scene.wish("lesson-0", "briefing", play_s=60.0) for _ in range(4)]
         for wish in wishes:
             assert (await scene.request_session(wish, front=0)).status == 200
-        assert scene.desk is not None and len(scene.desk.held_by("front-0")) == 4  # every seat there is
-        await until(lambda: all(copied(one) >= 4 for one in peers[1:]))
+        assert scene.desk is not None and len(scene.desk.held_by("front-0")) == 4  # all seats
+        await until(lambda: all(replicated_sessions(one) >= 4 for one in peers[1:]))
         scene.trace.write("front.down", front="front-0")
         assert await scene.fronts[0].stop(10.0)
         hosts = [front.core.sessions for front in scene.fronts[1:]]
@@ -134,19 +134,19 @@
         assert sum(host.session_count for host in hosts) == 4 and not scene.records_of("box.end")
         report = scene.desk.report
         assert report.most_over == 0 and report.most_by_session == 1
-        # Four seats changed hands: fenced by the heirs, or, on a slow machine, run out just before.
+        # Four seats changed owners: fenced by the successors, or expired just before on a slow machine.
         assert report.granted == 8 and report.fenced + report.expired == 4
-        # The seats are full: nobody else gets in at the heirs, and each seat is free once its session ends.
+        # No seat is left, so the successors reject another session. A seat is free once its session ends.
         assert (await scene.request_session(scene.wish("lesson-0", "briefing"), front=1)).status == 503
         for wish in wishes:
-            await reach(scene, wish, 2, "DELETE")
+            await request_until_accepted(scene, wish, 2, "DELETE")
         await until(lambda: not scene.desk.leases)
 
-    play(story, PLAN, fronts=0, desk=LeaseDesk(ttl_ms=2_000.0, default=4))
+    play(scenario, PLAN, fronts=0, desk=LeaseDesk(ttl_ms=2_000.0, default=4))
 
 
-def test_a_front_whose_clock_was_set_back_lives_on_above_its_earlier_life() -> None:
-    async def story(scene: Scene) -> None:
+def test_a_front_whose_clock_was_set_back_restarts_under_a_higher_incarnation() -> None:
+    async def scenario(scene: Scene) -> None:
         peers = await fleet(scene)
         life, address = peers[2].peer.me.life, peers[2].peer.me.address
         scene.trace.write("front.down", front="front-2")
@@ -165,11 +165,11 @@
         assert again.peer.me.life > life
         await until(lambda: all(one.peer.members.life("front-2") > life for one in peers[:2]))
 
-    play(story, PLAN, fronts=0)
+    play(scenario, PLAN, fronts=0)
 
 
-def test_operators_ask_what_a_front_did_that_was_killed() -> None:
-    async def story(scene: Scene) -> None:
+def test_operators_query_the_audit_log_of_a_killed_front() -> None:
+    async def scenario(scene: Scene) -> None:
         peers = await fleet(scene)
         wish = scene.wish(play_s=60.0)
         assert (await scene.request_session(wish, front=0)).status == 200
@@ -179,37 +179,37 @@
         scene.trace.write("front.down", front="front-0")
         scene.fronts[0].kill()
         await until(lambda: all("front-0" not in one.peer.members.alive() for one in peers[1:]))
-        told: list[dict[str, Any]] = []
-        peers[1].questions.ask({"question": "acts", "deed": "setup", "session": wish.session}, told.append)
-        peers[2].questions.ask({"question": "nonsense"}, told.append)
-        await until(lambda: len(told) == 2)
-        assert told[0]["ok"] is False and told[0]["error"]
-        answer = told[1]
+        replies: list[dict[str, Any]] = []
+        peers[1].questions.ask({"question": "acts", "deed": "setup", "session": wish.session}, replies.append)
+        peers[2].questions.ask({"question": "nonsense"}, replies.append)
+        await until(lambda: len(replies) == 2)
+        assert replies[0]["ok"] is False and replies[0]["error"]
+        answer = replies[1]
         (row,) = answer["rows"]
         assert (row["front"], row["box"]) == ("front-0", scene.records_of("box.setup")[0]["box"])
-        # A copy answered for the dead: what it did last may be missing, and that is said.
+        # A replica replied for the dead front. Its last records may be missing, and the reply reports that.
         assert answer["whole"] is False and {gap["front"] for gap in answer["gaps"]} == {"front-0"}
-        # What it would touch was told before it was put; one over its budget is not put at all.
+        # The reply has the estimate of the query. A query over the budget is rejected.
         low, guess, high = answer["estimate"]["rows"]
         assert low <= guess <= high and high >= 1 and answer["estimate"]["failed"] == []
-        peers[1].peer.query_planner.pressed(scene.fronts[1].core.now(), 1.0)  # viewers come first
-        told.clear()
-        peers[1].questions.ask({"question": "acts"}, told.append)
-        assert told[0]["ok"] is False and "viewers come first" in told[0]["error"]
-        assert told[0]["estimate"]["rows"][2] >= 1 and told[0]["wait_ms"] > 0
-        # A front that goes on under a later life answers what was asked in this one, with what has come.
-        told.clear()
-        peers[2].questions.ask({"question": "acts"}, told.append)
-        assert not told
-        peers[2].peer.end(scene.fronts[2].core.now())
-        assert len(told) == 1 and told[0]["whole"] is False
-        assert {gap["front"]: gap["why"] for gap in told[0]["gaps"]}["front-1"] == "unreached"
-
-    play(story, PLAN, fronts=0)
-
-
-def test_an_order_is_weighed_on_what_all_fronts_say_before_it_is_given() -> None:
-    async def story(scene: Scene) -> None:
+        peers[1].peer.query_planner.set_pressure(scene.fronts[1].core.now(), 1.0)  # viewers come first
+        replies.clear()
+        peers[1].questions.ask({"question": "acts"}, replies.append)
+        assert replies[0]["ok"] is False and "viewers come first" in replies[0]["error"]
+        assert replies[0]["estimate"]["rows"][2] >= 1 and replies[0]["wait_ms"] > 0
+        # A front that restarts under a new incarnation ends its queries with the results that have arrived.
+        replies.clear()
+        peers[2].questions.ask({"question": "acts"}, replies.append)
+        assert not replies
+        peers[2].peer.close(scene.fronts[2].core.now())
+        assert len(replies) == 1 and replies[0]["whole"] is False
+        assert {gap["front"]: gap["why"] for gap in replies[0]["gaps"]}["front-1"] == "unreached"
+
+    play(scenario, PLAN, fronts=0)
+
+
+def test_an_order_is_estimated_from_the_loads_of_all_fronts() -> None:
+    async def scenario(scene: Scene) -> None:
         peers = await fleet(scene)
         wishes = [scene.wish(f"lesson-{number % 3}", play_s=60.0) for number in range(12)]
         for number, wish in enumerate(wishes):
@@ -217,7 +217,7 @@
         asker = peers[0]
         loads = asker.peer.order_estimator._loads
         await until(lambda: sum(load.sessions for load, _ in loads.values()) == 12)
-        told: list[dict[str, Any]] = []
+        replies: list[dict[str, Any]] = []
         for order in (
             {"order": "drain-rack", "rack": "0", "limit": {"ration": 1e9, "uplink": 1e9}},
             {"order": "drain-rack", "rack": "1", "limit": {"sessions": 1e9, "uplink": 1e-9}},
@@ -225,39 +225,39 @@
             {"order": "raise-epoch", "least": 1},
             {"order": "drain-rack", "rack": ""},
         ):
-            asker.questions.ask(order, told.append)
+            asker.questions.ask(order, replies.append)
         standing = [front.core.sessions.records().values() for front in scene.fronts]
         there = [sum(held.server % 2 == 1 for held in each) for each in standing]  # cell 0, 2: boxes 1, 3
-        low, _, high = told[0]["sessions"]
-        assert low <= sum(there) <= high and told[0]["missing"] == []
-        assert told[0]["first_wave"] and told[1]["first_wave"] == []
-        low, _, high = told[2]["sessions"]
+        low, _, high = replies[0]["sessions"]
+        assert low <= sum(there) <= high and replies[0]["missing"] == []
+        assert replies[0]["first_wave"] and replies[1]["first_wave"] == []
+        low, _, high = replies[2]["sessions"]
         assert low <= len(standing[1]) <= high
-        assert told[3]["fronts"][0] <= 3 <= told[3]["fronts"][2]
-        assert told[4]["ok"] is False and "rack" in told[4]["error"]
+        assert replies[3]["fronts"][0] <= 3 <= replies[3]["fronts"][2]
+        assert replies[4]["ok"] is False and "rack" in replies[4]["error"]
 
-    play(story, PLAN, fronts=0)
+    play(scenario, PLAN, fronts=0)
 
 
-def test_of_a_session_that_could_not_begin_nothing_is_kept() -> None:
-    async def story(scene: Scene) -> None:
+def test_a_session_that_was_not_set_up_leaves_no_entries() -> None:
+    async def scenario(scene: Scene) -> None:
         peers = await fleet(scene)
         for box in scene.site.boxes:
             scene.set_behaviour(box, fail_share=1.0)
         wish = scene.wish(play_s=60.0)
         assert (await scene.request_session(wish, front=0)).status == 503
-        assert scene.records_of("box.setup")  # it was tried, in a channel of this front's
+        assert scene.records_of("box.setup")  # attempted, in a channel of this front
         peer = peers[0].peer
         assert not peer.channels.is_in_channel(wish.session)
         peer.directory.find(scene.fronts[0].core.now(), wish.session)
-        told = [effect for effect in peer.directory.take_effects() if isinstance(effect, Found)]
-        assert not any(found.owner == "front-0" for found in told)
+        replies = [effect for effect in peer.directory.take_effects() if isinstance(effect, Found)]
+        assert not any(found.owner == "front-0" for found in replies)
 
-    play(story, PLAN, fronts=0)
+    play(scenario, PLAN, fronts=0)
 
 
 def test_keepers_are_replaced_while_leases_are_held() -> None:
-    async def story(scene: Scene) -> None:
+    async def scenario(scene: Scene) -> None:
         peers = await fleet(scene, 4)
         wish = scene.wish(play_s=60.0)
         assert (await scene.request_session(wish, front=0)).status == 200
@@ -272,7 +272,7 @@
         fronts = [*peers[:3], front.peers]
         new = KeeperSet(2, ("front-1", "front-2", "front-3"))
         await until(lambda: all(one.peer.keeper_sets.sets == (new,) for one in fronts), 60.0)
-        # Nobody lost a lease by it, and the new ones grant alone: two of them, without the old.
+        # No front lost a lease, and two keepers of the new set grant leases without the previous set.
         assert all(held[one.peer.me.name] <= set(one.peer.channels.owned_channels()) for one in peers[:3])
         await until(lambda: len(fronts[3].peer.channels.owned_channels()) >= 2)
         scene.trace.write("front.down", front="front-0")
@@ -281,15 +281,15 @@
         await until(lambda: any(host.session(wish.session) is not None for host in hosts))
         assert len(scene.records_of("box.setup")) == 1 and not scene.records_of("box.end")
 
-    play(story, replace(PLAN, fronts=4), fronts=0)
+    play(scenario, replace(PLAN, fronts=4), fronts=0)
 
 
-def test_a_record_kept_on_disk_is_there_in_the_next_life_and_a_bad_disk_stops_nobody() -> None:
-    async def story(scene: Scene) -> None:
+def test_a_stored_audit_log_survives_a_restart_and_a_disk_error_stops_no_front() -> None:
+    async def scenario(scene: Scene) -> None:
         peers = await fleet(scene)
         scene.extra += "record = acts-{}\n"
         again: list[Peers] = []
-        for turn in range(3):  # first without a disk, then with one, then with what that kept
+        for turn in range(3):  # without a disk, with an empty one, with the stored audit log
             scene.trace.write("front.down", front="front-2")
             assert await scene.fronts[2].stop(10.0)
             extra = scene.extra.replace("acts-{}", "acts")
@@ -306,11 +306,11 @@
                 ).status == 200
         lives = [one.peer.me.life for one in again]
         shelf = again[2]._store.shelf("front-2", lives[0])
-        assert shelf is not None and shelf.final  # all of it, to the orderly end
-        told: list[dict[str, Any]] = []
-        again[2].questions.ask({"question": "acts", "session": wish.session, "deed": "setup"}, told.append)
-        await until(lambda: bool(told))
-        assert [row["life"] for row in told[0]["rows"]] == [lives[0]] and told[0]["whole"]
+        assert shelf is not None and shelf.final  # complete up to the orderly end
+        replies: list[dict[str, Any]] = []
+        again[2].questions.ask({"question": "acts", "session": wish.session, "deed": "setup"}, replies.append)
+        await until(lambda: bool(replies))
+        assert [row["life"] for row in replies[0]["rows"]] == [lives[0]] and replies[0]["whole"]
         (scene.site.folder / "no-folder").write_text("a file in its place")
         scene.trace.write("front.down", front="front-1")
         assert await scene.fronts[1].stop(10.0)
@@ -319,23 +319,23 @@
         assert front.peers is not None
         await until(lambda: "front-1" in peers[0].peer.members.alive())
 
-    play(story, PLAN, fronts=0)
+    play(scenario, PLAN, fronts=0)
 
 
-def test_questions_give_way_as_timers_come_late() -> None:
+def test_queries_are_rejected_when_timers_are_late() -> None:
     rules = QueryPlannerRules()
     clocks = Clocks("a", 1, ActRules(), 0)
-    foresight = QueryPlanner("a", 1, rules, 0.0, clocks)
+    planner = QueryPlanner("a", 1, rules, 0.0, clocks)
     question = parse({"question": "acts"})
-    foresight.felt(0.0, rules.usual_ms)  # as late as timers are
-    first = foresight.allow(0.0, question, 0.0, 1_000.0)
-    assert isinstance(first, Allowed)
-    foresight.settle(0.0, first, Answer(question, 0.0))
-    foresight.felt(10.0, rules.full_ms + rules.usual_ms)
-    refused = foresight.allow(10.0, question, 0.0, 1_000.0)
+    planner.on_timer_delay(0.0, rules.usual_timer_delay_ms)  # a normal timer delay
+    first = planner.admit(0.0, question, 0.0, 1_000.0)
+    assert isinstance(first, Admitted)
+    planner.settle(0.0, first, Answer(question, 0.0))
+    planner.on_timer_delay(10.0, rules.max_timer_delay_ms + rules.usual_timer_delay_ms)
+    refused = planner.admit(10.0, question, 0.0, 1_000.0)
     assert isinstance(refused, Refused) and refused.why == "viewers come first"
     later = 10.0
-    for _ in range(8):  # one late timer is soon forgotten, and what may be touched comes back with time
-        later += rules.calm_ms
-        foresight.felt(later, 0.0)
-    assert isinstance(foresight.allow(later, question, 0.0, 1_000.0), Allowed)
+    for _ in range(8):  # the pressure decays, and the budget refills with time
+        later += rules.pressure_half_life_ms
+        planner.on_timer_delay(later, 0.0)
+    assert isinstance(planner.admit(later, question, 0.0, 1_000.0), Admitted)
--- a/tests/test_peers_hard.py
+++ b/tests/test_peers_hard.py
@@ -1,4 +1,4 @@
-"""Hard cases of fleets that only show where the parts are joined, one by one, on virtual time."""
+"""Fault combinations that show only in a whole fleet, each in a test of its own, on virtual time."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
     return Fault(at, span, kind, on)
 
 
-def apart(at: float, span: float, some: tuple[int, ...], others: tuple[int, ...]) -> tuple[Fault, ...]:
-    """Both ways between two sets of fronts cut."""
+def partition(at: float, span: float, some: tuple[int, ...], others: tuple[int, ...]) -> tuple[Fault, ...]:
+    """Partitions two sets of fronts in both directions."""
     return (
         Fault(at, span, Kind.CUT, sources=some, targets=others),
         Fault(at, span, Kind.CUT, sources=others, targets=some),
@@ -35,7 +35,7 @@
 
 
 def answered(result: VirtualFleetResult, begin: float, end: float) -> tuple[int, int]:
-    """Requests that were asked in that span of the day, and those of them that were answered 200."""
+    """Returns the number of requests in a time span, and how many of them got status 200."""
     start = next(one["t"] for one in result.records if one["kind"] == "viewer.ask")
     asked = {
         one["req"]
@@ -51,7 +51,7 @@
 
 
 def test_service_goes_on_while_no_keeper_can_be_reached() -> None:
-    """Every keeper is alone, for longer than a lease: nothing new is owned, and nobody's session ends."""
+    """Every keeper is isolated for longer than a lease: no lease is granted, and no session ends."""
     keepers = tuple(range(1, 6))
     cuts = [Fault(2.0, 4.5, Kind.CUT, sources=(one,)) for one in keepers]
     cuts += [Fault(2.0, 4.5, Kind.CUT, targets=(one,)) for one in keepers]
@@ -71,7 +71,7 @@
 
 
 class FrozenInHandOff(VirtualFleet):
-    """The first box that a heir claims freezes the old owner, who wakes up after the heir has acted."""
+    """Freezes the previous owner at the first claim of a successor, and resumes it after the takeover."""
 
     front = "front-2"
 
@@ -82,78 +82,78 @@
         await self.until(3.0)
         node, seen = self._node(2), len(self.seen())
         ending = asyncio.ensure_future(self._play(fault(3.0, 1.0, Kind.TERM, 2)))
-        while not (heir := self._heir(seen)) and not ending.done():
+        while not (successor := self._successor(seen)) and not ending.done():
             await asyncio.sleep(0.001)
-        if heir:
-            await self.act(node, heir, ending)
-        await asyncio.wait([ending], timeout=10.0)  # what was killed never ends it
+        if successor:
+            await self.act(node, successor, ending)
+        await asyncio.wait([ending], timeout=10.0)  # a killed process never completes it
 
-    def _heir(self, since: int) -> str:
+    def _successor(self, since: int) -> str:
         for record in self.seen()[since:]:
             if record["kind"] == "box.claim" and record["channel"].startswith(self.front):
                 return str(record["front"])
         return ""
 
-    async def act(self, node: str, heir: str, ending: asyncio.Future[None]) -> None:
+    async def act(self, node: str, successor: str, ending: asyncio.Future[None]) -> None:
         self.loop.freeze(node)
         await asyncio.sleep(2.5)
         self.loop.thaw(node)
 
 
-def test_an_owner_that_stands_still_in_a_hand_off_and_wakes_after_its_heir_acted() -> None:
+def test_an_owner_stalls_in_a_hand_off_and_resumes_after_the_takeover() -> None:
     result = play(DAY, FrozenInHandOff)
     assert result.broken == []
     assert result.costs[Loss.PLANNED].ended == 0
 
 
-class HeirThenOwnerDies(FrozenInHandOff):
-    async def act(self, node: str, heir: str, ending: asyncio.Future[None]) -> None:
-        for one in (f"{heir}/1", node):
+class SuccessorThenOwnerDies(FrozenInHandOff):
+    async def act(self, node: str, successor: str, ending: asyncio.Future[None]) -> None:
+        for one in (f"{successor}/1", node):
             self.trace.write("front.down", front=one.partition("/")[0])
             self.loop.kill(one)
         await asyncio.sleep(1.0)
-        await self._start(int(heir.removeprefix("front-")))
+        await self._start(int(successor.removeprefix("front-")))
         await self._start(2)
 
 
-def test_the_heir_dies_in_the_overlap_and_then_the_old_owner_too() -> None:
-    result = play(replace(DAY, fronts=5), HeirThenOwnerDies)
+def test_the_successor_dies_in_the_overlap_and_then_the_previous_owner() -> None:
+    result = play(replace(DAY, fronts=5), SuccessorThenOwnerDies)
     assert result.broken == []
     assert any(one["kind"] == "box.claim" and one["accepted"] for one in result.records)
 
 
-def test_boxes_die_while_their_sessions_channels_change_hands() -> None:
+def test_servers_die_during_the_hand_off_of_their_sessions() -> None:
     dying = tuple(fault(3.0 + 0.01 * one, 2.0, Kind.BOX_DIES, one) for one in range(1, 4))
     result = play(replace(DAY, faults=(fault(3.0, 1.0, Kind.TERM, 2), *dying)))
     assert result.broken == []
     assert result.costs[Loss.PLANNED].ended == 0
 
 
-class DrainNotToldToOne(VirtualFleet):
-    """Front 3 does not hear the list, which says that box 1 drains; the two others do."""
+class DrainMissedByOne(VirtualFleet):
+    """Front 3 does not receive the list in which server 1 drains; the two others do."""
 
     async def besides(self) -> None:
         await self.until(1.0)
         self.loop.network.ways.set(self.site.list.address, "front-3", WayFault(cut=True))
         self.site.tell(1, "draining")
         await self.until(16.0)
-        self.heard = [
+        self.states = [
             front.peers._port._endpoint_list.servers[1].state  # type: ignore[attr-defined, union-attr]
             for front in self.fronts.values()
         ]
         self.loop.network.ways.clear_all()
         self.site.tell(1)
-        self.result.broken += [] if set(self.heard) == {"draining"} else [f"late: {self.heard}"]
+        self.result.broken += [] if set(self.states) == {"draining"} else [f"late: {self.states}"]
 
 
-def test_who_lacks_news_of_a_drain_gets_it_from_peers() -> None:
-    result = play(replace(DAY, seconds=17.0, rate=3.0), DrainNotToldToOne)
+def test_a_front_that_missed_a_drain_gets_the_list_from_peers() -> None:
+    result = play(replace(DAY, seconds=17.0, rate=3.0), DrainMissedByOne)
     late = [one for one in result.broken if one.startswith("late")]
     assert late == []
 
 
 class TwoOfOneName(VirtualFleet):
-    """A second process begins under a name that another has, at another address, and goes again."""
+    """A second process starts with the name of another one, at another address, and stops again."""
 
     async def besides(self) -> None:
         await self.until(2.0)
@@ -163,12 +163,14 @@
         second, node = self.fronts[2], self._node(2)
         await asyncio.sleep(3.0)
         assert first.peers is not None and second.peers is not None
-        self.refused = [one.core.sessions.new_sessions_blocked for one in (first, second)]
+        self.block_reasons = [one.core.sessions.new_sessions_blocked for one in (first, second)]
         self.loop.kill(node)
         self.fronts[2], self.ports[2] = first, port
         self.lives[2] -= 1
-        if self.refused.count(None) != 1:
-            self.result.broken.append(f"both, or none, of two with one name take sessions: {self.refused}")
+        if self.block_reasons.count(None) != 1:
+            self.result.broken.append(
+                f"both, or none, of two with one name take sessions: {self.block_reasons}"
+            )
 
     two = False
 
@@ -176,7 +178,7 @@
         return (f"127.0.2.{number}" if self.two else f"127.0.1.{number}", 7_400)
 
     async def _until_settled(self, within_s: float = 12.0) -> None:
-        """The first lives on under its name once the second is gone."""
+        """Waits until the first process is the member with its name after the second is gone."""
         one, first = self.fronts[1].peers, self.fronts[2].peers
         assert one is not None and first is not None
         for _ in range(24):
@@ -186,12 +188,12 @@
         self.result.broken.append(f"front-2 lives as {first.peer.me.life}, and is not known so")
 
 
-def test_of_two_fronts_with_one_name_one_takes_nothing_new() -> None:
+def test_of_two_fronts_with_one_name_one_accepts_no_new_sessions() -> None:
     result = play(replace(DAY, seconds=9.0, settle_s=8.0), TwoOfOneName)
     assert result.broken == []
 
 
-def test_a_front_is_back_at_once_with_a_new_life_and_nothing_else() -> None:
+def test_a_front_restarts_at_once_without_any_state() -> None:
     kills = (fault(2.5, 0.02, Kind.KILL, 1), fault(4.5, 0.02, Kind.KILL, 2))
     result = play(replace(DAY, faults=kills))
     assert result.broken == []
@@ -210,7 +212,7 @@
 
 
 class TwoFormats(VirtualFleet):
-    """Each front speaks one format more from its restart on, as a new version would."""
+    """Each front supports one more format after its restart, as a new version would."""
 
     async def _start(self, number: int) -> None:
         settings.FORMATS = (1, 2) if self.lives[number] else (1, 1)
@@ -228,7 +230,7 @@
 
 
 class HalvesOfTheList(VirtualFleet):
-    """Two halves that can't hear one another are told different things, of which one ends as the truth."""
+    """Two partitioned halves receive different lists, one of which becomes the final one."""
 
     async def besides(self) -> None:
         await self.until(2.2)
@@ -237,13 +239,13 @@
         self.site.tell(1)
 
 
-def test_halves_that_heard_different_lists_join_again() -> None:
-    result = play(replace(DAY, fronts=4, faults=apart(2.0, 4.0, (1, 2), (3, 4))), HalvesOfTheList)
+def test_partitioned_halves_with_different_lists_join_again() -> None:
+    result = play(replace(DAY, fronts=4, faults=partition(2.0, 4.0, (1, 2), (3, 4))), HalvesOfTheList)
     assert result.broken == []
 
 
 class WrongKey(VirtualFleet):
-    """Front 3 has another fleet's key: it is nobody's peer, and serves alone."""
+    """Front 3 has the key of another fleet, so it has no peers and serves alone."""
 
     async def _start(self, number: int) -> None:
         path = self.folder / KEY_FILE
@@ -264,7 +266,7 @@
         self.result.broken += [] if lives == expected else [f"peers: {lives}"]
 
 
-def test_a_front_with_a_wrong_key_is_nobody_s_peer_and_serves_alone() -> None:
+def test_a_front_with_a_wrong_key_has_no_peers_and_serves_alone() -> None:
     result = play(replace(DAY, seconds=5.0, asks_while_playing=0.0), WrongKey)
     peers = [one for one in result.broken if one.startswith(("peers", "crash", "liveness"))]
     assert peers == []
@@ -272,7 +274,7 @@
 
 
 class Flood(VirtualFleet):
-    """Strangers send front 2 thousands of datagrams a second, junk and cut-off copies of real ones."""
+    """A stranger sends front 2 thousands of datagrams a second, of random bytes."""
 
     async def besides(self) -> None:
         context = contextvars.copy_context()
@@ -297,7 +299,7 @@
 
 
 class Seats(VirtualFleet):
-    """Sessions need seats of an entitlement server, of which there are fewer than viewers."""
+    """Sessions need seats of an entitlement server, which has fewer seats than there are viewers."""
 
     async def run(self) -> VirtualFleetResult:
         self.desk = LeaseDesk(ttl_ms=6_000.0, default=3)
@@ -322,7 +324,7 @@
 
 
 @pytest.mark.parametrize("kind", [Kind.TERM, Kind.KILL, Kind.STOP])
-def test_seats_are_never_exceeded_while_channels_change_hands(kind: Kind) -> None:
+def test_seats_are_never_exceeded_while_channels_change_owners(kind: Kind) -> None:
     desks: list[LeaseDesk] = []
 
     class Day(Seats):
--- a/tests/test_peers_joint.py
+++ b/tests/test_peers_joint.py
@@ -1,4 +1,4 @@
-"""Mistakes in the joint of the parts, each found by a drawn day or two of a whole fleet."""
+"""Mutants of the code that connects the parts are detected by one or two simulated fleets each."""
 
 from __future__ import annotations
 
@@ -11,5 +11,5 @@
 
 
 @pytest.mark.parametrize("mutant", QUICK, ids=lambda mutant: mutant.name)
-def test_drawn_days_find_the_mistake(mutant: Mutant) -> None:
+def test_simulated_fleets_detect_the_mutant(mutant: Mutant) -> None:
     assert find(mutant)[0]
