--- a/fernweir/peers/channel_manager.py
+++ b/fernweir/peers/channel_manager.py
@@ -196,8 +196,8 @@
 
     def likely_owner(self, now: float, session: str) -> str | None:
         """Returns the front that probably owns a session that this front lacks; None if unknown."""
-        if (gone := self._relinquished.get(session)) is not None:
-            return gone[0]
+        if (relinquished := self._relinquished.get(session)) is not None:
+            return relinquished[0]
         copy = self._find_replica(session)
         return copy.owner if copy is not None else None
 
@@ -219,12 +219,12 @@
 
     # --- notifications of the front ---
 
-    def on_attempt_started(self, now: float, session: str, box: int) -> None:
+    def on_attempt_started(self, now: float, session: str, server: int) -> None:
         """Assigns the session of an attempt that is about to be sent to a channel, if there is a lease."""
-        self._server_by_session[session] = box
+        self._server_by_session[session] = server
         known = self._channel_by_session.get(session)
         if known is not None:
-            self.handoff.takeover.attempted(known, session, box)
+            self.handoff.takeover.attempted(known, session, server)
             return
         parsed = (
             parse(channel_of(self.me, self.life, session, self.rules.parts)) if self._own_channels else None
@@ -232,7 +232,7 @@
         channel = self._own_channels.get(parsed.part, "") if parsed is not None else ""
         if self._holder.current_lease(now, channel) is not None and self.handoff.may_steer(channel):
             self._channel_by_session[session] = channel
-            self.handoff.takeover.attempted(channel, session, box)
+            self.handoff.takeover.attempted(channel, session, server)
 
     def on_session_status(self, now: float, status: SessionStatus) -> None:
         """Records and replicates the status of a session that plays here."""
@@ -240,22 +240,22 @@
         if channel is None:
             self._unassigned[status.session] = status
             return
-        held = self._sessions.get(channel)
-        if held is None and not self.handoff.may_finish(now, channel):
+        statuses = self._sessions.get(channel)
+        if statuses is None and not self.handoff.may_finish(now, channel):
             # The lease was lost while the attempt was in flight. The successor finds the session in the list
             # of its server, and decides about it.
             self._port.relinquish_session(now, status.session)
             self._forget(status.session)
             return
-        if held is not None and held.get(status.session) == status:
+        if statuses is not None and statuses.get(status.session) == status:
             return
-        new = held is None or status.session not in held
-        if held is not None:
-            held[status.session] = status
+        new = statuses is None or status.session not in statuses
+        if statuses is not None:
+            statuses[status.session] = status
         self.replica.change(now, channel, status)
         self.handoff.change(now, channel, status)
         if new:
-            if held is not None and len(held) == 1:
+            if statuses is not None and len(statuses) == 1:
                 self.replica.standbys(now, channel, self._standbys(channel))
             self._out.add(SessionAcquired(status.session, self._fences.get(channel, 0)))
 
@@ -425,8 +425,8 @@
 
     def _handle_event(self, now: float, event: Event) -> None:
         if isinstance(event, Claim):
-            for box in event.boxes:
-                self._claim_server(event, box)
+            for server in event.boxes:
+                self._claim_server(event, server)
         elif isinstance(event, Inherited):
             self._on_inherited(now, event)
         elif isinstance(event, Settled):
@@ -465,13 +465,13 @@
         else:
             assert isinstance(event, Copied | OverlapOver | HandedOver | NoHeir | Lapsed)
 
-    def _claim_server(self, event: Claim, box: int) -> None:
+    def _claim_server(self, event: Claim, server: int) -> None:
         def then(now: float, claimed: ClaimResult) -> None:
             self.handoff.claimed(now, event.channel, claimed)
             self._process_effects(now)
             self._on_changed()
 
-        self._port.claim_channel(box, event.channel, event.fence, event.overlap_ms, then)
+        self._port.claim_channel(server, event.channel, event.fence, event.overlap_ms, then)
 
     # --- leases: acquired and lost ---
 
@@ -577,39 +577,39 @@
         self._unsettled.add(event.channel)
 
     def _on_settled(self, now: float, event: Settled) -> None:
-        held = self._sessions.get(event.channel)
-        if held is None:
+        statuses = self._sessions.get(event.channel)
+        if statuses is None:
             return
         for status in event.take:
-            self._adopt_session(now, event.channel, held, status)
+            self._adopt_session(now, event.channel, statuses, status)
         if event.channel in self._unsettled:
             self._unsettled.discard(event.channel)
             self._out.add(ChannelChanged(event.channel, event.fence, "inherited", len(event.take)))
         for session in event.over:
             self.replica.end(now, event.channel, session)
         for status in event.gone:
-            held_now = held.get(status.session)
-            if held_now is not None and (held_now.box, held_now.attempt) == (status.box, status.attempt):
+            current = statuses.get(status.session)
+            if current is not None and (current.box, current.attempt) == (status.box, status.attempt):
                 self._port.on_session_missing(now, status.session, status.attempt)
-        for box, session, attempt in event.give_up:
+        for server, session, attempt in event.give_up:
             if (
                 self._channel_by_session.get(session) == event.channel
-                and self._server_by_session.get(session) == box
+                and self._server_by_session.get(session) == server
             ):
                 continue  # an attempt of this front, whatever a replica has
             under = (event.channel, event.fence)
             self._port.release_attempt(
-                now, box, session, attempt, "nobody can prove that it is wanted", under
+                now, server, session, attempt, "nobody can prove that it is wanted", under
             )
 
     def _adopt_session(
-        self, now: float, channel: str, held: dict[str, SessionStatus], status: SessionStatus
+        self, now: float, channel: str, statuses: dict[str, SessionStatus], status: SessionStatus
     ) -> None:
         session = status.session
         self._relinquished.pop(session, None)
         if self._port.has_session(session):
             if self._channel_by_session.get(session) == channel:
-                held[session] = status
+                statuses[session] = status
                 return
             # The viewer arrived here meanwhile and the session was set up again, so the other one is
             # released.
@@ -619,13 +619,13 @@
             return
         payload = self._port.payload(status.payload) or self.replica.payload_of(status.payload)
         self._channel_by_session[session] = channel
-        held[session] = status
+        statuses[session] = status
         if self._port.adopt_session(now, status, payload):
             self.replica.change(now, channel, status)
             self._out.add(SessionAcquired(session, self._fences.get(channel, 0)))
         else:  # its server or its title is unknown
             self._forget(session)
-            held.pop(session, None)
+            statuses.pop(session, None)
             self.replica.end(now, channel, session)
 
     # --- periodic review ---
@@ -698,13 +698,13 @@
             channel = self._own_channels.get(parsed.part, "") if parsed is not None else ""
             if channel in self._sessions and self._holder.current_lease(now, channel) is not None:
                 groups.setdefault((channel, status.box), []).append(status)
-        for (channel, box), statuses in groups.items():
+        for (channel, server), statuses in groups.items():
             lease = self._holder.current_lease(now, channel)
             if lease is not None and self.handoff.may_steer(channel):
-                self._claim_for_sessions(channel, lease.fence, box, statuses)
+                self._claim_for_sessions(channel, lease.fence, server, statuses)
 
     def _claim_for_sessions(
-        self, channel: str, fence: int, box: int, statuses: Sequence[SessionStatus]
+        self, channel: str, fence: int, server: int, statuses: Sequence[SessionStatus]
     ) -> None:
         def then(now: float, claimed: ClaimResult) -> None:
             lease = self._holder.current_lease(now, channel)
@@ -721,12 +721,12 @@
             self._on_changed()
 
         adopt = [(status.session, status.attempt) for status in statuses]
-        self._port.claim_channel(box, channel, fence, 0.0, then, adopt)
+        self._port.claim_channel(server, channel, fence, 0.0, then, adopt)
 
     def _cancel_lease_attempt(self, now: float, channel: str) -> None:
         attempt = self._lease_attempts.pop(channel, None)
-        taken = channel in self._sessions or self.handoff.takeover.begun(channel)
-        if attempt is not None and attempt.is_requested and not taken:
+        is_taken_over = channel in self._sessions or self.handoff.takeover.begun(channel)
+        if attempt is not None and attempt.is_requested and not is_taken_over:
             self._holder.release(now, channel)
 
     def _successors(self, channel: str, sessions: int, owner: str) -> list[str]:
--- a/fernweir/peers/forward/forwarder.py
+++ b/fernweir/peers/forward/forwarder.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class _Out:
+class _SentRequest:
     to: str
     due: float
 
@@ -55,7 +55,7 @@
     def __init__(self, rules: ForwardRules | None = None) -> None:
         self.rules = rules or ForwardRules()
         self.rejected_count = 0
-        self._sent: dict[int, _Out] = {}
+        self._sent: dict[int, _SentRequest] = {}
         self._deadlines: list[tuple[float, int]] = []
         self._received: OrderedDict[tuple[str, int], Carried | None] = OrderedDict()
         self._next_number = 1
@@ -79,7 +79,7 @@
         if len(self._sent) >= self.rules.max_requests or wait < self.rules.min_wait_ms:
             self.rejected_count += 1
             return False
-        self._sent[request.number] = _Out(to, now + wait)
+        self._sent[request.number] = _SentRequest(to, now + wait)
         heapq.heappush(self._deadlines, (now + wait, request.number))
         self._effects.add(Send(to, request, reliable=True))
         return True
@@ -92,7 +92,7 @@
 
     def on_front_gone(self, now: float, name: str) -> None:
         """Ends the requests to a dead front, and removes the requests from it."""
-        for number in [number for number, out in self._sent.items() if out.to == name]:
+        for number in [number for number, sent in self._sent.items() if sent.to == name]:
             del self._sent[number]
             self._effects.add(RequestEnded(number, None))
         for key in [key for key in self._received if key[0] == name]:
@@ -113,8 +113,8 @@
                 self._received.popitem(last=False)
             self._effects.add(RequestReceived(sender, message))
         elif isinstance(message, Carried):
-            out = self._sent.get(message.number)
-            if out is not None and out.to == sender:
+            sent = self._sent.get(message.number)
+            if sent is not None and sent.to == sender:
                 del self._sent[message.number]
                 self._effects.add(RequestEnded(message.number, message))
 
--- a/tests/peers_mutants/fuzz.py
+++ b/tests/peers_mutants/fuzz.py
@@ -184,7 +184,7 @@
         Mutant(
             "any answer ends a request",
             _FORWARDER,
-            "if out is not None and out.to == sender:",
+            "if sent is not None and sent.to == sender:",
             "if sender:",
             57,
         ),
--- a/tests/peers_mutants/joint.py
+++ b/tests/peers_mutants/joint.py
@@ -69,7 +69,8 @@
     ),
     Mutant(
         "a successor claims no server", _CHANNEL_MANAGER,
-        "        self._port.claim_channel(box, event.channel, event.fence, event.overlap_ms, then)\n", "", 8,
+        "        self._port.claim_channel(server, event.channel, event.fence, event.overlap_ms, then)\n",
+        "", 8,
     ),
     Mutant(
         "the status of sessions is not replicated", _CHANNEL_MANAGER,
