--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -275,7 +275,7 @@
     keyring: Keyring, wall_s: Callable[[], float], nonce: Callable[[int], bytes],
 ) -> Peers:  # fmt: skip
     from fernweir.front.peering import Peering
-    from fernweir.peers.program import Beginning, Peers, read_keys
+    from fernweir.peers.program import Peers, PeersConfig, read_keys
     from fernweir.peers.session_routing import SessionRouting
     from fernweir.peers.settings import first_versions, link_rules, peer_rules
 
@@ -293,7 +293,7 @@
             core.log.error("audit log cannot be opened", why=error.strerror or str(error))
         for problem in folder.problems:
             core.log.warning("audit log is incomplete", why=problem)
-    beginning = Beginning(
+    beginning = PeersConfig(
         name=config.front.name,
         seed=config.front.seed,
         section=section,
--- a/fernweir/node/peering.py
+++ b/fernweir/node/peering.py
@@ -25,7 +25,7 @@
 from fernweir.node.endpoint_feed import EndpointFeed
 from fernweir.peers.forward.messages import Carried, Carry
 from fernweir.peers.port import ClaimResult, SessionStatus
-from fernweir.peers.program import Beginning, Peers, read_keys
+from fernweir.peers.program import Peers, PeersConfig, read_keys
 from fernweir.peers.settings import first_versions, link_rules, peer_rules
 
 _DRAINING = "draining"
@@ -104,7 +104,7 @@
     section = file.section
     max_connections = max(config.max_descriptors // _DESCRIPTORS_PER_PEER_CONNECTION, _MIN_PEER_CONNECTIONS)
     texts = {"peers": file.section_text, "platform": _platform_settings(config)}
-    beginning = Beginning(
+    beginning = PeersConfig(
         name=config.name,
         seed=config.seed,
         section=section,
--- a/fernweir/peers/program.py
+++ b/fernweir/peers/program.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Beginning:
+class PeersConfig:
     """The arguments for the start of the peers. The first of the fleet `keys` seals messages."""
 
     name: str
@@ -82,7 +82,7 @@
 
     @classmethod
     async def start(
-        cls, core: Dispatcher, port: Port, begin: Beginning, wall_ms: Callable[[], float],
+        cls, core: Dispatcher, port: Port, begin: PeersConfig, wall_ms: Callable[[], float],
         nonce: Callable[[int], bytes] = os.urandom,
     ) -> Peers:  # fmt: skip
         """Listens and joins the peers. Raises OSError if the address is not available."""
