--- a/fernweir/front/peer_view.py
+++ b/fernweir/front/peer_view.py
@@ -12,7 +12,7 @@
 from fernweir.front.dispatcher import Dispatcher
 from fernweir.front.session_manager import SessionPhase, SessionRecord
 from fernweir.interface import EndpointListUpdate
-from fernweir.peers.port import AuditEvent, AuditRecord, Listener, Terms
+from fernweir.peers.port import AuditEvent, AuditRecord, FrontLimits, Listener
 
 
 class ServerList(Protocol):
@@ -69,16 +69,16 @@
         """Whether the session is stored here, in any phase."""
         return self._core.sessions.session(session) is not None
 
-    def limits(self) -> Terms:
+    def limits(self) -> FrontLimits:
         """Returns the rates of rungs in the class with the highest rates, and the retry budget."""
         settings = self._core.sessions.settings
         max_multiplier = max((one.rate_multiplier for one in settings.classes), default=1.0)
         budget = settings.retry_budget
         rungs = tuple(rate * max_multiplier for rate in settings.rung_rates_kbyte_s) or (0.0,)
         return (
-            Terms(rungs)
+            FrontLimits(rungs)
             if budget is None
-            else Terms(rungs, budget.window_ms, budget.min_retries, budget.retry_ratio)
+            else FrontLimits(rungs, budget.window_ms, budget.min_retries, budget.retry_ratio)
         )
 
     def block_new_sessions(self, why: str, wait_ms: float) -> None:
