--- a/bench/golden_state_samples.py
+++ b/bench/golden_state_samples.py
@@ -22,7 +22,7 @@
 from fernweir.appliance.backup import back_up
 from fernweir.audit.records import AnyRecord
 from fernweir.control.desk import KIND
-from fernweir.control.orders import Command, Do, OrderRules, Orders, SiteNow
+from fernweir.control.orders import Command, CommandKind, OrderRules, Orders, SiteSnapshot
 from fernweir.dash.build import Title, build_mpd
 from fernweir.http.client import Outcome
 from fernweir.http.sse import encode_event
@@ -92,7 +92,7 @@
         )
         for number, what in enumerate(EventKind, 1)
     ]  # fmt: skip
-    return [*full, Entry(len(full) + 1, 5, EventKind.ASKED)]
+    return [*full, Entry(len(full) + 1, 5, EventKind.REQUESTED)]
 
 
 def day_entries() -> list[Entry]:
@@ -104,28 +104,28 @@
 
     one = {"title": "l1", "cls": "film", "tenant": "t1"}
     add(EventKind.FRONT, why="up")
-    add(EventKind.BOX, server=1, why="ready", more={"start": "7"})
-    add(EventKind.BOX, server=2, why="draining")
-    add(EventKind.ASKED, session="s1", **one)
+    add(EventKind.SERVER, server=1, why="ready", more={"start": "7"})
+    add(EventKind.SERVER, server=2, why="draining")
+    add(EventKind.REQUESTED, session="s1", **one)
     add(EventKind.SETUP, session="s1", server=1, attempt=0, rung=2, why="least loaded", **one)
-    add(EventKind.FAILED_TRY, session="s1", server=1, attempt=0, why="timeout", **one)
+    add(EventKind.ATTEMPT_FAILED, session="s1", server=1, attempt=0, why="timeout", **one)
     add(EventKind.SETUP, session="s1", server=2, attempt=1, rung=1, why="next", **one)
     add(EventKind.STARTED, session="s1", server=2, attempt=1, rung=1, **one)
     add(EventKind.PLAYS, session="s1", **one)
     add(EventKind.RUNG, session="s1", server=2, attempt=1, rung=2, why="room", **one)
-    add(EventKind.ASKED, session="s2", **one)
+    add(EventKind.REQUESTED, session="s2", **one)
     add(EventKind.REFUSED, session="s2", why="no room", **one)
     add(EventKind.FAILED, session="s3", why="time is over", **one)
     add(EventKind.CONFLICT, session="s4", why="other title", **one)
     add(EventKind.ENDED, session="s2", why="refused", **one)
     add(EventKind.SILENT, server=2)
-    add(EventKind.HEARD, server=2)
+    add(EventKind.RESUMED, server=2)
     add(EventKind.LOST, server=1)
     add(EventKind.MOVED, session="s1", server=2, **one)
     more = {"by": "ann", "drains": {"1": "ann"}, "holds": {"l2": "bob"}, "caps": {"tenant:t1": 4}}
     add(EventKind.ORDER, why="drain 1: done", more=more)
-    add(EventKind.BOX, server=3, why="gone")
-    add(EventKind.BOX, server=3, why="unlisted")
+    add(EventKind.SERVER, server=3, why="gone")
+    add(EventKind.SERVER, server=3, why="unlisted")
     return day
 
 
@@ -213,20 +213,20 @@
     """Orders with every table filled: one drain waits for its turn."""
     orders = Orders(OrderRules(pace_ms=2_000.0, burst=1))
     known = frozenset((1, 2, 3))
-    site = SiteNow(known, known, {"l1": [1, 2, 3]}, {}, {}, dict.fromkeys(known, 100.0), frozenset())
+    site = SiteSnapshot(known, known, {"l1": [1, 2, 3]}, {}, {}, dict.fromkeys(known, 100.0), frozenset())
     commands = [
-        Command("c1", "ann", Do.DRAIN, "1", "repair"),
-        Command("c2", "bob", Do.DRAIN, "2"),
-        Command("c3", "ann", Do.HOLD, "l1", "broken"),
-        Command("c4", "ann", Do.CAP, "tenant:t1", most=5),
-        Command("c5", "ann", Do.CAP, "tenant:t1", most=6),
-        Command("c6", "ann", Do.UNCAP, "lesson:l9"),
-        Command("c7", "ann", Do.UNHOLD, "l9"),
-        Command("c8", "ann", Do.END, "nobody"),
-        Command("c9", "ann", Do.UNDO, "c5"),
+        Command("c1", "ann", CommandKind.DRAIN, "1", "repair"),
+        Command("c2", "bob", CommandKind.DRAIN, "2"),
+        Command("c3", "ann", CommandKind.HOLD, "l1", "broken"),
+        Command("c4", "ann", CommandKind.CAP, "tenant:t1", limit=5),
+        Command("c5", "ann", CommandKind.CAP, "tenant:t1", limit=6),
+        Command("c6", "ann", CommandKind.UNCAP, "lesson:l9"),
+        Command("c7", "ann", CommandKind.UNHOLD, "l9"),
+        Command("c8", "ann", CommandKind.END, "nobody"),
+        Command("c9", "ann", CommandKind.UNDO, "c5"),
     ]
     for number, command in enumerate(commands):
-        orders.take(100.0 + number, 1_800_000_000_000 + number, command, site)
+        orders.handle_command(100.0 + number, 1_800_000_000_000 + number, command, site)
     return orders
 
 
--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -14,8 +14,8 @@
 
 from fernweir.config.front import ControlSection, FrontConfig, HttpSection, IntrospectionSection
 from fernweir.config.ini import ConfigError, Problem
-from fernweir.control.channel import Channel
-from fernweir.control.desk import DeskRules, OrderDesk, load_orders
+from fernweir.control.channel import ControlServer
+from fernweir.control.desk import OrderService, OrderServiceSettings, load_orders
 from fernweir.control.orders import OrderRules
 from fernweir.control.overlay import Overlay
 from fernweir.control.statefile import StateFileError
@@ -336,10 +336,10 @@
             config.front.name, journal_config, self._folder, wall_offset_ms=wall_offset_s * 1000.0
         )
         self.journal.on_fault = self._on_journal_fault
-        self.order_service: OrderDesk | None = None
+        self.order_service: OrderService | None = None
         self._session_manager: SessionManager | None = None
         self._front_control: OperatorControls | None = None
-        self._channel: Channel | None = None
+        self._channel: ControlServer | None = None
 
     def rejection_reason(self, request: SessionRequest) -> str:
         """Returns why the operators' orders reject a request; empty if they allow it."""
@@ -350,19 +350,19 @@
             if self.orders.caps
             else {}
         )
-        return self.orders.turned_away(request.title_name, request.tenant, playing)
+        return self.orders.rejection_reason(request.title_name, request.tenant, playing)
 
     async def start(self, core: Dispatcher, endpoint_list: EndpointList) -> None:
         """Restores the journal and opens the operators' socket."""
         section, self._session_manager = self._section, core.sessions
         self._front_control = OperatorControls(core, endpoint_list, self._wall_offset_s)
-        rules = DeskRules(tuple(section.operators), section.led)
+        rules = OrderServiceSettings(tuple(section.operators), section.led)
         orders_path = None if section.led else self._orders_path
-        order_service = self.order_service = OrderDesk(
+        order_service = self.order_service = OrderService(
             self._config.front.name, self.journal, self.orders, self._front_control, rules, orders_path
         )
-        self._channel = Channel(order_service, self._config.path(section.socket), mode=section.mode)
-        self.journal.watchers.append(self._channel.entry)
+        self._channel = ControlServer(order_service, self._config.path(section.socket), mode=section.mode)
+        self.journal.watchers.append(self._channel.on_journal_entry)
         if self._folder is not None:
             try:
                 self.journal.restore(*self._folder.open())
@@ -371,7 +371,7 @@
             for problem in self._folder.problems:
                 self._log.warning("journal is incomplete", why=problem)
             for entry in self.journal.entries(self.journal.first):
-                order_service.picture.apply(entry)
+                order_service.projection.apply(entry)
         order_service.start()
         await self._channel.listen()
 
@@ -380,7 +380,7 @@
         if self._front_control is not None:
             self._front_control.stop()
         if self._channel is not None:
-            self._channel.stop()
+            self._channel.close()
         if self._folder is not None:
             self._folder.close()
 
--- a/fernweir/front/session_journal.py
+++ b/fernweir/front/session_journal.py
@@ -54,7 +54,7 @@
         if self.journal is None:
             return
         request = record.request
-        is_at_server = record.phase in _PHASES_AT_SERVER or kind is EventKind.FAILED_TRY
+        is_at_server = record.phase in _PHASES_AT_SERVER or kind is EventKind.ATTEMPT_FAILED
         self.journal.add(
             self._context.now,
             kind,
@@ -117,7 +117,7 @@
         if self.journal is not None:
             reason = RESULT_LABELS[outcome.result] + (f": {outcome.reason}" if outcome.reason else "")
             details: dict[str, object] = {"took_ms": round(outcome.duration_ms, 1)}
-            self.record_session(EventKind.FAILED_TRY, record, reason=reason, details=details)
+            self.record_session(EventKind.ATTEMPT_FAILED, record, reason=reason, details=details)
 
     def take_rejection_details(self, record: SessionRecord) -> dict[str, object]:
         """Returns the controller's reason for a rejection as journal details; empty without a journal."""
@@ -138,10 +138,10 @@
                 self._last_listed[entry.server] = state
                 start = f"{entry.started_at:.0f}" if entry.started_at else ""
                 reason = SERVER_STATE_LABELS[entry.state]
-                self.record_server(EventKind.BOX, entry.server, reason=reason, details={"start": start})
+                self.record_server(EventKind.SERVER, entry.server, reason=reason, details={"start": start})
 
     def _record_unlisted(self, update: EndpointListUpdate) -> None:
         listed = {entry.server for entry in update.entries}
         for server in [server for server in self._last_listed if server not in listed]:
             del self._last_listed[server]
-            self.record_server(EventKind.BOX, server, reason="unlisted")
+            self.record_server(EventKind.SERVER, server, reason="unlisted")
--- a/fernweir/peers/program.py
+++ b/fernweir/peers/program.py
@@ -260,7 +260,7 @@
 
 
 class _FleetQueries:
-    """Queries of operators on the control socket (`control.desk.FleetDesk`): audit records or an order."""
+    """Queries of operators on the control socket (`control.desk.FleetQueries`): audit records or an order."""
 
     def __init__(self, peers: Peers) -> None:
         self._peers = peers
