--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -302,7 +302,7 @@
         rules=peer_rules(section),
         links=link_rules(section),
         record=folder,
-        kept=stored_segments,
+        stored_segments=stored_segments,
     )
     port = Peering(core, endpoint_list, server_client, config.class_names, wall_ms)
     peers = await Peers.start(core, port, beginning, wall_ms, nonce)
--- a/fernweir/peers/program.py
+++ b/fernweir/peers/program.py
@@ -60,7 +60,7 @@
     rules: PeerRules
     links: LinkRules
     record: SegmentStore | None = None
-    kept: Sequence[tuple[int, int, object]] = ()  # audit log of earlier incarnations
+    stored_segments: Sequence[tuple[int, int, object]] = ()  # audit log of earlier incarnations
 
 
 class Peers:
@@ -82,34 +82,35 @@
 
     @classmethod
     async def start(
-        cls, core: Dispatcher, port: Port, begin: PeersConfig, wall_ms: Callable[[], float],
+        cls, core: Dispatcher, port: Port, config: PeersConfig, wall_ms: Callable[[], float],
         nonce: Callable[[int], bytes] = os.urandom,
     ) -> Peers:  # fmt: skip
         """Listens and joins the peers. Raises OSError if the address is not available."""
-        peers, section = cls(core), begin.section
+        peers, section = cls(core), config.section
         supported_formats, life = formats(section), int(wall_ms())
-        identity = Identity(begin.name, life, begin.keys, nonce, supported_formats)
+        identity = Identity(config.name, life, config.keys, nonce, supported_formats)
         peers.links = await Links.start(
             section.listen, identity, Codec(KINDS, supported_formats), peers._address_of, peers._on_message,
-            rules=begin.links, seed=begin.seed, format_of=peers._format_of, on_stale=peers._on_stale_sender,
+            rules=config.links, seed=config.seed, format_of=peers._format_of,
+            on_stale=peers._on_stale_sender,
         )  # fmt: skip
         host, number = section.advertised
         address = (host, number or peers.links.address[1])
 
-        store = peers._store = Store(begin.name, begin.rules.acts, begin.record)
+        store = peers._store = Store(config.name, config.rules.acts, config.record)
         store.on_trouble = peers._on_store_error
-        if begin.record is not None:
-            store.restore(begin.kept)
+        if config.record is not None:
+            store.restore(config.stored_segments)
 
-        def make(life: int) -> Peer:
+        def create_peer(life: int) -> Peer:
             return Peer(
-                Me(begin.name, address, life, supported_formats), begin.rules, port, begin.seed, core.now(),
-                peers.kick, begin.versions, lambda: wall_ms() - core.now(), store,
+                Me(config.name, address, life, supported_formats), config.rules, port, config.seed, core.now(),
+                peers.kick, config.versions, lambda: wall_ms() - core.now(), store,
             )  # fmt: skip
 
-        peers._create_peer = make
+        peers._create_peer = create_peer
         peers._seeds = [seed for seed in section.seeds if seed != address]
-        peers.peer = make(life)
+        peers.peer = create_peer(life)
         peers.peer.start(core.now(), peers._seeds)
         peers.kick()
         return peers
@@ -121,10 +122,10 @@
         end = self._core.loop.time() + within_s
         while not self.peer.is_drained and self._core.loop.time() < end:
             await asyncio.sleep(_LEAVE_POLL_S)
-        left = self.peer.is_drained
+        is_drained = self.peer.is_drained
         self.peer.shutdown(self._core.now())
         self._pump()
-        return left
+        return is_drained
 
     async def stop(self) -> None:
         """Stops the timer, and closes the audit log and the links."""
@@ -218,10 +219,10 @@
         """
         self._core.log.info("lives on under a later life", life=life, before=self.peer.me.life)
         self.links.relive(life)
-        now, sought = self._core.now(), self.peer.close(self._core.now())
+        now, pending = self._core.now(), self.peer.close(self._core.now())
         self.peer = self._create_peer(life)
         self.peer.start(now, self._seeds)
-        for lookup in sought:
+        for lookup in pending:
             self.peer.find(now, lookup.request, lookup.then)
         if self._timer is not None:
             self._timer.cancel()
@@ -242,10 +243,10 @@
         if self._stopped:
             return
         now = self._core.now()
-        late = now - self._timer_at
-        self.peer.query_planner.on_timer_delay(now, late)
-        if late > _MIN_STALL_MS:
-            self.peer.on_stall(now, late)
+        delay_ms = now - self._timer_at
+        self.peer.query_planner.on_timer_delay(now, delay_ms)
+        if delay_ms > _MIN_STALL_MS:
+            self.peer.on_stall(now, delay_ms)
         if now >= self._next_rejection_log_at:
             self._next_rejection_log_at = now + _REJECTION_LOG_INTERVAL_MS
             self._log_rejections()
