--- a/fernweir/peers/channel_manager.py
+++ b/fernweir/peers/channel_manager.py
@@ -198,24 +198,26 @@
         """Returns the front that probably owns a session that this front lacks; None if unknown."""
         if (relinquished := self._relinquished.get(session)) is not None:
             return relinquished[0]
-        copy = self._find_replica(session)
-        return copy.owner if copy is not None else None
+        replica = self._find_replica(session)
+        return replica.owner if replica is not None else None
 
     def is_between_owners(self, session: str) -> bool:
         """Whether a session plays but has no owner at the moment, and so must not be set up again."""
-        copy = self._find_replica(session)
-        if copy is None:
+        replica = self._find_replica(session)
+        if replica is None:
             return False
         return (
-            copy.channel in self._lease_attempts
-            or copy.channel in self._pending_takeovers
-            or copy.owner in self._dead_fronts
+            replica.channel in self._lease_attempts
+            or replica.channel in self._pending_takeovers
+            or replica.owner in self._dead_fronts
         )
 
     def has_recent_replica(self, now: float, session: str) -> bool:
         """Whether a recent replica shows that the session plays at another front."""
-        copy = self._find_replica(session)
-        return copy is not None and copy.age_ms(now) < self.rules.stale_ms + self.rules.successor_wait_ms
+        replica = self._find_replica(session)
+        return (
+            replica is not None and replica.age_ms(now) < self.rules.stale_ms + self.rules.successor_wait_ms
+        )
 
     # --- notifications of the front ---
 
@@ -294,9 +296,9 @@
         self._dead_fronts.add(name)
         self._fronts.pop(name, None)
         self.handoff.died(now, name)
-        copies = (self.replica.copy(channel) for channel in self.replica.copies())
+        replicas = (self.replica.copy(channel) for channel in self.replica.copies())
         self._schedule_lease_attempts(
-            now, [copy for copy in copies if copy is not None and copy.owner == name]
+            now, [replica for replica in replicas if replica is not None and replica.owner == name]
         )
 
     def drain(self, now: float) -> None:
@@ -383,10 +385,10 @@
             self._next_review_at = now + self.rules.review_ms
             self._review(now)
         for channel, attempt in list(self._lease_attempts.items()):
-            copy = self.replica.copy(channel)
-            if copy is None or copy.owner != attempt.owner:
+            replica = self.replica.copy(channel)
+            if replica is None or replica.owner != attempt.owner:
                 self._cancel_lease_attempt(now, channel)  # another successor was first
-            elif copy.as_of is not None and copy.as_of > attempt.since:
+            elif replica.as_of is not None and replica.as_of > attempt.since:
                 # The owner was partitioned or stalled, and its lease did not expire.
                 self._cancel_lease_attempt(now, channel)
             elif not attempt.is_requested and now >= attempt.due:
@@ -485,8 +487,8 @@
             self.replica.own(now, channel, fence, self._sessions[channel].values())
             self._begin_takeover(now, channel, fence, self._sessions[channel])
             return
-        copy = self.replica.copy(channel) if attempt is not None else None
-        if copy is not None and attempt is not None:
+        replica = self.replica.copy(channel) if attempt is not None else None
+        if replica is not None and attempt is not None:
             self._pending_takeovers[channel] = (now + attempt.after_ms, fence)
         elif self._is_own(channel) and not self._leaving:
             self._add_channel(now, channel, fence)
@@ -495,13 +497,13 @@
 
     def _take_over_replica(self, now: float, channel: str, fence: int) -> None:
         """The lease has been here for a while, so that not all channels are claimed in one moment."""
-        lease, copy = self._holder.current_lease(now, channel), self.replica.copy(channel)
+        lease, replica = self._holder.current_lease(now, channel), self.replica.copy(channel)
         if lease is None or lease.fence != fence:
             return
-        if copy is None:  # meanwhile the owner removed this front from its standbys
+        if replica is None:  # meanwhile the owner removed this front from its standbys
             self._holder.release(now, channel)
         else:
-            self._begin_takeover(now, channel, fence, dict(copy.standings))
+            self._begin_takeover(now, channel, fence, dict(replica.standings))
 
     def _begin_takeover(
         self, now: float, channel: str, fence: int, statuses: Mapping[str, SessionStatus]
@@ -638,13 +640,13 @@
             self.replica.standbys(now, channel, names)
         lost = []
         for channel in self.replica.copies():
-            copy = self.replica.copy(channel)
-            if copy is None or channel in self._lease_attempts:
+            replica = self.replica.copy(channel)
+            if replica is None or channel in self._lease_attempts:
                 continue
-            dead = copy.owner in self._dead_fronts and copy.owner not in self._fronts
+            dead = replica.owner in self._dead_fronts and replica.owner not in self._fronts
             spared = now < self._deferred_until.get(channel, 0.0)
-            if dead or (copy.age_ms(now) > self.rules.stale_ms and not spared):
-                lost.append(copy)
+            if dead or (replica.age_ms(now) > self.rules.stale_ms and not spared):
+                lost.append(replica)
         self._schedule_lease_attempts(now, lost)
         self._deferred_until = {
             channel: until for channel, until in self._deferred_until.items() if now < until
@@ -663,27 +665,38 @@
     def _schedule_lease_attempts(self, now: float, lost: Iterable[Copy]) -> None:
         """Schedules requests for the leases of these replicas, in the order of the successors."""
         ranks: dict[str, int] = {}
-        mine: dict[str, Copy] = {}
-        for copy in lost:
-            order = self._successors(copy.channel, len(copy.standings), copy.owner)
-            taking = copy.channel in self._pending_takeovers or self.handoff.takeover.begun(copy.channel)
-            free = not (self._leaving or self._is_shut_out or taking)
-            if free and copy.channel not in self._lease_attempts and copy.standings and self.me in order:
-                ranks[copy.channel], mine[copy.channel] = order.index(self.me), copy
+        candidates: dict[str, Copy] = {}
+        for replica in lost:
+            order = self._successors(replica.channel, len(replica.standings), replica.owner)
+            is_taking_over = replica.channel in self._pending_takeovers or self.handoff.takeover.begun(
+                replica.channel
+            )
+            free = not (self._leaving or self._is_shut_out or is_taking_over)
+            if (
+                free
+                and replica.channel not in self._lease_attempts
+                and replica.standings
+                and self.me in order
+            ):
+                ranks[replica.channel], candidates[replica.channel] = order.index(self.me), replica
         losses = [
             Loss(
-                channel, len(copy.standings), tuple({one.box for one in copy.standings.values()}),
-                copy.age_ms(now),
+                channel, len(replica.standings), tuple({one.box for one in replica.standings.values()}),
+                replica.age_ms(now),
             )
-            for channel, copy in mine.items()
+            for channel, replica in candidates.items()
         ]  # fmt: skip
         for turn in spread(0.0, losses, self.rules.spread, self._seed, max(len(self._fronts), 1)):
             # Two fronts that request a lease at once can block each other. All but the first successor wait
             # until the lease has expired that was valid at the last message of the owner.
-            due, rank, owner = now, ranks[turn.channel], mine[turn.channel].owner
+            due, rank, owner = now, ranks[turn.channel], candidates[turn.channel].owner
             if rank:
-                spoke = now - min(mine[turn.channel].age_ms(now), self.rules.successor_wait_ms)
-                due = max(now, spoke + self.rules.successor_wait_ms) + wait_ms(rank, self.rules.successors)
+                last_message_at = now - min(
+                    candidates[turn.channel].age_ms(now), self.rules.successor_wait_ms
+                )
+                due = max(now, last_message_at + self.rules.successor_wait_ms) + wait_ms(
+                    rank, self.rules.successors
+                )
             self._lease_attempts[turn.channel] = _LeaseAttempt(
                 owner, now, due, turn.at, is_owner_dead=owner in self._dead_fronts
             )
@@ -765,7 +778,7 @@
 
     def _find_replica(self, session: str) -> Copy | None:
         for channel in self.replica.copies():
-            copy = self.replica.copy(channel)
-            if copy is not None and session in copy.standings:
-                return copy
+            replica = self.replica.copy(channel)
+            if replica is not None and session in replica.standings:
+                return replica
         return None
--- a/fernweir/peers/program.py
+++ b/fernweir/peers/program.py
@@ -104,8 +104,8 @@
 
         def create_peer(life: int) -> Peer:
             return Peer(
-                Me(config.name, address, life, supported_formats), config.rules, port, config.seed, core.now(),
-                peers.kick, config.versions, lambda: wall_ms() - core.now(), store,
+                Me(config.name, address, life, supported_formats), config.rules, port, config.seed,
+                core.now(), peers.kick, config.versions, lambda: wall_ms() - core.now(), store,
             )  # fmt: skip
 
         peers._create_peer = create_peer
