--- a/tests/golden_peers.py
+++ b/tests/golden_peers.py
@@ -33,15 +33,15 @@
 import fernweir.peers.estimate.summary
 import fernweir.peers.facts.messages
 import fernweir.peers.forward.messages
+import fernweir.peers.keeper_reconfiguration
 import fernweir.peers.late.events
 import fernweir.peers.late.messages
 import fernweir.peers.lease.messages
 import fernweir.peers.link.rules
 import fernweir.peers.members.messages
+import fernweir.peers.order_estimation
 import fernweir.peers.peer
 import fernweir.peers.port
-import fernweir.peers.replacing
-import fernweir.peers.weighing
 import fernweir.peers.wire.seal  # noqa: F401 - each module is used as an attribute of `peers`
 from fernweir import peers
 
@@ -138,7 +138,7 @@
     "late.seen": peers.late.messages.Seen,
     # Values of facts.
     "fact.load": peers.peer.Load,
-    "fact.keepers": peers.replacing._Set,
+    "fact.keepers": peers.keeper_reconfiguration._Set,
     "fact.tally": peers.estimate.loads.Load,
     "fact.summary": peers.estimate.summary.Summary,
     "fact.summary.shard": peers.estimate.summary.Shard,
@@ -150,11 +150,11 @@
     "question.after_drain": peers.acts.plan.AfterDrain,
     "question.refusal": peers.acts.plan.Refusal,
     "question.acts": peers.acts.plan.Acts,
-    "order.limit": peers.weighing.Limit,
-    "order.drain_rack": peers.weighing._Drain,
-    "order.raise_epoch": peers.weighing._Raise,
-    "order.restart_front": peers.weighing._Restart,
-    "order.move_channels": peers.weighing._Move,
+    "order.limit": peers.order_estimation.Limit,
+    "order.drain_rack": peers.order_estimation._Drain,
+    "order.raise_epoch": peers.order_estimation._Raise,
+    "order.restart_front": peers.order_estimation._Restart,
+    "order.move_channels": peers.order_estimation._Move,
 }
 """From stable names to the structs that cross a wire or a disk. The names stay when classes are renamed."""
 
@@ -174,7 +174,7 @@
     # struct or enum, by module below `fernweir.peers` and name: why it has no sample
     "base.Message": "base class of messages, is never sent itself",
     "acts.plan._Asked": "base class of questions, is never sent itself",
-    "weighing._Asked": "base class of orders, is never sent itself",
+    "order_estimation._Asked": "base class of orders, is never sent itself",
     "estimate.parts.Part": "a step of an estimate, never encoded",
     "estimate.bounds.Bound": "a quantity within one process; shown as a list, which formats.json has",
     "estimate.bounds.Planned": "a plan of reads within one process, never encoded",
