--- a/fernweir/peers/link/__init__.py
+++ b/fernweir/peers/link/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets between fronts: datagrams, connections, and what joins the two. Thin shells around `peers.wire`."""
+"""Transport between fronts: datagrams, connections, and `Links`, which combines both. Uses `peers.wire`."""
--- a/fernweir/peers/link/connection.py
+++ b/fernweir/peers/link/connection.py
@@ -1,6 +1,6 @@
-"""One connection between two fronts, from either side: frames in and out around a `Conversation`.
+"""One connection between two fronts, from either side: reads and writes the frames of a `Conversation`.
 
-The side that was called says nothing before it has heard a good hello, so that a stranger costs one hash.
+The accepting side sends nothing until it has received a valid hello, so an unknown peer costs only one hash.
 """
 
 from __future__ import annotations
@@ -19,61 +19,67 @@
 if TYPE_CHECKING:
     from fernweir.peers.link.tcp import Connections
 
-_HIGH_WATER = 65_536
+_WRITE_HIGH_WATER_BYTES = 65_536
 
 
 class Connection(asyncio.BufferedProtocol):
-    """`called` is whom this side called, by name or address, None if it was called itself."""
-
-    def __init__(self, owner: Connections, called: str | Address | None, address: Address | None) -> None:
-        self.owner, self.called, self.address = owner, called, address
-        me = owner.me
-        self.talk = Conversation(me.keys, me.name, owner.life, me.nonce(16), me.formats)
+    """`dialled_target` is the peer that this side dialled, by name or address; None if it accepted."""
+
+    def __init__(
+        self, owner: Connections, dialled_target: str | Address | None, address: Address | None
+    ) -> None:
+        self.owner, self.dialled_target, self.address = owner, dialled_target, address
+        identity = owner.identity
+        self.conversation = Conversation(
+            identity.keys, identity.name, owner.incarnation, identity.nonce(16), identity.formats
+        )
         self.closed = self.paused = False
-        self.joined = False  # proven, and by whom it should be
-        self.since = self.used = self.still_since = owner.now()
-        self.out = memoryview(b"")  # what is left of the frame that is being written
+        self.established = False  # the handshake proved the expected peer
+        self.opened_at_ms = self.last_used_ms = self.stalled_since_ms = owner.now()
+        self.unsent = memoryview(b"")  # the rest of the frame that is being written
         self._frames = Frames(HELLO_MOST)
         self._transport: asyncio.Transport | None = None
 
     @property
-    def usable(self) -> bool:
-        return self.joined and not self.closed
+    def is_usable(self) -> bool:
+        return self.established and not self.closed
 
     @property
-    def writable(self) -> bool:
-        return self.joined and not self.closed and not self.paused
+    def is_writable(self) -> bool:
+        return self.established and not self.closed and not self.paused
 
     # --- asyncio ---
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        transport.set_write_buffer_limits(high=_HIGH_WATER)
+        transport.set_write_buffer_limits(high=_WRITE_HIGH_WATER_BYTES)
         sock = transport.get_extra_info("socket")
         if sock is not None:
-            with contextlib.suppress(OSError, AttributeError):  # a cut is known in seconds, not in minutes
-                limit = int(self.owner.rules.stalled_ms)
+            with contextlib.suppress(
+                OSError, AttributeError
+            ):  # detects a partition in seconds, not in minutes
+                limit = int(self.owner.rules.stall_timeout_ms)
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, limit)
-        self.owner.made(self)
-        if self.called is not None:
-            self._write(frames.frame(self.talk.hello()))
+        self.owner.on_connection_made(self)
+        if self.dialled_target is not None:
+            self._write(frames.frame(self.conversation.hello()))
 
     def get_buffer(self, sizehint: int) -> memoryview:
         return self.owner.buffer
 
     def buffer_updated(self, nbytes: int) -> None:
         self.owner.counts.bytes_in += nbytes
-        self.used = self.owner.now()
+        self.last_used_ms = self.owner.now()
         self._frames.feed(self.owner.buffer[:nbytes])
         try:
             while not self.closed and (data := self._frames.next()) is not None:
-                self._take(data)
+                self._handle_frame(data)
         except FrameError:
-            self.owner.garbled(self)
+            self.owner.on_malformed_frame(self)
             self.abort()
         except SealError as error:
-            self.owner.unsealed(self, error.kind)
+            self.owner.on_seal_error(self, error.kind)
             self.abort()
 
     def eof_received(self) -> bool:
@@ -81,42 +87,42 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed = True
-        self.owner.lost(self)
+        self.owner.on_connection_lost(self)
 
     def pause_writing(self) -> None:
-        self.paused, self.still_since = True, self.owner.now()
+        self.paused, self.stalled_since_ms = True, self.owner.now()
 
     def resume_writing(self) -> None:
         self.paused = False
-        self.owner.ready(self)
+        self.owner.on_writable(self)
 
     # --- frames ---
 
-    def _take(self, data: bytes) -> None:
-        if not self.talk.greeted:
-            self.talk.take_hello(data)
-            hello = frames.frame(self.talk.hello()) if self.called is None else b""
-            self._write(hello + frames.frame(self.talk.seal(b"")))
+    def _handle_frame(self, data: bytes) -> None:
+        if not self.conversation.has_peer_hello:
+            self.conversation.take_hello(data)
+            hello = frames.frame(self.conversation.hello()) if self.dialled_target is None else b""
+            self._write(hello + frames.frame(self.conversation.seal(b"")))
             return
-        proven = self.talk.proven
-        body = self.talk.open(data)
+        proven = self.conversation.proven
+        body = self.conversation.open(data)
         self.owner.counts.frames_in += 1
-        if not proven:  # who only said a recorded hello may not have a long frame kept for it
+        if not proven:  # a peer that only replayed a recorded hello must not get a long frame buffered
             self._frames.most = frames.MOST
-            self.owner.proved(self)
+            self.owner.on_peer_proven(self)
         if body and not self.closed:
-            self.owner.heard(self, body)
+            self.owner.on_body_received(self, body)
 
     def start(self, body: bytes) -> None:
-        """The next frame; `advance` writes it."""
-        self.out = memoryview(frames.frame(self.talk.seal(body)))
+        """Begins the next frame; `advance` writes it."""
+        self.unsent = memoryview(frames.frame(self.conversation.seal(body)))
 
     def advance(self, size: int) -> None:
-        """Writes that much of the frame that has begun."""
-        self._write(self.out[:size])
-        self.out = self.out[size:]
-        self.used = self.owner.now()
-        if not self.out:
+        """Writes the next `size` bytes of the frame that was begun."""
+        self._write(self.unsent[:size])
+        self.unsent = self.unsent[size:]
+        self.last_used_ms = self.owner.now()
+        if not self.unsent:
             self.owner.counts.frames_out += 1
 
     def _write(self, data: bytes | memoryview) -> None:
@@ -125,8 +131,8 @@
             self._transport.write(data)
 
     def close(self) -> None:
-        """Orderly: what is written still goes out."""
-        self.closed, self.still_since = True, self.owner.now()
+        """Closes in order: bytes that were written are still sent."""
+        self.closed, self.stalled_since_ms = True, self.owner.now()
         if self._transport is not None:
             self._transport.close()
 
--- a/fernweir/peers/link/registry.py
+++ b/fernweir/peers/link/registry.py
@@ -1,7 +1,7 @@
-"""Which connections there are, which of them is used for a peer, and which must go. Pure.
+"""Tracks the connections, chooses the one that is used for each peer and those that must be closed. Pure.
 
-Of two connections with one peer the first proven is used, so that what is sent keeps its order; but a peer
-that calls again long after has lost the first, though this side was not told.
+Of two connections with one peer the first proven is used, so that messages keep their order. A peer that
+connects again much later has lost the first connection, even if this side saw no error.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from fernweir.peers.base import Address
-from fernweir.peers.link.lanes import Called
+from fernweir.peers.link.lanes import PeerTarget
 from fernweir.peers.link.rules import LinkRules
 from fernweir.peers.wire.seal import Seal
 
@@ -19,98 +19,117 @@
 
 
 class Proof(Enum):
-    """What is to be done about a connection whose other side was proved."""
+    """The result of a handshake in which the peer proved its identity."""
 
-    JOINS = "joins"
-    STRANGER = "stranger"  # another name than the one that was called
-    OLD_LIFE = "old life"
+    ESTABLISHED = "joins"
+    IDENTITY_MISMATCH = "stranger"  # another name than the one that was dialled
+    OLD_INCARNATION = "old life"
 
 
 class Due(Enum):
-    """What is to be done about a connection as time goes by."""
+    """What the periodic sweep has to do with a connection."""
 
     NOTHING = "nothing"
-    LATE = "late"  # its handshake took too long
-    STALLED = "stalled"  # its peer doesn't read
-    STUCK = "stuck"  # it was closed, and the last of it is still not out
+    HANDSHAKE_TIMEOUT = "late"  # the handshake took too long
+    STALLED = "stalled"  # the peer doesn't read
+    STUCK = "stuck"  # it was closed, and its last bytes are still not sent
     IDLE = "idle"
 
 
 class Registry:
-    """`seal` knows the newest life of each name."""
+    """All connections, indexed by peer name and dialled address.
+
+    `seal` holds the newest incarnation of each name.
+    """
 
     def __init__(self, rules: LinkRules, seal: Seal) -> None:
         self._rules, self._seal = rules, seal
         self.all: dict[Connection, None] = {}  # oldest first
-        self.half: dict[Connection, None] = {}  # accepted and not proven
-        self.named: dict[str, Connection] = {}
-        self.dialled: dict[Address, Connection] = {}
+        self.half_open: dict[Connection, None] = {}  # accepted and not proven
+        self.by_name: dict[str, Connection] = {}
+        self.by_address: dict[Address, Connection] = {}
 
     def add(self, connection: Connection) -> Connection | None:
-        """The half-open connection that must go, if there are too many: the oldest."""
+        """Adds a connection. Returns the oldest half-open one for eviction if there are too many."""
         self.all[connection] = None
-        if connection.called is None:
-            self.half[connection] = None
-            if len(self.half) > self._rules.half_open:
-                oldest = next(iter(self.half))
-                del self.half[oldest]
+        if connection.dialled_target is None:
+            self.half_open[connection] = None
+            if len(self.half_open) > self._rules.half_open:
+                oldest = next(iter(self.half_open))
+                del self.half_open[oldest]
                 return oldest
         return None
 
-    def prove(self, connection: Connection) -> tuple[Proof, Connection | None]:
-        """What it is, and a connection that must go: with an earlier life of the same peer."""
-        self.half.pop(connection, None)
-        talk = connection.talk
-        if isinstance(connection.called, str) and connection.called != talk.peer:
-            return Proof.STRANGER, None
-        if self._seal.meet(talk.peer, talk.peer_life) is None:
-            return Proof.OLD_LIFE, None
-        connection.joined = True
-        known = self.named.get(talk.peer)
-        earlier = known if known is not None and known.talk.peer_life < talk.peer_life else None
-        if known is None or earlier is not None or known.closed or self._long_after(known, connection):
-            self.named[talk.peer] = connection
+    def register_proven(self, connection: Connection) -> tuple[Proof, Connection | None]:
+        """Returns the verdict, and a connection to close: one to an earlier incarnation of the peer."""
+        self.half_open.pop(connection, None)
+        conversation = connection.conversation
+        if isinstance(connection.dialled_target, str) and connection.dialled_target != conversation.peer:
+            return Proof.IDENTITY_MISMATCH, None
+        if self._seal.register_sender(conversation.peer, conversation.peer_incarnation) is None:
+            return Proof.OLD_INCARNATION, None
+        connection.established = True
+        known = self.by_name.get(conversation.peer)
+        superseded = (
+            known
+            if known is not None and known.conversation.peer_incarnation < conversation.peer_incarnation
+            else None
+        )
+        if known is None or superseded is not None or known.closed or self._is_reconnect(known, connection):
+            self.by_name[conversation.peer] = connection
         if connection.address is not None:
-            self.dialled[connection.address] = connection
-        return Proof.JOINS, earlier
+            self.by_address[connection.address] = connection
+        return Proof.ESTABLISHED, superseded
 
-    def _long_after(self, known: Connection, connection: Connection) -> bool:
-        return connection.since - known.since > self._rules.hello_ms
+    def _is_reconnect(self, known: Connection, connection: Connection) -> bool:
+        return connection.opened_at_ms - known.opened_at_ms > self._rules.hello_timeout_ms
 
-    def find(self, whom: Called) -> Connection | None:
-        """The connection on which a peer is sent to, if there is one."""
-        found = self.named.get(whom) if isinstance(whom, str) else self.dialled.get(whom)
-        return found if found is not None and found.usable and not self.outlived(found) else None
+    def find(self, target: PeerTarget) -> Connection | None:
+        """Returns the connection that is used to send to a peer, if there is one."""
+        found = self.by_name.get(target) if isinstance(target, str) else self.by_address.get(target)
+        return found if found is not None and found.is_usable and not self.is_superseded(found) else None
 
-    def outlived(self, connection: Connection) -> bool:
-        """Whether the other side's name is known to live on elsewhere."""
-        return connection.talk.peer_life < self._seal.newest(connection.talk.peer)
+    def is_superseded(self, connection: Connection) -> bool:
+        """Returns whether a newer incarnation of the peer is known."""
+        return connection.conversation.peer_incarnation < self._seal.newest_incarnation(
+            connection.conversation.peer
+        )
 
     def remove(self, connection: Connection) -> None:
         self.all.pop(connection, None)
-        self.half.pop(connection, None)
-        peer, address = connection.talk.peer, connection.address
-        if self.named.get(peer) is connection:
-            del self.named[peer]
+        self.half_open.pop(connection, None)
+        peer, address = connection.conversation.peer, connection.address
+        if self.by_name.get(peer) is connection:
+            del self.by_name[peer]
             for other in self.all:
-                if other.usable and other.talk.peer == peer:
-                    self.named.setdefault(peer, other)
-        if address is not None and self.dialled.get(address) is connection:
-            del self.dialled[address]
-
-    def crowded(self) -> Connection | None:
-        """The connection not used longest, if there are as many as there may be."""
-        usable = [one for one in self.all if one.usable]
-        return min(usable, key=lambda one: one.used) if len(usable) >= self._rules.connections else None
-
-    def due(self, connection: Connection, now: float) -> Due:
+                if other.is_usable and other.conversation.peer == peer:
+                    self.by_name.setdefault(peer, other)
+        if address is not None and self.by_address.get(address) is connection:
+            del self.by_address[address]
+
+    def connection_to_evict(self) -> Connection | None:
+        """Returns the least recently used connection if the maximum number is reached."""
+        usable = [one for one in self.all if one.is_usable]
+        return (
+            min(usable, key=lambda one: one.last_used_ms) if len(usable) >= self._rules.connections else None
+        )
+
+    def due_action(self, connection: Connection, now: float) -> Due:
         rules = self._rules
         if connection.closed:
-            return Due.STUCK if now - connection.still_since > rules.stalled_ms else Due.NOTHING
-        if not connection.joined:
-            return Due.LATE if now - connection.since > rules.hello_ms else Due.NOTHING
+            return Due.STUCK if now - connection.stalled_since_ms > rules.stall_timeout_ms else Due.NOTHING
+        if not connection.established:
+            return (
+                Due.HANDSHAKE_TIMEOUT
+                if now - connection.opened_at_ms > rules.hello_timeout_ms
+                else Due.NOTHING
+            )
         if connection.paused:
-            return Due.STALLED if now - connection.still_since > rules.stalled_ms else Due.NOTHING
-        # Whoever called closes first, so that seldom both do, or one while the other sends.
-        idle_ms = rules.idle_ms * (1 if connection.called is not None else 2)
-        return Due.IDLE if now - connection.used > idle_ms or self.outlived(connection) else Due.NOTHING
+            return Due.STALLED if now - connection.stalled_since_ms > rules.stall_timeout_ms else Due.NOTHING
+        # The dialling side closes first. So both sides rarely close at once, or one while the other sends.
+        idle_timeout_ms = rules.idle_timeout_ms * (1 if connection.dialled_target is not None else 2)
+        return (
+            Due.IDLE
+            if now - connection.last_used_ms > idle_timeout_ms or self.is_superseded(connection)
+            else Due.NOTHING
+        )
--- a/fernweir/peers/link/rules.py
+++ b/fernweir/peers/link/rules.py
@@ -1,4 +1,4 @@
-"""What links may cost, and what became of what they were given."""
+"""Limits of the links, reasons for dropped messages, counters, and the identity of this front."""
 
 from __future__ import annotations
 
@@ -11,48 +11,48 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkRules:
-    """Times in ms, sizes in bytes. `rate` is bytes a second over all peers, `burst` what may go at once.
+    """Times in ms, sizes in bytes. `rate` is bytes per second over all peers, `burst` the bytes sent at once.
 
-    `numeric` refuses addresses with names in them: looking one up would stop the loop.
+    `numeric_addresses_only` rejects addresses with host names: resolving one would block the event loop.
     """
 
-    datagram: int = 1_400
+    max_datagram_bytes: int = 1_400
     rate: float = 1_000_000.0
     burst: float = 500_000.0
-    queue: int = 4_194_304  # waiting for one peer
-    queues: int = 33_554_432  # waiting for all
-    peers: int = 1_024  # that anything waits for
+    max_queue_bytes: int = 4_194_304  # per peer
+    max_total_queue_bytes: int = 33_554_432  # over all peers
+    max_queued_peers: int = 1_024  # peers with a send queue
     connections: int = 512
-    half_open: int = 64  # accepted, and not proven yet
-    connect_ms: float = 2_000.0
-    hello_ms: float = 5_000.0
-    idle_ms: float = 60_000.0
-    stalled_ms: float = 10_000.0  # that a peer may leave what is written to it unread
-    retry_ms: float = 100.0
-    retry_most_ms: float = 5_000.0
+    half_open: int = 64  # accepted and not proven yet
+    connect_timeout_ms: float = 2_000.0
+    hello_timeout_ms: float = 5_000.0
+    idle_timeout_ms: float = 60_000.0
+    stall_timeout_ms: float = 10_000.0  # how long a peer may leave written bytes unread
+    retry_backoff_ms: float = 100.0
+    max_retry_backoff_ms: float = 5_000.0
     give_up_ms: float = 30_000.0
-    sweep_ms: float = 500.0
-    piece: int = 16_384  # of a frame, written at once
-    numeric: bool = True
+    sweep_interval_ms: float = 500.0
+    write_chunk_bytes: int = 16_384  # the part of a frame that is written at once
+    numeric_addresses_only: bool = True
     gate: GateRules = field(default_factory=GateRules)
 
 
 class Drop(StrEnum):
-    """Why something that was to be sent, or came, is gone."""
-
-    ADDRESS = "address"  # the peer's address is not known, or no address
-    BUDGET = "budget"  # of bytes a second, for datagrams
-    SOCKET = "socket"  # the kernel takes no more datagrams
-    QUEUE = "queue"  # too much waits already
-    LONG = "long"  # longer than a frame
-    LOST = "lost"  # was being written when the connection broke
-    GAVE_UP = "gave up"  # no connection came about in time
-    FORGOTTEN = "forgotten"  # the peer is gone, or the links were stopped
-    FLOOD = "flood"  # datagrams that came and were not looked at
-    SEALED = "sealed"  # came, and was not opened
-    MALFORMED = "malformed"  # came, and was no body of messages
-    FORMAT = "format"  # no format that both sides speak
-    OLD_LIFE = "old life"  # came from an earlier life of a peer
+    """Why an outgoing or incoming message was dropped."""
+
+    ADDRESS = "address"  # the peer's address is unknown or invalid
+    BUDGET = "budget"  # the byte rate for datagrams is exhausted
+    SOCKET = "socket"  # the kernel accepts no more datagrams
+    QUEUE = "queue"  # a send queue is full
+    LONG = "long"  # larger than a frame
+    LOST = "lost"  # was being written when the connection was lost
+    GAVE_UP = "gave up"  # no connection could be established in time
+    FORGOTTEN = "forgotten"  # the peer was removed, or the links were stopped
+    FLOOD = "flood"  # received datagrams that were not authenticated because of a flood
+    SEALED = "sealed"  # received, and failed authentication or replay protection
+    MALFORMED = "malformed"  # received, and not a valid body of messages
+    FORMAT = "format"  # there is no message format that both sides support
+    OLD_INCARNATION = "old life"  # received from an earlier incarnation of a peer
 
 
 @dataclass(slots=True)
@@ -64,29 +64,29 @@
     bytes_in: int = 0
     bytes_out: int = 0
     dialled: int = 0
-    refused: int = 0  # by the other side, or in time
+    failed_dials: int = 0  # rejected by the peer, or timed out
     accepted: int = 0
     proven: int = 0
-    crowded: int = 0  # half-open ones that made room for others
-    late: int = 0  # handshakes that took too long
+    evicted: int = 0  # half-open connections that were closed to admit others
+    handshake_timeouts: int = 0  # handshakes that took too long
     stalled: int = 0
-    strangers: int = 0  # another name than the one that was called
-    errors: int = 0  # told by the kernel for datagrams
+    identity_mismatches: int = 0  # the peer has another name than the one that was dialled
+    socket_errors: int = 0  # reported by the kernel for datagrams
     dropped: dict[Drop, int] = field(default_factory=lambda: dict.fromkeys(Drop, 0))
 
-    def drop(self, why: Drop, count: int = 1) -> None:
-        self.dropped[why] += count
+    def drop(self, reason: Drop, count: int = 1) -> None:
+        self.dropped[reason] += count
 
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Who this front is to others. `keys`: the first seals, any opens; `formats` is (lowest, highest).
+    """The identity of this front. The first key seals, any key opens; `formats` is (lowest, highest).
 
-    `nonce` gives that many bytes that were never used before; only virtual time may have it from a seed.
+    `nonce(size)` returns bytes that were never used before. Only a virtual clock may derive them from a seed.
     """
 
     name: str
-    life: int
+    incarnation: int
     keys: Sequence[bytes]
     nonce: Callable[[int], bytes]
     formats: tuple[int, int] = (1, 1)
--- a/fernweir/peers/link/tcp.py
+++ b/fernweir/peers/link/tcp.py
@@ -1,7 +1,7 @@
-"""Connections between fronts: made on demand, one a pair as a rule, for what must come whole and in order.
+"""Connections between fronts: opened on demand, normally one per pair, for complete and ordered delivery.
 
-What waits for a peer is bounded and survives a broken connection; what was being written when it broke is
-lost, and so may be what the kernel had taken.
+Waiting bodies are bounded and survive a lost connection. A body that was being written when the connection
+was lost is lost too, and so may be bytes that the kernel had already accepted.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from fernweir.peers.base import Address
 from fernweir.peers.link.connection import Connection
-from fernweir.peers.link.lanes import Called, Lane, Lanes
+from fernweir.peers.link.lanes import PeerTarget, SendQueue, SendQueues
 from fernweir.peers.link.registry import Due, Proof, Registry
 from fernweir.peers.link.rules import Drop, Identity, LinkCounts, LinkRules
 from fernweir.peers.wire import frames
@@ -20,38 +20,43 @@
 from fernweir.peers.wire.conversation import OVER
 from fernweir.peers.wire.seal import Kind, Seal
 
-LONGEST = frames.MOST - OVER
+MAX_BODY_BYTES = frames.MOST - OVER
 
 
 class Connections:
-    """`seal` knows the lives of others, `address_of` gives a checked address.
+    """All connections of one front. `seal` holds the incarnations of peers, `address_of` validates addresses.
 
-    `opened` gets (sender, life, format, body) of what came, `stale` the (sender, life, newest life) of a
-    peer whose life is over.
+    `on_body` is called with (sender, incarnation, format, body) of each frame, `on_stale` with (sender,
+    incarnation, newest incarnation, None) of a peer whose incarnation has been superseded.
     """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        me: Identity,
+        identity: Identity,
         seal: Seal,
         host: str,
         bucket: Bucket,
         rules: LinkRules,
         counts: LinkCounts,
         seed: int,
-        address_of: Callable[[Called], Address | None],
-        opened: Callable[[str, int, int, bytes], None],
-        stale: Callable[[str, int, int, Address | None], None],
+        address_of: Callable[[PeerTarget], Address | None],
+        on_body: Callable[[str, int, int, bytes], None],
+        on_stale: Callable[[str, int, int, Address | None], None],
     ) -> None:
-        self.me, self.life, self.rules, self.counts = me, me.life, rules, counts
-        self.unsealed_by_kind: dict[Kind, int] = dict.fromkeys(Kind, 0)
+        self.identity, self.incarnation, self.rules, self.counts = (
+            identity,
+            identity.incarnation,
+            rules,
+            counts,
+        )
+        self.seal_errors_by_kind: dict[Kind, int] = dict.fromkeys(Kind, 0)
         self.buffer = memoryview(bytearray(65_536))
-        self.lanes, self.registry = Lanes(rules), Registry(rules, seal)
+        self.send_queues, self.registry = SendQueues(rules), Registry(rules, seal)
         self._loop, self._host, self._bucket, self._seal = loop, host, bucket, seal
-        self._address_of, self._opened, self._stale = address_of, opened, stale
-        self._dice = Random(f"links {seed}")
-        self._retries: dict[Lane, asyncio.TimerHandle] = {}
+        self._address_of, self._on_body, self._on_stale = address_of, on_body, on_stale
+        self._rng = Random(f"links {seed}")
+        self._retries: dict[SendQueue, asyncio.TimerHandle] = {}
         self._tasks: dict[asyncio.Task[None], None] = {}
         self._server: asyncio.AbstractServer | None = None
         self._refill: asyncio.TimerHandle | None = None
@@ -62,217 +67,229 @@
         return self._loop.time() * 1000.0
 
     async def listen(self, port: int) -> None:
-        """OSError if the port is taken."""
+        """Listens on a port. Raises OSError if the port is in use."""
         self._server = await self._loop.create_server(lambda: Connection(self, None, None), self._host, port)
         self._sweep()
 
     # --- sending ---
 
-    def send(self, whom: Called, body: bytes) -> None:
-        if len(body) > LONGEST:
+    def send(self, target: PeerTarget, body: bytes) -> None:
+        if len(body) > MAX_BODY_BYTES:
             self.counts.drop(Drop.LONG)
         elif self._stopped:
             self.counts.drop(Drop.FORGOTTEN)
-        elif (lane := self.lanes.put(whom, body)) is None:
+        elif (send_queue := self.send_queues.put(target, body)) is None:
             self.counts.drop(Drop.QUEUE)
         else:
-            self._serve(lane)
+            self._process_queue(send_queue)
 
-    def _serve(self, lane: Lane) -> None:
-        connection = self.registry.find(lane.whom)
+    def _process_queue(self, send_queue: SendQueue) -> None:
+        connection = self.registry.find(send_queue.target)
         if connection is not None:
-            self._pump(lane, connection)
-        elif not lane.queue:  # its last frame went with a connection
-            self._end(lane, Drop.LOST)
-        elif not lane.calling and lane not in self._retries:
-            self._call(lane)
-
-    def _pump(self, lane: Lane, connection: Connection) -> None:
-        """Writes what waits, as far as the peer reads and the budget goes; datagrams keep a quarter."""
-        now, keep = self.now(), self._bucket.burst / 4
-        while connection.writable and (connection.out or lane.queue):
-            if not connection.out:
-                connection.start(self.lanes.next(lane))
-            size = min(len(connection.out), self.rules.piece)
-            if not self._bucket.take(now, size, keep):
-                self._refill_in(self._bucket.wait_ms(now, size, keep))
+            self._write_queue(send_queue, connection)
+        elif not send_queue.bodies:  # its last frame was lost with a connection
+            self._drop_queue(send_queue, Drop.LOST)
+        elif not send_queue.connecting and send_queue not in self._retries:
+            self._dial(send_queue)
+
+    def _write_queue(self, send_queue: SendQueue, connection: Connection) -> None:
+        """Writes waiting bodies as far as the peer reads and the byte budget allows.
+
+        A quarter of the burst stays reserved for datagrams.
+        """
+        now, reserve_bytes = self.now(), self._bucket.burst / 4
+        while connection.is_writable and (connection.unsent or send_queue.bodies):
+            if not connection.unsent:
+                connection.start(self.send_queues.next(send_queue))
+            size = min(len(connection.unsent), self.rules.write_chunk_bytes)
+            if not self._bucket.take(now, size, reserve_bytes):
+                self._schedule_refill(self._bucket.wait_ms(now, size, reserve_bytes))
                 return
             connection.advance(size)
-        if not connection.out and not lane.queue:
-            self._end(lane, Drop.LOST)
+        if not connection.unsent and not send_queue.bodies:
+            self._drop_queue(send_queue, Drop.LOST)
 
-    def _refill_in(self, wait_ms: float) -> None:
+    def _schedule_refill(self, wait_ms: float) -> None:
         if self._refill is None:
-            self._refill = self._loop.call_later(max(wait_ms, 1.0) / 1000.0, self._refilled)
+            self._refill = self._loop.call_later(max(wait_ms, 1.0) / 1000.0, self._on_refill)
 
-    def _refilled(self) -> None:
+    def _on_refill(self) -> None:
         self._refill = None
-        lanes = self.lanes.all()
-        self._dice.shuffle(lanes)  # none is always the first to be served
-        for lane in lanes:
-            self._serve(lane)
+        send_queues = self.send_queues.all()
+        self._rng.shuffle(send_queues)  # so that no queue always comes first
+        for send_queue in send_queues:
+            self._process_queue(send_queue)
 
-    def _end(self, lane: Lane, why: Drop) -> None:
-        self.counts.drop(why, self.lanes.end(lane))
-        self._no_retry(lane)
+    def _drop_queue(self, send_queue: SendQueue, reason: Drop) -> None:
+        self.counts.drop(reason, self.send_queues.remove(send_queue))
+        self._cancel_retry(send_queue)
 
-    def _no_retry(self, lane: Lane) -> None:
-        timer = self._retries.pop(lane, None)
+    def _cancel_retry(self, send_queue: SendQueue) -> None:
+        timer = self._retries.pop(send_queue, None)
         if timer is not None:
             timer.cancel()
 
-    # --- calling ---
+    # --- dialling ---
 
-    def _call(self, lane: Lane) -> None:
-        self._retries.pop(lane, None)
-        address = self._address_of(lane.whom)
+    def _dial(self, send_queue: SendQueue) -> None:
+        self._retries.pop(send_queue, None)
+        address = self._address_of(send_queue.target)
         if address is None:
-            self._end(lane, Drop.ADDRESS)
+            self._drop_queue(send_queue, Drop.ADDRESS)
             return
-        lane.calling = True
+        send_queue.connecting = True
         self.counts.dialled += 1
-        self._make_room()
-        task = self._loop.create_task(self._connect(lane, address))
+        self._evict_if_full()
+        task = self._loop.create_task(self._connect(send_queue, address))
         self._tasks[task] = None
         task.add_done_callback(lambda done: self._tasks.pop(done, None))
 
-    async def _connect(self, lane: Lane, address: Address) -> None:
-        made: list[Connection] = []
+    async def _connect(self, send_queue: SendQueue, address: Address) -> None:
+        on_connection_made: list[Connection] = []
 
         def protocol() -> Connection:
-            made.append(Connection(self, lane.whom, address))
-            return made[0]
+            on_connection_made.append(Connection(self, send_queue.target, address))
+            return on_connection_made[0]
 
         try:
-            async with asyncio.timeout(self.rules.connect_ms / 1000.0):
-                # From the host where this front listens, so that whatever stands between knows who calls.
+            async with asyncio.timeout(self.rules.connect_timeout_ms / 1000.0):
+                # Binds to the listening host, so that anything on the path can identify the caller.
                 await self._loop.create_connection(protocol, *address, local_addr=(self._host, 0))
         except (OSError, TimeoutError):
-            for connection in made:
+            for connection in on_connection_made:
                 connection.abort()
-            self._failed(lane)
+            self._on_connect_failed(send_queue)
         else:
             if self._stopped:
-                made[0].abort()
+                on_connection_made[0].abort()
 
-    def _failed(self, lane: Lane) -> None:
-        """No connection, or one that broke before it was proven or right after."""
-        if not self.lanes.has(lane) or lane in self._retries:
+    def _on_connect_failed(self, send_queue: SendQueue) -> None:
+        """Handles a failed dial, or a connection that was lost before it was proven or right after."""
+        if not self.send_queues.has(send_queue) or send_queue in self._retries:
             return
-        self.counts.refused += 1
-        pause_ms = lane.failed(self.now(), self.rules, self._dice)
-        if self.registry.find(lane.whom) is not None:  # the peer called meanwhile
-            self._serve(lane)
-        elif pause_ms is None:
-            self._end(lane, Drop.GAVE_UP)
+        self.counts.failed_dials += 1
+        backoff_ms = send_queue.on_connect_failed(self.now(), self.rules, self._rng)
+        if self.registry.find(send_queue.target) is not None:  # the peer has connected meanwhile
+            self._process_queue(send_queue)
+        elif backoff_ms is None:
+            self._drop_queue(send_queue, Drop.GAVE_UP)
         else:
-            self._retries[lane] = self._loop.call_later(pause_ms / 1000.0, self._call, lane)
+            self._retries[send_queue] = self._loop.call_later(backoff_ms / 1000.0, self._dial, send_queue)
 
-    # --- what connections tell ---
+    # --- callbacks of connections ---
 
-    def made(self, connection: Connection) -> None:
-        if self._stopped:  # it came up in the turn of the stop, which did not see it
+    def on_connection_made(self, connection: Connection) -> None:
+        if self._stopped:  # opened in the loop iteration of `stop`, which did not see it
             connection.abort()
             return
-        if connection.called is None:
+        if connection.dialled_target is None:
             self.counts.accepted += 1
-        crowded = self.registry.add(connection)
-        if crowded is not None:
-            self.counts.crowded += 1
-            crowded.abort()
-
-    def proved(self, connection: Connection) -> None:
-        """The other side is there now, under its name and life."""
-        talk = connection.talk
-        proof, earlier = self.registry.prove(connection)
-        if proof is Proof.STRANGER:
-            self.counts.strangers += 1
+        evicted = self.registry.add(connection)
+        if evicted is not None:
+            self.counts.evicted += 1
+            evicted.abort()
+
+    def on_peer_proven(self, connection: Connection) -> None:
+        """The peer proved its name and incarnation."""
+        conversation = connection.conversation
+        proof, superseded = self.registry.register_proven(connection)
+        if proof is Proof.IDENTITY_MISMATCH:
+            self.counts.identity_mismatches += 1
             connection.abort()
-        elif proof is Proof.OLD_LIFE:
-            self.counts.drop(Drop.OLD_LIFE)
+        elif proof is Proof.OLD_INCARNATION:
+            self.counts.drop(Drop.OLD_INCARNATION)
             connection.abort()
-            self._stale(talk.peer, talk.peer_life, self._seal.newest(talk.peer), None)
+            self._on_stale(
+                conversation.peer,
+                conversation.peer_incarnation,
+                self._seal.newest_incarnation(conversation.peer),
+                None,
+            )
         else:
             self.counts.proven += 1
-            if earlier is not None:
-                earlier.abort()
-            for lane in self._lanes_of(connection):
-                lane.reached()
-                self._no_retry(lane)
-                self._serve(lane)
-            if connection.called is None:
-                self._make_room()
-
-    def _lanes_of(self, connection: Connection) -> Iterator[Lane]:
-        for whom in dict.fromkeys((connection.talk.peer, connection.called, connection.address)):
-            lane = self.lanes.get(whom) if whom is not None else None
-            if lane is not None:
-                yield lane
-
-    def heard(self, connection: Connection, body: bytes) -> None:
-        talk = connection.talk
-        self._opened(talk.peer, talk.peer_life, talk.format, body)
-
-    def ready(self, connection: Connection) -> None:
-        """The peer reads again."""
-        for lane in self._lanes_of(connection):
-            self._serve(lane)
-
-    def garbled(self, connection: Connection) -> None:
+            if superseded is not None:
+                superseded.abort()
+            for send_queue in self._queues_of(connection):
+                send_queue.on_connected()
+                self._cancel_retry(send_queue)
+                self._process_queue(send_queue)
+            if connection.dialled_target is None:
+                self._evict_if_full()
+
+    def _queues_of(self, connection: Connection) -> Iterator[SendQueue]:
+        for target in dict.fromkeys(
+            (connection.conversation.peer, connection.dialled_target, connection.address)
+        ):
+            send_queue = self.send_queues.get(target) if target is not None else None
+            if send_queue is not None:
+                yield send_queue
+
+    def on_body_received(self, connection: Connection, body: bytes) -> None:
+        conversation = connection.conversation
+        self._on_body(conversation.peer, conversation.peer_incarnation, conversation.format, body)
+
+    def on_writable(self, connection: Connection) -> None:
+        """The write buffer has drained: the peer reads again."""
+        for send_queue in self._queues_of(connection):
+            self._process_queue(send_queue)
+
+    def on_malformed_frame(self, connection: Connection) -> None:
         self.counts.drop(Drop.MALFORMED)
 
-    def unsealed(self, connection: Connection, kind: Kind) -> None:
-        self.unsealed_by_kind[kind] += 1
+    def on_seal_error(self, connection: Connection, kind: Kind) -> None:
+        self.seal_errors_by_kind[kind] += 1
         self.counts.drop(Drop.SEALED)
 
-    def lost(self, connection: Connection) -> None:
+    def on_connection_lost(self, connection: Connection) -> None:
         self.registry.remove(connection)
-        if connection.out:
-            connection.out = memoryview(b"")
+        if connection.unsent:
+            connection.unsent = memoryview(b"")
             self.counts.drop(Drop.LOST)
         if self._stopped:
             return
-        # One that breaks as soon as it is made is as good as none.
-        lasted = connection.joined and self.now() - connection.since > self.rules.retry_ms
-        for lane in self._lanes_of(connection):
-            if lasted or self.registry.find(lane.whom) is not None:
-                self._serve(lane)
-            elif lane.whom == connection.called or not lane.calling:
-                self._failed(lane)
+        # A connection that is lost right after it was opened counts as a failed attempt.
+        was_stable = (
+            connection.established and self.now() - connection.opened_at_ms > self.rules.retry_backoff_ms
+        )
+        for send_queue in self._queues_of(connection):
+            if was_stable or self.registry.find(send_queue.target) is not None:
+                self._process_queue(send_queue)
+            elif send_queue.target == connection.dialled_target or not send_queue.connecting:
+                self._on_connect_failed(send_queue)
 
     # --- bounds ---
 
-    def _make_room(self) -> None:
-        crowded = self.registry.crowded()
-        if crowded is not None:
-            if crowded.paused or crowded.out:
-                crowded.abort()
+    def _evict_if_full(self) -> None:
+        evicted = self.registry.connection_to_evict()
+        if evicted is not None:
+            if evicted.paused or evicted.unsent:
+                evicted.abort()
             else:
-                crowded.close()
+                evicted.close()
 
     def _sweep(self) -> None:
         now = self.now()
         for connection in list(self.registry.all):
-            due = self.registry.due(connection, now)
-            if due is Due.IDLE:
+            due_action = self.registry.due_action(connection, now)
+            if due_action is Due.IDLE:
                 connection.close()
-            elif due is not Due.NOTHING:
-                self.counts.late += due is Due.LATE
-                self.counts.stalled += due is Due.STALLED
+            elif due_action is not Due.NOTHING:
+                self.counts.handshake_timeouts += due_action is Due.HANDSHAKE_TIMEOUT
+                self.counts.stalled += due_action is Due.STALLED
                 connection.abort()
-        self._sweeper = self._loop.call_later(self.rules.sweep_ms / 1000.0, self._sweep)
+        self._sweeper = self._loop.call_later(self.rules.sweep_interval_ms / 1000.0, self._sweep)
 
     def forget(self, name: str) -> None:
-        """A peer that is dead: what waits for it goes, and its connections."""
-        lane = self.lanes.get(name)
-        if lane is not None:
-            self._end(lane, Drop.FORGOTTEN)
+        """Drops the queue and the connections of a dead peer."""
+        send_queue = self.send_queues.get(name)
+        if send_queue is not None:
+            self._drop_queue(send_queue, Drop.FORGOTTEN)
         for connection in list(self.registry.all):
-            if connection.talk.peer == name:
+            if connection.conversation.peer == name:
                 connection.abort()
 
     def stop(self) -> None:
-        """What is written still goes out, what waits is dropped."""
+        """Closes all connections: written bytes are still sent, waiting bodies are dropped."""
         self._stopped = True
         if self._server is not None:
             self._server.close()
@@ -281,10 +298,10 @@
                 timer.cancel()
         for task in list(self._tasks):
             task.cancel()
-        for lane in self.lanes.all():
-            self._end(lane, Drop.FORGOTTEN)
+        for send_queue in self.send_queues.all():
+            self._drop_queue(send_queue, Drop.FORGOTTEN)
         for connection in list(self.registry.all):
-            if connection.usable and not connection.paused:
+            if connection.is_usable and not connection.paused:
                 connection.close()
             else:
                 connection.abort()
--- a/fernweir/peers/link/udp.py
+++ b/fernweir/peers/link/udp.py
@@ -1,7 +1,8 @@
-"""Datagrams on asyncio's DatagramProtocol: a budget for what goes out, a gate for what comes in.
+"""Datagrams on asyncio's DatagramProtocol: a byte budget for sending, a flood gate for receiving.
 
-asyncio reads one datagram a turn of its loop, and the turn costs ten times what the reading does. In a flood
-a bounded number more is read at once, so that it is dropped for little and viewers keep the processor.
+asyncio reads one datagram per loop iteration, and the iteration costs ten times as much as the read. During a
+flood a bounded number of further datagrams is read at once, so that dropping them is cheap and leaves the CPU
+to viewers.
 """
 
 from __future__ import annotations
@@ -16,12 +17,12 @@
 from fernweir.peers.wire.gate import Gate
 from fernweir.peers.wire.seal import Kind, Opened, Refused, Seal
 
-_AT_ONCE = 64
+_MAX_DRAINED_DATAGRAMS = 64
 
 
 class Datagrams(asyncio.DatagramProtocol):
-    """`opened` gets what came and is authenticated, `stale` an authenticated (sender, life, newest life,
-    address)."""
+    """`on_opened` is called with each authenticated datagram, `on_stale` with (sender, incarnation, newest
+    incarnation, address) of an authenticated one from a superseded incarnation."""
 
     def __init__(
         self,
@@ -30,39 +31,39 @@
         bucket: Bucket,
         rules: LinkRules,
         counts: LinkCounts,
-        opened: Callable[[Opened], None],
-        stale: Callable[[str, int, int, Address | None], None],
+        on_opened: Callable[[Opened], None],
+        on_stale: Callable[[str, int, int, Address | None], None],
     ) -> None:
         self.seal, self.gate = seal, Gate(rules.gate)
         self._loop, self._bucket, self._counts = loop, bucket, counts
-        self._opened, self._stale = opened, stale
+        self._on_opened, self._on_stale = on_opened, on_stale
         self._transport: asyncio.DatagramTransport | None = None
         self._paused = False
-        self._more: socket.socket | None = None
-        self._longest = max(4_096, 2 * rules.datagram)
+        self._extra_socket: socket.socket | None = None
+        self._receive_bytes = max(4_096, 2 * rules.max_datagram_bytes)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = transport  # type: ignore[assignment]  # a loop's own, of any class
+        self._transport = transport  # type: ignore[assignment]  # the class depends on the event loop
         sock = transport.get_extra_info("socket")
         if sock is not None:
-            self._more = sock.dup()
-            self._more.setblocking(False)
+            self._extra_socket = sock.dup()
+            self._extra_socket.setblocking(False)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
         now = self._loop.time() * 1000.0
-        self._take(now, data, addr)
-        if self._more is not None and self.gate.flooded(now):
-            self._drain(now, self._more)
+        self._handle_datagram(now, data, addr)
+        if self._extra_socket is not None and self.gate.is_flooded(now):
+            self._drain_socket(now, self._extra_socket)
 
-    def _drain(self, now: float, more: socket.socket) -> None:
-        for _ in range(_AT_ONCE):
+    def _drain_socket(self, now: float, extra_socket: socket.socket) -> None:
+        for _ in range(_MAX_DRAINED_DATAGRAMS):
             try:
-                data, addr = more.recvfrom(self._longest)
-            except OSError:  # no more is there
+                data, addr = extra_socket.recvfrom(self._receive_bytes)
+            except OSError:  # nothing more to read
                 return
-            self._take(now, data, addr)
+            self._handle_datagram(now, data, addr)
 
-    def _take(self, now: float, data: bytes, addr: Address) -> None:
+    def _handle_datagram(self, now: float, data: bytes, addr: Address) -> None:
         self._counts.datagrams_in += 1
         self._counts.bytes_in += len(data)
         if not self.gate.admits(now, addr):
@@ -70,15 +71,15 @@
             return
         found = self.seal.look(data)
         if isinstance(found, Refused):
-            self.gate.failed(now, addr)
+            self.gate.on_refused(now, addr)
             self._counts.drop(Drop.SEALED)
-            if found.kind is Kind.OLD_LIFE:
-                self._stale(found.sender, found.life, found.newest, addr)
+            if found.kind is Kind.OLD_INCARNATION:
+                self._on_stale(found.sender, found.incarnation, found.newest_incarnation, addr)
             return
-        self.gate.passed(addr)
-        self._opened(found)
+        self.gate.on_authenticated(addr)
+        self._on_opened(found)
 
-    def send(self, body: bytes, form: int, address: Address) -> None:
+    def send(self, body: bytes, message_format: int, address: Address) -> None:
         if self._transport is None or self._transport.is_closing():
             self._counts.drop(Drop.FORGOTTEN)
         elif self._paused:
@@ -86,14 +87,14 @@
         elif not self._bucket.take(self._loop.time() * 1000.0, len(body) + self.seal.over):
             self._counts.drop(Drop.BUDGET)
         else:
-            data = self.seal.seal(body, form)
+            data = self.seal.seal(body, message_format)
             self._counts.datagrams_out += 1
             self._counts.bytes_out += len(data)
             self._transport.sendto(data, address)
 
     def error_received(self, exc: Exception) -> None:
-        """The kernel heard that nobody listens there, or could not send: as if it were lost."""
-        self._counts.errors += 1
+        """The destination port is closed, or the kernel could not send: treated as datagram loss."""
+        self._counts.socket_errors += 1
 
     def pause_writing(self) -> None:
         self._paused = True
@@ -102,9 +103,9 @@
         self._paused = False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self._more is not None:
-            self._more.close()
-            self._more = None
+        if self._extra_socket is not None:
+            self._extra_socket.close()
+            self._extra_socket = None
 
     def close(self) -> None:
         if self._transport is not None:
--- a/fernweir/peers/wire/codec.py
+++ b/fernweir/peers/wire/codec.py
@@ -15,7 +15,7 @@
 
 from fernweir.peers.base import Message
 
-_MOST = 65_535  # messages in one body: an array's length of 2 bytes
+_MAX_MESSAGES = 65_535  # messages in one body: an array's length of 2 bytes
 
 
 class MalformedError(Exception):
@@ -71,13 +71,13 @@
     def encode(self, messages: Sequence[Message]) -> bytes:
         return join([self._encoder.encode(message) for message in messages])
 
-    def decode(self, body: bytes | memoryview, form: int | None = None) -> list[Message]:
+    def decode(self, body: bytes | memoryview, message_format: int | None = None) -> list[Message]:
         """The messages of a body in its order; empty if its format is not spoken here.
 
         MalformedError if any message of a known kind is not well formed: none of them counts then.
         """
         counts = self.counts
-        if form is not None and not self.formats[0] <= form <= self.formats[1]:
+        if message_format is not None and not self.formats[0] <= message_format <= self.formats[1]:
             counts.formats += 1
             return []
         try:
@@ -111,7 +111,7 @@
 def join(messages: Sequence[bytes]) -> bytes:
     """A body of messages that are encoded already."""
     count = len(messages)
-    if count > _MOST:
+    if count > _MAX_MESSAGES:
         raise ValueError(f"{count} messages in one body")
     head = bytes([0x90 | count]) if count < 16 else b"\xdc" + count.to_bytes(2, "big")
     return head + b"".join(messages)
--- a/fernweir/peers/wire/conversation.py
+++ b/fernweir/peers/wire/conversation.py
@@ -18,9 +18,9 @@
 
 MAGIC = b"\xfe\x48"
 NONCE = 16
-_LIFE = struct.Struct(">Q")
-_HELLO_LEAST = 5 + 1 + _LIFE.size + NONCE + TAG
-HELLO_MOST = _HELLO_LEAST - 1 + NAME_MOST
+_INCARNATION = struct.Struct(">Q")
+_MIN_HELLO_BYTES = 5 + 1 + _INCARNATION.size + NONCE + TAG
+HELLO_MOST = _MIN_HELLO_BYTES - 1 + NAME_MOST
 OVER = 8 + TAG  # bytes that sealing adds to a frame
 
 
@@ -28,41 +28,46 @@
     """One connection, from one side. `nonce` must never have been used before."""
 
     def __init__(
-        self, keys: Sequence[bytes], name: str, life: int, nonce: bytes, formats: tuple[int, int] = (1, 1)
+        self,
+        keys: Sequence[bytes],
+        name: str,
+        incarnation: int,
+        nonce: bytes,
+        formats: tuple[int, int] = (1, 1),
     ) -> None:
         if len(nonce) != NONCE:
             raise ValueError(f"a nonce of {len(nonce)} bytes, not {NONCE}")
-        self.name, self.life, self.formats = name, life, formats
-        self.peer, self.peer_life, self.format = "", 0, 0
+        self.name, self.incarnation, self.formats = name, incarnation, formats
+        self.peer, self.peer_incarnation, self.format = "", 0, 0
         self.proven = False
         self._nonce, self._peer_nonce = nonce, b""
         self._hellos = Sealer(keys, b"fernweir hello")
         self._frames = Sealer(keys, b"fernweir frame")
         self._key = 0  # with which the other side seals
-        self._sent = self._heard = 0
+        self._sent = self._received = 0
 
     def hello(self) -> bytes:
         name = self.name.encode()
         head = MAGIC + bytes((self.formats[1], self.formats[0], len(name))) + name
-        data = head + _LIFE.pack(self.life) + self._nonce
+        data = head + _INCARNATION.pack(self.incarnation) + self._nonce
         return data + self._hellos.tag(data)
 
     @property
-    def greeted(self) -> bool:
+    def has_peer_hello(self) -> bool:
         return bool(self._peer_nonce)
 
     def take_hello(self, data: bytes) -> None:
         """The other side's hello. SealError if it is none, of the own name, or of no format spoken here."""
-        if len(data) < _HELLO_LEAST:
+        if len(data) < _MIN_HELLO_BYTES:
             raise SealError(Refused(Kind.SHORT))
         if not data.startswith(MAGIC):
             raise SealError(Refused(Kind.MAGIC))
         length = data[4]
-        if not 1 <= length <= NAME_MOST or len(data) != _HELLO_LEAST - 1 + length:
+        if not 1 <= length <= NAME_MOST or len(data) != _MIN_HELLO_BYTES - 1 + length:
             raise SealError(Refused(Kind.NAME))
         view = memoryview(data)
-        which = self._hellos.opens(view[:-TAG], view[-TAG:])
-        if which is None:
+        key_index = self._hellos.opens(view[:-TAG], view[-TAG:])
+        if key_index is None:
             raise SealError(Refused(Kind.TAG))
         try:
             peer = data[5 : 5 + length].decode()
@@ -70,11 +75,11 @@
             raise SealError(Refused(Kind.NAME)) from None
         if peer == self.name:
             raise SealError(Refused(Kind.OWN))
-        form = common(self.formats, (data[3], data[2]))
-        if form is None:
+        message_format = common(self.formats, (data[3], data[2]))
+        if message_format is None:
             raise SealError(Refused(Kind.FORMAT))
-        self.peer, self.format, self._key = peer, form, which
-        (self.peer_life,) = _LIFE.unpack_from(data, 5 + length)
+        self.peer, self.format, self._key = peer, message_format, key_index
+        (self.peer_incarnation,) = _INCARNATION.unpack_from(data, 5 + length)
         self._peer_nonce = data[-TAG - NONCE : -TAG]
 
     def seal(self, body: bytes) -> bytes:
@@ -92,8 +97,8 @@
         covered = b"".join((self._peer_nonce, self._nonce, data[:-TAG]))
         if not self._frames.opens_with(self._key, covered, data[-TAG:]):
             raise SealError(Refused(Kind.TAG))
-        if int.from_bytes(data[:8], "big") != self._heard + 1:
+        if int.from_bytes(data[:8], "big") != self._received + 1:
             raise SealError(Refused(Kind.COUNTER))
-        self._heard += 1
+        self._received += 1
         self.proven = True
         return data[8:-TAG]
--- a/fernweir/peers/wire/gate.py
+++ b/fernweir/peers/wire/gate.py
@@ -12,47 +12,47 @@
 
 @dataclass(frozen=True, slots=True)
 class GateRules:
-    bad: int = 2_000  # a second over all, before strangers are dropped
-    bad_source: int = 200  # a second from one known source, before it is a stranger
-    sources: int = 4_096
+    max_refused_per_s: int = 2_000  # a second over all, before strangers are dropped
+    max_refused_per_source_s: int = 200  # a second from one known source, before it is a stranger
+    max_known_sources: int = 4_096
 
 
 class Gate:
     """`now` is ms."""
 
-    __slots__ = ("_bad", "_known", "_second", "rules")
+    __slots__ = ("_known", "_refused_count", "_second", "rules")
 
     def __init__(self, rules: GateRules | None = None) -> None:
         self.rules = rules or GateRules()
-        self._second, self._bad = 0, 0
+        self._second, self._refused_count = 0, 0
         self._known: dict[Hashable, tuple[int, int]] = {}  # second and bad ones in it; last heard last
 
     def admits(self, now: float, source: Hashable) -> bool:
         """Whether a datagram's seal is worth looking at."""
-        return not self.flooded(now) or source in self._known
+        return not self.is_flooded(now) or source in self._known
 
-    def flooded(self, now: float) -> bool:
+    def is_flooded(self, now: float) -> bool:
         """Whether as many bad ones came in this second as are looked at."""
-        self._turn(now)
-        return self._bad >= self.rules.bad
+        self._advance_second(now)
+        return self._refused_count >= self.rules.max_refused_per_s
 
-    def passed(self, source: Hashable) -> None:
+    def on_authenticated(self, source: Hashable) -> None:
         """A datagram from there was authenticated."""
         self._known[source] = self._known.pop(source, (0, 0))
-        if len(self._known) > self.rules.sources:
+        if len(self._known) > self.rules.max_known_sources:
             del self._known[next(iter(self._known))]
 
-    def failed(self, now: float, source: Hashable) -> None:
-        self._turn(now)
-        self._bad += 1
+    def on_refused(self, now: float, source: Hashable) -> None:
+        self._advance_second(now)
+        self._refused_count += 1
         if source in self._known:
-            second, bad = self._known[source]
-            bad = bad + 1 if second == self._second else 1
-            self._known[source] = (self._second, bad)
-            if bad > self.rules.bad_source:
+            second, refused = self._known[source]
+            refused = refused + 1 if second == self._second else 1
+            self._known[source] = (self._second, refused)
+            if refused > self.rules.max_refused_per_source_s:
                 del self._known[source]
 
-    def _turn(self, now: float) -> None:
+    def _advance_second(self, now: float) -> None:
         second = int(now // 1000.0)
         if second != self._second:
-            self._second, self._bad = second, 0
+            self._second, self._refused_count = second, 0
--- a/fernweir/peers/wire/keys.py
+++ b/fernweir/peers/wire/keys.py
@@ -15,7 +15,7 @@
 
 TAG = 16
 LEAST, MOST = 32, 64  # bytes of a key: what BLAKE2b takes
-_LONGEST_FILE = 4_096
+_MAX_FILE_BYTES = 4_096
 
 
 class KeyFileError(ValueError):
@@ -26,11 +26,11 @@
     """The key of a file: one line, hex or base64, 32 to 64 bytes when decoded."""
     try:
         with path.open("rb") as file:
-            text = file.read(_LONGEST_FILE + 1)
+            text = file.read(_MAX_FILE_BYTES + 1)
     except OSError as error:
         raise KeyFileError(f"{path}: can't be read: {error.strerror}") from None
     lines = [line.strip() for line in text.splitlines() if line.strip()]
-    if len(text) > _LONGEST_FILE or len(lines) != 1:
+    if len(text) > _MAX_FILE_BYTES or len(lines) != 1:
         raise KeyFileError(f"{path}: must be one line with the key in hex or base64")
     key = _decode(lines[0])
     if key is None:
@@ -47,8 +47,8 @@
         except binascii.Error:
             pass
     try:
-        plain = line.replace(b"-", b"+").replace(b"_", b"/").rstrip(b"=")
-        return base64.b64decode(plain + b"=" * (-len(plain) % 4), validate=True)
+        standard_alphabet = line.replace(b"-", b"+").replace(b"_", b"/").rstrip(b"=")
+        return base64.b64decode(standard_alphabet + b"=" * (-len(standard_alphabet) % 4), validate=True)
     except binascii.Error:
         return None
 
@@ -75,17 +75,17 @@
         # Copied for each tag: taking the key in anew costs a whole block.
         self._keyed = [blake2b(key=key, digest_size=TAG, person=use) for key in keys]
 
-    def tag(self, data: bytes | memoryview, which: int = 0) -> bytes:
-        hash_ = self._keyed[which].copy()
+    def tag(self, data: bytes | memoryview, key_index: int = 0) -> bytes:
+        hash_ = self._keyed[key_index].copy()
         hash_.update(data)
         return hash_.digest()
 
-    def opens_with(self, which: int, data: bytes | memoryview, tag: bytes | memoryview) -> bool:
-        return compare_digest(self.tag(data, which), tag)
+    def opens_with(self, key_index: int, data: bytes | memoryview, tag: bytes | memoryview) -> bool:
+        return compare_digest(self.tag(data, key_index), tag)
 
     def opens(self, data: bytes | memoryview, tag: bytes | memoryview) -> int | None:
         """The number of the key under which the tag is right, or None."""
-        for which in range(len(self._keyed)):
-            if self.opens_with(which, data, tag):
-                return which
+        for key_index in range(len(self._keyed)):
+            if self.opens_with(key_index, data, tag):
+                return key_index
         return None
--- a/fernweir/peers/wire/seal.py
+++ b/fernweir/peers/wire/seal.py
@@ -35,7 +35,7 @@
     NAME = "name"
     TAG = "tag"
     REPLAY = "replay"  # seen, or before the window
-    OLD_LIFE = "old life"
+    OLD_INCARNATION = "old life"
     OWN = "own"  # what was sent from here, come back
     COUNTER = "counter"  # on a connection: a frame repeated, left out or out of order
 
@@ -45,8 +45,8 @@
 
     kind: Kind
     sender: str = ""
-    life: int = 0
-    newest: int = 0
+    incarnation: int = 0
+    newest_incarnation: int = 0
 
 
 class SealError(Exception):
@@ -63,7 +63,7 @@
 
 class Opened(NamedTuple):
     sender: str
-    life: int
+    incarnation: int
     counter: int
     format: int
     body: bytes
@@ -79,37 +79,41 @@
 
 
 class _Sender:
-    __slots__ = ("life", "window")
+    __slots__ = ("incarnation", "window")
 
-    def __init__(self, life: int, size: int) -> None:
-        self.life, self.window = life, Window(size)
+    def __init__(self, incarnation: int, size: int) -> None:
+        self.incarnation, self.window = incarnation, Window(size)
 
 
 class Seal:
     """Seals under one name and life, and opens what others sealed. The first key seals, any opens."""
 
-    def __init__(self, keys: Sequence[bytes], name: str, life: int, rules: SealRules | None = None) -> None:
+    def __init__(
+        self, keys: Sequence[bytes], name: str, incarnation: int, rules: SealRules | None = None
+    ) -> None:
         self.rules = rules or SealRules()
         self.counts: dict[Kind, int] = dict.fromkeys(Kind, 0)
-        self.name, self.life, self._counter = name, life, 0
+        self.name, self.incarnation, self._counter = name, incarnation, 0
         self._sealer = Sealer(keys, USE)
         self._formats = self.rules.formats
         self._senders: dict[str, _Sender] = {}
-        self._bytes = name.encode()
-        if not 1 <= len(self._bytes) <= NAME_MOST:
-            raise ValueError(f"a name of {len(self._bytes)} bytes, not 1 to {NAME_MOST}")
-        self.over = LEAST - 1 + len(self._bytes)  # bytes that sealing adds
+        self._name_bytes = name.encode()
+        if not 1 <= len(self._name_bytes) <= NAME_MOST:
+            raise ValueError(f"a name of {len(self._name_bytes)} bytes, not 1 to {NAME_MOST}")
+        self.over = LEAST - 1 + len(self._name_bytes)  # bytes that sealing adds
 
-    def relive(self, life: int) -> None:
+    def relive(self, incarnation: int) -> None:
         """From now on this front seals under a later life, as others know its name in one above its own."""
-        if life <= self.life:
-            raise ValueError(f"life {life} is not after {self.life}")
-        self.life, self._counter = life, 0
+        if incarnation <= self.incarnation:
+            raise ValueError(f"life {incarnation} is not after {self.incarnation}")
+        self.incarnation, self._counter = incarnation, 0
 
-    def seal(self, body: bytes, form: int) -> bytes:
+    def seal(self, body: bytes, message_format: int) -> bytes:
         self._counter += 1
-        name = self._bytes
-        head = MAGIC + bytes((form, len(name))) + name + _NUMBERS.pack(self.life, self._counter)
+        name = self._name_bytes
+        head = (
+            MAGIC + bytes((message_format, len(name))) + name + _NUMBERS.pack(self.incarnation, self._counter)
+        )
         data = head + body
         return data + self._sealer.tag(data)
 
@@ -133,9 +137,9 @@
             return _SHORT
         if not data.startswith(MAGIC):
             return _MAGIC
-        form, length = data[2], data[3]
+        message_format, length = data[2], data[3]
         lowest, highest = self._formats
-        if not lowest <= form <= highest:
+        if not lowest <= message_format <= highest:
             return _FORMAT
         if not 1 <= length <= NAME_MOST:
             return _NAME
@@ -148,30 +152,30 @@
             sender = data[4 : 4 + length].decode()
         except UnicodeDecodeError:
             return _NAME
-        life, counter = _NUMBERS.unpack_from(data, 4 + length)
-        if sender == self.name and life == self.life:
+        incarnation, counter = _NUMBERS.unpack_from(data, 4 + length)
+        if sender == self.name and incarnation == self.incarnation:
             return _OWN
-        window = self.meet(sender, life)
+        window = self.register_sender(sender, incarnation)
         if window is None:
-            return Refused(Kind.OLD_LIFE, sender, life, self.newest(sender))
-        if not window.take(counter):
-            return Refused(Kind.REPLAY, sender, life, life)
-        return Opened(sender, life, counter, form, data[start:-TAG])
+            return Refused(Kind.OLD_INCARNATION, sender, incarnation, self.newest_incarnation(sender))
+        if not window.accept(counter):
+            return Refused(Kind.REPLAY, sender, incarnation, incarnation)
+        return Opened(sender, incarnation, counter, message_format, data[start:-TAG])
 
-    def meet(self, sender: str, life: int) -> Window | None:
+    def register_sender(self, sender: str, incarnation: int) -> Window | None:
         """The window of a life that was proved; those before it are over. None for one of these."""
         known = self._senders.pop(sender, None)
-        if known is not None and life < known.life:
+        if known is not None and incarnation < known.incarnation:
             self._senders[sender] = known
             return None
-        if known is None or life > known.life:
-            known = _Sender(life, self.rules.window)
+        if known is None or incarnation > known.incarnation:
+            known = _Sender(incarnation, self.rules.window)
         self._senders[sender] = known  # last in order, as it was heard last
         if len(self._senders) > self.rules.senders:
             del self._senders[next(iter(self._senders))]
         return known.window
 
-    def newest(self, sender: str) -> int:
+    def newest_incarnation(self, sender: str) -> int:
         """The latest life heard under a name, 0 if none is known."""
         known = self._senders.get(sender)
-        return 0 if known is None else known.life
+        return 0 if known is None else known.incarnation
--- a/fernweir/peers/wire/window.py
+++ b/fernweir/peers/wire/window.py
@@ -12,7 +12,7 @@
         self.size, self.highest, self.seen = size, 0, 0
         self._mask = (1 << size) - 1
 
-    def take(self, counter: int) -> bool:
+    def accept(self, counter: int) -> bool:
         """True the first time a counter comes, if it is not before the window. Counters start at 1."""
         ahead = counter - self.highest
         if ahead > 0:
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -141,7 +141,7 @@
 def _read_hello(data: bytes) -> Any:
     called = _conversations()[1]
     called.take_hello(data)
-    return [called.peer, called.peer_life, called.format]
+    return [called.peer, called.peer_incarnation, called.format]
 
 
 def _connection() -> bytes:
--- a/tests/test_peers_link.py
+++ b/tests/test_peers_link.py
@@ -70,8 +70,8 @@
     ) -> Front:
         m = load()
         kinds = (Item,) if formats[1] == 1 else (NewItem, Extra)
-        dice = Random(f"{self.fleet.seed} {self.node}")
-        me = m.rules.Identity(self.name, self.life, keys, dice.randbytes, formats)
+        rng = Random(f"{self.fleet.seed} {self.node}")
+        me = m.rules.Identity(self.name, self.life, keys, rng.randbytes, formats)
         token = NODE.set(self.node)
         try:
             self.links = await m.links.Links.start(
@@ -128,9 +128,11 @@
 # --- days ---
 
 RULES = {
-    "rate": 200_000.0, "burst": 50_000.0, "queue": 60_000, "queues": 100_000, "peers": 4, "connections": 8,
-    "half_open": 4, "connect_ms": 500.0, "hello_ms": 1_000.0, "idle_ms": 2_000.0, "stalled_ms": 1_500.0,
-    "retry_ms": 50.0, "retry_most_ms": 400.0, "give_up_ms": 4_000.0, "sweep_ms": 100.0,
+    "rate": 200_000.0, "burst": 50_000.0, "max_queue_bytes": 60_000, "max_total_queue_bytes": 100_000,
+    "max_queued_peers": 4, "connections": 8, "half_open": 4, "connect_timeout_ms": 500.0,
+    "hello_timeout_ms": 1_000.0, "idle_timeout_ms": 2_000.0, "stall_timeout_ms": 1_500.0,
+    "retry_backoff_ms": 50.0, "max_retry_backoff_ms": 400.0, "give_up_ms": 4_000.0,
+    "sweep_interval_ms": 100.0,
 }  # fmt: skip
 
 
@@ -138,19 +140,25 @@
     """What must hold at every moment of every front."""
     links, rules = front.links, front.links.rules
     inside = links.connections
-    lanes, waiting = inside.lanes.all(), inside.lanes.waiting
-    if waiting != sum(lane.size for lane in lanes):
-        return f"{waiting} bytes said to wait, and {sum(lane.size for lane in lanes)} do"
-    if any(lane.size != sum(map(len, lane.queue)) or lane.size > rules.queue for lane in lanes):
-        return f"a queue of {max(lane.size for lane in lanes)} bytes"
-    if waiting > rules.queues or len(lanes) > rules.peers:
-        return f"{waiting} bytes wait for {len(lanes)} peers"
-    if len(inside.registry.half) > rules.half_open:
+    send_queues, waiting = inside.send_queues.all(), inside.send_queues.waiting_bytes
+    if waiting != sum(send_queue.size_bytes for send_queue in send_queues):
+        return (
+            f"{waiting} bytes said to wait, and {sum(send_queue.size_bytes for send_queue in send_queues)} do"
+        )
+    if any(
+        send_queue.size_bytes != sum(map(len, send_queue.bodies))
+        or send_queue.size_bytes > rules.max_queue_bytes
+        for send_queue in send_queues
+    ):
+        return f"a queue of {max(send_queue.size_bytes for send_queue in send_queues)} bytes"
+    if waiting > rules.max_total_queue_bytes or len(send_queues) > rules.max_queued_peers:
+        return f"{waiting} bytes wait for {len(send_queues)} peers"
+    if len(inside.registry.half_open) > rules.half_open:
         return f"{len(inside.registry.half)} connections are half open"
     for one in inside.registry.all:
-        if one._transport.get_write_buffer_size() > 65_536 + rules.piece:
+        if one._transport.get_write_buffer_size() > 65_536 + rules.write_chunk_bytes:
             return f"{one._transport.get_write_buffer_size()} bytes are written to who does not read"
-        if one.talk.proven and one.talk.peer not in front.fleet.fronts:
+        if one.conversation.proven and one.conversation.peer not in front.fleet.fronts:
             return "a stranger is proven"
     counts = links.counts
     handshakes = 400 * (counts.dialled + counts.accepted)
@@ -163,8 +171,8 @@
     """Three fronts send all day; ways are cut, processes stand still, are killed and start again."""
 
     async def main(fleet: Fleet) -> str:
-        dice, loop, begun = Random(seed), fleet.loop, fleet.loop.time()
-        fast = {"rate": 5e6, "burst": 2e6, "stalled_ms": 8_000.0, "queue": 90_000}
+        rng, loop, begun = Random(seed), fleet.loop, fleet.loop.time()
+        fast = {"rate": 5e6, "burst": 2e6, "stall_timeout_ms": 8_000.0, "max_queue_bytes": 90_000}
         rules: dict[str, Any] = RULES | (fast if seed % 2 else {})
         for name in "abc":
             await fleet.front(name, **rules)
@@ -179,30 +187,30 @@
             nonlocal number
             number += 1
             sent[number] = (source.name, source.life)
-            if to in fronts and source.links.seal.newest(to) == fronts[to].life:
+            if to in fronts and source.links.seal.newest_incarnation(to) == fronts[to].life:
                 known.add((fronts[to].node, number))
             source.send(to, number, size, whole)
             return number
 
         for step in range(160):
-            source, to = dice.sample("abc", 2)
-            draw = dice.random()
+            source, to = rng.sample("abc", 2)
+            draw = rng.random()
             if draw < 0.7 and source not in frozen:
-                size = dice.choice((0, 200, 2_000, 30_000))
-                for _ in range(dice.choice((1, 1, 6))):
-                    say(fronts[source], to, size, dice.random() < 0.5)
+                size = rng.choice((0, 200, 2_000, 30_000))
+                for _ in range(rng.choice((1, 1, 6))):
+                    say(fronts[source], to, size, rng.random() < 0.5)
             elif draw < 0.75 and not frozen:
                 frozen.add(source)
                 loop.freeze(fronts[source].node)
             elif draw < 0.82 and frozen:
                 loop.thaw(fronts[frozen.pop()].node)
             elif draw < 0.87:
-                loop.network.ways.set(source, to, WayFault(cut=dice.random() < 0.5, loss=0.2, late=0.2))
+                loop.network.ways.set(source, to, WayFault(cut=rng.random() < 0.5, loss=0.2, late=0.2))
             elif draw < 0.92:
                 loop.network.ways.clear_all()
             elif draw < 0.94 and not frozen and fronts[source].life < 6:
                 past.append(fronts[source])
-                if dice.random() < 0.5:
+                if rng.random() < 0.5:
                     loop.kill(fronts[source].node)
                 await fleet.front(source, fronts[source].life + 1, **rules)
             elif draw < 0.96:
@@ -214,11 +222,11 @@
                 transport.write(frame(hello))
             for name in frozen - {source} if seed % 2 else ():
                 say(fronts[source], name, 30_000, True)
-            if dice.random() < 0.03 and source not in frozen:
+            if rng.random() < 0.03 and source not in frozen:
                 say(fronts[source], "z", 9_000, True)
-            if past and (twin := dice.choice(past)).node not in loop._dead and twin.name != to:
-                say(twin, to, 300, dice.random() < 0.5)
-            await asyncio.sleep(dice.choice((0.0, 0.005, 0.05, 0.3)))
+            if past and (twin := rng.choice(past)).node not in loop._dead and twin.name != to:
+                say(twin, to, 300, rng.random() < 0.5)
+            await asyncio.sleep(rng.choice((0.0, 0.005, 0.05, 0.3)))
             for front in fronts.values():
                 if said := broken_bound(front, begun):
                     return f"step {step}, {front.node}: {said}"
@@ -248,9 +256,14 @@
         for front in fronts.values():
             inside = front.links.connections
             registry = inside.registry
-            if registry.all or registry.half or registry.named or registry.dialled:
+            if registry.all or registry.half_open or registry.by_name or registry.by_address:
                 return f"{front.node} keeps connections that are long over"
-            if inside.lanes.all() or inside.lanes.waiting or inside._retries or inside._tasks:
+            if (
+                inside.send_queues.all()
+                or inside.send_queues.waiting_bytes
+                or inside._retries
+                or inside._tasks
+            ):
                 return f"{front.node} keeps what is long over"
         for front in [*past, *fronts.values()]:
             if front.node not in loop._dead:
@@ -339,14 +352,16 @@
         await asyncio.sleep(6.0)
         assert not one.got and not other.got
         assert one.links.counts.dropped["sealed"] > 5 and other.dropped == {"sealed": 10, "gave up": 10}
-        assert not other.links.connections.lanes.all() and not one.links.connections.registry.all
+        assert not other.links.connections.send_queues.all() and not one.links.connections.registry.all
 
     played(main)
 
 
 def test_a_flood_is_dropped_in_bounds_while_peers_are_heard() -> None:
     async def main(fleet: Fleet) -> None:
-        gate = importlib.import_module("fernweir.peers.wire.gate").GateRules(bad=50, bad_source=20)
+        gate = importlib.import_module("fernweir.peers.wire.gate").GateRules(
+            max_refused_per_s=50, max_refused_per_source_s=20
+        )
         one, other = await fleet.front("a", gate=gate), await fleet.front("b", gate=gate)
         looks = 0
         opened = other.links.seal.look
@@ -398,7 +413,7 @@
         connection._transport.write = lambda data: (tape.append(bytes(data)), through(data))
         await asyncio.sleep(0.5)
         assert sorted(other.numbers("a")) == [1, 2]
-        hello = frame(connection.talk.hello())  # what was written before the tape ran
+        hello = frame(connection.conversation.hello())  # what was written before the tape ran
         seen = len(other.got)
         for _ in range(3):
             player, _ = await loop.create_connection(asyncio.Protocol, *fleet.addresses["b"])
@@ -414,10 +429,10 @@
         player, _ = await loop.create_connection(asyncio.Protocol, *fleet.addresses["b"])
         player.write(hello + (1_048_576).to_bytes(4, "big") + bytes(1_000))
         await asyncio.sleep(0.5)
-        assert other.dropped["malformed"] == 1 and not other.links.connections.registry.half
+        assert other.dropped["malformed"] == 1 and not other.links.connections.registry.half_open
         assert len(tape) >= 2 and len(datagrams) == 1
         assert len(other.got) == seen and not one.got
-        assert other.links.connections.unsealed_by_kind["tag"] == 3
+        assert other.links.connections.seal_errors_by_kind["tag"] == 3
         assert other.links.seal.counts["replay"] == 3 and one.links.seal.counts["own"] == 3
 
     played(main)
@@ -428,13 +443,13 @@
         one, other = await fleet.front("a", half_open=8), await fleet.front("b", half_open=8)
         for number in range(200):
             await fleet.loop.create_connection(asyncio.Protocol, *fleet.addresses["b"])
-            assert len(other.links.connections.registry.half) <= 8
+            assert len(other.links.connections.registry.half_open) <= 8
             if number % 20 == 0:
                 one.send("b", number, whole=True)
         await asyncio.sleep(6.0)
         assert other.numbers("a") == list(range(0, 200, 20))
-        assert other.links.counts.crowded >= 180 and not other.links.connections.registry.half
-        assert other.links.counts.late > 0
+        assert other.links.counts.evicted >= 180 and not other.links.connections.registry.half_open
+        assert other.links.counts.handshake_timeouts > 0
 
     played(main)
 
@@ -444,8 +459,8 @@
         rules: dict[str, Any] = RULES | {
             "rate": 1e7,
             "burst": 1e6,
-            "stalled_ms": 60_000.0,
-            "idle_ms": 60_000.0,
+            "stall_timeout_ms": 60_000.0,
+            "idle_timeout_ms": 60_000.0,
         }
         one, other = await fleet.front("a", **rules), await fleet.front("b", **rules)
         one.send("b", 0, whole=True)
@@ -454,7 +469,7 @@
         for number in range(1, 100):
             one.send("b", number, 9_000, whole=True)
             await asyncio.sleep(0.01)
-            assert one.links.connections.lanes.waiting <= 60_000
+            assert one.links.connections.send_queues.waiting_bytes <= 60_000
         dropped = one.dropped["queue"]
         assert dropped > 10
         fleet.loop.thaw(other.node)
@@ -470,7 +485,7 @@
         one, other = await fleet.front("a", **RULES), await fleet.front("b", **RULES)
         one.send("b", 1, 55_000, whole=True)
         one.send("b", 2, 100, whole=True)
-        while not (connections := list(one.links.connections.registry.all)) or not connections[0].out:
+        while not (connections := list(one.links.connections.registry.all)) or not connections[0].unsent:
             await asyncio.sleep(0.001)
         fleet.loop.kill(other.node)
         again = await fleet.front("b", 2, **RULES)
@@ -512,14 +527,14 @@
         one.send(fleet.addresses["b"], 2, whole=True)  # by address any name will do
         await asyncio.sleep(9.0)
         assert other.numbers("a") == [2] and one.dropped == {"gave up": 1}
-        assert one.links.counts.strangers > 0
+        assert one.links.counts.identity_mismatches > 0
 
     played(main)
 
 
 def test_datagrams_go_out_while_a_long_transfer_uses_the_budget() -> None:
     async def main(fleet: Fleet) -> None:
-        rules: dict[str, Any] = RULES | {"queue": 2_000_000, "queues": 2_000_000}
+        rules: dict[str, Any] = RULES | {"max_queue_bytes": 2_000_000, "max_total_queue_bytes": 2_000_000}
         one, other = await fleet.front("a", **rules), await fleet.front("b", **rules)
         begun = fleet.loop.time()
         one.send("b", 0, 1_000_000, whole=True)
@@ -553,7 +568,7 @@
         assert sorted(old.numbers("b")) == [0, 1, 5] and old.links.codec.counts.unknown == 2
         assert sorted(new.numbers("a")) == sorted(new.numbers("c")) == [0, 1]
         assert sorted(newest.numbers("b")) == [0, 1] and not old.numbers("c")
-        assert newest.dropped["format"] == 1 and old.links.connections.unsealed_by_kind["format"] >= 1
+        assert newest.dropped["format"] == 1 and old.links.connections.seal_errors_by_kind["format"] >= 1
 
     played(main)
 
@@ -561,7 +576,9 @@
 def test_a_flood_on_a_socket_is_read_many_at_once_and_the_peer_behind_it_is_heard() -> None:
     async def main() -> None:
         m = load()
-        gate = importlib.import_module("fernweir.peers.wire.gate").GateRules(bad=5, bad_source=5)
+        gate = importlib.import_module("fernweir.peers.wire.gate").GateRules(
+            max_refused_per_s=5, max_refused_per_source_s=5
+        )
         got: list[int] = []
         addresses: dict[str, Address] = {}
         links = {}
@@ -612,7 +629,7 @@
 
         def crossing(connection: Connection, transport: asyncio.BaseTransport) -> None:
             made(connection, transport)
-            if connection.called is not None:
+            if connection.dialled_target is not None:
                 patched.stop()
                 if how == "time ends":
                     limits[0]._on_timeout()
--- a/tests/test_peers_wire.py
+++ b/tests/test_peers_wire.py
@@ -103,53 +103,53 @@
 # --- days: drawn events, judged by the slow readers ---
 
 
-def mutated(dice: Random, data: bytes) -> bytes:
+def mutated(rng: Random, data: bytes) -> bytes:
     """As the wire, or somebody on it, might leave it."""
     if not data:
         return data
-    at = dice.randrange(len(data))
-    match dice.randrange(6):
+    at = rng.randrange(len(data))
+    match rng.randrange(6):
         case 0:
-            return data[:at] + bytes([data[at] ^ 1 << dice.randrange(8)]) + data[at + 1 :]
+            return data[:at] + bytes([data[at] ^ 1 << rng.randrange(8)]) + data[at + 1 :]
         case 1:
             return data[:at]
         case 2:
-            return data + dice.randbytes(dice.randrange(1, 20))
+            return data + rng.randbytes(rng.randrange(1, 20))
         case 3:
             return data[:at] + data[at + 1 :]
         case 4:
             return data[at:]
         case _:
-            return data[:at] + dice.randbytes(1) + data[at:]
+            return data[:at] + rng.randbytes(1) + data[at:]
 
 
 def seal_day(seed: int) -> str:
     """Senders that restart, repeat, fall back and are tampered with, at one receiver with two keys."""
-    m, dice = load(), Random(seed)
+    m, rng = load(), Random(seed)
     rules = m.seal.SealRules(formats=FORMATS)
     fast, slow = m.seal.Seal(KEYS[:2], "me", 7, rules), SlowSeal("me", 7, KEYS[:2])
     names = [b"a", b"b\xc3\xa9", b"x" * 64, b"me", b"\xff\xfe"]
     lives, highest = dict.fromkeys(names, 7), dict.fromkeys(names, 0)
     sent: list[bytes] = []
     for step in range(400):
-        name = dice.choice(names[:3] if dice.random() < 0.9 else names)
-        if dice.random() < 0.02:
-            lives[name], highest[name] = lives[name] + dice.randrange(1, 300), 0
-        if sent and dice.random() < 0.25:
-            data = dice.choice(sent[-3:] if dice.random() < 0.5 else sent)
+        name = rng.choice(names[:3] if rng.random() < 0.9 else names)
+        if rng.random() < 0.02:
+            lives[name], highest[name] = lives[name] + rng.randrange(1, 300), 0
+        if sent and rng.random() < 0.25:
+            data = rng.choice(sent[-3:] if rng.random() < 0.5 else sent)
         else:
-            back = dice.choice((-1, -1, -1, -2, -900, 1022, 1023, 1024, 1025, dice.randrange(1100)))
+            back = rng.choice((-1, -1, -1, -2, -900, 1022, 1023, 1024, 1025, rng.randrange(1100)))
             counter = max(0, highest[name] - back)
             highest[name] = max(highest[name], counter)
-            life = lives[name] if dice.random() < 0.95 else max(0, lives[name] - 1)
-            key = dice.choice(KEYS) if dice.random() < 0.2 else KEYS[0]
-            form = dice.choice((1, 2, 3, 4)) if dice.random() < 0.1 else 2
-            body = dice.randbytes(dice.choice((0, 1, 40)))
+            life = lives[name] if rng.random() < 0.95 else max(0, lives[name] - 1)
+            key = rng.choice(KEYS) if rng.random() < 0.2 else KEYS[0]
+            form = rng.choice((1, 2, 3, 4)) if rng.random() < 0.1 else 2
+            body = rng.randbytes(rng.choice((0, 1, 40)))
             data = write_datagram(name, life, counter, form, body, key)
             sent.append(data)
-        if dice.random() < 0.25:
-            data = mutated(dice, data)
-            if dice.random() < 0.3 and len(data) > 60:  # whole again, but for the life in it
+        if rng.random() < 0.25:
+            data = mutated(rng, data)
+            if rng.random() < 0.3 and len(data) > 60:  # whole again, but for the life in it
                 data = data[:-16] + sent[-1][-16:]
         wanted, before = slow.open(data), fast.counts.copy()
         try:
@@ -169,8 +169,8 @@
 
 def life_day(seed: int) -> str:
     """One bit of a good datagram turned over, at every place: none may open."""
-    m, dice = load(), Random(seed)
-    data = write_datagram(b"ab", dice.getrandbits(60), 5, 2, dice.randbytes(9), KEYS[0])
+    m, rng = load(), Random(seed)
+    data = write_datagram(b"ab", rng.getrandbits(60), 5, 2, rng.randbytes(9), KEYS[0])
     rules = m.seal.SealRules(formats=(1, 255))
     for bit in range(len(data) * 8):
         turned = bytearray(data)
@@ -186,19 +186,19 @@
 
 def frames_day(seed: int) -> str:
     """A stream of frames, some with a wrong length, in drawn pieces."""
-    m, dice = load(), Random(seed)
+    m, rng = load(), Random(seed)
     for _ in range(30):
         stream = b"".join(
-            m.frames.frame(dice.randbytes(dice.choice((1, 2, 30, 299, 300))))
-            for _ in range(dice.randrange(1, 6))
+            m.frames.frame(rng.randbytes(rng.choice((1, 2, 30, 299, 300))))
+            for _ in range(rng.randrange(1, 6))
         )
-        if dice.random() < 0.5:
-            size = dice.choice((0, 301, 2**24 + 5, 2**31 + 1, 2**32 - 1))
-            bad = mutated(dice, stream) if dice.random() < 0.5 else size.to_bytes(4, "big") + bytes(9)
-            stream = stream + bad if dice.random() < 0.5 else bad + stream
+        if rng.random() < 0.5:
+            size = rng.choice((0, 301, 2**24 + 5, 2**31 + 1, 2**32 - 1))
+            bad = mutated(rng, stream) if rng.random() < 0.5 else size.to_bytes(4, "big") + bytes(9)
+            stream = stream + bad if rng.random() < 0.5 else bad + stream
         wanted = slow_frames(stream, 300)
         reader, bodies, stopped = m.frames.Frames(300), [], False
-        cuts = sorted(dice.randrange(len(stream) + 1) for _ in range(dice.randrange(6)))
+        cuts = sorted(rng.randrange(len(stream) + 1) for _ in range(rng.randrange(6)))
         for begin, end in pairwise([0, *cuts, len(stream)]):
             reader.feed(memoryview(stream)[begin:end])
             try:
@@ -215,10 +215,10 @@
 
 def talk_day(seed: int) -> str:
     """Two sides and somebody between them who repeats, leaves out, turns round and changes frames."""
-    m, dice = load(), Random(seed)
+    m, rng = load(), Random(seed)
 
     def side(name: str, keys: list[bytes]) -> Any:
-        return m.conversation.Conversation(keys, name, 5, dice.randbytes(16), (1, 2))
+        return m.conversation.Conversation(keys, name, 5, rng.randbytes(16), (1, 2))
 
     def pair() -> tuple[Any, Any]:
         one, other = side("here", KEYS[:2]), side("there", KEYS[1::-1])
@@ -229,7 +229,7 @@
     (here, there), (_, before) = pair(), pair()
     hello = side("here", KEYS[:1]).hello()
     strangers = [side("here", KEYS[2:]).hello(), side("there", KEYS[:1]).hello(), b""]
-    for wrong in [*strangers, *(mutated(dice, hello) for _ in range(5))]:
+    for wrong in [*strangers, *(mutated(rng, hello) for _ in range(5))]:
         try:
             side("there", KEYS[:2]).take_hello(wrong)
         except m.seal.SealError:
@@ -242,7 +242,7 @@
     for step in range(60):
         if here.proven != (heard > 0):
             return f"step {step}: proven is {here.proven} after {heard} frames"
-        body, kind = dice.randbytes(dice.choice((0, 1, 20))), dice.randrange(8)
+        body, kind = rng.randbytes(rng.choice((0, 1, 20))), rng.randrange(8)
         if kind < 4:
             sent += 1
             data, head = there.seal(body), sent.to_bytes(8, "big") + body
@@ -250,11 +250,11 @@
                 return f"step {step}: sealed otherwise than the page says"
             recorded.append(data)
             if kind == 3:
-                data = mutated(dice, data)
+                data = mutated(rng, data)
         elif kind == 4:
             data = here.seal(body)  # back to who sent it
         else:
-            data = dice.choice(recorded)
+            data = rng.choice(recorded)
         good = len(data) >= 24 and tag(b"fernweir frame", nonces + data[:-16], KEYS[1]) == data[-16:]
         wanted = data[8:-16] if good and int.from_bytes(data[:8], "big") == heard + 1 else None
         try:
@@ -439,24 +439,24 @@
     return found, unknown
 
 
-def drawn_messages(dice: Random) -> Iterator[Message]:
-    for _ in range(dice.randrange(1, 6)):
-        number = dice.choice((0, 1, -1, 127, 128, -33, 2**31, -(2**63), 2**64 - 1))
-        yield dice.choice((
-            Note(number), Note(number, "é" * dice.randrange(8), (1, 2)),
-            Mark(dice.randbytes(dice.choice((0, 40, 300)))),
-            NewNote(number, "", (number,), True, 0.1), Fresh({"k" * dice.randrange(40): number}),
+def drawn_messages(rng: Random) -> Iterator[Message]:
+    for _ in range(rng.randrange(1, 6)):
+        number = rng.choice((0, 1, -1, 127, 128, -33, 2**31, -(2**63), 2**64 - 1))
+        yield rng.choice((
+            Note(number), Note(number, "é" * rng.randrange(8), (1, 2)),
+            Mark(rng.randbytes(rng.choice((0, 40, 300)))),
+            NewNote(number, "", (number,), True, 0.1), Fresh({"k" * rng.randrange(40): number}),
         ))  # fmt: skip
 
 
 def test_bodies_are_read_as_the_slow_reader_does() -> None:
     codec = importlib.import_module("fernweir.peers.wire.codec")
-    dice, good = Random(5), 0
+    rng, good = Random(5), 0
     for play in range(6_000):
         fast = codec.Codec([(Note, Mark)])
-        data = fast.encode(list(drawn_messages(dice)))
-        for _ in range(dice.randrange(4)):
-            data = mutated(dice, data)
+        data = fast.encode(list(drawn_messages(rng)))
+        for _ in range(rng.randrange(4)):
+            data = mutated(rng, data)
         try:
             wanted: Any = slow_body(data)
         except Broken:
@@ -532,40 +532,40 @@
     with pytest.raises(seal.SealError):  # also the repeat says that s0 was heard last
         mine.open(first)
     mine.open(write_datagram(b"s3", 1, 9, 1, b"", KEYS[0]))
-    assert [mine.newest(f"s{number}") for number in range(4)] == [1, 0, 1, 1]
+    assert [mine.newest_incarnation(f"s{number}") for number in range(4)] == [1, 0, 1, 1]
 
 
 def test_a_flood_of_bad_datagrams_leaves_known_sources_heard_and_costs_a_bounded_number_of_looks() -> None:
     gate = load().gate
-    rules = gate.GateRules(bad=100, bad_source=10, sources=4)
+    rules = gate.GateRules(max_refused_per_s=100, max_refused_per_source_s=10, max_known_sources=4)
     door, looks = gate.Gate(rules), 0
-    door.passed("peer")
+    door.on_authenticated("peer")
     for step in range(30_000):
         now = step * 0.1
         if door.admits(now, ("flood", step)):
             looks += 1
-            door.failed(now, ("flood", step))
+            door.on_refused(now, ("flood", step))
         if step % 100 == 0:
             assert door.admits(now, "peer")
-            door.passed("peer")
+            door.on_authenticated("peer")
     assert looks == 300
     now, forged = 3_500.0, 0
     for _ in range(200):
-        door.failed(now, "anybody")
+        door.on_refused(now, "anybody")
     while door.admits(now, "peer"):
-        door.failed(now, "peer")
+        door.on_refused(now, "peer")
         forged += 1
     assert forged == 11
     for number in range(10):
-        door.passed(number)
+        door.on_authenticated(number)
     assert [number for number in range(10) if door.admits(now, number)] == [6, 7, 8, 9]
 
 
 def test_a_bucket_gives_no_more_than_its_rate_and_burst() -> None:
-    bucket, dice, now, given = load().bucket.Bucket(1_000.0, 300.0, 0.0), Random(3), 0.0, 0
+    bucket, rng, now, given = load().bucket.Bucket(1_000.0, 300.0, 0.0), Random(3), 0.0, 0
     for _ in range(2_000):
-        now += dice.choice((0.0, 1.0, 7.0))
-        size = dice.randrange(1, 120)
+        now += rng.choice((0.0, 1.0, 7.0))
+        size = rng.randrange(1, 120)
         wait = bucket.wait_ms(now, size, 50.0)
         taken = bucket.take(now, size, 50.0)
         assert taken == (wait == 0.0)
