--- a/fernweir/peers/link/links.py
+++ b/fernweir/peers/link/links.py
@@ -189,9 +189,9 @@
 
     # --- incarnation and shutdown ---
 
-    def relive(self, incarnation: int) -> None:
+    def advance_incarnation(self, incarnation: int) -> None:
         """Continues under a later incarnation, as peers have seen a newer one of this name."""
-        self.seal.relive(incarnation)
+        self.seal.advance_incarnation(incarnation)
         self.connections.incarnation = incarnation
 
     def forget(self, name: str) -> None:
--- a/fernweir/peers/program.py
+++ b/fernweir/peers/program.py
@@ -216,7 +216,7 @@
         It happens as it joins. What stood before stays with this front, in no channel that it has.
         """
         self._core.log.info("lives on under a later life", life=life, before=self.peer.me.life)
-        self.links.relive(life)
+        self.links.advance_incarnation(life)
         now, sought = self._core.now(), self.peer.end(self._core.now())
         self.peer = self._make(life)
         self.peer.start(now, self._seeds)
--- a/fernweir/peers/wire/seal.py
+++ b/fernweir/peers/wire/seal.py
@@ -102,7 +102,7 @@
             raise ValueError(f"a name of {len(self._name_bytes)} bytes, not 1 to {NAME_MOST}")
         self.over = LEAST - 1 + len(self._name_bytes)  # bytes that sealing adds
 
-    def relive(self, incarnation: int) -> None:
+    def advance_incarnation(self, incarnation: int) -> None:
         """From now on this front seals under a later life, as others know its name in one above its own."""
         if incarnation <= self.incarnation:
             raise ValueError(f"life {incarnation} is not after {self.incarnation}")
--- a/tests/test_peers_link.py
+++ b/tests/test_peers_link.py
@@ -510,7 +510,7 @@
         old.send("a", 3, whole=True)
         await asyncio.sleep(1.0)
         assert one.got == [("b", 9, 1)] and one.stale == [("b", 5, 9)] * 2 and one.dropped["old life"] == 1
-        old.act(old.links.relive, 10)
+        old.act(old.links.advance_incarnation, 10)
         old.send("a", 4)
         old.send("a", 5, whole=True)
         await asyncio.sleep(1.0)
