--- a/bench/peers_wire.py
+++ b/bench/peers_wire.py
@@ -155,8 +155,8 @@
 def connection(plays: int, size: int) -> None:
     here = Conversation([b"k" * 32], "a", 1, bytes(16))
     there = Conversation([b"k" * 32], "b", 1, bytes(range(16)))
-    here.take_hello(there.hello())
-    there.take_hello(here.hello())
+    here.accept_hello(there.hello())
+    there.accept_hello(here.hello())
     body, count = bytes(size), max(_ROUNDS, min(plays, 100_000_000 // size))
     stream = iter([frame(here.seal(body)) for _ in range(count)])
     reader = Frames()
--- a/fernweir/peers/link/connection.py
+++ b/fernweir/peers/link/connection.py
@@ -100,7 +100,7 @@
 
     def _handle_frame(self, data: bytes) -> None:
         if not self.conversation.has_peer_hello:
-            self.conversation.take_hello(data)
+            self.conversation.accept_hello(data)
             hello = frames.frame(self.conversation.hello()) if self.dialled_target is None else b""
             self._write(hello + frames.frame(self.conversation.seal(b"")))
             return
--- a/fernweir/peers/wire/conversation.py
+++ b/fernweir/peers/wire/conversation.py
@@ -56,7 +56,7 @@
     def has_peer_hello(self) -> bool:
         return bool(self._peer_nonce)
 
-    def take_hello(self, data: bytes) -> None:
+    def accept_hello(self, data: bytes) -> None:
         """The other side's hello. SealError if it is none, of the own name, or of no format spoken here."""
         if len(data) < _MIN_HELLO_BYTES:
             raise SealError(Refused(Kind.SHORT))
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -140,14 +140,14 @@
 
 def _read_hello(data: bytes) -> Any:
     called = _conversations()[1]
-    called.take_hello(data)
+    called.accept_hello(data)
     return [called.peer, called.peer_incarnation, called.format]
 
 
 def _connection() -> bytes:
     """Hello and two frames, as one side writes them."""
     caller, called = _conversations()
-    caller.take_hello(called.hello())
+    caller.accept_hello(called.hello())
     return frame(caller.hello()) + frame(caller.seal(b"")) + frame(caller.seal(b"a body"))
 
 
@@ -155,7 +155,7 @@
     called, frames = _conversations()[1], Frames()
     called.hello()
     frames.feed(data)
-    called.take_hello(frames.next() or b"")
+    called.accept_hello(frames.next() or b"")
     return [plain(called.open(frames.next() or b"")), called.proven, plain(called.open(frames.next() or b""))]
 
 
--- a/tests/test_peers_wire.py
+++ b/tests/test_peers_wire.py
@@ -222,8 +222,8 @@
 
     def pair() -> tuple[Any, Any]:
         one, other = side("here", KEYS[:2]), side("there", KEYS[1::-1])
-        one.take_hello(other.hello())
-        other.take_hello(one.hello())
+        one.accept_hello(other.hello())
+        other.accept_hello(one.hello())
         return one, other
 
     (here, there), (_, before) = pair(), pair()
@@ -231,7 +231,7 @@
     strangers = [side("here", KEYS[2:]).hello(), side("there", KEYS[:1]).hello(), b""]
     for wrong in [*strangers, *(mutated(rng, hello) for _ in range(5))]:
         try:
-            side("there", KEYS[:2]).take_hello(wrong)
+            side("there", KEYS[:2]).accept_hello(wrong)
         except m.seal.SealError:
             continue
         if wrong != hello:
