--- a/bench/peers_wire.py
+++ b/bench/peers_wire.py
@@ -88,7 +88,7 @@
     for what, keys in (("open", [b"k" * 32]), ("open by the second of two keys", [b"o" * 32, b"k" * 32])):
         receiver = Seal(keys, "front-2", 1_790_000_000_000)
         sealed = iter([sender.seal(body, 1) for _ in range(plays)])
-        costs[what] = micros(plays, lambda r=receiver, s=sealed: r.look(next(s)))  # type: ignore[misc]
+        costs[what] = micros(plays, lambda r=receiver, s=sealed: r.try_open(next(s)))  # type: ignore[misc]
     print(f"datagram of {len(sender.seal(body, 1))} bytes, {len(said)} messages, us: ", end="")
     print(", ".join(f"{what} {cost:.2f}" for what, cost in costs.items()))
 
@@ -120,7 +120,7 @@
 
     print(f"reading {len(data)} bytes: recvfrom {plain:.2f} us, through asyncio's loop {through:.2f} us")
     for kind, what in kinds.items():
-        cost = micros(plays, lambda what=what: seal.look(what))  # type: ignore[misc]
+        cost = micros(plays, lambda what=what: seal.try_open(what))  # type: ignore[misc]
         print(f"refusing it for its {kind}: {cost:.2f} us, {cost / through:.2f} of asyncio's reading")
     tag = Sealer([b"k" * 32], USE)
     print(f"of that the hash: {micros(plays, lambda: tag.tag(data)):.2f} us")
--- a/fernweir/peers/link/udp.py
+++ b/fernweir/peers/link/udp.py
@@ -69,7 +69,7 @@
         if not self.gate.admits(now, addr):
             self._counts.drop(Drop.FLOOD)
             return
-        found = self.seal.look(data)
+        found = self.seal.try_open(data)
         if isinstance(found, Refused):
             self.gate.on_refused(now, addr)
             self._counts.drop(Drop.SEALED)
--- a/fernweir/peers/wire/seal.py
+++ b/fernweir/peers/wire/seal.py
@@ -119,19 +119,19 @@
 
     def open(self, data: bytes) -> Opened:
         """What a datagram says, and by whom. SealError, counted by its kind, for all but a good new one."""
-        found = self.look(data)
+        found = self.try_open(data)
         if isinstance(found, Refused):
             raise SealError(found)
         return found
 
-    def look(self, data: bytes) -> Opened | Refused:
+    def try_open(self, data: bytes) -> Opened | Refused:
         """As `open`; raising would cost more than the looking."""
-        found = self._look(data)
+        found = self._try_open(data)
         if isinstance(found, Refused):
             self.counts[found.kind] += 1
         return found
 
-    def _look(self, data: bytes) -> Opened | Refused:
+    def _try_open(self, data: bytes) -> Opened | Refused:
         size = len(data)
         if size < LEAST:
             return _SHORT
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -126,7 +126,7 @@
 
 
 def _open_datagram(data: bytes) -> Any:
-    found = Seal(KEYS, "front-b", LIFE, SealRules(formats=(1, 3))).look(data)
+    found = Seal(KEYS, "front-b", LIFE, SealRules(formats=(1, 3))).try_open(data)
     assert isinstance(found, Opened)
     return plain(found)
 
--- a/tests/test_peers_link.py
+++ b/tests/test_peers_link.py
@@ -364,14 +364,14 @@
         )
         one, other = await fleet.front("a", gate=gate), await fleet.front("b", gate=gate)
         looks = 0
-        opened = other.links.seal.look
+        opened = other.links.seal.try_open
 
-        def look(data: bytes) -> Any:
+        def try_open(data: bytes) -> Any:
             nonlocal looks
             looks += 1
             return opened(data)
 
-        other.links.seal.look = look
+        other.links.seal.try_open = try_open
         one.send("b", 0)
         await asyncio.sleep(0.1)
         stranger, _ = await fleet.loop.create_datagram_endpoint(
