--- a/bench/peers_wire.py
+++ b/bench/peers_wire.py
@@ -291,7 +291,7 @@
     memory()
     asyncio.run(peers_memory(50))
     for flood, most in ((0, 2_000), (20_000, 2_000), (20_000, 10**9), (100_000, 2_000), (100_000, 10**9)):
-        asyncio.run(flooded(3.0, flood, GateRules(bad=most)))
+        asyncio.run(flooded(3.0, flood, GateRules(max_refused_per_s=most)))
 
 
 if __name__ == "__main__":
