--- a/fernweir/peers/program.py
+++ b/fernweir/peers/program.py
@@ -184,11 +184,11 @@
             return
         self._send()
         if self._core.now() >= self._looked_at + _LOOK_MS:
-            self._try_open()
+            self._look()
         else:
             self._wake_by(self._looked_at + _LOOK_MS)
 
-    def _try_open(self) -> None:
+    def _look(self) -> None:
         now = self._looked_at = self._core.now()
         due = self.peer.next_deadline()
         if due is not None and due <= now:
@@ -248,7 +248,7 @@
         if now >= self._refusals_at:
             self._refusals_at = now + _REFUSALS_MS
             self._say_refused()
-        self._try_open()
+        self._look()
 
     def _say_refused(self) -> None:
         """What came and was not opened, by why: with a wrong key it is all, and nothing else shows it."""
