--- a/fernweir/peers/link/connection.py
+++ b/fernweir/peers/link/connection.py
@@ -12,7 +12,7 @@
 
 from fernweir.peers.base import Address
 from fernweir.peers.wire import frames
-from fernweir.peers.wire.conversation import HELLO_MOST, Conversation
+from fernweir.peers.wire.conversation import MAX_HELLO_BYTES, Conversation
 from fernweir.peers.wire.frames import FrameError, Frames
 from fernweir.peers.wire.seal import SealError
 
@@ -37,7 +37,7 @@
         self.established = False  # the handshake proved the expected peer
         self.opened_at_ms = self.last_used_ms = self.stalled_since_ms = owner.now()
         self.unsent = memoryview(b"")  # the rest of the frame that is being written
-        self._frames = Frames(HELLO_MOST)
+        self._frames = Frames(MAX_HELLO_BYTES)
         self._transport: asyncio.Transport | None = None
 
     @property
@@ -108,7 +108,7 @@
         body = self.conversation.open(data)
         self.owner.counts.frames_in += 1
         if not proven:  # a peer that only replayed a recorded hello must not get a long frame buffered
-            self._frames.most = frames.MOST
+            self._frames.max_bytes = frames.MAX_FRAME_BYTES
             self.owner.on_peer_proven(self)
         if body and not self.closed:
             self.owner.on_body_received(self, body)
--- a/fernweir/peers/link/links.py
+++ b/fernweir/peers/link/links.py
@@ -12,8 +12,8 @@
 from fernweir.peers.link.rules import Drop, Identity, LinkCounts, LinkRules
 from fernweir.peers.link.tcp import Connections
 from fernweir.peers.link.udp import Datagrams
-from fernweir.peers.wire.bucket import Bucket
-from fernweir.peers.wire.codec import Codec, MalformedError, join
+from fernweir.peers.wire.bucket import TokenBucket
+from fernweir.peers.wire.codec import Codec, MalformedError, join_messages
 from fernweir.peers.wire.seal import Opened, Seal, SealRules
 
 _MAX_ARRAY_HEAD_BYTES = 3  # of a msgpack array of messages
@@ -63,7 +63,9 @@
         self._address_of, self._format_of = address_of, format_of
         self._on_message, self._on_stale = on_message, on_stale
         self._loop = asyncio.get_running_loop()
-        self._datagram_capacity_bytes = rules.max_datagram_bytes - self.seal.over - _MAX_ARRAY_HEAD_BYTES
+        self._datagram_capacity_bytes = (
+            rules.max_datagram_bytes - self.seal.overhead_bytes - _MAX_ARRAY_HEAD_BYTES
+        )
         self._pending: dict[tuple[Address, int], list[bytes]] = {}
         self._datagrams: Datagrams
         self.connections: Connections
@@ -99,7 +101,7 @@
 
     async def _listen(self, listen: Address, identity: Identity, seed: int) -> None:
         loop, rules, counts = self._loop, self.rules, self.counts
-        bucket = Bucket(rules.rate, rules.burst, loop.time() * 1000.0)
+        bucket = TokenBucket(rules.rate, rules.burst, loop.time() * 1000.0)
         self._datagrams = Datagrams(loop, self.seal, bucket, rules, counts, self._on_datagram, self._on_stale)
         self.connections = Connections(
             loop, identity, self.seal, listen[0], bucket, rules, counts, seed,
@@ -123,7 +125,7 @@
         raw = self.codec.one(effect.message)
         to = effect.to
         if effect.reliable or len(raw) > self._datagram_capacity_bytes:
-            self.connections.send(to, join([raw]))
+            self.connections.send(to, join_messages([raw]))
             return
         address = self._checked_address(to)
         message_format = self._format_for(to)
@@ -146,11 +148,11 @@
                     size + len(raw) > self._datagram_capacity_bytes
                     or len(batch) >= _MAX_MESSAGES_PER_DATAGRAM
                 ):
-                    self._datagrams.send(join(batch), message_format, address)
+                    self._datagrams.send(join_messages(batch), message_format, address)
                     batch, size = [], 0
                 batch.append(raw)
                 size += len(raw)
-            self._datagrams.send(join(batch), message_format, address)
+            self._datagrams.send(join_messages(batch), message_format, address)
 
     def _checked_address(self, to: str | Address) -> Address | None:
         address = self._address_of(to) if isinstance(to, str) else to
--- a/fernweir/peers/link/tcp.py
+++ b/fernweir/peers/link/tcp.py
@@ -16,11 +16,11 @@
 from fernweir.peers.link.registry import Due, Proof, Registry
 from fernweir.peers.link.rules import Drop, Identity, LinkCounts, LinkRules
 from fernweir.peers.wire import frames
-from fernweir.peers.wire.bucket import Bucket
-from fernweir.peers.wire.conversation import OVER
+from fernweir.peers.wire.bucket import TokenBucket
+from fernweir.peers.wire.conversation import SEAL_OVERHEAD_BYTES
 from fernweir.peers.wire.seal import Kind, Seal
 
-MAX_BODY_BYTES = frames.MOST - OVER
+MAX_BODY_BYTES = frames.MAX_FRAME_BYTES - SEAL_OVERHEAD_BYTES
 
 
 class Connections:
@@ -36,7 +36,7 @@
         identity: Identity,
         seal: Seal,
         host: str,
-        bucket: Bucket,
+        bucket: TokenBucket,
         rules: LinkRules,
         counts: LinkCounts,
         seed: int,
@@ -102,7 +102,7 @@
             if not connection.unsent:
                 connection.start(self.send_queues.next(send_queue))
             size = min(len(connection.unsent), self.rules.write_chunk_bytes)
-            if not self._bucket.take(now, size, reserve_bytes):
+            if not self._bucket.try_consume(now, size, reserve_bytes):
                 self._schedule_refill(self._bucket.wait_ms(now, size, reserve_bytes))
                 return
             connection.advance(size)
--- a/fernweir/peers/link/udp.py
+++ b/fernweir/peers/link/udp.py
@@ -13,7 +13,7 @@
 
 from fernweir.peers.base import Address
 from fernweir.peers.link.rules import Drop, LinkCounts, LinkRules
-from fernweir.peers.wire.bucket import Bucket
+from fernweir.peers.wire.bucket import TokenBucket
 from fernweir.peers.wire.gate import Gate
 from fernweir.peers.wire.seal import Kind, Opened, Refused, Seal
 
@@ -28,7 +28,7 @@
         self,
         loop: asyncio.AbstractEventLoop,
         seal: Seal,
-        bucket: Bucket,
+        bucket: TokenBucket,
         rules: LinkRules,
         counts: LinkCounts,
         on_opened: Callable[[Opened], None],
@@ -84,7 +84,7 @@
             self._counts.drop(Drop.FORGOTTEN)
         elif self._paused:
             self._counts.drop(Drop.SOCKET)
-        elif not self._bucket.take(self._loop.time() * 1000.0, len(body) + self.seal.over):
+        elif not self._bucket.try_consume(self._loop.time() * 1000.0, len(body) + self.seal.overhead_bytes):
             self._counts.drop(Drop.BUDGET)
         else:
             data = self.seal.seal(body, message_format)
--- a/fernweir/peers/wire/__init__.py
+++ b/fernweir/peers/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages to bytes and back, seals, replay windows, frames. Pure; `docs/peers.md` has the formats."""
+"""Encoding of messages, seals, replay windows and frames. Pure; `docs/peers.md` describes the formats."""
--- a/fernweir/peers/wire/bucket.py
+++ b/fernweir/peers/wire/bucket.py
@@ -1,30 +1,32 @@
-"""A budget of bytes a second, as a token bucket (Turner 1986)."""
+"""A byte rate limit, implemented as a token bucket (Turner 1986)."""
 
 from __future__ import annotations
 
 
-class Bucket:
-    """`rate` is bytes a second, `burst` the bytes that may go at once. `now` is ms."""
+class TokenBucket:
+    """`rate` is bytes per second, `burst` the bytes that may be sent at once. `now` is in ms."""
 
-    __slots__ = ("_at", "_tokens", "burst", "rate")
+    __slots__ = ("_tokens", "_updated_at_ms", "burst", "rate")
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
         self.rate, self.burst = rate, burst
-        self._tokens, self._at = burst, now
+        self._tokens, self._updated_at_ms = burst, now
 
-    def take(self, now: float, size: int, keep: float = 0.0) -> bool:
-        """Takes `size` bytes if as many are there and `keep` are left after it."""
-        self._fill(now)
-        if self._tokens - size < keep:
+    def try_consume(self, now: float, size: int, reserve_bytes: float = 0.0) -> bool:
+        """Consumes `size` bytes if they are available and `reserve_bytes` are left afterwards."""
+        self._refill(now)
+        if self._tokens - size < reserve_bytes:
             return False
         self._tokens -= size
         return True
 
-    def wait_ms(self, now: float, size: int, keep: float = 0.0) -> float:
-        """How long until `take` would say yes."""
-        self._fill(now)
-        return max(0.0, (size + keep - self._tokens) / self.rate * 1000.0)
+    def wait_ms(self, now: float, size: int, reserve_bytes: float = 0.0) -> float:
+        """Returns the time until `try_consume` would succeed."""
+        self._refill(now)
+        return max(0.0, (size + reserve_bytes - self._tokens) / self.rate * 1000.0)
 
-    def _fill(self, now: float) -> None:
-        self._tokens = min(self.burst, self._tokens + max(0.0, now - self._at) * self.rate / 1000.0)
-        self._at = max(self._at, now)
+    def _refill(self, now: float) -> None:
+        self._tokens = min(
+            self.burst, self._tokens + max(0.0, now - self._updated_at_ms) * self.rate / 1000.0
+        )
+        self._updated_at_ms = max(self._updated_at_ms, now)
--- a/fernweir/peers/wire/frames.py
+++ b/fernweir/peers/wire/frames.py
@@ -1,50 +1,53 @@
-"""Frames on a connection: a length of 4 bytes, big endian, then that many bytes. Any split will do."""
+"""Frames on a connection: a length of 4 bytes, big endian, then that many bytes."""
 
 from __future__ import annotations
 
-MOST = 1_048_576
-_HEAD = 4
+MAX_FRAME_BYTES = 1_048_576
+_LENGTH_BYTES = 4
 
 
 class FrameError(Exception):
-    """A length that no frame has: what follows can't be made sense of."""
+    """Raised for an invalid frame length. The rest of the stream can't be parsed."""
 
 
 def frame(body: bytes) -> bytes:
-    """ValueError if it is empty or too long for a frame."""
-    if not 1 <= len(body) <= MOST:
-        raise ValueError(f"a frame of {len(body)} bytes, not 1 to {MOST}")
-    return len(body).to_bytes(_HEAD, "big") + body
+    """Encodes one frame. Raises ValueError if the body is empty or too long."""
+    if not 1 <= len(body) <= MAX_FRAME_BYTES:
+        raise ValueError(f"frame of {len(body)} bytes, not 1 to {MAX_FRAME_BYTES}")
+    return len(body).to_bytes(_LENGTH_BYTES, "big") + body
 
 
 class Frames:
-    """Cuts a stream into frames. `most` may be raised once a peer is known."""
+    """Splits a stream into frames, whatever its chunks. `max_bytes` may be raised once a peer is proven."""
 
-    __slots__ = ("_kept", "most")
+    __slots__ = ("_buffer", "max_bytes")
 
-    def __init__(self, most: int = MOST) -> None:
-        self.most = most
-        self._kept = bytearray()
+    def __init__(self, max_bytes: int = MAX_FRAME_BYTES) -> None:
+        self.max_bytes = max_bytes
+        self._buffer = bytearray()
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Takes what came; `next` gives the frames that are whole."""
-        self._kept += data
+        """Adds received bytes; `next` returns the complete frames."""
+        self._buffer += data
 
     def next(self) -> bytes | None:
-        """The next whole frame, None if more must come first. FrameError for a length outside 1 to `most`."""
-        kept = self._kept
-        if len(kept) < _HEAD:
+        """Returns the next complete frame, None if more bytes are needed.
+
+        Raises FrameError for a length outside 1 to `max_bytes`.
+        """
+        buffer = self._buffer
+        if len(buffer) < _LENGTH_BYTES:
             return None
-        size = int.from_bytes(kept[:_HEAD], "big")
-        if not 1 <= size <= self.most:
-            raise FrameError(f"a frame of {size} bytes, not 1 to {self.most}")
-        if len(kept) < _HEAD + size:
+        size = int.from_bytes(buffer[:_LENGTH_BYTES], "big")
+        if not 1 <= size <= self.max_bytes:
+            raise FrameError(f"frame of {size} bytes, not 1 to {self.max_bytes}")
+        if len(buffer) < _LENGTH_BYTES + size:
             return None
-        body = bytes(memoryview(kept)[_HEAD : _HEAD + size])
-        del kept[: _HEAD + size]
+        body = bytes(memoryview(buffer)[_LENGTH_BYTES : _LENGTH_BYTES + size])
+        del buffer[: _LENGTH_BYTES + size]
         return body
 
     @property
-    def held(self) -> int:
-        """Bytes of a frame that has begun."""
-        return len(self._kept)
+    def buffered_bytes(self) -> int:
+        """Returns the number of buffered bytes of an incomplete frame."""
+        return len(self._buffer)
--- a/fernweir/peers/wire/gate.py
+++ b/fernweir/peers/wire/gate.py
@@ -1,7 +1,7 @@
-"""What a flood of datagrams may cost: past so many bad ones a second, strangers are dropped unlooked at.
+"""Limits the cost of a datagram flood: above a rate of bad ones, unknown sources are dropped unauthenticated.
 
-Who is no stranger is known by where good datagrams came from lately. That is a guess, as a source can be
-forged: it only says whose seals are still looked at, and each such source has its own number a second.
+A source is known if authenticated datagrams came from it recently. This is only a guess, as a source address
+can be forged. It decides only whose seals are still checked, and each known source has its own limit.
 """
 
 from __future__ import annotations
@@ -12,32 +12,34 @@
 
 @dataclass(frozen=True, slots=True)
 class GateRules:
-    max_refused_per_s: int = 2_000  # a second over all, before strangers are dropped
-    max_refused_per_source_s: int = 200  # a second from one known source, before it is a stranger
+    max_refused_per_s: int = 2_000  # bad datagrams over all sources, before unknown sources are dropped
+    max_refused_per_source_s: int = 200  # from one known source, before it counts as unknown
     max_known_sources: int = 4_096
 
 
 class Gate:
-    """`now` is ms."""
+    """Decides which datagrams are authenticated. `now` is in ms."""
 
     __slots__ = ("_known", "_refused_count", "_second", "rules")
 
     def __init__(self, rules: GateRules | None = None) -> None:
         self.rules = rules or GateRules()
         self._second, self._refused_count = 0, 0
-        self._known: dict[Hashable, tuple[int, int]] = {}  # second and bad ones in it; last heard last
+        self._known: dict[
+            Hashable, tuple[int, int]
+        ] = {}  # current second, bad datagrams in it; most recent last
 
     def admits(self, now: float, source: Hashable) -> bool:
-        """Whether a datagram's seal is worth looking at."""
+        """Returns whether the seal of a datagram should be checked."""
         return not self.is_flooded(now) or source in self._known
 
     def is_flooded(self, now: float) -> bool:
-        """Whether as many bad ones came in this second as are looked at."""
+        """Returns whether the limit of bad datagrams in this second is reached."""
         self._advance_second(now)
         return self._refused_count >= self.rules.max_refused_per_s
 
     def on_authenticated(self, source: Hashable) -> None:
-        """A datagram from there was authenticated."""
+        """Records an authenticated datagram from a source."""
         self._known[source] = self._known.pop(source, (0, 0))
         if len(self._known) > self.rules.max_known_sources:
             del self._known[next(iter(self._known))]
--- a/fernweir/peers/wire/keys.py
+++ b/fernweir/peers/wire/keys.py
@@ -1,7 +1,7 @@
-"""The fleet key: read from a file, named by its digest, and the keyed hash that seals with it.
+"""The fleet key: its file, its digest, and the keyed hash for seals.
 
-A key is changed in three rolls over the fleet: the new one is taken as the old (`old-key`), so that all
-accept it; then the two change places; then the old one is left out.
+A key is replaced in three rolling restarts of the fleet. First the new key is added as `old-key`, so that all
+fronts accept it. Then the two keys are swapped. Then the old key is removed.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 from hmac import compare_digest
 from pathlib import Path
 
-TAG = 16
-LEAST, MOST = 32, 64  # bytes of a key: what BLAKE2b takes
+TAG_BYTES = 16
+MIN_KEY_BYTES, MAX_KEY_BYTES = 32, 64  # what BLAKE2b accepts
 _MAX_FILE_BYTES = 4_096
 
 
 class KeyFileError(ValueError):
-    """A key file that can't be used. Says why, never what was in it."""
+    """Raised for an unusable key file. The message gives the reason and never the contents."""
 
 
 def read_key(path: Path) -> bytes:
-    """The key of a file: one line, hex or base64, 32 to 64 bytes when decoded."""
+    """Reads a key file: one line, hex or base64, 32 to 64 bytes when decoded."""
     try:
         with path.open("rb") as file:
             text = file.read(_MAX_FILE_BYTES + 1)
@@ -35,8 +35,8 @@
     key = _decode(lines[0])
     if key is None:
         raise KeyFileError(f"{path}: is neither hex nor base64")
-    if not LEAST <= len(key) <= MOST:
-        raise KeyFileError(f"{path}: a key of {len(key)} bytes, not {LEAST} to {MOST}")
+    if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
+        raise KeyFileError(f"{path}: a key of {len(key)} bytes, not {MIN_KEY_BYTES} to {MAX_KEY_BYTES}")
     return key
 
 
@@ -54,38 +54,40 @@
 
 
 def digest(keys: Sequence[bytes]) -> str:
-    """What a key set is called among versions: fronts that seal and open with the same keys say the same."""
-    found = blake2b(digest_size=8, person=b"fernweir keyset")
+    """Returns the name of a key set in version reports: equal for fronts that have the same keys."""
+    combined = blake2b(digest_size=8, person=b"fernweir keyset")
     for key in keys:
-        found.update(blake2b(key, digest_size=32, person=b"fernweir keyname").digest())
-    return found.hexdigest()
+        combined.update(blake2b(key, digest_size=32, person=b"fernweir keyname").digest())
+    return combined.hexdigest()
 
 
 class Sealer:
-    """Tags of one use under the fleet's keys; the first key seals, any opens.
+    """Authentication tags for one purpose under the fleet's keys. The first key seals, any key opens.
 
-    `use` (at most 16 bytes) keeps what is sealed for one use from being passed off as another's.
+    `personalization` (at most 16 bytes) prevents data sealed for one purpose from being accepted for another.
     """
 
-    __slots__ = ("_keyed",)
+    __slots__ = ("_keyed_hashes",)
 
-    def __init__(self, keys: Sequence[bytes], use: bytes) -> None:
-        if not keys or any(not LEAST <= len(key) <= MOST for key in keys):
-            raise ValueError(f"one key at least, each of {LEAST} to {MOST} bytes")
-        # Copied for each tag: taking the key in anew costs a whole block.
-        self._keyed = [blake2b(key=key, digest_size=TAG, person=use) for key in keys]
+    def __init__(self, keys: Sequence[bytes], personalization: bytes) -> None:
+        if not keys or any(not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES for key in keys):
+            raise ValueError(
+                f"at least one key is required, each of {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes"
+            )
+        # Copied for each tag: initializing with the key again costs a whole block.
+        self._keyed_hashes = [blake2b(key=key, digest_size=TAG_BYTES, person=personalization) for key in keys]
 
     def tag(self, data: bytes | memoryview, key_index: int = 0) -> bytes:
-        hash_ = self._keyed[key_index].copy()
+        hash_ = self._keyed_hashes[key_index].copy()
         hash_.update(data)
         return hash_.digest()
 
-    def opens_with(self, key_index: int, data: bytes | memoryview, tag: bytes | memoryview) -> bool:
+    def verify(self, key_index: int, data: bytes | memoryview, tag: bytes | memoryview) -> bool:
         return compare_digest(self.tag(data, key_index), tag)
 
-    def opens(self, data: bytes | memoryview, tag: bytes | memoryview) -> int | None:
-        """The number of the key under which the tag is right, or None."""
-        for key_index in range(len(self._keyed)):
-            if self.opens_with(key_index, data, tag):
+    def find_key(self, data: bytes | memoryview, tag: bytes | memoryview) -> int | None:
+        """Returns the index of the key under which the tag is valid, or None."""
+        for key_index in range(len(self._keyed_hashes)):
+            if self.verify(key_index, data, tag):
                 return key_index
         return None
--- a/fernweir/peers/wire/seal.py
+++ b/fernweir/peers/wire/seal.py
@@ -1,11 +1,11 @@
-"""Datagrams sealed with the fleet key: who sent them is proved, and each is taken once.
+"""Datagrams sealed with the fleet key: the sender is authenticated, and each datagram is accepted once.
 
-A datagram is `magic 2, format 1, length of the name 1, name, life 8, counter 8, body, tag 16`, numbers big
-endian, the tag a keyed BLAKE2b of all before it. It is authenticated and not hidden. Checks go from cheap
-to dear, and only what is authenticated changes anything but a count.
+A datagram is `magic 2, format 1, length of the name 1, name, incarnation 8, counter 8, body, tag 16`, numbers
+big endian, the tag a keyed BLAKE2b of everything before it. It is authenticated, not encrypted. Cheap checks
+precede expensive ones, and only an authenticated datagram changes any state other than a counter.
 
-What a window can't know: a front that just started takes what was recorded before its start once more, and
-so does any front that the datagram was not sent to. Messages must bear that, as they must bear doubling.
+A replay window has limits: a front that just started accepts a datagram recorded before its start once more,
+and so does any front that the datagram was not sent to. Messages must tolerate that, like duplication.
 """
 
 from __future__ import annotations
@@ -16,32 +16,32 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-from fernweir.peers.wire.keys import TAG, Sealer
-from fernweir.peers.wire.window import Window
+from fernweir.peers.wire.keys import TAG_BYTES, Sealer
+from fernweir.peers.wire.window import ReplayWindow
 
 MAGIC = b"\xfe\x57"
 _NUMBERS = struct.Struct(">QQ")
-NAME_MOST = 64
-LEAST = 4 + 1 + _NUMBERS.size + TAG
+MAX_NAME_BYTES = 64
+MIN_DATAGRAM_BYTES = 4 + 1 + _NUMBERS.size + TAG_BYTES
 USE = b"fernweir dgram"
 
 
 class Kind(StrEnum):
-    """Why something was not opened."""
+    """Why a datagram, hello or frame was refused."""
 
     SHORT = "short"
     MAGIC = "magic"
     FORMAT = "format"
     NAME = "name"
     TAG = "tag"
-    REPLAY = "replay"  # seen, or before the window
+    REPLAY = "replay"  # already seen, or before the window
     OLD_INCARNATION = "old life"
-    OWN = "own"  # what was sent from here, come back
-    COUNTER = "counter"  # on a connection: a frame repeated, left out or out of order
+    OWN = "own"  # sent by this front and returned
+    COUNTER = "counter"  # on a connection: a repeated, missing or reordered frame
 
 
 class Refused(NamedTuple):
-    """For an old life, `sender` and the two lives are authenticated."""
+    """The reason of a refusal. For an old incarnation the other fields are authenticated."""
 
     kind: Kind
     sender: str = ""
@@ -50,7 +50,7 @@
 
 
 class SealError(Exception):
-    """Something that is not opened."""
+    """Raised for a datagram, hello or frame that is refused."""
 
     def __init__(self, refused: Refused) -> None:
         super().__init__(refused.kind.value)
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SealRules:
-    """`senders` bounds the windows; the one not heard longest makes room, for an authenticated one only."""
+    """`senders` bounds the windows. Only an authenticated sender evicts the least recently active one."""
 
     window: int = 1_024
     senders: int = 4_096
@@ -82,11 +82,14 @@
     __slots__ = ("incarnation", "window")
 
     def __init__(self, incarnation: int, size: int) -> None:
-        self.incarnation, self.window = incarnation, Window(size)
+        self.incarnation, self.window = incarnation, ReplayWindow(size)
 
 
 class Seal:
-    """Seals under one name and life, and opens what others sealed. The first key seals, any opens."""
+    """Seals datagrams under one name and incarnation, and opens those of others.
+
+    The first key seals, any key opens.
+    """
 
     def __init__(
         self, keys: Sequence[bytes], name: str, incarnation: int, rules: SealRules | None = None
@@ -98,14 +101,14 @@
         self._formats = self.rules.formats
         self._senders: dict[str, _Sender] = {}
         self._name_bytes = name.encode()
-        if not 1 <= len(self._name_bytes) <= NAME_MOST:
-            raise ValueError(f"a name of {len(self._name_bytes)} bytes, not 1 to {NAME_MOST}")
-        self.over = LEAST - 1 + len(self._name_bytes)  # bytes that sealing adds
+        if not 1 <= len(self._name_bytes) <= MAX_NAME_BYTES:
+            raise ValueError(f"the front name has {len(self._name_bytes)} bytes, not 1 to {MAX_NAME_BYTES}")
+        self.overhead_bytes = MIN_DATAGRAM_BYTES - 1 + len(self._name_bytes)  # that sealing adds
 
     def advance_incarnation(self, incarnation: int) -> None:
-        """From now on this front seals under a later life, as others know its name in one above its own."""
+        """Seals under a later incarnation from now on, as others have seen a newer one of this name."""
         if incarnation <= self.incarnation:
-            raise ValueError(f"life {incarnation} is not after {self.incarnation}")
+            raise ValueError(f"incarnation {incarnation} is not after {self.incarnation}")
         self.incarnation, self._counter = incarnation, 0
 
     def seal(self, body: bytes, message_format: int) -> bytes:
@@ -118,22 +121,25 @@
         return data + self._sealer.tag(data)
 
     def open(self, data: bytes) -> Opened:
-        """What a datagram says, and by whom. SealError, counted by its kind, for all but a good new one."""
-        found = self.try_open(data)
-        if isinstance(found, Refused):
-            raise SealError(found)
-        return found
+        """Returns the contents and sender of a datagram.
+
+        Raises SealError, counted by its kind, unless the datagram is valid and new.
+        """
+        result = self.try_open(data)
+        if isinstance(result, Refused):
+            raise SealError(result)
+        return result
 
     def try_open(self, data: bytes) -> Opened | Refused:
-        """As `open`; raising would cost more than the looking."""
-        found = self._try_open(data)
-        if isinstance(found, Refused):
-            self.counts[found.kind] += 1
-        return found
+        """Like `open`, but returns the refusal: raising would cost more than the checks."""
+        result = self._try_open(data)
+        if isinstance(result, Refused):
+            self.counts[result.kind] += 1
+        return result
 
     def _try_open(self, data: bytes) -> Opened | Refused:
         size = len(data)
-        if size < LEAST:
+        if size < MIN_DATAGRAM_BYTES:
             return _SHORT
         if not data.startswith(MAGIC):
             return _MAGIC
@@ -141,12 +147,12 @@
         lowest, highest = self._formats
         if not lowest <= message_format <= highest:
             return _FORMAT
-        if not 1 <= length <= NAME_MOST:
+        if not 1 <= length <= MAX_NAME_BYTES:
             return _NAME
         start = 4 + length + _NUMBERS.size
-        if size < start + TAG:
+        if size < start + TAG_BYTES:
             return _SHORT
-        if self._sealer.opens(memoryview(data)[:-TAG], data[-TAG:]) is None:
+        if self._sealer.find_key(memoryview(data)[:-TAG_BYTES], data[-TAG_BYTES:]) is None:
             return _TAG
         try:
             sender = data[4 : 4 + length].decode()
@@ -160,22 +166,25 @@
             return Refused(Kind.OLD_INCARNATION, sender, incarnation, self.newest_incarnation(sender))
         if not window.accept(counter):
             return Refused(Kind.REPLAY, sender, incarnation, incarnation)
-        return Opened(sender, incarnation, counter, message_format, data[start:-TAG])
+        return Opened(sender, incarnation, counter, message_format, data[start:-TAG_BYTES])
+
+    def register_sender(self, sender: str, incarnation: int) -> ReplayWindow | None:
+        """Returns the replay window of an authenticated incarnation, which supersedes earlier ones.
 
-    def register_sender(self, sender: str, incarnation: int) -> Window | None:
-        """The window of a life that was proved; those before it are over. None for one of these."""
+        Returns None for a superseded incarnation.
+        """
         known = self._senders.pop(sender, None)
         if known is not None and incarnation < known.incarnation:
             self._senders[sender] = known
             return None
         if known is None or incarnation > known.incarnation:
             known = _Sender(incarnation, self.rules.window)
-        self._senders[sender] = known  # last in order, as it was heard last
+        self._senders[sender] = known  # last in order, as the most recently active
         if len(self._senders) > self.rules.senders:
             del self._senders[next(iter(self._senders))]
         return known.window
 
     def newest_incarnation(self, sender: str) -> int:
-        """The latest life heard under a name, 0 if none is known."""
+        """Returns the newest incarnation seen under a name, 0 if none is known."""
         known = self._senders.get(sender)
         return 0 if known is None else known.incarnation
--- a/fernweir/peers/wire/window.py
+++ b/fernweir/peers/wire/window.py
@@ -1,10 +1,10 @@
-"""Which counters of a sender were seen: a sliding window, as in RFC 4303 (Kent 2005) and RFC 6479."""
+"""Replay protection by a sliding window of counters, as in RFC 4303 (Kent 2005) and RFC 6479."""
 
 from __future__ import annotations
 
 
-class Window:
-    """The last `size` counters up to the highest seen: each is taken once, none from before them."""
+class ReplayWindow:
+    """The last `size` counters up to the highest seen. Each is accepted once, none before the window."""
 
     __slots__ = ("_mask", "highest", "seen", "size")
 
@@ -13,7 +13,7 @@
         self._mask = (1 << size) - 1
 
     def accept(self, counter: int) -> bool:
-        """True the first time a counter comes, if it is not before the window. Counters start at 1."""
+        """Returns whether a counter is new and not before the window. Counters start at 1."""
         ahead = counter - self.highest
         if ahead > 0:
             self.seen = ((self.seen << ahead) | 1) & self._mask if ahead < self.size else 1
--- a/tests/peers_mutants/wire.py
+++ b/tests/peers_mutants/wire.py
@@ -18,8 +18,10 @@
     Mutant(
         "tag leaves out the incarnation",
         _SEAL,
-        "if self._sealer.opens(memoryview(data)[:-TAG], data[-TAG:]) is None:",
-        "if self._sealer.opens(data[: 4 + length] + data[12 + length : -TAG], data[-TAG:]) is None:",
+        "if self._sealer.find_key(memoryview(data)[:-TAG_BYTES], data[-TAG_BYTES:]) is None:",
+        "if self._sealer.find_key(\n"
+        "            data[: 4 + length] + data[12 + length : -TAG_BYTES], data[-TAG_BYTES:]\n"
+        "        ) is None:",
         2,
     ),
     Mutant(
@@ -47,38 +49,38 @@
     Mutant(
         "windows made before the tag is checked",
         _SEAL,
-        "        if self._sealer.opens(",
+        "        if self._sealer.find_key(",
         "        name = data[4 : 4 + length].decode(errors='replace')\n"
         "        self.register_sender(name, _NUMBERS.unpack_from(data, 4 + length)[0])\n"
-        "        if self._sealer.opens(",
+        "        if self._sealer.find_key(",
         2,
     ),
     Mutant(
         "only the first key opens",
         _KEYS,
-        "for key_index in range(len(self._keyed))",
+        "for key_index in range(len(self._keyed_hashes))",
         "for key_index in range(1)",
         2,
     ),
     Mutant(
         "frame counter not checked",
         _TALK,
-        'if int.from_bytes(data[:8], "big") != self._received + 1:',
+        'if int.from_bytes(data[:8], "big") != self._last_received_counter + 1:',
         'if int.from_bytes(data[:8], "big") < 1:',
         3,
     ),
     Mutant(
         "frame may be left out",
         _TALK,
-        'if int.from_bytes(data[:8], "big") != self._received + 1:',
-        'if int.from_bytes(data[:8], "big") <= self._received:',
+        'if int.from_bytes(data[:8], "big") != self._last_received_counter + 1:',
+        'if int.from_bytes(data[:8], "big") <= self._last_received_counter:',
         8,
     ),
     Mutant(
         "frame tags cover the own nonce only",
         _TALK,
-        'covered = b"".join((self._peer_nonce, self._nonce, data[:-TAG]))',
-        'covered = b"".join((self._nonce, self._nonce, data[:-TAG]))',
+        'covered = b"".join((self._peer_nonce, self._nonce, data[:-TAG_BYTES]))',
+        'covered = b"".join((self._nonce, self._nonce, data[:-TAG_BYTES]))',
         2,
     ),
     Mutant(
@@ -89,23 +91,31 @@
         2,
     ),
     Mutant(
-        "empty frames pass", _FRAMES, "if not 1 <= size <= self.most:", "if not 0 <= size <= self.most:", 5
+        "empty frames pass",
+        _FRAMES,
+        "if not 1 <= size <= self.max_bytes:",
+        "if not 0 <= size <= self.max_bytes:",
+        5,
     ),
     Mutant(
-        "longest frame refused", _FRAMES, "if not 1 <= size <= self.most:", "if not 1 <= size < self.most:", 3
+        "longest frame refused",
+        _FRAMES,
+        "if not 1 <= size <= self.max_bytes:",
+        "if not 1 <= size < self.max_bytes:",
+        3,
     ),
     Mutant(
         "length in the other order",
         _FRAMES,
-        'size = int.from_bytes(kept[:_HEAD], "big")',
-        'size = int.from_bytes(kept[:_HEAD], "little")',
+        'size = int.from_bytes(buffer[:_LENGTH_BYTES], "big")',
+        'size = int.from_bytes(buffer[:_LENGTH_BYTES], "little")',
         1,
     ),
     Mutant(
         "length of three bytes",
         _FRAMES,
-        'size = int.from_bytes(kept[:_HEAD], "big")',
-        'size = int.from_bytes(kept[1:_HEAD], "big")',
+        'size = int.from_bytes(buffer[:_LENGTH_BYTES], "big")',
+        'size = int.from_bytes(buffer[1:_LENGTH_BYTES], "big")',
         20,
     ),
     Mutant(
@@ -140,7 +150,7 @@
     Mutant(
         "budget for datagrams only",
         _TCP,
-        "if not self._bucket.take(now, size, reserve_bytes):",
+        "if not self._bucket.try_consume(now, size, reserve_bytes):",
         "if self._bucket.wait_ms(now, size, reserve_bytes) < 0:",
         40,
     ),
--- a/tests/test_peers_link.py
+++ b/tests/test_peers_link.py
@@ -565,7 +565,7 @@
             newest.send("a", 9, whole=whole)
         new.send(fleet.addresses["a"], 5)  # before its name is known
         await asyncio.sleep(1.0)
-        assert sorted(old.numbers("b")) == [0, 1, 5] and old.links.codec.counts.unknown == 2
+        assert sorted(old.numbers("b")) == [0, 1, 5] and old.links.codec.counts.unknown_kinds == 2
         assert sorted(new.numbers("a")) == sorted(new.numbers("c")) == [0, 1]
         assert sorted(newest.numbers("b")) == [0, 1] and not old.numbers("c")
         assert newest.dropped["format"] == 1 and old.links.connections.seal_errors_by_kind["format"] >= 1
--- a/tests/test_peers_wire.py
+++ b/tests/test_peers_wire.py
@@ -208,7 +208,7 @@
                 stopped = True
         if (bodies, stopped) != wanted:
             return f"{bodies!r}, {stopped} of {stream!r} in pieces at {cuts}, not {wanted!r}"
-        if not stopped and reader.held != len(stream) - sum(4 + len(body) for body in bodies):
+        if not stopped and reader.buffered_bytes != len(stream) - sum(4 + len(body) for body in bodies):
             return f"{reader.held} bytes held"
     return ""
 
@@ -316,9 +316,9 @@
     said = [NewNote(1, "a", (2,), True, 0.25), Fresh({"x": 1}), Mark(b"z"), Fresh({})]
     assert form == 1
     assert old.decode(new.encode(said), form) == [Note(1, "a", (2,)), Mark(b"z")]
-    assert (old.counts.decoded, old.counts.unknown, old.counts.malformed) == (2, 2, 0)
+    assert (old.counts.decoded, old.counts.unknown_kinds, old.counts.malformed) == (2, 2, 0)
     assert new.decode(old.encode([Note(3), Mark(b"")]), form) == [NewNote(3), Mark(b"")]
-    assert old.decode(new.encode([Mark(b"")]), 2) == [] and old.counts.formats == 1
+    assert old.decode(new.encode([Mark(b"")]), 2) == [] and old.counts.unsupported_formats == 1
     assert codec.common((1, 2), (3, 4)) is None
     many = [Mark(bytes([n])) for n in range(200)]
     assert old.decode(old.encode(many)) == many
@@ -462,7 +462,7 @@
         except Broken:
             wanted = None
         try:
-            got: Any = (fast.decode(data), fast.counts.unknown)
+            got: Any = (fast.decode(data), fast.counts.unknown_kinds)
         except codec.MalformedError:
             got = None
             assert fast.counts.malformed == 1
@@ -562,12 +562,12 @@
 
 
 def test_a_bucket_gives_no_more_than_its_rate_and_burst() -> None:
-    bucket, rng, now, given = load().bucket.Bucket(1_000.0, 300.0, 0.0), Random(3), 0.0, 0
+    bucket, rng, now, given = load().bucket.TokenBucket(1_000.0, 300.0, 0.0), Random(3), 0.0, 0
     for _ in range(2_000):
         now += rng.choice((0.0, 1.0, 7.0))
         size = rng.randrange(1, 120)
         wait = bucket.wait_ms(now, size, 50.0)
-        taken = bucket.take(now, size, 50.0)
+        taken = bucket.try_consume(now, size, 50.0)
         assert taken == (wait == 0.0)
         given += size * taken
         assert given <= 300.0 + now
