--- a/fernweir/peers/link/links.py
+++ b/fernweir/peers/link/links.py
@@ -122,7 +122,7 @@
 
         Messages to one peer in one iteration of the event loop share datagrams.
         """
-        raw = self.codec.one(effect.message)
+        raw = self.codec.encode_one(effect.message)
         to = effect.to
         if effect.reliable or len(raw) > self._datagram_capacity_bytes:
             self.connections.send(to, join_messages([raw]))
--- a/fernweir/peers/wire/codec.py
+++ b/fernweir/peers/wire/codec.py
@@ -64,7 +64,7 @@
         self._tag_decoder = msgspec.msgpack.Decoder(str)
         self._encoder = msgspec.msgpack.Encoder()
 
-    def one(self, message: Message) -> bytes:
+    def encode_one(self, message: Message) -> bytes:
         """Encodes one message as an element of a body."""
         return self._encoder.encode(message)
 
--- a/tests/fuzzing/bodies.py
+++ b/tests/fuzzing/bodies.py
@@ -155,7 +155,7 @@
 
 def draw(dice: Random) -> bytes:
     count = dice.choice((1, 1, 1, 2, 3, 16))
-    one = Codec((ALL,)).one
+    one = Codec((ALL,)).encode_one
     body = b"".join(one(message(dice, dice.choice(ALL))) for _ in range(count))
     return mutate(dice, b"\xdc" + count.to_bytes(2, "big") + body, _WORDS, dice.choice((0, 1, 1, 3)))
 
