--- a/fernweir/peers/program.py
+++ b/fernweir/peers/program.py
@@ -27,7 +27,7 @@
 from fernweir.peers.peer import KINDS, Forgotten, Peer, PeerRules, Relived, Told
 from fernweir.peers.port import Port
 from fernweir.peers.settings import formats
-from fernweir.peers.wire.codec import Codec, common
+from fernweir.peers.wire.codec import Codec, highest_common_format
 from fernweir.peers.wire.keys import KeyFileError, read_key
 
 _LOOK_MS = 10.0  # between two looks at what is due: as late as this may be
@@ -159,7 +159,7 @@
     def _format(self, name: str) -> int | None:
         member = self.peer.members.table().get(name)
         mine = self.peer.me.formats
-        return mine[0] if member is None else common(mine, member.formats)
+        return mine[0] if member is None else highest_common_format(mine, member.formats)
 
     def _heard(self, sender: str, life: int, message: Message) -> None:
         self.peer.heard(self._core.now(), sender, life, message)
--- a/fernweir/peers/wire/codec.py
+++ b/fernweir/peers/wire/codec.py
@@ -30,7 +30,7 @@
     unsupported_formats: int = 0  # bodies of a format that is not supported here
 
 
-def common(mine: tuple[int, int], theirs: tuple[int, int]) -> int | None:
+def highest_common_format(mine: tuple[int, int], theirs: tuple[int, int]) -> int | None:
     """Returns the highest format that both support. Each argument is a (lowest, highest) pair."""
     highest = min(mine[1], theirs[1])
     return highest if highest >= max(mine[0], theirs[0]) else None
--- a/fernweir/peers/wire/conversation.py
+++ b/fernweir/peers/wire/conversation.py
@@ -12,7 +12,7 @@
 import struct
 from collections.abc import Sequence
 
-from fernweir.peers.wire.codec import common
+from fernweir.peers.wire.codec import highest_common_format
 from fernweir.peers.wire.keys import TAG_BYTES, Sealer
 from fernweir.peers.wire.seal import MAX_NAME_BYTES, Kind, Refused, SealError
 
@@ -78,7 +78,7 @@
             raise SealError(Refused(Kind.NAME)) from None
         if peer == self.name:
             raise SealError(Refused(Kind.OWN))
-        message_format = common(self.formats, (data[3], data[2]))
+        message_format = highest_common_format(self.formats, (data[3], data[2]))
         if message_format is None:
             raise SealError(Refused(Kind.FORMAT))
         self.peer, self.format, self._peer_key_index = peer, message_format, key_index
--- a/tests/test_peers_link.py
+++ b/tests/test_peers_link.py
@@ -22,7 +22,7 @@
 
 from fernweir.peers.base import Address, Message, Send
 from fernweir.peers.link.connection import Connection
-from fernweir.peers.wire.codec import Codec, common
+from fernweir.peers.wire.codec import Codec, highest_common_format
 from fernweir.peers.wire.conversation import Conversation
 from fernweir.peers.wire.frames import frame
 from fernweir.peers.wire.seal import Seal
@@ -77,7 +77,7 @@
             self.links = await m.links.Links.start(
                 listen, me, Codec([kinds], formats), self.fleet.addresses.get, self._heard,
                 rules=rules, seed=self.fleet.seed, on_stale=lambda *what: self.stale.append(what[:3]),
-                format_of=lambda name: common(formats, self.fleet.formats.get(name, (1, 1))),
+                format_of=lambda name: highest_common_format(formats, self.fleet.formats.get(name, (1, 1))),
             )  # fmt: skip
         finally:
             NODE.reset(token)
--- a/tests/test_peers_wire.py
+++ b/tests/test_peers_wire.py
@@ -312,14 +312,14 @@
 def test_two_formats_in_one_fleet_read_each_other() -> None:
     codec = importlib.import_module("fernweir.peers.wire.codec")
     old, new = codec.Codec([(Note, Mark)], (1, 1)), codec.Codec([(NewNote,), (Mark, Fresh)], (1, 2))
-    form = codec.common(old.formats, new.formats)
+    form = codec.highest_common_format(old.formats, new.formats)
     said = [NewNote(1, "a", (2,), True, 0.25), Fresh({"x": 1}), Mark(b"z"), Fresh({})]
     assert form == 1
     assert old.decode(new.encode(said), form) == [Note(1, "a", (2,)), Mark(b"z")]
     assert (old.counts.decoded, old.counts.unknown_kinds, old.counts.malformed) == (2, 2, 0)
     assert new.decode(old.encode([Note(3), Mark(b"")]), form) == [NewNote(3), Mark(b"")]
     assert old.decode(new.encode([Mark(b"")]), 2) == [] and old.counts.unsupported_formats == 1
-    assert codec.common((1, 2), (3, 4)) is None
+    assert codec.highest_common_format((1, 2), (3, 4)) is None
     many = [Mark(bytes([n])) for n in range(200)]
     assert old.decode(old.encode(many)) == many
 
