--- a/bench/peers_wire.py
+++ b/bench/peers_wire.py
@@ -23,7 +23,7 @@
 from fernweir.peers.link.rules import Drop, Identity, LinkRules
 from fernweir.peers.wire.codec import Codec
 from fernweir.peers.wire.conversation import Conversation
-from fernweir.peers.wire.frames import Frames, frame
+from fernweir.peers.wire.frames import FrameReader, frame
 from fernweir.peers.wire.gate import GateRules
 from fernweir.peers.wire.keys import Sealer
 from fernweir.peers.wire.seal import USE, Seal
@@ -159,7 +159,7 @@
     there.accept_hello(here.hello())
     body, count = bytes(size), max(_ROUNDS, min(plays, 100_000_000 // size))
     stream = iter([frame(here.seal(body)) for _ in range(count)])
-    reader = Frames()
+    reader = FrameReader()
 
     def take() -> None:
         reader.feed(next(stream))
--- a/fernweir/peers/link/connection.py
+++ b/fernweir/peers/link/connection.py
@@ -13,7 +13,7 @@
 from fernweir.peers.base import Address
 from fernweir.peers.wire import frames
 from fernweir.peers.wire.conversation import MAX_HELLO_BYTES, Conversation
-from fernweir.peers.wire.frames import FrameError, Frames
+from fernweir.peers.wire.frames import FrameError, FrameReader
 from fernweir.peers.wire.seal import SealError
 
 if TYPE_CHECKING:
@@ -37,7 +37,7 @@
         self.established = False  # the handshake proved the expected peer
         self.opened_at_ms = self.last_used_ms = self.stalled_since_ms = owner.now()
         self.unsent = memoryview(b"")  # the rest of the frame that is being written
-        self._frames = Frames(MAX_HELLO_BYTES)
+        self._frames = FrameReader(MAX_HELLO_BYTES)
         self._transport: asyncio.Transport | None = None
 
     @property
--- a/fernweir/peers/wire/frames.py
+++ b/fernweir/peers/wire/frames.py
@@ -17,7 +17,7 @@
     return len(body).to_bytes(_LENGTH_BYTES, "big") + body
 
 
-class Frames:
+class FrameReader:
     """Splits a stream into frames, whatever its chunks. `max_bytes` may be raised once a peer is proven."""
 
     __slots__ = ("_buffer", "max_bytes")
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -58,7 +58,7 @@
 from fernweir.peers.wire import keys
 from fernweir.peers.wire.codec import Codec
 from fernweir.peers.wire.conversation import Conversation
-from fernweir.peers.wire.frames import Frames, frame
+from fernweir.peers.wire.frames import FrameReader, frame
 from fernweir.peers.wire.seal import Opened, Seal, SealRules
 from tests.golden_peers import plain
 from tests.helpers import CLASS, RETRY_BUDGET, SETTINGS, SLOW_START
@@ -111,7 +111,7 @@
 
 
 def _read_frames(data: bytes) -> Any:
-    frames = Frames()
+    frames = FrameReader()
     frames.feed(data)
     return [plain(frames.next()), plain(frames.next())]
 
@@ -152,7 +152,7 @@
 
 
 def _read_connection(data: bytes) -> Any:
-    called, frames = _conversations()[1], Frames()
+    called, frames = _conversations()[1], FrameReader()
     called.hello()
     frames.feed(data)
     called.accept_hello(frames.next() or b"")
--- a/tests/test_peers_wire.py
+++ b/tests/test_peers_wire.py
@@ -197,7 +197,7 @@
             bad = mutated(rng, stream) if rng.random() < 0.5 else size.to_bytes(4, "big") + bytes(9)
             stream = stream + bad if rng.random() < 0.5 else bad + stream
         wanted = slow_frames(stream, 300)
-        reader, bodies, stopped = m.frames.Frames(300), [], False
+        reader, bodies, stopped = m.frames.FrameReader(300), [], False
         cuts = sorted(rng.randrange(len(stream) + 1) for _ in range(rng.randrange(6)))
         for begin, end in pairwise([0, *cuts, len(stream)]):
             reader.feed(memoryview(stream)[begin:end])
