--- a/fernweir/peers/link/tcp.py
+++ b/fernweir/peers/link/tcp.py
@@ -18,7 +18,7 @@
 from fernweir.peers.wire import frames
 from fernweir.peers.wire.bucket import TokenBucket
 from fernweir.peers.wire.conversation import SEAL_OVERHEAD_BYTES
-from fernweir.peers.wire.seal import Kind, Seal
+from fernweir.peers.wire.seal import RefusalKind, Seal
 
 MAX_BODY_BYTES = frames.MAX_FRAME_BYTES - SEAL_OVERHEAD_BYTES
 
@@ -50,7 +50,7 @@
             rules,
             counts,
         )
-        self.seal_errors_by_kind: dict[Kind, int] = dict.fromkeys(Kind, 0)
+        self.seal_errors_by_kind: dict[RefusalKind, int] = dict.fromkeys(RefusalKind, 0)
         self.buffer = memoryview(bytearray(65_536))
         self.send_queues, self.registry = SendQueues(rules), Registry(rules, seal)
         self._loop, self._host, self._bucket, self._seal = loop, host, bucket, seal
@@ -236,7 +236,7 @@
     def on_malformed_frame(self, connection: Connection) -> None:
         self.counts.drop(Drop.MALFORMED)
 
-    def on_seal_error(self, connection: Connection, kind: Kind) -> None:
+    def on_seal_error(self, connection: Connection, kind: RefusalKind) -> None:
         self.seal_errors_by_kind[kind] += 1
         self.counts.drop(Drop.SEALED)
 
--- a/fernweir/peers/link/udp.py
+++ b/fernweir/peers/link/udp.py
@@ -15,7 +15,7 @@
 from fernweir.peers.link.rules import Drop, LinkCounts, LinkRules
 from fernweir.peers.wire.bucket import TokenBucket
 from fernweir.peers.wire.gate import Gate
-from fernweir.peers.wire.seal import Kind, Opened, Refused, Seal
+from fernweir.peers.wire.seal import Opened, RefusalKind, Refused, Seal
 
 _MAX_DRAINED_DATAGRAMS = 64
 
@@ -73,7 +73,7 @@
         if isinstance(found, Refused):
             self.gate.on_refused(now, addr)
             self._counts.drop(Drop.SEALED)
-            if found.kind is Kind.OLD_INCARNATION:
+            if found.kind is RefusalKind.OLD_INCARNATION:
                 self._on_stale(found.sender, found.incarnation, found.newest_incarnation, addr)
             return
         self.gate.on_authenticated(addr)
--- a/fernweir/peers/wire/seal.py
+++ b/fernweir/peers/wire/seal.py
@@ -26,7 +26,7 @@
 USE = b"fernweir dgram"
 
 
-class Kind(StrEnum):
+class RefusalKind(StrEnum):
     """Why a datagram, hello or frame was refused."""
 
     SHORT = "short"
@@ -43,7 +43,7 @@
 class Refused(NamedTuple):
     """The reason of a refusal. For an old incarnation the other fields are authenticated."""
 
-    kind: Kind
+    kind: RefusalKind
     sender: str = ""
     incarnation: int = 0
     newest_incarnation: int = 0
@@ -57,8 +57,8 @@
         self.refused, self.kind = refused, refused.kind
 
 
-_SHORT, _MAGIC, _FORMAT = Refused(Kind.SHORT), Refused(Kind.MAGIC), Refused(Kind.FORMAT)
-_NAME, _TAG, _OWN = Refused(Kind.NAME), Refused(Kind.TAG), Refused(Kind.OWN)
+_SHORT, _MAGIC, _FORMAT = Refused(RefusalKind.SHORT), Refused(RefusalKind.MAGIC), Refused(RefusalKind.FORMAT)
+_NAME, _TAG, _OWN = Refused(RefusalKind.NAME), Refused(RefusalKind.TAG), Refused(RefusalKind.OWN)
 
 
 class Opened(NamedTuple):
@@ -95,7 +95,7 @@
         self, keys: Sequence[bytes], name: str, incarnation: int, rules: SealRules | None = None
     ) -> None:
         self.rules = rules or SealRules()
-        self.counts: dict[Kind, int] = dict.fromkeys(Kind, 0)
+        self.counts: dict[RefusalKind, int] = dict.fromkeys(RefusalKind, 0)
         self.name, self.incarnation, self._counter = name, incarnation, 0
         self._sealer = Sealer(keys, USE)
         self._formats = self.rules.formats
@@ -163,9 +163,9 @@
             return _OWN
         window = self.register_sender(sender, incarnation)
         if window is None:
-            return Refused(Kind.OLD_INCARNATION, sender, incarnation, self.newest_incarnation(sender))
+            return Refused(RefusalKind.OLD_INCARNATION, sender, incarnation, self.newest_incarnation(sender))
         if not window.accept(counter):
-            return Refused(Kind.REPLAY, sender, incarnation, incarnation)
+            return Refused(RefusalKind.REPLAY, sender, incarnation, incarnation)
         return Opened(sender, incarnation, counter, message_format, data[start:-TAG_BYTES])
 
     def register_sender(self, sender: str, incarnation: int) -> ReplayWindow | None:
--- a/tests/golden_peers.py
+++ b/tests/golden_peers.py
@@ -166,7 +166,7 @@
     "late.kind": peers.late.messages.Kind,
     "late.state": peers.late.events.State,
     "link.drop": peers.link.rules.Drop,
-    "wire.seal.kind": peers.wire.seal.Kind,
+    "wire.seal.kind": peers.wire.seal.RefusalKind,
 }
 """From stable names to the enums whose values are sent, stored, or shown to an operator."""
 
