--- a/fernweir/peers/link/registry.py
+++ b/fernweir/peers/link/registry.py
@@ -10,8 +10,8 @@
 from typing import TYPE_CHECKING
 
 from fernweir.peers.base import Address
-from fernweir.peers.link.lanes import PeerTarget
 from fernweir.peers.link.rules import LinkRules
+from fernweir.peers.link.send_queues import PeerTarget
 from fernweir.peers.wire.seal import Seal
 
 if TYPE_CHECKING:
--- a/fernweir/peers/link/tcp.py
+++ b/fernweir/peers/link/tcp.py
@@ -12,9 +12,9 @@
 
 from fernweir.peers.base import Address
 from fernweir.peers.link.connection import Connection
-from fernweir.peers.link.lanes import PeerTarget, SendQueue, SendQueues
 from fernweir.peers.link.registry import Due, Proof, Registry
 from fernweir.peers.link.rules import Drop, Identity, LinkCounts, LinkRules
+from fernweir.peers.link.send_queues import PeerTarget, SendQueue, SendQueues
 from fernweir.peers.wire import frames
 from fernweir.peers.wire.bucket import TokenBucket
 from fernweir.peers.wire.conversation import SEAL_OVERHEAD_BYTES
--- a/tests/peers_mutants/wire.py
+++ b/tests/peers_mutants/wire.py
@@ -7,7 +7,7 @@
 _SEAL, _TALK = "fernweir/peers/wire/seal.py", "fernweir/peers/wire/conversation.py"
 _WINDOW, _FRAMES = "fernweir/peers/wire/window.py", "fernweir/peers/wire/frames.py"
 _KEYS, _TCP = "fernweir/peers/wire/keys.py", "fernweir/peers/link/tcp.py"
-_LANES, _REGISTRY = "fernweir/peers/link/lanes.py", "fernweir/peers/link/registry.py"
+_SEND_QUEUES, _REGISTRY = "fernweir/peers/link/send_queues.py", "fernweir/peers/link/registry.py"
 _LINKS, _CONNECTION = "fernweir/peers/link/links.py", "fernweir/peers/link/connection.py"
 
 MUTANTS: list[Mutant] = [
@@ -120,7 +120,7 @@
     ),
     Mutant(
         "queue without a bound",
-        _LANES,
+        _SEND_QUEUES,
         "elif send_queue.size_bytes + len(body) > rules.max_queue_bytes:",
         "elif send_queue.size_bytes < 0:",
         40,
@@ -134,7 +134,7 @@
     ),
     Mutant(
         "what was given up still counts as waiting",
-        _LANES,
+        _SEND_QUEUES,
         "del self._by_target[send_queue.target]\n            self.waiting_bytes -= send_queue.size_bytes",
         "del self._by_target[send_queue.target]",
         40,
@@ -180,7 +180,7 @@
     ),
     Mutant(
         "pauses between calls never end",
-        _LANES,
+        _SEND_QUEUES,
         "if now - self._failing_since_ms > rules.give_up_ms:",
         "if now < 0:",
         40,
