--- a/tests/peers_mutants/wire.py
+++ b/tests/peers_mutants/wire.py
@@ -1,4 +1,4 @@
-"""Mistakes in codec, seals, frames and links."""
+"""Mutants of codec, seals, frames and links."""
 
 from __future__ import annotations
 
--- a/tests/test_peers_link.py
+++ b/tests/test_peers_link.py
@@ -1,4 +1,4 @@
-"""Links between fronts on virtual time and on sockets: what is broken, flooded, stalled, killed or forged."""
+"""Links between fronts in virtual time and on sockets: broken, flooded, stalled, killed and forged peers."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 class Front:
-    """One front's links, all it does in its own node."""
+    """The links of one front, run in a node of their own."""
 
     def __init__(self, fleet: Fleet, name: str, life: int) -> None:
         self.fleet, self.name, self.life, self.node = fleet, name, life, f"{name}/{life}"
@@ -75,7 +75,7 @@
         token = NODE.set(self.node)
         try:
             self.links = await m.links.Links.start(
-                listen, me, Codec([kinds], formats), self.fleet.addresses.get, self._heard,
+                listen, me, Codec([kinds], formats), self.fleet.addresses.get, self._on_message,
                 rules=rules, seed=self.fleet.seed, on_stale=lambda *what: self.stale.append(what[:3]),
                 format_of=lambda name: highest_common_format(formats, self.fleet.formats.get(name, (1, 1))),
             )  # fmt: skip
@@ -83,19 +83,19 @@
             NODE.reset(token)
         return self
 
-    def _heard(self, sender: str, life: int, message: Message) -> None:
+    def _on_message(self, sender: str, life: int, message: Message) -> None:
         assert isinstance(message, Item | NewItem)
         self.got.append((sender, life, message.number))
 
-    def act(self, do: Callable[..., Any], *args: Any) -> Any:
+    def run_in_node(self, do: Callable[..., Any], *args: Any) -> Any:
         def inside() -> Any:
             NODE.set(self.node)
             return do(*args)
 
         return contextvars.copy_context().run(inside)
 
-    def send(self, to: str | Address, number: int, size: int = 0, whole: bool = False) -> None:
-        self.act(self.links.send, Send(to, Item(number, bytes(size)), whole))
+    def send(self, to: str | Address, number: int, size: int = 0, reliable: bool = False) -> None:
+        self.run_in_node(self.links.send, Send(to, Item(number, bytes(size)), reliable))
 
     def numbers(self, sender: str) -> list[int]:
         return [number for name, _, number in self.got if name == sender]
@@ -121,11 +121,11 @@
         return front
 
 
-def played(main: Callable[[Fleet], Any], seed: int = 1) -> Any:
+def run_fleet(main: Callable[[Fleet], Any], seed: int = 1) -> Any:
     return run(seed, lambda loop: main(Fleet(loop, seed)))
 
 
-# --- days ---
+# --- random faults ---
 
 RULES = {
     "rate": 200_000.0, "burst": 50_000.0, "max_queue_bytes": 60_000, "max_total_queue_bytes": 100_000,
@@ -136,8 +136,8 @@
 }  # fmt: skip
 
 
-def broken_bound(front: Front, begun: float) -> str:
-    """What must hold at every moment of every front."""
+def violated_bound(front: Front, begun: float) -> str:
+    """Returns which bound a front violates, an empty text if none. Bounds hold at every step."""
     links, rules = front.links, front.links.rules
     inside = links.connections
     send_queues, waiting = inside.send_queues.all(), inside.send_queues.waiting_bytes
@@ -167,8 +167,8 @@
     return ""
 
 
-def link_day(seed: int) -> str:
-    """Three fronts send all day; ways are cut, processes stand still, are killed and start again."""
+def run_random_faults(seed: int) -> str:
+    """Three fronts send messages while paths break and processes are paused, killed and restarted."""
 
     async def main(fleet: Fleet) -> str:
         rng, loop, begun = Random(seed), fleet.loop, fleet.loop.time()
@@ -176,20 +176,22 @@
         rules: dict[str, Any] = RULES | (fast if seed % 2 else {})
         for name in "abc":
             await fleet.front(name, **rules)
-        fleet.addresses["z"] = ("127.0.9.9", 7_400)  # where nobody is
+        fleet.addresses["z"] = ("127.0.9.9", 7_400)  # nobody listens there
         frozen: set[str] = set()
         number, sent = 0, dict[int, tuple[str, int]]()
         fronts = fleet.fronts
-        known: set[tuple[str, int]] = set()  # said to the newest life of a peer, as the sender knew
-        past: list[Front] = []  # killed, or going on beside a newer one of their name
+        known: set[tuple[str, int]] = (
+            set()
+        )  # sent to the newest incarnation of a peer, as known to the sender
+        earlier_fronts: list[Front] = []  # killed, or running beside a newer incarnation of their name
 
-        def say(source: Front, to: str, size: int, whole: bool) -> int:
+        def send_numbered(source: Front, to: str, size: int, reliable: bool) -> int:
             nonlocal number
             number += 1
             sent[number] = (source.name, source.life)
             if to in fronts and source.links.seal.newest_incarnation(to) == fronts[to].life:
                 known.add((fronts[to].node, number))
-            source.send(to, number, size, whole)
+            source.send(to, number, size, reliable)
             return number
 
         for step in range(160):
@@ -198,7 +200,7 @@
             if draw < 0.7 and source not in frozen:
                 size = rng.choice((0, 200, 2_000, 30_000))
                 for _ in range(rng.choice((1, 1, 6))):
-                    say(fronts[source], to, size, rng.random() < 0.5)
+                    send_numbered(fronts[source], to, size, rng.random() < 0.5)
             elif draw < 0.75 and not frozen:
                 frozen.add(source)
                 loop.freeze(fronts[source].node)
@@ -209,7 +211,7 @@
             elif draw < 0.92:
                 loop.network.ways.clear_all()
             elif draw < 0.94 and not frozen and fronts[source].life < 6:
-                past.append(fronts[source])
+                earlier_fronts.append(fronts[source])
                 if rng.random() < 0.5:
                     loop.kill(fronts[source].node)
                 await fleet.front(source, fronts[source].life + 1, **rules)
@@ -221,36 +223,41 @@
                 transport, _ = await loop.create_connection(asyncio.Protocol, *fleet.addresses[to])
                 transport.write(frame(hello))
             for name in frozen - {source} if seed % 2 else ():
-                say(fronts[source], name, 30_000, True)
+                send_numbered(fronts[source], name, 30_000, True)
             if rng.random() < 0.03 and source not in frozen:
-                say(fronts[source], "z", 9_000, True)
-            if past and (twin := rng.choice(past)).node not in loop._dead and twin.name != to:
-                say(twin, to, 300, rng.random() < 0.5)
+                send_numbered(fronts[source], "z", 9_000, True)
+            if (
+                earlier_fronts
+                and (twin := rng.choice(earlier_fronts)).node not in loop._dead
+                and twin.name != to
+            ):
+                send_numbered(twin, to, 300, rng.random() < 0.5)
             await asyncio.sleep(rng.choice((0.0, 0.005, 0.05, 0.3)))
             for front in fronts.values():
-                if said := broken_bound(front, begun):
+                if said := violated_bound(front, begun):
                     return f"step {step}, {front.node}: {said}"
         for name in frozen:
             loop.thaw(fronts[name].node)
         loop.network.ways.clear_all()
         await asyncio.sleep(8.0)
-        last = {(one, other): (say(fronts[one], other, 50, False), say(fronts[one], other, 5_000, True))
+        last = {(one, other): (send_numbered(fronts[one], other, 50, False),
+                               send_numbered(fronts[one], other, 5_000, True))
                 for one in "abc" for other in "abc" if one != other}  # fmt: skip
         await asyncio.sleep(4.0)
         for (one, other), numbers in last.items():
             if missing := set(numbers) - set(fronts[other].numbers(one)):
                 return f"{one} to {other} was lost on a whole network: {missing}"
-        for front in [*past, *fronts.values()]:
+        for front in [*earlier_fronts, *fronts.values()]:
             for sender, life, what in front.got:
-                if front in past and (fronts[front.name].node, what) in known:
+                if front in earlier_fronts and (fronts[front.name].node, what) in known:
                     return f"{front.node} heard {what}, which was for its newer life"
                 if sent.get(what) != (sender, life):
                     return f"{front.node} heard {what} from {sender}/{life}, who never said it"
             if front.got and max(Counter(front.got).values()) > 1:
                 return f"{front.node} heard one message twice"
             for sender in "abc":
-                lives = [life for name, life, _ in front.got if name == sender]
-                if lives != sorted(lives):
+                incarnations = [life for name, life, _ in front.got if name == sender]
+                if incarnations != sorted(incarnations):
                     return f"{front.node} heard an older life of {sender} after a newer one"
         await asyncio.sleep(6.0)
         for front in fronts.values():
@@ -265,21 +272,21 @@
                 or inside._tasks
             ):
                 return f"{front.node} keeps what is long over"
-        for front in [*past, *fronts.values()]:
+        for front in [*earlier_fronts, *fronts.values()]:
             if front.node not in loop._dead:
                 await front.links.stop()
         return ""
 
-    return str(played(main, seed))
+    return str(run_fleet(main, seed))
 
 
-def test_drawn_days_of_faults_keep_every_bound_and_end_whole() -> None:
+def test_random_faults_keep_every_bound_and_leave_no_state() -> None:
     for seed in range(12):
-        assert link_day(seed) == "", f"seed {seed}"
+        assert run_random_faults(seed) == "", f"seed {seed}"
 
 
-def day_told() -> str:
-    """What three fronts heard and counted on a bad network, as text."""
+def network_transcript() -> str:
+    """Returns what three fronts received and counted on a faulty network, as text."""
 
     async def main(fleet: Fleet) -> Any:
         fronts = [await fleet.front(name, **RULES) for name in "abc"]
@@ -292,34 +299,38 @@
         await asyncio.sleep(2.0)
         return [(one.got, one.links.counts) for one in fronts]
 
-    return repr(played(main, 4))
+    return repr(run_fleet(main, 4))
 
 
-def test_a_day_is_the_same_in_any_process() -> None:
-    told = [
+def test_a_run_is_the_same_in_any_process() -> None:
+    transcripts = [
         subprocess.run(
-            [sys.executable, "-c", "from tests.test_peers_link import day_told; print(day_told())"],
+            [sys.executable, "-c", "from tests import test_peers_link as t; print(t.network_transcript())"],
             capture_output=True, env=os.environ | {"PYTHONHASHSEED": seed}, check=True,
             cwd=Path(__file__).parent.parent,
         ).stdout
         for seed in ("1", "2")
     ]  # fmt: skip
-    assert told[0] == told[1] and told[0].strip() == day_told().encode() and len(told[0]) > 1_000
+    assert (
+        transcripts[0] == transcripts[1]
+        and transcripts[0].strip() == network_transcript().encode()
+        and len(transcripts[0]) > 1_000
+    )
 
 
 @pytest.mark.parametrize("mutant", [one for one in MUTANTS if "/link/" in one.file], ids=lambda one: one.name)
-def test_each_mistake_is_found(mutant: Mutant) -> None:
+def test_each_mutant_is_found(mutant: Mutant) -> None:
     with broken(mutant, "fernweir.peers.link"):
         for seed in range(mutant.seeds):
             try:
-                if link_day(seed):
+                if run_random_faults(seed):
                     return
-            except Exception:  # a mistake that stops the day is found too
+            except Exception:  # a mutant that stops the run counts as found
                 return
-    pytest.fail("nobody noticed")
+    pytest.fail("no run found the mutant")
 
 
-# --- one hard case each ---
+# --- single cases ---
 
 
 def test_small_messages_share_datagrams_and_long_ones_take_the_connection() -> None:
@@ -335,11 +346,11 @@
         one.send("b", 100, 1_048_576)
         one.send("nobody", 101)
         one.send(("box.example", 7_400), 102)
-        one.send(("box.example", 7_400), 103, whole=True)
+        one.send(("box.example", 7_400), 103, reliable=True)
         await asyncio.sleep(1.0)
         assert one.dropped == {"long": 1, "address": 3} and 100 not in other.numbers("a")
 
-    played(main)
+    run_fleet(main)
 
 
 def test_a_wrong_fleet_key_gets_nothing_in_and_is_given_up() -> None:
@@ -347,14 +358,14 @@
         one, other = await fleet.front("a", **RULES), await fleet.front("b", keys=[OTHER], **RULES)
         for number in range(10):
             one.send("b", number)
-            other.send("a", number, whole=True)
+            other.send("a", number, reliable=True)
             await asyncio.sleep(0.5)
         await asyncio.sleep(6.0)
         assert not one.got and not other.got
         assert one.links.counts.dropped["sealed"] > 5 and other.dropped == {"sealed": 10, "gave up": 10}
         assert not other.links.connections.send_queues.all() and not one.links.connections.registry.all
 
-    played(main)
+    run_fleet(main)
 
 
 def test_a_flood_is_dropped_in_bounds_while_peers_are_heard() -> None:
@@ -387,14 +398,14 @@
         assert other.numbers("a") == list(range(40))
         assert looks <= 40 + 50 * 4 and other.dropped["flood"] > 3_500
 
-    played(main)
+    run_fleet(main)
 
 
-def test_what_was_recorded_of_a_connection_and_of_datagrams_is_not_heard_twice() -> None:
+def test_recorded_connections_and_datagrams_are_not_accepted_twice() -> None:
     async def main(fleet: Fleet) -> None:
         loop = fleet.loop
         one, other = await fleet.front("a"), await fleet.front("b")
-        tape: list[bytes] = []
+        recorded_writes: list[bytes] = []
         datagrams: list[bytes] = []
         sendto = one.links._datagrams._transport.sendto
 
@@ -404,38 +415,38 @@
 
         one.links._datagrams._transport.sendto = heard
         one.send("b", 1)
-        one.send("b", 2, whole=True)
+        one.send("b", 2, reliable=True)
         await asyncio.sleep(0.0)
         while not one.links.connections.registry.all:
             await asyncio.sleep(0.0005)
         (connection,) = one.links.connections.registry.all
         through = connection._transport.write
-        connection._transport.write = lambda data: (tape.append(bytes(data)), through(data))
+        connection._transport.write = lambda data: (recorded_writes.append(bytes(data)), through(data))
         await asyncio.sleep(0.5)
         assert sorted(other.numbers("a")) == [1, 2]
-        hello = frame(connection.conversation.hello())  # what was written before the tape ran
+        hello = frame(connection.conversation.hello())  # what was written before the recording began
         seen = len(other.got)
         for _ in range(3):
-            player, _ = await loop.create_connection(asyncio.Protocol, *fleet.addresses["b"])
-            player.write(hello)
-            for piece in tape:
-                player.write(piece)
+            replayer, _ = await loop.create_connection(asyncio.Protocol, *fleet.addresses["b"])
+            replayer.write(hello)
+            for piece in recorded_writes:
+                replayer.write(piece)
             stranger, _ = await loop.create_datagram_endpoint(
                 asyncio.DatagramProtocol, local_addr=("127.0.0.99", 0)
             )
             stranger.sendto(datagrams[0], fleet.addresses["b"])
-            stranger.sendto(datagrams[0], fleet.addresses["a"])  # its own, come back
+            stranger.sendto(datagrams[0], fleet.addresses["a"])  # its own datagram, returned
             await asyncio.sleep(0.5)
-        player, _ = await loop.create_connection(asyncio.Protocol, *fleet.addresses["b"])
-        player.write(hello + (1_048_576).to_bytes(4, "big") + bytes(1_000))
+        replayer, _ = await loop.create_connection(asyncio.Protocol, *fleet.addresses["b"])
+        replayer.write(hello + (1_048_576).to_bytes(4, "big") + bytes(1_000))
         await asyncio.sleep(0.5)
         assert other.dropped["malformed"] == 1 and not other.links.connections.registry.half_open
-        assert len(tape) >= 2 and len(datagrams) == 1
+        assert len(recorded_writes) >= 2 and len(datagrams) == 1
         assert len(other.got) == seen and not one.got
         assert other.links.connections.seal_errors_by_kind["tag"] == 3
         assert other.links.seal.counts["replay"] == 3 and one.links.seal.counts["own"] == 3
 
-    played(main)
+    run_fleet(main)
 
 
 def test_half_open_connections_are_bounded_and_don_t_keep_a_peer_out() -> None:
@@ -445,16 +456,16 @@
             await fleet.loop.create_connection(asyncio.Protocol, *fleet.addresses["b"])
             assert len(other.links.connections.registry.half_open) <= 8
             if number % 20 == 0:
-                one.send("b", number, whole=True)
+                one.send("b", number, reliable=True)
         await asyncio.sleep(6.0)
         assert other.numbers("a") == list(range(0, 200, 20))
         assert other.links.counts.evicted >= 180 and not other.links.connections.registry.half_open
         assert other.links.counts.handshake_timeouts > 0
 
-    played(main)
+    run_fleet(main)
 
 
-def test_a_peer_that_stands_still_fills_a_bounded_queue_and_hears_the_rest_in_order() -> None:
+def test_a_paused_peer_fills_a_bounded_queue_and_receives_it_in_order() -> None:
     async def main(fleet: Fleet) -> None:
         rules: dict[str, Any] = RULES | {
             "rate": 1e7,
@@ -463,28 +474,30 @@
             "idle_timeout_ms": 60_000.0,
         }
         one, other = await fleet.front("a", **rules), await fleet.front("b", **rules)
-        one.send("b", 0, whole=True)
+        one.send("b", 0, reliable=True)
         await asyncio.sleep(0.5)
         fleet.loop.freeze(other.node)
         for number in range(1, 100):
-            one.send("b", number, 9_000, whole=True)
+            one.send("b", number, 9_000, reliable=True)
             await asyncio.sleep(0.01)
             assert one.links.connections.send_queues.waiting_bytes <= 60_000
         dropped = one.dropped["queue"]
         assert dropped > 10
         fleet.loop.thaw(other.node)
         await asyncio.sleep(2.0)
-        assert other.numbers("a") == list(range(100 - dropped))  # the first ones: what was full took no more
+        assert other.numbers("a") == list(
+            range(100 - dropped)
+        )  # the first ones: the full queue dropped the others
         assert one.links.counts.dialled == 1
 
-    played(main)
+    run_fleet(main)
 
 
-def test_a_peer_killed_inside_a_frame_is_met_again_in_its_next_life() -> None:
+def test_a_peer_killed_inside_a_frame_is_reached_in_its_next_incarnation() -> None:
     async def main(fleet: Fleet) -> None:
         one, other = await fleet.front("a", **RULES), await fleet.front("b", **RULES)
-        one.send("b", 1, 55_000, whole=True)
-        one.send("b", 2, 100, whole=True)
+        one.send("b", 1, 55_000, reliable=True)
+        one.send("b", 2, 100, reliable=True)
         while not (connections := list(one.links.connections.registry.all)) or not connections[0].unsent:
             await asyncio.sleep(0.001)
         fleet.loop.kill(other.node)
@@ -492,44 +505,44 @@
         await asyncio.sleep(3.0)
         assert (other.got, again.got) == ([], [("a", 1, 2)]) and one.dropped["lost"] == 1
         again.send("a", 3)
-        again.send("a", 4, whole=True)
+        again.send("a", 4, reliable=True)
         await asyncio.sleep(1.0)
         assert sorted(one.got) == [("b", 2, 3), ("b", 2, 4)]
 
-    played(main)
+    run_fleet(main)
 
 
-def test_an_older_life_is_not_heard_and_can_live_on_under_a_newer_one() -> None:
+def test_an_older_incarnation_is_ignored_until_it_continues_under_a_newer_one() -> None:
     async def main(fleet: Fleet) -> None:
         one, new = await fleet.front("a", **RULES), await fleet.front("b", 9, **RULES)
         new.send("a", 1)
         await asyncio.sleep(0.5)
         fleet.loop.kill(new.node)
-        old = await fleet.front("b", 5, **RULES)  # its wall clock went back
+        old = await fleet.front("b", 5, **RULES)  # its wall clock was set back
         old.send("a", 2)
-        old.send("a", 3, whole=True)
+        old.send("a", 3, reliable=True)
         await asyncio.sleep(1.0)
         assert one.got == [("b", 9, 1)] and one.stale == [("b", 5, 9)] * 2 and one.dropped["old life"] == 1
-        old.act(old.links.advance_incarnation, 10)
+        old.run_in_node(old.links.advance_incarnation, 10)
         old.send("a", 4)
-        old.send("a", 5, whole=True)
+        old.send("a", 5, reliable=True)
         await asyncio.sleep(1.0)
         assert sorted(one.got) == [("b", 9, 1), ("b", 10, 4), ("b", 10, 5)]
 
-    played(main)
+    run_fleet(main)
 
 
-def test_whoever_answers_under_another_name_is_sent_nothing() -> None:
+def test_a_peer_that_answers_under_another_name_is_sent_nothing() -> None:
     async def main(fleet: Fleet) -> None:
         one, other = await fleet.front("a", **RULES), await fleet.front("b", **RULES)
         fleet.addresses["c"] = fleet.addresses["b"]
-        one.send("c", 1, whole=True)
-        one.send(fleet.addresses["b"], 2, whole=True)  # by address any name will do
+        one.send("c", 1, reliable=True)
+        one.send(fleet.addresses["b"], 2, reliable=True)  # a dial by address accepts any name
         await asyncio.sleep(9.0)
         assert other.numbers("a") == [2] and one.dropped == {"gave up": 1}
         assert one.links.counts.identity_mismatches > 0
 
-    played(main)
+    run_fleet(main)
 
 
 def test_datagrams_go_out_while_a_long_transfer_uses_the_budget() -> None:
@@ -537,7 +550,7 @@
         rules: dict[str, Any] = RULES | {"max_queue_bytes": 2_000_000, "max_total_queue_bytes": 2_000_000}
         one, other = await fleet.front("a", **rules), await fleet.front("b", **rules)
         begun = fleet.loop.time()
-        one.send("b", 0, 1_000_000, whole=True)
+        one.send("b", 0, 1_000_000, reliable=True)
         for number in range(1, 50):
             await asyncio.sleep(0.1)
             one.send("b", number)
@@ -549,20 +562,20 @@
         await asyncio.sleep(0.0)
         assert one.dropped["budget"] > 900
 
-    played(main)
+    run_fleet(main)
 
 
 def test_a_release_rolls_through_fronts_of_two_formats_and_a_third_is_kept_out() -> None:
     async def main(fleet: Fleet) -> None:
         fleet.formats.update(a=(1, 1), b=(1, 2), c=(2, 2))
         old, new, newest = await fleet.front("a"), await fleet.front("b"), await fleet.front("c")
-        for number, whole in enumerate((False, True)):
-            new.act(new.links.send, Send("a", NewItem(number, b"", 0.25), whole))
-            new.act(new.links.send, Send("a", Extra(1), whole))
-            new.send("c", number, whole=whole)
-            old.send("b", number, whole=whole)
-            newest.send("b", number, whole=whole)
-            newest.send("a", 9, whole=whole)
+        for number, reliable in enumerate((False, True)):
+            new.run_in_node(new.links.send, Send("a", NewItem(number, b"", 0.25), reliable))
+            new.run_in_node(new.links.send, Send("a", Extra(1), reliable))
+            new.send("c", number, reliable=reliable)
+            old.send("b", number, reliable=reliable)
+            newest.send("b", number, reliable=reliable)
+            newest.send("a", 9, reliable=reliable)
         new.send(fleet.addresses["a"], 5)  # before its name is known
         await asyncio.sleep(1.0)
         assert sorted(old.numbers("b")) == [0, 1, 5] and old.links.codec.counts.unknown_kinds == 2
@@ -570,7 +583,7 @@
         assert sorted(newest.numbers("b")) == [0, 1] and not old.numbers("c")
         assert newest.dropped["format"] == 1 and old.links.connections.seal_errors_by_kind["format"] >= 1
 
-    played(main)
+    run_fleet(main)
 
 
 def test_a_flood_on_a_socket_is_read_many_at_once_and_the_peer_behind_it_is_heard() -> None:
@@ -606,8 +619,8 @@
     asyncio.run(main())
 
 
-@pytest.mark.parametrize("how", ["time ends", "lost"])
-def test_a_call_given_up_in_the_turn_in_which_it_came_up_is_made_again_once(how: str) -> None:
+@pytest.mark.parametrize("ending", ["time ends", "lost"])
+def test_a_dial_given_up_in_the_iteration_in_which_it_succeeds_is_retried_once(ending: str) -> None:
     async def main() -> None:
         m = load()
         addresses: dict[str, Address] = {}
@@ -631,7 +644,7 @@
             made(connection, transport)
             if connection.dialled_target is not None:
                 patched.stop()
-                if how == "time ends":
+                if ending == "time ends":
                     limits[0]._on_timeout()
                 else:
                     connection.abort()
@@ -690,7 +703,7 @@
         assert got["a"] == list(range(20))
         (inside,) = links["a"].connections.registry.all
         peer = inside._transport.get_extra_info("peername")
-        assert peer[0] == "127.0.0.2"  # who calls is seen by its host
+        assert peer[0] == "127.0.0.2"  # the caller is identified by its host
         for one in links.values():
             await one.stop()
         await until(lambda: not any(one.connections.registry.all for one in links.values()))
--- a/tests/test_peers_wire.py
+++ b/tests/test_peers_wire.py
@@ -1,4 +1,4 @@
-"""Codec, seal, window, conversation and frames, against slow readers written anew from `docs/peers.md`."""
+"""Codec, seal, window, conversation and frames, against reference readers written from `docs/peers.md`."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from tests.peers_mutants import Mutant, broken
 from tests.peers_mutants.wire import MUTANTS
 
-KEYS = [bytes([number]) * 32 for number in (1, 2, 3)]  # the last is another fleet's
+KEYS = [bytes([number]) * 32 for number in (1, 2, 3)]  # the last belongs to another fleet
 FORMATS = (2, 3)
 
 
@@ -33,7 +33,7 @@
     return SimpleNamespace(**{name: importlib.import_module(f"fernweir.peers.wire.{name}") for name in parts})
 
 
-# --- slow readers, from the words of docs/peers.md ---
+# --- reference readers, written from docs/peers.md ---
 
 
 def tag(use: bytes, data: bytes, key: bytes) -> bytes:
@@ -47,8 +47,8 @@
     return head + body + tag(b"fernweir dgram", head + body, key)
 
 
-class SlowSeal:
-    """Remembers every counter it ever took."""
+class ReferenceSeal:
+    """Stores every counter that it ever accepted."""
 
     def __init__(self, name: str, life: int, keys: list[bytes]) -> None:
         self.me, self.keys = (name, life), keys
@@ -86,8 +86,8 @@
         return (name, life, counter, data[2], data[20 + length : -16])
 
 
-def slow_frames(stream: bytes, most: int) -> tuple[list[bytes], bool]:
-    """All whole frames of a stream, and whether a length stopped it."""
+def reference_frames(stream: bytes, most: int) -> tuple[list[bytes], bool]:
+    """Returns all complete frames of a stream, and whether an invalid length stopped it."""
     bodies = []
     while len(stream) >= 4:
         size = stream[0] << 24 | stream[1] << 16 | stream[2] << 8 | stream[3]
@@ -100,11 +100,11 @@
     return bodies, False
 
 
-# --- days: drawn events, judged by the slow readers ---
+# --- random runs, compared with the reference readers ---
 
 
 def mutated(rng: Random, data: bytes) -> bytes:
-    """As the wire, or somebody on it, might leave it."""
+    """Returns the data as the network or an attacker might change it."""
     if not data:
         return data
     at = rng.randrange(len(data))
@@ -123,11 +123,11 @@
             return data[:at] + rng.randbytes(1) + data[at:]
 
 
-def seal_day(seed: int) -> str:
-    """Senders that restart, repeat, fall back and are tampered with, at one receiver with two keys."""
+def seal_run(seed: int) -> str:
+    """Senders restart, repeat and fall back, datagrams are altered; one receiver has two keys."""
     m, rng = load(), Random(seed)
     rules = m.seal.SealRules(formats=FORMATS)
-    fast, slow = m.seal.Seal(KEYS[:2], "me", 7, rules), SlowSeal("me", 7, KEYS[:2])
+    fast, reference = m.seal.Seal(KEYS[:2], "me", 7, rules), ReferenceSeal("me", 7, KEYS[:2])
     names = [b"a", b"b\xc3\xa9", b"x" * 64, b"me", b"\xff\xfe"]
     lives, highest = dict.fromkeys(names, 7), dict.fromkeys(names, 0)
     sent: list[bytes] = []
@@ -149,9 +149,9 @@
             sent.append(data)
         if rng.random() < 0.25:
             data = mutated(rng, data)
-            if rng.random() < 0.3 and len(data) > 60:  # whole again, but for the life in it
+            if rng.random() < 0.3 and len(data) > 60:  # well-formed again with the tag of another datagram
                 data = data[:-16] + sent[-1][-16:]
-        wanted, before = slow.open(data), fast.counts.copy()
+        wanted, before = reference.open(data), fast.counts.copy()
         try:
             got: Any = tuple(fast.open(data))
         except m.seal.SealError as error:
@@ -167,8 +167,8 @@
     return ""
 
 
-def life_day(seed: int) -> str:
-    """One bit of a good datagram turned over, at every place: none may open."""
+def bit_flip_run(seed: int) -> str:
+    """Flips each single bit of a valid datagram: none of the results may open."""
     m, rng = load(), Random(seed)
     data = write_datagram(b"ab", rng.getrandbits(60), 5, 2, rng.randbytes(9), KEYS[0])
     rules = m.seal.SealRules(formats=(1, 255))
@@ -184,8 +184,8 @@
     return ""
 
 
-def frames_day(seed: int) -> str:
-    """A stream of frames, some with a wrong length, in drawn pieces."""
+def frames_run(seed: int) -> str:
+    """Reads a stream of frames, some with a wrong length, in random chunks."""
     m, rng = load(), Random(seed)
     for _ in range(30):
         stream = b"".join(
@@ -196,7 +196,7 @@
             size = rng.choice((0, 301, 2**24 + 5, 2**31 + 1, 2**32 - 1))
             bad = mutated(rng, stream) if rng.random() < 0.5 else size.to_bytes(4, "big") + bytes(9)
             stream = stream + bad if rng.random() < 0.5 else bad + stream
-        wanted = slow_frames(stream, 300)
+        wanted = reference_frames(stream, 300)
         reader, bodies, stopped = m.frames.FrameReader(300), [], False
         cuts = sorted(rng.randrange(len(stream) + 1) for _ in range(rng.randrange(6)))
         for begin, end in pairwise([0, *cuts, len(stream)]):
@@ -213,8 +213,8 @@
     return ""
 
 
-def talk_day(seed: int) -> str:
-    """Two sides and somebody between them who repeats, leaves out, turns round and changes frames."""
+def conversation_run(seed: int) -> str:
+    """Two sides and an attacker who repeats, omits, reflects and alters frames."""
     m, rng = load(), Random(seed)
 
     def side(name: str, keys: list[bytes]) -> Any:
@@ -252,7 +252,7 @@
             if kind == 3:
                 data = mutated(rng, data)
         elif kind == 4:
-            data = here.seal(body)  # back to who sent it
+            data = here.seal(body)  # reflected to its sender
         else:
             data = rng.choice(recorded)
         good = len(data) >= 24 and tag(b"fernweir frame", nonces + data[:-16], KEYS[1]) == data[-16:]
@@ -267,21 +267,23 @@
     return ""
 
 
-DAYS: dict[str, Callable[[int], str]] = {
-    "seal": seal_day, "life": life_day, "frames": frames_day, "talk": talk_day,
+RUNS: dict[str, Callable[[int], str]] = {
+    "seal": seal_run, "bit flips": bit_flip_run, "frames": frames_run, "conversation": conversation_run,
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("day", DAYS)
-def test_drawn_days_go_as_the_slow_readers_say(day: str) -> None:
-    for seed in range(4 if day == "life" else 25):
-        assert DAYS[day](seed) == "", f"{day} day {seed}"
+@pytest.mark.parametrize("run", RUNS)
+def test_random_runs_agree_with_the_reference_readers(run: str) -> None:
+    for seed in range(4 if run == "bit flips" else 25):
+        assert RUNS[run](seed) == "", f"{run} run {seed}"
 
 
 @pytest.mark.parametrize("mutant", [one for one in MUTANTS if "/wire/" in one.file], ids=lambda one: one.name)
-def test_each_mistake_is_found(mutant: Mutant) -> None:
+def test_each_mutant_is_found(mutant: Mutant) -> None:
     with broken(mutant, "fernweir.peers.wire"):
-        assert any(day(seed) for seed in range(mutant.seeds) for day in DAYS.values()), "nobody noticed"
+        assert any(run(seed) for seed in range(mutant.seeds) for run in RUNS.values()), (
+            "no run found the mutant"
+        )
 
 
 # --- codec ---
@@ -313,9 +315,9 @@
     codec = importlib.import_module("fernweir.peers.wire.codec")
     old, new = codec.Codec([(Note, Mark)], (1, 1)), codec.Codec([(NewNote,), (Mark, Fresh)], (1, 2))
     form = codec.highest_common_format(old.formats, new.formats)
-    said = [NewNote(1, "a", (2,), True, 0.25), Fresh({"x": 1}), Mark(b"z"), Fresh({})]
+    messages = [NewNote(1, "a", (2,), True, 0.25), Fresh({"x": 1}), Mark(b"z"), Fresh({})]
     assert form == 1
-    assert old.decode(new.encode(said), form) == [Note(1, "a", (2,)), Mark(b"z")]
+    assert old.decode(new.encode(messages), form) == [Note(1, "a", (2,)), Mark(b"z")]
     assert (old.counts.decoded, old.counts.unknown_kinds, old.counts.malformed) == (2, 2, 0)
     assert new.decode(old.encode([Note(3), Mark(b"")]), form) == [NewNote(3), Mark(b"")]
     assert old.decode(new.encode([Mark(b"")]), 2) == [] and old.counts.unsupported_formats == 1
@@ -324,7 +326,7 @@
     assert old.decode(old.encode(many)) == many
 
 
-def test_kinds_that_can_not_be_told_apart_are_refused() -> None:
+def test_kinds_without_distinct_tags_are_rejected() -> None:
     codec = importlib.import_module("fernweir.peers.wire.codec")
 
     class Plain(Message):
@@ -341,7 +343,7 @@
     pass
 
 
-def slow_value(data: bytes, at: int, depth: int = 0) -> tuple[Any, int]:
+def reference_value(data: bytes, at: int, depth: int = 0) -> tuple[Any, int]:
     """One value of msgpack and where it ends; text as ("text", bytes), as skipped text may be any bytes."""
     if depth > 500 or at >= len(data):
         raise Broken
@@ -359,7 +361,7 @@
     def several(start: int, count: int) -> tuple[list[Any], int]:
         values = []
         for _ in range(count):
-            value, start = slow_value(data, start, depth + 1)
+            value, start = reference_value(data, start, depth + 1)
             values.append(value)
         return values, start
 
@@ -402,7 +404,7 @@
     raise Broken
 
 
-def slow_text(value: Any) -> str:
+def reference_text(value: Any) -> str:
     if not isinstance(value, tuple) or value[0] != "text":
         raise Broken
     try:
@@ -411,9 +413,9 @@
         raise Broken from None
 
 
-def slow_body(data: bytes) -> tuple[list[Message], int]:
+def reference_body(data: bytes) -> tuple[list[Message], int]:
     """The messages that `Note` and `Mark` are, and how many are of other kinds."""
-    values, end = slow_value(data, 0)
+    values, end = reference_value(data, 0)
     if end != len(data) or not isinstance(values, list):
         raise Broken
     found: list[Message] = []
@@ -421,10 +423,10 @@
     for value in values:
         if not isinstance(value, list) or not value:
             raise Broken
-        kind, fields = slow_text(value[0]), value[1:]
+        kind, fields = reference_text(value[0]), value[1:]
         if kind == "note":
             many = fields[2] if len(fields) > 2 else []
-            text = slow_text(fields[1]) if len(fields) > 1 else ""
+            text = reference_text(fields[1]) if len(fields) > 1 else ""
             if not fields or len(text) > 8 or not isinstance(many, list):
                 raise Broken
             if any(type(one) is not int for one in (fields[0], *many)):
@@ -449,7 +451,7 @@
         ))  # fmt: skip
 
 
-def test_bodies_are_read_as_the_slow_reader_does() -> None:
+def test_bodies_are_read_as_by_the_reference_reader() -> None:
     codec = importlib.import_module("fernweir.peers.wire.codec")
     rng, good = Random(5), 0
     for play in range(6_000):
@@ -458,7 +460,7 @@
         for _ in range(rng.randrange(4)):
             data = mutated(rng, data)
         try:
-            wanted: Any = slow_body(data)
+            wanted: Any = reference_body(data)
         except Broken:
             wanted = None
         try:
@@ -468,13 +470,13 @@
             assert fast.counts.malformed == 1
         assert got == wanted, (play, data)
         good += wanted is not None
-    assert 1_000 < good < 5_500  # both ways were gone
+    assert 1_000 < good < 5_500  # both outcomes occurred
 
 
 @pytest.mark.parametrize(
     "data", [b"", b"\xdd\xff\xff\xff\xff", b"\x91" * 100_000, b"\x91\x92\xa4note\xc1", b"\x90\x90", b"\xc0"]
 )
-def test_what_is_no_body_is_one_error(data: bytes) -> None:
+def test_an_invalid_body_raises_one_error(data: bytes) -> None:
     codec = importlib.import_module("fernweir.peers.wire.codec")
     with pytest.raises(codec.MalformedError):
         codec.Codec([(Note, Mark)]).decode(data)
@@ -518,7 +520,7 @@
         seal.Seal(rolls[3], "b", 1).open(seal.Seal(rolls[0], "a", 1).seal(b"", 1))
 
 
-def test_only_the_authenticated_make_room_among_senders() -> None:
+def test_only_authenticated_senders_evict_others() -> None:
     seal = load().seal
     rules = seal.SealRules(senders=3)
     mine = seal.Seal(KEYS[:1], "me", 1, rules)
@@ -529,36 +531,36 @@
             mine.open(write_datagram(b"x%d" % number, 1, 1, 1, b"", KEYS[2]))
     for number in (1, 2):
         mine.open(write_datagram(b"s%d" % number, 1, 9, 1, b"", KEYS[0]))
-    with pytest.raises(seal.SealError):  # also the repeat says that s0 was heard last
+    with pytest.raises(seal.SealError):  # the repeat, too, makes s0 the most recently active
         mine.open(first)
     mine.open(write_datagram(b"s3", 1, 9, 1, b"", KEYS[0]))
     assert [mine.newest_incarnation(f"s{number}") for number in range(4)] == [1, 0, 1, 1]
 
 
-def test_a_flood_of_bad_datagrams_leaves_known_sources_heard_and_costs_a_bounded_number_of_looks() -> None:
+def test_a_flood_of_bad_datagrams_keeps_known_sources_admitted_and_bounds_the_checks() -> None:
     gate = load().gate
     rules = gate.GateRules(max_refused_per_s=100, max_refused_per_source_s=10, max_known_sources=4)
-    door, looks = gate.Gate(rules), 0
-    door.on_authenticated("peer")
+    gate_under_test, looks = gate.Gate(rules), 0
+    gate_under_test.on_authenticated("peer")
     for step in range(30_000):
         now = step * 0.1
-        if door.admits(now, ("flood", step)):
+        if gate_under_test.admits(now, ("flood", step)):
             looks += 1
-            door.on_refused(now, ("flood", step))
+            gate_under_test.on_refused(now, ("flood", step))
         if step % 100 == 0:
-            assert door.admits(now, "peer")
-            door.on_authenticated("peer")
+            assert gate_under_test.admits(now, "peer")
+            gate_under_test.on_authenticated("peer")
     assert looks == 300
     now, forged = 3_500.0, 0
     for _ in range(200):
-        door.on_refused(now, "anybody")
-    while door.admits(now, "peer"):
-        door.on_refused(now, "peer")
+        gate_under_test.on_refused(now, "anybody")
+    while gate_under_test.admits(now, "peer"):
+        gate_under_test.on_refused(now, "peer")
         forged += 1
     assert forged == 11
     for number in range(10):
-        door.on_authenticated(number)
-    assert [number for number in range(10) if door.admits(now, number)] == [6, 7, 8, 9]
+        gate_under_test.on_authenticated(number)
+    assert [number for number in range(10) if gate_under_test.admits(now, number)] == [6, 7, 8, 9]
 
 
 def test_a_bucket_gives_no_more_than_its_rate_and_burst() -> None:
@@ -612,8 +614,8 @@
     with pytest.raises(ConfigError) as caught:
         peers_of(tmp_path, "\n".join(wrong))
     found = [str(problem).partition("[peers] ")[2] for problem in caught.value.problems]
-    for said in filter(None, wrong.values()):
-        assert any(problem.startswith(said) for problem in found), (said, found)
+    for messages in filter(None, wrong.values()):
+        assert any(problem.startswith(messages) for problem in found), (messages, found)
     assert len(found) == 6
     wrong = {
         "listen = front.example:7400": "listen: not an IPv4 address",
@@ -626,8 +628,8 @@
     with pytest.raises(ConfigError) as caught:
         peers_of(tmp_path, "\n".join(wrong))
     found = [str(problem).partition("[peers] ")[2] for problem in caught.value.problems]
-    for said in filter(None, wrong.values()):
-        assert any(problem.startswith(said) for problem in found), (said, found)
+    for messages in filter(None, wrong.values()):
+        assert any(problem.startswith(messages) for problem in found), (messages, found)
     for keepers in ("", "a, b"):
         with pytest.raises(ConfigError, match="keepers"):
             peers_of(tmp_path, f"listen = 127.0.0.1:0\nkey = two.key\nkeepers = {keepers}")
