--- a/fernweir/http/client.py
+++ b/fernweir/http/client.py
@@ -1,8 +1,8 @@
-"""An HTTP/1.1 client on asyncio's BufferedProtocol that knows what became of a request's bytes.
+"""An HTTP/1.1 client on asyncio's BufferedProtocol that reports whether a request may have been executed.
 
-Whether a request provably never ran rests on one fact: were its bytes ever handed to a connection? So a
-call ends in exactly one `Outcome`, and `UNSENT` or `REFUSED` are said only while no byte of it was written.
-A connection carries one call at a time. There are no retries in here: those are decisions.
+A request provably never ran only if none of its bytes was handed to a connection. So a call ends in exactly
+one `Outcome`, and `UNSENT` or `REFUSED` are reported only while no byte of it was written. A connection
+carries one call at a time. The client never retries: that is a decision of its callers.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 from fernweir.http.reset import reset
 
 Origin = tuple[str, int]
-_SPLITS = re.compile(r"[\x00-\x20\x7f]")
+_REQUEST_LINE_BREAKERS = re.compile(r"[\x00-\x20\x7f]")
 
 
 class Outcome(Enum):
-    """How a call ended. The first four prove that the peer never saw it."""
+    """How a call ended. The first four prove that the peer never received it."""
 
-    REFUSED = "refused"  # the peer's system said that nobody listens there
-    UNREACHED = "unreached"  # no connection came about, which may be this side's doing, or the way's
-    UNSENT = "unsent"  # the connection broke, or time ran out, before a byte was written
-    UNWANTED = "unwanted"  # the caller no longer wanted it when its turn came
+    REFUSED = "refused"  # the peer's system refused the connection: the port is closed
+    UNREACHED = "unreached"  # no connection was established, because of this side or the path
+    UNSENT = "unsent"  # the connection was lost, or the timeout expired, before a byte was written
+    UNWANTED = "unwanted"  # the caller no longer wanted it when it could be sent
     ANSWERED = "answered"
-    RESET = "reset"  # bytes went out, and the connection broke before a byte came back
-    CUT = "cut"  # the connection broke, or ended, inside the answer
-    SILENT = "silent"  # time ran out with no byte back
-    STALLED = "stalled"  # time ran out inside the answer
-    GARBLED = "garbled"  # the answer isn't HTTP
-    CANCELLED = "cancelled"  # the caller called it off after bytes went out
+    RESET = "reset"  # bytes were sent, and the connection was lost before a byte was received
+    CUT = "cut"  # the connection was lost or closed inside the response
+    SILENT = "silent"  # the timeout expired before a byte was received
+    STALLED = "stalled"  # the timeout expired inside the response
+    GARBLED = "garbled"  # the response is not valid HTTP
+    CANCELLED = "cancelled"  # the caller cancelled it after bytes were sent
 
     @property
     def never_ran(self) -> bool:
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The end of a call; `status` is 0 and `headers` are empty unless the answer's head was read."""
+    """The result of a call. `status` is 0 and `headers` are empty unless the response head was read."""
 
     outcome: Outcome
     status: int = 0
@@ -56,8 +56,8 @@
 def encode_request(
     method: str, target: str, host: str, headers: Iterable[tuple[str, str]] = (), body: bytes = b""
 ) -> bytes:
-    """A request with its body. A line break or space that would split it is a ValueError."""
-    if _SPLITS.search(target) or _SPLITS.search(method):
+    """Encodes a request with its body. Raises ValueError for a line break or space that would split it."""
+    if _REQUEST_LINE_BREAKERS.search(target) or _REQUEST_LINE_BREAKERS.search(method):
         raise ValueError("space or control character in the request line")
     lines = [f"{method} {target} HTTP/1.1\r\nhost: {host}\r\n"]
     for name, value in headers:
@@ -71,7 +71,7 @@
 
 
 class Call:
-    """One request. `on_done` is called exactly once; a stream also gets `on_head` and `on_data`."""
+    """One request. `on_done` is called exactly once; for a stream `on_head` and `on_data` are called too."""
 
     __slots__ = ("_connection", "_timer", "data", "done", "method", "on_data", "on_done", "on_head", "origin",
                  "pool", "wanted")  # fmt: skip
@@ -94,7 +94,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def cancel(self) -> None:
-        """Calls it off: `CANCELLED`, or `UNWANTED` if no byte was written yet."""
+        """Cancels the call: `CANCELLED`, or `UNWANTED` if no byte was written yet."""
         self._expire(Outcome.UNWANTED, Outcome.CANCELLED, Outcome.CANCELLED)
 
     def _timed_out(self) -> None:
@@ -105,12 +105,12 @@
             return
         connection = self._connection
         if connection is None:
-            self.pool._forget(self)
+            self.pool._remove_queued(self)
             self._finish(Reply(unsent))
             return
         head = connection.head
         reply = Reply(
-            stalled if connection.heard else silent,
+            stalled if connection.has_received else silent,
             head.status if head else 0,
             head.headers if head else Headers(),
         )
@@ -135,7 +135,7 @@
         self.pool, self.origin = pool, origin
         self.call: Call | None = None
         self.head: ResponseHead | None = None
-        self.heard = self.closed = False
+        self.has_received = self.closed = False
         self.idle_since = 0.0
         self._parser = ResponseParser(pool.limits)
         self._transport: asyncio.Transport | None = None
@@ -153,20 +153,20 @@
         return self.pool.buffer
 
     def start(self, call: Call) -> None:
-        """Writes the call: from here on it may have run."""
+        """Writes the request. From now on the peer may have executed it."""
         assert self._transport is not None
         self.call, call._connection = call, self
-        self.head, self.heard, self._body = None, False, []
+        self.head, self.has_received, self._body = None, False, []
         self._parser.expect(call.method)
-        self._parser.endless = call.on_data is not None
+        self._parser.unlimited_body = call.on_data is not None
         self._transport.write(call.data)
 
     def buffer_updated(self, nbytes: int) -> None:
         call = self.call
-        if call is None:  # an answer nobody asked for: this connection can't be trusted
+        if call is None:  # a response without a request: the connection is in an unknown state
             self.abort()
             return
-        self.heard = True
+        self.has_received = True
         for event in self._parser.feed(self.pool.buffer[:nbytes]):
             if isinstance(event, ResponseHead):
                 self.head = event
@@ -194,7 +194,7 @@
             return
         call._finish(Reply(Outcome.ANSWERED, head.status, head.headers, b"".join(self._body)))
         if head.keep_alive and self._parser.idle and self.usable:
-            self.pool._give_back(self)
+            self.pool._release(self)
         else:
             self.abort()
 
@@ -203,13 +203,13 @@
             if isinstance(event, End):
                 self._complete()
             elif isinstance(event, Fault):
-                self._fail(Outcome.CUT if self.heard else Outcome.RESET, event.reason)
+                self._fail(Outcome.CUT if self.has_received else Outcome.RESET, event.reason)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed = True
-        self._fail(Outcome.CUT if self.heard else Outcome.RESET, str(exc or "closed"))
-        self.pool._lost(self)
+        self._fail(Outcome.CUT if self.has_received else Outcome.RESET, str(exc or "closed"))
+        self.pool._on_connection_lost(self)
 
     def _fail(self, outcome: Outcome, detail: str) -> None:
         call, self.call = self.call, None
@@ -223,23 +223,23 @@
         self.closed = True
         if self._transport is not None:
             reset(self._transport)
-        self.pool._lost(self)
+        self.pool._on_connection_lost(self)
 
 
-class _Lane:
-    """The connections to one origin."""
+class _OriginConnections:
+    """The connections and queued calls of one origin."""
 
     __slots__ = ("connecting", "idle", "open", "queue")
 
     def __init__(self) -> None:
         self.idle: list[ClientConnection] = []
-        self.open: dict[ClientConnection, None] = {}  # for its order
+        self.open: dict[ClientConnection, None] = {}  # a dict keeps the order
         self.connecting = 0
         self.queue: deque[Call] = deque()
 
 
 class Pool:
-    """Connections by origin. Times are seconds; `per_origin` bounds connections, streams included."""
+    """Connections by origin. Times are in seconds. `per_origin` bounds connections, including streams."""
 
     def __init__(
         self,
@@ -254,7 +254,7 @@
         self.buffer = memoryview(bytearray(65_536))
         self.per_origin, self.connect_s, self.idle_s = per_origin, connect_s, idle_s
         self.closed = False
-        self._lanes: dict[Origin, _Lane] = {}
+        self._by_origin: dict[Origin, _OriginConnections] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     def request(
@@ -271,51 +271,51 @@
         on_head: Callable[[ResponseHead], None] | None = None,
         on_data: Callable[[bytes], None] | None = None,
     ) -> Call:
-        """Sends a request. `wanted` is asked at the last moment before its first byte is written."""
+        """Sends a request. `wanted` is called immediately before its first byte is written."""
         data = encode_request(method, target, f"{origin[0]}:{origin[1]}", headers, body)
         call = Call(self, origin, method, data, on_done, wanted, on_head, on_data)
         if timeout_s is not None:
             call._timer = self.loop.call_later(max(timeout_s, 0.0), call._timed_out)
-        lane = self._lanes.setdefault(origin, _Lane())
-        lane.queue.append(call)
-        self._serve(origin, lane)
+        connections = self._by_origin.setdefault(origin, _OriginConnections())
+        connections.queue.append(call)
+        self._process_queue(origin, connections)
         return call
 
-    def _serve(self, origin: Origin, lane: _Lane) -> None:
-        while lane.queue:
-            connection = self._idle(lane)
+    def _process_queue(self, origin: Origin, connections: _OriginConnections) -> None:
+        while connections.queue:
+            connection = self._pop_idle(connections)
             if connection is None:
                 break
-            call = lane.queue.popleft()
+            call = connections.queue.popleft()
             if call.done:
-                lane.idle.append(connection)
+                connections.idle.append(connection)
             elif call.wanted is not None and not call.wanted():
-                lane.idle.append(connection)
+                connections.idle.append(connection)
                 call._finish(Reply(Outcome.UNWANTED))
             else:
                 connection.start(call)
-        room = self.per_origin - len(lane.open) - lane.connecting
-        for _ in range(min(len(lane.queue) - lane.connecting, room)):
-            lane.connecting += 1
-            task = self.loop.create_task(self._connect(origin, lane))
+        headroom = self.per_origin - len(connections.open) - connections.connecting
+        for _ in range(min(len(connections.queue) - connections.connecting, headroom)):
+            connections.connecting += 1
+            task = self.loop.create_task(self._connect(origin, connections))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    def _idle(self, lane: _Lane) -> ClientConnection | None:
+    def _pop_idle(self, connections: _OriginConnections) -> ClientConnection | None:
         now = self.loop.time()
-        while lane.idle:
-            connection = lane.idle.pop()
+        while connections.idle:
+            connection = connections.idle.pop()
             if connection.usable and now - connection.idle_since < self.idle_s:
                 return connection
             connection.abort()
         return None
 
-    async def _connect(self, origin: Origin, lane: _Lane) -> None:
-        made: list[ClientConnection] = []
+    async def _connect(self, origin: Origin, connections: _OriginConnections) -> None:
+        created: list[ClientConnection] = []
 
         def protocol() -> ClientConnection:
-            made.append(ClientConnection(self, origin))
-            return made[0]
+            created.append(ClientConnection(self, origin))
+            return created[0]
 
         outcome, detail = Outcome.UNREACHED, ""
         try:
@@ -325,53 +325,53 @@
             detail = "connect timed out"
         except ConnectionRefusedError as error:
             outcome, detail = Outcome.REFUSED, str(error)
-        except (OSError, UnicodeError) as error:  # the latter: a name that can be none
+        except (OSError, UnicodeError) as error:  # UnicodeError: an invalid host name
             detail = str(error)
         finally:
-            lane.connecting -= 1
+            connections.connecting -= 1
         if detail or self.closed:
-            if made and made[0].usable:
-                made[0].abort()
-            # This attempt stood for one queued call: the oldest is told, the others have their own.
-            if len(lane.queue) > lane.connecting:
-                lane.queue.popleft()._finish(Reply(outcome, detail=detail or "closed"))
+            if created and created[0].usable:
+                created[0].abort()
+            # Each attempt belongs to one queued call: the oldest call fails, the others have their own.
+            if len(connections.queue) > connections.connecting:
+                connections.queue.popleft()._finish(Reply(outcome, detail=detail or "closed"))
             return
-        lane.open[made[0]] = None
-        made[0].idle_since = self.loop.time()
-        lane.idle.append(made[0])
-        self._serve(origin, lane)
+        connections.open[created[0]] = None
+        created[0].idle_since = self.loop.time()
+        connections.idle.append(created[0])
+        self._process_queue(origin, connections)
 
-    def _give_back(self, connection: ClientConnection) -> None:
+    def _release(self, connection: ClientConnection) -> None:
         connection.idle_since = self.loop.time()
-        lane = self._lanes[connection.origin]
-        lane.idle.append(connection)
-        if lane.queue:
-            self._serve(connection.origin, lane)
-
-    def _lost(self, connection: ClientConnection) -> None:
-        lane = self._lanes.get(connection.origin)
-        if lane is None:
+        connections = self._by_origin[connection.origin]
+        connections.idle.append(connection)
+        if connections.queue:
+            self._process_queue(connection.origin, connections)
+
+    def _on_connection_lost(self, connection: ClientConnection) -> None:
+        connections = self._by_origin.get(connection.origin)
+        if connections is None:
             return
-        if connection in lane.open:
-            del lane.open[connection]
-            if lane.queue and not self.closed:
-                self._serve(connection.origin, lane)
-        if connection in lane.idle:
-            lane.idle.remove(connection)
-
-    def _forget(self, call: Call) -> None:
-        lane = self._lanes.get(call.origin)
-        if lane is not None and call in lane.queue:
-            lane.queue.remove(call)
+        if connection in connections.open:
+            del connections.open[connection]
+            if connections.queue and not self.closed:
+                self._process_queue(connection.origin, connections)
+        if connection in connections.idle:
+            connections.idle.remove(connection)
+
+    def _remove_queued(self, call: Call) -> None:
+        connections = self._by_origin.get(call.origin)
+        if connections is not None and call in connections.queue:
+            connections.queue.remove(call)
 
     def close(self) -> None:
-        """Breaks all connections; calls under way end as such."""
+        """Aborts all connections. Calls in flight end with the outcome of a lost connection."""
         self.closed = True
         for task in list(self._tasks):
             task.cancel()
-        for lane in list(self._lanes.values()):
-            for call in list(lane.queue):
+        for connections in list(self._by_origin.values()):
+            for call in list(connections.queue):
                 call._finish(Reply(Outcome.UNWANTED, detail="closed"))
-            lane.queue.clear()
-            for connection in list(lane.open):
+            connections.queue.clear()
+            for connection in list(connections.open):
                 connection.abort()
--- a/fernweir/http/headers.py
+++ b/fernweir/http/headers.py
@@ -1,4 +1,4 @@
-"""A header section: ordered, case-insensitive, repeated names kept (RFC 9110, section 5)."""
+"""A header section: ordered and case-insensitive; repeated names are retained (RFC 9110, section 5)."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
         self._lines = [(name.lower(), value) for name, value in lines]
 
     def get(self, name: str, default: str = "") -> str:
-        """The first value of a field, or `default`."""
+        """Returns the first value of a field, or `default`."""
         for key, value in self._lines:
             if key == name:
                 return value
@@ -24,7 +24,7 @@
         return [value for key, value in self._lines if key == name]
 
     def tokens(self, name: str) -> list[str]:
-        """The members of a comma-separated field over all its lines, lower case (RFC 9110, 5.6.1)."""
+        """Returns the members of a comma-separated field over all lines, in lower case (RFC 9110, 5.6.1)."""
         parts = (part.strip().lower() for value in self.all(name) for part in value.split(","))
         return [part for part in parts if part]
 
--- a/fernweir/http/parse.py
+++ b/fernweir/http/parse.py
@@ -1,10 +1,10 @@
-"""Incremental HTTP/1.1 parsers (RFC 9112), free of I/O and clock.
+"""Incremental HTTP/1.1 parsers (RFC 9112) without I/O or clock.
 
-Bytes go in by `feed` in any split, `eof` says that no more will come; events come out. A line is judged
-when it is complete, never earlier, so that the split can't change a verdict. What a lenient parser would
-mend is refused here, as two readers who mend differently are what request smuggling lives on: bare CR or
-LF, obs-fold, white space before the colon, `Content-Length` together with `Transfer-Encoding`, repeated
-lengths. A `Fault` is the last event of a connection.
+`feed` accepts bytes in any chunks and returns events; `eof` reports the end of the input. A line is validated
+only when it is complete, so that chunking can't change the result. Input that a lenient parser would repair
+is rejected, as request smuggling exploits two parsers that repair differently: bare CR or LF, obs-fold, white
+space before the colon, `Content-Length` together with `Transfer-Encoding`, repeated lengths. A `Fault` is the
+last event of a connection.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a peer may ask of a parser, in bytes and counts."""
+    """Limits of a parser, in bytes and counts."""
 
     line: int = 8_192
     head: int = 16_384
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """The connection can't go on; `status` is what a server answers before it closes."""
+    """A fatal error of the connection; `status` is what a server responds before it closes."""
 
     status: int
     reason: str
@@ -76,7 +76,7 @@
 
 HttpEvent = RequestHead | ResponseHead | Data | End | Fault
 
-_HEAD, _FIXED, _CHUNK_HEAD, _CHUNK_DATA, _CHUNK_END, _TRAILER, _TO_EOF, _DEAD = range(8)
+_HEAD, _FIXED, _CHUNK_HEAD, _CHUNK_DATA, _CHUNK_END, _TRAILER, _TO_EOF, _FAILED = range(8)
 
 
 class _FaultError(Exception):
@@ -86,60 +86,60 @@
 
 
 class _Parser:
-    """What requests and responses share: lines, field sections and bodies."""
+    """The common part of request and response parsers: lines, field sections and bodies."""
 
     def __init__(self, limits: Limits) -> None:
         self.limits = limits
-        self.endless = False  # a stream's body has no limit as a whole
-        self._buf = bytearray()
-        self._pos = 0
+        self.unlimited_body = False  # the body of a stream has no total limit
+        self._buffer = bytearray()
+        self._position = 0
         self._scanned = 0
         self._state = _HEAD
         self._lines: list[bytes] = []
         self._head_bytes = 0
-        self._left = 0
+        self._remaining_bytes = 0
         self._body_bytes = 0
-        self._out: list[HttpEvent] = []
+        self._events: list[HttpEvent] = []
 
     @property
     def idle(self) -> bool:
-        """Between messages, with nothing of the next one seen."""
-        return self._state == _HEAD and not self._lines and self._pos >= len(self._buf)
+        """Returns whether the parser is between messages and has received nothing of the next one."""
+        return self._state == _HEAD and not self._lines and self._position >= len(self._buffer)
 
     @property
-    def dead(self) -> bool:
-        return self._state == _DEAD
+    def has_failed(self) -> bool:
+        return self._state == _FAILED
 
     def feed(self, data: bytes | bytearray | memoryview) -> list[HttpEvent]:
-        if self._state == _DEAD:
+        if self._state == _FAILED:
             return []
-        self._buf += data
-        self._out = []
+        self._buffer += data
+        self._events = []
         try:
             while self._step():
                 pass
         except _FaultError as error:
-            self._state = _DEAD
-            self._out.append(error.fault)
-        if self._pos:
-            del self._buf[: self._pos]
-            self._scanned -= self._pos
-            self._pos = 0
-        return self._out
+            self._state = _FAILED
+            self._events.append(error.fault)
+        if self._position:
+            del self._buffer[: self._position]
+            self._scanned -= self._position
+            self._position = 0
+        return self._events
 
     def eof(self) -> list[HttpEvent]:
-        """The peer will send no more."""
-        if self._state == _DEAD:
+        """Reports the end of the input."""
+        if self._state == _FAILED:
             return []
-        whole, self._state = self.idle, _DEAD
-        return [] if whole else [Fault(400, "connection ended inside a message")]
+        is_complete, self._state = self.idle, _FAILED
+        return [] if is_complete else [Fault(400, "connection ended inside a message")]
 
     def _step(self) -> bool:
         state = self._state
         if state == _HEAD:
             return self._section(trailer=False)
         if state in (_FIXED, _CHUNK_DATA):
-            return self._take()
+            return self._read_body()
         if state == _CHUNK_HEAD:
             return self._chunk_head()
         if state == _CHUNK_END:
@@ -151,22 +151,22 @@
             return True
         if state == _TRAILER:
             return self._section(trailer=True)
-        if state == _TO_EOF and self._pos < len(self._buf):
-            self._emit(len(self._buf) - self._pos)
+        if state == _TO_EOF and self._position < len(self._buffer):
+            self._emit(len(self._buffer) - self._position)
         return False
 
-    def _line(self, longest: int) -> bytes | None:
-        """The next line without its CRLF, or None when it isn't complete."""
-        end = self._buf.find(b"\n", max(self._pos, self._scanned))
+    def _line(self, max_bytes: int) -> bytes | None:
+        """Returns the next line without its CRLF, or None if it isn't complete."""
+        end = self._buffer.find(b"\n", max(self._position, self._scanned))
         if end < 0:
-            self._scanned = len(self._buf)
-            if len(self._buf) - self._pos > longest + 1:
+            self._scanned = len(self._buffer)
+            if len(self._buffer) - self._position > max_bytes + 1:
                 raise _FaultError(*self._too_long())
             return None
-        line = bytes(self._buf[self._pos : end])
-        if len(line) > longest + 1:
+        line = bytes(self._buffer[self._position : end])
+        if len(line) > max_bytes + 1:
             raise _FaultError(*self._too_long())
-        self._pos = self._scanned = end + 1
+        self._position = self._scanned = end + 1
         if not line.endswith(b"\r"):
             raise _FaultError(400, "bare LF")
         if b"\r" in line[:-1]:
@@ -179,13 +179,13 @@
         return (431, "field line too long") if self._lines else (414, "start line too long")
 
     def _section(self, *, trailer: bool) -> bool:
-        """A line of a header or trailer section; trailers are checked and dropped (RFC 9110, 6.5.1)."""
-        most = self.limits.head
-        line = self._line(min(self.limits.line, most - self._head_bytes))
+        """Parses a header or trailer line. Trailers are validated and dropped (RFC 9110, 6.5.1)."""
+        max_bytes = self.limits.head
+        line = self._line(min(self.limits.line, max_bytes - self._head_bytes))
         if line is None:
             return False
         self._head_bytes += len(line) + 2
-        if self._head_bytes > most:
+        if self._head_bytes > max_bytes:
             raise _FaultError(431, "header section too large")
         if line:
             if len(self._lines) > self.limits.fields:
@@ -199,11 +199,11 @@
         elif lines:
             self._head(lines)
         else:
-            self._blank()
+            self._blank_line()
         return True
 
-    def _blank(self) -> None:
-        """A line before the start line: RFC 9112, 2.2 lets servers pass over it."""
+    def _blank_line(self) -> None:
+        """Handles an empty line before the start line: RFC 9112, 2.2 lets servers ignore it."""
 
     def _head(self, lines: list[bytes]) -> None:
         raise NotImplementedError
@@ -219,7 +219,7 @@
         return Headers(parsed)
 
     def _chunked(self, headers: Headers) -> bool:
-        """Whether the body is chunked; any other coding, or a doubtful one, is a fault (RFC 9112, 6.1)."""
+        """Returns whether the body is chunked. Any other or ambiguous coding is a fault (RFC 9112, 6.1)."""
         if "transfer-encoding" not in headers:
             return False
         if "content-length" in headers:
@@ -240,12 +240,12 @@
             raise _FaultError(413, "body too large")
         return length
 
-    def _take(self) -> bool:
-        there = min(len(self._buf) - self._pos, self._left)
-        if there:
-            self._emit(there)
-            self._left -= there
-        if self._left:
+    def _read_body(self) -> bool:
+        available = min(len(self._buffer) - self._position, self._remaining_bytes)
+        if available:
+            self._emit(available)
+            self._remaining_bytes -= available
+        if self._remaining_bytes:
             return False
         if self._state == _CHUNK_DATA:
             self._state = _CHUNK_END
@@ -260,22 +260,22 @@
         match = _CHUNK_LINE.fullmatch(line)
         if match is None:
             raise _FaultError(400, "malformed chunk size")
-        self._left = int(match[1], 16)
-        self._state = _CHUNK_DATA if self._left else _TRAILER
-        if self._body_bytes + self._left > self.limits.body and not self.endless:
+        self._remaining_bytes = int(match[1], 16)
+        self._state = _CHUNK_DATA if self._remaining_bytes else _TRAILER
+        if self._body_bytes + self._remaining_bytes > self.limits.body and not self.unlimited_body:
             raise _FaultError(413, "body too large")
         return True
 
     def _emit(self, count: int) -> None:
         self._body_bytes += count
-        if self._body_bytes > self.limits.body and not self.endless:
+        if self._body_bytes > self.limits.body and not self.unlimited_body:
             raise _FaultError(413, "body too large")
-        self._out.append(Data(bytes(self._buf[self._pos : self._pos + count])))
-        self._pos += count
-        self._scanned = max(self._scanned, self._pos)
+        self._events.append(Data(bytes(self._buffer[self._position : self._position + count])))
+        self._position += count
+        self._scanned = max(self._scanned, self._position)
 
     def _finish(self) -> None:
-        self._out.append(End())
+        self._events.append(End())
         self._state = _HEAD
         self._body_bytes = 0
 
@@ -284,13 +284,13 @@
         if chunked:
             self._state = _CHUNK_HEAD
         elif length:
-            self._state, self._left = _FIXED, length
+            self._state, self._remaining_bytes = _FIXED, length
         else:
             self._finish()
 
 
 class RequestParser(_Parser):
-    """Requests of one connection, one after another."""
+    """Parses the requests of one connection, one after another."""
 
     def __init__(self, limits: Limits | None = None) -> None:
         super().__init__(limits or Limits())
@@ -311,17 +311,19 @@
             raise _FaultError(400, "Transfer-Encoding in HTTP/1.0")
         length = self._length(headers) or 0
         options = headers.tokens("connection")
-        keep = "close" not in options and (minor > 0 or "keep-alive" in options)
+        keep_alive = "close" not in options and (minor > 0 or "keep-alive" in options)
         expects = headers.get("expect").lower()
         if expects and expects != "100-continue":
             raise _FaultError(417, "unknown expectation")
         body = chunked or length > 0
-        self._out.append(RequestHead(method, target, minor, headers, keep, body, bool(expects and body)))
+        self._events.append(
+            RequestHead(method, target, minor, headers, keep_alive, body, bool(expects and body))
+        )
         self._body(chunked, length)
 
 
 class ResponseParser(_Parser):
-    """Responses of one connection; `expect` names the method that each answers, in order."""
+    """Parses the responses of one connection. `expect` registers the request methods in order."""
 
     def __init__(self, limits: Limits | None = None) -> None:
         super().__init__(limits or Limits(body=16_777_216))
@@ -332,11 +334,11 @@
 
     def eof(self) -> list[HttpEvent]:
         if self._state == _TO_EOF:
-            self._state = _DEAD
+            self._state = _FAILED
             return [End()]
         return super().eof()
 
-    def _blank(self) -> None:
+    def _blank_line(self) -> None:
         raise _FaultError(502, "blank line in place of a status line")
 
     def _head(self, lines: list[bytes]) -> None:
@@ -348,19 +350,19 @@
         if 100 <= status < 200:
             if status == 101:
                 raise _FaultError(502, "unasked upgrade")
-            return  # interim: the final one is still to come (RFC 9110, 15.2)
+            return  # interim: the final response follows (RFC 9110, 15.2)
         if not self._methods:
             raise _FaultError(502, "response without a request")
         method = self._methods.pop(0)
-        bare = method == "HEAD" or status in (204, 304)
-        chunked = not bare and self._chunked(headers)
-        length = None if bare else self._length(headers)
-        until_close = not bare and not chunked and length is None
+        bodiless = method == "HEAD" or status in (204, 304)
+        chunked = not bodiless and self._chunked(headers)
+        length = None if bodiless else self._length(headers)
+        until_close = not bodiless and not chunked and length is None
         options = headers.tokens("connection")
-        keep = not until_close and "close" not in options and (minor > 0 or "keep-alive" in options)
+        keep_alive = not until_close and "close" not in options and (minor > 0 or "keep-alive" in options)
         reason = (match[3] or b"").decode("latin-1")
-        self._out.append(ResponseHead(status, reason, headers, keep, until_close))
+        self._events.append(ResponseHead(status, reason, headers, keep_alive, until_close))
         if until_close:
             self._body_bytes, self._state = 0, _TO_EOF
         else:
-            self._body(chunked, 0 if bare else (length or 0))
+            self._body(chunked, 0 if bodiless else (length or 0))
--- a/fernweir/http/problem.py
+++ b/fernweir/http/problem.py
@@ -8,7 +8,7 @@
 
 
 def problem(status: int, title: str, *, kind: str = "about:blank", **members: object) -> bytes:
-    """A problem document; members of None are left out."""
+    """Encodes a problem document; members that are None are omitted."""
     body: dict[str, object] = {"type": kind, "title": title, "status": status}
     body.update({name: value for name, value in members.items() if value is not None})
     return json.dumps(body).encode()
--- a/fernweir/http/server.py
+++ b/fernweir/http/server.py
@@ -1,9 +1,9 @@
-"""An HTTP/1.1 server on asyncio's BufferedProtocol: a thin shell around `RequestParser`.
+"""An HTTP/1.1 server on asyncio's BufferedProtocol, a thin layer around `RequestParser`.
 
-Requests of a connection may be pipelined; their answers leave in order whatever order they are given in.
-The handler is called once a request is whole, and answers now or later through its `Exchange`. All
-connections of a server share one receive buffer, as bytes are parsed before the loop reads again, and one
-sweep over all connections stands in for timers, so that an idle connection costs little.
+Requests of a connection may be pipelined; their responses are sent in request order, whatever order they are
+given in. The handler is called once a request is complete, and responds now or later through its `Exchange`.
+All connections of a server share one receive buffer, as bytes are parsed before the loop reads again. One
+sweep over all connections replaces timers, so that an idle connection costs little.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLimits:
-    """What one peer may cost. Times are seconds."""
+    """Limits of the server. Times are in seconds."""
 
     parse: Limits = field(default_factory=lambda: Limits(body=65_536))
     connections: int = 20_000
@@ -37,7 +37,7 @@
 
 
 def encode_head(status: int, headers: Iterable[tuple[str, str]]) -> bytes:
-    """A response head. CR or LF in a value is a ValueError: it would split the response."""
+    """Encodes a response head. Raises ValueError for CR or LF in a value, which would split the response."""
     lines = [f"HTTP/1.1 {status} {_PHRASES.get(status, 'Status')}\r\n"]
     for name, value in headers:
         if "\r" in value or "\n" in value:
@@ -48,11 +48,11 @@
 
 
 class Exchange:
-    """One request and its answer. `on_gone` is called if the peer is lost before the answer is given and
-    taken whole by the kernel.
+    """One request and its response. `on_gone` is called if the connection is lost before the kernel accepted
+    the complete response.
 
-    `on_left` is called before that if the peer ends its side: it may still read. A request may be handed over
-    when that has happened; it is `left` from its start, and not called for.
+    `on_left` is called earlier, if the peer closes its sending side: it may still read. A request may be
+    passed to the handler after that; then `left` is set from the start, and `on_left` is not called.
     """
 
     __slots__ = (
@@ -100,11 +100,11 @@
 
     @property
     def left(self) -> bool:
-        """Whether the peer has ended its side; an answer is still due."""
+        """Returns whether the peer has closed its sending side; a response is still expected."""
         return self._connection.half_closed
 
     def respond(self, status: int, headers: Iterable[tuple[str, str]] = (), body: bytes = b"") -> None:
-        """The whole answer at once. A second answer to one request is a RuntimeError."""
+        """Sends a complete response. Raises RuntimeError for a second response to one request."""
         fields = list(headers)
         if status != 204 and status >= 200:
             fields.append(("content-length", str(len(body))))
@@ -114,13 +114,13 @@
         self.end()
 
     def stream(self, status: int, headers: Iterable[tuple[str, str]] = ()) -> None:
-        """Starts an answer of unknown length: chunked, or to the end of an HTTP/1.0 connection."""
+        """Starts a response of unknown length: chunked, or until an HTTP/1.0 connection closes."""
         fields = list(headers)
         fields.append(("transfer-encoding", "chunked") if self.head.minor else ("connection", "close"))
         self._start(status, fields)
 
     def write(self, data: bytes) -> bool:
-        """Sends a part of a stream. False, and the connection is dropped, if the peer doesn't read."""
+        """Sends a part of a stream. Returns False and aborts the connection if the peer doesn't read."""
         if not data or self._done or self.gone:
             return not self.gone
         if self.head.minor:
@@ -129,7 +129,7 @@
         return self._connection.check_backlog()
 
     def end(self) -> None:
-        """The answer is complete."""
+        """Completes the response."""
         if self._done:
             return
         self._done = True
@@ -141,22 +141,22 @@
         self.end()
 
     def drop(self) -> None:
-        """Breaks the connection without an answer."""
+        """Aborts the connection without a response."""
         self._connection.abort()
 
     def cut(self) -> None:
-        """Closes the connection in order, but in the middle of what was promised."""
+        """Closes the connection in order, but before the response is complete."""
         self._done = True
-        self._connection.cut_after(self)
+        self._connection.close_after(self)
 
     def send_raw(self, data: bytes) -> None:
-        """Bytes past all checks, for stand-ins that misbehave."""
+        """Sends bytes without any checks, for test servers that misbehave."""
         self._started = True
         self._send(data)
 
     def _start(self, status: int, fields: list[tuple[str, str]]) -> None:
         if self._started:
-            raise RuntimeError("a request is answered once")
+            raise RuntimeError("a request can be answered only once")
         self._started = True
         closes = any(name == "connection" and value == "close" for name, value in fields)
         if not self.head.keep_alive and not closes:
@@ -173,7 +173,7 @@
 
 
 class ServerConnection(asyncio.BufferedProtocol):
-    """One connection. The `Server` that made it owns the receive buffer and the sweep."""
+    """One connection. The `Server` that created it owns the receive buffer and the sweep."""
 
     def __init__(self, server: Server, number: int) -> None:
         self.server = server
@@ -182,15 +182,15 @@
         self._parser = RequestParser(server.limits.parse)
         self._transport: asyncio.Transport | None = None
         self._queue: deque[Exchange] = deque()
-        self._going: list[Exchange] = []  # their answers are given, and may not be out yet
-        self._broken = False  # not closed in order: what was not out is lost
+        self._unflushed: list[Exchange] = []  # answered, but the kernel may not have accepted every byte yet
+        self._aborted = False  # not closed in order: unsent bytes are lost
         self._reading: Exchange | None = None
         self._fault: Fault | None = None
         self._events: deque[HttpEvent] = deque()
-        self._closing = self.half_closed = self._working = False
+        self._closing = self.half_closed = self._processing = False
         self._read_paused = self._flushing = False
-        self._since = server.loop.time()
-        self._stalled_since: float | None = None
+        self._phase_started_s = server.loop.time()
+        self._stalled_since_s: float | None = None
 
     # --- asyncio ---
 
@@ -210,23 +210,24 @@
         was_idle = self._parser.idle
         events = self._parser.feed(self.server.buffer[:nbytes])
         if was_idle:
-            self._since = self.server.loop.time()
+            self._phase_started_s = self.server.loop.time()
         self._events.extend(events)
-        self._work()
+        self._process_events()
 
     def eof_received(self) -> bool:
-        """A half-close, or all that is seen of a client that left: nothing more is read.
+        """Handles a half-close, which is also all that is seen of a client that disconnected.
 
-        What was asked is still answered, as a client may end its side and read on (RFC 9112, 9.6); how is
-        the handler's to say, who is told. Those that are handed over behind it find that it was so.
+        Nothing more is read. Pending requests are still answered, as a client may close its sending side and
+        read on (RFC 9112, 9.6). The handler is notified and decides how. Requests that are dispatched later
+        have `left` set.
         """
-        asked = list(self._queue)
+        queued = list(self._queue)
         self._events.extend(self._parser.eof())
         self.half_closed = True
-        for exchange in asked:
+        for exchange in queued:
             if exchange.on_left is not None and not exchange._done:
                 exchange.on_left()
-        self._work()
+        self._process_events()
         return bool(self._queue)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -234,41 +235,41 @@
         self._events.clear()
         self.server.connections.pop(self, None)
         waiting, self._queue = list(self._queue), deque()
-        if exc is None and not self._broken:
-            self._going = []
-        lost, self._going = self._going + waiting, []
+        if exc is None and not self._aborted:
+            self._unflushed = []
+        lost, self._unflushed = self._unflushed + waiting, []
         for exchange in lost:
             if exchange.on_gone is not None:
                 exchange.on_gone()
         self._reading = None
 
     def pause_writing(self) -> None:
-        self._stalled_since = self.server.loop.time()
-        self._pace()
+        self._stalled_since_s = self.server.loop.time()
+        self._update_reading()
 
     def resume_writing(self) -> None:
-        self._stalled_since = None
-        self._pace()
+        self._stalled_since_s = None
+        self._update_reading()
 
     # --- reading ---
 
-    def _work(self) -> None:
-        """Takes what was parsed, no further than the pipeline's limit: the rest waits its turn."""
-        if self._working:
+    def _process_events(self) -> None:
+        """Handles parsed events up to the pipeline limit; the others wait."""
+        if self._processing:
             return
-        self._working = True
+        self._processing = True
         while self._events and not self._closing and len(self._queue) < self.server.limits.pipeline:
-            self._take(self._events.popleft())
-        self._working = False
+            self._handle_event(self._events.popleft())
+        self._processing = False
         if self.half_closed and not self._events and not self._closing:
             self._closing = True
             self.flush()
-        self._pace()
+        self._update_reading()
 
-    def _take(self, event: HttpEvent) -> None:
+    def _handle_event(self, event: HttpEvent) -> None:
         if isinstance(event, RequestHead):
             self._reading = Exchange(self, event)
-            self._since = self.server.loop.time()
+            self._phase_started_s = self.server.loop.time()
             if event.expects_continue and not self._queue and self._transport is not None:
                 self._transport.write(_CONTINUE)
         elif isinstance(event, Data):
@@ -276,7 +277,7 @@
                 self._reading._body.append(event.body)
         elif isinstance(event, End):
             exchange, self._reading = self._reading, None
-            self._since = self.server.loop.time()
+            self._phase_started_s = self.server.loop.time()
             if exchange is None or self.lost:
                 return
             exchange.body = b"".join(exchange._body)
@@ -284,33 +285,33 @@
             if not exchange.head.keep_alive:
                 self._closing = True
             self.server.requests += 1
-            self._hand_over(exchange)
+            self._dispatch(exchange)
         elif isinstance(event, Fault):
-            self._refuse(event)
+            self._reject(event)
 
-    def _hand_over(self, exchange: Exchange) -> None:
+    def _dispatch(self, exchange: Exchange) -> None:
         try:
             self.server.handler(exchange)
         except Exception as error:
-            # A bug met by one request must not leave it, or its connection, without an end.
+            # A bug in the handler must not leave the request or its connection open forever.
             self.server.loop.call_exception_handler({"message": "handler failed", "exception": error})
             if not exchange.answered:
                 exchange.respond(500, [("connection", "close")])
 
-    def _refuse(self, fault: Fault) -> None:
-        """Answers what can't be read once all before it is answered, and closes."""
+    def _reject(self, fault: Fault) -> None:
+        """Responds to an invalid request after all earlier ones are answered, and closes."""
         self.server.faults += 1
         self._closing, self._fault = True, fault
         self.flush()
 
-    def _pace(self) -> None:
-        """Back-pressure: no more is read while answers pile up or the peer doesn't take them."""
+    def _update_reading(self) -> None:
+        """Applies back-pressure: stops reading while responses pile up or the peer doesn't read them."""
         if self._transport is None or self.lost or self._transport.is_closing():
             return
-        full = bool(self._events) or self._stalled_since is not None
-        if full != self._read_paused:
-            self._read_paused = full
-            if full:
+        backlogged = bool(self._events) or self._stalled_since_s is not None
+        if backlogged != self._read_paused:
+            self._read_paused = backlogged
+            if backlogged:
                 self._transport.pause_reading()
             else:
                 self._transport.resume_reading()
@@ -318,7 +319,7 @@
     # --- writing ---
 
     def flush(self) -> None:
-        """Writes what is ready, in the order asked, and closes when nothing more can come."""
+        """Writes the responses that are ready, in request order, and closes if no more can follow."""
         transport = self._transport
         if transport is None or self.lost or self._flushing:
             return
@@ -331,11 +332,11 @@
                 first._chunks = []
             if not first._done:
                 break
-            self._going.append(self._queue.popleft())
-            self._since = self.server.loop.time()
+            self._unflushed.append(self._queue.popleft())
+            self._phase_started_s = self.server.loop.time()
             if first._last:
                 self._closing = True
-                self._give_up_rest()
+                self._discard_pipelined()
         if not self._queue and self._fault is not None:
             fault, self._fault = self._fault, None
             body = fault.reason.encode("latin-1", "replace")
@@ -344,24 +345,26 @@
         if ready:
             was_closing = transport.is_closing()
             transport.write(ready[0] if len(ready) == 1 else b"".join(ready))
-            self._broken = self._broken or transport.is_closing() != was_closing  # the kernel refused it
-        if not self._broken and not transport.get_write_buffer_size():
-            self._going.clear()
+            self._aborted = (
+                self._aborted or transport.is_closing() != was_closing
+            )  # the kernel rejected the write
+        if not self._aborted and not transport.get_write_buffer_size():
+            self._unflushed.clear()
         self._flushing = False
         if self._closing and not self._queue:
             transport.close()
         elif self._events or self._read_paused:
-            self._work()
+            self._process_events()
 
-    def _give_up_rest(self) -> None:
-        """What was pipelined behind an announced close is not answered (RFC 9112, 9.6)."""
-        rest, self._queue = list(self._queue), deque()
-        for exchange in rest:
+    def _discard_pipelined(self) -> None:
+        """Discards requests pipelined behind an announced close, which get no response (RFC 9112, 9.6)."""
+        discarded, self._queue = list(self._queue), deque()
+        for exchange in discarded:
             exchange._done = True
             if exchange.on_gone is not None:
                 exchange.on_gone()
 
-    def cut_after(self, exchange: Exchange) -> None:
+    def close_after(self, exchange: Exchange) -> None:
         self.flush()
         if self._transport is not None:
             self._transport.close()
@@ -376,67 +379,67 @@
         return True
 
     def abort(self) -> None:
-        self._broken = True
+        self._aborted = True
         if self._transport is not None:
             reset(self._transport)
 
     def close_when_done(self) -> None:
-        """No further request is taken; what was taken is answered."""
+        """Accepts no further request; accepted requests are still answered."""
         self._closing = True
         self.flush()
 
-    def overdue(self, now: float) -> None:
+    def check_timeouts(self, now: float) -> None:
         """Called by the sweep: ends slow senders, slow readers and idle connections."""
         limits = self.server.limits
-        if self._stalled_since is not None and now - self._stalled_since > limits.stalled_s:
+        if self._stalled_since_s is not None and now - self._stalled_since_s > limits.stalled_s:
             self.abort()
         elif self._closing or self._queue or self._events:
             return
         elif self._reading is not None:
-            if now - self._since > limits.body_s:
+            if now - self._phase_started_s > limits.body_s:
                 self._reading = None
-                self._refuse(Fault(408, "body too slow"))
+                self._reject(Fault(408, "body too slow"))
         elif not self._parser.idle:
-            if now - self._since > limits.head_s:
-                self._refuse(Fault(408, "head too slow"))
-        elif now - self._since > limits.idle_s and self._transport is not None:
+            if now - self._phase_started_s > limits.head_s:
+                self._reject(Fault(408, "head too slow"))
+        elif now - self._phase_started_s > limits.idle_s and self._transport is not None:
             self._transport.close()
 
 
 class Server:
-    """Listens on one address and hands whole requests to `handler`."""
+    """Listens on one address and passes complete requests to `handler`."""
 
     def __init__(self, handler: Handler, limits: ServerLimits | None = None) -> None:
         self.handler = handler
         self.limits = limits or ServerLimits()
         self.loop = asyncio.get_running_loop()
         self.buffer = memoryview(bytearray(65_536))
-        # A dict for its order, which a set of objects would take from their addresses in memory.
+        # A dict keeps insertion order; the order of a set would depend on memory addresses.
         self.connections: dict[ServerConnection, None] = {}
         self.requests = self.faults = 0
         self.address: tuple[str, int] = ("", 0)
-        self._made = 0
+        self._connection_count = 0
         self._server: asyncio.Server | None = None
         self._sweeper: asyncio.TimerHandle | None = None
 
     async def listen(self, host: str, port: int) -> None:
-        """OSError when the address can't be had."""
+        """Starts to listen. Raises OSError if the address can't be bound."""
         self._server = await self.loop.create_server(self._protocol, host, port, backlog=1024)
         self.address = self._server.sockets[0].getsockname()[:2]
         if self._sweeper is None:
             self._sweep()
 
     def _protocol(self) -> ServerConnection:
-        self._made += 1
-        return ServerConnection(self, self._made)
+        self._connection_count += 1
+        return ServerConnection(self, self._connection_count)
 
     def _sweep(self) -> None:
         now = self.loop.time()
         for connection in list(self.connections):
-            connection.overdue(now)
+            connection.check_timeouts(now)
         limits = self.limits
-        every = max(min(limits.head_s, limits.body_s, limits.idle_s, limits.stalled_s) / 4, 0.05)
-        self._sweeper = self.loop.call_later(every, self._sweep)
+        interval_s = max(min(limits.head_s, limits.body_s, limits.idle_s, limits.stalled_s) / 4, 0.05)
+        self._sweeper = self.loop.call_later(interval_s, self._sweep)
 
     def stop_listening(self) -> None:
         if self._server is not None:
@@ -448,7 +451,7 @@
             connection.close_when_done()
 
     def abort(self) -> None:
-        """Stops at once: nothing more is answered."""
+        """Stops at once: no further response is sent."""
         self.stop_listening()
         if self._sweeper is not None:
             self._sweeper.cancel()
--- a/fernweir/http/sse.py
+++ b/fernweir/http/sse.py
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEvent:
-    """One dispatched event; `id` is the last event id in force when it came."""
+    """One dispatched event; `id` is the last event id in effect when it was received."""
 
     data: str
     event: str = "message"
@@ -16,7 +16,7 @@
 
 
 def encode_event(data: str, event: str = "", id: str | None = None) -> bytes:
-    """The bytes of one event. A line break in `event` or `id`, or NUL in `id`, is a ValueError."""
+    """Encodes one event. Raises ValueError for a line break in `event` or `id`, or NUL in `id`."""
     if any(mark in event + (id or "") for mark in "\r\n") or "\0" in (id or ""):
         raise ValueError("event and id of a server-sent event are single lines")
     lines = []
@@ -30,15 +30,15 @@
 
 
 KEEP_ALIVE = b":\n\n"
-_LONGEST_RETRY_MS = 86_400_000
-_RETRY_DIGITS = 9  # more of them are longer than that
+_MAX_RETRY_MS = 86_400_000
+_MAX_RETRY_DIGITS = 9  # a number with more digits exceeds the maximum
 
 
 class EventReader:
-    """Turns the bytes of a stream, in any split, into events.
+    """Parses the bytes of a stream, in any chunks, into events.
 
-    `last_id` is what a reconnect sends as `Last-Event-ID`; `retry_ms` is the pause that the server asked
-    for, a day at most, or None. An event of more than `limit` characters raises ValueError.
+    A reconnect sends `last_id` as `Last-Event-ID`. `retry_ms` is the reconnection delay that the server
+    requested, at most a day, or None. An event of more than `limit` characters raises ValueError.
     """
 
     def __init__(self, limit: int = 16_777_216) -> None:
@@ -85,6 +85,6 @@
         elif name == "id" and "\0" not in value:
             self.last_id = value
         elif name == "retry" and value.isascii() and value.isdigit():
-            digits = value.lstrip("0")[:_RETRY_DIGITS]
-            self.retry_ms = min(int(digits or "0"), _LONGEST_RETRY_MS)
+            digits = value.lstrip("0")[:_MAX_RETRY_DIGITS]
+            self.retry_ms = min(int(digits or "0"), _MAX_RETRY_MS)
         return None
--- a/fernweir/http/target.py
+++ b/fernweir/http/target.py
@@ -1,4 +1,4 @@
-"""Request targets: paths and queries taken apart strictly (RFC 3986, RFC 9112 section 3.2)."""
+"""Strict parsing of request targets into paths and queries (RFC 3986, RFC 9112 section 3.2)."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class TargetError(ValueError):
-    """The target can't be taken; the text says why."""
+    """Raised for an invalid target; the message gives the reason."""
 
 
 def split_target(target: str, max_params: int = 32) -> tuple[list[str], dict[str, str]]:
-    """The decoded segments of an origin-form path, and its query; a repeated name is an error.
+    """Returns the decoded segments of an origin-form path, and its query. A repeated name is an error.
 
     Dot segments, empty segments, and escapes that would hide a slash, a NUL or a control character are
-    refused rather than mended, so that what is authorised is what is fetched.
+    rejected rather than repaired, so that the authorised path is the one that is fetched.
     """
     if not target.startswith("/") or "#" in target:
         raise TargetError("target is not in origin form")
--- a/tests/peers_mutants/fuzz.py
+++ b/tests/peers_mutants/fuzz.py
@@ -85,18 +85,18 @@
     "requests": [
         Mutant("lengths that repeat", _HTTP, "if len(values) > 1 or not _LENGTH", "if not _LENGTH", 600),
         Mutant("bare CR", _HTTP, 'if b"\\r" in line[:-1]:', "if not line:", 200),
-        Mutant("scan mark not moved", _HTTP, "self._scanned -= self._pos", "self._scanned -= 0", 30),
+        Mutant("scan mark not moved", _HTTP, "self._scanned -= self._position", "self._scanned -= 0", 30),
         Mutant("chunked in HTTP/1.0", _HTTP, "if chunked and not minor:", "if chunked and minor > 9:", 60),
         Mutant("length beside a coding", _HTTP, 'if "content-length" in headers:', "if not headers:", 600),
     ],
     "responses": [
-        Mutant("body after HEAD", _HTTP, 'bare = method == "HEAD" or status', "bare = status", 60),
+        Mutant("body after HEAD", _HTTP, 'bodiless = method == "HEAD" or status', "bodiless = status", 60),
         Mutant("body of 304", _HTTP, "(204, 304)", "(204,)", 600),
     ],
     "events": [
         Mutant("CR and LF apart", _SSE, 'False, text.removeprefix("\\n")', "False, text", 100),
         Mutant("only one space cut", _SSE, 'value.removeprefix(" ")', "value.lstrip()", 300),
-        Mutant("a pause of many digits", _SSE, 'value.lstrip("0")[:_RETRY_DIGITS]', "value", 3_000),
+        Mutant("a pause of many digits", _SSE, 'value.lstrip("0")[:_MAX_RETRY_DIGITS]', "value", 3_000),
     ],
     "ini": [
         Mutant("lines as Unicode has them", _INI, "io.StringIO(text)", "text.splitlines(True)", 100),
--- a/tests/test_http_parse.py
+++ b/tests/test_http_parse.py
@@ -1,4 +1,4 @@
-"""The parsers: any split gives the same, what is malformed is refused, h11 agrees on what is valid."""
+"""The parsers: any chunking gives the same result, malformed input is rejected, h11 agrees on valid input."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def merged(events: list[HttpEvent]) -> list[HttpEvent]:
-    """Body parts joined, as they depend on the split."""
+    """Joins body parts, as they depend on the chunking."""
     out: list[HttpEvent] = []
     for event in events:
         if isinstance(event, Data) and out and isinstance(out[-1], Data):
@@ -94,8 +94,8 @@
         assert parse(reply, cuts, parsers[0]) == parse(reply, [], parsers[1])
 
 
-def h11_says(data: bytes) -> list[tuple[bytes, bytes]] | None:
-    """Method and body of each request as h11 reads them, or None if it refuses."""
+def h11_requests(data: bytes) -> list[tuple[bytes, bytes]] | None:
+    """Returns method and body of each request as parsed by h11, or None if h11 rejects them."""
     connection, found, body = h11.Connection(h11.SERVER), [], b""
     connection.receive_data(data)
     try:
@@ -126,10 +126,10 @@
             body = event.body
         else:
             ours.append((method, body))
-    assert ours == h11_says(b"".join(messages))
+    assert ours == h11_requests(b"".join(messages))
 
 
-# What h11 mends and we refuse, on purpose: two readers that mend differently are a smuggler's tool.
+# Input that h11 repairs and this parser rejects: request smuggling exploits parsers that repair differently.
 STRICTER = {
     "length and coding", "bare LF", "obs-fold", "a thousand fields", "dots", "hidden dots", "hidden slash",
     "bad escape", "hidden NUL", "no token", "not a token", "token of a megabyte", "unsigned token",
@@ -138,11 +138,11 @@
 
 
 @pytest.mark.parametrize("name", PAYLOADS)
-def test_what_h11_refuses_we_refuse(name: str) -> None:
+def test_what_h11_refuses_is_refused(name: str) -> None:
     refused = any(isinstance(event, Fault) for event in parse(PAYLOADS[name], [], RequestParser()))
     if name not in STRICTER:
         assert refused
-        assert h11_says(PAYLOADS[name]) is None or name.startswith(("head of", "target of"))
+        assert h11_requests(PAYLOADS[name]) is None or name.startswith(("head of", "target of"))
 
 
 @pytest.mark.parametrize(
@@ -198,15 +198,15 @@
 
 
 def test_mutated_requests_never_raise() -> None:
-    """A few seconds' worth in CI; `python -m bench.fuzz` goes on for longer, and on more parsers."""
-    dice = Random(7)
+    """Runs for a few seconds in CI; `python -m bench.fuzz` runs longer and covers more parsers."""
+    rng = Random(7)
     seeds = [data[:2000] for data in PAYLOADS.values()]
     for _ in range(4000):
-        data = bytearray(dice.choice(seeds))
-        for _ in range(dice.randrange(1, 6)):
-            at = dice.randrange(len(data) + 1)
-            data[at : at + dice.randrange(3)] = bytes(dice.choices(b"\r\n\0 :;0aA\xff,", k=dice.randrange(4)))
-        cuts = [dice.randrange(len(data) + 1) for _ in range(3)]
+        data = bytearray(rng.choice(seeds))
+        for _ in range(rng.randrange(1, 6)):
+            at = rng.randrange(len(data) + 1)
+            data[at : at + rng.randrange(3)] = bytes(rng.choices(b"\r\n\0 :;0aA\xff,", k=rng.randrange(4)))
+        cuts = [rng.randrange(len(data) + 1) for _ in range(3)]
         assert parse(bytes(data), cuts, RequestParser(SMALL)) == parse(bytes(data), [], RequestParser(SMALL))
 
 
--- a/tests/test_http_sockets.py
+++ b/tests/test_http_sockets.py
@@ -1,4 +1,4 @@
-"""Server and client over loopback: order, back-pressure, and what is known of a request's bytes."""
+"""Server and client over loopback: order, back-pressure, and outcomes of requests."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 
 
 def play(
-    story: Callable[[Server, list[Exchange]], Awaitable[None]], limits: ServerLimits | None = None
+    scenario: Callable[[Server, list[Exchange]], Awaitable[None]], limits: ServerLimits | None = None
 ) -> None:
-    """Runs a story against a server that leaves the answering to it."""
+    """Runs a scenario against a server whose requests the scenario answers."""
 
     async def run() -> None:
         asked: list[Exchange] = []
         server = Server(asked.append, limits)
         await server.listen("127.0.0.1", 0)
         try:
-            await story(server, asked)
+            await scenario(server, asked)
         finally:
             server.abort()
 
@@ -43,7 +43,7 @@
 
 
 def test_pipelined_requests_are_answered_in_the_order_asked() -> None:
-    async def story(server: Server, asked: list[Exchange]) -> None:
+    async def scenario(server: Server, asked: list[Exchange]) -> None:
         answer = asyncio.ensure_future(
             raw(server.address, GET % b"1" + GET % b"2" + GET % b"3", 5, half_close=True)
         )
@@ -55,22 +55,22 @@
         with pytest.raises(RuntimeError, match="once"):
             asked[0].respond(200)
 
-    play(story)
+    play(scenario)
 
 
 def test_a_fault_is_answered_after_what_came_before_it() -> None:
-    async def story(server: Server, asked: list[Exchange]) -> None:
+    async def scenario(server: Server, asked: list[Exchange]) -> None:
         answer = asyncio.ensure_future(raw(server.address, GET % b"1" + b"BAD\r\n\r\n", 5))
         await until(lambda: len(asked) == 1)
         asked[0].respond(200, [], b"first")
         seen, closed = await answer
         assert closed and seen.count(b"HTTP/1.1") == 2 and seen.index(b"first") < seen.index(b" 400 ")
 
-    play(story)
+    play(scenario)
 
 
 def test_nothing_is_answered_behind_an_announced_close() -> None:
-    async def story(server: Server, asked: list[Exchange]) -> None:
+    async def scenario(server: Server, asked: list[Exchange]) -> None:
         gone: list[int] = []
         answer = asyncio.ensure_future(raw(server.address, GET % b"1" + GET % b"2", 5))
         await until(lambda: len(asked) == 2)
@@ -79,11 +79,11 @@
         seen, closed = await answer
         assert closed and seen.count(b"HTTP/1.1") == 1 and gone == [2]
 
-    play(story)
+    play(scenario)
 
 
 def test_head_and_continue() -> None:
-    async def story(server: Server, asked: list[Exchange]) -> None:
+    async def scenario(server: Server, asked: list[Exchange]) -> None:
         head = b"HEAD / HTTP/1.1\r\nHost: a\r\n\r\n"
         put = b"PUT / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\nab"
         answer = asyncio.ensure_future(raw(server.address, head + put, 5, half_close=True))
@@ -95,13 +95,13 @@
         alone, _ = await asyncio.gather(raw(server.address, put[:-2], 0.2), asyncio.sleep(0))
         assert alone[0].startswith(b"HTTP/1.1 100 Continue")
 
-    play(story)
+    play(scenario)
 
 
 def test_slow_senders_idle_ones_and_slow_readers_are_ended() -> None:
     limits = ServerLimits(head_s=0.05, body_s=0.05, idle_s=0.1, stalled_s=0.1)
 
-    async def story(server: Server, asked: list[Exchange]) -> None:
+    async def scenario(server: Server, asked: list[Exchange]) -> None:
         partial, slow_body = (
             b"GET / HTTP/1.1\r\nHo",
             b"PUT / HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n",
@@ -117,13 +117,13 @@
         await until(lambda: asked[0].gone)
         reader.close()
 
-    play(story, limits)
+    play(scenario, limits)
 
 
 def test_a_reader_that_stalls_stops_being_read() -> None:
-    """Answers pile up for one who doesn't read, so its further requests wait in its own kernel."""
+    """Responses pile up for a client that doesn't read, so its further requests wait in its own kernel."""
 
-    async def story(server: Server, asked: list[Exchange]) -> None:
+    async def scenario(server: Server, asked: list[Exchange]) -> None:
         client = socket.create_connection(server.address)
         client.setblocking(False)
         client.send((GET % b"1") * 100)
@@ -137,12 +137,12 @@
         await until(lambda: len(asked) > taken)
         client.close()
 
-    play(story, replace(ServerLimits(), pipeline=32, parse=Limits()))
+    play(scenario, replace(ServerLimits(), pipeline=32, parse=Limits()))
 
 
 @pytest.mark.parametrize("answered_before", [True, False])
 def test_a_handler_hears_once_that_the_other_side_ended_and_may_still_answer(answered_before: bool) -> None:
-    async def story(server: Server, asked: list[Exchange]) -> None:
+    async def scenario(server: Server, asked: list[Exchange]) -> None:
         left: list[str] = []
         server.handler = lambda exchange: (asked.append(exchange), watch(exchange))
 
@@ -151,12 +151,12 @@
 
         reader, writer = await asyncio.open_connection(*server.address)
         writer.write(GET % b"1" + GET % b"2" + GET % b"3")
-        await until(lambda: len(asked) == 2)  # more than two at once are not taken
+        await until(lambda: len(asked) == 2)  # no more than two are accepted at once
         assert not asked[0].left and left == []
         if answered_before:
-            asked[1].respond(200, [], b"second")  # waits behind the first: it is answered for all that
+            asked[1].respond(200, [], b"second")  # waits behind the first, and still counts as answered
         writer.write_eof()
-        if not answered_before:  # nothing is read while the third waits its turn
+        if not answered_before:  # nothing is read while the third waits
             asked[1].respond(200, [], b"second")
         asked[0].respond(200, [], b"first")
         await until(lambda: len(asked) == 3)
@@ -167,39 +167,41 @@
         assert left in (["/3"], []) and seen.count(b"HTTP/1.1 200") == 3
         writer.close()
 
-    play(story, replace(ServerLimits(), pipeline=2))
+    play(scenario, replace(ServerLimits(), pipeline=2))
 
 
 def test_who_ends_its_side_and_then_breaks_is_left_first_and_gone_after() -> None:
-    async def story(server: Server, asked: list[Exchange]) -> None:
-        told: list[str] = []
+    async def scenario(server: Server, asked: list[Exchange]) -> None:
+        events: list[str] = []
         client = socket.create_connection(server.address)
         client.sendall(GET % b"1")
         await until(lambda: len(asked) == 1)
-        asked[0].on_left = lambda: told.append("left")
-        asked[0].on_gone = lambda: told.append("gone")
+        asked[0].on_left = lambda: events.append("left")
+        asked[0].on_gone = lambda: events.append("gone")
         client.shutdown(socket.SHUT_WR)
-        await until(lambda: told == ["left"])
+        await until(lambda: events == ["left"])
         assert asked[0].left and not asked[0].gone
         client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         client.close()  # a reset
-        asked[0].respond(200)  # asyncio reads no more after the end of a side, so it is this that finds out
+        asked[0].respond(
+            200
+        )  # asyncio reads no more after a half-close, so only this write detects the reset
         await until(lambda: asked[0].gone)
-        assert told == ["left", "gone"]
+        assert events == ["left", "gone"]
 
-    play(story)
+    play(scenario)
 
 
 @pytest.mark.parametrize("reads", [True, False])
 def test_an_answer_that_could_not_be_written_whole_is_told_of(reads: bool) -> None:
-    async def story(server: Server, asked: list[Exchange]) -> None:
-        told: list[str] = []
+    async def scenario(server: Server, asked: list[Exchange]) -> None:
+        events: list[str] = []
         client = socket.create_connection(server.address)
         client.setblocking(False)
         client.send(GET % b"1")
         await until(lambda: len(asked) == 1)
-        asked[0].on_gone = lambda: told.append("gone")
-        asked[0].respond(200, [("connection", "close")], b"x" * 20_000_000)  # more than the kernel takes
+        asked[0].on_gone = lambda: events.append("gone")
+        asked[0].respond(200, [("connection", "close")], b"x" * 20_000_000)  # more than the kernel accepts
         got = 0
         while reads and got < 20_000_000:
             try:
@@ -210,9 +212,9 @@
             client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         client.close()
         await until(lambda: asked[0].gone)
-        assert told == ([] if reads else ["gone"])
+        assert events == ([] if reads else ["gone"])
 
-    play(story)
+    play(scenario)
 
 
 IDLERS = """
@@ -226,8 +228,8 @@
 
 
 def test_ten_thousand_idle_connections_cost_nobody_an_answer() -> None:
-    async def story(server: Server, asked: list[Exchange]) -> None:
-        # The other ends live in a process of their own, as one may not hold so many descriptors.
+    async def scenario(server: Server, asked: list[Exchange]) -> None:
+        # The clients run in a process of their own, as one process may not open so many descriptors.
         command = [sys.executable, "-c", IDLERS, str(server.address[1])]
         with subprocess.Popen(command, stdin=subprocess.PIPE) as idlers:
             await until(lambda: len(server.connections) >= 10_000, 60.0)
@@ -237,7 +239,7 @@
             assert b"here" in (await answer)[0] and len(server.connections) >= 10_000
             idlers.kill()
 
-    play(story)
+    play(scenario)
 
 
 # --- the client ---
@@ -252,8 +254,8 @@
             mine.close()
 
 
-class Rude(asyncio.Protocol):
-    """Answers a request with given bytes and then closes, resets, or keeps still."""
+class MisbehavingServer(asyncio.Protocol):
+    """Answers a request with given bytes and then closes, resets, or stays silent."""
 
     def __init__(self, answer: bytes, then: str) -> None:
         self.answer, self.then = answer, then
@@ -285,7 +287,7 @@
 def test_ends_of_calls_are_told_apart(answer: bytes, then: str, outcome: Outcome) -> None:
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        server = await loop.create_server(lambda: Rude(answer, then), "127.0.0.1", 0)
+        server = await loop.create_server(lambda: MisbehavingServer(answer, then), "127.0.0.1", 0)
         reply = await call(server.sockets[0].getsockname()[:2], timeout_s=0.2 if then == "still" else 5.0)
         assert reply.outcome is outcome and not reply.outcome.never_ran
         server.close()
@@ -299,7 +301,7 @@
             free.bind(("127.0.0.1", 0))
             port = free.getsockname()[1]
         assert (await call(("127.0.0.1", port))).outcome is Outcome.REFUSED
-        # A listener whose queue is full takes no connection: time runs out before a byte is written.
+        # A listener with a full queue accepts no connection: the timeout expires before a byte is written.
         with socket.socket() as deaf:
             deaf.bind(("127.0.0.1", 0))
             deaf.listen(0)
@@ -317,7 +319,7 @@
 
 @pytest.mark.parametrize("how", ["time ends", "cancelled", "lost"])
 def test_a_connection_that_comes_up_in_the_turn_in_which_it_is_given_up_carries_nothing(how: str) -> None:
-    """In each case it is up, and the coroutine that asked for it hasn't gone on yet."""
+    """In each case the connection is open, and the coroutine that requested it has not resumed yet."""
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
@@ -353,12 +355,14 @@
         with patch("fernweir.http.client.asyncio.timeout", timeout):
             pool.request(server.sockets[0].getsockname()[:2], "GET", "/", got.append)
             await until(lambda: ended and (got or heard))
-        if how == "lost":  # nothing of it was written, and it goes on a connection of its own
+        if how == "lost":  # none of it was written, and it is sent on a connection of its own
             assert heard and got == [] and len(ended) == 1
         else:
             assert [reply.outcome.never_ran for reply in got] == [True] and heard == []
-        (lane,) = pool._lanes.values()
-        assert lane.connecting == 0 and not lane.queue and len(lane.open) == (how == "lost")
+        (connections,) = pool._by_origin.values()
+        assert (
+            connections.connecting == 0 and not connections.queue and len(connections.open) == (how == "lost")
+        )
         pool.close()
         server.close()
 
@@ -366,7 +370,7 @@
 
 
 @pytest.mark.parametrize(
-    ("trouble", "outcome"),
+    ("error", "outcome"),
     [
         (ConnectionRefusedError(errno.ECONNREFUSED, "refused"), Outcome.REFUSED),
         (OSError(errno.EMFILE, "too many open files"), Outcome.UNREACHED),
@@ -376,19 +380,21 @@
         (UnicodeError("label too long"), Outcome.UNREACHED),
     ],
 )
-def test_only_a_refusal_says_that_nobody_listens_there(trouble: Exception, outcome: Outcome) -> None:
+def test_only_a_refusal_says_that_nobody_listens_there(error: Exception, outcome: Outcome) -> None:
     async def run() -> None:
         pool, loop = Pool(), asyncio.get_running_loop()
-        with patch.object(loop, "create_connection", side_effect=trouble):
+        with patch.object(loop, "create_connection", side_effect=error):
             reply = await call(("127.0.0.1", 9), pool)
         assert reply.outcome is outcome and reply.outcome.never_ran
-        assert [(lane.connecting, len(lane.queue)) for lane in pool._lanes.values()] == [(0, 0)]
+        assert [
+            (connections.connecting, len(connections.queue)) for connections in pool._by_origin.values()
+        ] == [(0, 0)]
 
     asyncio.run(run())
 
 
 def test_a_call_no_longer_wanted_when_its_turn_comes_is_not_sent() -> None:
-    async def story(server: Server, asked: list[Exchange]) -> None:
+    async def scenario(server: Server, asked: list[Exchange]) -> None:
         pool, done, wanted = Pool(per_origin=1), [], [True]
         for _ in range(2):
             pool.request(server.address, "GET", "/", done.append, wanted=lambda: wanted[0])
@@ -400,11 +406,11 @@
         assert len(asked) == 1
         pool.close()
 
-    play(story)
+    play(scenario)
 
 
 def test_connections_are_kept_and_cancelled_calls_break_theirs() -> None:
-    async def story(server: Server, asked: list[Exchange]) -> None:
+    async def scenario(server: Server, asked: list[Exchange]) -> None:
         server.handler = lambda exchange: asked.append(exchange) or exchange.respond(200, [], b"ok")
         pool = Pool()
         for _ in range(3):
@@ -420,11 +426,11 @@
         assert [reply.outcome for reply in ends] == [Outcome.CANCELLED]
         pool.close()
 
-    play(story)
+    play(scenario)
 
 
 def test_a_stream_of_events_outlasts_the_limit_of_a_body() -> None:
-    async def story(server: Server, asked: list[Exchange]) -> None:
+    async def scenario(server: Server, asked: list[Exchange]) -> None:
         pool, reader, got, ends = Pool(limits=Limits(body=1000)), EventReader(), [], []
         pool.request(
             server.address, "GET", "/", ends.append, on_data=lambda data: got.extend(reader.feed(data))
@@ -439,11 +445,11 @@
         assert ends[0].outcome is Outcome.ANSWERED and reader.last_id == "99"
         pool.close()
 
-    play(story)
+    play(scenario)
 
 
 def test_a_watcher_that_does_not_read_is_dropped() -> None:
-    async def story(server: Server, asked: list[Exchange]) -> None:
+    async def scenario(server: Server, asked: list[Exchange]) -> None:
         client = socket.create_connection(server.address)
         client.sendall(GET % b"1")
         await until(lambda: len(asked) == 1)
@@ -456,4 +462,4 @@
         await until(lambda: asked[0].gone)
         client.close()
 
-    play(story)
+    play(scenario)
