--- a/fernweir/appliance/merge.py
+++ b/fernweir/appliance/merge.py
@@ -62,7 +62,12 @@
         for box in picture.servers.values():
             if box.listed != "unlisted":
                 self._add(
-                    front, at, EventKind.BOX, {"start": box.start, **mark}, server=box.server, why=box.listed
+                    front,
+                    at,
+                    EventKind.SERVER,
+                    {"start": box.start, **mark},
+                    server=box.server,
+                    why=box.listed,
                 )
             if box.silent:
                 self._add(front, at, EventKind.SILENT, mark, server=box.server)
@@ -70,7 +75,7 @@
             fields: dict[str, Any] = {
                 "session": row.session, "title": row.title, "cls": row.cls, "tenant": row.tenant
             }  # fmt: skip
-            self._add(front, at, EventKind.ASKED, mark, **fields)
+            self._add(front, at, EventKind.REQUESTED, mark, **fields)
             if row.phase != "asked":
                 fields |= {"server": row.server, "attempt": row.attempt, "rung": row.rung}
                 self._add(front, at, EventKind.SETUP, mark, why=row.why, **fields)
--- a/fernweir/front/operator_controls.py
+++ b/fernweir/front/operator_controls.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from fernweir.control.orders import Orders, SiteNow
+from fernweir.control.orders import Orders, SiteSnapshot
 from fernweir.front.dispatcher import Dispatcher
 from fernweir.front.endpoint_list import EndpointList
 from fernweir.front.session_manager import SessionPhase
@@ -14,7 +14,7 @@
 
 
 class OperatorControls:
-    """Implements `control.desk.Hands` for one front."""
+    """Implements `control.desk.FrontControl` for one front."""
 
     def __init__(self, dispatcher: Dispatcher, endpoint_list: EndpointList, wall_offset_s: float) -> None:
         self._dispatcher, self._endpoint_list = dispatcher, endpoint_list
@@ -30,15 +30,15 @@
         """Returns the time of the dispatcher's clock in milliseconds."""
         return self._dispatcher.now()
 
-    def wall(self) -> int:
+    def wall_time_ms(self) -> int:
         """Returns the wall time in milliseconds."""
         return int(self._dispatcher.now() + self._wall_offset_ms)
 
-    def site(self, then: Callable[[SiteNow], None]) -> None:
+    def request_site(self, then: Callable[[SiteSnapshot], None]) -> None:
         """Calls `then` at once with the state of the site."""
         then(self._site())
 
-    def retry(self, name: str) -> bool:
+    def retry_process(self, name: str) -> bool:
         """Returns False: a front has no failed processes that could be started again."""
         return False
 
@@ -46,7 +46,7 @@
         """Returns nothing: a front is not an appliance unit."""
         return {}
 
-    def _site(self) -> SiteNow:
+    def _site(self) -> SiteSnapshot:
         """Returns the current state of the listed servers; loads are the controller's estimates."""
         sessions, controller, now = (
             self._dispatcher.sessions,
@@ -56,7 +56,7 @@
         listed = sessions.endpoint_states
         entries, zone_count = self._endpoint_list.servers, sessions.settings.zone_count
         servers = controller.servers
-        return SiteNow(
+        return SiteSnapshot(
             ready=frozenset(server for server, state in listed.items() if state is ServerState.READY),
             known=frozenset(server for server, state in listed.items() if state is not ServerState.REMOVED),
             holders={
@@ -83,12 +83,12 @@
             sessions=frozenset(sessions.records()),
         )
 
-    def orders_changed(self, orders: Orders, then: Callable[[list[str]], None]) -> None:
+    def apply_orders(self, orders: Orders, then: Callable[[list[str]], None]) -> None:
         """Applies changed orders, and calls `then` when the controller has handled them."""
         self._dispatcher.sessions.on_operator_orders_changed(self.now())
         self._dispatcher.after_step(lambda: then([]))
 
-    def end(self, id: str, session: str, why: str) -> None:
+    def end_session(self, id: str, session: str, why: str) -> None:
         """Ends a session by an operator's order."""
         self._dispatcher.sessions.revoke_session(self.now(), session, why)
         self._dispatcher.schedule_step()
--- a/fernweir/peers/owning.py
+++ b/fernweir/peers/owning.py
@@ -36,9 +36,9 @@
 from fernweir.peers.channel.spread import Loss, spread
 from fernweir.peers.channel.standby import Copied, Copy
 from fernweir.peers.channel.takeover import Claim, Finished, Inherited, Outdone, Settled, Takeover
-from fernweir.peers.lease.events import Got, Lost, Renewed, Taken
+from fernweir.peers.lease.events import LeaseAcquired, LeaseLost, LeaseRenewed, LeaseUnavailable
 from fernweir.peers.lease.holder import Holder
-from fernweir.peers.port import Claimed, Port, SessionStatus
+from fernweir.peers.port import ClaimResult, Port, SessionStatus
 
 _SPARED_MS = 1_000.0
 
@@ -123,7 +123,7 @@
         self._out = Outbox()
         self.replica = Replica(me, rules.replica, seed)
         takeover = Takeover(rules.takeover)
-        self.handoff = Handoff(me, rules.handoff, seed, takeover, port.boxes, self.replica.fence)
+        self.handoff = Handoff(me, rules.handoff, seed, takeover, port.server_numbers, self.replica.fence)
         self._sessions: dict[str, dict[str, SessionStatus]] = {}  # of each channel held
         self._owns: dict[int, str] = {}  # by part: the channels in which new sessions begin
         self._channel: dict[str, str] = {}  # of each session, also of one whose attempt is out
@@ -156,7 +156,7 @@
             channel = self._last[session][0]
         if channel is None:
             return None
-        lease = self._holder.holds(now, channel)
+        lease = self._holder.current_lease(now, channel)
         if lease is not None and self.handoff.may_steer(channel):
             return channel, lease.fence
         if self.handoff.may_finish(now, channel):
@@ -204,7 +204,7 @@
             return
         cut = parse(channel_of(self.me, self.life, session, self.rules.parts)) if self._owns else None
         channel = self._owns.get(cut.part, "") if cut is not None else ""
-        if self._holder.holds(now, channel) is not None and self.handoff.may_steer(channel):
+        if self._holder.current_lease(now, channel) is not None and self.handoff.may_steer(channel):
             self._channel[session] = channel
             self.handoff.takeover.attempted(channel, session, box)
 
@@ -216,7 +216,7 @@
         held = self._sessions.get(channel)
         if held is None and not self.handoff.may_finish(now, channel):
             # Its lease was lost while the attempt was out: the heir finds it at its box, and decides.
-            self._port.let_go(now, standing.session)
+            self._port.relinquish_session(now, standing.session)
             self._forget(standing.session)
             return
         if held is not None and held.get(standing.session) == standing:
@@ -276,7 +276,7 @@
         for channel in list(self._tries):
             self._drop_try(now, channel)
         for channel, standings in list(self._sessions.items()):
-            lease = self._holder.holds(now, channel)
+            lease = self._holder.current_lease(now, channel)
             order = self._heirs(channel, len(standings), self.me)
             if lease is None or not standings or not order:
                 self._holder.release(now, channel)
@@ -299,7 +299,10 @@
         for channel in list(self._tries):
             self._drop_try(now, channel)
         for channel, standings in list(self._sessions.items()):
-            lease, order = self._holder.holds(now, channel), self._heirs(channel, len(standings), self.me)
+            lease, order = (
+                self._holder.current_lease(now, channel),
+                self._heirs(channel, len(standings), self.me),
+            )
             if lease is not None and standings and order:
                 self.handoff.offer(now, channel, lease.fence, standings, order)
 
@@ -310,12 +313,12 @@
 
     # --- leases ---
 
-    def lease(self, now: float, event: Got | Renewed | Lost | Taken) -> None:
-        if isinstance(event, Got):
+    def lease(self, now: float, event: LeaseAcquired | LeaseRenewed | LeaseLost | LeaseUnavailable) -> None:
+        if isinstance(event, LeaseAcquired):
             self._got(now, event.lease.channel, event.lease.fence)
-        elif isinstance(event, Lost):
+        elif isinstance(event, LeaseLost):
             self._lost(now, event.channel, event.fence, event.why)
-        elif isinstance(event, Taken):
+        elif isinstance(event, LeaseUnavailable):
             self.handoff.taken(now, event.channel, event.by, event.fence)
             self._taken(now, event.channel, event.by)
 
@@ -328,7 +331,11 @@
             # It lives, and has the lease: this front is not its standby any more, and missed that word.
             self._drop_try(now, channel)
             self._spared[channel] = now + _SPARED_MS
-        elif channel in self._sessions and by not in (self.me, "") and not self._holder.holds(now, channel):
+        elif (
+            channel in self._sessions
+            and by not in (self.me, "")
+            and not self._holder.current_lease(now, channel)
+        ):
             self._holder.release(now, channel)
             self._let_go(now, channel, by)
 
@@ -398,7 +405,7 @@
         elif isinstance(event, NeedPayload):
             self.replica.payload(now, event.digest, self._port.payload(event.digest))
         elif isinstance(event, Freeze):
-            out = [one for one in self._port.out() if self._channel.get(one) == event.channel]
+            out = [one for one in self._port.sessions_in_flight() if self._channel.get(one) == event.channel]
             self.handoff.frozen(now, event.channel, out)
         elif isinstance(event, ReleaseLease):
             self._holder.release(now, event.channel)
@@ -420,12 +427,12 @@
             assert isinstance(event, Copied | OverlapOver | HandedOver | NoHeir | Lapsed)
 
     def _claim(self, event: Claim, box: int) -> None:
-        def then(now: float, claimed: Claimed) -> None:
+        def then(now: float, claimed: ClaimResult) -> None:
             self.handoff.claimed(now, event.channel, claimed)
             self._run(now)
             self._wake()
 
-        self._port.claim(box, event.channel, event.fence, event.overlap_ms, then)
+        self._port.claim_channel(box, event.channel, event.fence, event.overlap_ms, then)
 
     # --- pieces: leases that come and go ---
 
@@ -449,7 +456,7 @@
 
     def _turn(self, now: float, channel: str, fence: int) -> None:
         """The lease has been here for a while, so that not all channels are claimed in one moment."""
-        lease, copy = self._holder.holds(now, channel), self.replica.copy(channel)
+        lease, copy = self._holder.current_lease(now, channel), self.replica.copy(channel)
         if lease is None or lease.fence != fence:
             return
         if copy is None:  # its owner has told this front meanwhile that it keeps no copy any more
@@ -458,7 +465,7 @@
             self._begin(now, channel, fence, dict(copy.standings))
 
     def _begin(self, now: float, channel: str, fence: int, standings: Mapping[str, SessionStatus]) -> None:
-        self.handoff.takeover.begin(now, channel, fence, standings, listed=self._port.boxes())
+        self.handoff.takeover.begin(now, channel, fence, standings, listed=self._port.server_numbers())
         for session, where in self._channel.items():  # also what is out, and stands nowhere yet
             if where == channel and session in self._placed:
                 self.handoff.takeover.attempted(channel, session, self._placed[session])
@@ -505,7 +512,7 @@
         """All of a channel is another's, or nobody's: neither boxes nor viewers are told anything."""
         self._new.discard(channel)
         for session in list(self._sessions.pop(channel, {})):
-            self._port.let_go(now, session)
+            self._port.relinquish_session(now, session)
             self._forget(session)
             if to:
                 self._gone[session] = (to, now + self.rules.gone_ms)
@@ -538,31 +545,33 @@
         for standing in event.gone:
             held_now = held.get(standing.session)
             if held_now is not None and (held_now.box, held_now.attempt) == (standing.box, standing.attempt):
-                self._port.ended(now, standing.session, standing.attempt)
+                self._port.on_session_missing(now, standing.session, standing.attempt)
         for box, session, attempt in event.give_up:
             if self._channel.get(session) == event.channel and self._placed.get(session) == box:
                 continue  # this front's own doing, whatever a copy knows
             under = (event.channel, event.fence)
-            self._port.release(now, box, session, attempt, "nobody can prove that it is wanted", under)
+            self._port.release_attempt(
+                now, box, session, attempt, "nobody can prove that it is wanted", under
+            )
 
     def _take(
         self, now: float, channel: str, held: dict[str, SessionStatus], standing: SessionStatus
     ) -> None:
         session = standing.session
         self._gone.pop(session, None)
-        if self._port.holds(session):
+        if self._port.has_session(session):
             if self._channel.get(session) == channel:
                 held[session] = standing
                 return
             # Its viewer came here meanwhile and it began anew: one of the two is too many.
             under = (channel, self._fences.get(channel, 0))
-            self._port.release(now, standing.box, session, standing.attempt, "began anew", under)
+            self._port.release_attempt(now, standing.box, session, standing.attempt, "began anew", under)
             self.replica.end(now, channel, session)
             return
         payload = self._port.payload(standing.payload) or self.replica.payload_of(standing.payload)
         self._channel[session] = channel
         held[session] = standing
-        if self._port.take_over(now, standing, payload):
+        if self._port.adopt_session(now, standing, payload):
             self.replica.change(now, channel, standing)
             self._out.add(Steers(session, self._fences.get(channel, 0)))
         else:  # its box or its lesson is gone
@@ -633,16 +642,16 @@
         for standing in self._outside.values():
             cut = parse(channel_of(self.me, self.life, standing.session, self.rules.parts))
             channel = self._owns.get(cut.part, "") if cut is not None else ""
-            if channel in self._sessions and self._holder.holds(now, channel) is not None:
+            if channel in self._sessions and self._holder.current_lease(now, channel) is not None:
                 groups.setdefault((channel, standing.box), []).append(standing)
         for (channel, box), standings in groups.items():
-            lease = self._holder.holds(now, channel)
+            lease = self._holder.current_lease(now, channel)
             if lease is not None and self.handoff.may_steer(channel):
                 self._ask_to_adopt(channel, lease.fence, box, standings)
 
     def _ask_to_adopt(self, channel: str, fence: int, box: int, standings: Sequence[SessionStatus]) -> None:
-        def then(now: float, claimed: Claimed) -> None:
-            lease = self._holder.holds(now, channel)
+        def then(now: float, claimed: ClaimResult) -> None:
+            lease = self._holder.current_lease(now, channel)
             if not claimed.accepted or lease is None or lease.fence != fence or channel not in self._sessions:
                 return
             listed = {(session, attempt) for session, attempt, _ in claimed.sessions}
@@ -656,7 +665,7 @@
             self._wake()
 
         adopt = [(standing.session, standing.attempt) for standing in standings]
-        self._port.claim(box, channel, fence, 0.0, then, adopt)
+        self._port.claim_channel(box, channel, fence, 0.0, then, adopt)
 
     def _drop_try(self, now: float, channel: str) -> None:
         tried = self._tries.pop(channel, None)
--- a/fernweir/rehearsal/consoleday.py
+++ b/fernweir/rehearsal/consoleday.py
@@ -18,8 +18,8 @@
 from fernweir.appliance.unit import Unit
 from fernweir.audit import Auditor, audit_lines
 from fernweir.audit.printed import Drained, Printed, TraceBook
-from fernweir.console.link import Link
-from fernweir.console.script import Runner
+from fernweir.console.client import ConsoleClient
+from fernweir.console.script import ScriptRunner
 from fernweir.rehearsal.badday import free_port
 from fernweir.rehearsal.site import RehearsalSite, SitePlan
 from fernweir.standin.trace import Trace
@@ -66,12 +66,12 @@
             ports = {name: free_port() for name in ("front-1", "front-2")}
             self.unit = Unit(load_unit(self._make_unit(ports)))
             await self.unit.start()
-            self.links = [Link(self.unit.layout.root, name) for name in ("ann", "bob")]
-            self.ann, self.bob = (Runner(link, self._said) for link in self.links)
+            self.links = [ConsoleClient(self.unit.layout.root, name) for name in ("ann", "bob")]
+            self.ann, self.bob = (ScriptRunner(link, self._said) for link in self.links)
             self._lines: list[str] = []
             for link in self.links:
                 link.start()
-                await link.client.ready(20.0)
+                await link.client.wait_ready(20.0)
             self.viewers = Viewers(
                 {name: ("127.0.0.1", port) for name, port in ports.items()}, trace, self.seed,
                 wall_offset_s=self.site.wall_offset_s,
@@ -174,7 +174,7 @@
     def _said(self, line: str) -> None:
         self._lines.append(line)
 
-    async def _type(self, runner: Runner, line: str) -> dict[str, Any]:
+    async def _type(self, runner: ScriptRunner, line: str) -> dict[str, Any]:
         """A command, confirmed if it costs something."""
         await runner.run(line)
         self._commands += 1
@@ -182,17 +182,17 @@
             await runner.run("confirm")
         return runner.results[-1]
 
-    async def _drain(self, runner: Runner, box: int) -> dict[str, Any]:
+    async def _drain(self, runner: ScriptRunner, box: int) -> dict[str, Any]:
         answer = await self._type(runner, f"drain {box} rehearsal")
         while answer["outcome"] == "queued" or (answer["outcome"] == "already" and "waits" in answer["says"]):
             await asyncio.sleep(0.05)
-            row = runner.link.refresh().picture.servers.get(box)
+            row = runner.console_client.refresh().projection.servers.get(box)
             if row is not None and row.drained_by:
                 break
         self._open.setdefault(box, self.loop.time() * 1000.0)
         return answer
 
-    async def _undrain(self, box: int, runner: Runner | None = None) -> None:
+    async def _undrain(self, box: int, runner: ScriptRunner | None = None) -> None:
         begun = self._open.pop(box, None)
         if begun is not None:
             self.drains.append(Drained(box, begun, self.loop.time() * 1000.0))
@@ -247,7 +247,7 @@
 
     async def _hold_and_end(self) -> None:
         await self._type(self.bob, "hold lesson-1 rehearsal")
-        rows = list(self.ann.link.refresh().picture.sessions.values())
+        rows = list(self.ann.console_client.refresh().projection.sessions.values())
         playing = [one.session for one in rows if one.phase == "playing"]
         if playing:
             await self._type(self.bob, f"end {self.dice.choice(playing)} rehearsal")
--- a/fernweir/rehearsal/hours.py
+++ b/fernweir/rehearsal/hours.py
@@ -18,7 +18,7 @@
 
 import orjson
 
-from fernweir.console.live import History
+from fernweir.console.state import History
 from fernweir.control.channel import snapshot_lines
 from fernweir.control.follow import Follower
 from fernweir.control.orders import Order, Orders
@@ -248,12 +248,12 @@
         """Over the wire's own form, so that what is folded is what would have come through."""
         rows, self._pending = [to_row(entry) for entry in self._pending], []
         if rows:
-            self.console.feed(orjson.loads(orjson.dumps({"watch": "entries", "rows": rows})))
+            self.console.handle_message(orjson.loads(orjson.dumps({"watch": "entries", "rows": rows})))
 
     def _snapshot(self) -> None:
         self._pending = []
         for line in snapshot_lines(self.here):
-            self.console.feed(orjson.loads(line))
+            self.console.handle_message(orjson.loads(line))
 
     def _drop(self) -> None:
         """The console's connection breaks for a while; it goes on from its last entry if it can."""
@@ -264,7 +264,7 @@
     def _reconnect(self) -> None:
         self.result.reconnects += 1
         self._connected = True
-        picture = self.console.picture
+        picture = self.console.projection
         assert picture is not None
         missing = self.journal.last - picture.number
         if self.journal.first <= picture.number + 1 and missing <= 5_000:
@@ -296,7 +296,7 @@
         if not self._connected:
             self._reconnect()
         self._flush()
-        picture = self.console.picture
+        picture = self.console.projection
         assert picture is not None
         held = {jti: (one.phase.value, one.server if one.phase is not SessionPhase.PENDING else -1)
                 for jti, one in self.host.records().items()}  # fmt: skip
@@ -312,8 +312,8 @@
                 result.wrong.append(f"box {box} is shown {row.state}")
         if picture.to_plain() != self.here.to_plain():
             result.wrong.append("the console's picture is not the front's")
-        if self.console.broken:
-            result.wrong.append(self.console.broken)
+        if self.console.resync_reason:
+            result.wrong.append(self.console.resync_reason)
         result.entries, result.first_kept = self.journal.last, self.journal.first
         result.resident_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024.0
         self.folder.close()
--- a/fernweir/rehearsal/leases.py
+++ b/fernweir/rehearsal/leases.py
@@ -26,7 +26,7 @@
 import msgspec
 
 from fernweir.peers.base import Message, Send
-from fernweir.peers.lease.events import Lost
+from fernweir.peers.lease.events import LeaseLost
 from fernweir.peers.lease.holder import Holder
 from fernweir.peers.lease.keeper import Keeper
 from fernweir.peers.lease.rules import KeeperSet, LeaseRules
@@ -89,11 +89,11 @@
     longest_ms=60.0,
     drift=0.2,
     renew_ms=24.0,
-    again_ms=1_000.0,
+    resend_ms=1_000.0,
     attempt_ms=24.0,
     promise_ms=48.0,
-    pause_ms=24.0,
-    pause_most_ms=24.0,
+    backoff_ms=24.0,
+    max_backoff_ms=24.0,
     reserve_ms=24.0,
 )
 
@@ -249,7 +249,7 @@
 
     def _holder(self, name: str) -> Holder:
         holder = Holder(name, 1, self._rules, 0, self._sets)
-        holder._getting._dice = _Least()
+        holder._acquisition._rng = _Least()
         return holder
 
     def _now(self, state: State, machine: int) -> float:
@@ -280,12 +280,12 @@
             case ("release",):
                 machine.release(now, CHANNEL)
             case ("hand", str(other)):
-                machine.hand(now, CHANNEL, other)
+                machine.hand_over(now, CHANNEL, other)
         sent = []
         for effect in machine.take_effects():
             if isinstance(effect, Send) and isinstance(effect.to, str):
                 sent.append(self._number(Under(number, self._numbers[effect.to], effect.message)))
-            elif isinstance(effect, Lost):
+            elif isinstance(effect, LeaseLost):
                 machine.want(now, CHANNEL)
         return self._machines.number(machine), tuple(sent)
 
@@ -308,7 +308,7 @@
         asked = (state.machines[holder], now)
         fence = self._held.get(asked)
         if fence is None:
-            lease = self._machines.view(asked[0]).holds(now, CHANNEL)
+            lease = self._machines.view(asked[0]).current_lease(now, CHANNEL)
             fence = self._held[asked] = 0 if lease is None else lease.fence
         return fence
 
--- a/tests/golden_formats.py
+++ b/tests/golden_formats.py
@@ -28,8 +28,8 @@
 from fernweir.cli.main import main as command_line
 from fernweir.control import messages as control
 from fernweir.control import orders as operators
-from fernweir.control.channel import Channel, snapshot_lines
-from fernweir.control.desk import KIND, DeskRules, OrderDesk, load_orders
+from fernweir.control.channel import ControlServer, snapshot_lines
+from fernweir.control.desk import KIND, OrderService, OrderServiceSettings, load_orders
 from fernweir.control.follow import Follower
 from fernweir.control.statefile import write_state
 from fernweir.dash.build import Title, build_mpd
@@ -114,16 +114,16 @@
     "order": operators.Order,
     # The control socket.
     "control-hello": control.Hello,
-    "control-sessions": control.Sessions,
-    "control-servers": control.Boxes,
-    "control-why": control.Why,
-    "control-events": control.Events,
-    "control-plain": control.Plain,
-    "control-watch": control.Watch,
-    "control-change": control.Change,
-    "control-retry": control.Retry,
-    "control-orders": control.Led,
-    "control-ask-fleet": control.AskFleet,
+    "control-sessions": control.ListSessions,
+    "control-servers": control.ListServers,
+    "control-why": control.ExplainSession,
+    "control-events": control.SearchEvents,
+    "control-plain": control.SimpleRequest,
+    "control-watch": control.WatchEntries,
+    "control-change": control.ChangeOrders,
+    "control-retry": control.RetryProcess,
+    "control-orders": control.ReplaceOrders,
+    "control-ask-fleet": control.QueryFleet,
     # The server list.
     "list-document": endpoint_list.ListDocument,
     "list-server": endpoint_list.ServerEntry,
@@ -325,8 +325,8 @@
     """What a watcher shows after these lines of the control socket."""
     follower = Follower()
     for line in data.splitlines():
-        follower.feed(orjson.loads(line))
-    return follower.picture
+        follower.handle_message(orjson.loads(line))
+    return follower.projection
 
 
 def write_snapshot(value: state_projection.StateProjection) -> bytes:
@@ -464,26 +464,26 @@
         """A clock that stands still."""
         return 5_000.0
 
-    def wall(self) -> int:
+    def wall_time_ms(self) -> int:
         """A wall clock that stands still."""
         return int(NOW_S * 1000)
 
-    def site(self, then: Callable[[operators.SiteNow], None]) -> None:
+    def request_site(self, then: Callable[[operators.SiteSnapshot], None]) -> None:
         """A site of three servers with one title left on the last."""
         listed = frozenset((1, 2, 3))
         loads = {1: 100.0, 2: 200.0, 3: 300.0}
         then(
-            operators.SiteNow(
+            operators.SiteSnapshot(
                 listed, listed, {"l1": [1, 2], "l2": [3]}, {1: 2}, loads, dict.fromkeys(listed, 1000.0),
                 frozenset(("s1",)), {1: 50.0},
             )
         )  # fmt: skip
 
-    def orders_changed(self, orders: operators.Orders, then: Callable[[list[str]], None]) -> None:
+    def apply_orders(self, orders: operators.Orders, then: Callable[[list[str]], None]) -> None:
         """Says that one front didn't answer."""
         then(["front-9"])
 
-    def end(self, id: str, session: str, why: str) -> None:
+    def end_session(self, id: str, session: str, why: str) -> None:
         """Ends nothing."""
 
     def limits(self) -> Mapping[str, Any]:
@@ -498,7 +498,7 @@
         """Made-up processes."""
         return {"name": "unit"}
 
-    def retry(self, name: str) -> bool:
+    def retry_process(self, name: str) -> bool:
         """Only one process can be started again."""
         return name == "front-1"
 
@@ -512,21 +512,23 @@
     async def main() -> list[str]:
         journal = Journal("front-1", wall_offset_ms=NOW_S * 1000.0)
         journal.id = "0123456789abcdef"
-        desk = OrderDesk("front-1", journal, operators.Orders(), FixedSite(), DeskRules(["ann"]), None)
+        desk = OrderService(
+            "front-1", journal, operators.Orders(), FixedSite(), OrderServiceSettings(["ann"]), None
+        )
         desk.start()
         started = {"title": "l1", "cls": "film", "tenant": "t1", "server": 1, "attempt": 0, "rung": 2}
-        journal.add(10.0, EventKind.BOX, server=1, why="ready", more={"start": "7"})
-        journal.add(20.0, EventKind.ASKED, session="s1", title="l1", cls="film", tenant="t1")
+        journal.add(10.0, EventKind.SERVER, server=1, why="ready", more={"start": "7"})
+        journal.add(20.0, EventKind.REQUESTED, session="s1", title="l1", cls="film", tenant="t1")
         journal.add(30.0, EventKind.SETUP, session="s1", why="least loaded", **started)
         journal.add(40.0, EventKind.STARTED, session="s1", **started)
         with tempfile.TemporaryDirectory() as name:
-            channel = Channel(desk, Path(name) / "s", gauges_s=3600.0)
+            channel = ControlServer(desk, Path(name) / "s", gauges_s=3600.0)
             await channel.listen()
             reader, writer = await asyncio.open_unix_connection(str(Path(name) / "s"))
             writer.write(data + b'\n{"id":"last","do":"limits"}\n')
             lines = await answers_to(reader)
             writer.close()
-            channel.stop()
+            channel.close()
         return [line.replace(f'"pid":{os.getpid()}', '"pid":0') for line in lines]
 
     return asyncio.run(main())
@@ -543,7 +545,7 @@
 
 def read_control_message(data: bytes) -> Any:
     """A client's line after its greeting."""
-    return control.AnyAsk.model_validate({"ask": orjson.loads(data)}).ask
+    return control.RequestEnvelope.model_validate({"ask": orjson.loads(data)}).ask
 
 
 def write_model(value: BaseModel) -> bytes:
--- a/tests/test_appliance.py
+++ b/tests/test_appliance.py
@@ -229,7 +229,7 @@
         picture, journal, id = self.pictures[name], self.fronts[name], f"s{session}"
         row = picture.sessions.get(f"{name}/{id}")
         if row is None:
-            journal.add(self.count, EventKind.ASKED, session=id, title="l", cls="c")
+            journal.add(self.count, EventKind.REQUESTED, session=id, title="l", cls="c")
         elif row.phase == "asked":
             journal.add(self.count, EventKind.SETUP, session=id, server=box, attempt=0, rung=1)
         elif row.phase == "out":
@@ -441,10 +441,10 @@
 
     async def story() -> None:
         process = run()
-        ann = ControlClient(layout.socket, "ann", watch=True, longest_pause_s=0.2)
+        ann = ControlClient(layout.socket, "ann", watch=True, max_backoff_s=0.2)
         ann.start()
         try:
-            await ann.ready(30.0)
+            await ann.wait_ready(30.0)
 
             async def children() -> dict[str, Any]:
                 return {one["name"]: one for one in (await ann.ask("unit"))["unit"]["children"]}
@@ -458,7 +458,7 @@
 
             rows = await all_ready()
             assert list(rows) == ["box-1", "box-2", "list", "front-1"]
-            await until(lambda: len(ann.follower.picture.servers) == 2)  # type: ignore[union-attr]
+            await until(lambda: len(ann.follower.projection.servers) == 2)  # type: ignore[union-attr]
             asked = await ann.ask("drain", id="d1", target="1")
             if asked["outcome"] == "confirm":
                 asked = await ann.ask("drain", id="d1", target="1", mark=asked["mark"])
@@ -478,9 +478,9 @@
             assert (await ann.ask("drain", id="d1", target="1"))["says"] == asked["says"]
             front = ControlClient(layout.front_socket(1), "ann", watch=True)
             front.start()
-            await front.ready()
-            await until(lambda: front.follower.picture is not None)
-            picture = front.follower.picture
+            await front.wait_ready()
+            await until(lambda: front.follower.projection is not None)
+            picture = front.follower.projection
             assert picture is not None and picture.servers[1].state == "draining"
             orders = (await ann.ask("events", what="order", limit=500))["rows"]
             assert sum("drain 1" in row[11] for row in orders) == 1
--- a/tests/test_peers_servers.py
+++ b/tests/test_peers_servers.py
@@ -5,7 +5,7 @@
 from fernweir.front.peering import Peering
 from fernweir.front.server_client import ServerClient
 from fernweir.interface import Result
-from fernweir.peers.port import Claimed, SessionStatus
+from fernweir.peers.port import ClaimResult, SessionStatus
 from fernweir.rehearsal.site import SitePlan
 from fernweir.standin.fences import Fences
 from fernweir.standin.site import SiteTimes
@@ -63,16 +63,16 @@
         self.acts: list[object] = []
         self.lists: list[object] = []
 
-    def stands(self, now: float, standing: SessionStatus) -> None:
+    def on_session_status(self, now: float, standing: SessionStatus) -> None:
         self.standings[standing.session] = standing
 
-    def over(self, now: float, session: str) -> None:
+    def on_session_ended(self, now: float, session: str) -> None:
         self.ends.append(session)
 
-    def acted(self, act: object) -> None:
+    def on_audit_record(self, act: object) -> None:
         self.acts.append(act)
 
-    def list_told(self, now: float, rows: object, told_at: float) -> None:
+    def on_endpoint_list(self, now: float, rows: object, told_at: float) -> None:
         self.lists.append(rows)
 
 
@@ -89,7 +89,7 @@
             port = Peering(front.core, client.endpoint_list, client, classes, lambda: 0.0)
             front.core.channel_ownership = _Owner("front-0:1/0", 5 + number)
             listeners.append(_RecordingListener())
-            port.listen(listeners[-1])
+            port.set_listener(listeners[-1])
             ports.append(port)
         assert ports[0].list_rows() == ports[1].list_rows() != []
         wish = scene.wish(play_s=30.0)
@@ -101,21 +101,25 @@
         assert payload is not None and standing.answers == 1 and standing.attempt == 0
         assert [str(act.deed) for act in listeners[0].acts] == ["setup"]  # type: ignore[attr-defined]
 
-        claims: list[Claimed] = []
-        ports[1].claim(standing.box, "front-0:1/0", 6, 400.0, lambda now, claimed: claims.append(claimed))
+        claims: list[ClaimResult] = []
+        ports[1].claim_channel(
+            standing.box, "front-0:1/0", 6, 400.0, lambda now, claimed: claims.append(claimed)
+        )
         await until(lambda: bool(claims))
         assert claims[0].accepted and claims[0].sessions == ((wish.session, 0, standing.rung),)
         now = scene.fronts[1].core.now()
-        assert ports[1].take_over(now, standing, payload)
-        assert not ports[1].take_over(now, standing, payload)  # the session is here already
-        assert ports[0].let_go(now, wish.session) and listeners[0].ends == []
-        assert not ports[0].let_go(now, wish.session)
+        assert ports[1].adopt_session(now, standing, payload)
+        assert not ports[1].adopt_session(now, standing, payload)  # the session is here already
+        assert ports[0].relinquish_session(now, wish.session) and listeners[0].ends == []
+        assert not ports[0].relinquish_session(now, wish.session)
         # The successor replies to the viewer without a second set-up, and ends the session at its server.
         again = await scene.http("GET", path, wish, front=1)
         assert again.status == 200 and len(scene.records_of("box.setup")) == 1
         claims.clear()
         # The previous owner resumes without having noticed the takeover.
-        ports[0].claim(standing.box, "front-0:1/0", 5, 400.0, lambda now, claimed: claims.append(claimed))
+        ports[0].claim_channel(
+            standing.box, "front-0:1/0", 5, 400.0, lambda now, claimed: claims.append(claimed)
+        )
         await until(lambda: bool(claims))
         assert not claims[0].accepted and claims[0].fence == 6 and claims[0].sessions == ()
         # The successor's notice stream did not report the session as lost.
