--- a/fernweir/front/dash.py
+++ b/fernweir/front/dash.py
@@ -302,9 +302,10 @@
 
         def submit(request: SessionRequest) -> None:
             exchange.on_gone = lambda: self.core.withdraw_request(request.ticket)
-            exchange.on_left = lambda: self.core.on_client_half_closed(request.ticket)
+            exchange.on_half_closed = lambda: self.core.on_client_half_closed(request.ticket)
             self.core.submit(request, lambda reply: self._reply(exchange, reply, location))
-            if exchange.left:  # half-closed before the submission; a playing session is still confirmed
+            # Half-closed before the submission; a playing session is still confirmed.
+            if exchange.half_closed:
                 self.core.on_client_half_closed(request.ticket)
 
         def on_located(reply: SessionReply | None) -> None:
--- a/fernweir/http/server.py
+++ b/fernweir/http/server.py
@@ -51,8 +51,8 @@
     """One request and its response. `on_gone` is called if the connection is lost before the kernel accepted
     the complete response.
 
-    `on_left` is called earlier, if the peer closes its sending side: it may still read. A request may be
-    passed to the handler after that; then `left` is set from the start, and `on_left` is not called.
+    `on_half_closed` is called earlier, if the peer closes its sending side: it may still read. A request may
+    be passed to the handler after that; then `half_closed` is set from the start, and the callback is not called.
     """
 
     __slots__ = (
@@ -65,14 +65,14 @@
         "body",
         "head",
         "on_gone",
-        "on_left",
+        "on_half_closed",
     )
 
     def __init__(self, connection: ServerConnection, head: RequestHead) -> None:
         self.head = head
         self.body = b""
         self.on_gone: Callable[[], None] | None = None
-        self.on_left: Callable[[], None] | None = None
+        self.on_half_closed: Callable[[], None] | None = None
         self._connection = connection
         self._body: list[bytes] = []
         self._chunks: list[bytes] = []
@@ -99,7 +99,7 @@
         return self._connection.lost
 
     @property
-    def left(self) -> bool:
+    def half_closed(self) -> bool:
         """Returns whether the peer has closed its sending side; a response is still expected."""
         return self._connection.half_closed
 
@@ -219,14 +219,14 @@
 
         Nothing more is read. Pending requests are still answered, as a client may close its sending side and
         read on (RFC 9112, 9.6). The handler is notified and decides how. Requests that are dispatched later
-        have `left` set.
+        have `half_closed` set.
         """
         queued = list(self._queue)
         self._events.extend(self._parser.eof())
         self.half_closed = True
         for exchange in queued:
-            if exchange.on_left is not None and not exchange._done:
-                exchange.on_left()
+            if exchange.on_half_closed is not None and not exchange._done:
+                exchange.on_half_closed()
         self._process_events()
         return bool(self._queue)
 
--- a/tests/test_http_sockets.py
+++ b/tests/test_http_sockets.py
@@ -147,12 +147,12 @@
         server.handler = lambda exchange: (asked.append(exchange), watch(exchange))
 
         def watch(exchange: Exchange) -> None:
-            exchange.on_left = lambda: left.append(exchange.head.target)
+            exchange.on_half_closed = lambda: left.append(exchange.head.target)
 
         reader, writer = await asyncio.open_connection(*server.address)
         writer.write(GET % b"1" + GET % b"2" + GET % b"3")
         await until(lambda: len(asked) == 2)  # no more than two are accepted at once
-        assert not asked[0].left and left == []
+        assert not asked[0].half_closed and left == []
         if answered_before:
             asked[1].respond(200, [], b"second")  # waits behind the first, and still counts as answered
         writer.write_eof()
@@ -160,7 +160,7 @@
             asked[1].respond(200, [], b"second")
         asked[0].respond(200, [], b"first")
         await until(lambda: len(asked) == 3)
-        await until(lambda: asked[2].left)
+        await until(lambda: asked[2].half_closed)
         asked[2].respond(200, [], b"third")
         seen = await reader.read()
         assert [seen.index(b"first") < seen.index(b"second") < seen.index(b"third")] == [True]
@@ -176,11 +176,11 @@
         client = socket.create_connection(server.address)
         client.sendall(GET % b"1")
         await until(lambda: len(asked) == 1)
-        asked[0].on_left = lambda: events.append("left")
+        asked[0].on_half_closed = lambda: events.append("left")
         asked[0].on_gone = lambda: events.append("gone")
         client.shutdown(socket.SHUT_WR)
         await until(lambda: events == ["left"])
-        assert asked[0].left and not asked[0].gone
+        assert asked[0].half_closed and not asked[0].gone
         client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         client.close()  # a reset
         asked[0].respond(
