--- a/fernweir/front/dash.py
+++ b/fernweir/front/dash.py
@@ -165,8 +165,8 @@
         started_at = self.core.now()
 
         def on_decision(decision: IntrospectionDecision) -> None:
-            if not exchange.gone:
-                exchange.on_gone = None
+            if not exchange.connection_lost:
+                exchange.on_connection_lost = None
                 self._reply_on_rejection(exchange, lambda: proceed(decision))
 
         def proceed(decision: IntrospectionDecision) -> None:
@@ -184,7 +184,7 @@
             self._proceed(exchange, path, verified_claims, in_query, self.core.now() - started_at)
 
         number = introspection.look_up(token, wait_ms(exchange, session_class) / 2.0, on_decision)
-        exchange.on_gone = lambda: introspection.withdraw(number)
+        exchange.on_connection_lost = lambda: introspection.withdraw(number)
 
     def _read_introspected_claims(self, decision: IntrospectionDecision) -> SessionClaims:
         """Returns the claims of an opaque token; the rules are the same as for a signed token."""
@@ -227,7 +227,7 @@
 
     def _reply_to_query(self, exchange: Exchange, plays: bool | None) -> None:
         """Replies to a request to look up or end a session; `plays` is None if that is undecided now."""
-        if exchange.gone:
+        if exchange.connection_lost:
             return
         if plays is None:
             reason = "the session is between two fronts"
@@ -301,7 +301,7 @@
         locator, started_at = self.core.session_locator, self.core.now()
 
         def submit(request: SessionRequest) -> None:
-            exchange.on_gone = lambda: self.core.withdraw_request(request.ticket)
+            exchange.on_connection_lost = lambda: self.core.withdraw_request(request.ticket)
             exchange.on_half_closed = lambda: self.core.on_client_half_closed(request.ticket)
             self.core.submit(request, lambda reply: self._reply(exchange, reply, location))
             # Half-closed before the submission; a playing session is still confirmed.
@@ -309,7 +309,7 @@
                 self.core.on_client_half_closed(request.ticket)
 
         def on_located(reply: SessionReply | None) -> None:
-            if self._forwarded.pop(request.ticket, None) is None or exchange.gone:
+            if self._forwarded.pop(request.ticket, None) is None or exchange.connection_lost:
                 return
             if reply is not None:
                 self._reply(exchange, reply, location)
@@ -332,13 +332,13 @@
             on_located(SessionReply(ticket, ReplyKind.REJECTED, "front is stopping", 1_000.0))
 
     def _reply(self, exchange: Exchange, reply: SessionReply, location: str) -> None:
-        if exchange.gone:
+        if exchange.connection_lost:
             return
         try:
             self._write_reply(exchange, reply, location)
         except Exception:  # a bug in one reply must not leave its viewer waiting
             if not exchange.answered:
-                exchange.on_gone = None
+                exchange.on_connection_lost = None
                 exchange.respond(500, [*_CORS_HEADERS, ("connection", "close")])
             raise
 
@@ -347,7 +347,7 @@
             body = self._render_manifest(reply, location)
             if body is not None:
                 headers = [("content-type", MPD_TYPE), ("cache-control", "no-store")]
-                exchange.on_gone = lambda: self.core.on_reply_undelivered(reply)
+                exchange.on_connection_lost = lambda: self.core.on_reply_undelivered(reply)
                 exchange.respond(200, [*_CORS_HEADERS, *headers], body)
                 return
             reply = SessionReply(reply.ticket, ReplyKind.FAILED, "its box is no longer listed")
--- a/fernweir/http/server.py
+++ b/fernweir/http/server.py
@@ -48,11 +48,11 @@
 
 
 class Exchange:
-    """One request and its response. `on_gone` is called if the connection is lost before the kernel accepted
-    the complete response.
+    """One request and its response.
 
+    `on_connection_lost` is called if the connection is lost before the kernel accepted the complete response.
     `on_half_closed` is called earlier, if the peer closes its sending side: it may still read. A request may
-    be passed to the handler after that; then `half_closed` is set from the start, and the callback is not called.
+    be passed to the handler after that; then `half_closed` is set from the start, without a callback.
     """
 
     __slots__ = (
@@ -64,14 +64,14 @@
         "_started",
         "body",
         "head",
-        "on_gone",
+        "on_connection_lost",
         "on_half_closed",
     )
 
     def __init__(self, connection: ServerConnection, head: RequestHead) -> None:
         self.head = head
         self.body = b""
-        self.on_gone: Callable[[], None] | None = None
+        self.on_connection_lost: Callable[[], None] | None = None
         self.on_half_closed: Callable[[], None] | None = None
         self._connection = connection
         self._body: list[bytes] = []
@@ -95,7 +95,7 @@
         return self._started
 
     @property
-    def gone(self) -> bool:
+    def connection_lost(self) -> bool:
         return self._connection.lost
 
     @property
@@ -121,8 +121,8 @@
 
     def write(self, data: bytes) -> bool:
         """Sends a part of a stream. Returns False and aborts the connection if the peer doesn't read."""
-        if not data or self._done or self.gone:
-            return not self.gone
+        if not data or self._done or self.connection_lost:
+            return not self.connection_lost
         if self.head.minor:
             data = b"%x\r\n%s\r\n" % (len(data), data)
         self._send(data)
@@ -239,8 +239,8 @@
             self._unflushed = []
         lost, self._unflushed = self._unflushed + waiting, []
         for exchange in lost:
-            if exchange.on_gone is not None:
-                exchange.on_gone()
+            if exchange.on_connection_lost is not None:
+                exchange.on_connection_lost()
         self._reading = None
 
     def pause_writing(self) -> None:
@@ -361,8 +361,8 @@
         discarded, self._queue = list(self._queue), deque()
         for exchange in discarded:
             exchange._done = True
-            if exchange.on_gone is not None:
-                exchange.on_gone()
+            if exchange.on_connection_lost is not None:
+                exchange.on_connection_lost()
 
     def close_after(self, exchange: Exchange) -> None:
         self.flush()
--- a/fernweir/standin/box.py
+++ b/fernweir/standin/box.py
@@ -215,7 +215,7 @@
         else:
             low, high = self.site.times.set_up
             delay = self._dice.uniform(low, high) * how.slow + how.late_ms
-            exchange.on_gone = lambda: self._gone(number)
+            exchange.on_connection_lost = lambda: self._gone(number)
             self._loop.call_later(delay / 1000.0, self._set_up_ready, exchange, number, claims, self.boot)
 
     def _gone(self, number: int) -> None:
@@ -249,7 +249,7 @@
             attempt=session.attempt, title=session.title, cls=session.cls, rung=session.rung,
             **_under(claims.channel, claims.fence),
         )  # fmt: skip
-        if exchange.gone:
+        if exchange.connection_lost:
             return
         if how.hang or self._dice.random() < how.lost_share:
             self._hold(exchange, number)
@@ -269,11 +269,11 @@
             if how.silent_mid:
                 self._hold(exchange, number)
                 return
-            exchange.on_gone = None
+            exchange.on_connection_lost = None
             self.trace.write("box.answer", box=self.spec.number, id=number, status=200, whole=False)
             exchange.cut()
             return
-        exchange.on_gone = None
+        exchange.on_connection_lost = None
         self.trace.write("box.answer", box=self.spec.number, id=number, status=200, whole=True)
         exchange.respond(200, fields, body)
 
@@ -286,7 +286,7 @@
         """Never answers; the trace says when the other end gave up."""
         self._held_back.append(exchange)
         if number is not None:
-            exchange.on_gone = lambda: self._gone(number)
+            exchange.on_connection_lost = lambda: self._gone(number)
 
     def _steer(self, exchange: Exchange, jti: str, query: dict[str, str]) -> None:
         token = query.get("token") or exchange.headers.get("authorization").partition(" ")[2]
@@ -497,7 +497,7 @@
         watcher = _Watcher(claims.front, exchange)
         self._watchers[claims.front] = watcher
         self._unwatched.pop(claims.front, None)
-        exchange.on_gone = lambda: self._unwatch(watcher)
+        exchange.on_connection_lost = lambda: self._unwatch(watcher)
         exchange.stream(200, [("content-type", "text/event-stream"), ("cache-control", "no-store")])
         held = [[one.jti, one.attempt] for one in self.sessions.values() if one.front == claims.front]
         exchange.write(encode_event(json.dumps({"boot": self.boot, "sessions": held}), "hello"))
--- a/fernweir/standin/entitlement.py
+++ b/fernweir/standin/entitlement.py
@@ -68,7 +68,7 @@
         self._loop.call_later(self.slow_ms / 1000.0, self._serve, exchange)
 
     def _serve(self, exchange: Exchange) -> None:
-        if exchange.gone:
+        if exchange.connection_lost:
             return
         if exchange.head.target == "/jwks" and exchange.method == "GET":
             self.key_set_asked += 1
--- a/fernweir/standin/listserver.py
+++ b/fernweir/standin/listserver.py
@@ -113,7 +113,7 @@
         if exchange.head.target != "/boxes" or exchange.method != "GET":
             exchange.respond(404, [("content-type", MEDIA_TYPE)], problem(404, "no such resource"))
             return
-        exchange.on_gone = lambda: self._forget(exchange)
+        exchange.on_connection_lost = lambda: self._forget(exchange)
         exchange.stream(200, [("content-type", "text/event-stream"), ("cache-control", "no-store")])
         self._streams[exchange] = claims.front
         epoch, _, text = exchange.headers.get("last-event-id").partition(":")
--- a/tests/test_http_sockets.py
+++ b/tests/test_http_sockets.py
@@ -74,7 +74,7 @@
         gone: list[int] = []
         answer = asyncio.ensure_future(raw(server.address, GET % b"1" + GET % b"2", 5))
         await until(lambda: len(asked) == 2)
-        asked[1].on_gone = lambda: gone.append(2)
+        asked[1].on_connection_lost = lambda: gone.append(2)
         asked[0].respond(503, [("connection", "close")], b"")
         seen, closed = await answer
         assert closed and seen.count(b"HTTP/1.1") == 1 and gone == [2]
@@ -114,7 +114,7 @@
         reader.sendall(GET % b"big")
         await until(lambda: len(asked) == 1)
         asked[0].respond(200, [], b"x" * 20_000_000)
-        await until(lambda: asked[0].gone)
+        await until(lambda: asked[0].connection_lost)
         reader.close()
 
     play(scenario, limits)
@@ -177,16 +177,16 @@
         client.sendall(GET % b"1")
         await until(lambda: len(asked) == 1)
         asked[0].on_half_closed = lambda: events.append("left")
-        asked[0].on_gone = lambda: events.append("gone")
+        asked[0].on_connection_lost = lambda: events.append("gone")
         client.shutdown(socket.SHUT_WR)
         await until(lambda: events == ["left"])
-        assert asked[0].half_closed and not asked[0].gone
+        assert asked[0].half_closed and not asked[0].connection_lost
         client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         client.close()  # a reset
         asked[0].respond(
             200
         )  # asyncio reads no more after a half-close, so only this write detects the reset
-        await until(lambda: asked[0].gone)
+        await until(lambda: asked[0].connection_lost)
         assert events == ["left", "gone"]
 
     play(scenario)
@@ -200,7 +200,7 @@
         client.setblocking(False)
         client.send(GET % b"1")
         await until(lambda: len(asked) == 1)
-        asked[0].on_gone = lambda: events.append("gone")
+        asked[0].on_connection_lost = lambda: events.append("gone")
         asked[0].respond(200, [("connection", "close")], b"x" * 20_000_000)  # more than the kernel accepts
         got = 0
         while reads and got < 20_000_000:
@@ -211,7 +211,7 @@
         if not reads:
             client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         client.close()
-        await until(lambda: asked[0].gone)
+        await until(lambda: asked[0].connection_lost)
         assert events == ([] if reads else ["gone"])
 
     play(scenario)
@@ -422,7 +422,7 @@
         await until(lambda: len(asked) == 4)
         waiting.cancel()
         waiting.cancel()
-        await until(lambda: asked[3].gone)
+        await until(lambda: asked[3].connection_lost)
         assert [reply.outcome for reply in ends] == [Outcome.CANCELLED]
         pool.close()
 
@@ -459,7 +459,7 @@
             sent += 1
             await asyncio.sleep(0)
         assert sent < 2000
-        await until(lambda: asked[0].gone)
+        await until(lambda: asked[0].connection_lost)
         client.close()
 
     play(scenario)
