--- a/bench/peers_wire.py
+++ b/bench/peers_wire.py
@@ -26,7 +26,7 @@
 from fernweir.peers.wire.frames import FrameReader, frame
 from fernweir.peers.wire.gate import GateRules
 from fernweir.peers.wire.keys import Sealer
-from fernweir.peers.wire.seal import USE, Seal
+from fernweir.peers.wire.seal import DATAGRAM_PERSONALIZATION, Seal
 
 _ROUNDS = 7
 
@@ -122,7 +122,7 @@
     for kind, what in kinds.items():
         cost = micros(plays, lambda what=what: seal.try_open(what))  # type: ignore[misc]
         print(f"refusing it for its {kind}: {cost:.2f} us, {cost / through:.2f} of asyncio's reading")
-    tag = Sealer([b"k" * 32], USE)
+    tag = Sealer([b"k" * 32], DATAGRAM_PERSONALIZATION)
     print(f"of that the hash: {micros(plays, lambda: tag.tag(data)):.2f} us")
 
 
--- a/fernweir/peers/link/udp.py
+++ b/fernweir/peers/link/udp.py
@@ -15,7 +15,7 @@
 from fernweir.peers.link.rules import Drop, LinkCounts, LinkRules
 from fernweir.peers.wire.bucket import TokenBucket
 from fernweir.peers.wire.gate import Gate
-from fernweir.peers.wire.seal import Opened, RefusalKind, Refused, Seal
+from fernweir.peers.wire.seal import Opened, Refusal, RefusalKind, Seal
 
 _MAX_DRAINED_DATAGRAMS = 64
 
@@ -70,7 +70,7 @@
             self._counts.drop(Drop.FLOOD)
             return
         found = self.seal.try_open(data)
-        if isinstance(found, Refused):
+        if isinstance(found, Refusal):
             self.gate.on_refused(now, addr)
             self._counts.drop(Drop.SEALED)
             if found.kind is RefusalKind.OLD_INCARNATION:
--- a/fernweir/peers/wire/conversation.py
+++ b/fernweir/peers/wire/conversation.py
@@ -14,7 +14,7 @@
 
 from fernweir.peers.wire.codec import highest_common_format
 from fernweir.peers.wire.keys import TAG_BYTES, Sealer
-from fernweir.peers.wire.seal import MAX_NAME_BYTES, RefusalKind, Refused, SealError
+from fernweir.peers.wire.seal import MAX_NAME_BYTES, Refusal, RefusalKind, SealError
 
 MAGIC = b"\xfe\x48"
 NONCE_BYTES = 16
@@ -62,25 +62,25 @@
         Raises SealError if it is invalid, has this front's own name, or shares no supported format.
         """
         if len(data) < _MIN_HELLO_BYTES:
-            raise SealError(Refused(RefusalKind.SHORT))
+            raise SealError(Refusal(RefusalKind.SHORT))
         if not data.startswith(MAGIC):
-            raise SealError(Refused(RefusalKind.MAGIC))
+            raise SealError(Refusal(RefusalKind.MAGIC))
         length = data[4]
         if not 1 <= length <= MAX_NAME_BYTES or len(data) != _MIN_HELLO_BYTES - 1 + length:
-            raise SealError(Refused(RefusalKind.NAME))
+            raise SealError(Refusal(RefusalKind.NAME))
         view = memoryview(data)
         key_index = self._hello_sealer.find_key(view[:-TAG_BYTES], view[-TAG_BYTES:])
         if key_index is None:
-            raise SealError(Refused(RefusalKind.TAG))
+            raise SealError(Refusal(RefusalKind.TAG))
         try:
             peer = data[5 : 5 + length].decode()
         except UnicodeDecodeError:
-            raise SealError(Refused(RefusalKind.NAME)) from None
+            raise SealError(Refusal(RefusalKind.NAME)) from None
         if peer == self.name:
-            raise SealError(Refused(RefusalKind.OWN))
+            raise SealError(Refusal(RefusalKind.OWN))
         message_format = highest_common_format(self.formats, (data[3], data[2]))
         if message_format is None:
-            raise SealError(Refused(RefusalKind.FORMAT))
+            raise SealError(Refusal(RefusalKind.FORMAT))
         self.peer, self.format, self._peer_key_index = peer, message_format, key_index
         (self.peer_incarnation,) = _INCARNATION.unpack_from(data, 5 + length)
         self._peer_nonce = data[-TAG_BYTES - NONCE_BYTES : -TAG_BYTES]
@@ -96,12 +96,12 @@
     def open(self, data: bytes) -> bytes:
         """Returns the body of a frame. Raises SealError if it is not the next one of this conversation."""
         if len(data) < SEAL_OVERHEAD_BYTES:
-            raise SealError(Refused(RefusalKind.SHORT))
+            raise SealError(Refusal(RefusalKind.SHORT))
         covered = b"".join((self._peer_nonce, self._nonce, data[:-TAG_BYTES]))
         if not self._frame_sealer.verify(self._peer_key_index, covered, data[-TAG_BYTES:]):
-            raise SealError(Refused(RefusalKind.TAG))
+            raise SealError(Refusal(RefusalKind.TAG))
         if int.from_bytes(data[:8], "big") != self._last_received_counter + 1:
-            raise SealError(Refused(RefusalKind.COUNTER))
+            raise SealError(Refusal(RefusalKind.COUNTER))
         self._last_received_counter += 1
         self.proven = True
         return data[8:-TAG_BYTES]
--- a/fernweir/peers/wire/seal.py
+++ b/fernweir/peers/wire/seal.py
@@ -23,7 +23,7 @@
 _NUMBERS = struct.Struct(">QQ")
 MAX_NAME_BYTES = 64
 MIN_DATAGRAM_BYTES = 4 + 1 + _NUMBERS.size + TAG_BYTES
-USE = b"fernweir dgram"
+DATAGRAM_PERSONALIZATION = b"fernweir dgram"
 
 
 class RefusalKind(StrEnum):
@@ -40,7 +40,7 @@
     COUNTER = "counter"  # on a connection: a repeated, missing or reordered frame
 
 
-class Refused(NamedTuple):
+class Refusal(NamedTuple):
     """The reason of a refusal. For an old incarnation the other fields are authenticated."""
 
     kind: RefusalKind
@@ -52,13 +52,13 @@
 class SealError(Exception):
     """Raised for a datagram, hello or frame that is refused."""
 
-    def __init__(self, refused: Refused) -> None:
+    def __init__(self, refused: Refusal) -> None:
         super().__init__(refused.kind.value)
         self.refused, self.kind = refused, refused.kind
 
 
-_SHORT, _MAGIC, _FORMAT = Refused(RefusalKind.SHORT), Refused(RefusalKind.MAGIC), Refused(RefusalKind.FORMAT)
-_NAME, _TAG, _OWN = Refused(RefusalKind.NAME), Refused(RefusalKind.TAG), Refused(RefusalKind.OWN)
+_SHORT, _MAGIC, _FORMAT = Refusal(RefusalKind.SHORT), Refusal(RefusalKind.MAGIC), Refusal(RefusalKind.FORMAT)
+_NAME, _TAG, _OWN = Refusal(RefusalKind.NAME), Refusal(RefusalKind.TAG), Refusal(RefusalKind.OWN)
 
 
 class Opened(NamedTuple):
@@ -97,7 +97,7 @@
         self.rules = rules or SealRules()
         self.counts: dict[RefusalKind, int] = dict.fromkeys(RefusalKind, 0)
         self.name, self.incarnation, self._counter = name, incarnation, 0
-        self._sealer = Sealer(keys, USE)
+        self._sealer = Sealer(keys, DATAGRAM_PERSONALIZATION)
         self._formats = self.rules.formats
         self._senders: dict[str, _Sender] = {}
         self._name_bytes = name.encode()
@@ -126,18 +126,18 @@
         Raises SealError, counted by its kind, unless the datagram is valid and new.
         """
         result = self.try_open(data)
-        if isinstance(result, Refused):
+        if isinstance(result, Refusal):
             raise SealError(result)
         return result
 
-    def try_open(self, data: bytes) -> Opened | Refused:
+    def try_open(self, data: bytes) -> Opened | Refusal:
         """Like `open`, but returns the refusal: raising would cost more than the checks."""
         result = self._try_open(data)
-        if isinstance(result, Refused):
+        if isinstance(result, Refusal):
             self.counts[result.kind] += 1
         return result
 
-    def _try_open(self, data: bytes) -> Opened | Refused:
+    def _try_open(self, data: bytes) -> Opened | Refusal:
         size = len(data)
         if size < MIN_DATAGRAM_BYTES:
             return _SHORT
@@ -163,9 +163,9 @@
             return _OWN
         window = self.register_sender(sender, incarnation)
         if window is None:
-            return Refused(RefusalKind.OLD_INCARNATION, sender, incarnation, self.newest_incarnation(sender))
+            return Refusal(RefusalKind.OLD_INCARNATION, sender, incarnation, self.newest_incarnation(sender))
         if not window.accept(counter):
-            return Refused(RefusalKind.REPLAY, sender, incarnation, incarnation)
+            return Refusal(RefusalKind.REPLAY, sender, incarnation, incarnation)
         return Opened(sender, incarnation, counter, message_format, data[start:-TAG_BYTES])
 
     def register_sender(self, sender: str, incarnation: int) -> ReplayWindow | None:
