--- a/tests/test_http_parse.py
+++ b/tests/test_http_parse.py
@@ -84,7 +84,7 @@
 
 
 @given(st.binary(max_size=120), st.lists(st.integers(0, 200), max_size=6))
-def test_any_split_of_rubbish_gives_the_same(rubbish: bytes, cuts: list[int]) -> None:
+def test_any_split_of_invalid_input_gives_the_same(rubbish: bytes, cuts: list[int]) -> None:
     for data in (rubbish, b"GET / HTTP/1.1\r\nHost: a\r\n" + rubbish):
         assert parse(data, cuts, RequestParser(SMALL)) == parse(data, [], RequestParser(SMALL))
         reply = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + data
@@ -251,6 +251,6 @@
         split_target(target)
 
 
-def test_targets_that_are_taken() -> None:
+def test_targets_that_are_accepted() -> None:
     assert split_target("/lessons/caf%C3%A9/x?a=%20b&c=") == (["lessons", "café", "x"], {"a": " b", "c": ""})
     assert json.dumps(split_target("/a")) == '[["a"], {}]'
--- a/tests/test_http_sockets.py
+++ b/tests/test_http_sockets.py
@@ -31,38 +31,38 @@
     """Runs a scenario against a server whose requests the scenario answers."""
 
     async def run() -> None:
-        asked: list[Exchange] = []
-        server = Server(asked.append, limits)
+        exchanges: list[Exchange] = []
+        server = Server(exchanges.append, limits)
         await server.listen("127.0.0.1", 0)
         try:
-            await scenario(server, asked)
+            await scenario(server, exchanges)
         finally:
             server.abort()
 
     asyncio.run(run())
 
 
-def test_pipelined_requests_are_answered_in_the_order_asked() -> None:
-    async def scenario(server: Server, asked: list[Exchange]) -> None:
+def test_pipelined_requests_are_answered_in_request_order() -> None:
+    async def scenario(server: Server, exchanges: list[Exchange]) -> None:
         answer = asyncio.ensure_future(
             raw(server.address, GET % b"1" + GET % b"2" + GET % b"3", 5, half_close=True)
         )
-        await until(lambda: len(asked) == 3)
-        for exchange in reversed(asked):
+        await until(lambda: len(exchanges) == 3)
+        for exchange in reversed(exchanges):
             exchange.respond(200, [], exchange.head.target.encode())
         seen, closed = await answer
         assert closed and [seen.index(b"/1") < seen.index(b"/2") < seen.index(b"/3")] == [True]
         with pytest.raises(RuntimeError, match="once"):
-            asked[0].respond(200)
+            exchanges[0].respond(200)
 
     play(scenario)
 
 
-def test_a_fault_is_answered_after_what_came_before_it() -> None:
-    async def scenario(server: Server, asked: list[Exchange]) -> None:
+def test_a_fault_is_answered_after_earlier_requests() -> None:
+    async def scenario(server: Server, exchanges: list[Exchange]) -> None:
         answer = asyncio.ensure_future(raw(server.address, GET % b"1" + b"BAD\r\n\r\n", 5))
-        await until(lambda: len(asked) == 1)
-        asked[0].respond(200, [], b"first")
+        await until(lambda: len(exchanges) == 1)
+        exchanges[0].respond(200, [], b"first")
         seen, closed = await answer
         assert closed and seen.count(b"HTTP/1.1") == 2 and seen.index(b"first") < seen.index(b" 400 ")
 
@@ -70,12 +70,12 @@
 
 
 def test_nothing_is_answered_behind_an_announced_close() -> None:
-    async def scenario(server: Server, asked: list[Exchange]) -> None:
+    async def scenario(server: Server, exchanges: list[Exchange]) -> None:
         gone: list[int] = []
         answer = asyncio.ensure_future(raw(server.address, GET % b"1" + GET % b"2", 5))
-        await until(lambda: len(asked) == 2)
-        asked[1].on_connection_lost = lambda: gone.append(2)
-        asked[0].respond(503, [("connection", "close")], b"")
+        await until(lambda: len(exchanges) == 2)
+        exchanges[1].on_connection_lost = lambda: gone.append(2)
+        exchanges[0].respond(503, [("connection", "close")], b"")
         seen, closed = await answer
         assert closed and seen.count(b"HTTP/1.1") == 1 and gone == [2]
 
@@ -83,15 +83,15 @@
 
 
 def test_head_and_continue() -> None:
-    async def scenario(server: Server, asked: list[Exchange]) -> None:
+    async def scenario(server: Server, exchanges: list[Exchange]) -> None:
         head = b"HEAD / HTTP/1.1\r\nHost: a\r\n\r\n"
         put = b"PUT / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\nab"
         answer = asyncio.ensure_future(raw(server.address, head + put, 5, half_close=True))
-        await until(lambda: len(asked) == 2)
-        asked[0].respond(200, [], b"body")
-        asked[1].respond(204)
+        await until(lambda: len(exchanges) == 2)
+        exchanges[0].respond(200, [], b"body")
+        exchanges[1].respond(204)
         seen, _ = await answer
-        assert b"content-length: 4\r\n\r\nHTTP/1.1 204" in seen and asked[1].body == b"ab"
+        assert b"content-length: 4\r\n\r\nHTTP/1.1 204" in seen and exchanges[1].body == b"ab"
         alone, _ = await asyncio.gather(raw(server.address, put[:-2], 0.2), asyncio.sleep(0))
         assert alone[0].startswith(b"HTTP/1.1 100 Continue")
 
@@ -101,7 +101,7 @@
 def test_slow_senders_idle_ones_and_slow_readers_are_ended() -> None:
     limits = ServerLimits(head_s=0.05, body_s=0.05, idle_s=0.1, stalled_s=0.1)
 
-    async def scenario(server: Server, asked: list[Exchange]) -> None:
+    async def scenario(server: Server, exchanges: list[Exchange]) -> None:
         partial, slow_body = (
             b"GET / HTTP/1.1\r\nHo",
             b"PUT / HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n",
@@ -112,9 +112,9 @@
         assert await raw(server.address, b"", 5) == (b"", True)
         reader = socket.create_connection(server.address)  # never reads
         reader.sendall(GET % b"big")
-        await until(lambda: len(asked) == 1)
-        asked[0].respond(200, [], b"x" * 20_000_000)
-        await until(lambda: asked[0].connection_lost)
+        await until(lambda: len(exchanges) == 1)
+        exchanges[0].respond(200, [], b"x" * 20_000_000)
+        await until(lambda: exchanges[0].connection_lost)
         reader.close()
 
     play(scenario, limits)
@@ -123,45 +123,45 @@
 def test_a_reader_that_stalls_stops_being_read() -> None:
     """Responses pile up for a client that doesn't read, so its further requests wait in its own kernel."""
 
-    async def scenario(server: Server, asked: list[Exchange]) -> None:
+    async def scenario(server: Server, exchanges: list[Exchange]) -> None:
         client = socket.create_connection(server.address)
         client.setblocking(False)
         client.send((GET % b"1") * 100)
-        await until(lambda: len(asked) >= 32)
+        await until(lambda: len(exchanges) >= 32)
         for _ in range(20):
             await asyncio.sleep(0)
-        taken = len(asked)
+        taken = len(exchanges)
         assert taken < 100
-        for exchange in list(asked):
+        for exchange in list(exchanges):
             exchange.respond(200)
-        await until(lambda: len(asked) > taken)
+        await until(lambda: len(exchanges) > taken)
         client.close()
 
     play(scenario, replace(ServerLimits(), pipeline=32, parse=Limits()))
 
 
 @pytest.mark.parametrize("answered_before", [True, False])
-def test_a_handler_hears_once_that_the_other_side_ended_and_may_still_answer(answered_before: bool) -> None:
-    async def scenario(server: Server, asked: list[Exchange]) -> None:
+def test_a_handler_is_notified_once_of_a_half_close_and_may_still_answer(answered_before: bool) -> None:
+    async def scenario(server: Server, exchanges: list[Exchange]) -> None:
         left: list[str] = []
-        server.handler = lambda exchange: (asked.append(exchange), watch(exchange))
+        server.handler = lambda exchange: (exchanges.append(exchange), watch(exchange))
 
         def watch(exchange: Exchange) -> None:
             exchange.on_half_closed = lambda: left.append(exchange.head.target)
 
         reader, writer = await asyncio.open_connection(*server.address)
         writer.write(GET % b"1" + GET % b"2" + GET % b"3")
-        await until(lambda: len(asked) == 2)  # no more than two are accepted at once
-        assert not asked[0].half_closed and left == []
+        await until(lambda: len(exchanges) == 2)  # no more than two are accepted at once
+        assert not exchanges[0].half_closed and left == []
         if answered_before:
-            asked[1].respond(200, [], b"second")  # waits behind the first, and still counts as answered
+            exchanges[1].respond(200, [], b"second")  # waits behind the first, and still counts as answered
         writer.write_eof()
         if not answered_before:  # nothing is read while the third waits
-            asked[1].respond(200, [], b"second")
-        asked[0].respond(200, [], b"first")
-        await until(lambda: len(asked) == 3)
-        await until(lambda: asked[2].half_closed)
-        asked[2].respond(200, [], b"third")
+            exchanges[1].respond(200, [], b"second")
+        exchanges[0].respond(200, [], b"first")
+        await until(lambda: len(exchanges) == 3)
+        await until(lambda: exchanges[2].half_closed)
+        exchanges[2].respond(200, [], b"third")
         seen = await reader.read()
         assert [seen.index(b"first") < seen.index(b"second") < seen.index(b"third")] == [True]
         assert left in (["/3"], []) and seen.count(b"HTTP/1.1 200") == 3
@@ -170,38 +170,40 @@
     play(scenario, replace(ServerLimits(), pipeline=2))
 
 
-def test_who_ends_its_side_and_then_breaks_is_left_first_and_gone_after() -> None:
-    async def scenario(server: Server, asked: list[Exchange]) -> None:
+def test_a_reset_after_a_half_close_is_reported_after_it() -> None:
+    async def scenario(server: Server, exchanges: list[Exchange]) -> None:
         events: list[str] = []
         client = socket.create_connection(server.address)
         client.sendall(GET % b"1")
-        await until(lambda: len(asked) == 1)
-        asked[0].on_half_closed = lambda: events.append("left")
-        asked[0].on_connection_lost = lambda: events.append("gone")
+        await until(lambda: len(exchanges) == 1)
+        exchanges[0].on_half_closed = lambda: events.append("left")
+        exchanges[0].on_connection_lost = lambda: events.append("gone")
         client.shutdown(socket.SHUT_WR)
         await until(lambda: events == ["left"])
-        assert asked[0].half_closed and not asked[0].connection_lost
+        assert exchanges[0].half_closed and not exchanges[0].connection_lost
         client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         client.close()  # a reset
-        asked[0].respond(
+        exchanges[0].respond(
             200
         )  # asyncio reads no more after a half-close, so only this write detects the reset
-        await until(lambda: asked[0].connection_lost)
+        await until(lambda: exchanges[0].connection_lost)
         assert events == ["left", "gone"]
 
     play(scenario)
 
 
 @pytest.mark.parametrize("reads", [True, False])
-def test_an_answer_that_could_not_be_written_whole_is_told_of(reads: bool) -> None:
-    async def scenario(server: Server, asked: list[Exchange]) -> None:
+def test_a_response_that_could_not_be_written_completely_is_reported(reads: bool) -> None:
+    async def scenario(server: Server, exchanges: list[Exchange]) -> None:
         events: list[str] = []
         client = socket.create_connection(server.address)
         client.setblocking(False)
         client.send(GET % b"1")
-        await until(lambda: len(asked) == 1)
-        asked[0].on_connection_lost = lambda: events.append("gone")
-        asked[0].respond(200, [("connection", "close")], b"x" * 20_000_000)  # more than the kernel accepts
+        await until(lambda: len(exchanges) == 1)
+        exchanges[0].on_connection_lost = lambda: events.append("gone")
+        exchanges[0].respond(
+            200, [("connection", "close")], b"x" * 20_000_000
+        )  # more than the kernel accepts
         got = 0
         while reads and got < 20_000_000:
             try:
@@ -211,7 +213,7 @@
         if not reads:
             client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         client.close()
-        await until(lambda: asked[0].connection_lost)
+        await until(lambda: exchanges[0].connection_lost)
         assert events == ([] if reads else ["gone"])
 
     play(scenario)
@@ -228,14 +230,14 @@
 
 
 def test_ten_thousand_idle_connections_cost_nobody_an_answer() -> None:
-    async def scenario(server: Server, asked: list[Exchange]) -> None:
+    async def scenario(server: Server, exchanges: list[Exchange]) -> None:
         # The clients run in a process of their own, as one process may not open so many descriptors.
         command = [sys.executable, "-c", IDLERS, str(server.address[1])]
         with subprocess.Popen(command, stdin=subprocess.PIPE) as idlers:
             await until(lambda: len(server.connections) >= 10_000, 60.0)
             answer = asyncio.ensure_future(raw(server.address, GET % b"1", 5, half_close=True))
-            await until(lambda: len(asked) == 1)
-            asked[0].respond(200, [], b"here")
+            await until(lambda: len(exchanges) == 1)
+            exchanges[0].respond(200, [], b"here")
             assert b"here" in (await answer)[0] and len(server.connections) >= 10_000
             idlers.kill()
 
@@ -284,7 +286,7 @@
         (b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nab", "still", Outcome.ANSWERED),
     ],
 )
-def test_ends_of_calls_are_told_apart(answer: bytes, then: str, outcome: Outcome) -> None:
+def test_outcomes_of_calls_are_distinguished(answer: bytes, then: str, outcome: Outcome) -> None:
     async def run() -> None:
         loop = asyncio.get_running_loop()
         server = await loop.create_server(lambda: MisbehavingServer(answer, then), "127.0.0.1", 0)
@@ -295,7 +297,7 @@
     asyncio.run(run())
 
 
-def test_a_call_that_never_left_is_known_as_such() -> None:
+def test_a_call_that_was_never_sent_is_reported_as_such() -> None:
     async def run() -> None:
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
@@ -318,7 +320,7 @@
 
 
 @pytest.mark.parametrize("how", ["time ends", "cancelled", "lost"])
-def test_a_connection_that_comes_up_in_the_turn_in_which_it_is_given_up_carries_nothing(how: str) -> None:
+def test_a_connection_given_up_in_the_iteration_in_which_it_opens_carries_nothing(how: str) -> None:
     """In each case the connection is open, and the coroutine that requested it has not resumed yet."""
 
     async def run() -> None:
@@ -380,7 +382,7 @@
         (UnicodeError("label too long"), Outcome.UNREACHED),
     ],
 )
-def test_only_a_refusal_says_that_nobody_listens_there(error: Exception, outcome: Outcome) -> None:
+def test_only_a_refused_connection_proves_that_the_port_is_closed(error: Exception, outcome: Outcome) -> None:
     async def run() -> None:
         pool, loop = Pool(), asyncio.get_running_loop()
         with patch.object(loop, "create_connection", side_effect=error):
@@ -394,35 +396,35 @@
 
 
 def test_a_call_no_longer_wanted_when_its_turn_comes_is_not_sent() -> None:
-    async def scenario(server: Server, asked: list[Exchange]) -> None:
+    async def scenario(server: Server, exchanges: list[Exchange]) -> None:
         pool, done, wanted = Pool(per_origin=1), [], [True]
         for _ in range(2):
             pool.request(server.address, "GET", "/", done.append, wanted=lambda: wanted[0])
-        await until(lambda: len(asked) == 1)
+        await until(lambda: len(exchanges) == 1)
         wanted[0] = False
-        asked[0].respond(200)
+        exchanges[0].respond(200)
         await until(lambda: len(done) == 2)
         assert [reply.outcome for reply in done] == [Outcome.ANSWERED, Outcome.UNWANTED]
-        assert len(asked) == 1
+        assert len(exchanges) == 1
         pool.close()
 
     play(scenario)
 
 
-def test_connections_are_kept_and_cancelled_calls_break_theirs() -> None:
-    async def scenario(server: Server, asked: list[Exchange]) -> None:
-        server.handler = lambda exchange: asked.append(exchange) or exchange.respond(200, [], b"ok")
+def test_connections_are_reused_and_cancelled_calls_abort_theirs() -> None:
+    async def scenario(server: Server, exchanges: list[Exchange]) -> None:
+        server.handler = lambda exchange: exchanges.append(exchange) or exchange.respond(200, [], b"ok")
         pool = Pool()
         for _ in range(3):
             assert (await call(server.address, pool)).body == b"ok"
-        assert len({exchange.connection_id for exchange in asked}) == 1
-        server.handler = asked.append
+        assert len({exchange.connection_id for exchange in exchanges}) == 1
+        server.handler = exchanges.append
         ends: list[Reply] = []
         waiting = pool.request(server.address, "GET", "/", ends.append)
-        await until(lambda: len(asked) == 4)
+        await until(lambda: len(exchanges) == 4)
         waiting.cancel()
         waiting.cancel()
-        await until(lambda: asked[3].connection_lost)
+        await until(lambda: exchanges[3].connection_lost)
         assert [reply.outcome for reply in ends] == [Outcome.CANCELLED]
         pool.close()
 
@@ -430,17 +432,17 @@
 
 
 def test_a_stream_of_events_outlasts_the_limit_of_a_body() -> None:
-    async def scenario(server: Server, asked: list[Exchange]) -> None:
+    async def scenario(server: Server, exchanges: list[Exchange]) -> None:
         pool, reader, got, ends = Pool(limits=Limits(body=1000)), EventReader(), [], []
         pool.request(
             server.address, "GET", "/", ends.append, on_data=lambda data: got.extend(reader.feed(data))
         )
-        await until(lambda: len(asked) == 1)
-        asked[0].stream(200, [("content-type", "text/event-stream")])
+        await until(lambda: len(exchanges) == 1)
+        exchanges[0].stream(200, [("content-type", "text/event-stream")])
         for number in range(100):
-            asked[0].write(encode_event("x" * 50, "e", str(number)))
+            exchanges[0].write(encode_event("x" * 50, "e", str(number)))
         await until(lambda: len(got) == 100)
-        asked[0].finish_stream()
+        exchanges[0].finish_stream()
         await until(lambda: len(ends) == 1)
         assert ends[0].outcome is Outcome.ANSWERED and reader.last_id == "99"
         pool.close()
@@ -449,17 +451,17 @@
 
 
 def test_a_watcher_that_does_not_read_is_dropped() -> None:
-    async def scenario(server: Server, asked: list[Exchange]) -> None:
+    async def scenario(server: Server, exchanges: list[Exchange]) -> None:
         client = socket.create_connection(server.address)
         client.sendall(GET % b"1")
-        await until(lambda: len(asked) == 1)
-        asked[0].stream(200)
+        await until(lambda: len(exchanges) == 1)
+        exchanges[0].stream(200)
         sent = 0
-        while asked[0].write(b"x" * 65_536) and sent < 2000:
+        while exchanges[0].write(b"x" * 65_536) and sent < 2000:
             sent += 1
             await asyncio.sleep(0)
         assert sent < 2000
-        await until(lambda: asked[0].connection_lost)
+        await until(lambda: exchanges[0].connection_lost)
         client.close()
 
     play(scenario)
