--- a/bench/peers_wire.py
+++ b/bench/peers_wire.py
@@ -23,10 +23,10 @@
 from fernweir.peers.link.rules import Drop, Identity, LinkRules
 from fernweir.peers.wire.codec import Codec
 from fernweir.peers.wire.conversation import Conversation
-from fernweir.peers.wire.frames import Frames, frame
+from fernweir.peers.wire.frames import FrameReader, frame
 from fernweir.peers.wire.gate import GateRules
 from fernweir.peers.wire.keys import Sealer
-from fernweir.peers.wire.seal import USE, Seal
+from fernweir.peers.wire.seal import DATAGRAM_PERSONALIZATION, Seal
 
 _ROUNDS = 7
 
@@ -88,7 +88,7 @@
     for what, keys in (("open", [b"k" * 32]), ("open by the second of two keys", [b"o" * 32, b"k" * 32])):
         receiver = Seal(keys, "front-2", 1_790_000_000_000)
         sealed = iter([sender.seal(body, 1) for _ in range(plays)])
-        costs[what] = micros(plays, lambda r=receiver, s=sealed: r.look(next(s)))  # type: ignore[misc]
+        costs[what] = micros(plays, lambda r=receiver, s=sealed: r.try_open(next(s)))  # type: ignore[misc]
     print(f"datagram of {len(sender.seal(body, 1))} bytes, {len(said)} messages, us: ", end="")
     print(", ".join(f"{what} {cost:.2f}" for what, cost in costs.items()))
 
@@ -120,9 +120,9 @@
 
     print(f"reading {len(data)} bytes: recvfrom {plain:.2f} us, through asyncio's loop {through:.2f} us")
     for kind, what in kinds.items():
-        cost = micros(plays, lambda what=what: seal.look(what))  # type: ignore[misc]
+        cost = micros(plays, lambda what=what: seal.try_open(what))  # type: ignore[misc]
         print(f"refusing it for its {kind}: {cost:.2f} us, {cost / through:.2f} of asyncio's reading")
-    tag = Sealer([b"k" * 32], USE)
+    tag = Sealer([b"k" * 32], DATAGRAM_PERSONALIZATION)
     print(f"of that the hash: {micros(plays, lambda: tag.tag(data)):.2f} us")
 
 
@@ -155,11 +155,11 @@
 def connection(plays: int, size: int) -> None:
     here = Conversation([b"k" * 32], "a", 1, bytes(16))
     there = Conversation([b"k" * 32], "b", 1, bytes(range(16)))
-    here.take_hello(there.hello())
-    there.take_hello(here.hello())
+    here.accept_hello(there.hello())
+    there.accept_hello(here.hello())
     body, count = bytes(size), max(_ROUNDS, min(plays, 100_000_000 // size))
     stream = iter([frame(here.seal(body)) for _ in range(count)])
-    reader = Frames()
+    reader = FrameReader()
 
     def take() -> None:
         reader.feed(next(stream))
@@ -291,7 +291,7 @@
     memory()
     asyncio.run(peers_memory(50))
     for flood, most in ((0, 2_000), (20_000, 2_000), (20_000, 10**9), (100_000, 2_000), (100_000, 10**9)):
-        asyncio.run(flooded(3.0, flood, GateRules(bad=most)))
+        asyncio.run(flooded(3.0, flood, GateRules(max_refused_per_s=most)))
 
 
 if __name__ == "__main__":
--- a/fernweir/peers/program.py
+++ b/fernweir/peers/program.py
@@ -27,7 +27,7 @@
 from fernweir.peers.peer import KINDS, IncarnationSuperseded, LogRecord, Peer, PeerGone, PeerRules
 from fernweir.peers.port import Port
 from fernweir.peers.settings import formats
-from fernweir.peers.wire.codec import Codec, common
+from fernweir.peers.wire.codec import Codec, highest_common_format
 from fernweir.peers.wire.keys import KeyFileError, read_key
 
 _CHECK_INTERVAL_MS = 10.0  # between two checks of the deadlines, and so the maximum delay
@@ -161,7 +161,7 @@
     def _format_of(self, name: str) -> int | None:
         member = self.peer.members.table().get(name)
         mine = self.peer.me.formats
-        return mine[0] if member is None else common(mine, member.formats)
+        return mine[0] if member is None else highest_common_format(mine, member.formats)
 
     def _on_message(self, sender: str, life: int, message: Message) -> None:
         self.peer.on_message(self._core.now(), sender, life, message)
@@ -218,7 +218,7 @@
         This happens while the front joins. Its sessions stay, and belong to no channel.
         """
         self._core.log.info("lives on under a later life", life=life, before=self.peer.me.life)
-        self.links.relive(life)
+        self.links.advance_incarnation(life)
         now, pending = self._core.now(), self.peer.close(self._core.now())
         self.peer = self._create_peer(life)
         self.peer.start(now, self._seeds)
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -58,7 +58,7 @@
 from fernweir.peers.wire import keys
 from fernweir.peers.wire.codec import Codec
 from fernweir.peers.wire.conversation import Conversation
-from fernweir.peers.wire.frames import Frames, frame
+from fernweir.peers.wire.frames import FrameReader, frame
 from fernweir.peers.wire.seal import Opened, Seal, SealRules
 from tests.golden_peers import plain
 from tests.helpers import CLASS, RETRY_BUDGET, SETTINGS, SLOW_START
@@ -111,7 +111,7 @@
 
 
 def _read_frames(data: bytes) -> Any:
-    frames = Frames()
+    frames = FrameReader()
     frames.feed(data)
     return [plain(frames.next()), plain(frames.next())]
 
@@ -126,7 +126,7 @@
 
 
 def _open_datagram(data: bytes) -> Any:
-    found = Seal(KEYS, "front-b", LIFE, SealRules(formats=(1, 3))).look(data)
+    found = Seal(KEYS, "front-b", LIFE, SealRules(formats=(1, 3))).try_open(data)
     assert isinstance(found, Opened)
     return plain(found)
 
@@ -140,22 +140,22 @@
 
 def _read_hello(data: bytes) -> Any:
     called = _conversations()[1]
-    called.take_hello(data)
-    return [called.peer, called.peer_life, called.format]
+    called.accept_hello(data)
+    return [called.peer, called.peer_incarnation, called.format]
 
 
 def _connection() -> bytes:
     """Hello and two frames, as one side writes them."""
     caller, called = _conversations()
-    caller.take_hello(called.hello())
+    caller.accept_hello(called.hello())
     return frame(caller.hello()) + frame(caller.seal(b"")) + frame(caller.seal(b"a body"))
 
 
 def _read_connection(data: bytes) -> Any:
-    called, frames = _conversations()[1], Frames()
+    called, frames = _conversations()[1], FrameReader()
     called.hello()
     frames.feed(data)
-    called.take_hello(frames.next() or b"")
+    called.accept_hello(frames.next() or b"")
     return [plain(called.open(frames.next() or b"")), called.proven, plain(called.open(frames.next() or b""))]
 
 
