--- a/fernweir/front/program.py
+++ b/fernweir/front/program.py
@@ -106,7 +106,7 @@
         """Ends at once: connections are aborted, and nothing more is sent."""
         self.list_follower.stop()
         if self.peers is not None:
-            self.peers.cut()
+            self.peers.abort()
         if self.control is not None:
             self.control.stop()
         if self.introspection is not None:
@@ -275,8 +275,8 @@
     keyring: Keyring, wall_s: Callable[[], float], nonce: Callable[[int], bytes],
 ) -> Peers:  # fmt: skip
     from fernweir.front.peering import Peering
-    from fernweir.peers.program import Beginning, Peers, read_keys
-    from fernweir.peers.reach import Reach
+    from fernweir.peers.program import Peers, PeersConfig, read_keys
+    from fernweir.peers.session_routing import SessionRouting
     from fernweir.peers.settings import first_versions, link_rules, peer_rules
 
     def wall_ms() -> float:
@@ -293,7 +293,7 @@
             core.log.error("audit log cannot be opened", why=error.strerror or str(error))
         for problem in folder.problems:
             core.log.warning("audit log is incomplete", why=problem)
-    beginning = Beginning(
+    beginning = PeersConfig(
         name=config.front.name,
         seed=config.front.seed,
         section=section,
@@ -302,11 +302,11 @@
         rules=peer_rules(section),
         links=link_rules(section),
         record=folder,
-        kept=stored_segments,
+        stored_segments=stored_segments,
     )
     port = Peering(core, endpoint_list, server_client, config.class_names, wall_ms)
     peers = await Peers.start(core, port, beginning, wall_ms, nonce)
-    core.channel_ownership = core.session_locator = Reach(core, port, peers, config.settings)
+    core.channel_ownership = core.session_locator = SessionRouting(core, port, peers, config.settings)
     return peers
 
 
