--- a/tests/test_appliance.py
+++ b/tests/test_appliance.py
@@ -1,4 +1,4 @@
-"""A unit: when its processes start and stop, its fronts' journals as one, its folder, and all of it alive."""
+"""Tests of a unit: supervision, the merged journal, the folder's layout and backups, and a running unit."""
 
 from __future__ import annotations
 
@@ -18,12 +18,21 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from fernweir.appliance.backup import back_up, check, restore
-from fernweir.appliance.doctor import Grade, look_over
+from fernweir.appliance.doctor import Grade, diagnose_unit
 from fernweir.appliance.layout import Layout, Lock, UnitError, load_unit, migrate, read_format
 from fernweir.appliance.logs import open_log, rotate
-from fernweir.appliance.make import Wish, make_unit
-from fernweir.appliance.merge import Merger
-from fernweir.appliance.supervise import Child, Kill, Say, Start, State, SuperviseRules, Supervisor, Terminate
+from fernweir.appliance.make import UnitOptions, create_unit
+from fernweir.appliance.merge import JournalMerger
+from fernweir.appliance.supervise import (
+    ChildSpec,
+    Kill,
+    LogMessage,
+    Start,
+    State,
+    Supervisor,
+    SupervisorSettings,
+    Terminate,
+)
 from fernweir.config.ini import ConfigError
 from fernweir.control.client import ControlClient
 from fernweir.control.desk import KIND, load_orders
@@ -35,23 +44,23 @@
 
 # --- supervision ---
 
-CHILDREN = [Child("box"), Child("list", ("box",)), Child("front", ("list",))]
-RULES = SuperviseRules(
-    first_pause_ms=100.0, longest_pause_ms=1_000.0, steady_ms=5_000.0, restarts=3, window_ms=60_000.0,
-    ready_ms=2_000.0, stop_ms=1_000.0,
+CHILDREN = [ChildSpec("box"), ChildSpec("list", ("box",)), ChildSpec("front", ("list",))]
+RULES = SupervisorSettings(
+    initial_backoff_ms=100.0, max_backoff_ms=1_000.0, stable_ms=5_000.0, max_restarts=3,
+    restart_window_ms=60_000.0, ready_timeout_ms=2_000.0, stop_timeout_ms=1_000.0,
 )  # fmt: skip
 
 
-class Unit:
-    """A supervisor, a clock, and which processes run."""
+class SimulatedUnit:
+    """A supervisor with a simulated clock and simulated processes."""
 
-    def __init__(self, rules: SuperviseRules = RULES) -> None:
+    def __init__(self, rules: SupervisorSettings = RULES) -> None:
         self.supervisor, self.now = Supervisor(CHILDREN, rules, 1), 0.0
         self.alive: list[str] = []
-        self.said: list[str] = []
+        self.messages: list[str] = []
 
     def step(self, after: float = 0.0) -> list[str]:
-        """What was done, as `start box` and so on."""
+        """Advances the clock and returns the commands, such as `start box`."""
         self.now += after
         done = []
         for command in self.supervisor.step(self.now):
@@ -63,26 +72,26 @@
                 assert command.name in self.alive
                 done.append(f"{type(command).__name__.lower()} {command.name}")
             else:
-                self.said.append(command.text)
+                self.messages.append(command.text)
         return done
 
-    def end(self, name: str, how: str = "ended with 1") -> None:
+    def end(self, name: str, reason: str = "ended with 1") -> None:
         self.alive.remove(name)
-        said = self.supervisor.exited(self.now, name, how)
-        self.said += [one.text for one in said if isinstance(one, Say)]
+        commands = self.supervisor.on_exit(self.now, name, reason)
+        self.messages += [command.text for command in commands if isinstance(command, LogMessage)]
 
     def ready(self, name: str) -> None:
-        self.supervisor.ready(self.now, name)
+        self.supervisor.on_ready(self.now, name)
 
 
-def test_it_starts_in_order_and_stops_the_other_way_round() -> None:
-    unit = Unit()
+def test_children_start_in_dependency_order_and_stop_in_reverse() -> None:
+    unit = SimulatedUnit()
     assert unit.step() == ["start box"] and unit.step() == []
     unit.ready("box")
     assert unit.step() == ["start list"]
     unit.ready("list")
     unit.end("box")
-    assert unit.step() == ["start front"]  # what it needs was ready once: that is enough
+    assert unit.step() == ["start front"]  # its dependency has been ready once, which is enough
     unit.ready("front")
     unit.supervisor.stop(unit.now)
     assert unit.step() == ["terminate front"] and unit.step(500.0) == []
@@ -93,59 +102,63 @@
     assert unit.step() == [] and unit.supervisor.stopped
 
 
-def test_pauses_grow_until_it_is_steady_and_too_many_ends_give_it_up() -> None:
-    unit = Unit(replace(RULES, restarts=100))
+def test_backoff_grows_until_the_child_is_stable_and_too_many_exits_give_it_up() -> None:
+    unit = SimulatedUnit(replace(RULES, max_restarts=100))
     unit.step()
-    pauses = []
+    backoffs_ms = []
     for _ in range(6):
         unit.end("box")
-        due = unit.supervisor.next_due()
-        assert due is not None
-        pauses.append(due - unit.now)
-        assert unit.step(due - unit.now) == ["start box"]
-    assert all(50.0 * 2**n <= pause <= 100.0 * 2**n for n, pause in enumerate(pauses[:4]))
-    assert max(pauses) <= 1_000.0
+        deadline = unit.supervisor.next_deadline()
+        assert deadline is not None
+        backoffs_ms.append(deadline - unit.now)
+        assert unit.step(deadline - unit.now) == ["start box"]
+    assert all(50.0 * 2**n <= backoff_ms <= 100.0 * 2**n for n, backoff_ms in enumerate(backoffs_ms[:4]))
+    assert max(backoffs_ms) <= 1_000.0
     unit.ready("box")
     unit.now += 6_000.0
     unit.end("box")
-    due = unit.supervisor.next_due()
-    assert due is not None and due - unit.now <= 100.0
+    deadline = unit.supervisor.next_deadline()
+    assert deadline is not None and deadline - unit.now <= 100.0
 
-    unit = Unit()
+    unit = SimulatedUnit()
     unit.step()
     for _ in range(3):
         unit.end("box")
         assert unit.step(1_000.0) == ["start box"]
     unit.end("box")
-    assert unit.supervisor.rows["box"].state is State.GIVEN_UP and "given up" in unit.said[-1]
+    assert unit.supervisor.children["box"].state is State.GIVEN_UP and "given up" in unit.messages[-1]
     assert unit.step(100_000.0) == []
     assert unit.supervisor.retry(unit.now, "box") and unit.step() == ["start box"]
     assert not unit.supervisor.retry(unit.now, "box")
 
 
-def test_one_that_is_not_ready_in_time_is_killed_and_counts_as_failed() -> None:
-    unit = Unit()
+def test_a_child_that_is_not_ready_in_time_is_killed_and_counts_as_failed() -> None:
+    unit = SimulatedUnit()
     unit.step()
     assert unit.step(2_000.0) == ["kill box"] and unit.step(1.0) == []
     unit.end("box", "killed by signal 9")
-    assert unit.supervisor.rows["box"].failures == 1 and unit.step(100.0) == ["start box"]
+    assert unit.supervisor.children["box"].consecutive_failures == 1 and unit.step(100.0) == ["start box"]
 
 
 @pytest.mark.parametrize(
     "children",
-    [[Child("a"), Child("a")], [Child("a", ("b",))], [Child("a", ("b",)), Child("b", ("a",))]],
+    [
+        [ChildSpec("a"), ChildSpec("a")],
+        [ChildSpec("a", ("b",))],
+        [ChildSpec("a", ("b",)), ChildSpec("b", ("a",))],
+    ],
 )
-def test_children_that_cannot_be(children: list[Child]) -> None:
+def test_duplicate_unknown_and_cyclic_children_are_rejected(children: list[ChildSpec]) -> None:
     with pytest.raises(ValueError, match=r"a"):
         Supervisor(children)
 
 
-class SuperviseStory(RuleBasedStateMachine):
-    """Ends, readiness, stops at any moment: never two of one child, never one left over."""
+class SupervisorStateMachine(RuleBasedStateMachine):
+    """Exits, readiness and stops at any moment: a child never runs twice, and none outlives the stop."""
 
     @initialize()
     def begin(self) -> None:
-        self.unit = Unit(replace(RULES, restarts=5))
+        self.unit = SimulatedUnit(replace(RULES, max_restarts=5))
 
     @rule(after=st.sampled_from([0.0, 60.0, 900.0, 2_500.0]))
     def time(self, after: float) -> None:
@@ -172,7 +185,7 @@
     @invariant()
     def agrees(self) -> None:
         if hasattr(self, "unit"):
-            for name, row in self.unit.supervisor.rows.items():
+            for name, row in self.unit.supervisor.children.items():
                 runs = row.state in (State.STARTING, State.READY, State.STOPPING)
                 assert runs == (name in self.unit.alive)
 
@@ -182,52 +195,52 @@
             for _ in range(8):
                 self.unit.step(1_100.0)
                 for name in list(self.unit.alive):
-                    if self.unit.supervisor.rows[name].state is State.STOPPING:
+                    if self.unit.supervisor.children[name].state is State.STOPPING:
                         self.unit.end(name)
             assert self.unit.supervisor.stopped and self.unit.alive == []
 
 
-SuperviseStory.TestCase.settings = hypothesis_settings(max_examples=100, stateful_step_count=30)
-TestSuperviseStory = SuperviseStory.TestCase
+SupervisorStateMachine.TestCase.settings = hypothesis_settings(max_examples=100, stateful_step_count=30)
+TestSupervisorStateMachine = SupervisorStateMachine.TestCase
 
 
-# --- journals as one ---
+# --- the merged journal ---
 
 
-class MergeStory(RuleBasedStateMachine):
-    """Fronts that live, die and lose their journals; a unit that dies: one picture, each entry once."""
+class MergeStateMachine(RuleBasedStateMachine):
+    """Fronts exit and lose their journals, and the unit restarts: one projection, each entry merged once."""
 
     @initialize()
     def begin(self) -> None:
         self.fronts = {name: Journal(name, JournalConfig(segment_entries=8)) for name in ("f1", "f2")}
-        self.pictures = {name: StateProjection() for name in self.fronts}
+        self.projections = {name: StateProjection() for name in self.fronts}
         for name, journal in self.fronts.items():
-            journal.watchers.append(self.pictures[name].apply)
+            journal.watchers.append(self.projections[name].apply)
             journal.add(0.0, EventKind.FRONT, why="up")
         self.sent = dict.fromkeys(self.fronts, ("", 0))
         self.rows: list[Any] = []
-        self.unit()
+        self.start_unit()
         self.count = 0
 
-    def unit(self) -> None:
-        """A life of the unit: its own journal is what it was."""
+    def start_unit(self) -> None:
+        """Starts the unit again with the entries that its journal had."""
         self.journal = Journal("", JournalConfig(segment_entries=8))
         self.journal.restore("unit", [], list(self.rows))
-        self.picture = StateProjection()
+        self.projection = StateProjection()
         for entry in self.rows:
-            self.picture.apply(entry)
-        self.journal.watchers += [self.picture.apply, self.rows.append]
-        self.merger = Merger(self.journal)
+            self.projection.apply(entry)
+        self.journal.watchers += [self.projection.apply, self.rows.append]
+        self.merger = JournalMerger(self.journal)
         self.merger.recover()
         self.connected: set[str] = set()
-        for name in list(self.picture.fronts):
-            self.merger.gone(name, 0)
+        for name in list(self.projection.fronts):
+            self.merger.mark_front_down(name, 0)
 
     @rule(name=st.sampled_from(["f1", "f2"]), session=st.integers(0, 3), box=st.integers(1, 3))
     def happens(self, name: str, session: int, box: int) -> None:
         self.count += 1
-        picture, journal, id = self.pictures[name], self.fronts[name], f"s{session}"
-        row = picture.sessions.get(f"{name}/{id}")
+        projection, journal, id = self.projections[name], self.fronts[name], f"s{session}"
+        row = projection.sessions.get(f"{name}/{id}")
         if row is None:
             journal.add(self.count, EventKind.REQUESTED, session=id, title="l", cls="c")
         elif row.phase == "asked":
@@ -246,131 +259,136 @@
         self.catch_up(name)
 
     def catch_up(self, name: str) -> None:
-        """As the channel does: entries after the last one taken, or a snapshot."""
-        journal, taken = self.fronts[name], self.merger.since(name)
-        if taken.journal == journal.id and taken.number <= journal.last:
-            for entry in journal.entries(max(taken.number - 1, 0)):  # some twice, as after a dropped line
-                self.merger.entry(name, journal.id, entry)
+        """Sends the entries after the last merged one, or a snapshot, as the channel does."""
+        journal, position = self.fronts[name], self.merger.position_of(name)
+        if position.journal == journal.id and position.number <= journal.last:
+            # One entry is sent twice, as after a lost connection.
+            for entry in journal.entries(max(position.number - 1, 0)):
+                self.merger.add_entry(name, journal.id, entry)
         else:
-            picture = StateProjection.from_plain(self.pictures[name].to_plain())
-            self.merger.snapshot(name, journal.id, picture)
+            projection = StateProjection.from_plain(self.projections[name].to_plain())
+            self.merger.add_snapshot(name, journal.id, projection)
 
     @rule(name=st.sampled_from(["f1", "f2"]))
     def front_dies(self, name: str) -> None:
         self.connected.discard(name)
-        self.merger.gone(name, 0)
+        self.merger.mark_front_down(name, 0)
         self.fronts[name].add(0.0, EventKind.FRONT, why="up")
 
     @rule(name=st.sampled_from(["f1", "f2"]))
     def loses_its_journal(self, name: str) -> None:
         self.front_dies(name)
         self.fronts[name] = Journal(name, JournalConfig(segment_entries=8))
-        self.pictures[name] = StateProjection()
-        self.fronts[name].watchers.append(self.pictures[name].apply)
+        self.projections[name] = StateProjection()
+        self.fronts[name].watchers.append(self.projections[name].apply)
         self.fronts[name].add(0.0, EventKind.FRONT, why="up")
 
     @rule()
     def unit_dies(self) -> None:
-        """And its fronts with it: a front that outlives its unit is not listened to."""
+        """The fronts restart too: the unit ignores a front that an earlier process of it started."""
         for journal in self.fronts.values():
             journal.add(0.0, EventKind.FRONT, why="up")
-        self.unit()
+        self.start_unit()
 
     @invariant()
     def one_picture(self) -> None:
         if not hasattr(self, "merger"):
             return
         for name in self.connected:
-            shown = {row.session: (row.phase, row.server) for row in self.picture.sessions.values()
+            shown = {row.session: (row.phase, row.server) for row in self.projection.sessions.values()
                      if row.front == name}  # fmt: skip
-            held = {row.session: (row.phase, row.server) for row in self.pictures[name].sessions.values()}
-            assert shown == held
-        gone = {row.front for row in self.picture.sessions.values()} - self.connected
-        assert not gone, "sessions of a front that nobody hears"
+            expected = {
+                row.session: (row.phase, row.server) for row in self.projections[name].sessions.values()
+            }
+            assert shown == expected
+        gone = {row.front for row in self.projection.sessions.values()} - self.connected
+        assert not gone, "sessions of a front that is not connected"
         numbers = [entry.number for entry in self.rows]
         assert numbers == list(range(1, len(numbers) + 1))
-        marks = [(e.front, e.more["j"], e.more["n"]) for e in self.rows
+        origins = [(e.front, e.more["j"], e.more["n"]) for e in self.rows
                  if "n" in e.more and e.what is EventKind.PLAYS]  # fmt: skip
-        assert len(marks) == len(set(marks)), "an answer counted twice"
+        assert len(origins) == len(set(origins)), "an entry was merged twice"
 
 
-MergeStory.TestCase.settings = hypothesis_settings(max_examples=100, stateful_step_count=30)
-TestMergeStory = MergeStory.TestCase
+MergeStateMachine.TestCase.settings = hypothesis_settings(max_examples=100, stateful_step_count=30)
+TestMergeStateMachine = MergeStateMachine.TestCase
 
 
 # --- the folder ---
 
 
-def made(tmp_path: Path, **more: Any) -> Path:
+def create_test_unit(tmp_path: Path, **options: Any) -> Path:
+    """Creates a unit with two simulated servers and returns its folder."""
     root = tmp_path / "u"
-    make_unit(root, Wish("yard", port=0, boxes=2, issuer="rehearsal", **more))
+    create_unit(root, UnitOptions("yard", port=0, simulated_servers=2, issuer="rehearsal", **options))
     return root
 
 
-def test_a_new_unit_is_whole_and_closed_to_others(tmp_path: Path) -> None:
-    root = made(tmp_path, fronts=2, operators=("ann",))
+def test_a_new_unit_is_complete_and_private(tmp_path: Path) -> None:
+    root = create_test_unit(tmp_path, fronts=2, operators=("ann",))
     config = load_unit(root)
     assert config.unit.fronts == 2 and config.trial is not None and config.trial.boxes == 2
     assert oct((root / "keys.json").stat().st_mode & 0o777) == "0o600"
     assert "Restart=always" in (root / "fernweir-unit.service").read_text()
-    grades = {one.about: one.grade for one in look_over(root, least_free=0)}
+    grades = {finding.subject: finding.grade for finding in diagnose_unit(root, min_free_bytes=0)}
     assert set(grades.values()) == {Grade.GOOD}
     with pytest.raises(UnitError, match="is not empty; nothing was changed"):
-        make_unit(root, Wish("yard", boxes=1))
+        create_unit(root, UnitOptions("yard", simulated_servers=1))
     with pytest.raises(UnitError, match="too long for a socket"):
-        make_unit(tmp_path / ("d" * 100), Wish("yard", port=0, boxes=1))
-    with pytest.raises(UnitError, match="where the list of boxes is"):
-        make_unit(tmp_path / "v", Wish("yard"))
+        create_unit(tmp_path / ("d" * 100), UnitOptions("yard", port=0, simulated_servers=1))
+    with pytest.raises(UnitError, match="the URL of the server list"):
+        create_unit(tmp_path / "v", UnitOptions("yard"))
     assert not (tmp_path / "v").exists()
     with pytest.raises(UnitError, match=r"no unit\.ini"):
         load_unit(tmp_path / "nowhere")
 
 
-def test_the_doctor_names_what_is_wrong(tmp_path: Path) -> None:
-    root = made(tmp_path)
+def test_the_doctor_reports_each_problem(tmp_path: Path) -> None:
+    root = create_test_unit(tmp_path)
 
-    def bad(**more: Any) -> dict[str, str]:
-        return {one.about: one.says for one in look_over(root, **{"least_free": 0, **more})
-                if one.grade is not Grade.GOOD}  # fmt: skip
+    def problems(**more: Any) -> dict[str, str]:
+        return {finding.subject: finding.message
+                for finding in diagnose_unit(root, **{"min_free_bytes": 0, **more})
+                if finding.grade is not Grade.GOOD}  # fmt: skip
 
     (root / "keys.json").chmod(0o644)
-    assert "keys.json can be read by others" in bad()["permissions"]
+    assert "keys.json can be read by others" in problems()["permissions"]
     (root / "keys.json").chmod(0o600)
-    assert "MiB free" in bad(least_free=1 << 60)["disk"]
-    assert "after now" in bad(now=lambda: 1e9)["clock"]
+    assert "MiB free" in problems(min_free_bytes=1 << 60)["disk"]
+    assert "after now" in problems(now=lambda: 1e9)["clock"]
     keys = json.loads((root / "keys.json").read_text())
-    for left, says in ((86_400, "lapses in 1.0 days"), (-5, "has lapsed")):
-        keys["keys"][0]["exp"] = 2e9 + left
+    for remaining_s, message in ((86_400, "expires in 1.0 days"), (-5, "has expired")):
+        keys["keys"][0]["exp"] = 2e9 + remaining_s
         (root / "keys.json").write_text(json.dumps(keys))
-        assert says in bad(now=lambda: 2e9)["front-1"]
+        assert message in problems(now=lambda: 2e9)["front-1"]
     del keys["keys"][0]["exp"]
     (root / "keys.json").write_text(json.dumps(keys))
     front = Layout(root).front_ini(1)
     text = front.read_text()
     front.write_text(text.replace("led = yes", "led = no"))
-    assert "not led" in bad()["front-1"]
+    assert "not led" in problems()["front-1"]
     front.write_text(text.replace("tell = 2 s", "tell = often"))
-    assert "tell" in bad()["front-1"]
+    assert "tell" in problems()["front-1"]
     front.write_text(text)
     Layout(root).orders.write_bytes(b"half a fi")
-    assert "damaged" in bad()["state"]
+    assert "damaged" in problems()["state"]
 
 
-def test_a_second_unit_on_one_folder_is_refused(tmp_path: Path) -> None:
-    layout = Layout(made(tmp_path))
+def test_a_second_unit_on_the_same_folder_is_rejected(tmp_path: Path) -> None:
+    layout = Layout(create_test_unit(tmp_path))
     first = Lock(layout)
-    first.take()
+    first.acquire()
     with pytest.raises(UnitError, match=f"runs here already, process {os.getpid()}"):
-        Lock(layout).take()
-    first.give_back()
+        Lock(layout).acquire()
+    first.release()
     second = Lock(layout)
-    second.take()
-    second.give_back()
+    second.acquire()
+    second.release()
 
 
-def test_an_older_state_is_brought_up_to_date_and_a_newer_one_refused(tmp_path: Path) -> None:
-    layout = Layout(made(tmp_path))
-    layout.format.unlink()  # the first format had no mark, and its orders at the root
+def test_an_older_state_is_migrated_and_a_newer_one_rejected(tmp_path: Path) -> None:
+    layout = Layout(create_test_unit(tmp_path))
+    layout.format.unlink()  # format 1 had no format file, and stored its orders at the root
     first = {"format": 1, "version": 4, "drains": {"2": ["ann", 7]}, "holds": {"lesson-1": ["bob", 8]}}
     write_state(layout.root / "orders.json", KIND, first)
     assert read_format(layout) == 1 and migrate(layout) == ["state brought to format 2"]
@@ -382,8 +400,8 @@
         migrate(layout)
 
 
-def test_a_backup_comes_back_as_it_was_and_a_damaged_one_does_not(tmp_path: Path) -> None:
-    root, file = made(tmp_path), tmp_path / "unit.backup"
+def test_a_backup_restores_all_files_and_a_damaged_one_is_rejected(tmp_path: Path) -> None:
+    root, file = create_test_unit(tmp_path), tmp_path / "unit.backup"
     layout = Layout(root)
     write_state(layout.orders, KIND, {"format": 1, "version": 1, "drains": {"1": ["ann", 7]}, "holds": {}})
     back_up(root, file)
@@ -392,77 +410,77 @@
     layout.orders.unlink()
     (root / "keys.json").write_text("lost")
     lock = Lock(layout)
-    lock.take()
+    lock.acquire()
     with pytest.raises(UnitError, match="runs here already"):
         restore(root, file)
-    lock.give_back()
-    assert "as their checksums say" in restore(root, file)[0]
+    lock.release()
+    assert "match their checksums" in restore(root, file)[0]
     after = {path.relative_to(root): path.read_bytes() for path in root.rglob("*") if path.is_file()}
     assert after == before and load_orders(layout.orders).drained(1)
-    kept = root.with_name("u.before-restore")
-    assert (kept / "keys.json").read_text() == "lost"
+    previous = root.with_name("u.before-restore")
+    assert (previous / "keys.json").read_text() == "lost"
     data = file.read_bytes()
-    for cut in (0, 20, len(data) // 2, len(data) - 30):
-        file.write_bytes(data[:cut])
+    for length in (0, 20, len(data) // 2, len(data) - 30):
+        file.write_bytes(data[:length])
         with pytest.raises(UnitError):
             restore(root, file)
     file.write_bytes(data[:-200] + bytes(byte ^ 0x55 for byte in data[-200:-190]) + data[-190:])
     with pytest.raises(UnitError):
         check(file)
-    assert load_orders(layout.orders).drained(1)  # nothing was touched
-    with pytest.raises(UnitError, match="is there already"):
+    assert load_orders(layout.orders).drained(1)  # the unit is unchanged
+    with pytest.raises(UnitError, match="already exists"):
         back_up(root, file)
 
 
-def test_logs_are_bounded_while_their_writers_go_on(tmp_path: Path) -> None:
+def test_logs_stay_bounded_while_their_writers_continue(tmp_path: Path) -> None:
     path = tmp_path / "front-1.log"
-    handle = open_log(path)
+    descriptor = open_log(path)
     for number in range(10):
-        os.write(handle, b"x" * 90 + b"%09d\n" % number)
+        os.write(descriptor, b"x" * 90 + b"%09d\n" % number)
         rotate(path, 250, 2)
-    os.close(handle)
-    sizes = {one.name: one.stat().st_size for one in tmp_path.iterdir()}
+    os.close(descriptor)
+    sizes = {file.name: file.stat().st_size for file in tmp_path.iterdir()}
     assert set(sizes) == {"front-1.log", "front-1.log.1", "front-1.log.2"} and max(sizes.values()) <= 300
-    assert path.read_bytes().startswith(b"x" * 90)  # written at the new beginning, not past a hole
+    assert path.read_bytes().startswith(b"x" * 90)  # written at the new start, without a sparse gap
 
 
-# --- alive ---
+# --- a running unit ---
 
 
-def test_a_unit_whose_processes_are_killed_comes_back_and_its_drains_stand(tmp_path: Path) -> None:
-    root = made(tmp_path)
+def test_a_unit_whose_processes_are_killed_recovers_and_keeps_its_drains(tmp_path: Path) -> None:
+    root = create_test_unit(tmp_path)
     layout = Layout(root)
 
-    def run() -> subprocess.Popen[bytes]:
+    def start_unit() -> subprocess.Popen[bytes]:
         with open(tmp_path / "unit.log", "ab") as log:
             return subprocess.Popen(
                 [sys.executable, "-m", "fernweir", "appliance", "run", str(root)], stdout=log, stderr=log
             )
 
-    async def story() -> None:
-        process = run()
+    async def scenario() -> None:
+        process = start_unit()
         ann = ControlClient(layout.socket, "ann", watch=True, max_backoff_s=0.2)
         ann.start()
         try:
             await ann.wait_ready(30.0)
 
             async def children() -> dict[str, Any]:
-                return {one["name"]: one for one in (await ann.ask("unit"))["unit"]["children"]}
+                return {child["name"]: child for child in (await ann.ask("unit"))["unit"]["children"]}
 
             async def all_ready() -> dict[str, Any]:
                 while True:
                     rows = await children()
-                    if all(one["state"] == "ready" for one in rows.values()):
+                    if all(child["state"] == "ready" for child in rows.values()):
                         return rows
                     await asyncio.sleep(0.05)
 
             rows = await all_ready()
             assert list(rows) == ["box-1", "box-2", "list", "front-1"]
             await until(lambda: len(ann.follower.projection.servers) == 2)  # type: ignore[union-attr]
-            asked = await ann.ask("drain", id="d1", target="1")
-            if asked["outcome"] == "confirm":
-                asked = await ann.ask("drain", id="d1", target="1", mark=asked["mark"])
-            assert asked["outcome"] == "done" and "missing" not in asked
+            reply = await ann.ask("drain", id="d1", target="1")
+            if reply["outcome"] == "confirm":
+                reply = await ann.ask("drain", id="d1", target="1", mark=reply["mark"])
+            assert reply["outcome"] == "done" and "missing" not in reply
             os.kill(rows["front-1"]["pid"], signal.SIGKILL)
             while (await children())["front-1"]["pid"] == rows["front-1"]["pid"]:
                 await asyncio.sleep(0.05)
@@ -472,16 +490,16 @@
             process.send_signal(signal.SIGKILL)
             process.wait()
             await until(lambda: not ann.connected)
-            process = run()  # as the service manager does
+            process = start_unit()  # as a service manager does
             await until(lambda: ann.connected)
             await all_ready()
-            assert (await ann.ask("drain", id="d1", target="1"))["says"] == asked["says"]
+            assert (await ann.ask("drain", id="d1", target="1"))["says"] == reply["says"]
             front = ControlClient(layout.front_socket(1), "ann", watch=True)
             front.start()
             await front.wait_ready()
             await until(lambda: front.follower.projection is not None)
-            picture = front.follower.projection
-            assert picture is not None and picture.servers[1].state == "draining"
+            projection = front.follower.projection
+            assert projection is not None and projection.servers[1].state == "draining"
             orders = (await ann.ask("events", what="order", limit=500))["rows"]
             assert sum("drain 1" in row[11] for row in orders) == 1
             front.close()
@@ -490,11 +508,11 @@
             process.terminate()
             assert process.wait() == 0, (tmp_path / "unit.log").read_text()[-2000:]
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_settings_of_a_unit_that_are_wrong(tmp_path: Path) -> None:
-    root = made(tmp_path)
+def test_invalid_settings_of_a_unit_are_reported(tmp_path: Path) -> None:
+    root = create_test_unit(tmp_path)
     ini = Layout(root).unit_ini
     ini.write_text(ini.read_text().replace("fronts = 1", "fronts = none\nfront = 3"))
     with pytest.raises(ConfigError, match=r"fronts(.|\n)*front"):
--- a/tests/test_dash.py
+++ b/tests/test_dash.py
@@ -1,4 +1,4 @@
-"""MPDs: read as mpegdash reads them, written as they came, and nothing else taken from XML."""
+"""Tests of the MPD reader and writer against mpegdash, and of the XML that the reader rejects."""
 
 from __future__ import annotations
 
@@ -43,10 +43,10 @@
 """
 
 
-def test_a_rich_document_is_understood_and_kept() -> None:
+def test_a_rich_document_is_parsed_and_preserved() -> None:
     mpd = read_mpd(RICH)
     period = mpd.periods[0]
-    group = period.sets[0]
+    group = period.adaptation_sets[0]
     first, second = group.representations
     assert mpd.title == "Café & <Tee>" and mpd.period_s(period) == 10.0
     assert mpd.duration("mediaPresentationDuration") == 60.5
@@ -61,14 +61,14 @@
     assert ET.canonicalize(mpd.write(), strip_text=True) == ET.canonicalize(RICH, strip_text=True)
 
 
-def test_mpegdash_reads_the_same() -> None:
-    """The oracle agrees on what we write and what we read."""
+def test_mpegdash_reads_the_same_values() -> None:
+    """mpegdash reads the same values from our output and from our input."""
     mpd = build_mpd(Title("a <b> & c", 61.0, 2.0, [100, 200, 400]))
     put_query(mpd, "token=a.b-c&x=1")
-    mpd.put_first("BaseURL", "http://127.0.0.1:1/", serviceLocation="box-1")
+    mpd.replace_child("BaseURL", "http://127.0.0.1:1/", serviceLocation="box-1")
     theirs = MPEGDASHParser.parse(mpd.write().decode())
     group = theirs.periods[0].adaptation_sets[0]
-    ours = mpd.periods[0].sets[0].representations
+    ours = mpd.periods[0].adaptation_sets[0].representations
     assert [(one.id, one.bandwidth) for one in group.representations] == [(r.id, r.bandwidth) for r in ours]
     assert theirs.base_urls[0].base_url_value == "http://127.0.0.1:1/"
     assert theirs.base_urls[0].service_location == "box-1"
@@ -92,20 +92,20 @@
 
 
 @given(ELEMENTS)
-def test_what_is_written_is_read_back_and_by_another_reader_too(root: Element) -> None:
+def test_written_documents_are_read_back_here_and_by_elementtree(root: Element) -> None:
     data = write_xml(root)
     assert read_xml(data) == root
     assert ET.fromstring(data).tag == root.name
 
 
 @given(st.text("<>/a =\"'&;!-[]?#x1:CDAT", max_size=40))
-def test_what_another_reader_refuses_is_refused(rubbish: str) -> None:
-    data = f"<a>{rubbish}</a>".encode()
+def test_markup_that_elementtree_rejects_is_rejected(markup: str) -> None:
+    data = f"<a>{markup}</a>".encode()
     try:
         ours = read_xml(data)
     except XmlError:
         return
-    if ":" not in rubbish and "]]>" not in rubbish:  # prefixes are kept as written, not resolved
+    if ":" not in markup and "]]>" not in markup:  # prefixes are kept as written, not resolved
         assert ET.fromstring(data).tag == ours.name
 
 
@@ -127,7 +127,7 @@
         (b"<a>" + b" " * 5_000_000, "too large"),
     ],
 )
-def test_xml_that_is_refused(data: bytes, word: str) -> None:
+def test_unsupported_and_malformed_xml_is_rejected(data: bytes, word: str) -> None:
     with pytest.raises(XmlError, match=word):
         read_xml(data)
 
@@ -141,13 +141,13 @@
         ((b"Period", b"Perio"), "without a Period"),
     ],
 )
-def test_documents_that_are_no_mpd(change: tuple[bytes, bytes], word: str) -> None:
+def test_documents_that_are_not_an_mpd_are_rejected(change: tuple[bytes, bytes], word: str) -> None:
     with pytest.raises(MpdError, match=word):
         read_mpd(RICH.replace(*change))
 
 
 @pytest.mark.parametrize("bad", ["r='x'", "r='-1'", "d='0'", "t='-1' d='2'", "d='1' r='999999999'"])
-def test_timelines_without_bound_are_refused(bad: str) -> None:
+def test_unbounded_or_invalid_timelines_are_rejected(bad: str) -> None:
     body = RICH.replace(
         b'<S t="5" d="20" r="1"/><S d="10"/><S t="60" d="20" r="-1"/>', f"<S {bad}/>".encode()
     )
@@ -155,7 +155,7 @@
         body.replace(b' duration="PT10S"', b"").replace(b' mediaPresentationDuration="PT1M0.5S"', b"")
     )
     period = mpd.periods[0]
-    group = period.sets[0]
+    group = period.adaptation_sets[0]
     with pytest.raises(MpdError):
         segment_template(period, group, group.representations[0]).segments(None)
 
@@ -173,14 +173,14 @@
             parse_duration(bad)
 
 
-def test_the_query_of_annex_i() -> None:
+def test_query_parameters_of_annex_i() -> None:
     mpd = build_mpd(Title("t", 10, 2, [100]))
-    levels = [mpd, mpd.periods[0], mpd.periods[0].sets[0]]
+    levels = [mpd, mpd.periods[0], mpd.periods[0].adaptation_sets[0]]
     assert segment_query(list(levels), "m=1") == ""
     put_query(mpd, "token=abc")
     put_query(mpd, "token=abd")
     assert segment_query(list(levels), "m=1") == "token=abd"
-    info = mpd.periods[0].sets[0].element.first("EssentialProperty").first("UrlQueryInfo")  # type: ignore[union-attr]
+    info = mpd.periods[0].adaptation_sets[0].element.first("EssentialProperty").first("UrlQueryInfo")  # type: ignore[union-attr]
     assert info is not None
     info.attrs.update(useMPDUrlQuery="true", queryTemplate="a=$$&$query:m$&$query:none$&$querypart$")
     assert segment_query(list(levels), "m=1%20") == "a=$&m=1%20&none=&m=1%20&token=abd"
@@ -193,7 +193,7 @@
     for query in ("token=a", "token=b"):
         text = cache.render(manifest, 1, 1, "http://h/", "box-1", "http://f/?a=1&b=2", query)
         mpd = read_mpd(text)
-        group = mpd.periods[0].sets[0]
+        group = mpd.periods[0].adaptation_sets[0]
         assert [rep.id for rep in group.representations] == ["r1"]
         assert segment_query([mpd, group], "") == query and mpd.locations == ["http://f/?a=1&b=2"]
     short = build_mpd(Title("t", 10, 2, [100, 200])).write()
