--- a/fernweir/peers/channel/copies.py
+++ b/fernweir/peers/channel/copies.py
@@ -7,7 +7,15 @@
 from random import Random
 
 from fernweir.peers.base import Effect, Event, Message, Outbox, Send
-from fernweir.peers.channel.messages import Deltas, Dropped, Hail, Have, PayloadPiece, PayloadWanted, Piece
+from fernweir.peers.channel.messages import (
+    Deltas,
+    OwnerHeartbeat,
+    PayloadPiece,
+    PayloadRequest,
+    ReplicaAck,
+    ReplicaDropped,
+    SnapshotPiece,
+)
 from fernweir.peers.channel.owned import OwnedChannel
 from fernweir.peers.channel.payloads import Payloads
 from fernweir.peers.channel.rules import ReplicaRules
@@ -127,11 +135,11 @@
     # --- the part ---
 
     def on_message(self, now: float, sender: str, message: Message) -> None:
-        if isinstance(message, Have):
+        if isinstance(message, ReplicaAck):
             self._have(now, sender, message)
-        elif isinstance(message, Hail | Deltas | Piece | Dropped):
+        elif isinstance(message, OwnerHeartbeat | Deltas | SnapshotPiece | ReplicaDropped):
             self._as_standby(now, sender, message)
-        elif isinstance(message, PayloadWanted):
+        elif isinstance(message, PayloadRequest):
             self._payloads.wanted(now, sender, message)
         elif isinstance(message, PayloadPiece):
             self._payloads.piece(now, sender, message)
@@ -157,7 +165,7 @@
 
     # --- pieces ---
 
-    def _have(self, now: float, sender: str, have: Have) -> None:
+    def _have(self, now: float, sender: str, have: ReplicaAck) -> None:
         owned = self._owned.get(have.channel)
         if owned is None:
             return
@@ -166,11 +174,13 @@
         else:
             owned.have(now, sender, have)
 
-    def _as_standby(self, now: float, sender: str, message: Hail | Deltas | Piece | Dropped) -> None:
+    def _as_standby(
+        self, now: float, sender: str, message: OwnerHeartbeat | Deltas | SnapshotPiece | ReplicaDropped
+    ) -> None:
         owned = self._owned.get(message.channel)
         if owned is not None:
-            if message.fence <= owned.fence or isinstance(message, Dropped):
-                self._out.add(Send(sender, Have(message.channel, owned.fence, -1, -1, 0, 0)))
+            if message.fence <= owned.fence or isinstance(message, ReplicaDropped):
+                self._out.add(Send(sender, ReplicaAck(message.channel, owned.fence, -1, -1, 0, 0)))
                 return
             self._outdated(now, message.channel, message.fence)
         self._standby.on_message(now, sender, message)
--- a/fernweir/peers/channel/directory.py
+++ b/fernweir/peers/channel/directory.py
@@ -12,7 +12,7 @@
 
 from fernweir.peers.base import Effect, Event, Message, Outbox, Send, rendezvous
 from fernweir.peers.channel.cut import NAME_MOST
-from fernweir.peers.channel.messages import Registered, There, Unregistered, Where
+from fernweir.peers.channel.messages import LocateSession, Registered, SessionLocation, Unregistered
 from fernweir.peers.channel.registrar import Entry, Registrar
 from fernweir.peers.channel.rules import DirectoryRules
 
@@ -148,9 +148,9 @@
             self._registrar.register(now, sender, message.life, message.sessions)
         elif isinstance(message, Unregistered):
             self._registrar.unregister(sender, message.life, message.sessions)
-        elif isinstance(message, Where):
+        elif isinstance(message, LocateSession):
             self._where(now, sender, message)
-        elif isinstance(message, There):
+        elif isinstance(message, SessionLocation):
             self._there(sender, message)
 
     def tick(self, now: float) -> None:
@@ -232,20 +232,20 @@
 
     def _ask(self, find: _Find) -> None:
         for name in sorted(find.waiting):
-            self._out.add(Send(name, Where(find.number, find.session)))
+            self._out.add(Send(name, LocateSession(find.number, find.session)))
 
-    def _where(self, now: float, sender: str, message: Where) -> None:
+    def _where(self, now: float, sender: str, message: LocateSession) -> None:
         if len(message.session) > NAME_MOST:
             return
         if (own := self._own.get(message.session)) is not None:
-            there = There(message.number, message.session, self.me, self.life, own.fence)
+            there = SessionLocation(message.number, message.session, self.me, self.life, own.fence)
         elif (entry := self._registrar.find(now, message.session)) is not None:
-            there = There(message.number, message.session, entry.owner, entry.life, entry.fence)
+            there = SessionLocation(message.number, message.session, entry.owner, entry.life, entry.fence)
         else:
-            there = There(message.number, message.session)
+            there = SessionLocation(message.number, message.session)
         self._out.add(Send(sender, there))
 
-    def _there(self, sender: str, message: There) -> None:
+    def _there(self, sender: str, message: SessionLocation) -> None:
         find = self._finds.get(message.number)
         if find is None or find.session != message.session or sender not in find.waiting:
             return
--- a/fernweir/peers/channel/giving.py
+++ b/fernweir/peers/channel/giving.py
@@ -9,7 +9,17 @@
 from random import Random
 
 from fernweir.peers.base import Event, Message, Outbox, Send
-from fernweir.peers.channel.messages import Accept, Acting, Cancel, Decline, Got, Late, Moved, Offer, Yours
+from fernweir.peers.channel.messages import (
+    Accept,
+    Cancel,
+    Decline,
+    HandoffAck,
+    HandoffCommit,
+    HandoffPart,
+    HandoffUpdate,
+    Offer,
+    TargetActive,
+)
 from fernweir.peers.channel.owned import size_of
 from fernweir.peers.channel.rules import HandoffRules
 from fernweir.peers.port import SessionStatus
@@ -249,7 +259,7 @@
     # --- messages ---
 
     def on_message(self, now: float, sender: str, message: Message) -> None:
-        if not isinstance(message, Accept | Decline | Got | Acting | Cancel):
+        if not isinstance(message, Accept | Decline | HandoffAck | TargetActive | Cancel):
             return
         giving = self._givings.get(message.channel)
         if giving is None or giving.offer != message.offer or giving.heir != sender:
@@ -261,7 +271,7 @@
                 self._move(now, giving)
         elif isinstance(message, Decline | Cancel):
             self._refused(now, giving, message)
-        elif isinstance(message, Got):
+        elif isinstance(message, HandoffAck):
             self._got(now, giving, message)
         elif message.fence > giving.fence and giving.step in (Step.HANDED, Step.BACK):
             self._acts(now, giving, sender, message.fence)
@@ -275,7 +285,7 @@
             else:
                 self._ask_back(now, giving)
 
-    def _got(self, now: float, giving: _Giving, got: Got) -> None:
+    def _got(self, now: float, giving: _Giving, got: HandoffAck) -> None:
         giving.parts_got = max(giving.parts_got, min(got.parts, len(giving.parts)))
         giving.lates_got = max(giving.lates_got, min(got.lates, len(giving.lates)))
         if giving.step is Step.HANDED:
@@ -418,7 +428,7 @@
     def _send_parts(self, giving: _Giving) -> None:
         until = min(giving.parts_got + _PARTS_OUT, len(giving.parts))
         for number in range(giving.parts_got, until):
-            part = Moved(giving.channel, giving.offer, number, len(giving.parts), giving.parts[number])
+            part = HandoffPart(giving.channel, giving.offer, number, len(giving.parts), giving.parts[number])
             self._out.add(Send(giving.heir, part, reliable=True))
 
     def _send_lates(self, giving: _Giving) -> None:
@@ -427,12 +437,12 @@
 
     def _send_late(self, giving: _Giving, number: int) -> None:
         session, standing = giving.lates[number]
-        late = Late(giving.channel, giving.offer, number, session, standing)
+        late = HandoffUpdate(giving.channel, giving.offer, number, session, standing)
         self._out.add(Send(giving.heir, late, reliable=True))
 
     def _send_yours(self, now: float, giving: _Giving) -> None:
         giving.again_at = now + self.rules.resend_ms
-        yours = Yours(
+        yours = HandoffCommit(
             giving.channel, giving.offer, giving.fence, giving.handed_lates, self.rules.overlap_ms, giving.out
         )
         self._out.add(Send(giving.heir, yours, reliable=True))
--- a/fernweir/peers/channel/messages.py
+++ b/fernweir/peers/channel/messages.py
@@ -10,7 +10,7 @@
 # --- an owner's state, at its standbys ---
 
 
-class AsOf(msgspec.Struct, frozen=True, array_like=True):
+class Freshness(msgspec.Struct, frozen=True, array_like=True):
     """How fresh what is told is: complete as of `age_ms` before it was sent.
 
     `echo` is the token of the last `Have` that the owner heard from this standby, heard `held_ms` before:
@@ -22,16 +22,16 @@
     held_ms: float = 0.0
 
 
-class Hail(Message, tag="channel.hail", frozen=True):
+class OwnerHeartbeat(Message, tag="channel.hail", frozen=True):
     """The owner's word that it owns the channel and has come to `seq`; a standby answers with `Have`."""
 
     channel: str
     fence: int
     seq: int
-    as_of: AsOf
+    as_of: Freshness
 
 
-Placing = tuple[int, int, int, int, int]  # box, attempt, rung, answers, spent: what changes while it stands
+Placement = tuple[int, int, int, int, int]  # box, attempt, rung, answers, spent: what changes while it stands
 
 
 class Deltas(Message, tag="channel.deltas", frozen=True):
@@ -45,11 +45,11 @@
     seq: int
     changed: list[SessionStatus]
     ended: list[str]
-    as_of: AsOf
-    moved: list[tuple[str, Placing]] = msgspec.field(default_factory=list)
+    as_of: Freshness
+    moved: list[tuple[str, Placement]] = msgspec.field(default_factory=list)
 
 
-class Piece(Message, tag="channel.piece", frozen=True):
+class SnapshotPiece(Message, tag="channel.piece", frozen=True):
     """One of `count` pieces of all that stood at `seq`; numbers count from 0."""
 
     channel: str
@@ -58,10 +58,10 @@
     number: int
     count: int
     standings: list[SessionStatus]
-    as_of: AsOf
+    as_of: Freshness
 
 
-class Have(Message, tag="channel.have", frozen=True):
+class ReplicaAck(Message, tag="channel.have", frozen=True):
     """What a standby has under this fence: all up to `seq` (-1: nothing), and of the snapshot at `piece_seq`
     its first `pieces`. With `refused` it takes no more of this channel, and says why."""
 
@@ -74,14 +74,14 @@
     refused: str = ""
 
 
-class Dropped(Message, tag="channel.dropped", frozen=True):
+class ReplicaDropped(Message, tag="channel.dropped", frozen=True):
     """The channel is over, or the receiver is no standby of it any more: its copy may go."""
 
     channel: str
     fence: int
 
 
-class PayloadWanted(Message, tag="channel.payload_wanted", frozen=True):
+class PayloadRequest(Message, tag="channel.payload_wanted", frozen=True):
     """Asks for a payload's bytes from `offset` on."""
 
     digest: bytes
@@ -120,7 +120,7 @@
     why: str
 
 
-class Moved(Message, tag="channel.moved", frozen=True):
+class HandoffPart(Message, tag="channel.moved", frozen=True):
     """One of `count` parts of what stands in the channel; numbers count from 0."""
 
     channel: str
@@ -130,7 +130,7 @@
     standings: list[SessionStatus]
 
 
-class Late(Message, tag="channel.late", frozen=True):
+class HandoffUpdate(Message, tag="channel.late", frozen=True):
     """What changed after the parts were cut: a session's new standing, or without one that it is over."""
 
     channel: str
@@ -140,7 +140,7 @@
     standing: SessionStatus | None = None
 
 
-class Got(Message, tag="channel.got", frozen=True):
+class HandoffAck(Message, tag="channel.got", frozen=True):
     """How many parts and how many late changes the heir has, from the first on."""
 
     channel: str
@@ -149,7 +149,7 @@
     lates: int
 
 
-class Yours(Message, tag="channel.yours", frozen=True):
+class HandoffCommit(Message, tag="channel.yours", frozen=True):
     """The old owner has let go of its lease: from now on it only finishes what is out, for `overlap_ms`.
 
     The heir acts when it has all parts, the first `lates` changes, and the lease above `fence`. `out` are
@@ -164,7 +164,7 @@
     out: list[str]
 
 
-class Acting(Message, tag="channel.acting", frozen=True):
+class TargetActive(Message, tag="channel.acting", frozen=True):
     """The heir has the lease under `fence`, has claimed at the boxes, and steers."""
 
     channel: str
@@ -195,12 +195,12 @@
     sessions: list[str]
 
 
-class Where(Message, tag="channel.where", frozen=True):
+class LocateSession(Message, tag="channel.where", frozen=True):
     number: int
     session: str
 
 
-class There(Message, tag="channel.there", frozen=True):
+class SessionLocation(Message, tag="channel.there", frozen=True):
     """Answers `Where`: the owner's name, empty if not known, with its life and its channel's fence."""
 
     number: int
@@ -211,7 +211,7 @@
 
 
 KINDS = (
-    Hail, Deltas, Piece, Have, Dropped, PayloadWanted, PayloadPiece,
-    Offer, Accept, Decline, Moved, Late, Got, Yours, Acting, Cancel,
-    Registered, Unregistered, Where, There,
+    OwnerHeartbeat, Deltas, SnapshotPiece, ReplicaAck, ReplicaDropped, PayloadRequest, PayloadPiece,
+    Offer, Accept, Decline, HandoffPart, HandoffUpdate, HandoffAck, HandoffCommit, TargetActive, Cancel,
+    Registered, Unregistered, LocateSession, SessionLocation,
 )  # fmt: skip
--- a/fernweir/peers/channel/owned.py
+++ b/fernweir/peers/channel/owned.py
@@ -14,7 +14,15 @@
 import msgspec
 
 from fernweir.peers.base import Outbox, Send
-from fernweir.peers.channel.messages import AsOf, Deltas, Dropped, Hail, Have, Piece, Placing
+from fernweir.peers.channel.messages import (
+    Deltas,
+    Freshness,
+    OwnerHeartbeat,
+    Placement,
+    ReplicaAck,
+    ReplicaDropped,
+    SnapshotPiece,
+)
 from fernweir.peers.channel.rules import ReplicaRules
 from fernweir.peers.port import SessionStatus
 
@@ -28,7 +36,7 @@
     seq: int
     changed: list[SessionStatus]
     ended: list[str]
-    moved: list[tuple[str, Placing]]
+    moved: list[tuple[str, Placement]]
     size: int
     closed_at: float
 
@@ -136,9 +144,9 @@
     def drop(self, now: float) -> None:
         """The channel is over: all standbys are told so."""
         for name in [*self._followers, *self._leaving]:
-            self.out.add(Send(name, Dropped(self.channel, self.fence), reliable=True))
+            self.out.add(Send(name, ReplicaDropped(self.channel, self.fence), reliable=True))
 
-    def have(self, now: float, sender: str, told: Have) -> None:
+    def have(self, now: float, sender: str, told: ReplicaAck) -> None:
         follower = self._followers.get(sender)
         if follower is None:
             return
@@ -157,7 +165,7 @@
         self._push(now, sender, follower)
         self._trim()
 
-    def _pieces(self, now: float, follower: _Follower, told: Have | None) -> None:
+    def _pieces(self, now: float, follower: _Follower, told: ReplicaAck | None) -> None:
         """Where a snapshot goes on: the standby names what it has of which."""
         if follower.frozen is not None and follower.acked >= follower.frozen.seq:
             follower.frozen = None
@@ -191,13 +199,13 @@
                 follower.hail_at = now + (self.rules.refused_ms if follower.refused else wait)
                 if not quiet or follower.told_at + self.rules.beat_ms <= now:
                     as_of = self._as_of(now, follower, self.seq)
-                    self.out.add(Send(name, Hail(self.channel, self.fence, self.seq, as_of)))
+                    self.out.add(Send(name, OwnerHeartbeat(self.channel, self.fence, self.seq, as_of)))
                     follower.told_at = now
                 else:  # deltas said as much: the next one is due a beat after them
                     follower.hail_at = follower.told_at + self.rules.beat_ms
         for name, (tries, due) in list(self._leaving.items()):
             if now >= due:
-                self.out.add(Send(name, Dropped(self.channel, self.fence), reliable=True))
+                self.out.add(Send(name, ReplicaDropped(self.channel, self.fence), reliable=True))
                 self._leaving[name] = (tries + 1, now + self.rules.resend_ms)
                 if tries + 1 >= _DROPS:
                     del self._leaving[name]
@@ -307,7 +315,7 @@
     def _push_pieces(self, now: float, name: str, follower: _Follower, frozen: _Frozen) -> None:
         until = min(follower.pieces_acked + self.rules.window, len(frozen.pieces))
         for number in range(follower.pieces_sent, until):
-            piece = Piece(
+            piece = SnapshotPiece(
                 self.channel, self.fence, frozen.seq, number, len(frozen.pieces), frozen.pieces[number],
                 self._as_of(now, follower, frozen.seq),
             )  # fmt: skip
@@ -324,11 +332,11 @@
             self._tell(now, name, follower, deltas)
         follower.sent = max(follower.sent, until)
 
-    def _tell(self, now: float, name: str, follower: _Follower, message: Piece | Deltas) -> None:
+    def _tell(self, now: float, name: str, follower: _Follower, message: SnapshotPiece | Deltas) -> None:
         self.out.add(Send(name, message, reliable=True))
         follower.told_at = now
 
-    def _as_of(self, now: float, follower: _Follower, seq: int) -> AsOf:
+    def _as_of(self, now: float, follower: _Follower, seq: int) -> Freshness:
         """The state at `seq` was all there was until the next batch was closed; older ones say no more."""
         age = 0.0
         if seq < self.seq:
@@ -337,10 +345,10 @@
             age = now - (frozen.at if frozen is not None and snapshot else self._batch(seq).closed_at)
         elif self._pending:
             age = now - self._pending_since
-        return AsOf(max(age, 0.0), follower.token, now - follower.token_at)
+        return Freshness(max(age, 0.0), follower.token, now - follower.token_at)
 
 
-def _moved(before: SessionStatus | None, standing: SessionStatus | None) -> Placing | None:
+def _moved(before: SessionStatus | None, standing: SessionStatus | None) -> Placement | None:
     """The new placing, if nothing else of the standing changed."""
     if before is None or standing is None:
         return None
@@ -348,11 +356,11 @@
     return placing if placed(before, placing) == standing else None
 
 
-def placing_of(standing: SessionStatus) -> Placing:
+def placing_of(standing: SessionStatus) -> Placement:
     return standing.box, standing.attempt, standing.rung, standing.answers, standing.spent
 
 
-def placed(standing: SessionStatus, placing: Placing) -> SessionStatus:
+def placed(standing: SessionStatus, placing: Placement) -> SessionStatus:
     box, attempt, rung, answers, spent = placing
     return msgspec.structs.replace(
         standing, box=box, attempt=attempt, rung=rung, answers=answers, spent=spent
--- a/fernweir/peers/channel/payloads.py
+++ b/fernweir/peers/channel/payloads.py
@@ -11,7 +11,7 @@
 
 from fernweir.peers.base import Event, Outbox, Send
 from fernweir.peers.channel.cut import payload_digest
-from fernweir.peers.channel.messages import PayloadPiece, PayloadWanted
+from fernweir.peers.channel.messages import PayloadPiece, PayloadRequest
 from fernweir.peers.channel.rules import ReplicaRules
 
 _ASKERS = 256  # remembered while a payload is fetched from the front
@@ -101,7 +101,7 @@
 
     # --- who has ---
 
-    def wanted(self, now: float, sender: str, wanted: PayloadWanted) -> None:
+    def wanted(self, now: float, sender: str, wanted: PayloadRequest) -> None:
         if not 0 <= wanted.offset < self.rules.payload_most or len(wanted.digest) > 64:
             return
         at_hand = self._at_hand.get(wanted.digest)
@@ -156,4 +156,4 @@
         fetch.asked_from = len(fetch.data)
         fetch.ask_at = now + self.rules.resend_ms * 2.0 ** min(fetch.vain, 4)
         fetch.vain += 1
-        self._out.add(Send(fetch.owners[0], PayloadWanted(digest, len(fetch.data))))
+        self._out.add(Send(fetch.owners[0], PayloadRequest(digest, len(fetch.data))))
--- a/fernweir/peers/channel/standby.py
+++ b/fernweir/peers/channel/standby.py
@@ -13,7 +13,14 @@
 
 from fernweir.peers.base import Event, Outbox, Send
 from fernweir.peers.channel.cut import FENCE_MOST, believable, parse
-from fernweir.peers.channel.messages import AsOf, Deltas, Dropped, Hail, Have, Piece
+from fernweir.peers.channel.messages import (
+    Deltas,
+    Freshness,
+    OwnerHeartbeat,
+    ReplicaAck,
+    ReplicaDropped,
+    SnapshotPiece,
+)
 from fernweir.peers.channel.owned import placed, size_of
 from fernweir.peers.channel.rules import ReplicaRules
 from fernweir.peers.port import SessionStatus
@@ -125,14 +132,16 @@
         kept.copy = Copy(channel, owner, fence, kept.standings, True, as_of)
         self._kept[channel] = kept
 
-    def on_message(self, now: float, sender: str, message: Hail | Deltas | Piece | Dropped) -> None:
+    def on_message(
+        self, now: float, sender: str, message: OwnerHeartbeat | Deltas | SnapshotPiece | ReplicaDropped
+    ) -> None:
         kept = self._admit(now, sender, message)
         if kept is None:
             return
         kept.heard_at = now
-        if isinstance(message, Dropped):
+        if isinstance(message, ReplicaDropped):
             self._over(kept)
-        elif isinstance(message, Hail):
+        elif isinstance(message, OwnerHeartbeat):
             if message.seq == kept.seq >= 0:
                 self._fresh(kept, self._as_of(now, kept, message.as_of))
             self._have(now, kept)
@@ -151,13 +160,15 @@
 
     # --- whom to believe ---
 
-    def _admit(self, now: float, sender: str, message: Hail | Deltas | Piece | Dropped) -> _Kept | None:
+    def _admit(
+        self, now: float, sender: str, message: OwnerHeartbeat | Deltas | SnapshotPiece | ReplicaDropped
+    ) -> _Kept | None:
         """The channel's place, if the sender may write to it. A lower fence than one heard of is refused."""
         if not 1 <= message.fence < FENCE_MOST:
             return None
         kept = self._kept.get(message.channel)
         if kept is None:
-            if parse(message.channel) is None or isinstance(message, Dropped):
+            if parse(message.channel) is None or isinstance(message, ReplicaDropped):
                 return None
             if not self._room():
                 self._refuse(sender, message, "copies")
@@ -210,7 +221,7 @@
             self._fresh(kept, self._as_of(now, kept, message.as_of))
         self._have(now, kept)
 
-    def _piece(self, now: float, kept: _Kept, message: Piece) -> None:
+    def _piece(self, now: float, kept: _Kept, message: SnapshotPiece) -> None:
         if message.seq <= kept.seq or not 1 <= message.count <= self.rules.sessions_most:
             self._have(now, kept)
             return
@@ -263,11 +274,11 @@
         """Half a copy would be believed whole: it goes, and the owner is told why."""
         kept.copy, kept.standings, kept.size, kept.seq = None, {}, 0, -1
         self._restart(kept, -1, 0)
-        self._out.add(Send(kept.owner, Have(kept.channel, kept.fence, -1, -1, 0, 0, "too large")))
+        self._out.add(Send(kept.owner, ReplicaAck(kept.channel, kept.fence, -1, -1, 0, 0, "too large")))
 
     # --- ages and answers ---
 
-    def _as_of(self, now: float, kept: _Kept, told: AsOf) -> float | None:
+    def _as_of(self, now: float, kept: _Kept, told: Freshness) -> float | None:
         sent = kept.tokens.get(told.echo)
         if sent is None or not (0.0 <= told.age_ms < _SPAN_MOST and 0.0 <= told.held_ms < _SPAN_MOST):
             return None
@@ -284,8 +295,10 @@
             kept.tokens[token] = now
             if len(kept.tokens) > _TOKENS:
                 del kept.tokens[next(iter(kept.tokens))]
-        have = Have(kept.channel, kept.fence, kept.seq, kept.piece_seq, len(kept.pieces), token)
+        have = ReplicaAck(kept.channel, kept.fence, kept.seq, kept.piece_seq, len(kept.pieces), token)
         self._out.add(Send(to or kept.owner, have))
 
-    def _refuse(self, sender: str, message: Hail | Deltas | Piece | Dropped, why: str) -> None:
-        self._out.add(Send(sender, Have(message.channel, message.fence, -1, -1, 0, 0, why)))
+    def _refuse(
+        self, sender: str, message: OwnerHeartbeat | Deltas | SnapshotPiece | ReplicaDropped, why: str
+    ) -> None:
+        self._out.add(Send(sender, ReplicaAck(message.channel, message.fence, -1, -1, 0, 0, why)))
--- a/fernweir/peers/channel/taking.py
+++ b/fernweir/peers/channel/taking.py
@@ -9,7 +9,17 @@
 from fernweir.peers.base import Message, Outbox, Send
 from fernweir.peers.channel.cut import believable, parse
 from fernweir.peers.channel.giving import LeaveLease, WantLease
-from fernweir.peers.channel.messages import Accept, Acting, Cancel, Decline, Got, Late, Moved, Offer, Yours
+from fernweir.peers.channel.messages import (
+    Accept,
+    Cancel,
+    Decline,
+    HandoffAck,
+    HandoffCommit,
+    HandoffPart,
+    HandoffUpdate,
+    Offer,
+    TargetActive,
+)
 from fernweir.peers.channel.rules import HandoffRules
 from fernweir.peers.channel.takeover import Takeover
 from fernweir.peers.port import SessionStatus
@@ -36,8 +46,8 @@
     sessions: int = 0
     lates: int = 0
     standings: dict[str, SessionStatus] = field(default_factory=dict)
-    early: dict[int, Late] = field(default_factory=dict)  # lates that came before the parts
-    yours: Yours | None = None
+    early: dict[int, HandoffUpdate] = field(default_factory=dict)  # lates that came before the parts
+    yours: HandoffCommit | None = None
     hold_until: float = 0.0
 
 
@@ -89,7 +99,7 @@
         taking = self._takings.get(channel)
         if taking is not None and taking.step is Step.CLAIMING and taking.fence == fence:
             taking.step = Step.ACTING
-            self._out.add(Send(taking.giver, Acting(channel, taking.offer, fence)))
+            self._out.add(Send(taking.giver, TargetActive(channel, taking.offer, fence)))
 
     def taken(self, channel: str, fence: int) -> None:
         """Another has the lease."""
@@ -110,7 +120,7 @@
         if isinstance(message, Offer):
             self._offered(now, sender, message)
             return
-        if not isinstance(message, Moved | Late | Yours | Cancel):
+        if not isinstance(message, HandoffPart | HandoffUpdate | HandoffCommit | Cancel):
             return
         taking = self._takings.get(message.channel)
         if taking is None or taking.offer != message.offer or taking.giver != sender:
@@ -120,9 +130,9 @@
         if isinstance(message, Cancel):
             if taking.step in (Step.ACCEPTED, Step.LEASING):
                 self._drop(taking)
-        elif isinstance(message, Moved):
+        elif isinstance(message, HandoffPart):
             self._moved(now, taking, message)
-        elif isinstance(message, Late):
+        elif isinstance(message, HandoffUpdate):
             self._late(now, taking, message)
         else:
             self._yours(now, taking, message)
@@ -158,7 +168,7 @@
             return "no channel"
         return ""
 
-    def _moved(self, now: float, taking: _Taking, moved: Moved) -> None:
+    def _moved(self, now: float, taking: _Taking, moved: HandoffPart) -> None:
         sound = 1 <= moved.count <= self.rules.sessions_most and all(map(believable, moved.standings))
         if moved.number == 0 and taking.total < 0 and sound:
             taking.total = moved.count
@@ -172,7 +182,7 @@
         self._got(taking)
         self._ready(now, taking)
 
-    def _late(self, now: float, taking: _Taking, late: Late) -> None:
+    def _late(self, now: float, taking: _Taking, late: HandoffUpdate) -> None:
         sound = late.standing is None or (believable(late.standing) and late.standing.session == late.session)
         if sound and taking.lates <= late.number < taking.lates + self.rules.sessions_most:
             taking.early[late.number] = late
@@ -192,9 +202,9 @@
             else:
                 taking.standings[late.session] = late.standing
 
-    def _yours(self, now: float, taking: _Taking, yours: Yours) -> None:
+    def _yours(self, now: float, taking: _Taking, yours: HandoffCommit) -> None:
         if taking.step is Step.ACTING:
-            self._out.add(Send(taking.giver, Acting(taking.channel, taking.offer, taking.fence)))
+            self._out.add(Send(taking.giver, TargetActive(taking.channel, taking.offer, taking.fence)))
         if taking.yours is None:
             overlap = min(max(yours.overlap_ms, 0.0), self.rules.overlap_most_ms)
             if overlap != overlap or yours.fence < taking.fence:  # no number, or not its own word
@@ -214,7 +224,9 @@
             self._out.add(WantLease(taking.channel, taking.fence))
 
     def _got(self, taking: _Taking) -> None:
-        self._out.add(Send(taking.giver, Got(taking.channel, taking.offer, taking.parts, taking.lates)))
+        self._out.add(
+            Send(taking.giver, HandoffAck(taking.channel, taking.offer, taking.parts, taking.lates))
+        )
 
     # --- time ---
 
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -25,7 +25,7 @@
 from fernweir.peers.channel.directory import Directory, Found
 from fernweir.peers.channel.heirs import Candidate
 from fernweir.peers.channel.messages import KINDS as CHANNEL_KINDS
-from fernweir.peers.channel.messages import Registered, There, Unregistered, Where
+from fernweir.peers.channel.messages import LocateSession, Registered, SessionLocation, Unregistered
 from fernweir.peers.channel.rules import DirectoryRules
 from fernweir.peers.facts.messages import KINDS as FACT_KINDS
 from fernweir.peers.facts.rules import FactRules
@@ -60,7 +60,7 @@
 from fernweir.peers.weighing import TALLY, Weighing
 
 KINDS = (MEMBER_KINDS, FACT_KINDS, LEASE_KINDS, CHANNEL_KINDS, FORWARD_KINDS, ACT_KINDS, LATE_KINDS)
-_DIRECTORY = (Registered, Unregistered, Where, There)
+_DIRECTORY = (Registered, Unregistered, LocateSession, SessionLocation)
 _LOAD, _HEAD = "load", "acts.head"
 _STALE_MS = 1_000.0
 TROUBLE_TEXTS: dict[type[Trouble], str] = {
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -37,7 +37,7 @@
 from fernweir.peers.acts.versions import Versions
 from fernweir.peers.base import Send, rendezvous
 from fernweir.peers.channel import cut
-from fernweir.peers.channel.messages import Where
+from fernweir.peers.channel.messages import LocateSession
 from fernweir.peers.estimate import question, sketches, summary
 from fernweir.peers.estimate.bounds import Bound, Estimate, Planned
 from fernweir.peers.estimate.limits import Refused
@@ -98,7 +98,7 @@
 
 
 def _body(count: int) -> bytes:
-    return Codec(KINDS).encode([Nack(1), Recall(), ClockPing(2.5), Where(3, "s-1")] * count)
+    return Codec(KINDS).encode([Nack(1), Recall(), ClockPing(2.5), LocateSession(3, "s-1")] * count)
 
 
 def _with_unknown() -> bytes:
--- a/tests/test_peers_channel.py
+++ b/tests/test_peers_channel.py
@@ -1041,7 +1041,7 @@
             for effect in part.take_effects():
                 if not isinstance(effect, mods.base.Send):
                     continue
-                if isinstance(effect.message, mods.messages.Piece):
+                if isinstance(effect.message, mods.messages.SnapshotPiece):
                     pieces.append(effect.message.number)
                     if len(pieces) == 18:  # the connection stands and delivers nothing for two seconds
                         back_at = now + 2_000.0
@@ -1111,9 +1111,9 @@
         return dice.choice([0.0, 1.0, 500.0, -1.0, 1e300, float("inf"), float("nan")])
     if kind is bytes:
         return dice.choice([b"", b"d" * 16, b"x" * 3_000])
-    if "AsOf" in text:
+    if "Freshness" in text:
         values = [odd(dice, one, mods) for one in (float, int, float)]
-        return mods.messages.AsOf(*values)
+        return mods.messages.Freshness(*values)
     return dice.choice([None, mods.standing("s1"), mods.standing("")])
 
 
--- a/tests/test_peers_heirs.py
+++ b/tests/test_peers_heirs.py
@@ -267,7 +267,9 @@
         self.base: Any = importlib.import_module("fernweir.peers.base")
         messages: Any = importlib.import_module("fernweir.peers.channel.messages")
         rules: Any = importlib.import_module("fernweir.peers.channel.rules")
-        kinds = messages.Registered | messages.Unregistered | messages.Where | messages.There
+        kinds = (
+            messages.Registered | messages.Unregistered | messages.LocateSession | messages.SessionLocation
+        )
         self.decoder = msgspec.msgpack.Decoder(kinds)
         self.rules = rules.DirectoryRules(refresh_ms=2_000.0, keep_ms=6_000.0, entries_most=60)
         self.dice, self.now, self.count = Random(f"directory {seed}"), 0.0, 0
