--- a/bench/peers_channel.py
+++ b/bench/peers_channel.py
@@ -15,15 +15,15 @@
 import msgspec
 
 from fernweir.peers.base import Send
-from fernweir.peers.channel.copies import Replica
-from fernweir.peers.channel.cut import channel_of, payload_digest
-from fernweir.peers.channel.giving import Freeze, NoHeir, OverlapOver, WantLease
+from fernweir.peers.channel.channel_names import channel_of, payload_digest
 from fernweir.peers.channel.handoff import Handoff
-from fernweir.peers.channel.heirs import Candidate, assign, capacities, wait_ms
+from fernweir.peers.channel.handoff_source import Freeze, NoHeir, OverlapOver, WantLease
 from fernweir.peers.channel.payloads import NeedPayload
+from fernweir.peers.channel.replication import Replica
 from fernweir.peers.channel.rules import HeirRules
-from fernweir.peers.channel.spread import Loss, spread
+from fernweir.peers.channel.successor_selection import Candidate, assign, capacities, wait_ms
 from fernweir.peers.channel.takeover import Claim, Inherited
+from fernweir.peers.channel.takeover_pacing import Loss, spread
 from fernweir.peers.port import ClaimResult, SessionStatus
 
 WAY_MS = (0.3, 2.0)  # between fronts, and between a front and a box
--- a/fernweir/peers/channel/directory.py
+++ b/fernweir/peers/channel/directory.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from fernweir.peers.base import Effect, Event, Message, Outbox, Send, rendezvous
-from fernweir.peers.channel.cut import NAME_MOST
+from fernweir.peers.channel.channel_names import NAME_MOST
 from fernweir.peers.channel.messages import LocateSession, Registered, SessionLocation, Unregistered
 from fernweir.peers.channel.registrar import Entry, Registrar
 from fernweir.peers.channel.rules import DirectoryRules
--- a/fernweir/peers/channel/handoff.py
+++ b/fernweir/peers/channel/handoff.py
@@ -17,10 +17,10 @@
 from random import Random
 
 from fernweir.peers.base import Effect, Message, Outbox
-from fernweir.peers.channel.giving import Giver
+from fernweir.peers.channel.handoff_source import Giver
+from fernweir.peers.channel.handoff_target import Taker
 from fernweir.peers.channel.rules import HandoffRules
 from fernweir.peers.channel.takeover import Inherited, Outdone, Settled, Takeover
-from fernweir.peers.channel.taking import Taker
 from fernweir.peers.port import ClaimResult, SessionStatus
 
 
--- a/fernweir/peers/channel/taking.py
+++ b/fernweir/peers/channel/handoff_target.py
@@ -7,8 +7,8 @@
 from enum import Enum
 
 from fernweir.peers.base import Message, Outbox, Send
-from fernweir.peers.channel.cut import believable, parse
-from fernweir.peers.channel.giving import LeaveLease, WantLease
+from fernweir.peers.channel.channel_names import believable, parse
+from fernweir.peers.channel.handoff_source import LeaveLease, WantLease
 from fernweir.peers.channel.messages import (
     Accept,
     Cancel,
--- a/fernweir/peers/channel/payloads.py
+++ b/fernweir/peers/channel/payloads.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from fernweir.peers.base import Event, Outbox, Send
-from fernweir.peers.channel.cut import payload_digest
+from fernweir.peers.channel.channel_names import payload_digest
 from fernweir.peers.channel.messages import PayloadPiece, PayloadRequest
 from fernweir.peers.channel.rules import ReplicaRules
 
--- a/fernweir/peers/channel/registrar.py
+++ b/fernweir/peers/channel/registrar.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from fernweir.peers.channel.cut import FENCE_MOST, NAME_MOST
+from fernweir.peers.channel.channel_names import FENCE_MOST, NAME_MOST
 from fernweir.peers.channel.rules import DirectoryRules
 
 
--- a/fernweir/peers/channel/standby.py
+++ b/fernweir/peers/channel/standby.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from fernweir.peers.base import Event, Outbox, Send
-from fernweir.peers.channel.cut import FENCE_MOST, believable, parse
+from fernweir.peers.channel.channel_names import FENCE_MOST, believable, parse
 from fernweir.peers.channel.messages import (
     Deltas,
     Freshness,
--- a/fernweir/peers/owning.py
+++ b/fernweir/peers/owning.py
@@ -15,9 +15,9 @@
 from dataclasses import dataclass, field
 
 from fernweir.peers.base import Effect, Event, Message, Outbox
-from fernweir.peers.channel.copies import Outdated, Replica
-from fernweir.peers.channel.cut import PARTS_MOST, channel_of, parse
-from fernweir.peers.channel.giving import (
+from fernweir.peers.channel.channel_names import PARTS_MOST, channel_of, parse
+from fernweir.peers.channel.handoff import Handoff
+from fernweir.peers.channel.handoff_source import (
     Freeze,
     HandedOn,
     HandedOver,
@@ -29,13 +29,13 @@
     TakenBack,
     WantLease,
 )
-from fernweir.peers.channel.handoff import Handoff
-from fernweir.peers.channel.heirs import Candidate, heirs, standbys, wait_ms
 from fernweir.peers.channel.payloads import NeedPayload
+from fernweir.peers.channel.replication import Outdated, Replica
 from fernweir.peers.channel.rules import HandoffRules, HeirRules, ReplicaRules, SpreadRules, TakeoverRules
-from fernweir.peers.channel.spread import Loss, spread
 from fernweir.peers.channel.standby import Copied, Copy
+from fernweir.peers.channel.successor_selection import Candidate, heirs, standbys, wait_ms
 from fernweir.peers.channel.takeover import Claim, Finished, Inherited, Outdone, Settled, Takeover
+from fernweir.peers.channel.takeover_pacing import Loss, spread
 from fernweir.peers.lease.events import LeaseAcquired, LeaseLost, LeaseRenewed, LeaseUnavailable
 from fernweir.peers.lease.holder import Holder
 from fernweir.peers.port import ClaimResult, Port, SessionStatus
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -23,10 +23,10 @@
 from fernweir.peers.acts.versions import Versions
 from fernweir.peers.base import Address, Effect, Event, Message, Part, Send
 from fernweir.peers.channel.directory import Directory, Found
-from fernweir.peers.channel.heirs import Candidate
 from fernweir.peers.channel.messages import KINDS as CHANNEL_KINDS
 from fernweir.peers.channel.messages import LocateSession, Registered, SessionLocation, Unregistered
 from fernweir.peers.channel.rules import DirectoryRules
+from fernweir.peers.channel.successor_selection import Candidate
 from fernweir.peers.facts.messages import KINDS as FACT_KINDS
 from fernweir.peers.facts.rules import FactRules
 from fernweir.peers.facts.store import Facts
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -36,7 +36,7 @@
 from fernweir.peers.acts.store import Store
 from fernweir.peers.acts.versions import Versions
 from fernweir.peers.base import Send, rendezvous
-from fernweir.peers.channel import cut
+from fernweir.peers.channel import channel_names
 from fernweir.peers.channel.messages import LocateSession
 from fernweir.peers.estimate import question, sketches, summary
 from fernweir.peers.estimate.bounds import Bound, Estimate, Planned
@@ -538,12 +538,12 @@
     "members.sums": _made(_table_checksums),
     "late.content": _made(lambda: [content_of(RESTED[1], kind) for kind in Kind]),
     "channel.name": _made(
-        lambda: [cut.channel_of("front-a", LIFE, f"session-{number}", 16) for number in range(8)]
+        lambda: [channel_names.channel_of("front-a", LIFE, f"session-{number}", 16) for number in range(8)]
     ),
     "channel.name.parsed": Format(
-        lambda: b"front:a:1700000000123/15", lambda data: plain(cut.parse(data.decode()))
+        lambda: b"front:a:1700000000123/15", lambda data: plain(channel_names.parse(data.decode()))
     ),
-    "channel.payload.digest": _made(lambda: cut.payload_digest(b"a manifest")),
+    "channel.payload.digest": _made(lambda: channel_names.payload_digest(b"a manifest")),
     "rendezvous": _made(lambda: rendezvous("channel-1", [f"front-{number}" for number in range(8)])),
     "front.list": Format(_box_list, _read_box_list),
     "node.settings": _made(lambda: [node_settings(_all_settings()), node_settings(_few_settings())]),
--- a/tests/peers_mutants/channel.py
+++ b/tests/peers_mutants/channel.py
@@ -40,7 +40,7 @@
 
 HANDOFF: list[Mutant] = [
     _mutant(
-        "the overlap is counted from the heir's word", "giving",
+        "the overlap is counted from the heir's word", "handoff_source",
         "giving.step, giving.acting, giving.heir = Step.HANDED, fence, heir\n",
         "giving.step, giving.acting, giving.heir, giving.handed_at = Step.HANDED, fence, heir, now\n", 12, 2,
     ),
@@ -49,7 +49,7 @@
         "give_up = [] if taken.held else self._unwanted(taken, result)", "give_up = []", 12,
     ),
     _mutant(
-        "the old owner steers on when it is frozen", "giving",
+        "the old owner steers on when it is frozen", "handoff_source",
         "giving.step in (Step.WAITING, Step.OFFERED, Step.MOVING)\n\n    def finishes",
         "giving.step is not Step.BACK\n\n    def finishes", 12,
     ),
@@ -78,20 +78,20 @@
 
 HEIRS: list[Mutant] = [
     _mutant(
-        "the bound on loads is ignored", "heirs",
+        "the bound on loads is ignored", "successor_selection",
         "if fit[name].load + sessions <= bounds[name]]", "if bounds[name] >= 0.0]", 5,
     ),
     _mutant(
-        "a front that just started counts in full", "heirs",
+        "a front that just started counts in full", "successor_selection",
         "return min(max(front.age_ms / rules.ramp_ms, rules.floor), 1.0)", "return 1.0", 5,
     ),
     _mutant(
-        "a late front inherits", "heirs",
+        "a late front inherits", "successor_selection",
         "fit = {front.name: front for front in fronts if not front.late and not front.leaving}",
         "fit = {front.name: front for front in fronts if not front.leaving}", 5,
     ),
     _mutant(
-        "channels of one loss don't count into their heir's load", "heirs",
+        "channels of one loss don't count into their heir's load", "successor_selection",
         "loads[order[0]] += channels[channel]", "loads[order[0]] += 0", 5,
     ),
 ]  # fmt: skip
@@ -106,7 +106,7 @@
 
 DAYS: list[Mutant] = [
     _mutant(
-        "a front that takes nothing accepts", "taking",
+        "a front that takes nothing accepts", "handoff_target",
         "        if self._closed:\n", "        if self._closed and taking:\n", 12,
     ),
     _mutant(
--- a/tests/test_peers_channel.py
+++ b/tests/test_peers_channel.py
@@ -28,13 +28,13 @@
 
     def __init__(self) -> None:
         for name in (
-            "copies",
-            "giving",
+            "replication",
+            "handoff_source",
             "takeover",
             "messages",
             "rules",
-            "cut",
-            "heirs",
+            "channel_names",
+            "successor_selection",
             "payloads",
             "handoff",
         ):
@@ -150,7 +150,7 @@
         return self.net.now * self.rate[name] + self.offset[name]
 
     def begin(self, name: str) -> None:
-        self.parts[name] = self.mods.copies.Replica(name, self.rules, self.dice.getrandbits(30))
+        self.parts[name] = self.mods.replication.Replica(name, self.rules, self.dice.getrandbits(30))
 
     def act(self) -> None:
         """Something happens: mostly a change at the owner."""
@@ -378,7 +378,7 @@
                 slow_ms=300.0,
             )
         )
-        self.replica = self.mods.copies.Replica(name, None, world.dice.getrandbits(30))
+        self.replica = self.mods.replication.Replica(name, None, world.dice.getrandbits(30))
         self.handoff = self.mods.handoff.Handoff(
             name, rules.HandoffRules(overlap_ms=OVERLAP, late_ms=300.0, back_ms=4_000.0, message_bytes=600),
             world.dice.getrandbits(30), takeover, lambda: range(len(world.boxes)), self.replica.fence,
@@ -565,7 +565,7 @@
             wait = 500.0 if holder is not None else 3_000.0  # what was let go of has an heir
             if self.replica.copy(channel) is None:
                 wait += 4_000.0
-            wait += self.mods.heirs.wait_ms(order.index(self.name) if self.name in order else 9)
+            wait += self.mods.successor_selection.wait_ms(order.index(self.name) if self.name in order else 9)
             if world.net.now >= self.tried[channel] + wait:
                 world.oracle.wants[(channel, self.name)] = self.replica.fence(channel)
 
@@ -628,11 +628,11 @@
 
     def order_of(self, channel: str) -> list[str]:
         fit = [
-            self.mods.heirs.Candidate(name, 0, 1e9)
+            self.mods.successor_selection.Candidate(name, 0, 1e9)
             for name in "abcd"
             if name not in self.net.dead and name not in self.net.stopped
         ]
-        return list(self.mods.heirs.standbys(channel, fit, 4))
+        return list(self.mods.successor_selection.standbys(channel, fit, 4))
 
     def standbys(self, channel: str, owner: str) -> list[str]:
         return [name for name in self.order_of(channel) if name != owner][:2]
@@ -1029,7 +1029,7 @@
 def test_a_snapshot_that_broke_off_is_resumed_where_the_standby_names() -> None:
     mods = Mods()
     rules = mods.rules.ReplicaRules(message_bytes=500, window=4)
-    owner, standby = mods.copies.Replica("a", rules), mods.copies.Replica("b", rules)
+    owner, standby = mods.replication.Replica("a", rules), mods.replication.Replica("b", rules)
     standings = [mods.standing(f"s{n}", payload=b"p") for n in range(400)]
     owner.own(0.0, "a:1/0", 5, standings)
     owner.standbys(0.0, "a:1/0", ["b"])
@@ -1055,9 +1055,9 @@
 def test_payloads_cross_once_are_checked_and_go_with_the_last_copy() -> None:
     mods = Mods()
     rules = mods.rules.ReplicaRules(message_bytes=1_000, window=4)
-    parts = {name: mods.copies.Replica(name, rules) for name in "ab"}
+    parts = {name: mods.replication.Replica(name, rules) for name in "ab"}
     data = Random(1).randbytes(20_000)
-    digest = mods.cut.payload_digest(data)
+    digest = mods.channel_names.payload_digest(data)
     parts["a"].own(0.0, "a:1/0", 1, [mods.standing(f"s{n}", payload=digest) for n in range(3)])
     parts["a"].standbys(0.0, "a:1/0", ["b"])
     now, asked, crossed, dice = 0.0, 0, 0, Random(2)
@@ -1122,7 +1122,7 @@
     """Peers that hold the key and say anything: all kinds, in any order, with absurd values."""
     mods, dice = Mods(), Random(f"odd {seed}")
     rules = mods.rules.ReplicaRules(copies_most=3, sessions_most=20, bytes_most=4_000, payloads_bytes=5_000)
-    replica = mods.copies.Replica("me", rules)
+    replica = mods.replication.Replica("me", rules)
     hand = mods.handoff.Handoff("me", mods.rules.HandoffRules(takes_most=3, sessions_most=20), seed)
     replica.own(0.0, "a:1/1", 2, [mods.standing("s1", payload=b"d" * 16)])
     replica.standbys(0.0, "a:1/1", ["b", "c"])
@@ -1144,9 +1144,9 @@
             for effect in part.take_effects():
                 if isinstance(effect, mods.base.Send):
                     offers = [*offers, getattr(effect.message, "offer", 1)][-6:]
-                elif isinstance(effect, mods.giving.Freeze):
+                elif isinstance(effect, mods.handoff_source.Freeze):
                     hand.frozen(now, effect.channel, ["s1"])
-                elif isinstance(effect, mods.giving.WantLease) and dice.random() < 0.5:
+                elif isinstance(effect, mods.handoff_source.WantLease) and dice.random() < 0.5:
                     hand.leased(now, effect.channel, effect.floor + 1)
         assert len(replica.copies()) <= 3 and replica._standby.size() <= 4_000
         assert replica._payloads.size() <= 5_000 and len(hand.taking()) <= 3
--- a/tests/test_peers_heirs.py
+++ b/tests/test_peers_heirs.py
@@ -15,9 +15,9 @@
 from hypothesis import strategies as st
 
 from fernweir.peers.base import rendezvous
-from fernweir.peers.channel.heirs import Candidate, assign, heirs, standbys, wait_ms
 from fernweir.peers.channel.rules import DirectoryRules, HeirRules, SpreadRules
-from fernweir.peers.channel.spread import Loss, spread
+from fernweir.peers.channel.successor_selection import Candidate, assign, heirs, standbys, wait_ms
+from fernweir.peers.channel.takeover_pacing import Loss, spread
 from fernweir.peers.port import ClaimResult, SessionStatus
 from tests.peers_mutants import Mutant, broken
 from tests.peers_mutants.channel import DIRECTORY, HEIRS, LIVES, WEIGHING
@@ -71,7 +71,7 @@
 
 def heir_day(seed: int) -> list[str]:
     """A front of 30 is lost with its channels: nobody who is not fit inherits, nor more than it bears."""
-    module: Any = importlib.import_module("fernweir.peers.channel.heirs")
+    module: Any = importlib.import_module("fernweir.peers.channel.successor_selection")
     rules_of: Any = importlib.import_module("fernweir.peers.channel.rules")
     dice, rules = Random(f"heirs {seed}"), rules_of.HeirRules()
     fronts = []
