--- a/bench/peers_channel.py
+++ b/bench/peers_channel.py
@@ -17,13 +17,13 @@
 from fernweir.peers.base import Send
 from fernweir.peers.channel.channel_names import channel_of, payload_digest
 from fernweir.peers.channel.handoff import Handoff
-from fernweir.peers.channel.handoff_source import Freeze, NoHeir, OverlapOver, WantLease
+from fernweir.peers.channel.handoff_source import Freeze, NoSuccessor, OverlapOver, WantLease
 from fernweir.peers.channel.payloads import NeedPayload
-from fernweir.peers.channel.replication import Replica
-from fernweir.peers.channel.rules import HeirRules
+from fernweir.peers.channel.replication import ChannelReplication
+from fernweir.peers.channel.rules import SuccessorRules
 from fernweir.peers.channel.successor_selection import Candidate, assign, capacities, wait_ms
 from fernweir.peers.channel.takeover import Claim, Inherited
-from fernweir.peers.channel.takeover_pacing import Loss, spread
+from fernweir.peers.channel.takeover_pacing import LostChannel, schedule_takeovers
 from fernweir.peers.port import ClaimResult, SessionStatus
 
 WAY_MS = (0.3, 2.0)  # between fronts, and between a front and a box
@@ -34,15 +34,15 @@
 
 def sessions_of(count: int, parts: int, seed: int) -> dict[str, list[SessionStatus]]:
     """A front's sessions by channel, with names as long as real ones."""
-    dice = Random(f"sessions {seed}")
+    rng = Random(f"sessions {seed}")
     payloads = [payload_digest(payload_of(n)) for n in range(PAYLOADS)]
     channels: dict[str, list[SessionStatus]] = {}
     for _ in range(count):
-        session = dice.randbytes(16).hex()
+        session = rng.randbytes(16).hex()
         one = SessionStatus(
-            session, f"10.0.0.{dice.randrange(250)}:40000", f"viewer{dice.randrange(9_999)}@example.org",
-            f"lesson-{dice.randrange(60)}", "standard", 4, "lagos", dice.getrandbits(30),
-            dice.randrange(BOXES), dice.randrange(3), dice.randrange(5), dice.choice(payloads), 1, 0,
+            session, f"10.0.0.{rng.randrange(250)}:40000", f"viewer{rng.randrange(9_999)}@example.org",
+            f"lesson-{rng.randrange(60)}", "standard", 4, "lagos", rng.getrandbits(30),
+            rng.randrange(BOXES), rng.randrange(3), rng.randrange(5), rng.choice(payloads), 1, 0,
         )  # fmt: skip
         channels.setdefault(channel_of("front-1", 1, session, parts), []).append(one)
     return channels
@@ -57,7 +57,7 @@
     """Messages between machines take their time; all bytes are counted by kind and direction."""
 
     def __init__(self, seed: int) -> None:
-        self.dice, self.now, self.count = Random(f"paths {seed}"), 0.0, 0
+        self.rng, self.now, self.count = Random(f"paths {seed}"), 0.0, 0
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.bytes: Counter[str] = Counter()
         self.last: dict[tuple[str, str], float] = {}
@@ -70,7 +70,7 @@
         self.bytes[f"{sender}: {type(effect.message).__name__}"] += len(
             msgspec.msgpack.encode(effect.message)
         )
-        when = max(self.now + self.dice.uniform(*WAY_MS), self.last.get((sender, str(effect.to)), 0.0))
+        when = max(self.now + self.rng.uniform(*WAY_MS), self.last.get((sender, str(effect.to)), 0.0))
         self.last[(sender, str(effect.to))] = when
         self.after(when - self.now, lambda: to.on_message(self.now, sender, effect.message))
 
@@ -94,21 +94,21 @@
 
 def copying(count: int, parts_of: int, seed: int, every_s: float) -> None:
     """An owner and two standbys for a minute; each session's rung changes once in `every_s` on average."""
-    channels, dice = sessions_of(count, parts_of, seed), Random(f"changes {seed}")
+    channels, rng = sessions_of(count, parts_of, seed), Random(f"changes {seed}")
     paths, payloads = Paths(seed), {payload_digest(payload_of(n)): payload_of(n) for n in range(PAYLOADS)}
-    parts: dict[str, Any] = {name: Replica(name, None, seed) for name in ("owner", "b", "c")}
-    owner: Replica = parts["owner"]
-    for channel, standings in channels.items():
-        owner.own(0.0, channel, 1, standings)
+    parts: dict[str, Any] = {name: ChannelReplication(name, None, seed) for name in ("owner", "b", "c")}
+    owner: ChannelReplication = parts["owner"]
+    for channel, statuses in channels.items():
+        owner.own(0.0, channel, 1, statuses)
         owner.standbys(0.0, channel, ["b", "c"])
-    flat = [(channel, number) for channel, standings in channels.items() for number in range(len(standings))]
+    flat = [(channel, number) for channel, statuses in channels.items() for number in range(len(statuses))]
 
     def change() -> None:
-        channel, number = dice.choice(flat)
+        channel, number = rng.choice(flat)
         one = channels[channel][number]
         channels[channel][number] = one = msgspec.structs.replace(one, rung=(one.rung + 1) % 5)
         owner.change(paths.now, channel, one)
-        paths.after(dice.expovariate(count / every_s / 1_000.0), change)
+        paths.after(rng.expovariate(count / every_s / 1_000.0), change)
 
     def run(until: float) -> None:
         while paths.step(until, parts):
@@ -124,7 +124,11 @@
     if every_s:
         change()
     run(62_000.0)
-    ages = [copy.age_ms(paths.now) for channel in channels if (copy := parts["b"].copy(channel)) is not None]
+    ages = [
+        copy.age_ms(paths.now)
+        for channel in channels
+        if (copy := parts["b"].find_replica(channel)) is not None
+    ]
     total = paths.bytes - first
     told = sum(size for kind, size in total.items() if kind.startswith("owner"))
     heard = sum(total.values()) - told
@@ -139,33 +143,33 @@
 def handing(count: int, parts_of: int, seed: int) -> None:
     """A front hands all on to three heirs in turn; a lease takes a majority's two ways, a claim one."""
     channels = sessions_of(count, parts_of, seed)
-    paths, dice = Paths(seed), Random(f"handing {seed}")
-    heirs = ["b", "c", "d"]
+    paths, rng = Paths(seed), Random(f"handing {seed}")
+    targets = ["b", "c", "d"]
     parts: dict[str, Any] = {
-        name: Handoff(name, None, seed, listed=lambda: range(BOXES)) for name in ["a", *heirs]
+        name: Handoff(name, None, seed, listed=lambda: range(BOXES)) for name in ["a", *targets]
     }
     frozen: dict[str, float] = {}
     acts: dict[str, float] = {}
     done: dict[str, float] = {}
-    for turn, (channel, standings) in enumerate(channels.items()):
-        order = heirs[turn % 3 :] + heirs[: turn % 3]
-        parts["a"].offer(0.0, channel, 1, {one.session: one for one in standings}, order)
+    for turn, (channel, statuses) in enumerate(channels.items()):
+        order = targets[turn % 3 :] + targets[: turn % 3]
+        parts["a"].offer(0.0, channel, 1, {one.session: one for one in statuses}, order)
 
     def claim(name: str, event: Claim, box: int) -> None:
         mine = tuple(
             (one.session, one.attempt, one.rung) for one in channels[event.channel] if one.box == box
         )
         told = ClaimResult(box, True, True, event.fence, mine)
-        way = dice.uniform(*WAY_MS) + dice.uniform(*WAY_MS)
-        paths.after(way, lambda: parts[name].claimed(paths.now, event.channel, told))
+        way = rng.uniform(*WAY_MS) + rng.uniform(*WAY_MS)
+        paths.after(way, lambda: parts[name].on_claimed(paths.now, event.channel, told))
 
     def event(name: str, effect: Any) -> None:
         if isinstance(effect, Freeze):
             frozen[effect.channel] = paths.now
-            parts[name].frozen(paths.now, effect.channel, [])
+            parts[name].on_frozen(paths.now, effect.channel, [])
         elif isinstance(effect, WantLease):
             channel, fence = effect.channel, effect.floor + 1
-            paths.after(QUORUM_MS, lambda: parts[name].leased(paths.now, channel, fence))
+            paths.after(QUORUM_MS, lambda: parts[name].on_lease_acquired(paths.now, channel, fence))
         elif isinstance(effect, Claim):
             for box in effect.boxes:
                 claim(name, effect, box)
@@ -173,7 +177,7 @@
             acts[effect.channel] = paths.now
         elif isinstance(effect, OverlapOver):
             done[effect.channel] = paths.now
-        elif isinstance(effect, NoHeir):
+        elif isinstance(effect, NoSuccessor):
             raise SystemExit(f"nobody took {effect.channel}")
 
     more = True
@@ -195,8 +199,8 @@
 
 def inheriting(count: int, parts_of: int, seed: int) -> None:
     """Of 30 fronts with as many sessions each one goes: who has what then, and when it is taken over."""
-    dice, rules = Random(f"inheriting {seed}"), HeirRules()
-    fronts = [Candidate(f"f{n}", dice.randrange(count - 60, count + 60), 1e6) for n in range(28)]
+    rng, rules = Random(f"inheriting {seed}"), SuccessorRules()
+    fronts = [Candidate(f"f{n}", rng.randrange(count - 60, count + 60), 1e6) for n in range(28)]
     fronts += [Candidate("f28", 0, 1_000.0), Candidate("f29", 20, 6_000.0)]
     moved = must = every = 0
     for lost_one in fronts[:28]:
@@ -236,10 +240,10 @@
             inherited.setdefault(order[0], []).append(channel)
         for name, channels in inherited.items():
             losses = [
-                Loss(channel, lost[channel], tuple(dice.sample(range(BOXES), 26)), 50.0)
+                LostChannel(channel, lost[channel], tuple(rng.sample(range(BOXES), 26)), 50.0)
                 for channel in channels
             ]
-            turns = spread(0.0, losses, None, hash_of(name, seed_of), len(inherited))
+            turns = schedule_takeovers(0.0, losses, None, hash_of(name, seed_of), len(inherited))
             latest.append(turns[-1].at)
     latest.sort()
     print(
--- a/fernweir/peers/channel/channel_names.py
+++ b/fernweir/peers/channel/channel_names.py
@@ -7,14 +7,14 @@
 
 from fernweir.peers.port import SessionStatus
 
-PARTS_MOST = 4_096
-NAME_MOST = 512  # characters of any name in a standing or of a channel's
-NUMBER_MOST = 2**53
-FENCE_MOST = 2**63  # leases mint fences from lives: they are larger than any other number
+MAX_PARTS = 4_096
+MAX_NAME_LENGTH = 512  # characters of any name in a standing or of a channel's
+MAX_NUMBER = 2**53
+FENCE_LIMIT = 2**63  # leases mint fences from lives: they are larger than any other number
 
 
 @dataclass(frozen=True, slots=True)
-class Cut:
+class ChannelName:
     """A channel's name taken apart: the front and life whose sessions it holds, and which part of them."""
 
     front: str
@@ -28,15 +28,15 @@
     return f"{front}:{life}/{int.from_bytes(digest, 'big') % parts}"
 
 
-def parse(channel: str) -> Cut | None:
+def parse(channel: str) -> ChannelName | None:
     """None if that is no channel's name."""
-    if len(channel) > NAME_MOST:
+    if len(channel) > MAX_NAME_LENGTH:
         return None
     front, colon, rest = channel.rpartition(":")
     life, slash, part = rest.partition("/")
     if not (front and colon and slash and _number(life) and _number(part)):
         return None
-    return Cut(front, int(life), int(part)) if int(part) < PARTS_MOST else None
+    return ChannelName(front, int(life), int(part)) if int(part) < MAX_PARTS else None
 
 
 def payload_digest(data: bytes) -> bytes:
@@ -44,18 +44,18 @@
     return blake2b(data, digest_size=16).digest()
 
 
-def believable(standing: SessionStatus) -> bool:
+def is_plausible(status: SessionStatus) -> bool:
     """Whether a peer's standing is within what any front could have; checked beyond its types."""
-    names = (standing.session, standing.via, standing.who, standing.title, standing.cls, standing.tenant)
+    names = (status.session, status.via, status.who, status.title, status.cls, status.tenant)
     numbers = (
-        standing.top_rung, standing.key, standing.box, standing.attempt, standing.rung, standing.answers,
-        standing.spent,
+        status.top_rung, status.key, status.box, status.attempt, status.rung, status.answers,
+        status.spent,
     )  # fmt: skip
     return (
-        bool(standing.session)
-        and all(len(name) <= NAME_MOST for name in names)
-        and len(standing.payload) <= 64
-        and all(0 <= number < NUMBER_MOST for number in numbers)
+        bool(status.session)
+        and all(len(name) <= MAX_NAME_LENGTH for name in names)
+        and len(status.payload) <= 64
+        and all(0 <= number < MAX_NUMBER for number in numbers)
     )
 
 
--- a/fernweir/peers/channel/directory.py
+++ b/fernweir/peers/channel/directory.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from fernweir.peers.base import Effect, Event, Message, Outbox, Send, rendezvous
-from fernweir.peers.channel.channel_names import NAME_MOST
+from fernweir.peers.channel.channel_names import MAX_NAME_LENGTH
 from fernweir.peers.channel.messages import LocateSession, Registered, SessionLocation, Unregistered
 from fernweir.peers.channel.registrar import Entry, Registrar
 from fernweir.peers.channel.rules import DirectoryRules
@@ -63,7 +63,7 @@
 
     def __init__(self, me: str, life: int, rules: DirectoryRules | None = None, seed: int = 0) -> None:
         self.me, self.life, self.rules = me, life, rules or DirectoryRules()
-        self._dice = Random(f"directory {me} {life} {seed}")
+        self._rng = Random(f"directory {me} {life} {seed}")
         self._out = Outbox()
         self._alive: dict[str, int] = {me: life}
         self._registrar = Registrar(self.rules)
@@ -95,7 +95,7 @@
         """This front has the session, in a channel under this fence. False if there is no room to tell."""
         own = self._own.get(session)
         if own is None:
-            if len(self._own) >= self.rules.own_most or not 0 < len(session) <= NAME_MOST:
+            if len(self._own) >= self.rules.own_most or not 0 < len(session) <= MAX_NAME_LENGTH:
                 return False
             own = self._own[session] = _Own(fence)
         elif own.fence != fence:
@@ -127,12 +127,12 @@
         entry = self._registrar.find(now, session) if self.me in asked else None
         others = {name for name in asked if name != self.me}
         full = len(self._finds) >= self.rules.finds_most
-        if self._believed(entry) or not others or full or len(session) > NAME_MOST:
+        if self._believed(entry) or not others or full or len(session) > MAX_NAME_LENGTH:
             owner = entry.owner if entry is not None and self._believed(entry) else None
             lost = entry is not None and owner is None
             self._out.add(Found(session, owner, asked, tuple(sorted(others)) if full else (), lost))
             return
-        number = self._dice.getrandbits(52)
+        number = self._rng.getrandbits(52)
         until, again_at = now + self.rules.find_ms, now + self.rules.again_ms
         self._finds[number] = _Find(number, session, asked, others, until, again_at, entry is not None)
         self._finding[session] = number
@@ -204,7 +204,7 @@
                 batch.registered[session] = own.fence
                 batch.unregistered.pop(session, None)
         if not own.told:
-            own.refresh_at = now + self.rules.refresh_ms * self._dice.uniform(0.75, 1.0)
+            own.refresh_at = now + self.rules.refresh_ms * self._rng.uniform(0.75, 1.0)
         own.told = registrars
 
     def _batch(self, now: float, name: str) -> _Batch:
@@ -235,7 +235,7 @@
             self._out.add(Send(name, LocateSession(find.number, find.session)))
 
     def _where(self, now: float, sender: str, message: LocateSession) -> None:
-        if len(message.session) > NAME_MOST:
+        if len(message.session) > MAX_NAME_LENGTH:
             return
         if (own := self._own.get(message.session)) is not None:
             there = SessionLocation(message.number, message.session, self.me, self.life, own.fence)
--- a/fernweir/peers/channel/handoff.py
+++ b/fernweir/peers/channel/handoff.py
@@ -17,10 +17,10 @@
 from random import Random
 
 from fernweir.peers.base import Effect, Message, Outbox
-from fernweir.peers.channel.handoff_source import Giver
-from fernweir.peers.channel.handoff_target import Taker
+from fernweir.peers.channel.handoff_source import HandoffSource
+from fernweir.peers.channel.handoff_target import HandoffTarget
 from fernweir.peers.channel.rules import HandoffRules
-from fernweir.peers.channel.takeover import Inherited, Outdone, Settled, Takeover
+from fernweir.peers.channel.takeover import HigherFenceFound, Inherited, Settled, Takeover
 from fernweir.peers.port import ClaimResult, SessionStatus
 
 
@@ -44,8 +44,8 @@
         self.me, self.rules = me, rules or HandoffRules()
         self.takeover = takeover or Takeover()
         self._out = Outbox()
-        self._giver = Giver(self.rules, Random(f"handoff {me} {seed}"), self._out)
-        self._taker = Taker(self.rules, self.takeover, listed, known, self._out)
+        self._giver = HandoffSource(self.rules, Random(f"handoff {me} {seed}"), self._out)
+        self._taker = HandoffTarget(self.rules, self.takeover, listed, known, self._out)
 
     # --- the old owner's end ---
 
@@ -54,73 +54,75 @@
         now: float,
         channel: str,
         fence: int,
-        standings: Mapping[str, SessionStatus],
-        heirs: Sequence[str],
+        statuses: Mapping[str, SessionStatus],
+        successors: Sequence[str],
     ) -> bool:
         """Hands a channel on, whose lease this front holds under `fence`. False if it is on its way already.
 
         Until it is frozen the front steers on, and tells `change` and `end`. What it had taken over itself
         and is still in doubt goes along, for the heir to settle.
         """
-        known = {**self.takeover.undecided(channel), **standings}
-        return self._giver.offer(now, channel, fence, known, [name for name in heirs if name != self.me])
+        known = {**self.takeover.undecided(channel), **statuses}
+        return self._giver.offer(now, channel, fence, known, [name for name in successors if name != self.me])
 
-    def change(self, now: float, channel: str, standing: SessionStatus) -> None:
+    def change(self, now: float, channel: str, status: SessionStatus) -> None:
         """A session of a channel on its way is new or changed; in the overlap, an attempt's good end."""
-        self._giver.change(now, channel, standing.session, standing)
+        self._giver.change(now, channel, status.session, status)
 
     def end(self, now: float, channel: str, session: str) -> None:
         self._giver.change(now, channel, session, None)
 
-    def frozen(self, now: float, channel: str, out: Iterable[str]) -> None:
+    def on_frozen(self, now: float, channel: str, out: Iterable[str]) -> None:
         """The answer to `Freeze`: nothing is steered any more, and attempts are out for these sessions."""
         doubtful = self.takeover.undecided(channel)
         self.takeover.stop(channel)
-        self._giver.frozen(now, channel, [*out, *doubtful])
+        self._giver.on_frozen(now, channel, [*out, *doubtful])
 
     def cancel(self, now: float, channel: str, why: str) -> bool:
         """Takes an offer back; False once it is frozen and handed, or if there is none."""
         return self._giver.cancel(now, channel, why)
 
-    def giving(self) -> list[str]:
+    def outgoing(self) -> list[str]:
         return self._giver.channels()
 
     # --- the heir's end ---
 
-    def room(self, sessions: int, closed: str = "") -> None:
+    def set_capacity(self, sessions: int, closed: str = "") -> None:
         """How many sessions may come by hand-off at a time; with `closed` none, for that reason."""
-        self._taker.room(sessions, closed)
+        self._taker.set_capacity(sessions, closed)
 
-    def claimed(self, now: float, channel: str, claimed: ClaimResult) -> None:
+    def on_claimed(self, now: float, channel: str, claimed: ClaimResult) -> None:
         """A box's answer to `Claim`, of whichever way."""
-        self.takeover.claimed(now, channel, claimed)
+        self.takeover.on_claimed(now, channel, claimed)
         self._drain()
 
-    def taking(self) -> list[str]:
+    def incoming(self) -> list[str]:
         return self._taker.channels()
 
     # --- both ---
 
-    def leased(self, now: float, channel: str, fence: int) -> bool:
+    def on_lease_acquired(self, now: float, channel: str, fence: int) -> bool:
         """The lease that `WantLease` asked for is here. False if no hand-off waits for it."""
-        took = self._giver.leased(now, channel, fence) or self._taker.leased(now, channel, fence)
+        took = self._giver.on_lease_acquired(now, channel, fence) or self._taker.on_lease_acquired(
+            now, channel, fence
+        )
         self._drain()
         return took
 
-    def taken(self, now: float, channel: str, by: str, fence: int) -> None:
+    def on_lease_taken(self, now: float, channel: str, by: str, fence: int) -> None:
         """Another holds the lease that was asked for."""
-        self._giver.taken(now, channel, by, fence)
-        self._taker.taken(channel, fence)
+        self._giver.on_lease_taken(now, channel, by, fence)
+        self._taker.on_lease_taken(channel, fence)
 
-    def lost(self, now: float, channel: str) -> None:
+    def on_lease_lost(self, now: float, channel: str) -> None:
         """The lease is gone without `ReleaseLease`. To be told before anything else on waking up."""
-        self._giver.lost(now, channel)
-        self._taker.lost(channel)
+        self._giver.on_lease_lost(now, channel)
+        self._taker.on_lease_lost(channel)
         self.takeover.stop(channel)
 
-    def died(self, now: float, name: str) -> None:
+    def on_peer_died(self, now: float, name: str) -> None:
         """A front is believed dead."""
-        self._giver.died(now, name)
+        self._giver.on_peer_died(now, name)
 
     def may_steer(self, channel: str) -> bool:
         """Whether hand-off and taking over leave an owner with a valid lease free to steer the channel."""
@@ -161,5 +163,5 @@
                 self._giver.settled(effect.channel, effect.take, effect.over)
             if isinstance(effect, Inherited):
                 self._taker.acts(effect.channel, effect.fence)
-            elif isinstance(effect, Outdone):
-                self._taker.taken(effect.channel, effect.fence)
+            elif isinstance(effect, HigherFenceFound):
+                self._taker.on_lease_taken(effect.channel, effect.fence)
--- a/fernweir/peers/channel/handoff_source.py
+++ b/fernweir/peers/channel/handoff_source.py
@@ -59,18 +59,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaveLease(Event):
+class AbandonLease(Event):
     """Ask for it no more, and release it should it come."""
 
     channel: str
 
 
 @dataclass(frozen=True, slots=True)
-class HandedOn(Event):
+class TargetActivated(Event):
     """The heir acts, under this fence."""
 
     channel: str
-    heir: str
+    target: str
     fence: int
 
 
@@ -82,24 +82,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HandedOver(Event):
+class HandoffFinished(Event):
     """All is done: the channel is the heir's, and nothing is owed to it."""
 
     channel: str
-    heir: str
+    target: str
 
 
 @dataclass(frozen=True, slots=True)
-class TakenBack(Event):
+class LeaseReclaimed(Event):
     """The heir did not act, and the lease is here again: the channel is to be taken over like any other."""
 
     channel: str
     fence: int
-    standings: tuple[SessionStatus, ...]
+    statuses: tuple[SessionStatus, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class NoHeir(Event):
+class NoSuccessor(Event):
     """None of the heirs took it: it is owned and steered from here as before."""
 
     channel: str
@@ -117,10 +117,10 @@
 class _Giving:
     channel: str
     fence: int
-    heirs: deque[str]
-    standings: dict[str, SessionStatus]
+    successors: deque[str]
+    statuses: dict[str, SessionStatus]
     step: Step = Step.WAITING
-    heir: str = ""
+    target: str = ""
     offer: int = 0
     due: float = 0.0  # when this step has taken too long
     again_at: float = 0.0
@@ -134,14 +134,14 @@
     acting: int = 0  # the heir's fence, once it acts
     floor: int = 0  # of the lease that is asked for again
     bound_told: bool = False
-    heir_left: bool = False
+    target_left: bool = False
 
 
-class Giver:
+class HandoffSource:
     """All channels that are being handed on from here."""
 
-    def __init__(self, rules: HandoffRules, dice: Random, out: Outbox) -> None:
-        self.rules, self._dice, self._out = rules, dice, out
+    def __init__(self, rules: HandoffRules, rng: Random, out: Outbox) -> None:
+        self.rules, self._rng, self._out = rules, rng, out
         self._givings: dict[str, _Giving] = {}
 
     def offer(
@@ -149,20 +149,20 @@
         now: float,
         channel: str,
         fence: int,
-        standings: Mapping[str, SessionStatus],
-        heirs: Sequence[str],
+        statuses: Mapping[str, SessionStatus],
+        successors: Sequence[str],
     ) -> bool:
         if channel in self._givings:
             return False
-        self._givings[channel] = _Giving(channel, fence, deque(heirs), dict(standings))
+        self._givings[channel] = _Giving(channel, fence, deque(successors), dict(statuses))
         self._start(now)
         return True
 
-    def change(self, now: float, channel: str, session: str, standing: SessionStatus | None) -> None:
+    def change(self, now: float, channel: str, session: str, status: SessionStatus | None) -> None:
         """Something of a channel on its way changed; without a standing it is over."""
         giving = self._givings.get(channel)
         if giving is not None:
-            self._note(giving, session, standing)
+            self._note(giving, session, status)
             if giving.again_at <= now:
                 giving.again_at = now + self.rules.resend_ms
 
@@ -170,22 +170,22 @@
         """What was in doubt here when the channel was offered has been decided."""
         giving = self._givings.get(channel)
         if giving is not None:
-            for standing in take:
-                self._note(giving, standing.session, standing)
+            for status in take:
+                self._note(giving, status.session, status)
             for session in over:
                 self._note(giving, session, None)
 
-    def _note(self, giving: _Giving, session: str, standing: SessionStatus | None) -> None:
-        if standing is None:
-            giving.standings.pop(session, None)
+    def _note(self, giving: _Giving, session: str, status: SessionStatus | None) -> None:
+        if status is None:
+            giving.statuses.pop(session, None)
         else:
-            giving.standings[session] = standing
+            giving.statuses[session] = status
         if giving.step not in (Step.WAITING, Step.OFFERED):
-            giving.lates.append((session, standing))
+            giving.lates.append((session, status))
             if len(giving.lates) <= giving.lates_got + _LATES_OUT:
                 self._send_late(giving, len(giving.lates) - 1)
 
-    def frozen(self, now: float, channel: str, out: Iterable[str]) -> None:
+    def on_frozen(self, now: float, channel: str, out: Iterable[str]) -> None:
         giving = self._givings.get(channel)
         if giving is None or giving.step is not Step.FROZEN:
             return
@@ -222,24 +222,24 @@
 
     # --- leases and members ---
 
-    def leased(self, now: float, channel: str, fence: int) -> bool:
+    def on_lease_acquired(self, now: float, channel: str, fence: int) -> bool:
         giving = self._givings.get(channel)
         if giving is None or giving.step is not Step.BACK or fence <= giving.floor:
             return False
         self._cancel(giving, "taken back")
         self._forget(now, giving)
-        self._out.add(TakenBack(channel, fence, tuple(giving.standings.values())))
+        self._out.add(LeaseReclaimed(channel, fence, tuple(giving.statuses.values())))
         return True
 
-    def taken(self, now: float, channel: str, by: str, fence: int) -> None:
+    def on_lease_taken(self, now: float, channel: str, by: str, fence: int) -> None:
         """Another has the lease that was asked for again: a standby, which begins from its own copy, or the
         heir, which may have got no further. Until that one acts, what it must know stays here."""
         giving = self._givings.get(channel)
-        if giving is not None and giving.step is Step.BACK and fence > giving.fence and by != giving.heir:
-            giving.heir_left = True
+        if giving is not None and giving.step is Step.BACK and fence > giving.fence and by != giving.target:
+            giving.target_left = True
             self._acts(now, giving, by, fence)
 
-    def lost(self, now: float, channel: str) -> None:
+    def on_lease_lost(self, now: float, channel: str) -> None:
         """The lease is gone without having been released: nothing can be handed on."""
         giving = self._givings.get(channel)
         if giving is not None and giving.step not in (Step.HANDED, Step.BACK):
@@ -247,9 +247,9 @@
             self._forget(now, giving)
             self._out.add(Lapsed(channel, "lease lost"))
 
-    def died(self, now: float, name: str) -> None:
+    def on_peer_died(self, now: float, name: str) -> None:
         for giving in list(self._givings.values()):
-            if giving.heir != name:
+            if giving.target != name:
                 continue
             if giving.step in (Step.OFFERED, Step.MOVING, Step.FROZEN):
                 self._next(now, giving)
@@ -262,7 +262,7 @@
         if not isinstance(message, Accept | Decline | HandoffAck | TargetActive | Cancel):
             return
         giving = self._givings.get(message.channel)
-        if giving is None or giving.offer != message.offer or giving.heir != sender:
+        if giving is None or giving.offer != message.offer or giving.target != sender:
             if isinstance(message, Accept):
                 self._out.add(Send(sender, Cancel(message.channel, message.offer, "not offered")))
             return
@@ -281,7 +281,7 @@
             self._next(now, giving)
         elif isinstance(message, Cancel) and giving.step is Step.HANDED:
             if giving.acting:
-                giving.heir_left = True
+                giving.target_left = True
             else:
                 self._ask_back(now, giving)
 
@@ -298,13 +298,13 @@
         elif got.parts % _PARTS_OUT == 0:
             self._send_parts(giving)
 
-    def _acts(self, now: float, giving: _Giving, heir: str, fence: int) -> None:
+    def _acts(self, now: float, giving: _Giving, target: str, fence: int) -> None:
         if giving.acting:
             return
         if giving.step is Step.BACK:
-            self._out.add(LeaveLease(giving.channel))
-        giving.step, giving.acting, giving.heir = Step.HANDED, fence, heir
-        self._out.add(HandedOn(giving.channel, heir, fence))
+            self._out.add(AbandonLease(giving.channel))
+        giving.step, giving.acting, giving.target = Step.HANDED, fence, target
+        self._out.add(TargetActivated(giving.channel, target, fence))
         self._start(now)
         self.tick(now)
 
@@ -344,15 +344,15 @@
             giving.bound_told = True
             self._out.add(OverlapOver(giving.channel))
         if giving.acting:
-            told = giving.heir_left or giving.lates_got == len(giving.lates)
+            told = giving.target_left or giving.lates_got == len(giving.lates)
             if giving.bound_told and (told or now >= bound + self.rules.tail_ms):
                 self._forget(now, giving)
-                self._out.add(HandedOver(giving.channel, giving.heir))
+                self._out.add(HandoffFinished(giving.channel, giving.target))
         elif now >= giving.due:
             if giving.step is Step.HANDED:
                 self._ask_back(now, giving)
             else:
-                self._out.add(LeaveLease(giving.channel))
+                self._out.add(AbandonLease(giving.channel))
                 self._forget(now, giving)
                 self._out.add(Lapsed(giving.channel, "no heir acts, and the lease did not come back"))
 
@@ -360,7 +360,7 @@
         """Whether anything is still unanswered that is worth saying again."""
         if giving.step in (Step.HANDED, Step.BACK) and not giving.acting:
             return True
-        return giving.step is Step.HANDED and not giving.heir_left and giving.lates_got < len(giving.lates)
+        return giving.step is Step.HANDED and not giving.target_left and giving.lates_got < len(giving.lates)
 
     def _again(self, now: float, giving: _Giving) -> None:
         giving.again_at = now + self.rules.resend_ms
@@ -390,19 +390,19 @@
         """Offers it to the next heir."""
         self._cancel(giving, "passed over")
         giving.parts, giving.lates, giving.parts_got, giving.lates_got = [], [], 0, 0
-        if not giving.heirs:
+        if not giving.successors:
             del self._givings[giving.channel]
-            self._out.add(NoHeir(giving.channel))
+            self._out.add(NoSuccessor(giving.channel))
             self._start(now)
             return
-        giving.step, giving.heir = Step.OFFERED, giving.heirs.popleft()
-        giving.offer = self._dice.getrandbits(52) + 1
+        giving.step, giving.target = Step.OFFERED, giving.successors.popleft()
+        giving.offer = self._rng.getrandbits(52) + 1
         giving.due, giving.again_at = now + self.rules.offer_ms, now + self.rules.resend_ms
         self._send_offer(giving)
 
     def _move(self, now: float, giving: _Giving) -> None:
         giving.step, giving.due = Step.MOVING, now + self.rules.move_ms
-        giving.parts = cut(giving.standings.values(), self.rules.message_bytes)
+        giving.parts = cut(giving.statuses.values(), self.rules.message_bytes)
         giving.again_at = now + self.rules.resend_ms
         self._send_parts(giving)
 
@@ -416,47 +416,47 @@
         self._start(now)
 
     def _cancel(self, giving: _Giving, why: str) -> None:
-        if giving.heir and giving.step is not Step.WAITING:
-            self._out.add(Send(giving.heir, Cancel(giving.channel, giving.offer, why)))
+        if giving.target and giving.step is not Step.WAITING:
+            self._out.add(Send(giving.target, Cancel(giving.channel, giving.offer, why)))
 
     # --- sends ---
 
     def _send_offer(self, giving: _Giving) -> None:
-        offer = Offer(giving.channel, giving.offer, giving.fence, len(giving.standings))
-        self._out.add(Send(giving.heir, offer))
+        offer = Offer(giving.channel, giving.offer, giving.fence, len(giving.statuses))
+        self._out.add(Send(giving.target, offer))
 
     def _send_parts(self, giving: _Giving) -> None:
         until = min(giving.parts_got + _PARTS_OUT, len(giving.parts))
         for number in range(giving.parts_got, until):
             part = HandoffPart(giving.channel, giving.offer, number, len(giving.parts), giving.parts[number])
-            self._out.add(Send(giving.heir, part, reliable=True))
+            self._out.add(Send(giving.target, part, reliable=True))
 
     def _send_lates(self, giving: _Giving) -> None:
         for number in range(giving.lates_got, min(giving.lates_got + _LATES_OUT, len(giving.lates))):
             self._send_late(giving, number)
 
     def _send_late(self, giving: _Giving, number: int) -> None:
-        session, standing = giving.lates[number]
-        late = HandoffUpdate(giving.channel, giving.offer, number, session, standing)
-        self._out.add(Send(giving.heir, late, reliable=True))
+        session, status = giving.lates[number]
+        late = HandoffUpdate(giving.channel, giving.offer, number, session, status)
+        self._out.add(Send(giving.target, late, reliable=True))
 
     def _send_yours(self, now: float, giving: _Giving) -> None:
         giving.again_at = now + self.rules.resend_ms
         yours = HandoffCommit(
             giving.channel, giving.offer, giving.fence, giving.handed_lates, self.rules.overlap_ms, giving.out
         )
-        self._out.add(Send(giving.heir, yours, reliable=True))
+        self._out.add(Send(giving.target, yours, reliable=True))
 
 
-def cut(standings: Iterable[SessionStatus], size_most: int) -> list[list[SessionStatus]]:
+def cut(statuses: Iterable[SessionStatus], size_most: int) -> list[list[SessionStatus]]:
     """Parts of bounded size; at least one, which may be empty."""
     parts: list[list[SessionStatus]] = [[]]
     size = 0
-    for standing in standings:
-        one = size_of(standing)
+    for status in statuses:
+        one = size_of(status)
         if size and size + one > size_most:
             parts.append([])
             size = 0
-        parts[-1].append(standing)
+        parts[-1].append(status)
         size += one
     return parts
--- a/fernweir/peers/channel/handoff_target.py
+++ b/fernweir/peers/channel/handoff_target.py
@@ -7,8 +7,8 @@
 from enum import Enum
 
 from fernweir.peers.base import Message, Outbox, Send
-from fernweir.peers.channel.channel_names import believable, parse
-from fernweir.peers.channel.handoff_source import LeaveLease, WantLease
+from fernweir.peers.channel.channel_names import is_plausible, parse
+from fernweir.peers.channel.handoff_source import AbandonLease, WantLease
 from fernweir.peers.channel.messages import (
     Accept,
     Cancel,
@@ -45,13 +45,13 @@
     parts: int = 0
     sessions: int = 0
     lates: int = 0
-    standings: dict[str, SessionStatus] = field(default_factory=dict)
+    statuses: dict[str, SessionStatus] = field(default_factory=dict)
     early: dict[int, HandoffUpdate] = field(default_factory=dict)  # lates that came before the parts
     yours: HandoffCommit | None = None
     hold_until: float = 0.0
 
 
-class Taker:
+class HandoffTarget:
     """All channels that are on their way to here. `listed` gives the numbers of all boxes, `known` the
     highest fence that is known of a channel."""
 
@@ -69,7 +69,7 @@
         self._room = rules.sessions_most
         self._closed = ""
 
-    def room(self, sessions: int, closed: str) -> None:
+    def set_capacity(self, sessions: int, closed: str) -> None:
         self._room, self._closed = sessions, closed
 
     def channels(self) -> list[str]:
@@ -77,7 +77,7 @@
 
     # --- leases ---
 
-    def leased(self, now: float, channel: str, fence: int) -> bool:
+    def on_lease_acquired(self, now: float, channel: str, fence: int) -> bool:
         taking = self._takings.get(channel)
         if taking is None or taking.step is not Step.LEASING or taking.yours is None or fence <= taking.fence:
             return False
@@ -87,7 +87,7 @@
             now,
             channel,
             fence,
-            taking.standings,
+            taking.statuses,
             listed=self._listed(),
             planned_ms=hold,
             out=taking.yours.out,
@@ -101,7 +101,7 @@
             taking.step = Step.ACTING
             self._out.add(Send(taking.giver, TargetActive(channel, taking.offer, fence)))
 
-    def taken(self, channel: str, fence: int) -> None:
+    def on_lease_taken(self, channel: str, fence: int) -> None:
         """Another has the lease."""
         taking = self._takings.get(channel)
         if taking is None or fence <= taking.fence:
@@ -109,7 +109,7 @@
         if taking.step is not Step.ACCEPTED:
             self._drop(taking)
 
-    def lost(self, channel: str) -> None:
+    def on_lease_lost(self, channel: str) -> None:
         taking = self._takings.get(channel)
         if taking is not None and taking.step in (Step.CLAIMING, Step.ACTING):
             self._drop(taking)
@@ -169,21 +169,21 @@
         return ""
 
     def _moved(self, now: float, taking: _Taking, moved: HandoffPart) -> None:
-        sound = 1 <= moved.count <= self.rules.sessions_most and all(map(believable, moved.standings))
+        sound = 1 <= moved.count <= self.rules.sessions_most and all(map(is_plausible, moved.statuses))
         if moved.number == 0 and taking.total < 0 and sound:
             taking.total = moved.count
-        room = taking.sessions + len(moved.standings) <= self.rules.sessions_most
+        room = taking.sessions + len(moved.statuses) <= self.rules.sessions_most
         if sound and room and moved.number == taking.parts < taking.total == moved.count:
             taking.parts += 1
-            taking.sessions += len(moved.standings)
-            taking.standings.update((standing.session, standing) for standing in moved.standings)
+            taking.sessions += len(moved.statuses)
+            taking.statuses.update((status.session, status) for status in moved.statuses)
             taking.due = now + self.rules.accept_ms
         self._catch_up(now, taking)
         self._got(taking)
         self._ready(now, taking)
 
     def _late(self, now: float, taking: _Taking, late: HandoffUpdate) -> None:
-        sound = late.standing is None or (believable(late.standing) and late.standing.session == late.session)
+        sound = late.status is None or (is_plausible(late.status) and late.status.session == late.session)
         if sound and taking.lates <= late.number < taking.lates + self.rules.sessions_most:
             taking.early[late.number] = late
         self._catch_up(now, taking)
@@ -196,11 +196,11 @@
             late = taking.early.pop(taking.lates)
             taking.lates += 1
             if taking.step in (Step.CLAIMING, Step.ACTING):
-                self._takeover.learn(now, taking.channel, late.session, late.standing)
-            elif late.standing is None:
-                taking.standings.pop(late.session, None)
+                self._takeover.learn(now, taking.channel, late.session, late.status)
+            elif late.status is None:
+                taking.statuses.pop(late.session, None)
             else:
-                taking.standings[late.session] = late.standing
+                taking.statuses[late.session] = late.status
 
     def _yours(self, now: float, taking: _Taking, yours: HandoffCommit) -> None:
         if taking.step is Step.ACTING:
@@ -246,6 +246,6 @@
     def _drop(self, taking: _Taking) -> None:
         del self._takings[taking.channel]
         if taking.step is Step.LEASING:
-            self._out.add(LeaveLease(taking.channel))
+            self._out.add(AbandonLease(taking.channel))
         elif taking.step in (Step.CLAIMING, Step.ACTING):
             self._takeover.stop(taking.channel)
--- a/fernweir/peers/channel/messages.py
+++ b/fernweir/peers/channel/messages.py
@@ -57,7 +57,7 @@
     seq: int
     number: int
     count: int
-    standings: list[SessionStatus]
+    statuses: list[SessionStatus]
     as_of: Freshness
 
 
@@ -127,7 +127,7 @@
     offer: int
     number: int
     count: int
-    standings: list[SessionStatus]
+    statuses: list[SessionStatus]
 
 
 class HandoffUpdate(Message, tag="channel.late", frozen=True):
@@ -137,7 +137,7 @@
     offer: int
     number: int
     session: str
-    standing: SessionStatus | None = None
+    status: SessionStatus | None = None
 
 
 class HandoffAck(Message, tag="channel.got", frozen=True):
--- a/fernweir/peers/channel/owned.py
+++ b/fernweir/peers/channel/owned.py
@@ -77,7 +77,7 @@
     fence: int
     rules: ReplicaRules
     out: Outbox
-    standings: dict[str, SessionStatus] = field(default_factory=dict)
+    statuses: dict[str, SessionStatus] = field(default_factory=dict)
     seq: int = 0
     _log: deque[_Batch] = field(default_factory=deque)
     _log_bytes: int = 0
@@ -93,30 +93,30 @@
 
     # --- the state ---
 
-    def change(self, now: float, standing: SessionStatus) -> None:
-        old = self.standings.get(standing.session)
-        if old != standing:
-            self.standings[standing.session] = standing
-            self._gather(now, standing.session, old, standing)
+    def change(self, now: float, status: SessionStatus) -> None:
+        old = self.statuses.get(status.session)
+        if old != status:
+            self.statuses[status.session] = status
+            self._gather(now, status.session, old, status)
 
     def end(self, now: float, session: str) -> None:
-        old = self.standings.pop(session, None)
+        old = self.statuses.pop(session, None)
         if old is not None:
             self._gather(now, session, old, None)
 
-    def become(self, now: float, standings: Iterable[SessionStatus]) -> None:
+    def become(self, now: float, statuses: Iterable[SessionStatus]) -> None:
         """The state is this from now on."""
-        wanted = {standing.session: standing for standing in standings}
-        for session in [session for session in self.standings if session not in wanted]:
+        wanted = {status.session: status for status in statuses}
+        for session in [session for session in self.statuses if session not in wanted]:
             self.end(now, session)
-        for standing in wanted.values():
-            self.change(now, standing)
+        for status in wanted.values():
+            self.change(now, status)
 
     def _gather(
-        self, now: float, session: str, old: SessionStatus | None, standing: SessionStatus | None
+        self, now: float, session: str, old: SessionStatus | None, status: SessionStatus | None
     ) -> None:
         self._before.setdefault(session, old)
-        self._pending[session] = standing
+        self._pending[session] = status
         if self._flush_at is None:
             self._flush_at, self._pending_since = now + self.rules.flush_ms, now
 
@@ -136,7 +136,7 @@
     def names(self) -> list[str]:
         return list(self._followers)
 
-    def whole_at(self, name: str) -> bool:
+    def is_complete_at(self, name: str) -> bool:
         """Whether that standby has said that it has all up to now."""
         follower = self._followers.get(name)
         return follower is not None and not self._pending and follower.acked == self.seq
@@ -226,20 +226,20 @@
         """Closes what was gathered into batches, each small enough for one message."""
         batch = _Batch(self.seq + 1, [], [], [], 0, now)
         size = 0
-        for session, standing in self._pending.items():
-            moved = _moved(self._before[session], standing)
-            full = standing is not None and moved is None
-            one = size_of(standing) if standing is not None and full else len(session.encode()) + _SMALL
+        for session, status in self._pending.items():
+            moved = _moved(self._before[session], status)
+            full = status is not None and moved is None
+            one = size_of(status) if status is not None and full else len(session.encode()) + _SMALL
             if size and size + one > self.rules.message_bytes:
                 self._close(batch, size)
                 batch, size = _Batch(self.seq + 1, [], [], [], 0, now), 0
             size += one
-            if standing is None:
+            if status is None:
                 batch.ended.append(session)
             elif moved is not None:
                 batch.moved.append((session, moved))
             else:
-                batch.changed.append(standing)
+                batch.changed.append(status)
         self._close(batch, size)
         self._pending.clear()
         self._before.clear()
@@ -273,12 +273,12 @@
             return self._frozen
         pieces: list[list[SessionStatus]] = [[]]
         size = 0
-        for standing in self.standings.values():
-            one = size_of(standing)
+        for status in self.statuses.values():
+            one = size_of(status)
             if size and size + one > self.rules.message_bytes:
                 pieces.append([])
                 size = 0
-            pieces[-1].append(standing)
+            pieces[-1].append(status)
             size += one
         self._frozen = _Frozen(self.seq, tuple(pieces), now)
         return self._frozen
@@ -348,24 +348,22 @@
         return Freshness(max(age, 0.0), follower.token, now - follower.token_at)
 
 
-def _moved(before: SessionStatus | None, standing: SessionStatus | None) -> Placement | None:
+def _moved(before: SessionStatus | None, status: SessionStatus | None) -> Placement | None:
     """The new placing, if nothing else of the standing changed."""
-    if before is None or standing is None:
+    if before is None or status is None:
         return None
-    placing = placing_of(standing)
-    return placing if placed(before, placing) == standing else None
+    placement = placement_of(status)
+    return placement if with_placement(before, placement) == status else None
 
 
-def placing_of(standing: SessionStatus) -> Placement:
-    return standing.box, standing.attempt, standing.rung, standing.answers, standing.spent
+def placement_of(status: SessionStatus) -> Placement:
+    return status.box, status.attempt, status.rung, status.answers, status.spent
 
 
-def placed(standing: SessionStatus, placing: Placement) -> SessionStatus:
-    box, attempt, rung, answers, spent = placing
-    return msgspec.structs.replace(
-        standing, box=box, attempt=attempt, rung=rung, answers=answers, spent=spent
-    )
+def with_placement(status: SessionStatus, placement: Placement) -> SessionStatus:
+    box, attempt, rung, answers, spent = placement
+    return msgspec.structs.replace(status, box=box, attempt=attempt, rung=rung, answers=answers, spent=spent)
 
 
-def size_of(standing: SessionStatus) -> int:
-    return len(msgspec.msgpack.encode(standing))
+def size_of(status: SessionStatus) -> int:
+    return len(msgspec.msgpack.encode(status))
--- a/fernweir/peers/channel/reconcile.py
+++ b/fernweir/peers/channel/reconcile.py
@@ -44,7 +44,7 @@
 
 
 def reconcile(
-    standings: Mapping[str, SessionStatus], told: Sequence[ClaimResult], elsewhere: Container[str] = ()
+    statuses: Mapping[str, SessionStatus], told: Sequence[ClaimResult], elsewhere: Container[str] = ()
 ) -> Reconciled:
     """See the table. Of several answers of one box the last that reached it counts.
 
@@ -62,37 +62,37 @@
     over: list[str] = []
     unknown: list[SessionStatus] = []
     give_up: list[tuple[int, str, int]] = []
-    for session, standing in standings.items():
+    for session, status in statuses.items():
         places = listed.pop(session, [])
-        best = _best(standing, places)
+        best = _best(status, places)
         give_up += [(box, session, attempt) for box, attempt, rung in places if (box, attempt, rung) != best]
         if best is not None:
-            take.append(_with(standing, best))
-        elif standing.box in answers and session not in elsewhere:
+            take.append(_with(status, best))
+        elif status.box in answers and session not in elsewhere:
             over.append(session)
         else:
-            unknown.append(standing)
+            unknown.append(status)
     for session, places in listed.items():
         give_up += [(box, session, attempt) for box, attempt, _ in places]
     return Reconciled(tuple(take), tuple(over), tuple(give_up), tuple(unknown))
 
 
-def boxes_of(standings: Iterable[SessionStatus]) -> list[int]:
+def boxes_of(statuses: Iterable[SessionStatus]) -> list[int]:
     """Boxes that these stand at, in order of their numbers."""
-    return sorted({standing.box for standing in standings})
+    return sorted({status.box for status in statuses})
 
 
-def _best(standing: SessionStatus, places: Sequence[tuple[int, int, int]]) -> tuple[int, int, int] | None:
+def _best(status: SessionStatus, places: Sequence[tuple[int, int, int]]) -> tuple[int, int, int] | None:
     """The place that is the session's, of what the boxes list: (box, attempt, rung)."""
     here = [
         place
         for place in places
-        if place[1] > standing.attempt or (place[0] == standing.box and place[1] == standing.attempt)
+        if place[1] > status.attempt or (place[0] == status.box and place[1] == status.attempt)
     ]
-    return max(here, key=lambda place: (place[1], place[0] == standing.box, -place[0]), default=None)
+    return max(here, key=lambda place: (place[1], place[0] == status.box, -place[0]), default=None)
 
 
-def _with(standing: SessionStatus, place: tuple[int, int, int]) -> SessionStatus:
+def _with(status: SessionStatus, place: tuple[int, int, int]) -> SessionStatus:
     """A standing as it is at its box."""
     box, attempt, rung = place
-    return msgspec.structs.replace(standing, box=box, attempt=attempt, rung=rung)
+    return msgspec.structs.replace(status, box=box, attempt=attempt, rung=rung)
--- a/fernweir/peers/channel/registrar.py
+++ b/fernweir/peers/channel/registrar.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass, field
 
-from fernweir.peers.channel.channel_names import FENCE_MOST, NAME_MOST
+from fernweir.peers.channel.channel_names import FENCE_LIMIT, MAX_NAME_LENGTH
 from fernweir.peers.channel.rules import DirectoryRules
 
 
@@ -49,7 +49,7 @@
         if known is not None and life < known:
             return
         for session, fence in sessions[: self.rules.message_entries]:
-            if 0 < len(session) <= NAME_MOST and 0 <= fence < FENCE_MOST:
+            if 0 < len(session) <= MAX_NAME_LENGTH and 0 <= fence < FENCE_LIMIT:
                 self._put(session, Entry(owner, life, fence, now))
 
     def unregister(self, owner: str, life: int, sessions: Sequence[str]) -> None:
--- a/fernweir/peers/channel/replication.py
+++ b/fernweir/peers/channel/replication.py
@@ -19,7 +19,7 @@
 from fernweir.peers.channel.owned import OwnedChannel
 from fernweir.peers.channel.payloads import Payloads
 from fernweir.peers.channel.rules import ReplicaRules
-from fernweir.peers.channel.standby import Copy, Standby
+from fernweir.peers.channel.standby import ChannelReplica, Standby
 from fernweir.peers.port import SessionStatus
 
 _FETCHED = 256  # payloads that no copy names, fetched for hand-offs
@@ -33,7 +33,7 @@
     fence: int
 
 
-class Replica:
+class ChannelReplication:
     """Owned channels go to their standbys; copies of others' channels are kept.
 
     A channel is either owned here or kept as a copy. What comes from peers is checked beyond its types and
@@ -51,26 +51,26 @@
 
     # --- the owner's side ---
 
-    def own(self, now: float, channel: str, fence: int, standings: Iterable[SessionStatus]) -> bool:
+    def own(self, now: float, channel: str, fence: int, statuses: Iterable[SessionStatus]) -> bool:
         """This front owns the channel under this fence, and this stands in it. False if a higher is known."""
         owned = self._owned.get(channel)
         if fence < max(self._standby.fence(channel), owned.fence if owned is not None else 0):
             return False
         if owned is not None and owned.fence == fence:
-            owned.become(now, standings)
+            owned.become(now, statuses)
             return True
         self._standby.forget(channel)
         fresh = OwnedChannel(channel, fence, self.rules, self._out)
-        fresh.standings = {standing.session: standing for standing in standings}
+        fresh.statuses = {status.session: status for status in statuses}
         self._owned[channel] = fresh
         if owned is not None:
             fresh.standbys(now, owned.names())
         return True
 
-    def change(self, now: float, channel: str, standing: SessionStatus) -> None:
+    def change(self, now: float, channel: str, status: SessionStatus) -> None:
         """A session is new in an owned channel, or changed."""
         if (owned := self._owned.get(channel)) is not None:
-            owned.change(now, standing)
+            owned.change(now, status)
 
     def end(self, now: float, channel: str, session: str) -> None:
         if (owned := self._owned.get(channel)) is not None:
@@ -81,7 +81,7 @@
         if (owned := self._owned.get(channel)) is not None:
             owned.standbys(now, [name for name in names if name != self.me])
 
-    def over(self, now: float, channel: str) -> None:
+    def close_channel(self, now: float, channel: str) -> None:
         """An owned channel has ended for good: its copies may go."""
         if (owned := self._owned.pop(channel, None)) is not None:
             owned.drop(now)
@@ -93,22 +93,22 @@
         """
         if (owned := self._owned.pop(channel, None)) is not None:
             as_of = now if since is None else min(since, now)
-            self._standby.keep(now, channel, self.me, owned.fence, owned.standings, as_of)
+            self._standby.keep(now, channel, self.me, owned.fence, owned.statuses, as_of)
 
     def owned(self) -> list[str]:
         return list(self._owned)
 
-    def whole_at(self, channel: str, name: str) -> bool:
+    def is_complete_at(self, channel: str, name: str) -> bool:
         """Whether that standby has said that it has all of an owned channel."""
         owned = self._owned.get(channel)
-        return owned is not None and owned.whole_at(name)
+        return owned is not None and owned.is_complete_at(name)
 
     # --- the standby's side ---
 
-    def copy(self, channel: str) -> Copy | None:
-        return self._standby.copy(channel)
+    def find_replica(self, channel: str) -> ChannelReplica | None:
+        return self._standby.find_replica(channel)
 
-    def copies(self) -> list[str]:
+    def replicated_channels(self) -> list[str]:
         """Channels of which a copy is kept."""
         return self._standby.channels()
 
--- a/fernweir/peers/channel/rules.py
+++ b/fernweir/peers/channel/rules.py
@@ -78,7 +78,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HeirRules:
+class SuccessorRules:
     """No heir gets more than `1 + slack` times the mean; one younger than `ramp_ms` its share of that."""
 
     slack: float = 0.25
@@ -88,7 +88,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SpreadRules:
+class PacingRules:
     """Channels are taken over within `within_ms`, however many; slower only as far as that allows."""
 
     within_ms: float = 500.0
--- a/fernweir/peers/channel/standby.py
+++ b/fernweir/peers/channel/standby.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from fernweir.peers.base import Event, Outbox, Send
-from fernweir.peers.channel.channel_names import FENCE_MOST, believable, parse
+from fernweir.peers.channel.channel_names import FENCE_LIMIT, is_plausible, parse
 from fernweir.peers.channel.messages import (
     Deltas,
     Freshness,
@@ -21,7 +21,7 @@
     ReplicaDropped,
     SnapshotPiece,
 )
-from fernweir.peers.channel.owned import placed, size_of
+from fernweir.peers.channel.owned import size_of, with_placement
 from fernweir.peers.channel.rules import ReplicaRules
 from fernweir.peers.port import SessionStatus
 
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Copied(Event):
+class ReplicaCompleted(Event):
     """A copy is whole for the first time under this fence."""
 
     channel: str
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True)
-class Copy:
+class ChannelReplica:
     """What is known of a channel that another owns, or owned. `fence` is that of its content.
 
     `whole`: nothing that the owner sent under the highest fence heard of is missing from the beginning on.
@@ -47,8 +47,8 @@
     channel: str
     owner: str
     fence: int
-    standings: Mapping[str, SessionStatus]
-    whole: bool
+    statuses: Mapping[str, SessionStatus]
+    complete: bool
     as_of: float | None = None  # own clock; None if nothing was proved of its age
 
     def age_ms(self, now: float) -> float:
@@ -64,9 +64,9 @@
     owner: str
     fence: int
     heard_at: float
-    copy: Copy | None = None
+    copy: ChannelReplica | None = None
     shown: dict[str, SessionStatus] | None = None  # the copy's standings as they are handed out
-    standings: dict[str, SessionStatus] = field(default_factory=dict)
+    statuses: dict[str, SessionStatus] = field(default_factory=dict)
     size: int = 0
     seq: int = -1
     piece_seq: int = -1
@@ -81,18 +81,18 @@
 class Standby:
     """All copies kept here; bounded in number, sessions and bytes."""
 
-    def __init__(self, rules: ReplicaRules, dice: Random, out: Outbox) -> None:
-        self.rules, self._dice, self._out = rules, dice, out
+    def __init__(self, rules: ReplicaRules, rng: Random, out: Outbox) -> None:
+        self.rules, self._rng, self._out = rules, rng, out
         self._kept: dict[str, _Kept] = {}
 
-    def copy(self, channel: str) -> Copy | None:
+    def find_replica(self, channel: str) -> ChannelReplica | None:
         """As it is now: what comes later does not change it."""
         kept = self._kept.get(channel)
         if kept is None or kept.copy is None:
             return None
         if kept.shown is None:
-            kept.shown = dict(kept.copy.standings)
-        return replace(kept.copy, standings=kept.shown)
+            kept.shown = dict(kept.copy.statuses)
+        return replace(kept.copy, statuses=kept.shown)
 
     def channels(self) -> list[str]:
         """Of which there is a copy."""
@@ -101,7 +101,7 @@
     def digests(self, channel: str) -> tuple[set[bytes], str]:
         """Of the payloads that a copy names, and whose copy it is."""
         kept = self._kept[channel]
-        return {one.payload for one in kept.standings.values() if one.payload}, kept.owner
+        return {one.payload for one in kept.statuses.values() if one.payload}, kept.owner
 
     def fence(self, channel: str) -> int:
         """The highest fence heard of, 0 for none."""
@@ -121,15 +121,15 @@
         channel: str,
         owner: str,
         fence: int,
-        standings: Mapping[str, SessionStatus],
+        statuses: Mapping[str, SessionStatus],
         as_of: float,
     ) -> None:
         """A copy of what this front owned, until a later owner's is whole."""
         if not self._room():
             return
-        kept = _Kept(channel, owner, fence, now, standings=dict(standings))
-        kept.size = sum(map(size_of, kept.standings.values()))
-        kept.copy = Copy(channel, owner, fence, kept.standings, True, as_of)
+        kept = _Kept(channel, owner, fence, now, statuses=dict(statuses))
+        kept.size = sum(map(size_of, kept.statuses.values()))
+        kept.copy = ChannelReplica(channel, owner, fence, kept.statuses, True, as_of)
         self._kept[channel] = kept
 
     def on_message(
@@ -164,7 +164,7 @@
         self, now: float, sender: str, message: OwnerHeartbeat | Deltas | SnapshotPiece | ReplicaDropped
     ) -> _Kept | None:
         """The channel's place, if the sender may write to it. A lower fence than one heard of is refused."""
-        if not 1 <= message.fence < FENCE_MOST:
+        if not 1 <= message.fence < FENCE_LIMIT:
             return None
         kept = self._kept.get(message.channel)
         if kept is None:
@@ -183,7 +183,7 @@
             kept.seq = -1
             self._restart(kept, -1, 0)
             if kept.copy is not None:
-                kept.copy.whole = False
+                kept.copy.complete = False
         return kept if sender == kept.owner and not kept.over else None
 
     def _room(self) -> bool:
@@ -196,22 +196,22 @@
 
     def _over(self, kept: _Kept) -> None:
         """Only the fence stays, so that what comes late begins nothing anew."""
-        kept.over, kept.copy, kept.standings, kept.size, kept.seq = True, None, {}, 0, -1
+        kept.over, kept.copy, kept.statuses, kept.size, kept.seq = True, None, {}, 0, -1
         self._restart(kept, -1, 0)
 
     # --- content ---
 
     def _deltas(self, now: float, kept: _Kept, message: Deltas) -> None:
         moved = [
-            placed(known, placing)
-            for session, placing in message.moved
-            if (known := kept.standings.get(session)) is not None
+            with_placement(known, placement)
+            for session, placement in message.moved
+            if (known := kept.statuses.get(session)) is not None
         ]
         changed = [*message.changed, *moved]
-        sound = len(moved) == len(message.moved) and all(map(believable, changed))
+        sound = len(moved) == len(message.moved) and all(map(is_plausible, changed))
         if message.seq == kept.seq + 1 and kept.seq >= 0 and sound:
-            for standing in changed:
-                self._put(kept, standing)
+            for status in changed:
+                self._put(kept, status)
             for session in message.ended:
                 self._remove(kept, session)
             kept.seq = message.seq
@@ -230,9 +230,9 @@
                 self._have(now, kept)
                 return
             self._restart(kept, message.seq, message.count)
-        if message.number == len(kept.pieces) and all(map(believable, message.standings)):
-            kept.pieces.append(message.standings)
-            kept.pieces_size += sum(map(size_of, message.standings))
+        if message.number == len(kept.pieces) and all(map(is_plausible, message.statuses)):
+            kept.pieces.append(message.statuses)
+            kept.pieces_size += sum(map(size_of, message.statuses))
             kept.pieces_as_of = self._as_of(now, kept, message.as_of)
             if self._too_large(kept):
                 self._over_bound(kept)
@@ -242,24 +242,26 @@
         self._have(now, kept)
 
     def _whole(self, kept: _Kept) -> None:
-        kept.standings = {standing.session: standing for piece in kept.pieces for standing in piece}
-        kept.size = sum(map(size_of, kept.standings.values()))
+        kept.statuses = {status.session: status for piece in kept.pieces for status in piece}
+        kept.size = sum(map(size_of, kept.statuses.values()))
         kept.seq, kept.shown = kept.piece_seq, None
-        known = kept.copy is not None and kept.copy.whole and kept.copy.fence == kept.fence
-        kept.copy = Copy(kept.channel, kept.owner, kept.fence, kept.standings, True, kept.pieces_as_of)
+        known = kept.copy is not None and kept.copy.complete and kept.copy.fence == kept.fence
+        kept.copy = ChannelReplica(
+            kept.channel, kept.owner, kept.fence, kept.statuses, True, kept.pieces_as_of
+        )
         self._restart(kept, kept.piece_seq, 0)
         if not known:
-            self._out.add(Copied(kept.channel, kept.fence))
+            self._out.add(ReplicaCompleted(kept.channel, kept.fence))
 
-    def _put(self, kept: _Kept, standing: SessionStatus) -> None:
-        self._remove(kept, standing.session)
+    def _put(self, kept: _Kept, status: SessionStatus) -> None:
+        self._remove(kept, status.session)
         kept.shown = None
-        kept.standings[standing.session] = standing
-        kept.size += size_of(standing)
+        kept.statuses[status.session] = status
+        kept.size += size_of(status)
 
     def _remove(self, kept: _Kept, session: str) -> None:
         kept.shown = None
-        old = kept.standings.pop(session, None)
+        old = kept.statuses.pop(session, None)
         if old is not None:
             kept.size -= size_of(old)
 
@@ -267,12 +269,12 @@
         kept.piece_seq, kept.piece_count, kept.pieces, kept.pieces_size = seq, count, [], 0
 
     def _too_large(self, kept: _Kept) -> bool:
-        sessions = max(len(kept.standings), sum(map(len, kept.pieces)))
+        sessions = max(len(kept.statuses), sum(map(len, kept.pieces)))
         return sessions > self.rules.sessions_most or self.size() > self.rules.bytes_most
 
     def _over_bound(self, kept: _Kept) -> None:
         """Half a copy would be believed whole: it goes, and the owner is told why."""
-        kept.copy, kept.standings, kept.size, kept.seq = None, {}, 0, -1
+        kept.copy, kept.statuses, kept.size, kept.seq = None, {}, 0, -1
         self._restart(kept, -1, 0)
         self._out.add(Send(kept.owner, ReplicaAck(kept.channel, kept.fence, -1, -1, 0, 0, "too large")))
 
@@ -290,7 +292,7 @@
             kept.copy.as_of = as_of if kept.copy.as_of is None else max(as_of, kept.copy.as_of)
 
     def _have(self, now: float, kept: _Kept, to: str = "") -> None:
-        token = self._dice.getrandbits(48) + 1
+        token = self._rng.getrandbits(48) + 1
         if not to:
             kept.tokens[token] = now
             if len(kept.tokens) > _TOKENS:
--- a/fernweir/peers/channel/successor_selection.py
+++ b/fernweir/peers/channel/successor_selection.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from fernweir.peers.base import rendezvous
-from fernweir.peers.channel.rules import HeirRules
+from fernweir.peers.channel.rules import SuccessorRules
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,14 +30,14 @@
     standby: bool = False
 
 
-def heirs(
-    channel: str, fronts: Sequence[Candidate], rules: HeirRules | None = None, sessions: int = 1
+def successors(
+    channel: str, fronts: Sequence[Candidate], rules: SuccessorRules | None = None, sessions: int = 1
 ) -> list[str]:
     """All who may inherit, the one who tries first at the front; empty if nobody may.
 
     Whoever keeps a whole copy comes first among those within the bound; those beyond it come last.
     """
-    rules = rules or HeirRules()
+    rules = rules or SuccessorRules()
     fit = {front.name: front for front in fronts if not front.late and not front.leaving}
     bounds = capacities(list(fit.values()), rules, sessions)
     order = rendezvous(channel, fit)
@@ -49,7 +49,7 @@
 def assign(
     channels: Mapping[str, int],
     fronts: Sequence[Candidate],
-    rules: HeirRules | None = None,
+    rules: SuccessorRules | None = None,
     copies: Mapping[str, frozenset[str]] | None = None,
 ) -> dict[str, list[str]]:
     """Heirs of several channels (with their sessions) at once, each counted into its first heir's load.
@@ -57,19 +57,19 @@
     `copies` says who has a whole copy of which. The channels are gone through by their names' order, so that
     all who know the same facts come to the same.
     """
-    rules = rules or HeirRules()
+    rules = rules or SuccessorRules()
     loads = {front.name: front.load for front in fronts}
     result: dict[str, list[str]] = {}
     for channel in sorted(channels):
-        whole = (copies or {}).get(channel)
+        complete = (copies or {}).get(channel)
         now = [
             Candidate(
                 front.name, loads[front.name], front.age_ms, front.late, front.leaving,
-                front.standby if whole is None else front.name in whole,
+                front.standby if complete is None else front.name in complete,
             )
             for front in fronts
         ]  # fmt: skip
-        order = heirs(channel, now, rules, channels[channel])
+        order = successors(channel, now, rules, channels[channel])
         result[channel] = order
         if order:
             loads[order[0]] += channels[channel]
@@ -82,7 +82,7 @@
     return rendezvous(channel, fit)[:count]
 
 
-def capacities(fronts: Sequence[Candidate], rules: HeirRules, sessions: int = 1) -> dict[str, float]:
+def capacities(fronts: Sequence[Candidate], rules: SuccessorRules, sessions: int = 1) -> dict[str, float]:
     """The most sessions that each may come to hold, with those that are to be inherited.
 
     The bound is shared out by what a front is worth: all of 1 but the young, so that one that just started
@@ -96,13 +96,13 @@
     return {name: max((1.0 + rules.slack) * mean * share, 0.0) for name, share in worths.items()}
 
 
-def worth(front: Candidate, rules: HeirRules) -> float:
+def worth(front: Candidate, rules: SuccessorRules) -> float:
     """From `floor` at a front's start to 1 at `ramp_ms`."""
     if rules.ramp_ms <= 0.0:
         return 1.0
     return min(max(front.age_ms / rules.ramp_ms, rules.floor), 1.0)
 
 
-def wait_ms(rank: int, rules: HeirRules | None = None) -> float:
+def wait_ms(rank: int, rules: SuccessorRules | None = None) -> float:
     """How long the heir of this rank leaves the try to those before it."""
-    return rank * (rules or HeirRules()).stagger_ms
+    return rank * (rules or SuccessorRules()).stagger_ms
--- a/fernweir/peers/channel/takeover.py
+++ b/fernweir/peers/channel/takeover.py
@@ -43,7 +43,7 @@
     channel: str
     fence: int
     doubtful: int
-    standings: tuple[SessionStatus, ...]
+    statuses: tuple[SessionStatus, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outdone(Event):
+class HigherFenceFound(Event):
     """A box knows a higher fence: the channel is another's, nothing of it may be steered from here."""
 
     channel: str
@@ -92,7 +92,7 @@
     hold_until: float
     overlap_ms: float
     planned: bool  # the standings are the old owner's last word, but for what was out
-    standings: dict[str, SessionStatus]
+    statuses: dict[str, SessionStatus]
     moving: set[str]  # an attempt of the old owner was out for these
     boxes: dict[int, _Box] = field(default_factory=dict)
     told: dict[int, ClaimResult] = field(default_factory=dict)
@@ -119,7 +119,7 @@
         now: float,
         channel: str,
         fence: int,
-        standings: Mapping[str, SessionStatus],
+        statuses: Mapping[str, SessionStatus],
         *,
         listed: Iterable[int] = (),
         planned_ms: float | None = None,
@@ -133,9 +133,9 @@
         hold = self.rules.overlap_ms if planned_ms is None else planned_ms
         overlap = 0.0 if planned_ms is None else self.rules.overlap_ms
         taken = _Taken(
-            channel, fence, now, now + hold, overlap, planned_ms is not None, dict(standings), moving=set(out)
+            channel, fence, now, now + hold, overlap, planned_ms is not None, dict(statuses), moving=set(out)
         )
-        stand = boxes_of(standings.values())
+        stand = boxes_of(statuses.values())
         for box in sorted({*stand, *listed}):
             taken.boxes[box] = _Box(now, planned_ms is None or box in stand)
         taken.out |= taken.moving
@@ -150,33 +150,33 @@
         taken = self._taken.get(channel)
         return None if taken is None else taken.acting
 
-    def learn(self, now: float, channel: str, session: str, standing: SessionStatus | None) -> bool:
+    def learn(self, now: float, channel: str, session: str, status: SessionStatus | None) -> bool:
         """The old owner's last word of a session: what it finished, or that it is over. False if too late."""
         taken = self._taken.get(channel)
         if taken is None or session in taken.decided:
             return False
-        if standing is None:
+        if status is None:
             taken.out.discard(session)
-            taken.standings.pop(session, None)
+            taken.statuses.pop(session, None)
             taken.decided.add(session)
             if taken.acting:
                 self._out.add(Settled(channel, taken.fence, over=(session,)))
             return True
-        taken.standings[session] = standing
+        taken.statuses[session] = status
         taken.learned.add(session)
         taken.moving.add(session)
         if taken.held:  # a list from before this attempt may still come: what it lacks is not over
             taken.out.add(session)
-        if standing.box not in taken.boxes:
-            taken.boxes[standing.box] = _Box(now, False)
+        if status.box not in taken.boxes:
+            taken.boxes[status.box] = _Box(now, False)
         else:  # its list may be from before this attempt
-            box = taken.boxes[standing.box]
+            box = taken.boxes[status.box]
             box.answered, box.ask_at = False, now
-            taken.told.pop(standing.box, None)
+            taken.told.pop(status.box, None)
         self.tick(now)
         return True
 
-    def claimed(self, now: float, channel: str, claimed: ClaimResult) -> None:
+    def on_claimed(self, now: float, channel: str, claimed: ClaimResult) -> None:
         """What a box said; one that was not reached is asked again at its time."""
         taken = self._taken.get(channel)
         if taken is None or claimed.box not in taken.boxes or not claimed.reached:
@@ -206,7 +206,7 @@
         taken = self._taken.get(channel)
         if taken is None:
             return {}
-        return {one: standing for one, standing in taken.standings.items() if one not in taken.decided}
+        return {one: status for one, status in taken.statuses.items() if one not in taken.decided}
 
     def stop(self, channel: str) -> None:
         """The channel is another's: nothing more is claimed."""
@@ -227,7 +227,7 @@
                 dues.append(taken.hold_until)
             elif taken.out:
                 dues.append(taken.relist_until)
-            elif any(session not in taken.decided for session in taken.standings):
+            elif any(session not in taken.decided for session in taken.statuses):
                 dues.append(taken.hold_until + self.rules.doubt_ms)
         return min(dues, default=None)
 
@@ -253,18 +253,18 @@
     def _weigh(self, now: float, taken: _Taken) -> None:
         if self._taken.get(taken.channel) is not taken:
             return
-        result = reconcile(taken.standings, list(taken.told.values()))
+        result = reconcile(taken.statuses, list(taken.told.values()))
         if result.outdone:
             del self._taken[taken.channel]
-            self._out.add(Outdone(taken.channel, result.outdone))
+            self._out.add(HigherFenceFound(taken.channel, result.outdone))
             return
         if not taken.acting:
             waiting = any(box.first and not box.answered for box in taken.boxes.values())
             if waiting and now < taken.began + self.rules.first_ms:
                 return
             taken.acting = True
-            standings = tuple(taken.standings.values())
-            self._out.add(Inherited(taken.channel, taken.fence, len(result.unknown), standings))
+            statuses = tuple(taken.statuses.values())
+            self._out.add(Inherited(taken.channel, taken.fence, len(result.unknown), statuses))
         self._unhold(now, taken)
         self._settle(now, taken)
         self._finish(now, taken)
@@ -285,19 +285,19 @@
             taken.out.clear()
 
     def _settle(self, now: float, taken: _Taken) -> None:
-        result = reconcile(taken.standings, list(taken.told.values()), self._elsewhere(taken))
+        result = reconcile(taken.statuses, list(taken.told.values()), self._elsewhere(taken))
         settled = taken.decided | taken.out
         waits = taken.decided | (taken.out - taken.learned)
-        new = [standing for standing in result.take if standing.session not in waits]
+        new = [status for status in result.take if status.session not in waits]
         over = [session for session in result.over if session not in settled]
-        gone = [taken.standings[session] for session in over] + self._gone(taken)
+        gone = [taken.statuses[session] for session in over] + self._gone(taken)
         if now >= taken.hold_until + self.rules.doubt_ms:
             over += [one.session for one in result.unknown if one.session not in settled]
-        for standing in new:
-            taken.standings[standing.session] = standing
-        for session in {*over, *(standing.session for standing in gone)}:
-            del taken.standings[session]  # should a box list it after all, it is unwanted there
-        taken.decided.update(standing.session for standing in new)
+        for status in new:
+            taken.statuses[status.session] = status
+        for session in {*over, *(status.session for status in gone)}:
+            del taken.statuses[session]  # should a box list it after all, it is unwanted there
+        taken.decided.update(status.session for status in new)
         taken.decided.update(over)
         give_up = [] if taken.held else self._unwanted(taken, result)
         if new or over or give_up or gone:
@@ -309,7 +309,7 @@
         """Sessions that a box which has not told may have: all, or after a planned hand-off what was out."""
         if all(box.answered for box in taken.boxes.values()):
             return ()
-        return taken.moving if taken.planned else taken.standings
+        return taken.moving if taken.planned else taken.statuses
 
     def _gone(self, taken: _Taken) -> list[SessionStatus]:
         """What was taken by a first list and is missing in the second, but for what was set up here since."""
@@ -317,12 +317,12 @@
             return []
         there = {box: {one[:2] for one in told.sessions} for box, told in taken.told.items()}
         return [
-            standing
-            for session, standing in taken.standings.items()
+            status
+            for session, status in taken.statuses.items()
             if session in taken.decided
             and session not in taken.out
             and session not in taken.mine
-            and (session, standing.attempt) not in there.get(standing.box, ((session, standing.attempt),))
+            and (session, status.attempt) not in there.get(status.box, ((session, status.attempt),))
         ]
 
     def _unwanted(self, taken: _Taken, result: Reconciled) -> list[tuple[int, str, int]]:
@@ -330,7 +330,7 @@
         new = []
         listed = [*result.give_up, *((one.box, one.session, one.attempt) for one in result.take)]
         for box, session, attempt in listed:
-            mine = taken.standings.get(session)
+            mine = taken.statuses.get(session)
             if (box, session, attempt) in taken.released or session in taken.out:
                 continue
             if mine is not None:
@@ -343,7 +343,7 @@
 
     def _finish(self, now: float, taken: _Taken) -> None:
         if not taken.held and all(box.answered for box in taken.boxes.values()):
-            unsettled = any(session not in taken.decided for session in taken.standings)
+            unsettled = any(session not in taken.decided for session in taken.statuses)
             if not unsettled:
                 del self._taken[taken.channel]
                 self._out.add(Finished(taken.channel, taken.fence))
--- a/fernweir/peers/channel/takeover_pacing.py
+++ b/fernweir/peers/channel/takeover_pacing.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass
 from random import Random
 
-from fernweir.peers.channel.rules import SpreadRules
+from fernweir.peers.channel.rules import PacingRules
 
 
 @dataclass(frozen=True, slots=True)
-class Loss:
+class LostChannel:
     """A channel that lapsed. `boxes` are those its copy names, `doubtful` how many sessions may not stand."""
 
     channel: str
@@ -27,17 +27,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Turn:
+class ScheduledTakeover:
     at: float
     channel: str
 
 
-def spread(
-    now: float, channels: Iterable[Loss], rules: SpreadRules | None = None, seed: int = 0, heirs: int = 1
-) -> list[Turn]:
+def schedule_takeovers(
+    now: float,
+    channels: Iterable[LostChannel],
+    rules: PacingRules | None = None,
+    seed: int = 0,
+    successors: int = 1,
+) -> list[ScheduledTakeover]:
     """Each channel's time, in order; `heirs` is how many share the loss. The seed keeps heirs apart."""
-    rules = rules or SpreadRules()
-    gap = 1_000.0 * max(heirs, 1) / rules.claims_a_second
+    rules = rules or PacingRules()
+    gap = 1_000.0 * max(successors, 1) / rules.claims_a_second
     free_at = ration_at = 0.0
     boxes: dict[int, float] = {}
     after: list[tuple[float, str]] = []
@@ -54,4 +58,4 @@
     longest = max((start for start, _ in after), default=0.0)
     room = rules.within_ms - jitter
     squeeze = min(1.0, room / longest) if longest > 0.0 else 1.0
-    return [Turn(now + jitter + start * squeeze, channel) for start, channel in sorted(after)]
+    return [ScheduledTakeover(now + jitter + start * squeeze, channel) for start, channel in sorted(after)]
--- a/fernweir/peers/owning.py
+++ b/fernweir/peers/owning.py
@@ -15,27 +15,33 @@
 from dataclasses import dataclass, field
 
 from fernweir.peers.base import Effect, Event, Message, Outbox
-from fernweir.peers.channel.channel_names import PARTS_MOST, channel_of, parse
+from fernweir.peers.channel.channel_names import MAX_PARTS, channel_of, parse
 from fernweir.peers.channel.handoff import Handoff
 from fernweir.peers.channel.handoff_source import (
+    AbandonLease,
     Freeze,
-    HandedOn,
-    HandedOver,
+    HandoffFinished,
     Lapsed,
-    LeaveLease,
-    NoHeir,
+    LeaseReclaimed,
+    NoSuccessor,
     OverlapOver,
     ReleaseLease,
-    TakenBack,
+    TargetActivated,
     WantLease,
 )
 from fernweir.peers.channel.payloads import NeedPayload
-from fernweir.peers.channel.replication import Outdated, Replica
-from fernweir.peers.channel.rules import HandoffRules, HeirRules, ReplicaRules, SpreadRules, TakeoverRules
-from fernweir.peers.channel.standby import Copied, Copy
-from fernweir.peers.channel.successor_selection import Candidate, heirs, standbys, wait_ms
-from fernweir.peers.channel.takeover import Claim, Finished, Inherited, Outdone, Settled, Takeover
-from fernweir.peers.channel.takeover_pacing import Loss, spread
+from fernweir.peers.channel.replication import ChannelReplication, Outdated
+from fernweir.peers.channel.rules import (
+    HandoffRules,
+    PacingRules,
+    ReplicaRules,
+    SuccessorRules,
+    TakeoverRules,
+)
+from fernweir.peers.channel.standby import ChannelReplica, ReplicaCompleted
+from fernweir.peers.channel.successor_selection import Candidate, standbys, successors, wait_ms
+from fernweir.peers.channel.takeover import Claim, Finished, HigherFenceFound, Inherited, Settled, Takeover
+from fernweir.peers.channel.takeover_pacing import LostChannel, schedule_takeovers
 from fernweir.peers.lease.events import LeaseAcquired, LeaseLost, LeaseRenewed, LeaseUnavailable
 from fernweir.peers.lease.holder import Holder
 from fernweir.peers.port import ClaimResult, Port, SessionStatus
@@ -65,8 +71,8 @@
     replica: ReplicaRules = field(default_factory=ReplicaRules)
     takeover: TakeoverRules = field(default_factory=TakeoverRules)
     handoff: HandoffRules = field(default_factory=HandoffRules)
-    heirs: HeirRules = field(default_factory=HeirRules)
-    spread: SpreadRules = field(default_factory=SpreadRules)
+    heirs: SuccessorRules = field(default_factory=SuccessorRules)
+    spread: PacingRules = field(default_factory=PacingRules)
 
 
 @dataclass(frozen=True, slots=True)
@@ -121,7 +127,7 @@
         self.me, self.life, self.rules = me, life, rules
         self._holder, self._port, self._wake = holder, port, changed
         self._out = Outbox()
-        self.replica = Replica(me, rules.replica, seed)
+        self.replica = ChannelReplication(me, rules.replica, seed)
         takeover = Takeover(rules.takeover)
         self.handoff = Handoff(me, rules.handoff, seed, takeover, port.server_numbers, self.replica.fence)
         self._sessions: dict[str, dict[str, SessionStatus]] = {}  # of each channel held
@@ -259,14 +265,14 @@
         self._dead -= set(self._fronts)
         closed = "leaving" if self._leaving else "shut out" if self._resigned else ""
         closed = closed if self.rules.parts else "has no channels"
-        self.handoff.room(self.rules.handoff.sessions_most, closed)
+        self.handoff.set_capacity(self.rules.handoff.sessions_most, closed)
 
     def died(self, now: float, name: str) -> None:
         """A front is believed dead, or has left: what is copied here of its channels is tried for."""
         self._dead.add(name)
         self._fronts.pop(name, None)
-        self.handoff.died(now, name)
-        copies = (self.replica.copy(channel) for channel in self.replica.copies())
+        self.handoff.on_peer_died(now, name)
+        copies = (self.replica.find_replica(channel) for channel in self.replica.replicated_channels())
         self._try(now, [copy for copy in copies if copy is not None and copy.owner == name])
 
     def leave(self, now: float) -> None:
@@ -309,7 +315,7 @@
     @property
     def left(self) -> bool:
         """Whether nothing is on its way to an heir any more."""
-        return self._leaving and not self.handoff.giving()
+        return self._leaving and not self.handoff.outgoing()
 
     # --- leases ---
 
@@ -319,7 +325,7 @@
         elif isinstance(event, LeaseLost):
             self._lost(now, event.channel, event.fence, event.why)
         elif isinstance(event, LeaseUnavailable):
-            self.handoff.taken(now, event.channel, event.by, event.fence)
+            self.handoff.on_lease_taken(now, event.channel, event.by, event.fence)
             self._taken(now, event.channel, event.by)
 
     def _taken(self, now: float, channel: str, by: str) -> None:
@@ -350,7 +356,7 @@
             self._look_at = now + self.rules.look_ms
             self._look(now)
         for channel, tried in list(self._tries.items()):
-            copy = self.replica.copy(channel)
+            copy = self.replica.find_replica(channel)
             if copy is None or copy.owner != tried.owner:
                 self._drop_try(now, channel)  # another heir was first
             elif copy.as_of is not None and copy.as_of > tried.since:
@@ -397,7 +403,7 @@
             self._inherited(now, event)
         elif isinstance(event, Settled):
             self._settled(now, event)
-        elif isinstance(event, Outdone):
+        elif isinstance(event, HigherFenceFound):
             # Keepers that all forgot may have granted too low a fence; if another holds it, they say so.
             self._holder.want(now, event.channel, event.fence)
         elif isinstance(event, Outdated):
@@ -406,29 +412,29 @@
             self.replica.payload(now, event.digest, self._port.payload(event.digest))
         elif isinstance(event, Freeze):
             out = [one for one in self._port.sessions_in_flight() if self._channel.get(one) == event.channel]
-            self.handoff.frozen(now, event.channel, out)
+            self.handoff.on_frozen(now, event.channel, out)
         elif isinstance(event, ReleaseLease):
             self._holder.release(now, event.channel)
         elif isinstance(event, WantLease):
             self._holder.want(now, event.channel, event.floor)
-        elif isinstance(event, LeaveLease):
+        elif isinstance(event, AbandonLease):
             self._holder.release(now, event.channel)
-        elif isinstance(event, HandedOn):
+        elif isinstance(event, TargetActivated):
             sessions = len(self._sessions.get(event.channel, ()))
-            self._out.add(Changed(event.channel, event.fence, "handed", sessions, event.heir))
-            self._let_go(now, event.channel, event.heir)
-        elif isinstance(event, TakenBack):
-            standings = {one.session: one for one in event.standings}
+            self._out.add(Changed(event.channel, event.fence, "handed", sessions, event.target))
+            self._let_go(now, event.channel, event.target)
+        elif isinstance(event, LeaseReclaimed):
+            standings = {one.session: one for one in event.statuses}
             self._let_go(now, event.channel, "")
             self._begin(now, event.channel, event.fence, standings)
         elif isinstance(event, Finished):
             self._new.discard(event.channel)  # nothing stood in it
         else:
-            assert isinstance(event, Copied | OverlapOver | HandedOver | NoHeir | Lapsed)
+            assert isinstance(event, ReplicaCompleted | OverlapOver | HandoffFinished | NoSuccessor | Lapsed)
 
     def _claim(self, event: Claim, box: int) -> None:
         def then(now: float, claimed: ClaimResult) -> None:
-            self.handoff.claimed(now, event.channel, claimed)
+            self.handoff.on_claimed(now, event.channel, claimed)
             self._run(now)
             self._wake()
 
@@ -439,14 +445,14 @@
     def _got(self, now: float, channel: str, fence: int) -> None:
         tried = self._tries.pop(channel, None)
         self._fences[channel] = fence
-        if self.handoff.leased(now, channel, fence):
+        if self.handoff.on_lease_acquired(now, channel, fence):
             self._run(now)
             return
         if channel in self._sessions:  # held already: a box knew a higher fence
             self.replica.own(now, channel, fence, self._sessions[channel].values())
             self._begin(now, channel, fence, self._sessions[channel])
             return
-        copy = self.replica.copy(channel) if tried is not None else None
+        copy = self.replica.find_replica(channel) if tried is not None else None
         if copy is not None and tried is not None:
             self._turns[channel] = (now + tried.after_ms, fence)
         elif self._mine(channel) and not self._leaving:
@@ -456,13 +462,13 @@
 
     def _turn(self, now: float, channel: str, fence: int) -> None:
         """The lease has been here for a while, so that not all channels are claimed in one moment."""
-        lease, copy = self._holder.current_lease(now, channel), self.replica.copy(channel)
+        lease, copy = self._holder.current_lease(now, channel), self.replica.find_replica(channel)
         if lease is None or lease.fence != fence:
             return
         if copy is None:  # its owner has told this front meanwhile that it keeps no copy any more
             self._holder.release(now, channel)
         else:
-            self._begin(now, channel, fence, dict(copy.standings))
+            self._begin(now, channel, fence, dict(copy.statuses))
 
     def _begin(self, now: float, channel: str, fence: int, standings: Mapping[str, SessionStatus]) -> None:
         self.handoff.takeover.begin(now, channel, fence, standings, listed=self._port.server_numbers())
@@ -474,7 +480,7 @@
     def _own_anew(self, now: float, part: int, number: int | None = None) -> None:
         """The channel of a part, under a number that it never had in this life; none once all are used."""
         number = part if number is None else number
-        if number >= PARTS_MOST:
+        if number >= MAX_PARTS:
             self._owns.pop(part, None)
             return
         self._owns[part] = f"{self.me}:{self.life}/{number}"
@@ -490,7 +496,7 @@
     def _lost(self, now: float, channel: str, fence: int, why: str) -> None:
         if why in ("released", "handed"):
             return
-        self.handoff.lost(now, channel)
+        self.handoff.on_lease_lost(now, channel)
         self._turns.pop(channel, None)
         self._new.discard(channel)
         standings = self._sessions.get(channel)
@@ -528,7 +534,7 @@
     # --- pieces: what is inherited ---
 
     def _inherited(self, now: float, event: Inherited) -> None:
-        self._own(now, event.channel, event.fence, event.standings)
+        self._own(now, event.channel, event.fence, event.statuses)
         self._new.add(event.channel)
 
     def _settled(self, now: float, event: Settled) -> None:
@@ -587,8 +593,8 @@
             names = self._standbys(channel) if standings or self.handoff.takeover.begun(channel) else []
             self.replica.standbys(now, channel, names)
         lost = []
-        for channel in self.replica.copies():
-            copy = self.replica.copy(channel)
+        for channel in self.replica.replicated_channels():
+            copy = self.replica.find_replica(channel)
             if copy is None or channel in self._tries:
                 continue
             dead = copy.owner in self._dead and copy.owner not in self._fronts
@@ -605,27 +611,27 @@
             busy = self.handoff.takeover.begun(channel) or channel in self._channel.values()
             if not standings and not self._mine(channel) and not busy:
                 self._sessions.pop(channel)
-                self.replica.over(now, channel)
+                self.replica.close_channel(now, channel)
                 self._holder.release(now, channel)
 
-    def _try(self, now: float, lost: Iterable[Copy]) -> None:
+    def _try(self, now: float, lost: Iterable[ChannelReplica]) -> None:
         """Asks for what these are copies of, where this front may inherit it; who is first asks first."""
         ranks: dict[str, int] = {}
-        mine: dict[str, Copy] = {}
+        mine: dict[str, ChannelReplica] = {}
         for copy in lost:
-            order = self._heirs(copy.channel, len(copy.standings), copy.owner)
+            order = self._heirs(copy.channel, len(copy.statuses), copy.owner)
             taking = copy.channel in self._turns or self.handoff.takeover.begun(copy.channel)
             free = not (self._leaving or self._resigned or taking)
-            if free and copy.channel not in self._tries and copy.standings and self.me in order:
+            if free and copy.channel not in self._tries and copy.statuses and self.me in order:
                 ranks[copy.channel], mine[copy.channel] = order.index(self.me), copy
         losses = [
-            Loss(
-                channel, len(copy.standings), tuple({one.box for one in copy.standings.values()}),
+            LostChannel(
+                channel, len(copy.statuses), tuple({one.box for one in copy.statuses.values()}),
                 copy.age_ms(now),
             )
             for channel, copy in mine.items()
         ]  # fmt: skip
-        for turn in spread(0.0, losses, self.rules.spread, self._seed, max(len(self._fronts), 1)):
+        for turn in schedule_takeovers(0.0, losses, self.rules.spread, self._seed, max(len(self._fronts), 1)):
             # Two who ask at once keep each other from it: whoever is not first leaves it to the first until
             # the lease that was held when the owner last spoke has lapsed.
             due, rank, owner = now, ranks[turn.channel], mine[turn.channel].owner
@@ -681,7 +687,7 @@
             Candidate(one.name, one.load, one.age_ms, one.late, one.leaving, one.name in keepers)
             for one in fit
         ]
-        return heirs(channel, named, self.rules.heirs, max(sessions, 1))
+        return successors(channel, named, self.rules.heirs, max(sessions, 1))
 
     def _standbys(self, channel: str) -> list[str]:
         others = [one for one in self._fronts.values() if one.name != self.me]
@@ -705,9 +711,9 @@
         if len(self._last) > self.rules.gone_most:
             self._last.popitem(last=False)
 
-    def _copy_with(self, session: str) -> Copy | None:
-        for channel in self.replica.copies():
-            copy = self.replica.copy(channel)
-            if copy is not None and session in copy.standings:
+    def _copy_with(self, session: str) -> ChannelReplica | None:
+        for channel in self.replica.replicated_channels():
+            copy = self.replica.find_replica(channel)
+            if copy is not None and session in copy.statuses:
                 return copy
         return None
--- a/tests/peers_mutants/channel.py
+++ b/tests/peers_mutants/channel.py
@@ -41,8 +41,9 @@
 HANDOFF: list[Mutant] = [
     _mutant(
         "the overlap is counted from the heir's word", "handoff_source",
-        "giving.step, giving.acting, giving.heir = Step.HANDED, fence, heir\n",
-        "giving.step, giving.acting, giving.heir, giving.handed_at = Step.HANDED, fence, heir, now\n", 12, 2,
+        "giving.step, giving.acting, giving.target = Step.HANDED, fence, target\n",
+        "giving.step, giving.acting, giving.target, giving.handed_at = Step.HANDED, fence, target, now\n",
+        12, 2,
     ),
     _mutant(
         "what nobody can prove is not given up", "takeover",
@@ -123,17 +124,17 @@
     ),
     _mutant(
         "the same attempt at another box counts as a later one", "reconcile",
-        "if place[1] > standing.attempt or", "if place[1] >= standing.attempt or", 5,
+        "if place[1] > status.attempt or", "if place[1] >= status.attempt or", 5,
     ),
     _mutant(
         "what an unreached box holds is over", "reconcile",
-        "        elif standing.box in answers and session not in elsewhere:\n",
+        "        elif status.box in answers and session not in elsewhere:\n",
         "        elif session not in elsewhere:\n", 5,
     ),
     _mutant(
         "what may have moved to a silent box is over", "reconcile",
-        "        elif standing.box in answers and session not in elsewhere:\n",
-        "        elif standing.box in answers:\n", 5,
+        "        elif status.box in answers and session not in elsewhere:\n",
+        "        elif status.box in answers:\n", 5,
     ),
 ]  # fmt: skip
 
--- a/tests/test_peers_channel.py
+++ b/tests/test_peers_channel.py
@@ -46,7 +46,7 @@
     def __getattr__(self, name: str) -> Any:
         raise AttributeError(name)
 
-    def standing(self, session: str, box: int = 0, attempt: int = 0, rung: int = 0, **more: Any) -> Any:
+    def status(self, session: str, box: int = 0, attempt: int = 0, rung: int = 0, **more: Any) -> Any:
         return self.port.SessionStatus(
             session, "via", "who", "title", "cls", 4, "tenant", 7, box, attempt, rung, **more
         )
@@ -66,7 +66,7 @@
     """Fronts' paths and clocks. `whole` messages of a pair keep their order, but broken ones lose some."""
 
     def __init__(self, mods: Mods, seed: int, weather: Weather) -> None:
-        self.mods, self.dice, self.weather = mods, Random(f"net {seed}"), weather
+        self.mods, self.rng, self.weather = mods, Random(f"net {seed}"), weather
         self.now = 0.0
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.count = 0
@@ -81,21 +81,21 @@
         self.count += 1
         heapq.heappush(self.queue, (when, self.count, what))
 
-    def send(self, sender: str, to: str, message: Any, whole: bool, hand: Callable[[Any], None]) -> None:
+    def send(self, sender: str, to: str, message: Any, complete: bool, hand: Callable[[Any], None]) -> None:
         data = msgspec.msgpack.encode(message)
         assert len(data) < 70_000
         self.bytes += len(data)
         if (
             (sender, to) in self.cuts
             or to in self.dead
-            or self.dice.random() < self.weather.loss * (0.5 if whole else 1)
+            or self.rng.random() < self.weather.loss * (0.5 if complete else 1)
         ):
             return
-        for _ in range(1 + (not whole and self.dice.random() < self.weather.double)):
-            when = self.now + self.dice.uniform(0.2, self.weather.delay)
-            if self.dice.random() < self.weather.late:
+        for _ in range(1 + (not complete and self.rng.random() < self.weather.double)):
+            when = self.now + self.rng.uniform(0.2, self.weather.delay)
+            if self.rng.random() < self.weather.late:
                 when += 2_000.0
-            if whole:
+            if complete:
                 when = max(when, self.last.get((sender, to), 0.0))
                 self.last[(sender, to)] = when
             self.at(when, lambda: self.deliver(to, lambda: hand(self.mods.decoder.decode(data))))
@@ -124,21 +124,21 @@
     CHANNEL = "a:1/0"
 
     def __init__(self, mods: Mods, seed: int, rules: Any = None) -> None:
-        self.mods, self.dice = mods, Random(f"copies {seed}")
-        self.rough = self.dice.random() < 0.6
-        late = 0.15 if self.rough else self.dice.choice([0.0, 0.05])
-        weather = Weather(self.dice.choice([0.0, 0.1, 0.3]), 0.2, late)
+        self.mods, self.rng = mods, Random(f"copies {seed}")
+        self.rough = self.rng.random() < 0.6
+        late = 0.15 if self.rough else self.rng.choice([0.0, 0.05])
+        weather = Weather(self.rng.choice([0.0, 0.1, 0.3]), 0.2, late)
         self.net = Net(mods, seed, weather)
         self.rules = rules or mods.rules.ReplicaRules(
             message_bytes=400, backlog_bytes=1_500, window=3, keep_ms=100_000.0, frozen_ms=3_000.0
         )
         self.parts: dict[str, Any] = {}
-        self.rate = {name: self.dice.uniform(0.995, 1.005) for name in "abc"}
-        self.offset = {name: self.dice.uniform(0.0, 1e6) for name in "abc"}
+        self.rate = {name: self.rng.uniform(0.995, 1.005) for name in "abc"}
+        self.offset = {name: self.rng.uniform(0.0, 1e6) for name in "abc"}
         for name in "abc":
             self.begin(name)
         self.owner, self.fence = "a", 1
-        self.state: dict[str, Any] = {f"s{n}": mods.standing(f"s{n}", n) for n in range(6)}
+        self.state: dict[str, Any] = {f"s{n}": mods.status(f"s{n}", n) for n in range(6)}
         self.history: dict[int, list[tuple[float, dict[str, Any]]]] = {1: [(0.0, dict(self.state))]}
         self.parts["a"].own(self.clock("a"), self.CHANNEL, 1, self.state.values())
         self.parts["a"].standbys(self.clock("a"), self.CHANNEL, ["b", "c"])
@@ -150,34 +150,36 @@
         return self.net.now * self.rate[name] + self.offset[name]
 
     def begin(self, name: str) -> None:
-        self.parts[name] = self.mods.replication.Replica(name, self.rules, self.dice.getrandbits(30))
+        self.parts[name] = self.mods.replication.ChannelReplication(
+            name, self.rules, self.rng.getrandbits(30)
+        )
 
     def act(self) -> None:
         """Something happens: mostly a change at the owner."""
-        kind, now = self.dice.random(), self.clock(self.owner)
-        if self.rough and self.dice.random() < 0.06:
+        kind, now = self.rng.random(), self.clock(self.owner)
+        if self.rough and self.rng.random() < 0.06:
             self.hand_on()
         elif kind < 0.9 and self.owner not in self.net.stopped:
-            session = f"s{self.dice.randrange(24)}"
+            session = f"s{self.rng.randrange(24)}"
             self.stamp += 1
-            if self.dice.random() < 0.25 and session in self.state:
+            if self.rng.random() < 0.25 and session in self.state:
                 del self.state[session]
                 self.parts[self.owner].end(now, self.CHANNEL, session)
             else:
-                one = self.mods.standing(session, self.dice.randrange(9), answers=self.stamp)
+                one = self.mods.status(session, self.rng.randrange(9), answers=self.stamp)
                 self.state[session] = one
                 self.parts[self.owner].change(now, self.CHANNEL, one)
             self.history[self.fence].append((self.net.now, dict(self.state)))
         elif kind < 0.93:
-            name = self.dice.choice([name for name in "abc" if name != self.owner])
+            name = self.rng.choice([name for name in "abc" if name != self.owner])
             if name not in self.net.stopped:
                 self.begin(name)
                 self.seen[name] = 0
         elif kind < 0.96:
-            cut = tuple(self.dice.sample("abc", 2))
+            cut = tuple(self.rng.sample("abc", 2))
             self.net.cuts ^= {(cut[0], cut[1])}
         elif kind < 0.985:
-            name = self.dice.choice("abc")
+            name = self.rng.choice("abc")
             if name in self.net.stopped:
                 self.net.wake(name)
             elif len(self.net.stopped) < 1:
@@ -189,19 +191,19 @@
         """A standby with a whole copy becomes the owner; the old one, maybe stopped, knows nothing."""
         able = []
         for name in "abc":
-            copy = self.parts[name].copy(self.CHANNEL) if name not in self.net.stopped else None
-            if name != self.owner and copy is not None and copy.whole and copy.fence == self.fence:
+            copy = self.parts[name].find_replica(self.CHANNEL) if name not in self.net.stopped else None
+            if name != self.owner and copy is not None and copy.complete and copy.fence == self.fence:
                 able.append((name, copy))
-        if self.owner not in self.net.stopped and self.dice.random() < 0.4:  # lost its lease, got another
+        if self.owner not in self.net.stopped and self.rng.random() < 0.4:  # lost its lease, got another
             self.fence += 1
             self.history[self.fence] = [(self.net.now, dict(self.state))]
             self.parts[self.owner].own(self.clock(self.owner), self.CHANNEL, self.fence, self.state.values())
             return
         if not able:
             return
-        name, copy = self.dice.choice(able)
+        name, copy = self.rng.choice(able)
         self.owner, self.fence = name, self.fence + 1
-        self.state = dict(copy.standings)
+        self.state = dict(copy.statuses)
         self.history[self.fence] = [(self.net.now, dict(self.state))]
         assert self.parts[name].own(self.clock(name), self.CHANNEL, self.fence, self.state.values())
         self.parts[name].standbys(self.clock(name), self.CHANNEL, [one for one in "abc" if one != name])
@@ -223,14 +225,14 @@
 
     def check(self) -> None:
         for name, part in self.parts.items():
-            copy = part.copy(self.CHANNEL)
+            copy = part.find_replica(self.CHANNEL)
             if name in self.net.stopped or copy is None:
                 continue
             if copy.fence < self.seen[name]:
                 self.faults.append(f"{name} went back from fence {self.seen[name]} to {copy.fence}")
             self.seen[name] = copy.fence
             states = self.history.get(copy.fence, [])
-            index = max((n for n, (_, state) in enumerate(states) if state == copy.standings), default=-1)
+            index = max((n for n, (_, state) in enumerate(states) if state == copy.statuses), default=-1)
             if index < 0:
                 self.faults.append(f"{name} has a state that fence {copy.fence} never had")
                 continue
@@ -244,7 +246,7 @@
         while self.net.now < until and not self.faults:
             if acts and self.net.now >= next_act:
                 self.act()
-                next_act = self.net.now + self.dice.expovariate(1 / 60.0)
+                next_act = self.net.now + self.rng.expovariate(1 / 60.0)
             while self.net.queue and self.net.queue[0][0] <= self.net.now:
                 heapq.heappop(self.net.queue)[2]()
             self.pump()
@@ -261,8 +263,8 @@
         for name, part in self.parts.items():
             if name == self.owner or self.faults:
                 continue
-            copy = part.copy(self.CHANNEL)
-            if copy is None or not copy.whole or copy.fence != self.fence or copy.standings != self.state:
+            copy = part.find_replica(self.CHANNEL)
+            if copy is None or not copy.complete or copy.fence != self.fence or copy.statuses != self.state:
                 self.faults.append(f"{name} has no whole copy after quiet")
             elif copy.age_ms(self.clock(name)) > 1_300.0:
                 self.faults.append(f"{name}'s copy is {copy.age_ms(self.clock(name)):.0f} ms old in quiet")
@@ -378,10 +380,10 @@
                 slow_ms=300.0,
             )
         )
-        self.replica = self.mods.replication.Replica(name, None, world.dice.getrandbits(30))
+        self.replica = self.mods.replication.ChannelReplication(name, None, world.rng.getrandbits(30))
         self.handoff = self.mods.handoff.Handoff(
             name, rules.HandoffRules(overlap_ms=OVERLAP, late_ms=300.0, back_ms=4_000.0, message_bytes=600),
-            world.dice.getrandbits(30), takeover, lambda: range(len(world.boxes)), self.replica.fence,
+            world.rng.getrandbits(30), takeover, lambda: range(len(world.boxes)), self.replica.fence,
         )  # fmt: skip
         self.owned: dict[str, Owned] = {}
         self.tried: dict[str, float] = {}
@@ -398,20 +400,20 @@
 
     def steer(self) -> None:
         """One of: a rung changes, a further attempt at another box, a session ends."""
-        dice = self.world.dice
+        rng = self.world.rng
         for channel, owned in list(self.owned.items()):
-            if not owned.sessions or not self.may(channel, owned) or dice.random() < 0.5:
+            if not owned.sessions or not self.may(channel, owned) or rng.random() < 0.5:
                 continue
-            session = dice.choice(sorted(owned.sessions))
+            session = rng.choice(sorted(owned.sessions))
             if session in owned.out:
                 continue
-            one, what = owned.sessions[session], dice.random()
+            one, what = owned.sessions[session], rng.random()
             if what < 0.6:
                 rung = (one.rung + 1) % 5
                 self.world.order(self.name, channel, owned.fence, one.box, session, one.attempt, rung, "rung")
                 self.know(channel, msgspec.structs.replace(one, rung=rung))
             elif what < 0.95:
-                box = dice.choice([box.number for box in self.world.boxes if box.number != one.box])
+                box = rng.choice([box.number for box in self.world.boxes if box.number != one.box])
                 owned.out[session] = (box, one.attempt + 1)
                 self.handoff.takeover.attempted(channel, session, box)
                 self.world.order(
@@ -422,16 +424,16 @@
                 self.world.order(self.name, channel, owned.fence, one.box, session, one.attempt, 0, "end")
                 self.know(channel, None, session)
 
-    def know(self, channel: str, standing: Any, session: str = "") -> None:
+    def know(self, channel: str, status: Any, session: str = "") -> None:
         owned, now = self.owned[channel], self.clock()
-        if standing is None:
+        if status is None:
             owned.sessions.pop(session, None)
             self.replica.end(now, channel, session)
             self.handoff.end(now, channel, session)
         else:
-            owned.sessions[standing.session] = standing
-            self.replica.change(now, channel, standing)
-            self.handoff.change(now, channel, standing)
+            owned.sessions[status.session] = status
+            self.replica.change(now, channel, status)
+            self.handoff.change(now, channel, status)
 
     def setup_ended(self, channel: str, session: str, box: int, attempt: int, good: bool) -> None:
         """An attempt's end; good or not, what is not the session's any more is released at its box."""
@@ -450,33 +452,33 @@
     def event(self, effect: Any) -> None:
         now, world, kind = self.clock(), self.world, type(effect).__name__
         if kind == "WantLease":
-            if self.closed and effect.channel not in self.handoff.giving():
+            if self.closed and effect.channel not in self.handoff.outgoing():
                 world.faults.append(f"{self.name} takes {effect.channel}, and takes nothing")
             world.oracle.wants[(effect.channel, self.name)] = effect.floor
-        elif kind == "LeaveLease":
+        elif kind == "AbandonLease":
             world.oracle.wants.pop((effect.channel, self.name), None)
         elif kind == "ReleaseLease":
             world.oracle.release(effect.channel, self.name)
             world.let_go[(effect.channel, self.name)] = world.net.now
         elif kind == "Freeze":
             owned = self.owned[effect.channel]
-            self.handoff.frozen(now, effect.channel, list(owned.out))
+            self.handoff.on_frozen(now, effect.channel, list(owned.out))
         elif kind == "Claim":
             for box in effect.boxes:
                 world.claim(self.name, effect.channel, effect.fence, box, effect.overlap_ms)
         elif kind == "Inherited":
             if effect.channel in self.owned:
-                self.replica.own(now, effect.channel, effect.fence, effect.standings)
+                self.replica.own(now, effect.channel, effect.fence, effect.statuses)
                 self.replica.standbys(now, effect.channel, world.standbys(effect.channel, self.name))
         elif kind == "Settled":
             self.settled(effect)
-        elif kind == "TakenBack":
-            standings = {one.session: one for one in effect.standings}
-            self.begin(effect.channel, effect.fence, standings)
-        elif kind in ("HandedOver", "Outdone"):
+        elif kind == "LeaseReclaimed":
+            statuses = {one.session: one for one in effect.statuses}
+            self.begin(effect.channel, effect.fence, statuses)
+        elif kind in ("HandoffFinished", "HigherFenceFound"):
             self.forget(effect.channel)
         elif kind == "Outdated":  # in the overlap that is as it should be
-            if effect.channel not in self.handoff.giving():
+            if effect.channel not in self.handoff.outgoing():
                 self.forget(effect.channel)
         elif kind == "Lapsed":
             self.tried[effect.channel] = world.net.now
@@ -497,11 +499,11 @@
         for box, session, attempt in effect.give_up:
             self.world.order(self.name, effect.channel, owned.fence, box, session, attempt, 0, "end")
 
-    def begin(self, channel: str, fence: int, standings: dict[str, Any]) -> None:
+    def begin(self, channel: str, fence: int, statuses: dict[str, Any]) -> None:
         """The lease is here, by the unplanned way or back from an heir that does not act."""
         self.owned[channel] = Owned(fence, self.clock() + LEASE * 0.97)
         self.handoff.takeover.begin(
-            self.clock(), channel, fence, standings, listed=range(len(self.world.boxes))
+            self.clock(), channel, fence, statuses, listed=range(len(self.world.boxes))
         )
 
     def forget(self, channel: str) -> None:
@@ -511,19 +513,19 @@
 
     def claimed(self, channel: str, told: Any) -> None:
         self.look_at_leases()
-        self.handoff.claimed(self.clock(), channel, told)
+        self.handoff.on_claimed(self.clock(), channel, told)
 
     def granted(self, channel: str, fence: int) -> None:
         self.world.oracle.wants.pop((channel, self.name), None)
-        if self.handoff.leased(self.clock(), channel, fence):
+        if self.handoff.on_lease_acquired(self.clock(), channel, fence):
             self.owned[channel] = Owned(fence, self.clock() + LEASE * 0.97)
             return
-        if channel in self.handoff.giving():
+        if channel in self.handoff.outgoing():
             self.world.oracle.release(channel, self.name)
             return
-        copy = self.replica.copy(channel)
-        standings = dict(copy.standings) if copy is not None else {}
-        self.begin(channel, fence, standings)
+        copy = self.replica.find_replica(channel)
+        statuses = dict(copy.statuses) if copy is not None else {}
+        self.begin(channel, fence, statuses)
 
     # time
 
@@ -531,9 +533,9 @@
         """Before anything else: a front that stood still must not act on what it meant to do."""
         now = self.clock()
         for channel, owned in list(self.owned.items()):
-            frozen = channel in self.handoff.giving() and not self.handoff.may_steer(channel)
+            frozen = channel in self.handoff.outgoing() and not self.handoff.may_steer(channel)
             if now >= owned.until and not frozen:
-                self.handoff.lost(now, channel)
+                self.handoff.on_lease_lost(now, channel)
                 self.forget(channel)
 
     def tick(self) -> None:
@@ -556,14 +558,14 @@
         for channel in world.channels:
             holder = world.oracle.held.get(channel)
             lapsed = holder is None or holder[2] <= world.net.now
-            busy = channel in self.handoff.giving() or channel in self.handoff.taking()
+            busy = channel in self.handoff.outgoing() or channel in self.handoff.incoming()
             if not lapsed or busy or (channel, self.name) in world.oracle.wants:
                 self.tried.pop(channel, None)
                 continue
             self.tried.setdefault(channel, world.net.now)
             order = world.order_of(channel)
             wait = 500.0 if holder is not None else 3_000.0  # what was let go of has an heir
-            if self.replica.copy(channel) is None:
+            if self.replica.find_replica(channel) is None:
                 wait += 4_000.0
             wait += self.mods.successor_selection.wait_ms(order.index(self.name) if self.name in order else 9)
             if world.net.now >= self.tried[channel] + wait:
@@ -587,10 +589,10 @@
     def __init__(
         self, mods: Mods, seed: int, weather: Weather | None = None, channels: int = 2, size: int = 8
     ) -> None:
-        self.mods, self.dice = mods, Random(f"world {seed}")
+        self.mods, self.rng = mods, Random(f"world {seed}")
         self.net = Net(mods, seed, weather or Weather())
         self.boxes = [Box(number) for number in range(5)]
-        self.rate = {name: self.dice.uniform(0.995, 1.005) for name in "abcd"}
+        self.rate = {name: self.rng.uniform(0.995, 1.005) for name in "abcd"}
         self.oracle = Oracle(self.net)
         self.channels = [f"a:1/{part}" for part in range(channels)]
         self.faults: list[str] = []
@@ -602,17 +604,17 @@
         self.fronts: dict[str, Front] = {name: Front(self, name) for name in "abcd"}
         self.born: dict[str, float] = {}
         for channel in self.channels:
-            standings = {}
+            statuses = {}
             for n in range(size):
                 session = f"{channel}.{n}"
-                box = self.dice.randrange(5)
-                standings[session] = mods.standing(session, box)
+                box = self.rng.randrange(5)
+                statuses[session] = mods.status(session, box)
                 self.boxes[box].sessions[session] = (channel, 0, 0)
             self.oracle.highest[channel] = 1
             self.oracle.held[channel] = ("a", 1, LEASE)
             front = self.fronts["a"]
-            front.owned[channel] = Owned(1, LEASE * 0.97, dict(standings))
-            front.replica.own(front.clock(), channel, 1, standings.values())
+            front.owned[channel] = Owned(1, LEASE * 0.97, dict(statuses))
+            front.replica.own(front.clock(), channel, 1, statuses.values())
             front.replica.standbys(front.clock(), channel, self.standbys(channel, "a"))
             for box in self.boxes:
                 box.claim(0.0, channel, 1, 0.0)
@@ -643,10 +645,10 @@
         self, front: str, channel: str, fence: int, box: int, session: str, attempt: int, rung: int, what: str
     ) -> None:
         """A front's word to a box, on its way; what the box did comes back to who set up."""
-        if self.dice.random() < 0.02 and what == "rung":
+        if self.rng.random() < 0.02 and what == "rung":
             return
-        slow = what == "setup" and self.dice.random() < 0.4
-        at = self.net.now + self.dice.uniform(1.0, 350.0 if slow else 20.0)
+        slow = what == "setup" and self.rng.random() < 0.4
+        at = self.net.now + self.rng.uniform(1.0, 350.0 if slow else 20.0)
         self.net.at(
             at, lambda: self.obey(front, channel, fence, self.boxes[box], session, attempt, rung, what)
         )
@@ -669,7 +671,7 @@
             if here is None or here[1] < attempt:
                 box.sessions[session] = (channel, attempt, rung)
             back = lambda: self.fronts[front].setup_ended(channel, session, box.number, attempt, True)  # noqa: E731
-            self.net.at(self.net.now + self.dice.uniform(1.0, 20.0), lambda: self.net.deliver(front, back))
+            self.net.at(self.net.now + self.rng.uniform(1.0, 20.0), lambda: self.net.deliver(front, back))
         elif here is not None and here[1] == attempt:
             if what == "rung":
                 box.sessions[session] = (channel, attempt, rung)
@@ -679,15 +681,15 @@
     def claim(self, front: str, channel: str, fence: int, number: int, overlap: float) -> None:
         def reach() -> None:
             box = self.boxes[number]
-            if box.dead or self.net.now < box.deaf_until or self.dice.random() < 0.05:
+            if box.dead or self.net.now < box.deaf_until or self.rng.random() < 0.05:
                 told = self.mods.port.ClaimResult(number, False)
             else:
                 accepted, highest, sessions = box.claim(self.net.now, channel, fence, overlap)
                 told = self.mods.port.ClaimResult(number, True, accepted, highest, sessions)
             answer = lambda: self.fronts[front].claimed(channel, told)  # noqa: E731
-            self.net.at(self.net.now + self.dice.uniform(1.0, 20.0), lambda: self.net.deliver(front, answer))
+            self.net.at(self.net.now + self.rng.uniform(1.0, 20.0), lambda: self.net.deliver(front, answer))
 
-        self.net.at(self.net.now + self.dice.uniform(1.0, 20.0), reach)
+        self.net.at(self.net.now + self.rng.uniform(1.0, 20.0), reach)
 
     # --- what must hold ---
 
@@ -741,14 +743,14 @@
 
     def refused(self, name: str, channel: str, by: str, fence: int) -> None:
         front = self.fronts[name]
-        front.handoff.taken(front.clock(), channel, by, fence)
-        if channel not in front.handoff.giving():
+        front.handoff.on_lease_taken(front.clock(), channel, by, fence)
+        if channel not in front.handoff.outgoing():
             self.oracle.wants.pop((channel, name), None)
 
     def run(self, ms: float, steering: bool = True) -> None:
         until = self.net.now + ms
         while self.net.now < until and not self.faults:
-            if steering and self.dice.random() < 0.2:
+            if steering and self.rng.random() < 0.2:
                 for name, front in self.fronts.items():
                     if name not in self.net.stopped and name not in self.net.dead:
                         front.steer()
@@ -758,13 +760,15 @@
         self.net.dead.add(name)
         for other, front in self.fronts.items():
             if other != name and other not in self.net.dead:
-                self.net.at(self.net.now + 300.0, lambda front=front: front.handoff.died(front.clock(), name))
+                self.net.at(
+                    self.net.now + 300.0, lambda front=front: front.handoff.on_peer_died(front.clock(), name)
+                )
 
-    def hand_on(self, name: str, heirs: str = "bcd") -> None:
+    def hand_on(self, name: str, successors: str = "bcd") -> None:
         front = self.fronts[name]
         for channel, owned in front.owned.items():
             if front.may(channel, owned):
-                front.handoff.offer(front.clock(), channel, owned.fence, owned.sessions, list(heirs))
+                front.handoff.offer(front.clock(), channel, owned.fence, owned.sessions, list(successors))
 
     def end(self, ms: float = 14_000.0) -> None:
         """Faults are over; each session is in one place, at its box and at the channel's owner, or over."""
@@ -803,69 +807,69 @@
 
 def drawn_day(mods: Mods, seed: int) -> list[str]:
     """Hand-offs while what is drawn breaks: stops, kills, cuts, a dead box, lost and late messages."""
-    dice = Random(f"day {seed}")
-    weather = Weather(dice.choice([0.0, 0.1, 0.3]), dice.choice([0.0, 0.3]), dice.choice([0.0, 0.03]))
+    rng = Random(f"day {seed}")
+    weather = Weather(rng.choice([0.0, 0.1, 0.3]), rng.choice([0.0, 0.3]), rng.choice([0.0, 0.03]))
     world = World(mods, seed, weather)
-    world.run(dice.uniform(300.0, 900.0))
+    world.run(rng.uniform(300.0, 900.0))
     started = set().union(*(standing_for(world, channel) for channel in world.channels))
     killed = closed = 0
-    calm = dice.random() < 0.5  # what was out when the first thing broke is the last that was done
-    copied = all(any(f.replica.copy(c) for f in world.fronts.values()) for c in world.channels)
-    for _ in range(dice.randrange(1, 4)):
+    calm = rng.random() < 0.5  # what was out when the first thing broke is the last that was done
+    copied = all(any(f.replica.find_replica(c) for f in world.fronts.values()) for c in world.channels)
+    for _ in range(rng.randrange(1, 4)):
         owners = sorted({held[0] for held in world.oracle.held.values()} - world.net.dead - world.net.stopped)
-        if owners and dice.random() < 0.8:
-            name = dice.choice(owners)
+        if owners and rng.random() < 0.8:
+            name = rng.choice(owners)
             others = [one for one in "abcd" if one != name and one not in world.net.dead]
-            dice.shuffle(others)
-            if closed == 0 and dice.random() < 0.3 and not world.fronts[others[0]].handoff.taking():
+            rng.shuffle(others)
+            if closed == 0 and rng.random() < 0.3 and not world.fronts[others[0]].handoff.incoming():
                 closed, shut = 1, world.fronts[others[0]]
                 shut.closed = True
-                shut.handoff.room(100, "late")
+                shut.handoff.set_capacity(100, "late")
             world.hand_on(name, "".join(others))
-            world.run(dice.choice([0.0, dice.uniform(0.0, 60.0), dice.uniform(0.0, 700.0)]), not calm)
-        what, name = dice.random(), dice.choice(owners or ["a"])
-        victim = name if dice.random() < 0.6 else dice.choice("abcd")
+            world.run(rng.choice([0.0, rng.uniform(0.0, 60.0), rng.uniform(0.0, 700.0)]), not calm)
+        what, name = rng.random(), rng.choice(owners or ["a"])
+        victim = name if rng.random() < 0.6 else rng.choice("abcd")
         if what < 0.35:
             world.net.stopped.add(victim)
-            world.run(dice.choice([200.0, 2_500.0]), not calm)
+            world.run(rng.choice([200.0, 2_500.0]), not calm)
             world.net.wake(victim)
         elif what < 0.6 and killed < 2 and victim not in world.net.dead:
             killed += 1
             world.die(victim)
         elif what < 0.8:
-            pair = dice.sample("abcd", 2)
+            pair = rng.sample("abcd", 2)
             world.net.cuts.add((pair[0], pair[1]))
         elif what < 0.9:
-            dice.choice(world.boxes).dead = True
-        world.run(dice.choice([50.0, 800.0, 3_000.0]), not calm)
-    whole = copied and not world.net.cuts and killed < 2 and not any(box.dead for box in world.boxes)
+            rng.choice(world.boxes).dead = True
+        world.run(rng.choice([50.0, 800.0, 3_000.0]), not calm)
+    complete = copied and not world.net.cuts and killed < 2 and not any(box.dead for box in world.boxes)
     if not world.faults:
         world.end()
     now = set().union(*(standing_for(world, channel) for channel in world.channels))
-    if not world.faults and whole and started - now - world.ended:
+    if not world.faults and complete and started - now - world.ended:
         world.faults.append(f"{sorted(started - now - world.ended)} are lost, and nobody ended them")
     return world.faults
 
 
 def short_day(mods: Mods, seed: int) -> list[str]:
     """One channel, much on its way, and one change of owner: handed on, killed, or both at once."""
-    dice = Random(f"short {seed}")
-    world = World(mods, seed, Weather(late=dice.choice([0.0, 0.05])), channels=1, size=12)
+    rng = Random(f"short {seed}")
+    world = World(mods, seed, Weather(late=rng.choice([0.0, 0.05])), channels=1, size=12)
     world.run(300.0, steering=False)
-    world.run(dice.uniform(200.0, 400.0))
+    world.run(rng.uniform(200.0, 400.0))
     started = standing_for(world, world.channels[0])
-    how = dice.randrange(3)
-    if dice.random() < 0.4:
-        dice.choice(world.boxes).deaf_until = world.net.now + LEASE + 1_500.0
+    how = rng.randrange(3)
+    if rng.random() < 0.4:
+        rng.choice(world.boxes).deaf_until = world.net.now + LEASE + 1_500.0
     if how < 2:
         world.hand_on("a", "b")
-        world.run(dice.uniform(0.0, 400.0), steering=False)
+        world.run(rng.uniform(0.0, 400.0), steering=False)
     if how > 0:
         world.die("a")
         world.run(LEASE + 800.0, steering=False)
     else:
         world.run(OVERLAP + 900.0, steering=False)
-    world.run(dice.choice([0.0, 400.0]))
+    world.run(rng.choice([0.0, 400.0]))
     world.end(6_000.0)
     lost = started - standing_for(world, world.channels[0]) - world.ended
     return world.faults or [f"{session} is lost, and nobody ended it" for session in sorted(lost)]
@@ -999,7 +1003,7 @@
     world.run(2_000.0)
     world.run(58_000.0, steering=False)
     channel = world.channels[0]
-    ages = [world.fronts[name].replica.copy(channel) for name in "bcd"]
+    ages = [world.fronts[name].replica.find_replica(channel) for name in "bcd"]
     assert any(copy is not None and copy.age_ms(world.net.now) > 58_000.0 for copy in ages)
     before = set().union(*(standing_for(world, one) for one in world.channels))
     world.die("a")
@@ -1015,12 +1019,12 @@
         other = next(one for one in world.standbys(world.channels[0], "a") if one != name)
         world.net.cuts |= {("a", other)}
         world.run(900.0)
-        copies = [world.fronts[one].replica.copy(world.channels[0]) for one in (name, other)]
+        copies = [world.fronts[one].replica.find_replica(world.channels[0]) for one in (name, other)]
         assert copies[0] is not None and copies[1] is not None
-        assert copies[0].standings != copies[1].standings
+        assert copies[0].statuses != copies[1].statuses
         world.die("a")
         world.die(name)
-        before = standing_for(world, world.channels[0]) & set(copies[1].standings)
+        before = standing_for(world, world.channels[0]) & set(copies[1].statuses)
         world.end()
         assert world.faults == []
         assert before - standing_for(world, world.channels[0]) <= world.ended
@@ -1029,9 +1033,12 @@
 def test_a_snapshot_that_broke_off_is_resumed_where_the_standby_names() -> None:
     mods = Mods()
     rules = mods.rules.ReplicaRules(message_bytes=500, window=4)
-    owner, standby = mods.replication.Replica("a", rules), mods.replication.Replica("b", rules)
-    standings = [mods.standing(f"s{n}", payload=b"p") for n in range(400)]
-    owner.own(0.0, "a:1/0", 5, standings)
+    owner, standby = (
+        mods.replication.ChannelReplication("a", rules),
+        mods.replication.ChannelReplication("b", rules),
+    )
+    statuses = [mods.status(f"s{n}", payload=b"p") for n in range(400)]
+    owner.own(0.0, "a:1/0", 5, statuses)
     owner.standbys(0.0, "a:1/0", ["b"])
     now, pieces, back_at = 0.0, [], float("inf")
     for _ in range(400):
@@ -1047,20 +1054,20 @@
                         back_at = now + 2_000.0
                 if back_at == float("inf") or now >= back_at:
                     other.on_message(now, name, effect.message)
-    copy = standby.copy("a:1/0")
-    assert copy is not None and copy.whole and len(copy.standings) == 400
+    copy = standby.find_replica("a:1/0")
+    assert copy is not None and copy.complete and len(copy.statuses) == 400
     assert pieces.count(0) == 1 and len(set(pieces)) > 20 and len(pieces) < 2 * len(set(pieces))
 
 
 def test_payloads_cross_once_are_checked_and_go_with_the_last_copy() -> None:
     mods = Mods()
     rules = mods.rules.ReplicaRules(message_bytes=1_000, window=4)
-    parts = {name: mods.replication.Replica(name, rules) for name in "ab"}
+    parts = {name: mods.replication.ChannelReplication(name, rules) for name in "ab"}
     data = Random(1).randbytes(20_000)
     digest = mods.channel_names.payload_digest(data)
-    parts["a"].own(0.0, "a:1/0", 1, [mods.standing(f"s{n}", payload=digest) for n in range(3)])
+    parts["a"].own(0.0, "a:1/0", 1, [mods.status(f"s{n}", payload=digest) for n in range(3)])
     parts["a"].standbys(0.0, "a:1/0", ["b"])
-    now, asked, crossed, dice = 0.0, 0, 0, Random(2)
+    now, asked, crossed, rng = 0.0, 0, 0, Random(2)
 
     def run(ms: float) -> None:
         nonlocal now, asked, crossed
@@ -1072,7 +1079,7 @@
                     if isinstance(effect, mods.payloads.NeedPayload):
                         asked += 1
                         part.payload(now, effect.digest, data)
-                    elif isinstance(effect, mods.base.Send) and dice.random() > 0.1:
+                    elif isinstance(effect, mods.base.Send) and rng.random() > 0.1:
                         if isinstance(effect.message, mods.messages.PayloadPiece):
                             crossed += len(effect.message.data)
                         parts[str(effect.to)].on_message(now, name, effect.message)
@@ -1082,9 +1089,9 @@
     bad = mods.messages.PayloadPiece(digest, 3, 0, b"bad")
     parts["b"].on_message(now, "a", bad)
     assert parts["b"].payload_of(digest) == data
-    parts["a"].over(now, "a:1/0")
+    parts["a"].close_channel(now, "a:1/0")
     run(5_000.0)
-    assert parts["b"].payload_of(digest) is None and parts["b"].copy("a:1/0") is None
+    assert parts["b"].payload_of(digest) is None and parts["b"].find_replica("a:1/0") is None
 
 
 @pytest.mark.parametrize("mutant", COPIES + HANDOFF + DAYS, ids=lambda mutant: mutant.name)
@@ -1094,48 +1101,48 @@
         assert any(play(Mods(), seed) for seed in range(mutant.seeds))
 
 
-def odd(dice: Random, kind: Any, mods: Mods, depth: int = 0) -> Any:
+def odd(rng: Random, kind: Any, mods: Mods, depth: int = 0) -> Any:
     """A value of a field's type: usual, at a bound, or absurd."""
     text = str(kind)
     if text.startswith("list[str"):
-        return [odd(dice, str, mods) for _ in range(dice.randrange(4))]
+        return [odd(rng, str, mods) for _ in range(rng.randrange(4))]
     if text.startswith("list[tuple"):
-        return [(odd(dice, str, mods), odd(dice, int, mods)) for _ in range(dice.randrange(4))]
+        return [(odd(rng, str, mods), odd(rng, int, mods)) for _ in range(rng.randrange(4))]
     if text.startswith("list["):
-        return [mods.standing(odd(dice, str, mods), odd(dice, int, mods)) for _ in range(dice.randrange(4))]
+        return [mods.status(odd(rng, str, mods), odd(rng, int, mods)) for _ in range(rng.randrange(4))]
     if kind is str:
-        return dice.choice(["a:1/0", "a:1/0", "a:1/1", "", "x", "a:1/99999999", ":/", "s1", "\x00" * 700])
+        return rng.choice(["a:1/0", "a:1/0", "a:1/1", "", "x", "a:1/99999999", ":/", "s1", "\x00" * 700])
     if kind is int:
-        return dice.choice([0, 1, 1, 2, 3, -1, 2**62, -(2**62), dice.randrange(9)])
+        return rng.choice([0, 1, 1, 2, 3, -1, 2**62, -(2**62), rng.randrange(9)])
     if kind is float:
-        return dice.choice([0.0, 1.0, 500.0, -1.0, 1e300, float("inf"), float("nan")])
+        return rng.choice([0.0, 1.0, 500.0, -1.0, 1e300, float("inf"), float("nan")])
     if kind is bytes:
-        return dice.choice([b"", b"d" * 16, b"x" * 3_000])
+        return rng.choice([b"", b"d" * 16, b"x" * 3_000])
     if "Freshness" in text:
-        values = [odd(dice, one, mods) for one in (float, int, float)]
+        values = [odd(rng, one, mods) for one in (float, int, float)]
         return mods.messages.Freshness(*values)
-    return dice.choice([None, mods.standing("s1"), mods.standing("")])
+    return rng.choice([None, mods.status("s1"), mods.status("")])
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_no_message_raises_or_grows_a_table_past_its_bound(seed: int) -> None:
     """Peers that hold the key and say anything: all kinds, in any order, with absurd values."""
-    mods, dice = Mods(), Random(f"odd {seed}")
+    mods, rng = Mods(), Random(f"odd {seed}")
     rules = mods.rules.ReplicaRules(copies_most=3, sessions_most=20, bytes_most=4_000, payloads_bytes=5_000)
-    replica = mods.replication.Replica("me", rules)
+    replica = mods.replication.ChannelReplication("me", rules)
     hand = mods.handoff.Handoff("me", mods.rules.HandoffRules(takes_most=3, sessions_most=20), seed)
-    replica.own(0.0, "a:1/1", 2, [mods.standing("s1", payload=b"d" * 16)])
+    replica.own(0.0, "a:1/1", 2, [mods.status("s1", payload=b"d" * 16)])
     replica.standbys(0.0, "a:1/1", ["b", "c"])
-    hand.offer(0.0, "a:1/1", 2, {"s1": mods.standing("s1")}, ["b", "c"])
+    hand.offer(0.0, "a:1/1", 2, {"s1": mods.status("s1")}, ["b", "c"])
     now, offers = 0.0, [1, 2, 3]
     for _ in range(4_000):
-        now += dice.expovariate(1 / 20.0)
-        kind = dice.choice(mods.messages.KINDS)
+        now += rng.expovariate(1 / 20.0)
+        kind = rng.choice(mods.messages.KINDS)
         fields = msgspec.structs.fields(kind)
-        values = {one.name: odd(dice, one.type, mods) for one in fields}
-        if "offer" in values and dice.random() < 0.8:
-            values["offer"] = dice.choice(offers)
-        message, sender = kind(**values), dice.choice("bc")
+        values = {one.name: odd(rng, one.type, mods) for one in fields}
+        if "offer" in values and rng.random() < 0.8:
+            values["offer"] = rng.choice(offers)
+        message, sender = kind(**values), rng.choice("bc")
         for part in (replica, hand):
             part.on_message(now, sender, message)
             due = part.next_deadline()
@@ -1145,11 +1152,11 @@
                 if isinstance(effect, mods.base.Send):
                     offers = [*offers, getattr(effect.message, "offer", 1)][-6:]
                 elif isinstance(effect, mods.handoff_source.Freeze):
-                    hand.frozen(now, effect.channel, ["s1"])
-                elif isinstance(effect, mods.handoff_source.WantLease) and dice.random() < 0.5:
-                    hand.leased(now, effect.channel, effect.floor + 1)
-        assert len(replica.copies()) <= 3 and replica._standby.size() <= 4_000
-        assert replica._payloads.size() <= 5_000 and len(hand.taking()) <= 3
+                    hand.on_frozen(now, effect.channel, ["s1"])
+                elif isinstance(effect, mods.handoff_source.WantLease) and rng.random() < 0.5:
+                    hand.on_lease_acquired(now, effect.channel, effect.floor + 1)
+        assert len(replica.replicated_channels()) <= 3 and replica._standby.size() <= 4_000
+        assert replica._payloads.size() <= 5_000 and len(hand.incoming()) <= 3
         assert len(replica._payloads._askers) <= 256 and len(replica._payloads._fetches) <= 60
         for taking in hand._taker._takings.values():
-            assert len(taking.standings) + len(taking.early) <= 60
+            assert len(taking.statuses) + len(taking.early) <= 60
--- a/tests/test_peers_fleet.py
+++ b/tests/test_peers_fleet.py
@@ -50,8 +50,12 @@
 def copied(one: Peers) -> int:
     """Sessions of others that this front has whole copies of, with what their viewers are answered from."""
     replica = one.peer.owning.replica
-    copies = [copy for channel in replica.copies() if (copy := replica.copy(channel)) is not None]
-    standings = [each for copy in copies if copy.whole for each in copy.standings.values()]
+    copies = [
+        copy
+        for channel in replica.replicated_channels()
+        if (copy := replica.find_replica(channel)) is not None
+    ]
+    standings = [each for copy in copies if copy.complete for each in copy.statuses.values()]
     return sum(replica.payload_of(each.payload) is not None for each in standings)
 
 
--- a/tests/test_peers_heirs.py
+++ b/tests/test_peers_heirs.py
@@ -15,9 +15,9 @@
 from hypothesis import strategies as st
 
 from fernweir.peers.base import rendezvous
-from fernweir.peers.channel.rules import DirectoryRules, HeirRules, SpreadRules
-from fernweir.peers.channel.successor_selection import Candidate, assign, heirs, standbys, wait_ms
-from fernweir.peers.channel.takeover_pacing import Loss, spread
+from fernweir.peers.channel.rules import DirectoryRules, PacingRules, SuccessorRules
+from fernweir.peers.channel.successor_selection import Candidate, assign, standbys, successors, wait_ms
+from fernweir.peers.channel.takeover_pacing import LostChannel, schedule_takeovers
 from fernweir.peers.port import ClaimResult, SessionStatus
 from tests.peers_mutants import Mutant, broken
 from tests.peers_mutants.channel import DIRECTORY, HEIRS, LIVES, WEIGHING
@@ -41,7 +41,7 @@
 # --- heirs ---
 
 
-def slow_heirs(channel: str, fronts: list[Candidate], rules: HeirRules, sessions: int) -> list[str]:
+def slow_heirs(channel: str, fronts: list[Candidate], rules: SuccessorRules, sessions: int) -> list[str]:
     """From the words of the rule: no late, no leaving; copies first; nobody beyond its share of the mean."""
     fit = [front for front in fronts if not (front.late or front.leaving)]
     shares = {front.name: min(1.0, max(rules.floor, front.age_ms / rules.ramp_ms)) for front in fit}
@@ -59,29 +59,29 @@
 @DRAWN
 @given(FRONTS, st.integers(0, 30), st.integers(1, 60), st.randoms(use_true_random=False))
 def test_heirs_are_as_the_rule_says_in_whatever_order_fronts_are_told(
-    fronts: list[Candidate], part: int, sessions: int, dice: Any
+    fronts: list[Candidate], part: int, sessions: int, rng: Any
 ) -> None:
-    rules = HeirRules()
-    order = heirs(f"a:1/{part}", fronts, rules, sessions)
+    rules = SuccessorRules()
+    order = successors(f"a:1/{part}", fronts, rules, sessions)
     assert order == slow_heirs(f"a:1/{part}", fronts, rules, sessions)
     shuffled = list(fronts)
-    dice.shuffle(shuffled)
-    assert heirs(f"a:1/{part}", shuffled, rules, sessions) == order
+    rng.shuffle(shuffled)
+    assert successors(f"a:1/{part}", shuffled, rules, sessions) == order
 
 
 def heir_day(seed: int) -> list[str]:
     """A front of 30 is lost with its channels: nobody who is not fit inherits, nor more than it bears."""
     module: Any = importlib.import_module("fernweir.peers.channel.successor_selection")
     rules_of: Any = importlib.import_module("fernweir.peers.channel.rules")
-    dice, rules = Random(f"heirs {seed}"), rules_of.HeirRules()
+    rng, rules = Random(f"heirs {seed}"), rules_of.SuccessorRules()
     fronts = []
     for n in range(30):
-        young = dice.random() < 0.15
-        load = dice.randrange(20) if young else dice.randrange(380, 620)
-        age = dice.uniform(0.0, 3_000.0) if young else 1e6
-        flags = dice.random() < 0.1, dice.random() < 0.1
+        young = rng.random() < 0.15
+        load = rng.randrange(20) if young else rng.randrange(380, 620)
+        age = rng.uniform(0.0, 3_000.0) if young else 1e6
+        flags = rng.random() < 0.1, rng.random() < 0.1
         fronts.append(module.Candidate(f"f{n}", load, age, *flags))
-    channels = {f"lost:1/{part}": dice.randrange(40, 85) for part in range(dice.choice([8, 64]))}
+    channels = {f"lost:1/{part}": rng.randrange(40, 85) for part in range(rng.choice([8, 64]))}
     result = module.assign(channels, fronts, rules)
     fit = {front.name: front for front in fronts if not front.late and not front.leaving}
     gained = dict.fromkeys(fit, 0)
@@ -113,14 +113,14 @@
     moved = [channel for channel in channels if before[channel][0] != after[channel][0]]
     must = [channel for channel in channels if before[channel][0] == "f7"]
     assert set(must) <= set(moved) and len(moved) < len(channels) * 0.06
-    assert standbys("a:1/0", fronts) == heirs("a:1/0", fronts)[:2] and wait_ms(2) == 2 * wait_ms(1) > 0.0
+    assert standbys("a:1/0", fronts) == successors("a:1/0", fronts)[:2] and wait_ms(2) == 2 * wait_ms(1) > 0.0
 
 
 # --- spread ---
 
 LOSSES = st.lists(
     st.builds(
-        Loss,
+        LostChannel,
         channel=st.integers(0, 99).map("a:1/{}".format),
         sessions=st.integers(0, 200),
         boxes=st.lists(st.integers(0, 9), max_size=6, unique=True).map(tuple),
@@ -135,15 +135,15 @@
 @DRAWN
 @given(LOSSES, st.integers(0, 5), st.integers(1, 4), st.floats(0.0, 1e7))
 def test_channels_are_taken_over_within_the_bound_and_paced_where_it_allows(
-    losses: list[Loss], seed: int, count: int, now: float
+    losses: list[LostChannel], seed: int, count: int, now: float
 ) -> None:
-    rules = SpreadRules()
-    turns = spread(now, losses, rules, seed, count)
+    rules = PacingRules()
+    turns = schedule_takeovers(now, losses, rules, seed, count)
     assert sorted(turn.channel for turn in turns) == sorted(loss.channel for loss in losses)
     assert all(now <= turn.at <= now + rules.within_ms + 1e-6 for turn in turns)
-    assert spread(now, losses[::-1], rules, seed, count) == turns
+    assert schedule_takeovers(now, losses[::-1], rules, seed, count) == turns
     by_channel = {loss.channel: loss for loss in losses}
-    loose = spread(now, losses, SpreadRules(within_ms=1e9), seed, count)
+    loose = schedule_takeovers(now, losses, PacingRules(within_ms=1e9), seed, count)
     for box in range(10):
         claims = [turn.at for turn in loose if box in by_channel[turn.channel].boxes]
         gaps = [later - earlier for earlier, later in pairwise(claims)]
@@ -195,7 +195,7 @@
 def weigh(copy: dict[str, tuple[int, int]], claims: list[Any], elsewhere: str) -> list[str]:
     """What the program and the slow model make of the same; where they differ is named."""
     module: Any = importlib.import_module("fernweir.peers.channel.reconcile")
-    standings = {
+    statuses = {
         session: SessionStatus(session, "v", "w", "t", "c", 3, "x", 1, box, attempt, 0)
         for session, (box, attempt) in copy.items()
     }
@@ -203,7 +203,7 @@
         ClaimResult(box, reached, accepted, 5 if accepted else 9, tuple(sessions))
         for box, reached, sessions, accepted in claims
     ]
-    result, slow = module.reconcile(standings, told, elsewhere), slow_reconcile(standings, told, elsewhere)
+    result, slow = module.reconcile(statuses, told, elsewhere), slow_reconcile(statuses, told, elsewhere)
     got = {
         "take": [(one.session, one.box, one.attempt, one.rung) for one in result.take],
         "over": list(result.over),
@@ -215,14 +215,14 @@
 
 
 def weighing_day(seed: int) -> list[str]:
-    dice = Random(f"weighing {seed}")
+    rng = Random(f"weighing {seed}")
     for _ in range(40):
-        copy = {session: (dice.randrange(4), dice.randrange(3)) for session in dice.sample("pqrs", 3)}
+        copy = {session: (rng.randrange(4), rng.randrange(3)) for session in rng.sample("pqrs", 3)}
         claims = []
-        for _ in range(dice.randrange(5)):
-            listed = [(one, dice.randrange(4), dice.randrange(3)) for one in dice.sample("pqrs", 3)]
-            claims.append((dice.randrange(4), dice.random() < 0.8, listed, dice.random() < 0.95))
-        if faults := weigh(copy, claims, dice.choice(["", "", "pq", "pqrs"])):
+        for _ in range(rng.randrange(5)):
+            listed = [(one, rng.randrange(4), rng.randrange(3)) for one in rng.sample("pqrs", 3)]
+            claims.append((rng.randrange(4), rng.random() < 0.8, listed, rng.random() < 0.95))
+        if faults := weigh(copy, claims, rng.choice(["", "", "pq", "pqrs"])):
             return [f"{faults} of {copy} and {claims}"]
     return []
 
@@ -272,8 +272,8 @@
         )
         self.decoder = msgspec.msgpack.Decoder(kinds)
         self.rules = rules.DirectoryRules(refresh_ms=2_000.0, keep_ms=6_000.0, entries_most=60)
-        self.dice, self.now, self.count = Random(f"directory {seed}"), 0.0, 0
-        self.loss = self.dice.choice([0.0, 0.2])
+        self.rng, self.now, self.count = Random(f"directory {seed}"), 0.0, 0
+        self.loss = self.rng.choice([0.0, 0.2])
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.lives = dict.fromkeys(self.NAMES, 1)
         self.parts = {name: self.module.Directory(name, 1, self.rules, seed) for name in self.NAMES}
@@ -288,8 +288,8 @@
             part.members(self.now, {name: self.lives[name] for name in self.parts})
 
     def act(self) -> None:
-        what, name = self.dice.random(), self.dice.choice(sorted(self.parts))
-        session = f"s{self.dice.randrange(30)}"
+        what, name = self.rng.random(), self.rng.choice(sorted(self.parts))
+        session = f"s{self.rng.randrange(30)}"
         if what < 0.4:
             if session not in self.has:
                 self.has[session] = (name, 1)
@@ -325,9 +325,9 @@
 
     def send(self, sender: str, effect: Any) -> None:
         data = msgspec.msgpack.encode(effect.message)
-        if self.dice.random() < self.loss * (0.3 if effect.reliable else 1.0) or effect.to not in self.parts:
+        if self.rng.random() < self.loss * (0.3 if effect.reliable else 1.0) or effect.to not in self.parts:
             return
-        way = self.dice.uniform(0.2, 4.0) + (2_000.0 if self.dice.random() < self.loss / 8.0 else 0.0)
+        way = self.rng.uniform(0.2, 4.0) + (2_000.0 if self.rng.random() < self.loss / 8.0 else 0.0)
         to, life = effect.to, self.lives[effect.to]
 
         def deliver() -> None:
@@ -352,7 +352,7 @@
     def run(self, ms: float, act: Callable[[], None]) -> None:
         until = self.now + ms
         while self.now < until and not self.faults:
-            if self.dice.random() < 0.1:
+            if self.rng.random() < 0.1:
                 act()
             while self.queue and self.queue[0][0] <= self.now:
                 heapq.heappop(self.queue)[2]()
@@ -374,7 +374,7 @@
         self.loss = 0.0
         self.run(self.rules.keep_ms + 500.0, lambda: None)
         self.quiet, self.finds = True, {}
-        again = self.dice.choice(sorted(self.parts))  # what a registrar without a memory says ends no find
+        again = self.rng.choice(sorted(self.parts))  # what a registrar without a memory says ends no find
         self.lives[again] += 1
         self.parts[again] = self.module.Directory(again, self.lives[again], self.rules, 1)
         self.has = {one: held for one, held in self.has.items() if held[0] != again}
