--- a/bench/peers_channel.py
+++ b/bench/peers_channel.py
@@ -76,13 +76,13 @@
 
     def step(self, until: float, parts: dict[str, Any]) -> bool:
         """On to the next thing that is due; False if that is later than `until`."""
-        dues = [due for part in parts.values() if (due := part.next_deadline()) is not None]
+        deadlines = [due for part in parts.values() if (due := part.next_deadline()) is not None]
         if self.queue:
-            dues.append(self.queue[0][0])
-        if not dues or min(dues) > until:
+            deadlines.append(self.queue[0][0])
+        if not deadlines or min(deadlines) > until:
             self.now = until
             return False
-        self.now = max(self.now, min(dues))
+        self.now = max(self.now, min(deadlines))
         while self.queue and self.queue[0][0] <= self.now:
             heapq.heappop(self.queue)[2]()
         for part in parts.values():
--- a/fernweir/peers/channel/channel_names.py
+++ b/fernweir/peers/channel/channel_names.py
@@ -18,14 +18,14 @@
     """A channel's name taken apart: the front and life whose sessions it holds, and which part of them."""
 
     front: str
-    life: int
+    incarnation: int
     part: int
 
 
-def channel_of(front: str, life: int, session: str, parts: int) -> str:
+def channel_of(front: str, incarnation: int, session: str, parts: int) -> str:
     """The channel of a session that began at this front in this life, alike wherever it is asked."""
     digest = blake2b(session.encode("utf-8", "surrogatepass"), digest_size=8).digest()
-    return f"{front}:{life}/{int.from_bytes(digest, 'big') % parts}"
+    return f"{front}:{incarnation}/{int.from_bytes(digest, 'big') % parts}"
 
 
 def parse(channel: str) -> ChannelName | None:
@@ -33,10 +33,10 @@
     if len(channel) > MAX_NAME_LENGTH:
         return None
     front, colon, rest = channel.rpartition(":")
-    life, slash, part = rest.partition("/")
-    if not (front and colon and slash and _number(life) and _number(part)):
+    incarnation, slash, part = rest.partition("/")
+    if not (front and colon and slash and _number(incarnation) and _number(part)):
         return None
-    return ChannelName(front, int(life), int(part)) if int(part) < MAX_PARTS else None
+    return ChannelName(front, int(incarnation), int(part)) if int(part) < MAX_PARTS else None
 
 
 def payload_digest(data: bytes) -> bytes:
--- a/fernweir/peers/channel/directory.py
+++ b/fernweir/peers/channel/directory.py
@@ -16,8 +16,8 @@
 from fernweir.peers.channel.registrar import Entry, Registrar
 from fernweir.peers.channel.rules import DirectoryRules
 
-_SLICE = 128  # sessions whose registrars are found anew in one go, after members changed
-_SLICE_MS = 5.0
+_RECHECK_BATCH = 128  # sessions whose registrars are found anew in one go, after members changed
+_RECHECK_INTERVAL_MS = 5.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,20 +35,20 @@
 
 
 @dataclass(slots=True)
-class _Find:
+class _Lookup:
     number: int
     session: str
     asked: tuple[str, ...]
     waiting: set[str]
     until: float
-    again_at: float
+    retry_at: float
     lost: bool = False
 
 
 @dataclass(slots=True)
-class _Own:
+class _OwnSession:
     fence: int
-    told: tuple[str, ...] = ()
+    notified: tuple[str, ...] = ()
     refresh_at: float = 0.0
 
 
@@ -61,35 +61,35 @@
 class Directory:
     """Both sides: what this front has, and what it keeps as registrar of others. Event: `Found`."""
 
-    def __init__(self, me: str, life: int, rules: DirectoryRules | None = None, seed: int = 0) -> None:
-        self.me, self.life, self.rules = me, life, rules or DirectoryRules()
-        self._rng = Random(f"directory {me} {life} {seed}")
+    def __init__(self, me: str, incarnation: int, rules: DirectoryRules | None = None, seed: int = 0) -> None:
+        self.me, self.incarnation, self.rules = me, incarnation, rules or DirectoryRules()
+        self._rng = Random(f"directory {me} {incarnation} {seed}")
         self._out = Outbox()
-        self._alive: dict[str, int] = {me: life}
+        self._alive: dict[str, int] = {me: incarnation}
         self._registrar = Registrar(self.rules)
         self._registrar.members(0.0, self._alive)
-        self._own: dict[str, _Own] = {}
+        self._own: dict[str, _OwnSession] = {}
         self._batches: dict[str, _Batch] = {}
         self._flush_at: float | None = None
-        self._turn_at = 0.0
+        self._refresh_scan_at = 0.0
         self._sweep_at = 0.0
-        self._check: list[str] = []  # sessions whose registrars may have changed
-        self._check_at = 0.0
-        self._finds: dict[int, _Find] = {}
-        self._finding: dict[str, int] = {}
+        self._recheck: list[str] = []  # sessions whose registrars may have changed
+        self._recheck_at = 0.0
+        self._lookups: dict[int, _Lookup] = {}
+        self._lookup_numbers: dict[str, int] = {}
 
     # --- what the front tells ---
 
     def members(self, now: float, alive: Mapping[str, int]) -> None:
         """Fronts believed alive with their lives; sessions whose registrars changed are told to the new."""
-        was, self._alive = self._alive, {**alive, self.me: self.life}
+        previous, self._alive = self._alive, {**alive, self.me: self.incarnation}
         self._registrar.members(now, self._alive)
         self._batches = {name: batch for name, batch in self._batches.items() if name in self._alive}
-        anew = {name for name, life in self._alive.items() if was.get(name) != life}
+        restarted = {name for name, incarnation in self._alive.items() if previous.get(name) != incarnation}
         for own in self._own.values():  # a new life knows nothing
-            own.told = tuple(name for name in own.told if name not in anew)
-        self._check = list(self._own)
-        self._check_at = now
+            own.notified = tuple(name for name in own.notified if name not in restarted)
+        self._recheck = list(self._own)
+        self._recheck_at = now
 
     def register(self, now: float, session: str, fence: int = 0) -> bool:
         """This front has the session, in a channel under this fence. False if there is no room to tell."""
@@ -97,17 +97,17 @@
         if own is None:
             if len(self._own) >= self.rules.own_most or not 0 < len(session) <= MAX_NAME_LENGTH:
                 return False
-            own = self._own[session] = _Own(fence)
+            own = self._own[session] = _OwnSession(fence)
         elif own.fence != fence:
-            own.fence, own.told = fence, ()
-        self._tell(now, session, own)
+            own.fence, own.notified = fence, ()
+        self._notify_registrars(now, session, own)
         return True
 
     def unregister(self, now: float, session: str) -> None:
         own = self._own.pop(session, None)
         if own is None:
             return
-        for name in own.told:
+        for name in own.notified:
             batch = self._batch(now, name)
             batch.registered.pop(session, None)
             batch.unregistered[session] = None
@@ -118,7 +118,7 @@
 
     def find(self, now: float, session: str) -> None:
         """Asks; `Found` comes at once or within `find_ms`, once for all who asked meanwhile."""
-        if session in self._finding:
+        if session in self._lookup_numbers:
             return
         if session in self._own:
             self._out.add(Found(session, self.me, (), ()))
@@ -126,17 +126,17 @@
         asked = tuple(self.registrars(session))
         entry = self._registrar.find(now, session) if self.me in asked else None
         others = {name for name in asked if name != self.me}
-        full = len(self._finds) >= self.rules.finds_most
-        if self._believed(entry) or not others or full or len(session) > MAX_NAME_LENGTH:
-            owner = entry.owner if entry is not None and self._believed(entry) else None
+        full = len(self._lookups) >= self.rules.finds_most
+        if self._is_current(entry) or not others or full or len(session) > MAX_NAME_LENGTH:
+            owner = entry.owner if entry is not None and self._is_current(entry) else None
             lost = entry is not None and owner is None
             self._out.add(Found(session, owner, asked, tuple(sorted(others)) if full else (), lost))
             return
         number = self._rng.getrandbits(52)
-        until, again_at = now + self.rules.find_ms, now + self.rules.again_ms
-        self._finds[number] = _Find(number, session, asked, others, until, again_at, entry is not None)
-        self._finding[session] = number
-        self._ask(self._finds[number])
+        until, retry_at = now + self.rules.find_timeout_ms, now + self.rules.retry_ms
+        self._lookups[number] = _Lookup(number, session, asked, others, until, retry_at, entry is not None)
+        self._lookup_numbers[session] = number
+        self._send_lookup(self._lookups[number])
 
     def registrars(self, session: str) -> list[str]:
         return rendezvous(session, self._alive)[: self.rules.registrars]
@@ -145,67 +145,67 @@
 
     def on_message(self, now: float, sender: str, message: Message) -> None:
         if isinstance(message, Registered):
-            self._registrar.register(now, sender, message.life, message.sessions)
+            self._registrar.register(now, sender, message.incarnation, message.sessions)
         elif isinstance(message, Unregistered):
-            self._registrar.unregister(sender, message.life, message.sessions)
+            self._registrar.unregister(sender, message.incarnation, message.sessions)
         elif isinstance(message, LocateSession):
-            self._where(now, sender, message)
+            self._on_locate(now, sender, message)
         elif isinstance(message, SessionLocation):
-            self._there(sender, message)
+            self._on_location(sender, message)
 
     def tick(self, now: float) -> None:
         if self._flush_at is not None and now >= self._flush_at:
             self._flush(now)
-        for find in list(self._finds.values()):
-            if now >= find.until:
-                self._end(find, None)
-            elif now >= find.again_at:
-                find.again_at = find.until
-                self._ask(find)
-        if self._check and now >= self._check_at:
-            self._check_at = now + _SLICE_MS
-            slice_, self._check = self._check[:_SLICE], self._check[_SLICE:]
+        for lookup in list(self._lookups.values()):
+            if now >= lookup.until:
+                self._finish(lookup, None)
+            elif now >= lookup.retry_at:
+                lookup.retry_at = lookup.until
+                self._send_lookup(lookup)
+        if self._recheck and now >= self._recheck_at:
+            self._recheck_at = now + _RECHECK_INTERVAL_MS
+            slice_, self._recheck = self._recheck[:_RECHECK_BATCH], self._recheck[_RECHECK_BATCH:]
             for session in slice_:
                 if (own := self._own.get(session)) is not None:
-                    self._tell(now, session, own)
-        if now >= self._turn_at:
-            self._turn_at = now + self.rules.refresh_ms / 16.0
+                    self._notify_registrars(now, session, own)
+        if now >= self._refresh_scan_at:
+            self._refresh_scan_at = now + self.rules.refresh_ms / 16.0
             for session, own in self._own.items():
                 if now >= own.refresh_at:
-                    own.told = ()
-                    self._tell(now, session, own)
+                    own.notified = ()
+                    self._notify_registrars(now, session, own)
         if now >= self._sweep_at:
             self._sweep_at = now + self.rules.refresh_ms / 4.0
             self._registrar.sweep(now)
 
     def next_deadline(self) -> float | None:
-        dues = [min(find.again_at, find.until) for find in self._finds.values()]
+        deadlines = [min(lookup.retry_at, lookup.until) for lookup in self._lookups.values()]
         if self._flush_at is not None:
-            dues.append(self._flush_at)
-        if self._check:
-            dues.append(self._check_at)
+            deadlines.append(self._flush_at)
+        if self._recheck:
+            deadlines.append(self._recheck_at)
         if self._own:
-            dues.append(self._turn_at)
+            deadlines.append(self._refresh_scan_at)
         if len(self._registrar):
-            dues.append(self._sweep_at)
-        return min(dues, default=None)
+            deadlines.append(self._sweep_at)
+        return min(deadlines, default=None)
 
     def take_effects(self) -> list[Effect]:
         return self._out.take_effects()
 
     # --- pieces ---
 
-    def _tell(self, now: float, session: str, own: _Own) -> None:
+    def _notify_registrars(self, now: float, session: str, own: _OwnSession) -> None:
         """To registrars that have not been told, in the next batch; a refresh is due some time after."""
         registrars = tuple(self.registrars(session))
         for name in registrars:
-            if name not in own.told:
+            if name not in own.notified:
                 batch = self._batch(now, name)
                 batch.registered[session] = own.fence
                 batch.unregistered.pop(session, None)
-        if not own.told:
+        if not own.notified:
             own.refresh_at = now + self.rules.refresh_ms * self._rng.uniform(0.75, 1.0)
-        own.told = registrars
+        own.notified = registrars
 
     def _batch(self, now: float, name: str) -> _Batch:
         if self._flush_at is None:
@@ -215,55 +215,59 @@
     def _flush(self, now: float) -> None:
         self._flush_at = None
         batches, self._batches = self._batches, {}
-        most = self.rules.message_entries
+        limit = self.rules.message_entries
         for name, batch in batches.items():
             entries = list(batch.registered.items())
-            gone = list(batch.unregistered)
-            for at in range(0, len(entries), most):
-                self._say(now, name, Registered(self.life, entries[at : at + most]))
-            for at in range(0, len(gone), most):
-                self._say(now, name, Unregistered(self.life, gone[at : at + most]))
+            removed = list(batch.unregistered)
+            for at in range(0, len(entries), limit):
+                self._send(now, name, Registered(self.incarnation, entries[at : at + limit]))
+            for at in range(0, len(removed), limit):
+                self._send(now, name, Unregistered(self.incarnation, removed[at : at + limit]))
 
-    def _say(self, now: float, name: str, message: Registered | Unregistered) -> None:
+    def _send(self, now: float, name: str, message: Registered | Unregistered) -> None:
         if name == self.me:
             self.on_message(now, self.me, message)
         else:
             self._out.add(Send(name, message, reliable=True))
 
-    def _ask(self, find: _Find) -> None:
-        for name in sorted(find.waiting):
-            self._out.add(Send(name, LocateSession(find.number, find.session)))
+    def _send_lookup(self, lookup: _Lookup) -> None:
+        for name in sorted(lookup.waiting):
+            self._out.add(Send(name, LocateSession(lookup.number, lookup.session)))
 
-    def _where(self, now: float, sender: str, message: LocateSession) -> None:
+    def _on_locate(self, now: float, sender: str, message: LocateSession) -> None:
         if len(message.session) > MAX_NAME_LENGTH:
             return
         if (own := self._own.get(message.session)) is not None:
-            there = SessionLocation(message.number, message.session, self.me, self.life, own.fence)
+            location = SessionLocation(message.number, message.session, self.me, self.incarnation, own.fence)
         elif (entry := self._registrar.find(now, message.session)) is not None:
-            there = SessionLocation(message.number, message.session, entry.owner, entry.life, entry.fence)
+            location = SessionLocation(
+                message.number, message.session, entry.owner, entry.incarnation, entry.fence
+            )
         else:
-            there = SessionLocation(message.number, message.session)
-        self._out.add(Send(sender, there))
+            location = SessionLocation(message.number, message.session)
+        self._out.add(Send(sender, location))
 
-    def _there(self, sender: str, message: SessionLocation) -> None:
-        find = self._finds.get(message.number)
-        if find is None or find.session != message.session or sender not in find.waiting:
+    def _on_location(self, sender: str, message: SessionLocation) -> None:
+        lookup = self._lookups.get(message.number)
+        if lookup is None or lookup.session != message.session or sender not in lookup.waiting:
             return
-        find.waiting.discard(sender)
-        entry = Entry(message.owner, message.life, message.fence, 0.0) if message.owner else None
-        if entry is not None and self._believed(entry):
-            self._end(find, entry.owner)
+        lookup.waiting.discard(sender)
+        entry = Entry(message.owner, message.incarnation, message.fence, 0.0) if message.owner else None
+        if entry is not None and self._is_current(entry):
+            self._finish(lookup, entry.owner)
             return
-        find.lost = find.lost or entry is not None
-        if not find.waiting:
-            self._end(find, None)
+        lookup.lost = lookup.lost or entry is not None
+        if not lookup.waiting:
+            self._finish(lookup, None)
 
-    def _believed(self, entry: Entry | None) -> bool:
+    def _is_current(self, entry: Entry | None) -> bool:
         """Whether that owner is alive, in that life, as far as this front knows."""
-        return entry is not None and entry.owner != self.me and self._alive.get(entry.owner) == entry.life
-
-    def _end(self, find: _Find, owner: str | None) -> None:
-        del self._finds[find.number]
-        del self._finding[find.session]
-        lost = find.lost and owner is None
-        self._out.add(Found(find.session, owner, find.asked, tuple(sorted(find.waiting)), lost))
+        return (
+            entry is not None and entry.owner != self.me and self._alive.get(entry.owner) == entry.incarnation
+        )
+
+    def _finish(self, lookup: _Lookup, owner: str | None) -> None:
+        del self._lookups[lookup.number]
+        del self._lookup_numbers[lookup.session]
+        lost = lookup.lost and owner is None
+        self._out.add(Found(lookup.session, owner, lookup.asked, tuple(sorted(lookup.waiting)), lost))
--- a/fernweir/peers/channel/handoff.py
+++ b/fernweir/peers/channel/handoff.py
@@ -44,8 +44,8 @@
         self.me, self.rules = me, rules or HandoffRules()
         self.takeover = takeover or Takeover()
         self._out = Outbox()
-        self._giver = HandoffSource(self.rules, Random(f"handoff {me} {seed}"), self._out)
-        self._taker = HandoffTarget(self.rules, self.takeover, listed, known, self._out)
+        self._source = HandoffSource(self.rules, Random(f"handoff {me} {seed}"), self._out)
+        self._target = HandoffTarget(self.rules, self.takeover, listed, known, self._out)
 
     # --- the old owner's end ---
 
@@ -63,33 +63,35 @@
         and is still in doubt goes along, for the heir to settle.
         """
         known = {**self.takeover.undecided(channel), **statuses}
-        return self._giver.offer(now, channel, fence, known, [name for name in successors if name != self.me])
+        return self._source.offer(
+            now, channel, fence, known, [name for name in successors if name != self.me]
+        )
 
     def change(self, now: float, channel: str, status: SessionStatus) -> None:
         """A session of a channel on its way is new or changed; in the overlap, an attempt's good end."""
-        self._giver.change(now, channel, status.session, status)
+        self._source.change(now, channel, status.session, status)
 
     def end(self, now: float, channel: str, session: str) -> None:
-        self._giver.change(now, channel, session, None)
+        self._source.change(now, channel, session, None)
 
     def on_frozen(self, now: float, channel: str, out: Iterable[str]) -> None:
         """The answer to `Freeze`: nothing is steered any more, and attempts are out for these sessions."""
         doubtful = self.takeover.undecided(channel)
         self.takeover.stop(channel)
-        self._giver.on_frozen(now, channel, [*out, *doubtful])
+        self._source.on_frozen(now, channel, [*out, *doubtful])
 
     def cancel(self, now: float, channel: str, why: str) -> bool:
         """Takes an offer back; False once it is frozen and handed, or if there is none."""
-        return self._giver.cancel(now, channel, why)
+        return self._source.cancel(now, channel, why)
 
     def outgoing(self) -> list[str]:
-        return self._giver.channels()
+        return self._source.channels()
 
     # --- the heir's end ---
 
     def set_capacity(self, sessions: int, closed: str = "") -> None:
         """How many sessions may come by hand-off at a time; with `closed` none, for that reason."""
-        self._taker.set_capacity(sessions, closed)
+        self._target.set_capacity(sessions, closed)
 
     def on_claimed(self, now: float, channel: str, claimed: ClaimResult) -> None:
         """A box's answer to `Claim`, of whichever way."""
@@ -97,60 +99,64 @@
         self._drain()
 
     def incoming(self) -> list[str]:
-        return self._taker.channels()
+        return self._target.channels()
 
     # --- both ---
 
     def on_lease_acquired(self, now: float, channel: str, fence: int) -> bool:
         """The lease that `WantLease` asked for is here. False if no hand-off waits for it."""
-        took = self._giver.on_lease_acquired(now, channel, fence) or self._taker.on_lease_acquired(
+        was_wanted = self._source.on_lease_acquired(now, channel, fence) or self._target.on_lease_acquired(
             now, channel, fence
         )
         self._drain()
-        return took
+        return was_wanted
 
     def on_lease_taken(self, now: float, channel: str, by: str, fence: int) -> None:
         """Another holds the lease that was asked for."""
-        self._giver.on_lease_taken(now, channel, by, fence)
-        self._taker.on_lease_taken(channel, fence)
+        self._source.on_lease_taken(now, channel, by, fence)
+        self._target.on_lease_taken(channel, fence)
 
     def on_lease_lost(self, now: float, channel: str) -> None:
         """The lease is gone without `ReleaseLease`. To be told before anything else on waking up."""
-        self._giver.on_lease_lost(now, channel)
-        self._taker.on_lease_lost(channel)
+        self._source.on_lease_lost(now, channel)
+        self._target.on_lease_lost(channel)
         self.takeover.stop(channel)
 
     def on_peer_died(self, now: float, name: str) -> None:
         """A front is believed dead."""
-        self._giver.on_peer_died(now, name)
+        self._source.on_peer_died(now, name)
 
     def may_steer(self, channel: str) -> bool:
         """Whether hand-off and taking over leave an owner with a valid lease free to steer the channel."""
-        for verdict in (self._giver.steers(channel), self.takeover.steers(channel)):
+        for verdict in (self._source.may_steer(channel), self.takeover.may_steer(channel)):
             if verdict is not None:
                 return verdict
         return True
 
     def may_finish(self, now: float, channel: str) -> bool:
         """Whether attempts that were out when the channel was frozen may still be finished from here."""
-        return self._giver.finishes(now, channel)
+        return self._source.may_finish(now, channel)
 
     # --- the part ---
 
     def on_message(self, now: float, sender: str, message: Message) -> None:
-        self._giver.on_message(now, sender, message)
-        self._taker.on_message(now, sender, message)
+        self._source.on_message(now, sender, message)
+        self._target.on_message(now, sender, message)
         self._drain()
 
     def tick(self, now: float) -> None:
-        self._giver.tick(now)
-        self._taker.tick(now)
+        self._source.tick(now)
+        self._target.tick(now)
         self.takeover.tick(now)
         self._drain()
 
     def next_deadline(self) -> float | None:
-        dues = (self._giver.next_deadline(), self._taker.next_deadline(), self.takeover.next_deadline())
-        return min((due for due in dues if due is not None), default=None)
+        deadlines = (
+            self._source.next_deadline(),
+            self._target.next_deadline(),
+            self.takeover.next_deadline(),
+        )
+        return min((due for due in deadlines if due is not None), default=None)
 
     def take_effects(self) -> list[Effect]:
         self._drain()
@@ -160,8 +166,8 @@
         for effect in self.takeover.take_effects():
             self._out.add(effect)
             if isinstance(effect, Settled):
-                self._giver.settled(effect.channel, effect.take, effect.over)
+                self._source.on_settled(effect.channel, effect.take, effect.over)
             if isinstance(effect, Inherited):
-                self._taker.acts(effect.channel, effect.fence)
+                self._target.on_takeover_active(effect.channel, effect.fence)
             elif isinstance(effect, HigherFenceFound):
-                self._taker.on_lease_taken(effect.channel, effect.fence)
+                self._target.on_lease_taken(effect.channel, effect.fence)
--- a/fernweir/peers/channel/handoff_source.py
+++ b/fernweir/peers/channel/handoff_source.py
@@ -24,17 +24,17 @@
 from fernweir.peers.channel.rules import HandoffRules
 from fernweir.peers.port import SessionStatus
 
-_PARTS_OUT = 8
-_LATES_OUT = 64
+_PARTS_IN_FLIGHT = 8
+_UPDATES_IN_FLIGHT = 64
 
 
 class Step(Enum):
     WAITING = "waiting"  # for its turn
     OFFERED = "offered"
-    MOVING = "moving"  # accepted, parts on their way; still steered from here
+    TRANSFERRING = "moving"  # accepted, parts on their way; still steered from here
     FROZEN = "frozen"  # the front stops steering and says what is out
     HANDED = "handed"  # the lease is gone, what is out is finished
-    BACK = "back"  # the heir does not act: the lease is asked for again
+    RECLAIMING = "back"  # the heir does not act: the lease is asked for again
 
 
 @dataclass(frozen=True, slots=True)
@@ -114,7 +114,7 @@
 
 
 @dataclass(slots=True)
-class _Giving:
+class _OutgoingHandoff:
     channel: str
     fence: int
     successors: deque[str]
@@ -122,18 +122,18 @@
     step: Step = Step.WAITING
     target: str = ""
     offer: int = 0
-    due: float = 0.0  # when this step has taken too long
-    again_at: float = 0.0
+    step_deadline: float = 0.0  # when this step has taken too long
+    retry_at: float = 0.0
     parts: list[list[SessionStatus]] = field(default_factory=list)
-    parts_got: int = 0
-    lates: list[tuple[str, SessionStatus | None]] = field(default_factory=list)
-    lates_got: int = 0
-    handed_lates: int = 0
-    out: list[str] = field(default_factory=list)
-    handed_at: float = 0.0
-    acting: int = 0  # the heir's fence, once it acts
+    parts_acked: int = 0
+    updates: list[tuple[str, SessionStatus | None]] = field(default_factory=list)
+    updates_acked: int = 0
+    committed_updates: int = 0
+    in_flight: list[str] = field(default_factory=list)
+    released_at: float = 0.0
+    target_fence: int = 0  # the heir's fence, once it acts
     floor: int = 0  # of the lease that is asked for again
-    bound_told: bool = False
+    overlap_reported: bool = False
     target_left: bool = False
 
 
@@ -142,7 +142,7 @@
 
     def __init__(self, rules: HandoffRules, rng: Random, out: Outbox) -> None:
         self.rules, self._rng, self._out = rules, rng, out
-        self._givings: dict[str, _Giving] = {}
+        self._handoffs: dict[str, _OutgoingHandoff] = {}
 
     def offer(
         self,
@@ -152,309 +152,343 @@
         statuses: Mapping[str, SessionStatus],
         successors: Sequence[str],
     ) -> bool:
-        if channel in self._givings:
+        if channel in self._handoffs:
             return False
-        self._givings[channel] = _Giving(channel, fence, deque(successors), dict(statuses))
-        self._start(now)
+        self._handoffs[channel] = _OutgoingHandoff(channel, fence, deque(successors), dict(statuses))
+        self._start_waiting(now)
         return True
 
     def change(self, now: float, channel: str, session: str, status: SessionStatus | None) -> None:
         """Something of a channel on its way changed; without a standing it is over."""
-        giving = self._givings.get(channel)
-        if giving is not None:
-            self._note(giving, session, status)
-            if giving.again_at <= now:
-                giving.again_at = now + self.rules.resend_ms
+        handoff = self._handoffs.get(channel)
+        if handoff is not None:
+            self._record_change(handoff, session, status)
+            if handoff.retry_at <= now:
+                handoff.retry_at = now + self.rules.resend_ms
 
-    def settled(self, channel: str, take: Iterable[SessionStatus], over: Iterable[str]) -> None:
+    def on_settled(self, channel: str, take: Iterable[SessionStatus], over: Iterable[str]) -> None:
         """What was in doubt here when the channel was offered has been decided."""
-        giving = self._givings.get(channel)
-        if giving is not None:
+        handoff = self._handoffs.get(channel)
+        if handoff is not None:
             for status in take:
-                self._note(giving, status.session, status)
+                self._record_change(handoff, status.session, status)
             for session in over:
-                self._note(giving, session, None)
+                self._record_change(handoff, session, None)
 
-    def _note(self, giving: _Giving, session: str, status: SessionStatus | None) -> None:
+    def _record_change(self, handoff: _OutgoingHandoff, session: str, status: SessionStatus | None) -> None:
         if status is None:
-            giving.statuses.pop(session, None)
+            handoff.statuses.pop(session, None)
         else:
-            giving.statuses[session] = status
-        if giving.step not in (Step.WAITING, Step.OFFERED):
-            giving.lates.append((session, status))
-            if len(giving.lates) <= giving.lates_got + _LATES_OUT:
-                self._send_late(giving, len(giving.lates) - 1)
+            handoff.statuses[session] = status
+        if handoff.step not in (Step.WAITING, Step.OFFERED):
+            handoff.updates.append((session, status))
+            if len(handoff.updates) <= handoff.updates_acked + _UPDATES_IN_FLIGHT:
+                self._send_update(handoff, len(handoff.updates) - 1)
 
     def on_frozen(self, now: float, channel: str, out: Iterable[str]) -> None:
-        giving = self._givings.get(channel)
-        if giving is None or giving.step is not Step.FROZEN:
+        handoff = self._handoffs.get(channel)
+        if handoff is None or handoff.step is not Step.FROZEN:
             return
-        giving.step, giving.handed_at, giving.out = Step.HANDED, now, list(out)[: self.rules.sessions_most]
-        giving.due, giving.handed_lates = now + self.rules.act_ms, len(giving.lates)
-        self._out.add(ReleaseLease(channel, giving.fence))
-        self._send_yours(now, giving)
+        handoff.step, handoff.released_at, handoff.in_flight = (
+            Step.HANDED,
+            now,
+            list(out)[: self.rules.sessions_most],
+        )
+        handoff.step_deadline, handoff.committed_updates = (
+            now + self.rules.activation_timeout_ms,
+            len(handoff.updates),
+        )
+        self._out.add(ReleaseLease(channel, handoff.fence))
+        self._send_commit(now, handoff)
 
     def cancel(self, now: float, channel: str, why: str) -> bool:
         """Takes an offer back; False if it has gone too far, or there is none."""
-        giving = self._givings.get(channel)
-        if giving is None or giving.step in (Step.HANDED, Step.BACK):
+        handoff = self._handoffs.get(channel)
+        if handoff is None or handoff.step in (Step.HANDED, Step.RECLAIMING):
             return False
-        self._cancel(giving, why)
-        del self._givings[channel]
-        self._start(now)
+        self._cancel(handoff, why)
+        del self._handoffs[channel]
+        self._start_waiting(now)
         return True
 
-    def steers(self, channel: str) -> bool | None:
+    def may_steer(self, channel: str) -> bool | None:
         """None if the channel is not being handed on."""
-        giving = self._givings.get(channel)
-        return None if giving is None else giving.step in (Step.WAITING, Step.OFFERED, Step.MOVING)
+        handoff = self._handoffs.get(channel)
+        return None if handoff is None else handoff.step in (Step.WAITING, Step.OFFERED, Step.TRANSFERRING)
 
-    def finishes(self, now: float, channel: str) -> bool:
-        giving = self._givings.get(channel)
+    def may_finish(self, now: float, channel: str) -> bool:
+        handoff = self._handoffs.get(channel)
         return (
-            giving is not None
-            and giving.step in (Step.HANDED, Step.BACK)
-            and now < giving.handed_at + self.rules.overlap_ms
+            handoff is not None
+            and handoff.step in (Step.HANDED, Step.RECLAIMING)
+            and now < handoff.released_at + self.rules.overlap_ms
         )
 
     def channels(self) -> list[str]:
-        return list(self._givings)
+        return list(self._handoffs)
 
     # --- leases and members ---
 
     def on_lease_acquired(self, now: float, channel: str, fence: int) -> bool:
-        giving = self._givings.get(channel)
-        if giving is None or giving.step is not Step.BACK or fence <= giving.floor:
+        handoff = self._handoffs.get(channel)
+        if handoff is None or handoff.step is not Step.RECLAIMING or fence <= handoff.floor:
             return False
-        self._cancel(giving, "taken back")
-        self._forget(now, giving)
-        self._out.add(LeaseReclaimed(channel, fence, tuple(giving.statuses.values())))
+        self._cancel(handoff, "taken back")
+        self._forget(now, handoff)
+        self._out.add(LeaseReclaimed(channel, fence, tuple(handoff.statuses.values())))
         return True
 
     def on_lease_taken(self, now: float, channel: str, by: str, fence: int) -> None:
         """Another has the lease that was asked for again: a standby, which begins from its own copy, or the
         heir, which may have got no further. Until that one acts, what it must know stays here."""
-        giving = self._givings.get(channel)
-        if giving is not None and giving.step is Step.BACK and fence > giving.fence and by != giving.target:
-            giving.target_left = True
-            self._acts(now, giving, by, fence)
+        handoff = self._handoffs.get(channel)
+        if (
+            handoff is not None
+            and handoff.step is Step.RECLAIMING
+            and fence > handoff.fence
+            and by != handoff.target
+        ):
+            handoff.target_left = True
+            self._on_target_active(now, handoff, by, fence)
 
     def on_lease_lost(self, now: float, channel: str) -> None:
         """The lease is gone without having been released: nothing can be handed on."""
-        giving = self._givings.get(channel)
-        if giving is not None and giving.step not in (Step.HANDED, Step.BACK):
-            self._cancel(giving, "lease lost")
-            self._forget(now, giving)
+        handoff = self._handoffs.get(channel)
+        if handoff is not None and handoff.step not in (Step.HANDED, Step.RECLAIMING):
+            self._cancel(handoff, "lease lost")
+            self._forget(now, handoff)
             self._out.add(Lapsed(channel, "lease lost"))
 
     def on_peer_died(self, now: float, name: str) -> None:
-        for giving in list(self._givings.values()):
-            if giving.target != name:
+        for handoff in list(self._handoffs.values()):
+            if handoff.target != name:
                 continue
-            if giving.step in (Step.OFFERED, Step.MOVING, Step.FROZEN):
-                self._next(now, giving)
-            elif giving.step is Step.HANDED:
-                self._ask_back(now, giving)
+            if handoff.step in (Step.OFFERED, Step.TRANSFERRING, Step.FROZEN):
+                self._offer_next(now, handoff)
+            elif handoff.step is Step.HANDED:
+                self._reclaim_lease(now, handoff)
 
     # --- messages ---
 
     def on_message(self, now: float, sender: str, message: Message) -> None:
         if not isinstance(message, Accept | Decline | HandoffAck | TargetActive | Cancel):
             return
-        giving = self._givings.get(message.channel)
-        if giving is None or giving.offer != message.offer or giving.target != sender:
+        handoff = self._handoffs.get(message.channel)
+        if handoff is None or handoff.offer != message.offer or handoff.target != sender:
             if isinstance(message, Accept):
                 self._out.add(Send(sender, Cancel(message.channel, message.offer, "not offered")))
             return
         if isinstance(message, Accept):
-            if giving.step is Step.OFFERED:
-                self._move(now, giving)
+            if handoff.step is Step.OFFERED:
+                self._start_transfer(now, handoff)
         elif isinstance(message, Decline | Cancel):
-            self._refused(now, giving, message)
+            self._on_rejected(now, handoff, message)
         elif isinstance(message, HandoffAck):
-            self._got(now, giving, message)
-        elif message.fence > giving.fence and giving.step in (Step.HANDED, Step.BACK):
-            self._acts(now, giving, sender, message.fence)
-
-    def _refused(self, now: float, giving: _Giving, message: Decline | Cancel) -> None:
-        if giving.step in (Step.OFFERED, Step.MOVING, Step.FROZEN):
-            self._next(now, giving)
-        elif isinstance(message, Cancel) and giving.step is Step.HANDED:
-            if giving.acting:
-                giving.target_left = True
+            self._on_ack(now, handoff, message)
+        elif message.fence > handoff.fence and handoff.step in (Step.HANDED, Step.RECLAIMING):
+            self._on_target_active(now, handoff, sender, message.fence)
+
+    def _on_rejected(self, now: float, handoff: _OutgoingHandoff, message: Decline | Cancel) -> None:
+        if handoff.step in (Step.OFFERED, Step.TRANSFERRING, Step.FROZEN):
+            self._offer_next(now, handoff)
+        elif isinstance(message, Cancel) and handoff.step is Step.HANDED:
+            if handoff.target_fence:
+                handoff.target_left = True
             else:
-                self._ask_back(now, giving)
-
-    def _got(self, now: float, giving: _Giving, got: HandoffAck) -> None:
-        giving.parts_got = max(giving.parts_got, min(got.parts, len(giving.parts)))
-        giving.lates_got = max(giving.lates_got, min(got.lates, len(giving.lates)))
-        if giving.step is Step.HANDED:
-            self._overlap(now, giving)
-        if giving.step is not Step.MOVING:
+                self._reclaim_lease(now, handoff)
+
+    def _on_ack(self, now: float, handoff: _OutgoingHandoff, ack: HandoffAck) -> None:
+        handoff.parts_acked = max(handoff.parts_acked, min(ack.parts, len(handoff.parts)))
+        handoff.updates_acked = max(handoff.updates_acked, min(ack.updates, len(handoff.updates)))
+        if handoff.step is Step.HANDED:
+            self._check_overlap(now, handoff)
+        if handoff.step is not Step.TRANSFERRING:
             return
-        if giving.parts_got == len(giving.parts):
-            giving.step = Step.FROZEN
-            self._out.add(Freeze(giving.channel))
-        elif got.parts % _PARTS_OUT == 0:
-            self._send_parts(giving)
-
-    def _acts(self, now: float, giving: _Giving, target: str, fence: int) -> None:
-        if giving.acting:
+        if handoff.parts_acked == len(handoff.parts):
+            handoff.step = Step.FROZEN
+            self._out.add(Freeze(handoff.channel))
+        elif ack.parts % _PARTS_IN_FLIGHT == 0:
+            self._send_parts(handoff)
+
+    def _on_target_active(self, now: float, handoff: _OutgoingHandoff, target: str, fence: int) -> None:
+        if handoff.target_fence:
             return
-        if giving.step is Step.BACK:
-            self._out.add(AbandonLease(giving.channel))
-        giving.step, giving.acting, giving.target = Step.HANDED, fence, target
-        self._out.add(TargetActivated(giving.channel, target, fence))
-        self._start(now)
+        if handoff.step is Step.RECLAIMING:
+            self._out.add(AbandonLease(handoff.channel))
+        handoff.step, handoff.target_fence, handoff.target = Step.HANDED, fence, target
+        self._out.add(TargetActivated(handoff.channel, target, fence))
+        self._start_waiting(now)
         self.tick(now)
 
     # --- time ---
 
     def tick(self, now: float) -> None:
-        for giving in list(self._givings.values()):
-            if giving.step in (Step.HANDED, Step.BACK):
-                self._overlap(now, giving)
-            elif giving.step in (Step.OFFERED, Step.MOVING) and now >= giving.due:
-                self._next(now, giving)
-            if self._givings.get(giving.channel) is giving and now >= giving.again_at:
-                self._again(now, giving)
+        for handoff in list(self._handoffs.values()):
+            if handoff.step in (Step.HANDED, Step.RECLAIMING):
+                self._check_overlap(now, handoff)
+            elif handoff.step in (Step.OFFERED, Step.TRANSFERRING) and now >= handoff.step_deadline:
+                self._offer_next(now, handoff)
+            if self._handoffs.get(handoff.channel) is handoff and now >= handoff.retry_at:
+                self._resend(now, handoff)
 
     def next_deadline(self) -> float | None:
-        dues: list[float] = []
-        for giving in self._givings.values():
-            if giving.step in (Step.WAITING, Step.FROZEN):
+        deadlines: list[float] = []
+        for handoff in self._handoffs.values():
+            if handoff.step in (Step.WAITING, Step.FROZEN):
                 continue
-            bound = giving.handed_at + self.rules.overlap_ms
-            if giving.step in (Step.OFFERED, Step.MOVING):
-                dues += [giving.due, giving.again_at]
+            overlap_end = handoff.released_at + self.rules.overlap_ms
+            if handoff.step in (Step.OFFERED, Step.TRANSFERRING):
+                deadlines += [handoff.step_deadline, handoff.retry_at]
                 continue
-            if not giving.bound_told:
-                dues.append(bound)
-            if not giving.acting:
-                dues.append(giving.due)
-            elif giving.bound_told:
-                dues.append(bound + self.rules.tail_ms)
-            if self._repeats(giving):
-                dues.append(giving.again_at)
-        return min(dues, default=None)
-
-    def _overlap(self, now: float, giving: _Giving) -> None:
-        bound = giving.handed_at + self.rules.overlap_ms
-        if now >= bound and not giving.bound_told:
-            giving.bound_told = True
-            self._out.add(OverlapOver(giving.channel))
-        if giving.acting:
-            told = giving.target_left or giving.lates_got == len(giving.lates)
-            if giving.bound_told and (told or now >= bound + self.rules.tail_ms):
-                self._forget(now, giving)
-                self._out.add(HandoffFinished(giving.channel, giving.target))
-        elif now >= giving.due:
-            if giving.step is Step.HANDED:
-                self._ask_back(now, giving)
+            if not handoff.overlap_reported:
+                deadlines.append(overlap_end)
+            if not handoff.target_fence:
+                deadlines.append(handoff.step_deadline)
+            elif handoff.overlap_reported:
+                deadlines.append(overlap_end + self.rules.update_tail_ms)
+            if self._has_unanswered(handoff):
+                deadlines.append(handoff.retry_at)
+        return min(deadlines, default=None)
+
+    def _check_overlap(self, now: float, handoff: _OutgoingHandoff) -> None:
+        overlap_end = handoff.released_at + self.rules.overlap_ms
+        if now >= overlap_end and not handoff.overlap_reported:
+            handoff.overlap_reported = True
+            self._out.add(OverlapOver(handoff.channel))
+        if handoff.target_fence:
+            all_acked = handoff.target_left or handoff.updates_acked == len(handoff.updates)
+            if handoff.overlap_reported and (all_acked or now >= overlap_end + self.rules.update_tail_ms):
+                self._forget(now, handoff)
+                self._out.add(HandoffFinished(handoff.channel, handoff.target))
+        elif now >= handoff.step_deadline:
+            if handoff.step is Step.HANDED:
+                self._reclaim_lease(now, handoff)
             else:
-                self._out.add(AbandonLease(giving.channel))
-                self._forget(now, giving)
-                self._out.add(Lapsed(giving.channel, "no heir acts, and the lease did not come back"))
+                self._out.add(AbandonLease(handoff.channel))
+                self._forget(now, handoff)
+                self._out.add(Lapsed(handoff.channel, "no heir acts, and the lease did not come back"))
 
-    def _repeats(self, giving: _Giving) -> bool:
+    def _has_unanswered(self, handoff: _OutgoingHandoff) -> bool:
         """Whether anything is still unanswered that is worth saying again."""
-        if giving.step in (Step.HANDED, Step.BACK) and not giving.acting:
+        if handoff.step in (Step.HANDED, Step.RECLAIMING) and not handoff.target_fence:
             return True
-        return giving.step is Step.HANDED and not giving.target_left and giving.lates_got < len(giving.lates)
-
-    def _again(self, now: float, giving: _Giving) -> None:
-        giving.again_at = now + self.rules.resend_ms
-        if giving.step is Step.OFFERED:
-            self._send_offer(giving)
-        elif giving.step is Step.MOVING:
-            self._send_parts(giving)
-            self._send_lates(giving)
-        elif giving.step in (Step.HANDED, Step.BACK) and self._repeats(giving):
-            self._send_lates(giving)
-            if not giving.acting:
-                self._send_yours(now, giving)
+        return (
+            handoff.step is Step.HANDED
+            and not handoff.target_left
+            and handoff.updates_acked < len(handoff.updates)
+        )
+
+    def _resend(self, now: float, handoff: _OutgoingHandoff) -> None:
+        handoff.retry_at = now + self.rules.resend_ms
+        if handoff.step is Step.OFFERED:
+            self._send_offer(handoff)
+        elif handoff.step is Step.TRANSFERRING:
+            self._send_parts(handoff)
+            self._send_updates(handoff)
+        elif handoff.step in (Step.HANDED, Step.RECLAIMING) and self._has_unanswered(handoff):
+            self._send_updates(handoff)
+            if not handoff.target_fence:
+                self._send_commit(now, handoff)
 
     # --- steps ---
 
-    def _start(self, now: float) -> None:
+    def _start_waiting(self, now: float) -> None:
         """Those whose turn it is; a channel whose heir acts makes room for the next."""
-        busy = sum(1 for one in self._givings.values() if one.step is not Step.WAITING and not one.acting)
-        for giving in [one for one in self._givings.values() if one.step is Step.WAITING]:
-            if busy >= self.rules.at_once:
+        active = sum(
+            1 for one in self._handoffs.values() if one.step is not Step.WAITING and not one.target_fence
+        )
+        for handoff in [one for one in self._handoffs.values() if one.step is Step.WAITING]:
+            if active >= self.rules.at_once:
                 return
-            if giving.channel in self._givings:
-                busy += 1
-                self._next(now, giving)
+            if handoff.channel in self._handoffs:
+                active += 1
+                self._offer_next(now, handoff)
 
-    def _next(self, now: float, giving: _Giving) -> None:
+    def _offer_next(self, now: float, handoff: _OutgoingHandoff) -> None:
         """Offers it to the next heir."""
-        self._cancel(giving, "passed over")
-        giving.parts, giving.lates, giving.parts_got, giving.lates_got = [], [], 0, 0
-        if not giving.successors:
-            del self._givings[giving.channel]
-            self._out.add(NoSuccessor(giving.channel))
-            self._start(now)
+        self._cancel(handoff, "passed over")
+        handoff.parts, handoff.updates, handoff.parts_acked, handoff.updates_acked = [], [], 0, 0
+        if not handoff.successors:
+            del self._handoffs[handoff.channel]
+            self._out.add(NoSuccessor(handoff.channel))
+            self._start_waiting(now)
             return
-        giving.step, giving.target = Step.OFFERED, giving.successors.popleft()
-        giving.offer = self._rng.getrandbits(52) + 1
-        giving.due, giving.again_at = now + self.rules.offer_ms, now + self.rules.resend_ms
-        self._send_offer(giving)
-
-    def _move(self, now: float, giving: _Giving) -> None:
-        giving.step, giving.due = Step.MOVING, now + self.rules.move_ms
-        giving.parts = cut(giving.statuses.values(), self.rules.message_bytes)
-        giving.again_at = now + self.rules.resend_ms
-        self._send_parts(giving)
-
-    def _ask_back(self, now: float, giving: _Giving) -> None:
-        giving.floor = max(giving.fence, giving.acting)
-        giving.step, giving.acting, giving.due = Step.BACK, 0, now + self.rules.back_ms
-        self._out.add(WantLease(giving.channel, giving.floor))
-
-    def _forget(self, now: float, giving: _Giving) -> None:
-        del self._givings[giving.channel]
-        self._start(now)
-
-    def _cancel(self, giving: _Giving, why: str) -> None:
-        if giving.target and giving.step is not Step.WAITING:
-            self._out.add(Send(giving.target, Cancel(giving.channel, giving.offer, why)))
+        handoff.step, handoff.target = Step.OFFERED, handoff.successors.popleft()
+        handoff.offer = self._rng.getrandbits(52) + 1
+        handoff.step_deadline, handoff.retry_at = (
+            now + self.rules.offer_timeout_ms,
+            now + self.rules.resend_ms,
+        )
+        self._send_offer(handoff)
+
+    def _start_transfer(self, now: float, handoff: _OutgoingHandoff) -> None:
+        handoff.step, handoff.step_deadline = Step.TRANSFERRING, now + self.rules.transfer_timeout_ms
+        handoff.parts = split_statuses(handoff.statuses.values(), self.rules.message_bytes)
+        handoff.retry_at = now + self.rules.resend_ms
+        self._send_parts(handoff)
+
+    def _reclaim_lease(self, now: float, handoff: _OutgoingHandoff) -> None:
+        handoff.floor = max(handoff.fence, handoff.target_fence)
+        handoff.step, handoff.target_fence, handoff.step_deadline = (
+            Step.RECLAIMING,
+            0,
+            now + self.rules.reclaim_timeout_ms,
+        )
+        self._out.add(WantLease(handoff.channel, handoff.floor))
+
+    def _forget(self, now: float, handoff: _OutgoingHandoff) -> None:
+        del self._handoffs[handoff.channel]
+        self._start_waiting(now)
+
+    def _cancel(self, handoff: _OutgoingHandoff, why: str) -> None:
+        if handoff.target and handoff.step is not Step.WAITING:
+            self._out.add(Send(handoff.target, Cancel(handoff.channel, handoff.offer, why)))
 
     # --- sends ---
 
-    def _send_offer(self, giving: _Giving) -> None:
-        offer = Offer(giving.channel, giving.offer, giving.fence, len(giving.statuses))
-        self._out.add(Send(giving.target, offer))
-
-    def _send_parts(self, giving: _Giving) -> None:
-        until = min(giving.parts_got + _PARTS_OUT, len(giving.parts))
-        for number in range(giving.parts_got, until):
-            part = HandoffPart(giving.channel, giving.offer, number, len(giving.parts), giving.parts[number])
-            self._out.add(Send(giving.target, part, reliable=True))
-
-    def _send_lates(self, giving: _Giving) -> None:
-        for number in range(giving.lates_got, min(giving.lates_got + _LATES_OUT, len(giving.lates))):
-            self._send_late(giving, number)
-
-    def _send_late(self, giving: _Giving, number: int) -> None:
-        session, status = giving.lates[number]
-        late = HandoffUpdate(giving.channel, giving.offer, number, session, status)
-        self._out.add(Send(giving.target, late, reliable=True))
-
-    def _send_yours(self, now: float, giving: _Giving) -> None:
-        giving.again_at = now + self.rules.resend_ms
-        yours = HandoffCommit(
-            giving.channel, giving.offer, giving.fence, giving.handed_lates, self.rules.overlap_ms, giving.out
+    def _send_offer(self, handoff: _OutgoingHandoff) -> None:
+        offer = Offer(handoff.channel, handoff.offer, handoff.fence, len(handoff.statuses))
+        self._out.add(Send(handoff.target, offer))
+
+    def _send_parts(self, handoff: _OutgoingHandoff) -> None:
+        until = min(handoff.parts_acked + _PARTS_IN_FLIGHT, len(handoff.parts))
+        for number in range(handoff.parts_acked, until):
+            part = HandoffPart(
+                handoff.channel, handoff.offer, number, len(handoff.parts), handoff.parts[number]
+            )
+            self._out.add(Send(handoff.target, part, reliable=True))
+
+    def _send_updates(self, handoff: _OutgoingHandoff) -> None:
+        for number in range(
+            handoff.updates_acked, min(handoff.updates_acked + _UPDATES_IN_FLIGHT, len(handoff.updates))
+        ):
+            self._send_update(handoff, number)
+
+    def _send_update(self, handoff: _OutgoingHandoff, number: int) -> None:
+        session, status = handoff.updates[number]
+        update = HandoffUpdate(handoff.channel, handoff.offer, number, session, status)
+        self._out.add(Send(handoff.target, update, reliable=True))
+
+    def _send_commit(self, now: float, handoff: _OutgoingHandoff) -> None:
+        handoff.retry_at = now + self.rules.resend_ms
+        commit = HandoffCommit(
+            handoff.channel,
+            handoff.offer,
+            handoff.fence,
+            handoff.committed_updates,
+            self.rules.overlap_ms,
+            handoff.in_flight,
         )
-        self._out.add(Send(giving.target, yours, reliable=True))
+        self._out.add(Send(handoff.target, commit, reliable=True))
 
 
-def cut(statuses: Iterable[SessionStatus], size_most: int) -> list[list[SessionStatus]]:
+def split_statuses(statuses: Iterable[SessionStatus], max_bytes: int) -> list[list[SessionStatus]]:
     """Parts of bounded size; at least one, which may be empty."""
     parts: list[list[SessionStatus]] = [[]]
     size = 0
     for status in statuses:
         one = size_of(status)
-        if size and size + one > size_most:
+        if size and size + one > max_bytes:
             parts.append([])
             size = 0
         parts[-1].append(status)
--- a/fernweir/peers/channel/handoff_target.py
+++ b/fernweir/peers/channel/handoff_target.py
@@ -33,21 +33,21 @@
 
 
 @dataclass(slots=True)
-class _Taking:
+class _IncomingHandoff:
     channel: str
     offer: int
-    giver: str
+    source: str
     fence: int  # the old owner's, then this front's
     count: int
-    due: float
+    deadline: float
     step: Step = Step.ACCEPTED
     total: int = -1
     parts: int = 0
     sessions: int = 0
-    lates: int = 0
+    updates: int = 0
     statuses: dict[str, SessionStatus] = field(default_factory=dict)
-    early: dict[int, HandoffUpdate] = field(default_factory=dict)  # lates that came before the parts
-    yours: HandoffCommit | None = None
+    early_updates: dict[int, HandoffUpdate] = field(default_factory=dict)  # lates that came before the parts
+    commit: HandoffCommit | None = None
     hold_until: float = 0.0
 
 
@@ -60,192 +60,204 @@
         rules: HandoffRules,
         takeover: Takeover,
         listed: Callable[[], Iterable[int]],
-        known: Callable[[str], int],
+        known_fence: Callable[[str], int],
         out: Outbox,
     ) -> None:
         self.rules, self._takeover, self._out = rules, takeover, out
-        self._listed, self._known = listed, known
-        self._takings: dict[str, _Taking] = {}
-        self._room = rules.sessions_most
-        self._closed = ""
+        self._listed, self._known_fence = listed, known_fence
+        self._handoffs: dict[str, _IncomingHandoff] = {}
+        self._capacity = rules.sessions_most
+        self._closed_reason = ""
 
-    def set_capacity(self, sessions: int, closed: str) -> None:
-        self._room, self._closed = sessions, closed
+    def set_capacity(self, sessions: int, closed_reason: str) -> None:
+        self._capacity, self._closed_reason = sessions, closed_reason
 
     def channels(self) -> list[str]:
-        return list(self._takings)
+        return list(self._handoffs)
 
     # --- leases ---
 
     def on_lease_acquired(self, now: float, channel: str, fence: int) -> bool:
-        taking = self._takings.get(channel)
-        if taking is None or taking.step is not Step.LEASING or taking.yours is None or fence <= taking.fence:
+        handoff = self._handoffs.get(channel)
+        if (
+            handoff is None
+            or handoff.step is not Step.LEASING
+            or handoff.commit is None
+            or fence <= handoff.fence
+        ):
             return False
-        taking.step, taking.fence = Step.CLAIMING, fence
-        hold = max(taking.hold_until - now, self._takeover.rules.overlap_ms)
+        handoff.step, handoff.fence = Step.CLAIMING, fence
+        hold = max(handoff.hold_until - now, self._takeover.rules.overlap_ms)
         self._takeover.begin(
             now,
             channel,
             fence,
-            taking.statuses,
+            handoff.statuses,
             listed=self._listed(),
             planned_ms=hold,
-            out=taking.yours.out,
+            out=handoff.commit.in_flight,
         )
         return True
 
-    def acts(self, channel: str, fence: int) -> None:
+    def on_takeover_active(self, channel: str, fence: int) -> None:
         """The boxes have been claimed."""
-        taking = self._takings.get(channel)
-        if taking is not None and taking.step is Step.CLAIMING and taking.fence == fence:
-            taking.step = Step.ACTING
-            self._out.add(Send(taking.giver, TargetActive(channel, taking.offer, fence)))
+        handoff = self._handoffs.get(channel)
+        if handoff is not None and handoff.step is Step.CLAIMING and handoff.fence == fence:
+            handoff.step = Step.ACTING
+            self._out.add(Send(handoff.source, TargetActive(channel, handoff.offer, fence)))
 
     def on_lease_taken(self, channel: str, fence: int) -> None:
         """Another has the lease."""
-        taking = self._takings.get(channel)
-        if taking is None or fence <= taking.fence:
+        handoff = self._handoffs.get(channel)
+        if handoff is None or fence <= handoff.fence:
             return
-        if taking.step is not Step.ACCEPTED:
-            self._drop(taking)
+        if handoff.step is not Step.ACCEPTED:
+            self._abandon(handoff)
 
     def on_lease_lost(self, channel: str) -> None:
-        taking = self._takings.get(channel)
-        if taking is not None and taking.step in (Step.CLAIMING, Step.ACTING):
-            self._drop(taking)
+        handoff = self._handoffs.get(channel)
+        if handoff is not None and handoff.step in (Step.CLAIMING, Step.ACTING):
+            self._abandon(handoff)
 
     # --- messages ---
 
     def on_message(self, now: float, sender: str, message: Message) -> None:
         if isinstance(message, Offer):
-            self._offered(now, sender, message)
+            self._on_offer(now, sender, message)
             return
         if not isinstance(message, HandoffPart | HandoffUpdate | HandoffCommit | Cancel):
             return
-        taking = self._takings.get(message.channel)
-        if taking is None or taking.offer != message.offer or taking.giver != sender:
+        handoff = self._handoffs.get(message.channel)
+        if handoff is None or handoff.offer != message.offer or handoff.source != sender:
             if not isinstance(message, Cancel):
                 self._out.add(Send(sender, Cancel(message.channel, message.offer, "not known here")))
             return
         if isinstance(message, Cancel):
-            if taking.step in (Step.ACCEPTED, Step.LEASING):
-                self._drop(taking)
+            if handoff.step in (Step.ACCEPTED, Step.LEASING):
+                self._abandon(handoff)
         elif isinstance(message, HandoffPart):
-            self._moved(now, taking, message)
+            self._on_part(now, handoff, message)
         elif isinstance(message, HandoffUpdate):
-            self._late(now, taking, message)
+            self._on_update(now, handoff, message)
         else:
-            self._yours(now, taking, message)
+            self._on_commit(now, handoff, message)
 
-    def _offered(self, now: float, sender: str, offer: Offer) -> None:
-        taking = self._takings.get(offer.channel)
-        if taking is not None and (taking.offer, taking.giver) == (offer.offer, sender):
+    def _on_offer(self, now: float, sender: str, offer: Offer) -> None:
+        handoff = self._handoffs.get(offer.channel)
+        if handoff is not None and (handoff.offer, handoff.source) == (offer.offer, sender):
             self._out.add(Send(sender, Accept(offer.channel, offer.offer)))
             return
-        why = self._why_not(sender, taking, offer)
+        why = self._decline_reason(sender, handoff, offer)
         if why:
             self._out.add(Send(sender, Decline(offer.channel, offer.offer, why)))
             return
-        due = now + self.rules.accept_ms
-        self._takings[offer.channel] = _Taking(
-            offer.channel, offer.offer, sender, offer.fence, offer.count, due
+        deadline = now + self.rules.idle_timeout_ms
+        self._handoffs[offer.channel] = _IncomingHandoff(
+            offer.channel, offer.offer, sender, offer.fence, offer.count, deadline
         )
         self._out.add(Send(sender, Accept(offer.channel, offer.offer)))
 
-    def _why_not(self, sender: str, taking: _Taking | None, offer: Offer) -> str:
-        if self._closed:
-            return self._closed
-        if taking is not None and (taking.step is not Step.ACCEPTED or taking.giver != sender):
+    def _decline_reason(self, sender: str, handoff: _IncomingHandoff | None, offer: Offer) -> str:
+        if self._closed_reason:
+            return self._closed_reason
+        if handoff is not None and (handoff.step is not Step.ACCEPTED or handoff.source != sender):
             return "on its way already"
-        if self._known(offer.channel) > offer.fence:
+        if self._known_fence(offer.channel) > offer.fence:
             return "outdated"
         if self._takeover.begun(offer.channel):
             return "being taken over"
-        coming = sum(one.count for one in self._takings.values() if one.step is not Step.ACTING)
-        if not 0 <= offer.count <= self._room - coming or len(self._takings) >= self.rules.takes_most:
+        expected_sessions = sum(one.count for one in self._handoffs.values() if one.step is not Step.ACTING)
+        if (
+            not 0 <= offer.count <= self._capacity - expected_sessions
+            or len(self._handoffs) >= self.rules.takes_most
+        ):
             return "no room"
         if parse(offer.channel) is None or offer.fence < 1:
             return "no channel"
         return ""
 
-    def _moved(self, now: float, taking: _Taking, moved: HandoffPart) -> None:
-        sound = 1 <= moved.count <= self.rules.sessions_most and all(map(is_plausible, moved.statuses))
-        if moved.number == 0 and taking.total < 0 and sound:
-            taking.total = moved.count
-        room = taking.sessions + len(moved.statuses) <= self.rules.sessions_most
-        if sound and room and moved.number == taking.parts < taking.total == moved.count:
-            taking.parts += 1
-            taking.sessions += len(moved.statuses)
-            taking.statuses.update((status.session, status) for status in moved.statuses)
-            taking.due = now + self.rules.accept_ms
-        self._catch_up(now, taking)
-        self._got(taking)
-        self._ready(now, taking)
-
-    def _late(self, now: float, taking: _Taking, late: HandoffUpdate) -> None:
-        sound = late.status is None or (is_plausible(late.status) and late.status.session == late.session)
-        if sound and taking.lates <= late.number < taking.lates + self.rules.sessions_most:
-            taking.early[late.number] = late
-        self._catch_up(now, taking)
-        self._got(taking)
-        self._ready(now, taking)
-
-    def _catch_up(self, now: float, taking: _Taking) -> None:
+    def _on_part(self, now: float, handoff: _IncomingHandoff, part: HandoffPart) -> None:
+        is_valid = 1 <= part.count <= self.rules.sessions_most and all(map(is_plausible, part.statuses))
+        if part.number == 0 and handoff.total < 0 and is_valid:
+            handoff.total = part.count
+        fits = handoff.sessions + len(part.statuses) <= self.rules.sessions_most
+        if is_valid and fits and part.number == handoff.parts < handoff.total == part.count:
+            handoff.parts += 1
+            handoff.sessions += len(part.statuses)
+            handoff.statuses.update((status.session, status) for status in part.statuses)
+            handoff.deadline = now + self.rules.idle_timeout_ms
+        self._apply_updates(now, handoff)
+        self._send_ack(handoff)
+        self._request_lease_if_complete(now, handoff)
+
+    def _on_update(self, now: float, handoff: _IncomingHandoff, update: HandoffUpdate) -> None:
+        is_valid = update.status is None or (
+            is_plausible(update.status) and update.status.session == update.session
+        )
+        if is_valid and handoff.updates <= update.number < handoff.updates + self.rules.sessions_most:
+            handoff.early_updates[update.number] = update
+        self._apply_updates(now, handoff)
+        self._send_ack(handoff)
+        self._request_lease_if_complete(now, handoff)
+
+    def _apply_updates(self, now: float, handoff: _IncomingHandoff) -> None:
         """Late changes in their order, after the parts that they change."""
-        while taking.parts == taking.total and taking.lates in taking.early:
-            late = taking.early.pop(taking.lates)
-            taking.lates += 1
-            if taking.step in (Step.CLAIMING, Step.ACTING):
-                self._takeover.learn(now, taking.channel, late.session, late.status)
-            elif late.status is None:
-                taking.statuses.pop(late.session, None)
+        while handoff.parts == handoff.total and handoff.updates in handoff.early_updates:
+            update = handoff.early_updates.pop(handoff.updates)
+            handoff.updates += 1
+            if handoff.step in (Step.CLAIMING, Step.ACTING):
+                self._takeover.learn(now, handoff.channel, update.session, update.status)
+            elif update.status is None:
+                handoff.statuses.pop(update.session, None)
             else:
-                taking.statuses[late.session] = late.status
-
-    def _yours(self, now: float, taking: _Taking, yours: HandoffCommit) -> None:
-        if taking.step is Step.ACTING:
-            self._out.add(Send(taking.giver, TargetActive(taking.channel, taking.offer, taking.fence)))
-        if taking.yours is None:
-            overlap = min(max(yours.overlap_ms, 0.0), self.rules.overlap_most_ms)
-            if overlap != overlap or yours.fence < taking.fence:  # no number, or not its own word
+                handoff.statuses[update.session] = update.status
+
+    def _on_commit(self, now: float, handoff: _IncomingHandoff, commit: HandoffCommit) -> None:
+        if handoff.step is Step.ACTING:
+            self._out.add(Send(handoff.source, TargetActive(handoff.channel, handoff.offer, handoff.fence)))
+        if handoff.commit is None:
+            overlap = min(max(commit.overlap_ms, 0.0), self.rules.max_overlap_ms)
+            if overlap != overlap or commit.fence < handoff.fence:  # no number, or not its own word
                 return
-            taking.yours = yours
-            taking.hold_until = now + overlap * (1.0 + 2.0 * self.rules.drift) + self.rules.late_ms
-            self._ready(now, taking)
-        if taking.step is Step.ACCEPTED:
-            self._got(taking)
-
-    def _ready(self, now: float, taking: _Taking) -> None:
-        if taking.step is not Step.ACCEPTED or taking.yours is None or taking.parts != taking.total:
+            handoff.commit = commit
+            handoff.hold_until = now + overlap * (1.0 + 2.0 * self.rules.drift) + self.rules.late_ms
+            self._request_lease_if_complete(now, handoff)
+        if handoff.step is Step.ACCEPTED:
+            self._send_ack(handoff)
+
+    def _request_lease_if_complete(self, now: float, handoff: _IncomingHandoff) -> None:
+        if handoff.step is not Step.ACCEPTED or handoff.commit is None or handoff.parts != handoff.total:
             return
-        if taking.lates >= taking.yours.lates:
-            taking.step, taking.due = Step.LEASING, now + self.rules.lease_ms
-            taking.fence = taking.yours.fence
-            self._out.add(WantLease(taking.channel, taking.fence))
+        if handoff.updates >= handoff.commit.updates:
+            handoff.step, handoff.deadline = Step.LEASING, now + self.rules.lease_ms
+            handoff.fence = handoff.commit.fence
+            self._out.add(WantLease(handoff.channel, handoff.fence))
 
-    def _got(self, taking: _Taking) -> None:
+    def _send_ack(self, handoff: _IncomingHandoff) -> None:
         self._out.add(
-            Send(taking.giver, HandoffAck(taking.channel, taking.offer, taking.parts, taking.lates))
+            Send(handoff.source, HandoffAck(handoff.channel, handoff.offer, handoff.parts, handoff.updates))
         )
 
     # --- time ---
 
     def tick(self, now: float) -> None:
-        for taking in list(self._takings.values()):
-            if taking.step in (Step.ACCEPTED, Step.LEASING):
-                if now >= taking.due:
-                    self._drop(taking)
-            elif taking.step is Step.ACTING and now >= taking.hold_until:
-                del self._takings[taking.channel]
+        for handoff in list(self._handoffs.values()):
+            if handoff.step in (Step.ACCEPTED, Step.LEASING):
+                if now >= handoff.deadline:
+                    self._abandon(handoff)
+            elif handoff.step is Step.ACTING and now >= handoff.hold_until:
+                del self._handoffs[handoff.channel]
 
     def next_deadline(self) -> float | None:
-        dues = [one.due for one in self._takings.values() if one.step in (Step.ACCEPTED, Step.LEASING)]
-        dues += [one.hold_until for one in self._takings.values() if one.step is Step.ACTING]
-        return min(dues, default=None)
-
-    def _drop(self, taking: _Taking) -> None:
-        del self._takings[taking.channel]
-        if taking.step is Step.LEASING:
-            self._out.add(AbandonLease(taking.channel))
-        elif taking.step in (Step.CLAIMING, Step.ACTING):
-            self._takeover.stop(taking.channel)
+        deadlines = [
+            one.deadline for one in self._handoffs.values() if one.step in (Step.ACCEPTED, Step.LEASING)
+        ]
+        deadlines += [one.hold_until for one in self._handoffs.values() if one.step is Step.ACTING]
+        return min(deadlines, default=None)
+
+    def _abandon(self, handoff: _IncomingHandoff) -> None:
+        del self._handoffs[handoff.channel]
+        if handoff.step is Step.LEASING:
+            self._out.add(AbandonLease(handoff.channel))
+        elif handoff.step in (Step.CLAIMING, Step.ACTING):
+            self._takeover.stop(handoff.channel)
--- a/fernweir/peers/channel/messages.py
+++ b/fernweir/peers/channel/messages.py
@@ -146,7 +146,7 @@
     channel: str
     offer: int
     parts: int
-    lates: int
+    updates: int
 
 
 class HandoffCommit(Message, tag="channel.yours", frozen=True):
@@ -159,9 +159,9 @@
     channel: str
     offer: int
     fence: int
-    lates: int
+    updates: int
     overlap_ms: float
-    out: list[str]
+    in_flight: list[str]
 
 
 class TargetActive(Message, tag="channel.acting", frozen=True):
@@ -186,12 +186,12 @@
 class Registered(Message, tag="channel.registered", frozen=True):
     """Sessions that the sender has, each with its channel's fence; `life` is the sender's."""
 
-    life: int
+    incarnation: int
     sessions: list[tuple[str, int]]
 
 
 class Unregistered(Message, tag="channel.unregistered", frozen=True):
-    life: int
+    incarnation: int
     sessions: list[str]
 
 
@@ -206,7 +206,7 @@
     number: int
     session: str
     owner: str = ""
-    life: int = 0
+    incarnation: int = 0
     fence: int = 0
 
 
--- a/fernweir/peers/channel/owned.py
+++ b/fernweir/peers/channel/owned.py
@@ -26,9 +26,9 @@
 from fernweir.peers.channel.rules import ReplicaRules
 from fernweir.peers.port import SessionStatus
 
-_SMALL = 40  # bytes of a placing, at most; more than an end takes
-_SPARE = 16  # batches kept that all standbys have
-_DROPS = 3  # times a standby is told that its copy may go
+_MAX_PLACEMENT_BYTES = 40  # bytes of a placing, at most; more than an end takes
+_RETAINED_BATCHES = 16  # batches kept that all standbys have
+_DROP_ATTEMPTS = 3  # times a standby is told that its copy may go
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Frozen:
+class _Snapshot:
     """All that stood at `seq`, cut into pieces."""
 
     seq: int
@@ -54,16 +54,16 @@
 class _Follower:
     """A standby, as the owner knows it. `acked` and `sent` are sequence numbers, -1 for none."""
 
-    heard: bool = False
+    has_acked: bool = False
     acked: int = -1
     sent: int = -1
-    frozen: _Frozen | None = None
+    snapshot: _Snapshot | None = None
     pieces_acked: int = 0
     pieces_sent: int = 0
-    hail_at: float = 0.0
+    heartbeat_at: float = 0.0
     resend_at: float | None = None
     resends: int = 0  # without an answer that got on
-    told_at: float = 0.0
+    sent_at: float = 0.0
     token: int = 0
     token_at: float = 0.0
     refused: str = ""
@@ -81,9 +81,9 @@
     seq: int = 0
     _log: deque[_Batch] = field(default_factory=deque)
     _log_bytes: int = 0
-    _frozen: _Frozen | None = None
+    _snapshot: _Snapshot | None = None
     _pending: dict[str, SessionStatus | None] = field(default_factory=dict)
-    _before: dict[str, SessionStatus | None] = field(
+    _previous: dict[str, SessionStatus | None] = field(
         default_factory=dict
     )  # what those were in the last batch
     _flush_at: float | None = None
@@ -97,14 +97,14 @@
         old = self.statuses.get(status.session)
         if old != status:
             self.statuses[status.session] = status
-            self._gather(now, status.session, old, status)
+            self._queue_change(now, status.session, old, status)
 
     def end(self, now: float, session: str) -> None:
         old = self.statuses.pop(session, None)
         if old is not None:
-            self._gather(now, session, old, None)
+            self._queue_change(now, session, old, None)
 
-    def become(self, now: float, statuses: Iterable[SessionStatus]) -> None:
+    def replace_all(self, now: float, statuses: Iterable[SessionStatus]) -> None:
         """The state is this from now on."""
         wanted = {status.session: status for status in statuses}
         for session in [session for session in self.statuses if session not in wanted]:
@@ -112,28 +112,28 @@
         for status in wanted.values():
             self.change(now, status)
 
-    def _gather(
+    def _queue_change(
         self, now: float, session: str, old: SessionStatus | None, status: SessionStatus | None
     ) -> None:
-        self._before.setdefault(session, old)
+        self._previous.setdefault(session, old)
         self._pending[session] = status
         if self._flush_at is None:
             self._flush_at, self._pending_since = now + self.rules.flush_ms, now
 
     # --- standbys ---
 
-    def standbys(self, now: float, names: Sequence[str]) -> None:
-        wanted = names[: self.rules.standbys_most]
+    def set_standbys(self, now: float, standby_names: Sequence[str]) -> None:
+        wanted = standby_names[: self.rules.max_standbys]
         for name in [name for name in self._followers if name not in wanted]:
             del self._followers[name]
             self._leaving[name] = (0, now)
         for name in wanted:
             self._leaving.pop(name, None)
             if name not in self._followers:
-                self._followers[name] = _Follower(hail_at=now)
+                self._followers[name] = _Follower(heartbeat_at=now)
         self.tick(now)
 
-    def names(self) -> list[str]:
+    def standby_names(self) -> list[str]:
         return list(self._followers)
 
     def is_complete_at(self, name: str) -> bool:
@@ -141,41 +141,41 @@
         follower = self._followers.get(name)
         return follower is not None and not self._pending and follower.acked == self.seq
 
-    def drop(self, now: float) -> None:
+    def announce_closed(self, now: float) -> None:
         """The channel is over: all standbys are told so."""
         for name in [*self._followers, *self._leaving]:
             self.out.add(Send(name, ReplicaDropped(self.channel, self.fence), reliable=True))
 
-    def have(self, now: float, sender: str, told: ReplicaAck) -> None:
+    def on_ack(self, now: float, sender: str, ack: ReplicaAck) -> None:
         follower = self._followers.get(sender)
         if follower is None:
             return
-        follower.heard, follower.token, follower.token_at = True, told.token, now
-        follower.refused = told.refused
-        if told.refused:
-            follower.acked, follower.frozen, follower.resend_at = -1, None, None
-            follower.hail_at = now + self.rules.refused_ms
+        follower.has_acked, follower.token, follower.token_at = True, ack.token, now
+        follower.refused = ack.refused
+        if ack.refused:
+            follower.acked, follower.snapshot, follower.resend_at = -1, None, None
+            follower.heartbeat_at = now + self.rules.refused_retry_ms
             return
-        seq = told.seq if told.fence == self.fence and told.seq <= self.seq else -1
+        seq = ack.seq if ack.fence == self.fence and ack.seq <= self.seq else -1
         if seq != follower.acked:
             follower.sent = max(follower.sent, seq) if seq > follower.acked else seq
             follower.acked = seq
             follower.resend_at, follower.resends = None, 0
-        self._pieces(now, follower, told if told.fence == self.fence else None)
-        self._push(now, sender, follower)
+        self._resume_snapshot(now, follower, ack if ack.fence == self.fence else None)
+        self._send_missing(now, sender, follower)
         self._trim()
 
-    def _pieces(self, now: float, follower: _Follower, told: ReplicaAck | None) -> None:
+    def _resume_snapshot(self, now: float, follower: _Follower, ack: ReplicaAck | None) -> None:
         """Where a snapshot goes on: the standby names what it has of which."""
-        if follower.frozen is not None and follower.acked >= follower.frozen.seq:
-            follower.frozen = None
-        frozen = follower.frozen or self._frozen
-        if frozen is None or told is None or told.piece_seq != frozen.seq or follower.acked >= frozen.seq:
+        if follower.snapshot is not None and follower.acked >= follower.snapshot.seq:
+            follower.snapshot = None
+        snapshot = follower.snapshot or self._snapshot
+        if snapshot is None or ack is None or ack.piece_seq != snapshot.seq or follower.acked >= snapshot.seq:
             return
-        if follower.frozen is not None or self._usable(now, frozen):
-            pieces = min(max(told.pieces, 0), len(frozen.pieces))
-            if follower.frozen is None:
-                follower.frozen, follower.pieces_sent = frozen, pieces
+        if follower.snapshot is not None or self._is_usable(now, snapshot):
+            pieces = min(max(ack.pieces, 0), len(snapshot.pieces))
+            if follower.snapshot is None:
+                follower.snapshot, follower.pieces_sent = snapshot, pieces
             if pieces != follower.pieces_acked:
                 follower.pieces_acked, follower.resend_at, follower.resends = pieces, None, 0
             follower.pieces_sent = max(follower.pieces_sent, pieces)
@@ -186,39 +186,39 @@
         if self._flush_at is not None and now >= self._flush_at:
             self._flush(now)
             for name, follower in self._followers.items():
-                self._push(now, name, follower)
+                self._send_missing(now, name, follower)
         for name, follower in self._followers.items():
             if follower.resend_at is not None and now >= follower.resend_at:
                 follower.sent, follower.pieces_sent = follower.acked, follower.pieces_acked
                 follower.resend_at = None
                 follower.resends += 1
-                self._push(now, name, follower)
-            if now >= follower.hail_at:
-                quiet = follower.heard and not follower.refused
-                wait = self.rules.beat_ms if quiet else self.rules.resend_ms
-                follower.hail_at = now + (self.rules.refused_ms if follower.refused else wait)
-                if not quiet or follower.told_at + self.rules.beat_ms <= now:
+                self._send_missing(now, name, follower)
+            if now >= follower.heartbeat_at:
+                acknowledged = follower.has_acked and not follower.refused
+                wait = self.rules.beat_ms if acknowledged else self.rules.resend_ms
+                follower.heartbeat_at = now + (self.rules.refused_retry_ms if follower.refused else wait)
+                if not acknowledged or follower.sent_at + self.rules.beat_ms <= now:
                     as_of = self._as_of(now, follower, self.seq)
                     self.out.add(Send(name, OwnerHeartbeat(self.channel, self.fence, self.seq, as_of)))
-                    follower.told_at = now
+                    follower.sent_at = now
                 else:  # deltas said as much: the next one is due a beat after them
-                    follower.hail_at = follower.told_at + self.rules.beat_ms
-        for name, (tries, due) in list(self._leaving.items()):
+                    follower.heartbeat_at = follower.sent_at + self.rules.beat_ms
+        for name, (attempts, due) in list(self._leaving.items()):
             if now >= due:
                 self.out.add(Send(name, ReplicaDropped(self.channel, self.fence), reliable=True))
-                self._leaving[name] = (tries + 1, now + self.rules.resend_ms)
-                if tries + 1 >= _DROPS:
+                self._leaving[name] = (attempts + 1, now + self.rules.resend_ms)
+                if attempts + 1 >= _DROP_ATTEMPTS:
                     del self._leaving[name]
 
     def next_deadline(self) -> float | None:
-        dues = [due for _, due in self._leaving.values()]
+        deadlines = [due for _, due in self._leaving.values()]
         for follower in self._followers.values():
-            dues.append(follower.hail_at)
+            deadlines.append(follower.heartbeat_at)
             if follower.resend_at is not None:
-                dues.append(follower.resend_at)
+                deadlines.append(follower.resend_at)
         if self._flush_at is not None:
-            dues.append(self._flush_at)
-        return min(dues, default=None)
+            deadlines.append(self._flush_at)
+        return min(deadlines, default=None)
 
     # --- batches and snapshots ---
 
@@ -227,128 +227,136 @@
         batch = _Batch(self.seq + 1, [], [], [], 0, now)
         size = 0
         for session, status in self._pending.items():
-            moved = _moved(self._before[session], status)
+            moved = _placement_change(self._previous[session], status)
             full = status is not None and moved is None
-            one = size_of(status) if status is not None and full else len(session.encode()) + _SMALL
-            if size and size + one > self.rules.message_bytes:
-                self._close(batch, size)
+            item_size = (
+                size_of(status)
+                if status is not None and full
+                else len(session.encode()) + _MAX_PLACEMENT_BYTES
+            )
+            if size and size + item_size > self.rules.message_bytes:
+                self._append_batch(batch, size)
                 batch, size = _Batch(self.seq + 1, [], [], [], 0, now), 0
-            size += one
+            size += item_size
             if status is None:
                 batch.ended.append(session)
             elif moved is not None:
                 batch.moved.append((session, moved))
             else:
                 batch.changed.append(status)
-        self._close(batch, size)
+        self._append_batch(batch, size)
         self._pending.clear()
-        self._before.clear()
+        self._previous.clear()
         self._flush_at = None
 
-    def _close(self, batch: _Batch, size: int) -> None:
+    def _append_batch(self, batch: _Batch, size: int) -> None:
         self.seq += 1
         self._log.append(replace(batch, size=size))
         self._log_bytes += size
         while self._log_bytes > self.rules.backlog_bytes:
             self._log_bytes -= self._log.popleft().size
 
-    def _batch(self, seq: int) -> _Batch:
+    def _logged_batch(self, seq: int) -> _Batch:
         """One that is kept: they have no gaps, and what is asked for lies near the end."""
         return self._log[seq - self.seq - 1]
 
     def _trim(self) -> None:
         """Batches that no standby lacks go, but for a few, as an answer may be overtaken."""
-        needs = [
-            follower.frozen.seq if follower.frozen is not None else follower.acked
+        needed = [
+            follower.snapshot.seq if follower.snapshot is not None else follower.acked
             for follower in self._followers.values()
-            if follower.heard and not follower.refused
+            if follower.has_acked and not follower.refused
         ]
-        least = min(needs, default=self.seq) - _SPARE
-        while self._log and self._log[0].seq <= least:
+        oldest_needed = min(needed, default=self.seq) - _RETAINED_BATCHES
+        while self._log and self._log[0].seq <= oldest_needed:
             self._log_bytes -= self._log.popleft().size
 
-    def _freeze(self, now: float) -> _Frozen:
+    def _take_snapshot(self, now: float) -> _Snapshot:
         """A snapshot of the state after the last batch; one that others still use serves as well."""
-        if self._frozen is not None and self._usable(now, self._frozen):
-            return self._frozen
+        if self._snapshot is not None and self._is_usable(now, self._snapshot):
+            return self._snapshot
         pieces: list[list[SessionStatus]] = [[]]
         size = 0
         for status in self.statuses.values():
-            one = size_of(status)
-            if size and size + one > self.rules.message_bytes:
+            item_size = size_of(status)
+            if size and size + item_size > self.rules.message_bytes:
                 pieces.append([])
                 size = 0
             pieces[-1].append(status)
-            size += one
-        self._frozen = _Frozen(self.seq, tuple(pieces), now)
-        return self._frozen
+            size += item_size
+        self._snapshot = _Snapshot(self.seq, tuple(pieces), now)
+        return self._snapshot
 
-    def _usable(self, now: float, frozen: _Frozen) -> bool:
-        return now < frozen.at + self.rules.frozen_ms and self._reaches(frozen.seq)
+    def _is_usable(self, now: float, snapshot: _Snapshot) -> bool:
+        return now < snapshot.at + self.rules.max_snapshot_age_ms and self._log_covers(snapshot.seq)
 
-    def _reaches(self, seq: int) -> bool:
+    def _log_covers(self, seq: int) -> bool:
         """Whether the kept batches go on from there without a gap."""
         return seq >= self.seq or bool(self._log and self._log[0].seq <= seq + 1)
 
-    def _push(self, now: float, name: str, follower: _Follower) -> None:
+    def _send_missing(self, now: float, name: str, follower: _Follower) -> None:
         """Sends what the standby lacks, as far as its window allows."""
-        if not follower.heard or follower.refused:
+        if not follower.has_acked or follower.refused:
             return
-        if follower.frozen is not None and not self._usable(now, follower.frozen):
-            follower.frozen = None
-        if follower.frozen is None and (follower.acked < 0 or not self._reaches(follower.acked)):
+        if follower.snapshot is not None and not self._is_usable(now, follower.snapshot):
+            follower.snapshot = None
+        if follower.snapshot is None and (follower.acked < 0 or not self._log_covers(follower.acked)):
             if self._pending:  # a snapshot is of the state after a batch: close this one first
                 self._flush_at = now
                 return
-            follower.frozen = self._freeze(now)
+            follower.snapshot = self._take_snapshot(now)
             follower.pieces_acked = follower.pieces_sent = 0
             follower.sent = -1
-        if follower.frozen is not None:
-            self._push_pieces(now, name, follower, follower.frozen)
-            waits = follower.pieces_sent > follower.pieces_acked
+        if follower.snapshot is not None:
+            self._send_pieces(now, name, follower, follower.snapshot)
+            unacknowledged = follower.pieces_sent > follower.pieces_acked
         else:
-            self._push_deltas(now, name, follower)
-            waits = follower.sent > follower.acked
-        if waits and follower.resend_at is None:
+            self._send_deltas(now, name, follower)
+            unacknowledged = follower.sent > follower.acked
+        if unacknowledged and follower.resend_at is None:
             follower.resend_at = now + self.rules.resend_ms * 2.0 ** min(follower.resends, 4)
 
-    def _push_pieces(self, now: float, name: str, follower: _Follower, frozen: _Frozen) -> None:
-        until = min(follower.pieces_acked + self.rules.window, len(frozen.pieces))
+    def _send_pieces(self, now: float, name: str, follower: _Follower, snapshot: _Snapshot) -> None:
+        until = min(follower.pieces_acked + self.rules.window, len(snapshot.pieces))
         for number in range(follower.pieces_sent, until):
             piece = SnapshotPiece(
-                self.channel, self.fence, frozen.seq, number, len(frozen.pieces), frozen.pieces[number],
-                self._as_of(now, follower, frozen.seq),
+                self.channel, self.fence, snapshot.seq, number, len(snapshot.pieces), snapshot.pieces[number],
+                self._as_of(now, follower, snapshot.seq),
             )  # fmt: skip
-            self._tell(now, name, follower, piece)
+            self._send_state(now, name, follower, piece)
         follower.pieces_sent = max(follower.pieces_sent, until)
 
-    def _push_deltas(self, now: float, name: str, follower: _Follower) -> None:
+    def _send_deltas(self, now: float, name: str, follower: _Follower) -> None:
         until = min(follower.acked + self.rules.window, self.seq)
         first = max(follower.sent, follower.acked) + 1
         for seq in range(first, until + 1):
-            batch = self._batch(seq)
+            batch = self._logged_batch(seq)
             as_of = self._as_of(now, follower, seq)
             deltas = Deltas(self.channel, self.fence, seq, batch.changed, batch.ended, as_of, batch.moved)
-            self._tell(now, name, follower, deltas)
+            self._send_state(now, name, follower, deltas)
         follower.sent = max(follower.sent, until)
 
-    def _tell(self, now: float, name: str, follower: _Follower, message: SnapshotPiece | Deltas) -> None:
+    def _send_state(
+        self, now: float, name: str, follower: _Follower, message: SnapshotPiece | Deltas
+    ) -> None:
         self.out.add(Send(name, message, reliable=True))
-        follower.told_at = now
+        follower.sent_at = now
 
     def _as_of(self, now: float, follower: _Follower, seq: int) -> Freshness:
         """The state at `seq` was all there was until the next batch was closed; older ones say no more."""
         age = 0.0
         if seq < self.seq:
-            frozen = follower.frozen
-            snapshot = frozen is not None and frozen.seq == seq
-            age = now - (frozen.at if frozen is not None and snapshot else self._batch(seq).closed_at)
+            snapshot = follower.snapshot
+            is_snapshot = snapshot is not None and snapshot.seq == seq
+            age = now - (
+                snapshot.at if snapshot is not None and is_snapshot else self._logged_batch(seq).closed_at
+            )
         elif self._pending:
             age = now - self._pending_since
         return Freshness(max(age, 0.0), follower.token, now - follower.token_at)
 
 
-def _moved(before: SessionStatus | None, status: SessionStatus | None) -> Placement | None:
+def _placement_change(before: SessionStatus | None, status: SessionStatus | None) -> Placement | None:
     """The new placing, if nothing else of the standing changed."""
     if before is None or status is None:
         return None
--- a/fernweir/peers/channel/payloads.py
+++ b/fernweir/peers/channel/payloads.py
@@ -14,7 +14,7 @@
 from fernweir.peers.channel.messages import PayloadPiece, PayloadRequest
 from fernweir.peers.channel.rules import ReplicaRules
 
-_ASKERS = 256  # remembered while a payload is fetched from the front
+_MAX_REQUESTERS = 256  # remembered while a payload is fetched from the front
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,13 +31,13 @@
     owners: list[str]
     data: bytearray = field(default_factory=bytearray)
     size: int = -1
-    ask_at: float = 0.0
-    asked_from: int = 0
-    vain: int = 0  # asks since the last piece came
+    request_at: float = 0.0
+    requested_offset: int = 0
+    fruitless_requests: int = 0  # asks since the last piece came
 
 
 @dataclass(slots=True)
-class _AtHand:
+class _ServedPayload:
     data: bytes
     until: float
 
@@ -47,39 +47,39 @@
 
     def __init__(self, rules: ReplicaRules, out: Outbox) -> None:
         self.rules, self._out = rules, out
-        self._kept: dict[bytes, bytes] = {}
+        self._stored: dict[bytes, bytes] = {}
         self._fetches: dict[bytes, _Fetch] = {}
-        self._at_hand: dict[bytes, _AtHand] = {}
-        self._askers: dict[tuple[bytes, str], int] = {}
+        self._serving: dict[bytes, _ServedPayload] = {}
+        self._requesters: dict[tuple[bytes, str], int] = {}
 
     def get(self, digest: bytes) -> bytes | None:
-        return self._kept.get(digest)
+        return self._stored.get(digest)
 
     def size(self) -> int:
-        return sum(map(len, self._kept.values())) + sum(len(fetch.data) for fetch in self._fetches.values())
+        return sum(map(len, self._stored.values())) + sum(len(fetch.data) for fetch in self._fetches.values())
 
     # --- who wants ---
 
-    def want(self, now: float, digest: bytes, owner: str) -> None:
+    def request(self, now: float, digest: bytes, owner: str) -> None:
         """Fetches it if it is not here; asked for again from whoever is named last."""
-        if not digest or digest in self._kept:
+        if not digest or digest in self._stored:
             return
         fetch = self._fetches.get(digest)
         if fetch is None:
-            fetch = self._fetches[digest] = _Fetch([owner], ask_at=now)
+            fetch = self._fetches[digest] = _Fetch([owner], request_at=now)
         elif owner not in fetch.owners:
             fetch.owners = [owner, *fetch.owners][:4]
         self.tick(now)
 
-    def only(self, digests: Iterable[bytes]) -> None:
+    def retain_only(self, digests: Iterable[bytes]) -> None:
         """No copy names any other."""
         named = set(digests)
-        for digest in [digest for digest in self._kept if digest not in named]:
-            del self._kept[digest]
+        for digest in [digest for digest in self._stored if digest not in named]:
+            del self._stored[digest]
         for digest in [digest for digest in self._fetches if digest not in named]:
             del self._fetches[digest]
 
-    def piece(self, now: float, sender: str, piece: PayloadPiece) -> None:
+    def on_piece(self, now: float, sender: str, piece: PayloadPiece) -> None:
         fetch = self._fetches.get(piece.digest)
         if fetch is None or sender not in fetch.owners or not 0 < piece.size <= self.rules.payload_most:
             return
@@ -91,40 +91,40 @@
         fetch.size = piece.size
         if len(fetch.data) == piece.size:
             if payload_digest(bytes(fetch.data)) == piece.digest:
-                self._kept[piece.digest] = bytes(fetch.data)
+                self._stored[piece.digest] = bytes(fetch.data)
                 del self._fetches[piece.digest]
             else:  # begun anew, from the next who has it
                 fetch.owners = [*fetch.owners[1:], fetch.owners[0]]
-                fetch.data, fetch.ask_at = bytearray(), now + self.rules.resend_ms
-        elif len(fetch.data) >= fetch.asked_from + self.rules.window * self.rules.message_bytes:
-            self._ask(now, piece.digest, fetch)
+                fetch.data, fetch.request_at = bytearray(), now + self.rules.resend_ms
+        elif len(fetch.data) >= fetch.requested_offset + self.rules.window * self.rules.message_bytes:
+            self._send_request(now, piece.digest, fetch)
 
     # --- who has ---
 
-    def wanted(self, now: float, sender: str, wanted: PayloadRequest) -> None:
-        if not 0 <= wanted.offset < self.rules.payload_most or len(wanted.digest) > 64:
+    def on_request(self, now: float, sender: str, request: PayloadRequest) -> None:
+        if not 0 <= request.offset < self.rules.payload_most or len(request.digest) > 64:
             return
-        at_hand = self._at_hand.get(wanted.digest)
-        data = at_hand.data if at_hand is not None else self._kept.get(wanted.digest)
+        served = self._serving.get(request.digest)
+        data = served.data if served is not None else self._stored.get(request.digest)
         if data is not None:
-            self._serve(sender, wanted.digest, wanted.offset, data)
-        elif len(self._askers) < _ASKERS:
-            asked = any(digest == wanted.digest for digest, _ in self._askers)
-            self._askers[(wanted.digest, sender)] = wanted.offset
+            self._serve(sender, request.digest, request.offset, data)
+        elif len(self._requesters) < _MAX_REQUESTERS:
+            asked = any(digest == request.digest for digest, _ in self._requesters)
+            self._requesters[(request.digest, sender)] = request.offset
             if not asked:
-                self._out.add(NeedPayload(wanted.digest))
+                self._out.add(NeedPayload(request.digest))
 
-    def payload(self, now: float, digest: bytes, data: bytes | None) -> None:
+    def on_payload(self, now: float, digest: bytes, data: bytes | None) -> None:
         """The front's answer to `NeedPayload`."""
-        askers = [(key, offset) for key, offset in self._askers.items() if key[0] == digest]
-        for key, _ in askers:
-            del self._askers[key]
+        requesters = [(key, offset) for key, offset in self._requesters.items() if key[0] == digest]
+        for key, _ in requesters:
+            del self._requesters[key]
         if data is None or not 0 < len(data) <= self.rules.payload_most:
             return
-        room = self.rules.payloads_bytes - sum(len(one.data) for one in self._at_hand.values())
-        if len(data) <= room:
-            self._at_hand[digest] = _AtHand(data, now + self.rules.serve_ms)
-        for (_, sender), offset in askers:
+        capacity = self.rules.payloads_bytes - sum(len(one.data) for one in self._serving.values())
+        if len(data) <= capacity:
+            self._serving[digest] = _ServedPayload(data, now + self.rules.serve_ms)
+        for (_, sender), offset in requesters:
             self._serve(sender, digest, offset, data)
 
     def _serve(self, to: str, digest: bytes, offset: int, data: bytes) -> None:
@@ -138,22 +138,22 @@
 
     def tick(self, now: float) -> None:
         for digest, fetch in self._fetches.items():
-            if now >= fetch.ask_at:
-                self._ask(now, digest, fetch)
-        for digest in [digest for digest, one in self._at_hand.items() if now >= one.until]:
-            del self._at_hand[digest]
+            if now >= fetch.request_at:
+                self._send_request(now, digest, fetch)
+        for digest in [digest for digest, one in self._serving.items() if now >= one.until]:
+            del self._serving[digest]
 
     def next_deadline(self) -> float | None:
-        dues = [fetch.ask_at for fetch in self._fetches.values()]
-        dues += [one.until for one in self._at_hand.values()]
-        return min(dues, default=None)
-
-    def _ask(self, now: float, digest: bytes, fetch: _Fetch) -> None:
-        if len(fetch.data) > fetch.asked_from:
-            fetch.vain = 0
-        elif fetch.vain:  # nothing came: try another, and not too often
+        deadlines = [fetch.request_at for fetch in self._fetches.values()]
+        deadlines += [one.until for one in self._serving.values()]
+        return min(deadlines, default=None)
+
+    def _send_request(self, now: float, digest: bytes, fetch: _Fetch) -> None:
+        if len(fetch.data) > fetch.requested_offset:
+            fetch.fruitless_requests = 0
+        elif fetch.fruitless_requests:  # nothing came: try another, and not too often
             fetch.owners = [*fetch.owners[1:], fetch.owners[0]]
-        fetch.asked_from = len(fetch.data)
-        fetch.ask_at = now + self.rules.resend_ms * 2.0 ** min(fetch.vain, 4)
-        fetch.vain += 1
+        fetch.requested_offset = len(fetch.data)
+        fetch.request_at = now + self.rules.resend_ms * 2.0 ** min(fetch.fruitless_requests, 4)
+        fetch.fruitless_requests += 1
         self._out.add(Send(fetch.owners[0], PayloadRequest(digest, len(fetch.data))))
--- a/fernweir/peers/channel/reconcile.py
+++ b/fernweir/peers/channel/reconcile.py
@@ -40,20 +40,20 @@
     over: tuple[str, ...] = ()
     give_up: tuple[tuple[int, str, int], ...] = ()
     unknown: tuple[SessionStatus, ...] = ()
-    outdone: int = 0
+    higher_fence: int = 0
 
 
 def reconcile(
-    statuses: Mapping[str, SessionStatus], told: Sequence[ClaimResult], elsewhere: Container[str] = ()
+    statuses: Mapping[str, SessionStatus], results: Sequence[ClaimResult], possibly_moved: Container[str] = ()
 ) -> Reconciled:
     """See the table. Of several answers of one box the last that reached it counts.
 
     `elsewhere`: sessions that may have moved since they were copied, to a box that has not told.
     """
-    answers = {claimed.box: claimed for claimed in told if claimed.reached}
+    answers = {claimed.box: claimed for claimed in results if claimed.reached}
     refused = [claimed.fence for claimed in answers.values() if not claimed.accepted]
     if refused:
-        return Reconciled(outdone=max(refused))
+        return Reconciled(higher_fence=max(refused))
     listed: dict[str, list[tuple[int, int, int]]] = {}
     for box in sorted(answers):
         for session, attempt, rung in answers[box].sessions:
@@ -63,17 +63,19 @@
     unknown: list[SessionStatus] = []
     give_up: list[tuple[int, str, int]] = []
     for session, status in statuses.items():
-        places = listed.pop(session, [])
-        best = _best(status, places)
-        give_up += [(box, session, attempt) for box, attempt, rung in places if (box, attempt, rung) != best]
+        locations = listed.pop(session, [])
+        best = _best_location(status, locations)
+        give_up += [
+            (box, session, attempt) for box, attempt, rung in locations if (box, attempt, rung) != best
+        ]
         if best is not None:
             take.append(_with(status, best))
-        elif status.box in answers and session not in elsewhere:
+        elif status.box in answers and session not in possibly_moved:
             over.append(session)
         else:
             unknown.append(status)
-    for session, places in listed.items():
-        give_up += [(box, session, attempt) for box, attempt, _ in places]
+    for session, locations in listed.items():
+        give_up += [(box, session, attempt) for box, attempt, _ in locations]
     return Reconciled(tuple(take), tuple(over), tuple(give_up), tuple(unknown))
 
 
@@ -82,17 +84,21 @@
     return sorted({status.box for status in statuses})
 
 
-def _best(status: SessionStatus, places: Sequence[tuple[int, int, int]]) -> tuple[int, int, int] | None:
+def _best_location(
+    status: SessionStatus, locations: Sequence[tuple[int, int, int]]
+) -> tuple[int, int, int] | None:
     """The place that is the session's, of what the boxes list: (box, attempt, rung)."""
-    here = [
-        place
-        for place in places
-        if place[1] > status.attempt or (place[0] == status.box and place[1] == status.attempt)
+    candidates = [
+        location
+        for location in locations
+        if location[1] > status.attempt or (location[0] == status.box and location[1] == status.attempt)
     ]
-    return max(here, key=lambda place: (place[1], place[0] == status.box, -place[0]), default=None)
+    return max(
+        candidates, key=lambda location: (location[1], location[0] == status.box, -location[0]), default=None
+    )
 
 
-def _with(status: SessionStatus, place: tuple[int, int, int]) -> SessionStatus:
+def _with(status: SessionStatus, location: tuple[int, int, int]) -> SessionStatus:
     """A standing as it is at its box."""
-    box, attempt, rung = place
+    box, attempt, rung = location
     return msgspec.structs.replace(status, box=box, attempt=attempt, rung=rung)
--- a/fernweir/peers/channel/registrar.py
+++ b/fernweir/peers/channel/registrar.py
@@ -16,9 +16,9 @@
 @dataclass(frozen=True, slots=True)
 class Entry:
     owner: str
-    life: int
+    incarnation: int
     fence: int
-    at: float
+    registered_at: float
 
 
 @dataclass(slots=True)
@@ -28,47 +28,47 @@
 
     rules: DirectoryRules
     _entries: dict[str, Entry] = field(default_factory=dict)
-    _of: dict[str, dict[str, None]] = field(default_factory=dict)  # sessions by owner
-    _lives: dict[str, int] = field(default_factory=dict)
-    _orphans: dict[str, float] = field(default_factory=dict)  # until when each is kept without an owner
+    _sessions_by_owner: dict[str, dict[str, None]] = field(default_factory=dict)  # sessions by owner
+    _incarnations: dict[str, int] = field(default_factory=dict)
+    _orphan_expiry: dict[str, float] = field(default_factory=dict)  # until when each is kept without an owner
 
     def members(self, now: float, alive: Mapping[str, int]) -> None:
         """Entries of who is gone, or of an earlier life of who is there, go; those in channels later."""
-        self._lives = dict(alive)
-        for owner in list(self._of):
-            life = alive.get(owner)
-            for session in list(self._of[owner]):
-                if life is None or self._entries[session].life < life:
+        self._incarnations = dict(alive)
+        for owner in list(self._sessions_by_owner):
+            incarnation = alive.get(owner)
+            for session in list(self._sessions_by_owner[owner]):
+                if incarnation is None or self._entries[session].incarnation < incarnation:
                     if self._entries[session].fence:
-                        self._orphans.setdefault(session, now + self.rules.orphan_ms)
+                        self._orphan_expiry.setdefault(session, now + self.rules.orphan_ttl_ms)
                     else:
                         self._remove(session)
 
-    def register(self, now: float, owner: str, life: int, sessions: Sequence[tuple[str, int]]) -> None:
-        known = self._lives.get(owner)
-        if known is not None and life < known:
+    def register(self, now: float, owner: str, incarnation: int, sessions: Sequence[tuple[str, int]]) -> None:
+        known = self._incarnations.get(owner)
+        if known is not None and incarnation < known:
             return
         for session, fence in sessions[: self.rules.message_entries]:
             if 0 < len(session) <= MAX_NAME_LENGTH and 0 <= fence < FENCE_LIMIT:
-                self._put(session, Entry(owner, life, fence, now))
+                self._put(session, Entry(owner, incarnation, fence, now))
 
-    def unregister(self, owner: str, life: int, sessions: Sequence[str]) -> None:
+    def unregister(self, owner: str, incarnation: int, sessions: Sequence[str]) -> None:
         for session in sessions[: self.rules.message_entries]:
             entry = self._entries.get(session)
-            if entry is not None and entry.owner == owner and entry.life <= life:
+            if entry is not None and entry.owner == owner and entry.incarnation <= incarnation:
                 self._remove(session)
 
     def find(self, now: float, session: str) -> Entry | None:
         entry = self._entries.get(session)
-        return entry if entry is not None and now < self._until(session, entry) else None
+        return entry if entry is not None and now < self._expires_at(session, entry) else None
 
     def sweep(self, now: float) -> None:
         for session, entry in list(self._entries.items()):
-            if now >= self._until(session, entry):
+            if now >= self._expires_at(session, entry):
                 self._remove(session)
 
-    def _until(self, session: str, entry: Entry) -> float:
-        return min(entry.at + self.rules.keep_ms, self._orphans.get(session, float("inf")))
+    def _expires_at(self, session: str, entry: Entry) -> float:
+        return min(entry.registered_at + self.rules.keep_ms, self._orphan_expiry.get(session, float("inf")))
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -77,7 +77,7 @@
         old = self._entries.get(session)
         if old is not None:
             if old.owner == entry.owner:
-                if entry.life < old.life:
+                if entry.incarnation < old.incarnation:
                     return
             elif entry.fence < old.fence:
                 return
@@ -85,12 +85,12 @@
         elif len(self._entries) >= self.rules.entries_most:
             return
         self._entries[session] = entry
-        self._of.setdefault(entry.owner, {})[session] = None
+        self._sessions_by_owner.setdefault(entry.owner, {})[session] = None
 
     def _remove(self, session: str) -> None:
         entry = self._entries.pop(session)
-        self._orphans.pop(session, None)
-        theirs = self._of[entry.owner]
-        del theirs[session]
-        if not theirs:
-            del self._of[entry.owner]
+        self._orphan_expiry.pop(session, None)
+        sessions = self._sessions_by_owner[entry.owner]
+        del sessions[session]
+        if not sessions:
+            del self._sessions_by_owner[entry.owner]
--- a/fernweir/peers/channel/replication.py
+++ b/fernweir/peers/channel/replication.py
@@ -22,7 +22,7 @@
 from fernweir.peers.channel.standby import ChannelReplica, Standby
 from fernweir.peers.port import SessionStatus
 
-_FETCHED = 256  # payloads that no copy names, fetched for hand-offs
+_MAX_FETCHED = 256  # payloads that no copy names, fetched for hand-offs
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +46,7 @@
         self._owned: dict[str, OwnedChannel] = {}
         self._standby = Standby(self.rules, Random(f"replica {me} {seed}"), self._out)
         self._payloads = Payloads(self.rules, self._out)
-        self._next_digests = 0.0
+        self._payload_check_at = 0.0
         self._fetched: dict[bytes, float] = {}
 
     # --- the owner's side ---
@@ -57,14 +57,14 @@
         if fence < max(self._standby.fence(channel), owned.fence if owned is not None else 0):
             return False
         if owned is not None and owned.fence == fence:
-            owned.become(now, statuses)
+            owned.replace_all(now, statuses)
             return True
         self._standby.forget(channel)
         fresh = OwnedChannel(channel, fence, self.rules, self._out)
         fresh.statuses = {status.session: status for status in statuses}
         self._owned[channel] = fresh
         if owned is not None:
-            fresh.standbys(now, owned.names())
+            fresh.set_standbys(now, owned.standby_names())
         return True
 
     def change(self, now: float, channel: str, status: SessionStatus) -> None:
@@ -79,12 +79,12 @@
     def standbys(self, now: float, channel: str, names: Sequence[str]) -> None:
         """Who keeps copies of an owned channel; who is no more among them is told to drop it."""
         if (owned := self._owned.get(channel)) is not None:
-            owned.standbys(now, [name for name in names if name != self.me])
+            owned.set_standbys(now, [name for name in names if name != self.me])
 
     def close_channel(self, now: float, channel: str) -> None:
         """An owned channel has ended for good: its copies may go."""
         if (owned := self._owned.pop(channel, None)) is not None:
-            owned.drop(now)
+            owned.announce_closed(now)
 
     def cede(self, now: float, channel: str, since: float | None = None) -> None:
         """The channel is another's, or nobody's for now: copies stay, and this front keeps what it knew.
@@ -93,7 +93,7 @@
         """
         if (owned := self._owned.pop(channel, None)) is not None:
             as_of = now if since is None else min(since, now)
-            self._standby.keep(now, channel, self.me, owned.fence, owned.statuses, as_of)
+            self._standby.retain(now, channel, self.me, owned.fence, owned.statuses, as_of)
 
     def owned(self) -> list[str]:
         return list(self._owned)
@@ -121,60 +121,60 @@
 
     def payload(self, now: float, digest: bytes, data: bytes | None) -> None:
         """The answer to `NeedPayload`; None if the front has it no more."""
-        self._payloads.payload(now, digest, data)
+        self._payloads.on_payload(now, digest, data)
 
     def payload_of(self, digest: bytes) -> bytes | None:
         return self._payloads.get(digest)
 
     def fetch(self, now: float, digest: bytes, owner: str) -> None:
         """Fetches a payload that no copy names, as an heir does for what it was handed; kept for a while."""
-        if len(self._fetched) < _FETCHED or digest in self._fetched:
+        if len(self._fetched) < _MAX_FETCHED or digest in self._fetched:
             self._fetched[digest] = now + self.rules.serve_ms
-            self._payloads.want(now, digest, owner)
+            self._payloads.request(now, digest, owner)
 
     # --- the part ---
 
     def on_message(self, now: float, sender: str, message: Message) -> None:
         if isinstance(message, ReplicaAck):
-            self._have(now, sender, message)
+            self._on_ack(now, sender, message)
         elif isinstance(message, OwnerHeartbeat | Deltas | SnapshotPiece | ReplicaDropped):
-            self._as_standby(now, sender, message)
+            self._on_owner_message(now, sender, message)
         elif isinstance(message, PayloadRequest):
-            self._payloads.wanted(now, sender, message)
+            self._payloads.on_request(now, sender, message)
         elif isinstance(message, PayloadPiece):
-            self._payloads.piece(now, sender, message)
+            self._payloads.on_piece(now, sender, message)
 
     def tick(self, now: float) -> None:
         for owned in self._owned.values():
             owned.tick(now)
         self._standby.tick(now)
         self._payloads.tick(now)
-        if now >= self._next_digests:
-            self._next_digests = now + self.rules.beat_ms
-            self._keep_named(now)
+        if now >= self._payload_check_at:
+            self._payload_check_at = now + self.rules.beat_ms
+            self._refresh_payloads(now)
 
     def next_deadline(self) -> float | None:
-        dues = [owned.next_deadline() for owned in self._owned.values()]
-        dues += [self._standby.next_deadline(), self._payloads.next_deadline()]
+        deadlines = [owned.next_deadline() for owned in self._owned.values()]
+        deadlines += [self._standby.next_deadline(), self._payloads.next_deadline()]
         if self._standby.channels() or self._fetched or self._payloads.size():
-            dues.append(self._next_digests)
-        return min((due for due in dues if due is not None), default=None)
+            deadlines.append(self._payload_check_at)
+        return min((due for due in deadlines if due is not None), default=None)
 
     def take_effects(self) -> list[Effect]:
         return self._out.take_effects()
 
     # --- pieces ---
 
-    def _have(self, now: float, sender: str, have: ReplicaAck) -> None:
-        owned = self._owned.get(have.channel)
+    def _on_ack(self, now: float, sender: str, ack: ReplicaAck) -> None:
+        owned = self._owned.get(ack.channel)
         if owned is None:
             return
-        if have.fence > owned.fence:
-            self._outdated(now, have.channel, have.fence)
+        if ack.fence > owned.fence:
+            self._cede_outdated(now, ack.channel, ack.fence)
         else:
-            owned.have(now, sender, have)
+            owned.on_ack(now, sender, ack)
 
-    def _as_standby(
+    def _on_owner_message(
         self, now: float, sender: str, message: OwnerHeartbeat | Deltas | SnapshotPiece | ReplicaDropped
     ) -> None:
         owned = self._owned.get(message.channel)
@@ -182,16 +182,16 @@
             if message.fence <= owned.fence or isinstance(message, ReplicaDropped):
                 self._out.add(Send(sender, ReplicaAck(message.channel, owned.fence, -1, -1, 0, 0)))
                 return
-            self._outdated(now, message.channel, message.fence)
+            self._cede_outdated(now, message.channel, message.fence)
         self._standby.on_message(now, sender, message)
         # What a new session is answered from is of use only if it is here before the owner is gone.
-        self._next_digests = min(self._next_digests, now + self.rules.flush_ms)
+        self._payload_check_at = min(self._payload_check_at, now + self.rules.flush_ms)
 
-    def _outdated(self, now: float, channel: str, fence: int) -> None:
+    def _cede_outdated(self, now: float, channel: str, fence: int) -> None:
         self.cede(now, channel)
         self._out.add(Outdated(channel, fence))
 
-    def _keep_named(self, now: float) -> None:
+    def _refresh_payloads(self, now: float) -> None:
         """Payloads that copies name are here or on their way; those that none names go."""
         self._fetched = {digest: until for digest, until in self._fetched.items() if now < until}
         named = set(self._fetched)
@@ -199,5 +199,5 @@
             digests, owner = self._standby.digests(channel)
             named |= digests
             for digest in digests:
-                self._payloads.want(now, digest, owner)
-        self._payloads.only(named)
+                self._payloads.request(now, digest, owner)
+        self._payloads.retain_only(named)
--- a/fernweir/peers/channel/rules.py
+++ b/fernweir/peers/channel/rules.py
@@ -15,13 +15,13 @@
     flush_ms: float = 50.0
     beat_ms: float = 1_000.0
     resend_ms: float = 300.0
-    refused_ms: float = 5_000.0  # when a standby that refused is asked again
+    refused_retry_ms: float = 5_000.0  # when a standby that refused is asked again
     keep_ms: float = 120_000.0
-    frozen_ms: float = 10_000.0  # a snapshot is resumed within this, then cut anew
+    max_snapshot_age_ms: float = 10_000.0  # a snapshot is resumed within this, then cut anew
     message_bytes: int = 32_768
     backlog_bytes: int = 262_144  # of deltas, for each channel
     window: int = 8
-    standbys_most: int = 8
+    max_standbys: int = 8
     drift: float = 0.01
     copies_most: int = 512
     sessions_most: int = 8_192  # of a copy
@@ -41,13 +41,13 @@
     """
 
     overlap_ms: float = 2_000.0  # that boxes accept a lower fence after a planned claim
-    attempts_told: bool = True
-    first_ms: float = 300.0
-    again_ms: float = 250.0
+    attempts_reported: bool = True
+    answer_timeout_ms: float = 300.0
+    retry_ms: float = 250.0
     doubt_ms: float = 10_000.0
-    slow_ms: float = 5_000.0
-    box_ms: float = 120_000.0  # a box that never answers is left alone after this
-    again_a_second: float = 50.0  # boxes that are asked once more, of a channel
+    slow_retry_ms: float = 5_000.0
+    server_timeout_ms: float = 120_000.0  # a box that never answers is left alone after this
+    relists_per_s: float = 50.0  # boxes that are asked once more, of a channel
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,15 +62,17 @@
     overlap_ms: float = 2_000.0
     drift: float = 0.01
     late_ms: float = 2_000.0
-    overlap_most_ms: float = 10_000.0  # no peer may ask for more
+    max_overlap_ms: float = 10_000.0  # no peer may ask for more
     resend_ms: float = 100.0
-    offer_ms: float = 400.0  # an heir that has not accepted by then is passed over
-    move_ms: float = 3_000.0  # an heir that has not all parts by then is passed over
-    accept_ms: float = 4_000.0  # an heir that accepted and hears nothing forgets it
+    offer_timeout_ms: float = 400.0  # an heir that has not accepted by then is passed over
+    transfer_timeout_ms: float = 3_000.0  # an heir that has not all parts by then is passed over
+    idle_timeout_ms: float = 4_000.0  # an heir that accepted and hears nothing forgets it
     lease_ms: float = 4_000.0  # an heir that got no lease by then leaves it
-    act_ms: float = 1_000.0  # an heir that does not act by then is doubted: the lease is asked for again
-    back_ms: float = 15_000.0  # without the lease back by then, the unplanned way
-    tail_ms: float = 4_000.0  # late changes are repeated so long after the overlap
+    activation_timeout_ms: float = (
+        1_000.0  # an heir that does not act by then is doubted: the lease is asked for again
+    )
+    reclaim_timeout_ms: float = 15_000.0  # without the lease back by then, the unplanned way
+    update_tail_ms: float = 4_000.0  # late changes are repeated so long after the overlap
     at_once: int = 8  # channels on their way from here
     takes_most: int = 16  # channels on their way to here
     sessions_most: int = 8_192
@@ -91,10 +93,10 @@
 class PacingRules:
     """Channels are taken over within `within_ms`, however many; slower only as far as that allows."""
 
-    within_ms: float = 500.0
-    sessions_a_second: float = 2_000.0  # an heir takes over
-    claims_a_second: float = 20.0  # a box hears from all heirs together
-    doubtful_a_second: float = 200.0  # sessions that may have to be set up again: the ration of attempts
+    deadline_ms: float = 500.0
+    sessions_per_s: float = 2_000.0  # an heir takes over
+    claims_per_s: float = 20.0  # a box hears from all heirs together
+    doubtful_per_s: float = 200.0  # sessions that may have to be set up again: the ration of attempts
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,9 +105,9 @@
     flush_ms: float = 50.0
     refresh_ms: float = 20_000.0
     keep_ms: float = 60_000.0  # an entry that nobody refreshed is gone
-    orphan_ms: float = 12_000.0  # what stood in a channel whose owner is gone waits so long for its heir
-    find_ms: float = 60.0
-    again_ms: float = 25.0  # a registrar that said nothing is asked once more
+    orphan_ttl_ms: float = 12_000.0  # what stood in a channel whose owner is gone waits so long for its heir
+    find_timeout_ms: float = 60.0
+    retry_ms: float = 25.0  # a registrar that said nothing is asked once more
     own_most: int = 65_536
     entries_most: int = 131_072
     finds_most: int = 4_096
--- a/fernweir/peers/channel/standby.py
+++ b/fernweir/peers/channel/standby.py
@@ -25,8 +25,8 @@
 from fernweir.peers.channel.rules import ReplicaRules
 from fernweir.peers.port import SessionStatus
 
-_TOKENS = 16  # sent last, whose times are kept for each channel
-_SPAN_MOST = 1e9
+_MAX_TOKENS = 16  # sent last, whose times are kept for each channel
+_MAX_SPAN_MS = 1e9
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,15 +57,15 @@
 
 
 @dataclass(slots=True)
-class _Kept:
+class _ReplicatedChannel:
     """One channel at a standby. `fence` is the highest heard of; `seq` and `pieces` are under it."""
 
     channel: str
     owner: str
     fence: int
-    heard_at: float
-    copy: ChannelReplica | None = None
-    shown: dict[str, SessionStatus] | None = None  # the copy's standings as they are handed out
+    last_message_at: float
+    replica: ChannelReplica | None = None
+    exported: dict[str, SessionStatus] | None = None  # the copy's standings as they are handed out
     statuses: dict[str, SessionStatus] = field(default_factory=dict)
     size: int = 0
     seq: int = -1
@@ -74,7 +74,7 @@
     pieces: list[list[SessionStatus]] = field(default_factory=list)
     pieces_size: int = 0
     pieces_as_of: float | None = None
-    over: bool = False
+    closed: bool = False
     tokens: dict[int, float] = field(default_factory=dict)
 
 
@@ -83,39 +83,39 @@
 
     def __init__(self, rules: ReplicaRules, rng: Random, out: Outbox) -> None:
         self.rules, self._rng, self._out = rules, rng, out
-        self._kept: dict[str, _Kept] = {}
+        self._entries: dict[str, _ReplicatedChannel] = {}
 
     def find_replica(self, channel: str) -> ChannelReplica | None:
         """As it is now: what comes later does not change it."""
-        kept = self._kept.get(channel)
-        if kept is None or kept.copy is None:
+        entry = self._entries.get(channel)
+        if entry is None or entry.replica is None:
             return None
-        if kept.shown is None:
-            kept.shown = dict(kept.copy.statuses)
-        return replace(kept.copy, statuses=kept.shown)
+        if entry.exported is None:
+            entry.exported = dict(entry.replica.statuses)
+        return replace(entry.replica, statuses=entry.exported)
 
     def channels(self) -> list[str]:
         """Of which there is a copy."""
-        return [channel for channel, kept in self._kept.items() if kept.copy is not None]
+        return [channel for channel, entry in self._entries.items() if entry.replica is not None]
 
     def digests(self, channel: str) -> tuple[set[bytes], str]:
         """Of the payloads that a copy names, and whose copy it is."""
-        kept = self._kept[channel]
-        return {one.payload for one in kept.statuses.values() if one.payload}, kept.owner
+        entry = self._entries[channel]
+        return {status.payload for status in entry.statuses.values() if status.payload}, entry.owner
 
     def fence(self, channel: str) -> int:
         """The highest fence heard of, 0 for none."""
-        kept = self._kept.get(channel)
-        return kept.fence if kept is not None else 0
+        entry = self._entries.get(channel)
+        return entry.fence if entry is not None else 0
 
     def size(self) -> int:
-        return sum(kept.size + kept.pieces_size for kept in self._kept.values())
+        return sum(entry.size + entry.pieces_size for entry in self._entries.values())
 
     def forget(self, channel: str) -> None:
         """This front owns the channel now: its copy is of the past."""
-        self._kept.pop(channel, None)
+        self._entries.pop(channel, None)
 
-    def keep(
+    def retain(
         self,
         now: float,
         channel: str,
@@ -125,180 +125,184 @@
         as_of: float,
     ) -> None:
         """A copy of what this front owned, until a later owner's is whole."""
-        if not self._room():
+        if not self._has_capacity():
             return
-        kept = _Kept(channel, owner, fence, now, statuses=dict(statuses))
-        kept.size = sum(map(size_of, kept.statuses.values()))
-        kept.copy = ChannelReplica(channel, owner, fence, kept.statuses, True, as_of)
-        self._kept[channel] = kept
+        entry = _ReplicatedChannel(channel, owner, fence, now, statuses=dict(statuses))
+        entry.size = sum(map(size_of, entry.statuses.values()))
+        entry.replica = ChannelReplica(channel, owner, fence, entry.statuses, True, as_of)
+        self._entries[channel] = entry
 
     def on_message(
         self, now: float, sender: str, message: OwnerHeartbeat | Deltas | SnapshotPiece | ReplicaDropped
     ) -> None:
-        kept = self._admit(now, sender, message)
-        if kept is None:
+        entry = self._admit(now, sender, message)
+        if entry is None:
             return
-        kept.heard_at = now
+        entry.last_message_at = now
         if isinstance(message, ReplicaDropped):
-            self._over(kept)
+            self._close(entry)
         elif isinstance(message, OwnerHeartbeat):
-            if message.seq == kept.seq >= 0:
-                self._fresh(kept, self._as_of(now, kept, message.as_of))
-            self._have(now, kept)
+            if message.seq == entry.seq >= 0:
+                self._update_freshness(entry, self._as_of(now, entry, message.as_of))
+            self._send_ack(now, entry)
         elif isinstance(message, Deltas):
-            self._deltas(now, kept, message)
+            self._apply_deltas(now, entry, message)
         else:
-            self._piece(now, kept, message)
+            self._add_piece(now, entry, message)
 
     def tick(self, now: float) -> None:
-        for channel, kept in list(self._kept.items()):
-            if now >= kept.heard_at + self.rules.keep_ms:
-                del self._kept[channel]
+        for channel, entry in list(self._entries.items()):
+            if now >= entry.last_message_at + self.rules.keep_ms:
+                del self._entries[channel]
 
     def next_deadline(self) -> float | None:
-        return min((kept.heard_at + self.rules.keep_ms for kept in self._kept.values()), default=None)
+        return min(
+            (entry.last_message_at + self.rules.keep_ms for entry in self._entries.values()), default=None
+        )
 
     # --- whom to believe ---
 
     def _admit(
         self, now: float, sender: str, message: OwnerHeartbeat | Deltas | SnapshotPiece | ReplicaDropped
-    ) -> _Kept | None:
+    ) -> _ReplicatedChannel | None:
         """The channel's place, if the sender may write to it. A lower fence than one heard of is refused."""
         if not 1 <= message.fence < FENCE_LIMIT:
             return None
-        kept = self._kept.get(message.channel)
-        if kept is None:
+        entry = self._entries.get(message.channel)
+        if entry is None:
             if parse(message.channel) is None or isinstance(message, ReplicaDropped):
                 return None
-            if not self._room():
+            if not self._has_capacity():
                 self._refuse(sender, message, "copies")
                 return None
-            kept = _Kept(message.channel, sender, message.fence, now)
-            self._kept[message.channel] = kept
-        if message.fence < kept.fence:
-            self._have(now, kept, sender)
+            entry = _ReplicatedChannel(message.channel, sender, message.fence, now)
+            self._entries[message.channel] = entry
+        if message.fence < entry.fence:
+            self._send_ack(now, entry, sender)
             return None
-        if message.fence > kept.fence:  # what is known stays until the new owner's state is whole
-            kept.owner, kept.fence, kept.over = sender, message.fence, False
-            kept.seq = -1
-            self._restart(kept, -1, 0)
-            if kept.copy is not None:
-                kept.copy.complete = False
-        return kept if sender == kept.owner and not kept.over else None
-
-    def _room(self) -> bool:
-        if len(self._kept) < self.rules.copies_most:
+        if message.fence > entry.fence:  # what is known stays until the new owner's state is whole
+            entry.owner, entry.fence, entry.closed = sender, message.fence, False
+            entry.seq = -1
+            self._restart(entry, -1, 0)
+            if entry.replica is not None:
+                entry.replica.complete = False
+        return entry if sender == entry.owner and not entry.closed else None
+
+    def _has_capacity(self) -> bool:
+        if len(self._entries) < self.rules.copies_most:
             return True
-        past = next((channel for channel, kept in self._kept.items() if kept.over), None)
-        if past is not None:
-            del self._kept[past]
-        return past is not None
+        closed_channel = next((channel for channel, entry in self._entries.items() if entry.closed), None)
+        if closed_channel is not None:
+            del self._entries[closed_channel]
+        return closed_channel is not None
 
-    def _over(self, kept: _Kept) -> None:
+    def _close(self, entry: _ReplicatedChannel) -> None:
         """Only the fence stays, so that what comes late begins nothing anew."""
-        kept.over, kept.copy, kept.statuses, kept.size, kept.seq = True, None, {}, 0, -1
-        self._restart(kept, -1, 0)
+        entry.closed, entry.replica, entry.statuses, entry.size, entry.seq = True, None, {}, 0, -1
+        self._restart(entry, -1, 0)
 
     # --- content ---
 
-    def _deltas(self, now: float, kept: _Kept, message: Deltas) -> None:
+    def _apply_deltas(self, now: float, entry: _ReplicatedChannel, message: Deltas) -> None:
         moved = [
             with_placement(known, placement)
             for session, placement in message.moved
-            if (known := kept.statuses.get(session)) is not None
+            if (known := entry.statuses.get(session)) is not None
         ]
         changed = [*message.changed, *moved]
-        sound = len(moved) == len(message.moved) and all(map(is_plausible, changed))
-        if message.seq == kept.seq + 1 and kept.seq >= 0 and sound:
+        is_valid = len(moved) == len(message.moved) and all(map(is_plausible, changed))
+        if message.seq == entry.seq + 1 and entry.seq >= 0 and is_valid:
             for status in changed:
-                self._put(kept, status)
+                self._put(entry, status)
             for session in message.ended:
-                self._remove(kept, session)
-            kept.seq = message.seq
-            if self._too_large(kept):
-                self._over_bound(kept)
+                self._remove(entry, session)
+            entry.seq = message.seq
+            if self._too_large(entry):
+                self._reject_too_large(entry)
                 return
-            self._fresh(kept, self._as_of(now, kept, message.as_of))
-        self._have(now, kept)
+            self._update_freshness(entry, self._as_of(now, entry, message.as_of))
+        self._send_ack(now, entry)
 
-    def _piece(self, now: float, kept: _Kept, message: SnapshotPiece) -> None:
-        if message.seq <= kept.seq or not 1 <= message.count <= self.rules.sessions_most:
-            self._have(now, kept)
+    def _add_piece(self, now: float, entry: _ReplicatedChannel, message: SnapshotPiece) -> None:
+        if message.seq <= entry.seq or not 1 <= message.count <= self.rules.sessions_most:
+            self._send_ack(now, entry)
             return
-        if message.seq != kept.piece_seq or message.count != kept.piece_count:
+        if message.seq != entry.piece_seq or message.count != entry.piece_count:
             if message.number != 0:  # of one whose beginning was never here
-                self._have(now, kept)
+                self._send_ack(now, entry)
                 return
-            self._restart(kept, message.seq, message.count)
-        if message.number == len(kept.pieces) and all(map(is_plausible, message.statuses)):
-            kept.pieces.append(message.statuses)
-            kept.pieces_size += sum(map(size_of, message.statuses))
-            kept.pieces_as_of = self._as_of(now, kept, message.as_of)
-            if self._too_large(kept):
-                self._over_bound(kept)
+            self._restart(entry, message.seq, message.count)
+        if message.number == len(entry.pieces) and all(map(is_plausible, message.statuses)):
+            entry.pieces.append(message.statuses)
+            entry.pieces_size += sum(map(size_of, message.statuses))
+            entry.pieces_as_of = self._as_of(now, entry, message.as_of)
+            if self._too_large(entry):
+                self._reject_too_large(entry)
                 return
-            if len(kept.pieces) == message.count:
-                self._whole(kept)
-        self._have(now, kept)
-
-    def _whole(self, kept: _Kept) -> None:
-        kept.statuses = {status.session: status for piece in kept.pieces for status in piece}
-        kept.size = sum(map(size_of, kept.statuses.values()))
-        kept.seq, kept.shown = kept.piece_seq, None
-        known = kept.copy is not None and kept.copy.complete and kept.copy.fence == kept.fence
-        kept.copy = ChannelReplica(
-            kept.channel, kept.owner, kept.fence, kept.statuses, True, kept.pieces_as_of
+            if len(entry.pieces) == message.count:
+                self._complete_snapshot(entry)
+        self._send_ack(now, entry)
+
+    def _complete_snapshot(self, entry: _ReplicatedChannel) -> None:
+        entry.statuses = {status.session: status for piece in entry.pieces for status in piece}
+        entry.size = sum(map(size_of, entry.statuses.values()))
+        entry.seq, entry.exported = entry.piece_seq, None
+        known = entry.replica is not None and entry.replica.complete and entry.replica.fence == entry.fence
+        entry.replica = ChannelReplica(
+            entry.channel, entry.owner, entry.fence, entry.statuses, True, entry.pieces_as_of
         )
-        self._restart(kept, kept.piece_seq, 0)
+        self._restart(entry, entry.piece_seq, 0)
         if not known:
-            self._out.add(ReplicaCompleted(kept.channel, kept.fence))
+            self._out.add(ReplicaCompleted(entry.channel, entry.fence))
 
-    def _put(self, kept: _Kept, status: SessionStatus) -> None:
-        self._remove(kept, status.session)
-        kept.shown = None
-        kept.statuses[status.session] = status
-        kept.size += size_of(status)
+    def _put(self, entry: _ReplicatedChannel, status: SessionStatus) -> None:
+        self._remove(entry, status.session)
+        entry.exported = None
+        entry.statuses[status.session] = status
+        entry.size += size_of(status)
 
-    def _remove(self, kept: _Kept, session: str) -> None:
-        kept.shown = None
-        old = kept.statuses.pop(session, None)
+    def _remove(self, entry: _ReplicatedChannel, session: str) -> None:
+        entry.exported = None
+        old = entry.statuses.pop(session, None)
         if old is not None:
-            kept.size -= size_of(old)
+            entry.size -= size_of(old)
 
-    def _restart(self, kept: _Kept, seq: int, count: int) -> None:
-        kept.piece_seq, kept.piece_count, kept.pieces, kept.pieces_size = seq, count, [], 0
+    def _restart(self, entry: _ReplicatedChannel, seq: int, count: int) -> None:
+        entry.piece_seq, entry.piece_count, entry.pieces, entry.pieces_size = seq, count, [], 0
 
-    def _too_large(self, kept: _Kept) -> bool:
-        sessions = max(len(kept.statuses), sum(map(len, kept.pieces)))
+    def _too_large(self, entry: _ReplicatedChannel) -> bool:
+        sessions = max(len(entry.statuses), sum(map(len, entry.pieces)))
         return sessions > self.rules.sessions_most or self.size() > self.rules.bytes_most
 
-    def _over_bound(self, kept: _Kept) -> None:
+    def _reject_too_large(self, entry: _ReplicatedChannel) -> None:
         """Half a copy would be believed whole: it goes, and the owner is told why."""
-        kept.copy, kept.statuses, kept.size, kept.seq = None, {}, 0, -1
-        self._restart(kept, -1, 0)
-        self._out.add(Send(kept.owner, ReplicaAck(kept.channel, kept.fence, -1, -1, 0, 0, "too large")))
+        entry.replica, entry.statuses, entry.size, entry.seq = None, {}, 0, -1
+        self._restart(entry, -1, 0)
+        self._out.add(Send(entry.owner, ReplicaAck(entry.channel, entry.fence, -1, -1, 0, 0, "too large")))
 
     # --- ages and answers ---
 
-    def _as_of(self, now: float, kept: _Kept, told: Freshness) -> float | None:
-        sent = kept.tokens.get(told.echo)
-        if sent is None or not (0.0 <= told.age_ms < _SPAN_MOST and 0.0 <= told.held_ms < _SPAN_MOST):
+    def _as_of(self, now: float, entry: _ReplicatedChannel, freshness: Freshness) -> float | None:
+        sent_at = entry.tokens.get(freshness.echo)
+        if sent_at is None or not (
+            0.0 <= freshness.age_ms < _MAX_SPAN_MS and 0.0 <= freshness.held_ms < _MAX_SPAN_MS
+        ):
             return None
-        on_its_way = max(now - sent - told.held_ms * (1.0 - 2.0 * self.rules.drift), 0.0)
-        return now - on_its_way - told.age_ms
+        transit_ms = max(now - sent_at - freshness.held_ms * (1.0 - 2.0 * self.rules.drift), 0.0)
+        return now - transit_ms - freshness.age_ms
 
-    def _fresh(self, kept: _Kept, as_of: float | None) -> None:
-        if kept.copy is not None and as_of is not None:
-            kept.copy.as_of = as_of if kept.copy.as_of is None else max(as_of, kept.copy.as_of)
+    def _update_freshness(self, entry: _ReplicatedChannel, as_of: float | None) -> None:
+        if entry.replica is not None and as_of is not None:
+            entry.replica.as_of = as_of if entry.replica.as_of is None else max(as_of, entry.replica.as_of)
 
-    def _have(self, now: float, kept: _Kept, to: str = "") -> None:
+    def _send_ack(self, now: float, entry: _ReplicatedChannel, to: str = "") -> None:
         token = self._rng.getrandbits(48) + 1
         if not to:
-            kept.tokens[token] = now
-            if len(kept.tokens) > _TOKENS:
-                del kept.tokens[next(iter(kept.tokens))]
-        have = ReplicaAck(kept.channel, kept.fence, kept.seq, kept.piece_seq, len(kept.pieces), token)
-        self._out.add(Send(to or kept.owner, have))
+            entry.tokens[token] = now
+            if len(entry.tokens) > _MAX_TOKENS:
+                del entry.tokens[next(iter(entry.tokens))]
+        ack = ReplicaAck(entry.channel, entry.fence, entry.seq, entry.piece_seq, len(entry.pieces), token)
+        self._out.add(Send(to or entry.owner, ack))
 
     def _refuse(
         self, sender: str, message: OwnerHeartbeat | Deltas | SnapshotPiece | ReplicaDropped, why: str
--- a/fernweir/peers/channel/successor_selection.py
+++ b/fernweir/peers/channel/successor_selection.py
@@ -38,12 +38,12 @@
     Whoever keeps a whole copy comes first among those within the bound; those beyond it come last.
     """
     rules = rules or SuccessorRules()
-    fit = {front.name: front for front in fronts if not front.late and not front.leaving}
-    bounds = capacities(list(fit.values()), rules, sessions)
-    order = rendezvous(channel, fit)
-    within = [name for name in order if fit[name].load + sessions <= bounds[name]]
+    eligible = {front.name: front for front in fronts if not front.late and not front.leaving}
+    bounds = capacities(list(eligible.values()), rules, sessions)
+    order = rendezvous(channel, eligible)
+    within = [name for name in order if eligible[name].load + sessions <= bounds[name]]
     beyond = [name for name in order if name not in within]
-    return sorted(within, key=lambda name: not fit[name].standby) + beyond
+    return sorted(within, key=lambda name: not eligible[name].standby) + beyond
 
 
 def assign(
@@ -78,8 +78,8 @@
 
 def standbys(channel: str, fronts: Sequence[Candidate], count: int = 2) -> list[str]:
     """Who keeps copies: the first of the order that heirs are drawn from, whatever their load is now."""
-    fit = [front.name for front in fronts if not front.late and not front.leaving]
-    return rendezvous(channel, fit)[:count]
+    eligible = [front.name for front in fronts if not front.late and not front.leaving]
+    return rendezvous(channel, eligible)[:count]
 
 
 def capacities(fronts: Sequence[Candidate], rules: SuccessorRules, sessions: int = 1) -> dict[str, float]:
@@ -88,15 +88,15 @@
     The bound is shared out by what a front is worth: all of 1 but the young, so that one that just started
     is not surged upon, and the others' bounds make up for it.
     """
-    worths = {front.name: worth(front, rules) for front in fronts}
-    if not worths:
+    weights = {front.name: capacity_weight(front, rules) for front in fronts}
+    if not weights:
         return {}
     total = sum(front.load for front in fronts) + sessions
-    mean = total / sum(worths.values())
-    return {name: max((1.0 + rules.slack) * mean * share, 0.0) for name, share in worths.items()}
+    mean = total / sum(weights.values())
+    return {name: max((1.0 + rules.slack) * mean * share, 0.0) for name, share in weights.items()}
 
 
-def worth(front: Candidate, rules: SuccessorRules) -> float:
+def capacity_weight(front: Candidate, rules: SuccessorRules) -> float:
     """From `floor` at a front's start to 1 at `ramp_ms`."""
     if rules.ramp_ms <= 0.0:
         return 1.0
--- a/fernweir/peers/channel/takeover.py
+++ b/fernweir/peers/channel/takeover.py
@@ -78,32 +78,32 @@
 
 
 @dataclass(slots=True)
-class _Box:
-    ask_at: float
-    first: bool
+class _ServerClaim:
+    claim_at: float
+    required: bool
     answered: bool = False
 
 
 @dataclass(slots=True)
-class _Taken:
+class _ChannelTakeover:
     channel: str
     fence: int
-    began: float
+    started_at: float
     hold_until: float
     overlap_ms: float
     planned: bool  # the standings are the old owner's last word, but for what was out
     statuses: dict[str, SessionStatus]
-    moving: set[str]  # an attempt of the old owner was out for these
-    boxes: dict[int, _Box] = field(default_factory=dict)
-    told: dict[int, ClaimResult] = field(default_factory=dict)
+    in_flight_at_start: set[str]  # an attempt of the old owner was out for these
+    boxes: dict[int, _ServerClaim] = field(default_factory=dict)
+    answers: dict[int, ClaimResult] = field(default_factory=dict)
     decided: set[str] = field(default_factory=set)  # taken or over
     released: set[tuple[int, str, int]] = field(default_factory=set)
-    out: set[str] = field(default_factory=set)  # the old owner finishes an attempt of these
-    learned: set[str] = field(default_factory=set)  # of those: it told where they stand now
-    mine: dict[str, set[int]] = field(default_factory=dict)  # boxes this front set a session up at
-    held: bool = True  # sessions no one knows may still be the old owner's
+    in_flight: set[str] = field(default_factory=set)  # the old owner finishes an attempt of these
+    reported: set[str] = field(default_factory=set)  # of those: it told where they stand now
+    own_servers: dict[str, set[int]] = field(default_factory=dict)  # boxes this front set a session up at
+    holding: bool = True  # sessions no one knows may still be the old owner's
     relist_until: float = 0.0
-    acting: bool = False
+    active: bool = False
 
 
 class Takeover:
@@ -112,7 +112,7 @@
     def __init__(self, rules: TakeoverRules | None = None) -> None:
         self.rules = rules or TakeoverRules()
         self._out = Outbox()
-        self._taken: dict[str, _Taken] = {}
+        self._takeovers: dict[str, _ChannelTakeover] = {}
 
     def begin(
         self,
@@ -132,218 +132,233 @@
         """
         hold = self.rules.overlap_ms if planned_ms is None else planned_ms
         overlap = 0.0 if planned_ms is None else self.rules.overlap_ms
-        taken = _Taken(
-            channel, fence, now, now + hold, overlap, planned_ms is not None, dict(statuses), moving=set(out)
+        takeover = _ChannelTakeover(
+            channel,
+            fence,
+            now,
+            now + hold,
+            overlap,
+            planned_ms is not None,
+            dict(statuses),
+            in_flight_at_start=set(out),
         )
-        stand = boxes_of(statuses.values())
-        for box in sorted({*stand, *listed}):
-            taken.boxes[box] = _Box(now, planned_ms is None or box in stand)
-        taken.out |= taken.moving
-        self._taken[channel] = taken
+        occupied = boxes_of(statuses.values())
+        for box in sorted({*occupied, *listed}):
+            takeover.boxes[box] = _ServerClaim(now, planned_ms is None or box in occupied)
+        takeover.in_flight |= takeover.in_flight_at_start
+        self._takeovers[channel] = takeover
         self.tick(now)
 
     def begun(self, channel: str) -> bool:
-        return channel in self._taken
+        return channel in self._takeovers
 
-    def steers(self, channel: str) -> bool | None:
+    def may_steer(self, channel: str) -> bool | None:
         """None if the channel is not being taken over."""
-        taken = self._taken.get(channel)
-        return None if taken is None else taken.acting
+        takeover = self._takeovers.get(channel)
+        return None if takeover is None else takeover.active
 
     def learn(self, now: float, channel: str, session: str, status: SessionStatus | None) -> bool:
         """The old owner's last word of a session: what it finished, or that it is over. False if too late."""
-        taken = self._taken.get(channel)
-        if taken is None or session in taken.decided:
+        takeover = self._takeovers.get(channel)
+        if takeover is None or session in takeover.decided:
             return False
         if status is None:
-            taken.out.discard(session)
-            taken.statuses.pop(session, None)
-            taken.decided.add(session)
-            if taken.acting:
-                self._out.add(Settled(channel, taken.fence, over=(session,)))
+            takeover.in_flight.discard(session)
+            takeover.statuses.pop(session, None)
+            takeover.decided.add(session)
+            if takeover.active:
+                self._out.add(Settled(channel, takeover.fence, over=(session,)))
             return True
-        taken.statuses[session] = status
-        taken.learned.add(session)
-        taken.moving.add(session)
-        if taken.held:  # a list from before this attempt may still come: what it lacks is not over
-            taken.out.add(session)
-        if status.box not in taken.boxes:
-            taken.boxes[status.box] = _Box(now, False)
+        takeover.statuses[session] = status
+        takeover.reported.add(session)
+        takeover.in_flight_at_start.add(session)
+        if takeover.holding:  # a list from before this attempt may still come: what it lacks is not over
+            takeover.in_flight.add(session)
+        if status.box not in takeover.boxes:
+            takeover.boxes[status.box] = _ServerClaim(now, False)
         else:  # its list may be from before this attempt
-            box = taken.boxes[status.box]
-            box.answered, box.ask_at = False, now
-            taken.told.pop(status.box, None)
+            box = takeover.boxes[status.box]
+            box.answered, box.claim_at = False, now
+            takeover.answers.pop(status.box, None)
         self.tick(now)
         return True
 
     def on_claimed(self, now: float, channel: str, claimed: ClaimResult) -> None:
         """What a box said; one that was not reached is asked again at its time."""
-        taken = self._taken.get(channel)
-        if taken is None or claimed.box not in taken.boxes or not claimed.reached:
+        takeover = self._takeovers.get(channel)
+        if takeover is None or claimed.box not in takeover.boxes or not claimed.reached:
             return
-        if (claimed.fence != taken.fence) if claimed.accepted else (claimed.fence <= taken.fence):
+        if (claimed.fence != takeover.fence) if claimed.accepted else (claimed.fence <= takeover.fence):
             return  # of an earlier claim, late
-        taken.boxes[claimed.box].answered = True
-        taken.told[claimed.box] = claimed
-        self._weigh(now, taken)
+        takeover.boxes[claimed.box].answered = True
+        takeover.answers[claimed.box] = claimed
+        self._evaluate(now, takeover)
 
     def attempted(self, channel: str, session: str, box: int) -> None:
         """This front sets the session up at that box: a later attempt that its list names is its own."""
-        taken = self._taken.get(channel)
-        if taken is not None:
-            taken.mine.setdefault(session, set()).add(box)
+        takeover = self._takeovers.get(channel)
+        if takeover is not None:
+            takeover.own_servers.setdefault(session, set()).add(box)
 
     def gone(self, now: float, box: int) -> None:
         """The box is off the list for good: what stood there is over."""
-        for taken in list(self._taken.values()):
-            if box in taken.boxes:
-                taken.boxes[box].answered = True
-                taken.told[box] = ClaimResult(box, True, True, taken.fence)
-                self._weigh(now, taken)
+        for takeover in list(self._takeovers.values()):
+            if box in takeover.boxes:
+                takeover.boxes[box].answered = True
+                takeover.answers[box] = ClaimResult(box, True, True, takeover.fence)
+                self._evaluate(now, takeover)
 
     def undecided(self, channel: str) -> dict[str, SessionStatus]:
         """What may stand of a channel that is being taken over, and is not settled yet."""
-        taken = self._taken.get(channel)
-        if taken is None:
+        takeover = self._takeovers.get(channel)
+        if takeover is None:
             return {}
-        return {one: status for one, status in taken.statuses.items() if one not in taken.decided}
+        return {one: status for one, status in takeover.statuses.items() if one not in takeover.decided}
 
     def stop(self, channel: str) -> None:
         """The channel is another's: nothing more is claimed."""
-        self._taken.pop(channel, None)
+        self._takeovers.pop(channel, None)
 
     def tick(self, now: float) -> None:
-        for taken in list(self._taken.values()):
-            self._ask(now, taken)
-            self._weigh(now, taken)
+        for takeover in list(self._takeovers.values()):
+            self._send_claims(now, takeover)
+            self._evaluate(now, takeover)
 
     def next_deadline(self) -> float | None:
-        dues: list[float] = []
-        for taken in self._taken.values():
-            dues += [box.ask_at for box in taken.boxes.values() if not box.answered]
-            if not taken.acting:
-                dues.append(taken.began + self.rules.first_ms)
-            elif taken.held:
-                dues.append(taken.hold_until)
-            elif taken.out:
-                dues.append(taken.relist_until)
-            elif any(session not in taken.decided for session in taken.statuses):
-                dues.append(taken.hold_until + self.rules.doubt_ms)
-        return min(dues, default=None)
+        deadlines: list[float] = []
+        for takeover in self._takeovers.values():
+            deadlines += [box.claim_at for box in takeover.boxes.values() if not box.answered]
+            if not takeover.active:
+                deadlines.append(takeover.started_at + self.rules.answer_timeout_ms)
+            elif takeover.holding:
+                deadlines.append(takeover.hold_until)
+            elif takeover.in_flight:
+                deadlines.append(takeover.relist_until)
+            elif any(session not in takeover.decided for session in takeover.statuses):
+                deadlines.append(takeover.hold_until + self.rules.doubt_ms)
+        return min(deadlines, default=None)
 
     def take_effects(self) -> list[Effect]:
         return self._out.take_effects()
 
     # --- pieces ---
 
-    def _ask(self, now: float, taken: _Taken) -> None:
+    def _send_claims(self, now: float, takeover: _ChannelTakeover) -> None:
         due = []
-        for number, box in taken.boxes.items():
-            if box.answered or now < box.ask_at:
+        for number, box in takeover.boxes.items():
+            if box.answered or now < box.claim_at:
                 continue
-            if now >= taken.began + self.rules.box_ms:
+            if now >= takeover.started_at + self.rules.server_timeout_ms:
                 box.answered = True
                 continue
             due.append(number)
-            doubted = now >= taken.hold_until + self.rules.doubt_ms
-            box.ask_at = now + (self.rules.slow_ms if doubted else self.rules.again_ms)
+            is_overdue = now >= takeover.hold_until + self.rules.doubt_ms
+            box.claim_at = now + (self.rules.slow_retry_ms if is_overdue else self.rules.retry_ms)
         if due:
-            self._out.add(Claim(taken.channel, taken.fence, tuple(due), taken.overlap_ms))
+            self._out.add(Claim(takeover.channel, takeover.fence, tuple(due), takeover.overlap_ms))
 
-    def _weigh(self, now: float, taken: _Taken) -> None:
-        if self._taken.get(taken.channel) is not taken:
+    def _evaluate(self, now: float, takeover: _ChannelTakeover) -> None:
+        if self._takeovers.get(takeover.channel) is not takeover:
             return
-        result = reconcile(taken.statuses, list(taken.told.values()))
-        if result.outdone:
-            del self._taken[taken.channel]
-            self._out.add(HigherFenceFound(taken.channel, result.outdone))
+        result = reconcile(takeover.statuses, list(takeover.answers.values()))
+        if result.higher_fence:
+            del self._takeovers[takeover.channel]
+            self._out.add(HigherFenceFound(takeover.channel, result.higher_fence))
             return
-        if not taken.acting:
-            waiting = any(box.first and not box.answered for box in taken.boxes.values())
-            if waiting and now < taken.began + self.rules.first_ms:
+        if not takeover.active:
+            waiting = any(box.required and not box.answered for box in takeover.boxes.values())
+            if waiting and now < takeover.started_at + self.rules.answer_timeout_ms:
                 return
-            taken.acting = True
-            statuses = tuple(taken.statuses.values())
-            self._out.add(Inherited(taken.channel, taken.fence, len(result.unknown), statuses))
-        self._unhold(now, taken)
-        self._settle(now, taken)
-        self._finish(now, taken)
-
-    def _unhold(self, now: float, taken: _Taken) -> None:
+            takeover.active = True
+            statuses = tuple(takeover.statuses.values())
+            self._out.add(Inherited(takeover.channel, takeover.fence, len(result.unknown), statuses))
+        self._end_hold(now, takeover)
+        self._settle(now, takeover)
+        self._finish(now, takeover)
+
+    def _end_hold(self, now: float, takeover: _ChannelTakeover) -> None:
         """The old owner's time has passed: lists from before that say nothing of what it set up last."""
-        if taken.held and now >= taken.hold_until:
-            taken.held = False
-            gap = 1_000.0 / self.rules.again_a_second
-            taken.relist_until = now + gap * len(taken.boxes) + self.rules.first_ms
-            if taken.hold_until > taken.began:
-                taken.told.clear()
-                for turn, box in enumerate(taken.boxes.values()):
-                    box.answered, box.ask_at = False, now + turn * gap
-                self._ask(now, taken)
-        answered = all(box.answered for box in taken.boxes.values())
-        if not taken.held and (answered or now >= taken.relist_until):
-            taken.out.clear()
-
-    def _settle(self, now: float, taken: _Taken) -> None:
-        result = reconcile(taken.statuses, list(taken.told.values()), self._elsewhere(taken))
-        settled = taken.decided | taken.out
-        waits = taken.decided | (taken.out - taken.learned)
-        new = [status for status in result.take if status.session not in waits]
+        if takeover.holding and now >= takeover.hold_until:
+            takeover.holding = False
+            gap = 1_000.0 / self.rules.relists_per_s
+            takeover.relist_until = now + gap * len(takeover.boxes) + self.rules.answer_timeout_ms
+            if takeover.hold_until > takeover.started_at:
+                takeover.answers.clear()
+                for turn, box in enumerate(takeover.boxes.values()):
+                    box.answered, box.claim_at = False, now + turn * gap
+                self._send_claims(now, takeover)
+        answered = all(box.answered for box in takeover.boxes.values())
+        if not takeover.holding and (answered or now >= takeover.relist_until):
+            takeover.in_flight.clear()
+
+    def _settle(self, now: float, takeover: _ChannelTakeover) -> None:
+        result = reconcile(takeover.statuses, list(takeover.answers.values()), self._possibly_moved(takeover))
+        settled = takeover.decided | takeover.in_flight
+        blocked = takeover.decided | (takeover.in_flight - takeover.reported)
+        new = [status for status in result.take if status.session not in blocked]
         over = [session for session in result.over if session not in settled]
-        gone = [taken.statuses[session] for session in over] + self._gone(taken)
-        if now >= taken.hold_until + self.rules.doubt_ms:
+        gone = [takeover.statuses[session] for session in over] + self._missing_sessions(takeover)
+        if now >= takeover.hold_until + self.rules.doubt_ms:
             over += [one.session for one in result.unknown if one.session not in settled]
         for status in new:
-            taken.statuses[status.session] = status
+            takeover.statuses[status.session] = status
         for session in {*over, *(status.session for status in gone)}:
-            del taken.statuses[session]  # should a box list it after all, it is unwanted there
-        taken.decided.update(status.session for status in new)
-        taken.decided.update(over)
-        give_up = [] if taken.held else self._unwanted(taken, result)
+            del takeover.statuses[session]  # should a box list it after all, it is unwanted there
+        takeover.decided.update(status.session for status in new)
+        takeover.decided.update(over)
+        give_up = [] if takeover.holding else self._sessions_to_release(takeover, result)
         if new or over or give_up or gone:
             self._out.add(
-                Settled(taken.channel, taken.fence, tuple(new), tuple(over), tuple(give_up), tuple(gone)),
+                Settled(
+                    takeover.channel, takeover.fence, tuple(new), tuple(over), tuple(give_up), tuple(gone)
+                ),
             )
 
-    def _elsewhere(self, taken: _Taken) -> Container[str]:
+    def _possibly_moved(self, takeover: _ChannelTakeover) -> Container[str]:
         """Sessions that a box which has not told may have: all, or after a planned hand-off what was out."""
-        if all(box.answered for box in taken.boxes.values()):
+        if all(box.answered for box in takeover.boxes.values()):
             return ()
-        return taken.moving if taken.planned else taken.statuses
+        return takeover.in_flight_at_start if takeover.planned else takeover.statuses
 
-    def _gone(self, taken: _Taken) -> list[SessionStatus]:
+    def _missing_sessions(self, takeover: _ChannelTakeover) -> list[SessionStatus]:
         """What was taken by a first list and is missing in the second, but for what was set up here since."""
-        if taken.held:
+        if takeover.holding:
             return []
-        there = {box: {one[:2] for one in told.sessions} for box, told in taken.told.items()}
+        listed_attempts = {
+            box: {one[:2] for one in answers.sessions} for box, answers in takeover.answers.items()
+        }
         return [
             status
-            for session, status in taken.statuses.items()
-            if session in taken.decided
-            and session not in taken.out
-            and session not in taken.mine
-            and (session, status.attempt) not in there.get(status.box, ((session, status.attempt),))
+            for session, status in takeover.statuses.items()
+            if session in takeover.decided
+            and session not in takeover.in_flight
+            and session not in takeover.own_servers
+            and (session, status.attempt) not in listed_attempts.get(status.box, ((session, status.attempt),))
         ]
 
-    def _unwanted(self, taken: _Taken, result: Reconciled) -> list[tuple[int, str, int]]:
+    def _sessions_to_release(
+        self, takeover: _ChannelTakeover, result: Reconciled
+    ) -> list[tuple[int, str, int]]:
         """What to release. Of a session that was taken a later attempt may be this front's own doing."""
         new = []
         listed = [*result.give_up, *((one.box, one.session, one.attempt) for one in result.take)]
         for box, session, attempt in listed:
-            mine = taken.statuses.get(session)
-            if (box, session, attempt) in taken.released or session in taken.out:
+            own_servers = takeover.statuses.get(session)
+            if (box, session, attempt) in takeover.released or session in takeover.in_flight:
                 continue
-            if mine is not None:
-                own = not self.rules.attempts_told or box in taken.mine.get(session, ())
-                if (box, attempt) == (mine.box, mine.attempt) or (attempt > mine.attempt and own):
+            if own_servers is not None:
+                is_own = not self.rules.attempts_reported or box in takeover.own_servers.get(session, ())
+                if (box, attempt) == (own_servers.box, own_servers.attempt) or (
+                    attempt > own_servers.attempt and is_own
+                ):
                     continue
             new.append((box, session, attempt))
-        taken.released.update(new)
+        takeover.released.update(new)
         return new
 
-    def _finish(self, now: float, taken: _Taken) -> None:
-        if not taken.held and all(box.answered for box in taken.boxes.values()):
-            unsettled = any(session not in taken.decided for session in taken.statuses)
+    def _finish(self, now: float, takeover: _ChannelTakeover) -> None:
+        if not takeover.holding and all(box.answered for box in takeover.boxes.values()):
+            unsettled = any(session not in takeover.decided for session in takeover.statuses)
             if not unsettled:
-                del self._taken[taken.channel]
-                self._out.add(Finished(taken.channel, taken.fence))
+                del self._takeovers[takeover.channel]
+                self._out.add(Finished(takeover.channel, takeover.fence))
--- a/fernweir/peers/channel/takeover_pacing.py
+++ b/fernweir/peers/channel/takeover_pacing.py
@@ -41,21 +41,21 @@
 ) -> list[ScheduledTakeover]:
     """Each channel's time, in order; `heirs` is how many share the loss. The seed keeps heirs apart."""
     rules = rules or PacingRules()
-    gap = 1_000.0 * max(successors, 1) / rules.claims_a_second
-    free_at = ration_at = 0.0
+    gap = 1_000.0 * max(successors, 1) / rules.claims_per_s
+    capacity_free_at = attempts_free_at = 0.0
     boxes: dict[int, float] = {}
-    after: list[tuple[float, str]] = []
+    starts: list[tuple[float, str]] = []
     for loss in sorted(channels, key=lambda one: (-one.sessions, -one.age_ms, one.channel)):
-        start = max([free_at, ration_at, *(boxes.get(box, 0.0) for box in loss.boxes)])
-        after.append((start, loss.channel))
-        free_at = start + 1_000.0 * loss.sessions / rules.sessions_a_second
-        ration_at = start + 1_000.0 * loss.doubtful / rules.doubtful_a_second
+        start = max([capacity_free_at, attempts_free_at, *(boxes.get(box, 0.0) for box in loss.boxes)])
+        starts.append((start, loss.channel))
+        capacity_free_at = start + 1_000.0 * loss.sessions / rules.sessions_per_s
+        attempts_free_at = start + 1_000.0 * loss.doubtful / rules.doubtful_per_s
         for box in loss.boxes:
             boxes[box] = start + gap
-    jitter = Random(f"spread {seed}").uniform(
-        0.0, min(1_000.0 / rules.claims_a_second, rules.within_ms / 4.0)
-    )
-    longest = max((start for start, _ in after), default=0.0)
-    room = rules.within_ms - jitter
-    squeeze = min(1.0, room / longest) if longest > 0.0 else 1.0
-    return [ScheduledTakeover(now + jitter + start * squeeze, channel) for start, channel in sorted(after)]
+    jitter = Random(f"spread {seed}").uniform(0.0, min(1_000.0 / rules.claims_per_s, rules.deadline_ms / 4.0))
+    longest = max((start for start, _ in starts), default=0.0)
+    available_ms = rules.deadline_ms - jitter
+    compression = min(1.0, available_ms / longest) if longest > 0.0 else 1.0
+    return [
+        ScheduledTakeover(now + jitter + start * compression, channel) for start, channel in sorted(starts)
+    ]
--- a/fernweir/rehearsal/fleet/inside.py
+++ b/fernweir/rehearsal/fleet/inside.py
@@ -79,7 +79,7 @@
         wrong.append(f"has {len(mine)} channels of its own, of {parts}")
     for what, table in (
         ("tries", owning._tries), ("turns", owning._turns), ("undecided channels", owning._new),
-        ("seeking", peer._seeking), ("carried", peer._carried), ("finds", peer.directory._finds),
+        ("seeking", peer._seeking), ("carried", peer._carried), ("finds", peer.directory._lookups),
         ("questions", peer.recording._asked), ("stale fronts", peer.lateness.out()),
     ):  # fmt: skip
         wrong += [f"{what} left: {', '.join(map(str, table))[:200]}"] if table else []
--- a/tests/peers_mutants/channel.py
+++ b/tests/peers_mutants/channel.py
@@ -14,19 +14,19 @@
 COPIES: list[Mutant] = [
     _mutant(
         "what comes under a lower fence is taken", "standby",
-        "        if message.fence < kept.fence:\n", "        if message.fence < 0:\n", 12, 2,
+        "        if message.fence < entry.fence:\n", "        if message.fence < 0:\n", 12, 2,
     ),
     _mutant(
         "a snapshot says the next sequence number", "owned",
-        "self._frozen = _Frozen(self.seq, ", "self._frozen = _Frozen(self.seq + 1, ", 10,
+        "self._snapshot = _Snapshot(self.seq, ", "self._snapshot = _Snapshot(self.seq + 1, ", 10,
     ),
     _mutant(
         "changes are taken over a gap", "standby",
-        "message.seq == kept.seq + 1 and kept.seq >= 0", "message.seq > kept.seq >= 0", 10,
+        "message.seq == entry.seq + 1 and entry.seq >= 0", "message.seq > entry.seq >= 0", 10,
     ),
     _mutant(
         "a copy's age leaves out how long the word was on its way", "standby",
-        "return now - on_its_way - told.age_ms", "return now - told.age_ms", 12, 2,
+        "return now - transit_ms - freshness.age_ms", "return now - freshness.age_ms", 12, 2,
     ),
     _mutant(
         "an owner says its copy is complete while changes wait", "owned",
@@ -34,45 +34,49 @@
     ),
     _mutant(
         "what a standing was is forgotten between two batches", "owned",
-        "        self._before.clear()\n", "", 12, 2,
+        "        self._previous.clear()\n", "", 12, 2,
     ),
 ]  # fmt: skip
 
 HANDOFF: list[Mutant] = [
     _mutant(
         "the overlap is counted from the heir's word", "handoff_source",
-        "giving.step, giving.acting, giving.target = Step.HANDED, fence, target\n",
-        "giving.step, giving.acting, giving.target, giving.handed_at = Step.HANDED, fence, target, now\n",
+        "handoff.step, handoff.target_fence, handoff.target = Step.HANDED, fence, target\n",
+        "handoff.step, handoff.target_fence, handoff.target = Step.HANDED, fence, target\n"
+        "        handoff.released_at = now\n",
         12, 2,
     ),
     _mutant(
         "what nobody can prove is not given up", "takeover",
-        "give_up = [] if taken.held else self._unwanted(taken, result)", "give_up = []", 12,
+        "give_up = [] if takeover.holding else self._sessions_to_release(takeover, result)",
+        "give_up = []", 12,
     ),
     _mutant(
         "the old owner steers on when it is frozen", "handoff_source",
-        "giving.step in (Step.WAITING, Step.OFFERED, Step.MOVING)\n\n    def finishes",
-        "giving.step is not Step.BACK\n\n    def finishes", 12,
+        "handoff.step in (Step.WAITING, Step.OFFERED, Step.TRANSFERRING)\n\n    def may_finish",
+        "handoff.step is not Step.RECLAIMING\n\n    def may_finish", 12,
     ),
     _mutant(
         "sessions with an attempt out are decided at once", "takeover",
-        "waits = taken.decided | (taken.out - taken.learned)", "waits = set(taken.decided)", 12,
+        "blocked = takeover.decided | (takeover.in_flight - takeover.reported)",
+        "blocked = set(takeover.decided)", 12,
     ),
     _mutant(
         "boxes are not asked again after the overlap", "takeover",
-        "            if taken.hold_until > taken.began:\n",
-        "            if taken.hold_until < taken.began:\n", 12,
+        "            if takeover.hold_until > takeover.started_at:\n",
+        "            if takeover.hold_until < takeover.started_at:\n", 12,
     ),
 ]  # fmt: skip
 
 HANDOFF += [
     _mutant(
         "the front's own moves are given up", "takeover",
-        "own = not self.rules.attempts_told or box in taken.mine.get(session, ())", "own = False", 12,
+        "is_own = not self.rules.attempts_reported or box in takeover.own_servers.get(session, ())",
+        "is_own = False", 12,
     ),
     _mutant(
         "what is in doubt is over at once", "takeover",
-        "if now >= taken.hold_until + self.rules.doubt_ms:\n            over",
+        "if now >= takeover.hold_until + self.rules.doubt_ms:\n            over",
         "if result.unknown:\n            over", 12,
     ),
 ]  # fmt: skip
@@ -80,7 +84,7 @@
 HEIRS: list[Mutant] = [
     _mutant(
         "the bound on loads is ignored", "successor_selection",
-        "if fit[name].load + sessions <= bounds[name]]", "if bounds[name] >= 0.0]", 5,
+        "if eligible[name].load + sessions <= bounds[name]]", "if bounds[name] >= 0.0]", 5,
     ),
     _mutant(
         "a front that just started counts in full", "successor_selection",
@@ -88,8 +92,8 @@
     ),
     _mutant(
         "a late front inherits", "successor_selection",
-        "fit = {front.name: front for front in fronts if not front.late and not front.leaving}",
-        "fit = {front.name: front for front in fronts if not front.leaving}", 5,
+        "eligible = {front.name: front for front in fronts if not front.late and not front.leaving}",
+        "eligible = {front.name: front for front in fronts if not front.leaving}", 5,
     ),
     _mutant(
         "channels of one loss don't count into their heir's load", "successor_selection",
@@ -100,19 +104,19 @@
 DIRECTORY: list[Mutant] = [
     _mutant(
         "the first that knows nothing ends a find", "directory",
-        "        if not find.waiting:\n            self._end(find, None)\n",
-        "        self._end(find, None)\n", 12,
+        "        if not lookup.waiting:\n            self._finish(lookup, None)\n",
+        "        self._finish(lookup, None)\n", 12,
     ),
 ]  # fmt: skip
 
 DAYS: list[Mutant] = [
     _mutant(
         "a front that takes nothing accepts", "handoff_target",
-        "        if self._closed:\n", "        if self._closed and taking:\n", 12,
+        "        if self._closed_reason:\n", "        if self._closed_reason and handoff:\n", 12,
     ),
     _mutant(
         "boxes that no copy names are not claimed", "takeover",
-        "for box in sorted({*stand, *listed}):", "for box in stand:", 12, 2,
+        "for box in sorted({*occupied, *listed}):", "for box in occupied:", 12, 2,
     ),
 
 ]  # fmt: skip
@@ -120,20 +124,20 @@
 WEIGHING: list[Mutant] = [
     _mutant(
         "of two attempts the earlier is taken", "reconcile",
-        "return max(here, key=", "return min(here, key=", 5,
+        "    return max(\n        candidates,", "    return min(\n        candidates,", 5,
     ),
     _mutant(
         "the same attempt at another box counts as a later one", "reconcile",
-        "if place[1] > status.attempt or", "if place[1] >= status.attempt or", 5,
+        "if location[1] > status.attempt or", "if location[1] >= status.attempt or", 5,
     ),
     _mutant(
         "what an unreached box holds is over", "reconcile",
-        "        elif status.box in answers and session not in elsewhere:\n",
-        "        elif session not in elsewhere:\n", 5,
+        "        elif status.box in answers and session not in possibly_moved:\n",
+        "        elif session not in possibly_moved:\n", 5,
     ),
     _mutant(
         "what may have moved to a silent box is over", "reconcile",
-        "        elif status.box in answers and session not in elsewhere:\n",
+        "        elif status.box in answers and session not in possibly_moved:\n",
         "        elif status.box in answers:\n", 5,
     ),
 ]  # fmt: skip
@@ -141,11 +145,12 @@
 LIVES: list[Mutant] = [
     _mutant(
         "an earlier life's entry wins", "registrar",
-        "if entry.life < old.life:", "if entry.life > old.life:", 5,
+        "if entry.incarnation < old.incarnation:", "if entry.incarnation > old.incarnation:", 5,
     ),
     _mutant(
         "the old owner takes the new owner's entry away", "registrar",
-        "if entry is not None and entry.owner == owner and entry.life <= life:", "if entry is not None:", 5,
+        "if entry is not None and entry.owner == owner and entry.incarnation <= incarnation:",
+        "if entry is not None:", 5,
     ),
     _mutant(
         "a lower fence's entry wins", "registrar",
--- a/tests/peers_mutants/joint.py
+++ b/tests/peers_mutants/joint.py
@@ -30,8 +30,8 @@
     ),
     Mutant(
         "what a second list lacks is held on", _TAKEOVER,
-        "        if taken.held:\n            return []\n        there",
-        "        return []\n        there", 20, faults=2,
+        "        if takeover.holding:\n            return []\n        listed_attempts",
+        "        return []\n        listed_attempts", 20, faults=2,
     ),
     Mutant(
         "an end seen here is not told to the taking over of its channel", _OWNING,
--- a/tests/test_peers_channel.py
+++ b/tests/test_peers_channel.py
@@ -130,7 +130,7 @@
         weather = Weather(self.rng.choice([0.0, 0.1, 0.3]), 0.2, late)
         self.net = Net(mods, seed, weather)
         self.rules = rules or mods.rules.ReplicaRules(
-            message_bytes=400, backlog_bytes=1_500, window=3, keep_ms=100_000.0, frozen_ms=3_000.0
+            message_bytes=400, backlog_bytes=1_500, window=3, keep_ms=100_000.0, max_snapshot_age_ms=3_000.0
         )
         self.parts: dict[str, Any] = {}
         self.rate = {name: self.rng.uniform(0.995, 1.005) for name in "abc"}
@@ -373,16 +373,19 @@
         takeover = self.mods.takeover.Takeover(
             rules.TakeoverRules(
                 overlap_ms=OVERLAP,
-                attempts_told=True,
-                first_ms=120.0,
-                again_ms=60.0,
+                attempts_reported=True,
+                answer_timeout_ms=120.0,
+                retry_ms=60.0,
                 doubt_ms=2_500.0,
-                slow_ms=300.0,
+                slow_retry_ms=300.0,
             )
         )
         self.replica = self.mods.replication.ChannelReplication(name, None, world.rng.getrandbits(30))
         self.handoff = self.mods.handoff.Handoff(
-            name, rules.HandoffRules(overlap_ms=OVERLAP, late_ms=300.0, back_ms=4_000.0, message_bytes=600),
+            name,
+            rules.HandoffRules(
+                overlap_ms=OVERLAP, late_ms=300.0, reclaim_timeout_ms=4_000.0, message_bytes=600
+            ),
             world.rng.getrandbits(30), takeover, lambda: range(len(world.boxes)), self.replica.fence,
         )  # fmt: skip
         self.owned: dict[str, Owned] = {}
@@ -1157,6 +1160,6 @@
                     hand.on_lease_acquired(now, effect.channel, effect.floor + 1)
         assert len(replica.replicated_channels()) <= 3 and replica._standby.size() <= 4_000
         assert replica._payloads.size() <= 5_000 and len(hand.incoming()) <= 3
-        assert len(replica._payloads._askers) <= 256 and len(replica._payloads._fetches) <= 60
-        for taking in hand._taker._takings.values():
-            assert len(taking.statuses) + len(taking.early) <= 60
+        assert len(replica._payloads._requesters) <= 256 and len(replica._payloads._fetches) <= 60
+        for taking in hand._target._handoffs.values():
+            assert len(taking.statuses) + len(taking.early_updates) <= 60
--- a/tests/test_peers_heirs.py
+++ b/tests/test_peers_heirs.py
@@ -140,14 +140,14 @@
     rules = PacingRules()
     turns = schedule_takeovers(now, losses, rules, seed, count)
     assert sorted(turn.channel for turn in turns) == sorted(loss.channel for loss in losses)
-    assert all(now <= turn.at <= now + rules.within_ms + 1e-6 for turn in turns)
+    assert all(now <= turn.at <= now + rules.deadline_ms + 1e-6 for turn in turns)
     assert schedule_takeovers(now, losses[::-1], rules, seed, count) == turns
     by_channel = {loss.channel: loss for loss in losses}
-    loose = schedule_takeovers(now, losses, PacingRules(within_ms=1e9), seed, count)
+    loose = schedule_takeovers(now, losses, PacingRules(deadline_ms=1e9), seed, count)
     for box in range(10):
         claims = [turn.at for turn in loose if box in by_channel[turn.channel].boxes]
         gaps = [later - earlier for earlier, later in pairwise(claims)]
-        assert all(gap >= 1_000.0 * count / rules.claims_a_second - 1e-3 for gap in gaps)
+        assert all(gap >= 1_000.0 * count / rules.claims_per_s - 1e-3 for gap in gaps)
     sizes = [by_channel[turn.channel].sessions for turn in loose]
     assert sizes == sorted(sizes, reverse=True) or any(gap.boxes or gap.doubtful for gap in losses)
 
@@ -211,7 +211,7 @@
         "unknown": [one.session for one in result.unknown],
     }
     faults = [name for name, these in got.items() if set(these) != slow[name] or len(these) > len(slow[name])]
-    return faults + ["outdone"] * (result.outdone not in (0, 9))
+    return faults + ["outdone"] * (result.higher_fence not in (0, 9))
 
 
 def weighing_day(seed: int) -> list[str]:
@@ -275,7 +275,7 @@
         self.rng, self.now, self.count = Random(f"directory {seed}"), 0.0, 0
         self.loss = self.rng.choice([0.0, 0.2])
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
-        self.lives = dict.fromkeys(self.NAMES, 1)
+        self.incarnations = dict.fromkeys(self.NAMES, 1)
         self.parts = {name: self.module.Directory(name, 1, self.rules, seed) for name in self.NAMES}
         self.has: dict[str, tuple[str, int]] = {}  # session: owner, fence
         self.finds: dict[tuple[str, str], tuple[float, str | None]] = {}
@@ -285,7 +285,7 @@
 
     def members(self) -> None:
         for part in self.parts.values():
-            part.members(self.now, {name: self.lives[name] for name in self.parts})
+            part.members(self.now, {name: self.incarnations[name] for name in self.parts})
 
     def act(self) -> None:
         what, name = self.rng.random(), self.rng.choice(sorted(self.parts))
@@ -311,8 +311,10 @@
         elif what < 0.77:
             gone = [one for one in self.NAMES if one not in self.parts]
             if gone:
-                self.lives[gone[0]] += 1
-                self.parts[gone[0]] = self.module.Directory(gone[0], self.lives[gone[0]], self.rules, 0)
+                self.incarnations[gone[0]] += 1
+                self.parts[gone[0]] = self.module.Directory(
+                    gone[0], self.incarnations[gone[0]], self.rules, 0
+                )
                 self.members()
         else:
             self.find(name, session)
@@ -328,10 +330,10 @@
         if self.rng.random() < self.loss * (0.3 if effect.reliable else 1.0) or effect.to not in self.parts:
             return
         way = self.rng.uniform(0.2, 4.0) + (2_000.0 if self.rng.random() < self.loss / 8.0 else 0.0)
-        to, life = effect.to, self.lives[effect.to]
+        to, incarnation = effect.to, self.incarnations[effect.to]
 
         def deliver() -> None:
-            if to in self.parts and self.lives[to] == life:
+            if to in self.parts and self.incarnations[to] == incarnation:
                 self.parts[to].on_message(self.now, sender, self.decoder.decode(data))
 
         self.count += 1
@@ -342,7 +344,7 @@
         if asked is None:
             self.faults.append(f"{name} found {found.session} twice")
             return
-        if self.now - asked[0] > self.rules.find_ms + 2.0:
+        if self.now - asked[0] > self.rules.find_timeout_ms + 2.0:
             self.faults.append(f"{name} waited {self.now - asked[0]:.0f} ms for {found.session}")
         if found.owner is not None and found.owner not in self.parts:
             self.faults.append(f"{name} found {found.session} at {found.owner}, which is dead")
@@ -375,8 +377,8 @@
         self.run(self.rules.keep_ms + 500.0, lambda: None)
         self.quiet, self.finds = True, {}
         again = self.rng.choice(sorted(self.parts))  # what a registrar without a memory says ends no find
-        self.lives[again] += 1
-        self.parts[again] = self.module.Directory(again, self.lives[again], self.rules, 1)
+        self.incarnations[again] += 1
+        self.parts[again] = self.module.Directory(again, self.incarnations[again], self.rules, 1)
         self.has = {one: held for one, held in self.has.items() if held[0] != again}
         self.members()
         for name in sorted(self.parts):
@@ -400,12 +402,12 @@
     module: Any = importlib.import_module("fernweir.peers.channel.registrar")
     rules: Any = importlib.import_module("fernweir.peers.channel.rules")
     registrar = module.Registrar(rules.DirectoryRules())
-    lives = Random(f"lives {seed}").sample([1, 2, 3, 4], 4)
-    for life in lives:
-        registrar.register(0.0, "b", life, [("s", life)])
+    incarnations = Random(f"lives {seed}").sample([1, 2, 3, 4], 4)
+    for incarnation in incarnations:
+        registrar.register(0.0, "b", incarnation, [("s", incarnation)])
     entry = registrar.find(0.0, "s")
-    if entry is None or entry.life != 4:
-        return [f"after lives {lives} the entry is {entry}"]
+    if entry is None or entry.incarnation != 4:
+        return [f"after lives {incarnations} the entry is {entry}"]
     owners = Random(f"owners {seed}").sample([("c", 3), ("d", 5), ("e", 4)], 3)
     for owner, fence in owners:
         registrar.register(0.0, owner, 1, [("t", fence)])
