--- a/fernweir/peers/channel/__init__.py
+++ b/fernweir/peers/channel/__init__.py
@@ -1,1 +1,1 @@
-"""Channels: what an owner knows, at its standbys; hand-off, heirs, taking over; which front has a session."""
+"""Channels of sessions: replication to standbys, hand-off, successor selection, takeover, session lookup."""
--- a/fernweir/peers/channel/directory.py
+++ b/fernweir/peers/channel/directory.py
@@ -1,7 +1,7 @@
-"""Which front has a session: asked of the session's registrars, the first fronts of its rendezvous order.
+"""Finds the front that has a session, through the session's registrars: the first in rendezvous order.
 
-What is found is a hint. A front that is asked for a session which it has not says so; one that is not found
-is treated as not there. So an entry may be lost, late or wrong, and is refreshed, not repaired.
+A result is a hint. A front rejects requests for a session that it does not have, and a session that is not
+found is treated as absent. Entries may therefore be lost, stale or wrong; they are refreshed, not repaired.
 """
 
 from __future__ import annotations
@@ -16,15 +16,16 @@
 from fernweir.peers.channel.registrar import Entry, Registrar
 from fernweir.peers.channel.rules import DirectoryRules
 
-_RECHECK_BATCH = 128  # sessions whose registrars are found anew in one go, after members changed
+_RECHECK_BATCH = 128  # sessions whose registrars are recomputed in one step after a membership change
 _RECHECK_INTERVAL_MS = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class Found(Event):
-    """`owner` is None if no registrar that answered knows one; `silent` are those that did not answer.
+    """The result of a lookup. `owner` is None if no registrar that answered has one.
 
-    `lost`: its owner is gone, and nobody has said yet that it has the session.
+    `silent` are the registrars that did not answer. `lost`: the owner is gone, and no successor has
+    registered the session yet.
     """
 
     session: str
@@ -59,7 +60,7 @@
 
 
 class Directory:
-    """Both sides: what this front has, and what it keeps as registrar of others. Event: `Found`."""
+    """The sessions of this front, and its entries as a registrar for others. Event: `Found`."""
 
     def __init__(self, me: str, incarnation: int, rules: DirectoryRules | None = None, seed: int = 0) -> None:
         self.me, self.incarnation, self.rules = me, incarnation, rules or DirectoryRules()
@@ -78,21 +79,21 @@
         self._lookups: dict[int, _Lookup] = {}
         self._lookup_numbers: dict[str, int] = {}
 
-    # --- what the front tells ---
+    # --- calls of the front ---
 
     def members(self, now: float, alive: Mapping[str, int]) -> None:
-        """Fronts believed alive with their lives; sessions whose registrars changed are told to the new."""
+        """Sets the live fronts with their incarnations; new registrars are notified of their sessions."""
         previous, self._alive = self._alive, {**alive, self.me: self.incarnation}
         self._registrar.members(now, self._alive)
         self._batches = {name: batch for name, batch in self._batches.items() if name in self._alive}
         restarted = {name for name, incarnation in self._alive.items() if previous.get(name) != incarnation}
-        for own in self._own.values():  # a new life knows nothing
+        for own in self._own.values():  # a new incarnation has no entries
             own.notified = tuple(name for name in own.notified if name not in restarted)
         self._recheck = list(self._own)
         self._recheck_at = now
 
     def register(self, now: float, session: str, fence: int = 0) -> bool:
-        """This front has the session, in a channel under this fence. False if there is no room to tell."""
+        """Registers a session of this front under a channel's fence. Returns False if the table is full."""
         own = self._own.get(session)
         if own is None:
             if len(self._own) >= self.rules.own_most or not 0 < len(session) <= MAX_NAME_LENGTH:
@@ -113,11 +114,11 @@
             batch.unregistered[session] = None
 
     def cede(self, session: str) -> None:
-        """The session is another's by now, who says so itself: until then registrars name this front."""
+        """Drops a session that another front has; registrars name this front until the other registers it."""
         self._own.pop(session, None)
 
     def find(self, now: float, session: str) -> None:
-        """Asks; `Found` comes at once or within `find_ms`, once for all who asked meanwhile."""
+        """Looks up a session. One `Found` follows within `find_timeout_ms` for all calls in that time."""
         if session in self._lookup_numbers:
             return
         if session in self._own:
@@ -141,7 +142,7 @@
     def registrars(self, session: str) -> list[str]:
         return rendezvous(session, self._alive)[: self.rules.registrars]
 
-    # --- the part ---
+    # --- state machine ---
 
     def on_message(self, now: float, sender: str, message: Message) -> None:
         if isinstance(message, Registered):
@@ -193,10 +194,10 @@
     def take_effects(self) -> list[Effect]:
         return self._out.take_effects()
 
-    # --- pieces ---
+    # --- internals ---
 
     def _notify_registrars(self, now: float, session: str, own: _OwnSession) -> None:
-        """To registrars that have not been told, in the next batch; a refresh is due some time after."""
+        """Adds the session to the next batch for registrars that lack it, and schedules its refresh."""
         registrars = tuple(self.registrars(session))
         for name in registrars:
             if name not in own.notified:
@@ -261,7 +262,7 @@
             self._finish(lookup, None)
 
     def _is_current(self, entry: Entry | None) -> bool:
-        """Whether that owner is alive, in that life, as far as this front knows."""
+        """Whether the entry names another front that is alive in the same incarnation."""
         return (
             entry is not None and entry.owner != self.me and self._alive.get(entry.owner) == entry.incarnation
         )
--- a/fernweir/peers/channel/messages.py
+++ b/fernweir/peers/channel/messages.py
@@ -1,4 +1,4 @@
-"""What fronts say to one another about channels. Ages and spans are ms; bounds are checked by the readers."""
+"""Messages between fronts about channels. Ages and durations are in ms; the receivers check all bounds."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from fernweir.peers.base import Message
 from fernweir.peers.port import SessionStatus
 
-# --- an owner's state, at its standbys ---
+# --- replication from an owner to its standbys ---
 
 
 class Freshness(msgspec.Struct, frozen=True, array_like=True):
-    """How fresh what is told is: complete as of `age_ms` before it was sent.
+    """The freshness of replicated state: it was complete `age_ms` before the message was sent.
 
-    `echo` is the token of the last `Have` that the owner heard from this standby, heard `held_ms` before:
-    by it the standby bounds, on its own clock, how long the message can have been on its way.
+    `echo` is the token of the last `ReplicaAck` that the owner received from this standby, and `held_ms` the
+    time since then. The standby uses them to bound, on its own clock, the transit time of the message.
     """
 
     age_ms: float = 0.0
@@ -23,7 +23,7 @@
 
 
 class OwnerHeartbeat(Message, tag="channel.hail", frozen=True):
-    """The owner's word that it owns the channel and has come to `seq`; a standby answers with `Have`."""
+    """Announces that the sender owns the channel, at `seq`. A standby answers with `ReplicaAck`."""
 
     channel: str
     fence: int
@@ -31,13 +31,16 @@
     as_of: Freshness
 
 
-Placement = tuple[int, int, int, int, int]  # box, attempt, rung, answers, spent: what changes while it stands
+Placement = tuple[
+    int, int, int, int, int
+]  # server, attempt, rung, answers, spent: the fields that change during a session
 
 
 class Deltas(Message, tag="channel.deltas", frozen=True):
-    """What brings a copy from `seq - 1` to `seq`: standings that are new or changed, sessions that ended.
+    """The changes that bring a replica from `seq - 1` to `seq`: new or changed statuses, and ended sessions.
 
-    Of `moved` sessions only the placing changed, as with most notes; the rest of the standing is known.
+    `moved` sessions are those of which only the placement changed, as with most load reports. The replica
+    has the rest of their status already.
     """
 
     channel: str
@@ -50,7 +53,7 @@
 
 
 class SnapshotPiece(Message, tag="channel.piece", frozen=True):
-    """One of `count` pieces of all that stood at `seq`; numbers count from 0."""
+    """One of the `count` pieces of the snapshot at `seq`. `number` counts from 0."""
 
     channel: str
     fence: int
@@ -62,8 +65,11 @@
 
 
 class ReplicaAck(Message, tag="channel.have", frozen=True):
-    """What a standby has under this fence: all up to `seq` (-1: nothing), and of the snapshot at `piece_seq`
-    its first `pieces`. With `refused` it takes no more of this channel, and says why."""
+    """Acknowledges what a standby has under this fence: all changes up to `seq` (-1 for none), and the first
+    `pieces` pieces of the snapshot at `piece_seq`.
+
+    A non-empty `refused` is the reason why the standby does not replicate this channel.
+    """
 
     channel: str
     fence: int
@@ -75,21 +81,21 @@
 
 
 class ReplicaDropped(Message, tag="channel.dropped", frozen=True):
-    """The channel is over, or the receiver is no standby of it any more: its copy may go."""
+    """The channel has ended, or the receiver is no longer its standby: the replica may be deleted."""
 
     channel: str
     fence: int
 
 
 class PayloadRequest(Message, tag="channel.payload_wanted", frozen=True):
-    """Asks for a payload's bytes from `offset` on."""
+    """Requests the bytes of a payload from `offset`."""
 
     digest: bytes
     offset: int
 
 
 class PayloadPiece(Message, tag="channel.payload_piece", frozen=True):
-    """`size` is the whole payload's."""
+    """A piece of a payload. `size` is the size of the complete payload in bytes."""
 
     digest: bytes
     size: int
@@ -97,11 +103,11 @@
     data: bytes
 
 
-# --- hand-off; all about one offer carry its id, and may come twice or late ---
+# --- hand-off; messages carry the id of their offer and may be duplicated or delayed ---
 
 
 class Offer(Message, tag="channel.offer", frozen=True):
-    """An owner would hand on a channel of `count` sessions, which it holds under `fence`."""
+    """Offers a channel of `count` sessions, which the sender owns under `fence`."""
 
     channel: str
     offer: int
@@ -121,7 +127,7 @@
 
 
 class HandoffPart(Message, tag="channel.moved", frozen=True):
-    """One of `count` parts of what stands in the channel; numbers count from 0."""
+    """One of the `count` parts of the statuses of a channel. `number` counts from 0."""
 
     channel: str
     offer: int
@@ -131,7 +137,7 @@
 
 
 class HandoffUpdate(Message, tag="channel.late", frozen=True):
-    """What changed after the parts were cut: a session's new standing, or without one that it is over."""
+    """A change since the parts were created: the new status of a session, or None if it has ended."""
 
     channel: str
     offer: int
@@ -141,7 +147,7 @@
 
 
 class HandoffAck(Message, tag="channel.got", frozen=True):
-    """How many parts and how many late changes the heir has, from the first on."""
+    """Acknowledges the number of consecutive parts and updates that the target has, from the first."""
 
     channel: str
     offer: int
@@ -150,10 +156,10 @@
 
 
 class HandoffCommit(Message, tag="channel.yours", frozen=True):
-    """The old owner has let go of its lease: from now on it only finishes what is out, for `overlap_ms`.
+    """The source has released its lease. For `overlap_ms` it only finishes the attempts in flight.
 
-    The heir acts when it has all parts, the first `lates` changes, and the lease above `fence`. `out` are
-    the sessions that an attempt is out for.
+    The target becomes active when it has all parts, the first `updates` updates, and the lease above `fence`.
+    `in_flight` lists the sessions with an attempt in flight.
     """
 
     channel: str
@@ -165,7 +171,7 @@
 
 
 class TargetActive(Message, tag="channel.acting", frozen=True):
-    """The heir has the lease under `fence`, has claimed at the boxes, and steers."""
+    """The target has the lease under `fence`, has claimed the channel at the servers, and steers it."""
 
     channel: str
     offer: int
@@ -173,18 +179,18 @@
 
 
 class Cancel(Message, tag="channel.cancel", frozen=True):
-    """That offer is no more, or is not known here."""
+    """The offer has ended, or the sender does not know it."""
 
     channel: str
     offer: int
     why: str
 
 
-# --- where a session is ---
+# --- lookup of sessions ---
 
 
 class Registered(Message, tag="channel.registered", frozen=True):
-    """Sessions that the sender has, each with its channel's fence; `life` is the sender's."""
+    """Registers sessions of the sender, each with the fence of its channel, and the sender's incarnation."""
 
     incarnation: int
     sessions: list[tuple[str, int]]
@@ -201,7 +207,7 @@
 
 
 class SessionLocation(Message, tag="channel.there", frozen=True):
-    """Answers `Where`: the owner's name, empty if not known, with its life and its channel's fence."""
+    """Answers `LocateSession` with the owner, empty if unknown, its incarnation, and the channel's fence."""
 
     number: int
     session: str
--- a/fernweir/peers/channel/owned.py
+++ b/fernweir/peers/channel/owned.py
@@ -1,8 +1,8 @@
-"""The owner's side of a channel's copies: changes gathered into batches, snapshots in pieces, acks.
+"""Replicates an owned channel to its standbys: batches of changes, snapshots in pieces, acknowledgements.
 
-The state after each batch has a sequence number under the channel's fence; a standby's copy is always the
-state at one of them. Batches are kept while standbys may need them, within a bound; who is behind that, or
-new, gets a snapshot first, and goes on where it broke off.
+The state after each batch has a sequence number under the fence of the channel, and a replica always equals
+the state at one of them. Batches are retained, up to a bound, while standbys may need them. A standby that is
+new or further behind first receives a snapshot, which it can resume after an interruption.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
 from fernweir.peers.channel.rules import ReplicaRules
 from fernweir.peers.port import SessionStatus
 
-_MAX_PLACEMENT_BYTES = 40  # bytes of a placing, at most; more than an end takes
-_RETAINED_BATCHES = 16  # batches kept that all standbys have
-_DROP_ATTEMPTS = 3  # times a standby is told that its copy may go
+_MAX_PLACEMENT_BYTES = 40  # also an upper bound for the id of an ended session
+_RETAINED_BATCHES = 16  # batches retained although all standbys have them
+_DROP_ATTEMPTS = 3  # messages to a former standby that it may drop its replica
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Snapshot:
-    """All that stood at `seq`, cut into pieces."""
+    """All statuses at `seq`, split into pieces."""
 
     seq: int
     pieces: tuple[list[SessionStatus], ...]
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True)
 class _Follower:
-    """A standby, as the owner knows it. `acked` and `sent` are sequence numbers, -1 for none."""
+    """The replication state of a standby. `acked` and `sent` are sequence numbers, -1 for none."""
 
     has_acked: bool = False
     acked: int = -1
@@ -62,7 +62,7 @@
     pieces_sent: int = 0
     heartbeat_at: float = 0.0
     resend_at: float | None = None
-    resends: int = 0  # without an answer that got on
+    resends: int = 0  # since the last answer with progress
     sent_at: float = 0.0
     token: int = 0
     token_at: float = 0.0
@@ -71,7 +71,7 @@
 
 @dataclass(slots=True)
 class OwnedChannel:
-    """One channel that this front owns. Effects go to `out`."""
+    """A channel that this front owns, with its standbys. Effects go to `out`."""
 
     channel: str
     fence: int
@@ -85,11 +85,13 @@
     _pending: dict[str, SessionStatus | None] = field(default_factory=dict)
     _previous: dict[str, SessionStatus | None] = field(
         default_factory=dict
-    )  # what those were in the last batch
+    )  # the pending sessions as of the last batch
     _flush_at: float | None = None
     _pending_since: float = 0.0
     _followers: dict[str, _Follower] = field(default_factory=dict)
-    _leaving: dict[str, tuple[int, float]] = field(default_factory=dict)  # standbys no more: tries, next
+    _leaving: dict[str, tuple[int, float]] = field(
+        default_factory=dict
+    )  # former standbys: attempts, next attempt
 
     # --- the state ---
 
@@ -105,7 +107,7 @@
             self._queue_change(now, session, old, None)
 
     def replace_all(self, now: float, statuses: Iterable[SessionStatus]) -> None:
-        """The state is this from now on."""
+        """Replaces the state by `statuses`."""
         wanted = {status.session: status for status in statuses}
         for session in [session for session in self.statuses if session not in wanted]:
             self.end(now, session)
@@ -137,12 +139,12 @@
         return list(self._followers)
 
     def is_complete_at(self, name: str) -> bool:
-        """Whether that standby has said that it has all up to now."""
+        """Whether the standby has acknowledged the current state."""
         follower = self._followers.get(name)
         return follower is not None and not self._pending and follower.acked == self.seq
 
     def announce_closed(self, now: float) -> None:
-        """The channel is over: all standbys are told so."""
+        """Informs all standbys that the channel has ended."""
         for name in [*self._followers, *self._leaving]:
             self.out.add(Send(name, ReplicaDropped(self.channel, self.fence), reliable=True))
 
@@ -166,7 +168,7 @@
         self._trim()
 
     def _resume_snapshot(self, now: float, follower: _Follower, ack: ReplicaAck | None) -> None:
-        """Where a snapshot goes on: the standby names what it has of which."""
+        """Continues a snapshot after the pieces that the standby has acknowledged."""
         if follower.snapshot is not None and follower.acked >= follower.snapshot.seq:
             follower.snapshot = None
         snapshot = follower.snapshot or self._snapshot
@@ -201,7 +203,7 @@
                     as_of = self._as_of(now, follower, self.seq)
                     self.out.add(Send(name, OwnerHeartbeat(self.channel, self.fence, self.seq, as_of)))
                     follower.sent_at = now
-                else:  # deltas said as much: the next one is due a beat after them
+                else:  # deltas serve as a heartbeat: the next one is due `beat_ms` after them
                     follower.heartbeat_at = follower.sent_at + self.rules.beat_ms
         for name, (attempts, due) in list(self._leaving.items()):
             if now >= due:
@@ -223,7 +225,7 @@
     # --- batches and snapshots ---
 
     def _flush(self, now: float) -> None:
-        """Closes what was gathered into batches, each small enough for one message."""
+        """Splits the pending changes into batches, each small enough for one message."""
         batch = _Batch(self.seq + 1, [], [], [], 0, now)
         size = 0
         for session, status in self._pending.items():
@@ -257,11 +259,11 @@
             self._log_bytes -= self._log.popleft().size
 
     def _logged_batch(self, seq: int) -> _Batch:
-        """One that is kept: they have no gaps, and what is asked for lies near the end."""
+        """Returns a retained batch. The log has no gaps, and requests are for batches near its end."""
         return self._log[seq - self.seq - 1]
 
     def _trim(self) -> None:
-        """Batches that no standby lacks go, but for a few, as an answer may be overtaken."""
+        """Removes batches that all standbys have, but for a few, because answers may be reordered."""
         needed = [
             follower.snapshot.seq if follower.snapshot is not None else follower.acked
             for follower in self._followers.values()
@@ -272,7 +274,7 @@
             self._log_bytes -= self._log.popleft().size
 
     def _take_snapshot(self, now: float) -> _Snapshot:
-        """A snapshot of the state after the last batch; one that others still use serves as well."""
+        """Returns a snapshot of the state after the last batch, or a recent one that is still usable."""
         if self._snapshot is not None and self._is_usable(now, self._snapshot):
             return self._snapshot
         pieces: list[list[SessionStatus]] = [[]]
@@ -291,17 +293,17 @@
         return now < snapshot.at + self.rules.max_snapshot_age_ms and self._log_covers(snapshot.seq)
 
     def _log_covers(self, seq: int) -> bool:
-        """Whether the kept batches go on from there without a gap."""
+        """Whether the retained batches continue from `seq` without a gap."""
         return seq >= self.seq or bool(self._log and self._log[0].seq <= seq + 1)
 
     def _send_missing(self, now: float, name: str, follower: _Follower) -> None:
-        """Sends what the standby lacks, as far as its window allows."""
+        """Sends what the standby lacks, within its window."""
         if not follower.has_acked or follower.refused:
             return
         if follower.snapshot is not None and not self._is_usable(now, follower.snapshot):
             follower.snapshot = None
         if follower.snapshot is None and (follower.acked < 0 or not self._log_covers(follower.acked)):
-            if self._pending:  # a snapshot is of the state after a batch: close this one first
+            if self._pending:  # a snapshot needs a closed batch: flush first
                 self._flush_at = now
                 return
             follower.snapshot = self._take_snapshot(now)
@@ -343,7 +345,7 @@
         follower.sent_at = now
 
     def _as_of(self, now: float, follower: _Follower, seq: int) -> Freshness:
-        """The state at `seq` was all there was until the next batch was closed; older ones say no more."""
+        """Returns the freshness of `seq`, which was complete until the next batch was closed."""
         age = 0.0
         if seq < self.seq:
             snapshot = follower.snapshot
@@ -357,7 +359,7 @@
 
 
 def _placement_change(before: SessionStatus | None, status: SessionStatus | None) -> Placement | None:
-    """The new placing, if nothing else of the standing changed."""
+    """Returns the new placement if nothing else of the status changed."""
     if before is None or status is None:
         return None
     placement = placement_of(status)
--- a/fernweir/peers/channel/registrar.py
+++ b/fernweir/peers/channel/registrar.py
@@ -1,7 +1,7 @@
-"""What a registrar keeps: which front said that it has a session. Bounded; dies soon after who said it.
+"""The entries of a registrar: which front has a session. Bounded; entries expire soon after their front.
 
-What stood in a channel when its front went is kept for a while without an owner: an heir may be on its way to
-take it, and until it says so the session must not begin a second time.
+When a front is gone, the entries of sessions in its channels remain for a while without an owner. A successor
+may be about to take them over, and until it registers them the sessions must not be started a second time.
 """
 
 from __future__ import annotations
@@ -23,17 +23,22 @@
 
 @dataclass(slots=True)
 class Registrar:
-    """Of two fronts that say they have a session the one with its channel's higher fence is right; of one
-    front's two lives the later. Under one fence the last word counts."""
+    """Entries of sessions, by precedence.
+
+    Between two fronts the higher fence of the session's channel wins, between two incarnations of one front
+    the later one. Under the same fence the last message wins.
+    """
 
     rules: DirectoryRules
     _entries: dict[str, Entry] = field(default_factory=dict)
-    _sessions_by_owner: dict[str, dict[str, None]] = field(default_factory=dict)  # sessions by owner
+    _sessions_by_owner: dict[str, dict[str, None]] = field(default_factory=dict)
     _incarnations: dict[str, int] = field(default_factory=dict)
-    _orphan_expiry: dict[str, float] = field(default_factory=dict)  # until when each is kept without an owner
+    _orphan_expiry: dict[str, float] = field(
+        default_factory=dict
+    )  # session: when its entry without an owner expires
 
     def members(self, now: float, alive: Mapping[str, int]) -> None:
-        """Entries of who is gone, or of an earlier life of who is there, go; those in channels later."""
+        """Removes entries of fronts that are gone or restarted; those of channels expire later."""
         self._incarnations = dict(alive)
         for owner in list(self._sessions_by_owner):
             incarnation = alive.get(owner)
--- a/fernweir/peers/channel/rules.py
+++ b/fernweir/peers/channel/rules.py
@@ -1,4 +1,4 @@
-"""Rules of the channels' machines. Times in ms, sizes in bytes of the encoded form."""
+"""Timeouts and bounds of the channel state machines. Sizes are in bytes of the encoded form."""
 
 from __future__ import annotations
 
@@ -7,107 +7,117 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaRules:
-    """`flush_ms` is how long changes are gathered; `beat_ms` how often an owner says that nothing changed.
+    """Rules of the replication of channels.
 
-    A copy dies `keep_ms` after its owner's last word. `window` messages are out to a standby at a time.
+    Changes are batched for `flush_ms`. An owner without changes sends a heartbeat every `beat_ms`. A replica
+    expires `keep_ms` after the last message of its owner. At most `window` messages to a standby are
+    unacknowledged at a time.
     """
 
     flush_ms: float = 50.0
     beat_ms: float = 1_000.0
     resend_ms: float = 300.0
-    refused_retry_ms: float = 5_000.0  # when a standby that refused is asked again
+    refused_retry_ms: float = 5_000.0  # delay before a standby that refused is asked again
     keep_ms: float = 120_000.0
-    max_snapshot_age_ms: float = 10_000.0  # a snapshot is resumed within this, then cut anew
+    max_snapshot_age_ms: float = 10_000.0  # older snapshots are not resumed but replaced by a new one
     message_bytes: int = 32_768
-    backlog_bytes: int = 262_144  # of deltas, for each channel
+    backlog_bytes: int = 262_144  # of deltas, per channel
     window: int = 8
     max_standbys: int = 8
     drift: float = 0.01
     copies_most: int = 512
-    sessions_most: int = 8_192  # of a copy
-    bytes_most: int = 16_777_216  # of all copies
+    sessions_most: int = 8_192  # per replica
+    bytes_most: int = 16_777_216  # of all replicas
     payload_most: int = 1_048_576
-    payloads_bytes: int = 16_777_216  # of all payloads kept for others
-    serve_ms: float = 10_000.0  # a payload is kept at hand for other standbys that ask
+    payloads_bytes: int = 16_777_216  # of all payloads stored for replicas
+    serve_ms: float = 10_000.0  # how long a payload stays cached for requests of other standbys
 
 
 @dataclass(frozen=True, slots=True)
 class TakeoverRules:
-    """A box that does not answer within `first_ms` is not waited for: its sessions are doubtful.
+    """Rules of a takeover.
 
-    It is asked again every `again_ms`, and after `doubt_ms` every `slow_ms`; what is in doubt that long is
-    over. With `attempts_told` the front tells `attempted` of all it sets up: a later attempt that a list
-    names and that is not its own is then released, else it is left.
+    The takeover does not wait longer than `answer_timeout_ms` for a server; the sessions of a server without
+    an answer are in doubt. The claim is repeated every `retry_ms`, and after `doubt_ms` every
+    `slow_retry_ms`; a session that is in doubt for that long has ended. With `attempts_reported` the front
+    calls `attempted` for every attempt that it starts; a later attempt in a server's list that is not its
+    own is then released, otherwise it is left alone.
     """
 
-    overlap_ms: float = 2_000.0  # that boxes accept a lower fence after a planned claim
+    overlap_ms: float = 2_000.0  # how long servers accept a lower fence after a planned claim
     attempts_reported: bool = True
     answer_timeout_ms: float = 300.0
     retry_ms: float = 250.0
     doubt_ms: float = 10_000.0
     slow_retry_ms: float = 5_000.0
-    server_timeout_ms: float = 120_000.0  # a box that never answers is left alone after this
-    relists_per_s: float = 50.0  # boxes that are asked once more, of a channel
+    server_timeout_ms: float = 120_000.0  # after this, a server that never answered is ignored
+    relists_per_s: float = 50.0  # second claims after the hold, per channel
 
 
 @dataclass(frozen=True, slots=True)
 class HandoffRules:
-    """Who hands on finishes what is out for `overlap_ms` from when it first said `Yours`, by its own clock.
+    """Rules of a planned hand-off.
 
-    The heir counts from when it heard that, for `overlap_ms * (1 + 2 * drift) + late_ms`: its span begins
-    after the old owner's and runs longer even if the clocks drift apart, so what it holds to be finished
-    is. A `Yours` late by d makes its span end d later than it must, and lengthens nobody's steering.
+    The source finishes the attempts in flight for `overlap_ms` after its first `HandoffCommit`, by its own
+    clock. The target waits for `overlap_ms * (1 + 2 * drift) + late_ms` after it receives that message. Its
+    period starts later and lasts longer than that of the source even if the clocks drift apart, so the source
+    has finished when it ends. A `HandoffCommit` with a delay of d ends the period of the target d later than
+    necessary, but does not extend the time in which the source may steer.
     """
 
     overlap_ms: float = 2_000.0
     drift: float = 0.01
     late_ms: float = 2_000.0
-    max_overlap_ms: float = 10_000.0  # no peer may ask for more
+    max_overlap_ms: float = 10_000.0  # upper bound for the overlap that a peer requests
     resend_ms: float = 100.0
-    offer_timeout_ms: float = 400.0  # an heir that has not accepted by then is passed over
-    transfer_timeout_ms: float = 3_000.0  # an heir that has not all parts by then is passed over
-    idle_timeout_ms: float = 4_000.0  # an heir that accepted and hears nothing forgets it
-    lease_ms: float = 4_000.0  # an heir that got no lease by then leaves it
-    activation_timeout_ms: float = (
-        1_000.0  # an heir that does not act by then is doubted: the lease is asked for again
-    )
-    reclaim_timeout_ms: float = 15_000.0  # without the lease back by then, the unplanned way
-    update_tail_ms: float = 4_000.0  # late changes are repeated so long after the overlap
-    at_once: int = 8  # channels on their way from here
-    takes_most: int = 16  # channels on their way to here
+    offer_timeout_ms: float = 400.0  # time for a target to accept
+    transfer_timeout_ms: float = 3_000.0  # time for a target to receive all parts
+    idle_timeout_ms: float = 4_000.0  # the target drops an accepted offer without messages
+    lease_ms: float = 4_000.0  # time for the target to get the lease
+    activation_timeout_ms: float = 1_000.0  # then the source requests the lease again
+    reclaim_timeout_ms: float = 15_000.0  # then the channel is left to an unplanned takeover
+    update_tail_ms: float = 4_000.0  # how long updates are resent after the overlap
+    at_once: int = 8  # outgoing hand-offs
+    takes_most: int = 16  # incoming hand-offs
     sessions_most: int = 8_192
     message_bytes: int = 32_768
 
 
 @dataclass(frozen=True, slots=True)
 class SuccessorRules:
-    """No heir gets more than `1 + slack` times the mean; one younger than `ramp_ms` its share of that."""
+    """Rules of the selection of successors.
+
+    The load of a successor is limited to `1 + slack` times the mean. The limit of a front that is younger
+    than `ramp_ms` is reduced in proportion to its age.
+    """
 
     slack: float = 0.25
     ramp_ms: float = 30_000.0
-    floor: float = 0.1  # of the bound, that the youngest front may have
-    stagger_ms: float = 400.0  # between the tries of one heir and the next
+    floor: float = 0.1  # least share of the limit, at the start of a front
+    stagger_ms: float = 400.0  # between the attempts of consecutive successors
 
 
 @dataclass(frozen=True, slots=True)
 class PacingRules:
-    """Channels are taken over within `within_ms`, however many; slower only as far as that allows."""
+    """Rates at which channels are taken over. All takeovers start within `deadline_ms`, at any rate."""
 
     deadline_ms: float = 500.0
-    sessions_per_s: float = 2_000.0  # an heir takes over
-    claims_per_s: float = 20.0  # a box hears from all heirs together
-    doubtful_per_s: float = 200.0  # sessions that may have to be set up again: the ration of attempts
+    sessions_per_s: float = 2_000.0  # per successor
+    claims_per_s: float = 20.0  # per server, from all successors together
+    doubtful_per_s: float = 200.0  # sessions that may need another attempt
 
 
 @dataclass(frozen=True, slots=True)
 class DirectoryRules:
+    """Rules of the session directory and its registrars."""
+
     registrars: int = 2
     flush_ms: float = 50.0
     refresh_ms: float = 20_000.0
-    keep_ms: float = 60_000.0  # an entry that nobody refreshed is gone
-    orphan_ttl_ms: float = 12_000.0  # what stood in a channel whose owner is gone waits so long for its heir
+    keep_ms: float = 60_000.0  # entries expire without a refresh
+    orphan_ttl_ms: float = 12_000.0  # for channel entries whose owner is gone
     find_timeout_ms: float = 60.0
-    retry_ms: float = 25.0  # a registrar that said nothing is asked once more
+    retry_ms: float = 25.0  # a registrar without an answer is asked a second time
     own_most: int = 65_536
     entries_most: int = 131_072
     finds_most: int = 4_096
