--- a/fernweir/peers/channel/channel_names.py
+++ b/fernweir/peers/channel/channel_names.py
@@ -1,4 +1,4 @@
-"""How a front's sessions are cut into channels, and what of a standing is believed from a peer."""
+"""Names of channels, the assignment of sessions to them, and the validation of statuses from peers."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from fernweir.peers.port import SessionStatus
 
 MAX_PARTS = 4_096
-MAX_NAME_LENGTH = 512  # characters of any name in a standing or of a channel's
+MAX_NAME_LENGTH = 512  # characters of any name in a status, or of a channel's name
 MAX_NUMBER = 2**53
-FENCE_LIMIT = 2**63  # leases mint fences from lives: they are larger than any other number
+FENCE_LIMIT = 2**63  # fences contain incarnations and are larger than any other number
 
 
 @dataclass(frozen=True, slots=True)
 class ChannelName:
-    """A channel's name taken apart: the front and life whose sessions it holds, and which part of them."""
+    """A parsed channel name: the front and incarnation where its sessions began, and the partition."""
 
     front: str
     incarnation: int
@@ -23,13 +23,13 @@
 
 
 def channel_of(front: str, incarnation: int, session: str, parts: int) -> str:
-    """The channel of a session that began at this front in this life, alike wherever it is asked."""
+    """Returns the channel of a session that began at this front, with the same result at every front."""
     digest = blake2b(session.encode("utf-8", "surrogatepass"), digest_size=8).digest()
     return f"{front}:{incarnation}/{int.from_bytes(digest, 'big') % parts}"
 
 
 def parse(channel: str) -> ChannelName | None:
-    """None if that is no channel's name."""
+    """Parses the name of a channel; returns None if it is invalid."""
     if len(channel) > MAX_NAME_LENGTH:
         return None
     front, colon, rest = channel.rpartition(":")
@@ -40,12 +40,12 @@
 
 
 def payload_digest(data: bytes) -> bytes:
-    """What `SessionStatus.payload` is of the bytes that viewers are answered from."""
+    """Returns the digest of a payload, as in `SessionStatus.payload`."""
     return blake2b(data, digest_size=16).digest()
 
 
 def is_plausible(status: SessionStatus) -> bool:
-    """Whether a peer's standing is within what any front could have; checked beyond its types."""
+    """Whether the values of a status from a peer are within the bounds of any front."""
     names = (status.session, status.via, status.who, status.title, status.cls, status.tenant)
     numbers = (
         status.top_rung, status.key, status.box, status.attempt, status.rung, status.answers,
--- a/fernweir/peers/channel/handoff.py
+++ b/fernweir/peers/channel/handoff.py
@@ -1,14 +1,14 @@
-"""Planned hand-off of channels: offered, accepted, moved, overlap, over. Both ends are in one machine.
+"""Planned hand-off of channels: offer, acceptance, transfer, overlap. Contains both source and target.
 
-Who hands on goes down its list of heirs until one has accepted and got all that stands. Then it is frozen:
-the lease goes, and until `overlap_ms` after that, by its own clock, it finishes what is out and steers
-nothing else. The heir gets the lease above the old fence, claims at the boxes and acts. Every message about
-an offer carries its id and may come twice, late or never: what is not answered is said again, what is said
-again is answered again.
+The source offers the channel to its successors in order until one has accepted and received all statuses. It
+then freezes the channel and releases the lease, and until `overlap_ms` after that, by its own clock, it only
+finishes the attempts in flight. The target gets the lease above the old fence, claims the channel at the
+servers and becomes active. Messages carry the id of their offer and may be duplicated, delayed or lost:
+unanswered messages are sent again, and duplicates are answered again.
 
-Who is responsible: the old owner until it is frozen; then whoever gets the lease, which the old owner asks
-for again if its heir does not act or dies in the overlap. If neither gets it, the channel lapses to the
-unplanned way, which begins from `takeover` as well.
+Responsibility: the source until it is frozen; then the front that gets the lease. The source requests the
+lease again if the target does not become active or dies during the overlap. If neither gets it, the channel
+is left to an unplanned takeover, which starts in `takeover` as well.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 
 
 class Handoff:
-    """Events: those of `giving` and of `takeover`.
+    """Events: those of `handoff_source` and of `takeover`.
 
-    `listed` gives the numbers of all boxes that are listed and believed up, `known` the highest fence that
-    is known of a channel (`Replica.fence`): what somebody offers under a lower one is not taken.
-    `takeover` is shared by the planned and the unplanned way; its events come out of `take_effects` here.
+    `listed` returns the numbers of all listed servers that are up, and `known` the highest known fence of a
+    channel (`ChannelReplication.fence`); offers under a lower fence are declined. `takeover` is shared by
+    planned and unplanned takeovers; `take_effects` returns its events too.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self._source = HandoffSource(self.rules, Random(f"handoff {me} {seed}"), self._out)
         self._target = HandoffTarget(self.rules, self.takeover, listed, known, self._out)
 
-    # --- the old owner's end ---
+    # --- source ---
 
     def offer(
         self,
@@ -57,10 +57,10 @@
         statuses: Mapping[str, SessionStatus],
         successors: Sequence[str],
     ) -> bool:
-        """Hands a channel on, whose lease this front holds under `fence`. False if it is on its way already.
+        """Starts the hand-off of a channel that this front owns. Returns False if one is in progress.
 
-        Until it is frozen the front steers on, and tells `change` and `end`. What it had taken over itself
-        and is still in doubt goes along, for the heir to settle.
+        Until the channel is frozen, the front continues to steer it and calls `change` and `end`. Sessions
+        that are still in doubt from an earlier takeover are included, and the target settles them.
         """
         known = {**self.takeover.undecided(channel), **statuses}
         return self._source.offer(
@@ -68,33 +68,33 @@
         )
 
     def change(self, now: float, channel: str, status: SessionStatus) -> None:
-        """A session of a channel on its way is new or changed; in the overlap, an attempt's good end."""
+        """Adds or updates a session of a channel in hand-off; in the overlap, after a successful attempt."""
         self._source.change(now, channel, status.session, status)
 
     def end(self, now: float, channel: str, session: str) -> None:
         self._source.change(now, channel, session, None)
 
     def on_frozen(self, now: float, channel: str, out: Iterable[str]) -> None:
-        """The answer to `Freeze`: nothing is steered any more, and attempts are out for these sessions."""
+        """Answers `Freeze`: steering has stopped; `out` are the sessions with attempts in flight."""
         doubtful = self.takeover.undecided(channel)
         self.takeover.stop(channel)
         self._source.on_frozen(now, channel, [*out, *doubtful])
 
     def cancel(self, now: float, channel: str, why: str) -> bool:
-        """Takes an offer back; False once it is frozen and handed, or if there is none."""
+        """Cancels an offer. Returns False if the lease was released already, or there is no offer."""
         return self._source.cancel(now, channel, why)
 
     def outgoing(self) -> list[str]:
         return self._source.channels()
 
-    # --- the heir's end ---
+    # --- target ---
 
     def set_capacity(self, sessions: int, closed: str = "") -> None:
-        """How many sessions may come by hand-off at a time; with `closed` none, for that reason."""
+        """Sets how many sessions may arrive by hand-off; `closed` is a reason to accept none."""
         self._target.set_capacity(sessions, closed)
 
     def on_claimed(self, now: float, channel: str, claimed: ClaimResult) -> None:
-        """A box's answer to `Claim`, of whichever way."""
+        """Handles the answer of a server to `Claim`, in planned and unplanned takeovers."""
         self.takeover.on_claimed(now, channel, claimed)
         self._drain()
 
@@ -104,7 +104,7 @@
     # --- both ---
 
     def on_lease_acquired(self, now: float, channel: str, fence: int) -> bool:
-        """The lease that `WantLease` asked for is here. False if no hand-off waits for it."""
+        """Handles the lease that `WantLease` requested. Returns False if no hand-off waits for it."""
         was_wanted = self._source.on_lease_acquired(now, channel, fence) or self._target.on_lease_acquired(
             now, channel, fence
         )
@@ -112,32 +112,32 @@
         return was_wanted
 
     def on_lease_taken(self, now: float, channel: str, by: str, fence: int) -> None:
-        """Another holds the lease that was asked for."""
+        """Another front holds the requested lease."""
         self._source.on_lease_taken(now, channel, by, fence)
         self._target.on_lease_taken(channel, fence)
 
     def on_lease_lost(self, now: float, channel: str) -> None:
-        """The lease is gone without `ReleaseLease`. To be told before anything else on waking up."""
+        """The lease was lost without `ReleaseLease`. Called first of all after the process was suspended."""
         self._source.on_lease_lost(now, channel)
         self._target.on_lease_lost(channel)
         self.takeover.stop(channel)
 
     def on_peer_died(self, now: float, name: str) -> None:
-        """A front is believed dead."""
+        """The failure detector reported a front as dead."""
         self._source.on_peer_died(now, name)
 
     def may_steer(self, channel: str) -> bool:
-        """Whether hand-off and taking over leave an owner with a valid lease free to steer the channel."""
+        """Whether hand-off and takeover permit an owner with a valid lease to steer the channel."""
         for verdict in (self._source.may_steer(channel), self.takeover.may_steer(channel)):
             if verdict is not None:
                 return verdict
         return True
 
     def may_finish(self, now: float, channel: str) -> bool:
-        """Whether attempts that were out when the channel was frozen may still be finished from here."""
+        """Whether this front may still finish attempts that were in flight when the channel was frozen."""
         return self._source.may_finish(now, channel)
 
-    # --- the part ---
+    # --- state machine ---
 
     def on_message(self, now: float, sender: str, message: Message) -> None:
         self._source.on_message(now, sender, message)
--- a/fernweir/peers/channel/handoff_source.py
+++ b/fernweir/peers/channel/handoff_source.py
@@ -1,4 +1,4 @@
-"""The old owner's end of a planned hand-off; see `handoff`."""
+"""The source of a planned hand-off; see `handoff`."""
 
 from __future__ import annotations
 
@@ -29,30 +29,32 @@
 
 
 class Step(Enum):
-    WAITING = "waiting"  # for its turn
+    WAITING = "waiting"  # for an earlier hand-off to finish
     OFFERED = "offered"
-    TRANSFERRING = "moving"  # accepted, parts on their way; still steered from here
-    FROZEN = "frozen"  # the front stops steering and says what is out
-    HANDED = "handed"  # the lease is gone, what is out is finished
-    RECLAIMING = "back"  # the heir does not act: the lease is asked for again
+    TRANSFERRING = "moving"  # accepted, parts in transfer; the source still steers
+    FROZEN = "frozen"  # the front stops steering and reports attempts in flight
+    HANDED = "handed"  # the lease is released, attempts in flight are finished
+    RECLAIMING = "back"  # the target is not active: the source requests the lease again
 
 
 @dataclass(frozen=True, slots=True)
 class Freeze(Event):
-    """The heir has all parts: steer nothing more, and tell `frozen` what attempts are out for."""
+    """The target has all parts: stop steering, and call `on_frozen` with the sessions in flight."""
 
     channel: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReleaseLease(Event):
+    """Release the lease."""
+
     channel: str
     fence: int
 
 
 @dataclass(frozen=True, slots=True)
 class WantLease(Event):
-    """Get the lease under a fence above `floor`; then call `leased`, or `taken` if another has it."""
+    """Acquire the lease under a fence above `floor`; then call `on_lease_acquired` or `on_lease_taken`."""
 
     channel: str
     floor: int
@@ -60,14 +62,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AbandonLease(Event):
-    """Ask for it no more, and release it should it come."""
+    """Stop requesting the lease, and release it if it is granted anyway."""
 
     channel: str
 
 
 @dataclass(frozen=True, slots=True)
 class TargetActivated(Event):
-    """The heir acts, under this fence."""
+    """The target is active under this fence."""
 
     channel: str
     target: str
@@ -76,14 +78,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OverlapOver(Event):
-    """The bound of the overlap has passed: nothing of the channel is finished from here any more."""
+    """The overlap has ended: this front no longer finishes attempts of the channel."""
 
     channel: str
 
 
 @dataclass(frozen=True, slots=True)
 class HandoffFinished(Event):
-    """All is done: the channel is the heir's, and nothing is owed to it."""
+    """The hand-off is complete, and the target has all updates."""
 
     channel: str
     target: str
@@ -91,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseReclaimed(Event):
-    """The heir did not act, and the lease is here again: the channel is to be taken over like any other."""
+    """The target did not become active, and the lease is back: take the channel over like any other."""
 
     channel: str
     fence: int
@@ -100,14 +102,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NoSuccessor(Event):
-    """None of the heirs took it: it is owned and steered from here as before."""
+    """No successor accepted the channel: this front owns and steers it as before."""
 
     channel: str
 
 
 @dataclass(frozen=True, slots=True)
 class Lapsed(Event):
-    """Nobody is responsible by this hand-off any more: the unplanned way is left."""
+    """The hand-off failed without an owner: the channel is left to an unplanned takeover."""
 
     channel: str
     why: str
@@ -122,7 +124,7 @@
     step: Step = Step.WAITING
     target: str = ""
     offer: int = 0
-    step_deadline: float = 0.0  # when this step has taken too long
+    step_deadline: float = 0.0  # timeout of this step
     retry_at: float = 0.0
     parts: list[list[SessionStatus]] = field(default_factory=list)
     parts_acked: int = 0
@@ -131,14 +133,14 @@
     committed_updates: int = 0
     in_flight: list[str] = field(default_factory=list)
     released_at: float = 0.0
-    target_fence: int = 0  # the heir's fence, once it acts
-    floor: int = 0  # of the lease that is asked for again
+    target_fence: int = 0  # the fence of the target once it is active, else 0
+    floor: int = 0  # the fence of the reclaimed lease must be above this
     overlap_reported: bool = False
     target_left: bool = False
 
 
 class HandoffSource:
-    """All channels that are being handed on from here."""
+    """All outgoing hand-offs of this front."""
 
     def __init__(self, rules: HandoffRules, rng: Random, out: Outbox) -> None:
         self.rules, self._rng, self._out = rules, rng, out
@@ -159,7 +161,7 @@
         return True
 
     def change(self, now: float, channel: str, session: str, status: SessionStatus | None) -> None:
-        """Something of a channel on its way changed; without a standing it is over."""
+        """Records a change of a session in a hand-off; without a status the session has ended."""
         handoff = self._handoffs.get(channel)
         if handoff is not None:
             self._record_change(handoff, session, status)
@@ -167,7 +169,7 @@
                 handoff.retry_at = now + self.rules.resend_ms
 
     def on_settled(self, channel: str, take: Iterable[SessionStatus], over: Iterable[str]) -> None:
-        """What was in doubt here when the channel was offered has been decided."""
+        """Records decisions about sessions that were in doubt when the channel was offered."""
         handoff = self._handoffs.get(channel)
         if handoff is not None:
             for status in take:
@@ -202,7 +204,7 @@
         self._send_commit(now, handoff)
 
     def cancel(self, now: float, channel: str, why: str) -> bool:
-        """Takes an offer back; False if it has gone too far, or there is none."""
+        """Cancels an offer. Returns False if the lease was released already, or there is no offer."""
         handoff = self._handoffs.get(channel)
         if handoff is None or handoff.step in (Step.HANDED, Step.RECLAIMING):
             return False
@@ -212,7 +214,7 @@
         return True
 
     def may_steer(self, channel: str) -> bool | None:
-        """None if the channel is not being handed on."""
+        """Whether the hand-off permits steering; None if the channel is not in hand-off."""
         handoff = self._handoffs.get(channel)
         return None if handoff is None else handoff.step in (Step.WAITING, Step.OFFERED, Step.TRANSFERRING)
 
@@ -227,7 +229,7 @@
     def channels(self) -> list[str]:
         return list(self._handoffs)
 
-    # --- leases and members ---
+    # --- leases and membership ---
 
     def on_lease_acquired(self, now: float, channel: str, fence: int) -> bool:
         handoff = self._handoffs.get(channel)
@@ -239,8 +241,11 @@
         return True
 
     def on_lease_taken(self, now: float, channel: str, by: str, fence: int) -> None:
-        """Another has the lease that was asked for again: a standby, which begins from its own copy, or the
-        heir, which may have got no further. Until that one acts, what it must know stays here."""
+        """Another front has the lease that was requested again.
+
+        It is a standby, which starts from its own replica, or the target, which may be delayed. The updates
+        are stored here until that front is active.
+        """
         handoff = self._handoffs.get(channel)
         if (
             handoff is not None
@@ -252,7 +257,7 @@
             self._on_target_active(now, handoff, by, fence)
 
     def on_lease_lost(self, now: float, channel: str) -> None:
-        """The lease is gone without having been released: nothing can be handed on."""
+        """The lease was lost without a release: the hand-off cannot continue."""
         handoff = self._handoffs.get(channel)
         if handoff is not None and handoff.step not in (Step.HANDED, Step.RECLAIMING):
             self._cancel(handoff, "lease lost")
@@ -369,7 +374,7 @@
                 self._out.add(Lapsed(handoff.channel, "no heir acts, and the lease did not come back"))
 
     def _has_unanswered(self, handoff: _OutgoingHandoff) -> bool:
-        """Whether anything is still unanswered that is worth saying again."""
+        """Whether a message without an answer has to be sent again."""
         if handoff.step in (Step.HANDED, Step.RECLAIMING) and not handoff.target_fence:
             return True
         return (
@@ -390,10 +395,10 @@
             if not handoff.target_fence:
                 self._send_commit(now, handoff)
 
-    # --- steps ---
+    # --- steps of a hand-off ---
 
     def _start_waiting(self, now: float) -> None:
-        """Those whose turn it is; a channel whose heir acts makes room for the next."""
+        """Starts waiting hand-offs; a hand-off whose target is active no longer counts as running."""
         active = sum(
             1 for one in self._handoffs.values() if one.step is not Step.WAITING and not one.target_fence
         )
@@ -405,7 +410,7 @@
                 self._offer_next(now, handoff)
 
     def _offer_next(self, now: float, handoff: _OutgoingHandoff) -> None:
-        """Offers it to the next heir."""
+        """Offers the channel to the next successor."""
         self._cancel(handoff, "passed over")
         handoff.parts, handoff.updates, handoff.parts_acked, handoff.updates_acked = [], [], 0, 0
         if not handoff.successors:
@@ -444,7 +449,7 @@
         if handoff.target and handoff.step is not Step.WAITING:
             self._out.add(Send(handoff.target, Cancel(handoff.channel, handoff.offer, why)))
 
-    # --- sends ---
+    # --- messages to the target ---
 
     def _send_offer(self, handoff: _OutgoingHandoff) -> None:
         offer = Offer(handoff.channel, handoff.offer, handoff.fence, len(handoff.statuses))
@@ -483,7 +488,7 @@
 
 
 def split_statuses(statuses: Iterable[SessionStatus], max_bytes: int) -> list[list[SessionStatus]]:
-    """Parts of bounded size; at least one, which may be empty."""
+    """Splits statuses into parts of bounded size; returns at least one, which may be empty."""
     parts: list[list[SessionStatus]] = [[]]
     size = 0
     for status in statuses:
--- a/fernweir/peers/channel/handoff_target.py
+++ b/fernweir/peers/channel/handoff_target.py
@@ -1,4 +1,4 @@
-"""The heir's end of a planned hand-off; see `handoff`."""
+"""The target of a planned hand-off; see `handoff`."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 class Step(Enum):
     ACCEPTED = "accepted"
-    LEASING = "leasing"  # all is here, and the old owner has let go
+    LEASING = "leasing"  # all parts are here, and the source has released the lease
     CLAIMING = "claiming"
     ACTING = "acting"
 
@@ -37,7 +37,7 @@
     channel: str
     offer: int
     source: str
-    fence: int  # the old owner's, then this front's
+    fence: int  # the fence of the source, then that of this front
     count: int
     deadline: float
     step: Step = Step.ACCEPTED
@@ -46,14 +46,18 @@
     sessions: int = 0
     updates: int = 0
     statuses: dict[str, SessionStatus] = field(default_factory=dict)
-    early_updates: dict[int, HandoffUpdate] = field(default_factory=dict)  # lates that came before the parts
+    early_updates: dict[int, HandoffUpdate] = field(
+        default_factory=dict
+    )  # updates that arrived before the parts, by number
     commit: HandoffCommit | None = None
     hold_until: float = 0.0
 
 
 class HandoffTarget:
-    """All channels that are on their way to here. `listed` gives the numbers of all boxes, `known` the
-    highest fence that is known of a channel."""
+    """All incoming hand-offs of this front.
+
+    `listed` returns the numbers of all servers, and `known_fence` the highest known fence of a channel.
+    """
 
     def __init__(
         self,
@@ -100,14 +104,14 @@
         return True
 
     def on_takeover_active(self, channel: str, fence: int) -> None:
-        """The boxes have been claimed."""
+        """The takeover has claimed the channel at the servers."""
         handoff = self._handoffs.get(channel)
         if handoff is not None and handoff.step is Step.CLAIMING and handoff.fence == fence:
             handoff.step = Step.ACTING
             self._out.add(Send(handoff.source, TargetActive(channel, handoff.offer, fence)))
 
     def on_lease_taken(self, channel: str, fence: int) -> None:
-        """Another has the lease."""
+        """Another front has the lease."""
         handoff = self._handoffs.get(channel)
         if handoff is None or fence <= handoff.fence:
             return
@@ -201,7 +205,7 @@
         self._request_lease_if_complete(now, handoff)
 
     def _apply_updates(self, now: float, handoff: _IncomingHandoff) -> None:
-        """Late changes in their order, after the parts that they change."""
+        """Applies updates in order, once all parts are here."""
         while handoff.parts == handoff.total and handoff.updates in handoff.early_updates:
             update = handoff.early_updates.pop(handoff.updates)
             handoff.updates += 1
@@ -217,7 +221,7 @@
             self._out.add(Send(handoff.source, TargetActive(handoff.channel, handoff.offer, handoff.fence)))
         if handoff.commit is None:
             overlap = min(max(commit.overlap_ms, 0.0), self.rules.max_overlap_ms)
-            if overlap != overlap or commit.fence < handoff.fence:  # no number, or not its own word
+            if overlap != overlap or commit.fence < handoff.fence:  # NaN, or a fence below that of the offer
                 return
             handoff.commit = commit
             handoff.hold_until = now + overlap * (1.0 + 2.0 * self.rules.drift) + self.rules.late_ms
--- a/fernweir/peers/channel/payloads.py
+++ b/fernweir/peers/channel/payloads.py
@@ -1,7 +1,7 @@
-"""What viewers are answered from, by digest: asked for by those who keep a copy that names it.
+"""Transfers payloads, from which viewers are answered, to the standbys of their sessions, by digest.
 
-The one who wants it asks from an offset on and gets a window of pieces; what is lost is asked for again, so
-that a transfer that broke goes on. The same bytes cross once for each digest and front.
+The receiver requests a payload from an offset and gets a window of pieces. Lost pieces are requested again,
+so an interrupted transfer resumes. Each payload is transferred once to a front.
 """
 
 from __future__ import annotations
@@ -14,26 +14,26 @@
 from fernweir.peers.channel.messages import PayloadPiece, PayloadRequest
 from fernweir.peers.channel.rules import ReplicaRules
 
-_MAX_REQUESTERS = 256  # remembered while a payload is fetched from the front
+_MAX_REQUESTERS = 256  # stored while the front looks up a payload
 
 
 @dataclass(frozen=True, slots=True)
 class NeedPayload(Event):
-    """A peer wants these bytes: to be given to `Replica.payload`, with None if they are not here."""
+    """A peer requests a payload: pass it to `ChannelReplication.payload`, or None if it is unknown."""
 
     digest: bytes
 
 
 @dataclass(slots=True)
 class _Fetch:
-    """One payload on its way here, from the first of those who have it."""
+    """An incoming payload, from the first of its owners."""
 
     owners: list[str]
     data: bytearray = field(default_factory=bytearray)
     size: int = -1
     request_at: float = 0.0
     requested_offset: int = 0
-    fruitless_requests: int = 0  # asks since the last piece came
+    fruitless_requests: int = 0  # requests since the last piece
 
 
 @dataclass(slots=True)
@@ -43,7 +43,7 @@
 
 
 class Payloads:
-    """Both sides. What is kept for copies dies when none names it."""
+    """Requests and serves payloads. A stored payload is deleted when no replica refers to it."""
 
     def __init__(self, rules: ReplicaRules, out: Outbox) -> None:
         self.rules, self._out = rules, out
@@ -58,10 +58,10 @@
     def size(self) -> int:
         return sum(map(len, self._stored.values())) + sum(len(fetch.data) for fetch in self._fetches.values())
 
-    # --- who wants ---
+    # --- receiver ---
 
     def request(self, now: float, digest: bytes, owner: str) -> None:
-        """Fetches it if it is not here; asked for again from whoever is named last."""
+        """Requests a payload that is not here; the most recent owner is asked first."""
         if not digest or digest in self._stored:
             return
         fetch = self._fetches.get(digest)
@@ -72,7 +72,7 @@
         self.tick(now)
 
     def retain_only(self, digests: Iterable[bytes]) -> None:
-        """No copy names any other."""
+        """Deletes all payloads but these."""
         named = set(digests)
         for digest in [digest for digest in self._stored if digest not in named]:
             del self._stored[digest]
@@ -93,13 +93,13 @@
             if payload_digest(bytes(fetch.data)) == piece.digest:
                 self._stored[piece.digest] = bytes(fetch.data)
                 del self._fetches[piece.digest]
-            else:  # begun anew, from the next who has it
+            else:  # restart with the next owner
                 fetch.owners = [*fetch.owners[1:], fetch.owners[0]]
                 fetch.data, fetch.request_at = bytearray(), now + self.rules.resend_ms
         elif len(fetch.data) >= fetch.requested_offset + self.rules.window * self.rules.message_bytes:
             self._send_request(now, piece.digest, fetch)
 
-    # --- who has ---
+    # --- sender ---
 
     def on_request(self, now: float, sender: str, request: PayloadRequest) -> None:
         if not 0 <= request.offset < self.rules.payload_most or len(request.digest) > 64:
@@ -115,7 +115,7 @@
                 self._out.add(NeedPayload(request.digest))
 
     def on_payload(self, now: float, digest: bytes, data: bytes | None) -> None:
-        """The front's answer to `NeedPayload`."""
+        """Handles the answer of the front to `NeedPayload`."""
         requesters = [(key, offset) for key, offset in self._requesters.items() if key[0] == digest]
         for key, _ in requesters:
             del self._requesters[key]
@@ -151,7 +151,7 @@
     def _send_request(self, now: float, digest: bytes, fetch: _Fetch) -> None:
         if len(fetch.data) > fetch.requested_offset:
             fetch.fruitless_requests = 0
-        elif fetch.fruitless_requests:  # nothing came: try another, and not too often
+        elif fetch.fruitless_requests:  # no piece arrived: try the next owner, with backoff
             fetch.owners = [*fetch.owners[1:], fetch.owners[0]]
         fetch.requested_offset = len(fetch.data)
         fetch.request_at = now + self.rules.resend_ms * 2.0 ** min(fetch.fruitless_requests, 4)
--- a/fernweir/peers/channel/reconcile.py
+++ b/fernweir/peers/channel/reconcile.py
@@ -1,24 +1,25 @@
-"""What a copy and the boxes' own lists say together of a channel's sessions; free of I/O and time.
+"""Reconciles the replica of a channel with the lists of the servers. Pure functions.
 
-A standing was written when its box had answered, so the copy proves that attempt n of a session stood at
-box a. A box's list has ids, attempts and rungs only. `n` is the copy's attempt, `m` the list's.
+A status is written after its server has answered, so the replica proves that attempt n of a session ran at
+server a. The list of a server has only ids, attempts and rungs. `n` is the attempt in the replica, `m` the
+one in the list.
 
-| copy | box a (the copy's) | another box b | what follows |
+| replica | server a (of the replica) | another server b | decision |
 | --- | --- | --- | --- |
-| (a, n) | lists n | | take, with the box's rung: it changed in the last moments, or did not arrive |
-| (a, n) | lists m > n | | take m: the box held a further attempt before the copy heard of it |
-| (a, n) | lists m < n | | give up m at a, over: what the copy proves is gone, what is there is no one's |
+| (a, n) | lists n | | take, with the rung of the server, which may be newer |
+| (a, n) | lists m > n | | take m: the server got a further attempt before the replica was updated |
+| (a, n) | lists m < n | | give up m at a, over: the proven attempt is gone, the listed one has no owner |
 | (a, n) | not listed | no list has m > n | over |
-| (a, n), may have moved | not listed | no list has m > n, some box is silent | unknown: it may be there |
-| (a, n) | any | lists m > n | moved in the last moments: take m at b, give up what a lists |
-| (a, n) | not reached | lists m > n | take m at b; should a answer later and list it, give it up there |
-| (a, n) | any | lists m <= n | an earlier attempt left over: give up at b, the row for a as above |
+| (a, n), may have moved | not listed | no list has m > n, some server is silent | unknown: may be there |
+| (a, n) | any | lists m > n | migrated shortly before the loss: take m at b, give up the attempt at a |
+| (a, n) | not reached | lists m > n | take m at b; if a answers later and lists it, give it up there |
+| (a, n) | any | lists m <= n | a leftover of an earlier attempt: give up at b, the row for a as above |
 | (a, n) | not reached | no list has m > n | unknown: in doubt until a answers or its time has passed |
-| none | lists m | | give up: neither its viewer nor its lesson can be proved, and no one else would end it |
+| none | lists m | | give up: its viewer and title are unknown, and no other front would end it |
 
-Of several boxes with m > n the highest attempt is taken; the same at two boxes goes to the copy's, else to
-the lower number. A box that refused the claim knows a higher fence: the channel is another's, and nothing
-follows for anyone.
+Among several servers with m > n the highest attempt is taken; if two servers have it, that of the replica,
+else the one with the lower number. A server that refused the claim has a higher fence: another front owns the
+channel, and there are no decisions.
 """
 
 from __future__ import annotations
@@ -33,8 +34,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Reconciled:
-    """`give_up`: (box, session, attempt), to be released there. `outdone`: the highest fence of a box that
-    refused, or 0; then all else is empty."""
+    """The decisions about the sessions of a channel.
+
+    `give_up` has (server, session, attempt) to be released there. `higher_fence` is the highest fence of a
+    server that refused, or 0; if it is set, all other fields are empty.
+    """
 
     take: tuple[SessionStatus, ...] = ()
     over: tuple[str, ...] = ()
@@ -46,9 +50,9 @@
 def reconcile(
     statuses: Mapping[str, SessionStatus], results: Sequence[ClaimResult], possibly_moved: Container[str] = ()
 ) -> Reconciled:
-    """See the table. Of several answers of one box the last that reached it counts.
+    """Returns the decisions of the table. The last answer of a server that was reached counts.
 
-    `elsewhere`: sessions that may have moved since they were copied, to a box that has not told.
+    `possibly_moved` are sessions that may have moved to a silent server since they were replicated.
     """
     answers = {claimed.box: claimed for claimed in results if claimed.reached}
     refused = [claimed.fence for claimed in answers.values() if not claimed.accepted]
@@ -80,14 +84,14 @@
 
 
 def boxes_of(statuses: Iterable[SessionStatus]) -> list[int]:
-    """Boxes that these stand at, in order of their numbers."""
+    """Returns the numbers of the servers of these sessions, in ascending order."""
     return sorted({status.box for status in statuses})
 
 
 def _best_location(
     status: SessionStatus, locations: Sequence[tuple[int, int, int]]
 ) -> tuple[int, int, int] | None:
-    """The place that is the session's, of what the boxes list: (box, attempt, rung)."""
+    """Returns the valid location of the session among the listed ones, as (server, attempt, rung)."""
     candidates = [
         location
         for location in locations
@@ -99,6 +103,6 @@
 
 
 def _with(status: SessionStatus, location: tuple[int, int, int]) -> SessionStatus:
-    """A standing as it is at its box."""
+    """Returns the status with the location that its server listed."""
     box, attempt, rung = location
     return msgspec.structs.replace(status, box=box, attempt=attempt, rung=rung)
--- a/fernweir/peers/channel/replication.py
+++ b/fernweir/peers/channel/replication.py
@@ -1,4 +1,4 @@
-"""A channel's state at its standbys: `Replica` is the owner's and the standby's side in one machine."""
+"""Replication of channels: `ChannelReplication` contains the sides of the owner and of the standby."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
 from fernweir.peers.channel.standby import ChannelReplica, Standby
 from fernweir.peers.port import SessionStatus
 
-_MAX_FETCHED = 256  # payloads that no copy names, fetched for hand-offs
+_MAX_FETCHED = 256  # payloads fetched for hand-offs that no replica refers to
 
 
 @dataclass(frozen=True, slots=True)
 class Outdated(Event):
-    """A peer has heard of a higher fence: this front's state of the channel goes to nobody any more."""
+    """A peer has seen a higher fence: this front no longer replicates its state of the channel."""
 
     channel: str
     fence: int
 
 
 class ChannelReplication:
-    """Owned channels go to their standbys; copies of others' channels are kept.
+    """Replicates owned channels to their standbys, and stores replicas of the channels of others.
 
-    A channel is either owned here or kept as a copy. What comes from peers is checked beyond its types and
-    never raises. Events: `Copied`, `Outdated`, `NeedPayload`.
+    A channel is either owned here or stored as a replica. Messages of peers are validated beyond their types
+    and never raise. Events: `ReplicaCompleted`, `Outdated`, `NeedPayload`.
     """
 
     def __init__(self, me: str, rules: ReplicaRules | None = None, seed: int = 0) -> None:
@@ -52,7 +52,7 @@
     # --- the owner's side ---
 
     def own(self, now: float, channel: str, fence: int, statuses: Iterable[SessionStatus]) -> bool:
-        """This front owns the channel under this fence, and this stands in it. False if a higher is known."""
+        """Starts to replicate an owned channel. Returns False if a higher fence is known."""
         owned = self._owned.get(channel)
         if fence < max(self._standby.fence(channel), owned.fence if owned is not None else 0):
             return False
@@ -68,7 +68,7 @@
         return True
 
     def change(self, now: float, channel: str, status: SessionStatus) -> None:
-        """A session is new in an owned channel, or changed."""
+        """Adds or updates a session of an owned channel."""
         if (owned := self._owned.get(channel)) is not None:
             owned.change(now, status)
 
@@ -77,19 +77,19 @@
             owned.end(now, session)
 
     def standbys(self, now: float, channel: str, names: Sequence[str]) -> None:
-        """Who keeps copies of an owned channel; who is no more among them is told to drop it."""
+        """Sets the standbys of an owned channel; a former standby is asked to drop its replica."""
         if (owned := self._owned.get(channel)) is not None:
             owned.set_standbys(now, [name for name in names if name != self.me])
 
     def close_channel(self, now: float, channel: str) -> None:
-        """An owned channel has ended for good: its copies may go."""
+        """Ends an owned channel for good; its replicas may be dropped."""
         if (owned := self._owned.pop(channel, None)) is not None:
             owned.announce_closed(now)
 
     def cede(self, now: float, channel: str, since: float | None = None) -> None:
-        """The channel is another's, or nobody's for now: copies stay, and this front keeps what it knew.
+        """Stops owning a channel. The replicas stay, and this front stores its own state as a replica.
 
-        `since`: when it last owned the channel for certain, if that was before now.
+        `since` is the last time at which it certainly owned the channel, if that was before now.
         """
         if (owned := self._owned.pop(channel, None)) is not None:
             as_of = now if since is None else min(since, now)
@@ -99,7 +99,7 @@
         return list(self._owned)
 
     def is_complete_at(self, channel: str, name: str) -> bool:
-        """Whether that standby has said that it has all of an owned channel."""
+        """Whether the standby has acknowledged the complete state of an owned channel."""
         owned = self._owned.get(channel)
         return owned is not None and owned.is_complete_at(name)
 
@@ -109,30 +109,30 @@
         return self._standby.find_replica(channel)
 
     def replicated_channels(self) -> list[str]:
-        """Channels of which a copy is kept."""
+        """Returns the channels with a replica here."""
         return self._standby.channels()
 
     def fence(self, channel: str) -> int:
-        """The highest fence known of a channel, 0 for none."""
+        """Returns the highest known fence of a channel, or 0."""
         owned = self._owned.get(channel)
         return max(self._standby.fence(channel), owned.fence if owned is not None else 0)
 
     # --- payloads ---
 
     def payload(self, now: float, digest: bytes, data: bytes | None) -> None:
-        """The answer to `NeedPayload`; None if the front has it no more."""
+        """Handles the answer to `NeedPayload`; `data` is None if the front no longer has it."""
         self._payloads.on_payload(now, digest, data)
 
     def payload_of(self, digest: bytes) -> bytes | None:
         return self._payloads.get(digest)
 
     def fetch(self, now: float, digest: bytes, owner: str) -> None:
-        """Fetches a payload that no copy names, as an heir does for what it was handed; kept for a while."""
+        """Fetches a payload for a hand-off, although no replica refers to it, and caches it for a while."""
         if len(self._fetched) < _MAX_FETCHED or digest in self._fetched:
             self._fetched[digest] = now + self.rules.serve_ms
             self._payloads.request(now, digest, owner)
 
-    # --- the part ---
+    # --- state machine ---
 
     def on_message(self, now: float, sender: str, message: Message) -> None:
         if isinstance(message, ReplicaAck):
@@ -163,7 +163,7 @@
     def take_effects(self) -> list[Effect]:
         return self._out.take_effects()
 
-    # --- pieces ---
+    # --- internals ---
 
     def _on_ack(self, now: float, sender: str, ack: ReplicaAck) -> None:
         owned = self._owned.get(ack.channel)
@@ -184,7 +184,7 @@
                 return
             self._cede_outdated(now, message.channel, message.fence)
         self._standby.on_message(now, sender, message)
-        # What a new session is answered from is of use only if it is here before the owner is gone.
+        # The payload of a new session is useful only if it arrives before the owner is gone.
         self._payload_check_at = min(self._payload_check_at, now + self.rules.flush_ms)
 
     def _cede_outdated(self, now: float, channel: str, fence: int) -> None:
@@ -192,7 +192,7 @@
         self._out.add(Outdated(channel, fence))
 
     def _refresh_payloads(self, now: float) -> None:
-        """Payloads that copies name are here or on their way; those that none names go."""
+        """Requests missing payloads of the replicas, and removes those that no replica refers to."""
         self._fetched = {digest: until for digest, until in self._fetched.items() if now < until}
         named = set(self._fetched)
         for channel in self._standby.channels():
--- a/fernweir/peers/channel/standby.py
+++ b/fernweir/peers/channel/standby.py
@@ -1,8 +1,8 @@
-"""A standby's side: copies of channels that others own, whole or on their way, and how old each is.
+"""The side of a standby: replicas of channels that others own, complete or in transfer, and their ages.
 
-A copy's age never compares two clocks. The owner says how old what it tells was when it left, and names the
-last token that it heard from here with how long ago that was; the rest of the span since that token was
-sent, by the own clock, bounds the message's time on its way.
+The age of a replica never compares two clocks. The owner sends the age of the state at the time of sending,
+the last token that it received from this standby, and the time since then. The rest of the time since that
+token was sent, by the local clock, bounds the transit time of the message.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 from fernweir.peers.channel.rules import ReplicaRules
 from fernweir.peers.port import SessionStatus
 
-_MAX_TOKENS = 16  # sent last, whose times are kept for each channel
+_MAX_TOKENS = 16  # last tokens whose times are stored, per channel
 _MAX_SPAN_MS = 1e9
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaCompleted(Event):
-    """A copy is whole for the first time under this fence."""
+    """A replica is complete for the first time under this fence."""
 
     channel: str
     fence: int
@@ -39,9 +39,9 @@
 
 @dataclass(slots=True)
 class ChannelReplica:
-    """What is known of a channel that another owns, or owned. `fence` is that of its content.
+    """The replica of a channel that another front owns or owned. `fence` is the fence of its content.
 
-    `whole`: nothing that the owner sent under the highest fence heard of is missing from the beginning on.
+    `complete`: nothing is missing of what the owner sent under the highest known fence.
     """
 
     channel: str
@@ -49,23 +49,25 @@
     fence: int
     statuses: Mapping[str, SessionStatus]
     complete: bool
-    as_of: float | None = None  # own clock; None if nothing was proved of its age
+    as_of: float | None = None  # local clock; None if the age has no known bound
 
     def age_ms(self, now: float) -> float:
-        """An upper bound: complete as of so long ago at the least. Infinite where nothing is proved."""
+        """Returns an upper bound for the age of the replica; infinite if there is none."""
         return float("inf") if self.as_of is None else max(now - self.as_of, 0.0)
 
 
 @dataclass(slots=True)
 class _ReplicatedChannel:
-    """One channel at a standby. `fence` is the highest heard of; `seq` and `pieces` are under it."""
+    """A channel at a standby. `fence` is the highest known one; `seq` and `pieces` belong to it."""
 
     channel: str
     owner: str
     fence: int
     last_message_at: float
     replica: ChannelReplica | None = None
-    exported: dict[str, SessionStatus] | None = None  # the copy's standings as they are handed out
+    exported: dict[str, SessionStatus] | None = (
+        None  # the copy of the replica's statuses that callers receive
+    )
     statuses: dict[str, SessionStatus] = field(default_factory=dict)
     size: int = 0
     seq: int = -1
@@ -79,14 +81,14 @@
 
 
 class Standby:
-    """All copies kept here; bounded in number, sessions and bytes."""
+    """All replicas of this front; bounded in number, sessions and bytes."""
 
     def __init__(self, rules: ReplicaRules, rng: Random, out: Outbox) -> None:
         self.rules, self._rng, self._out = rules, rng, out
         self._entries: dict[str, _ReplicatedChannel] = {}
 
     def find_replica(self, channel: str) -> ChannelReplica | None:
-        """As it is now: what comes later does not change it."""
+        """Returns the current replica; later messages do not change the returned object."""
         entry = self._entries.get(channel)
         if entry is None or entry.replica is None:
             return None
@@ -95,16 +97,16 @@
         return replace(entry.replica, statuses=entry.exported)
 
     def channels(self) -> list[str]:
-        """Of which there is a copy."""
+        """Returns the channels with a replica."""
         return [channel for channel, entry in self._entries.items() if entry.replica is not None]
 
     def digests(self, channel: str) -> tuple[set[bytes], str]:
-        """Of the payloads that a copy names, and whose copy it is."""
+        """Returns the digests of the payloads of a replica, and its owner."""
         entry = self._entries[channel]
         return {status.payload for status in entry.statuses.values() if status.payload}, entry.owner
 
     def fence(self, channel: str) -> int:
-        """The highest fence heard of, 0 for none."""
+        """Returns the highest known fence, or 0."""
         entry = self._entries.get(channel)
         return entry.fence if entry is not None else 0
 
@@ -112,7 +114,7 @@
         return sum(entry.size + entry.pieces_size for entry in self._entries.values())
 
     def forget(self, channel: str) -> None:
-        """This front owns the channel now: its copy is of the past."""
+        """Deletes a replica whose channel this front owns now."""
         self._entries.pop(channel, None)
 
     def retain(
@@ -124,7 +126,7 @@
         statuses: Mapping[str, SessionStatus],
         as_of: float,
     ) -> None:
-        """A copy of what this front owned, until a later owner's is whole."""
+        """Stores the state of a formerly owned channel until the replica of a later owner is complete."""
         if not self._has_capacity():
             return
         entry = _ReplicatedChannel(channel, owner, fence, now, statuses=dict(statuses))
@@ -160,12 +162,12 @@
             (entry.last_message_at + self.rules.keep_ms for entry in self._entries.values()), default=None
         )
 
-    # --- whom to believe ---
+    # --- validation of senders ---
 
     def _admit(
         self, now: float, sender: str, message: OwnerHeartbeat | Deltas | SnapshotPiece | ReplicaDropped
     ) -> _ReplicatedChannel | None:
-        """The channel's place, if the sender may write to it. A lower fence than one heard of is refused."""
+        """Returns the channel if the sender may write to it. Fences below the highest known are refused."""
         if not 1 <= message.fence < FENCE_LIMIT:
             return None
         entry = self._entries.get(message.channel)
@@ -180,7 +182,7 @@
         if message.fence < entry.fence:
             self._send_ack(now, entry, sender)
             return None
-        if message.fence > entry.fence:  # what is known stays until the new owner's state is whole
+        if message.fence > entry.fence:  # the old state stays until that of the new owner is complete
             entry.owner, entry.fence, entry.closed = sender, message.fence, False
             entry.seq = -1
             self._restart(entry, -1, 0)
@@ -197,7 +199,7 @@
         return closed_channel is not None
 
     def _close(self, entry: _ReplicatedChannel) -> None:
-        """Only the fence stays, so that what comes late begins nothing anew."""
+        """Deletes all but the fence, so that a delayed message cannot start the replica anew."""
         entry.closed, entry.replica, entry.statuses, entry.size, entry.seq = True, None, {}, 0, -1
         self._restart(entry, -1, 0)
 
@@ -228,7 +230,7 @@
             self._send_ack(now, entry)
             return
         if message.seq != entry.piece_seq or message.count != entry.piece_count:
-            if message.number != 0:  # of one whose beginning was never here
+            if message.number != 0:  # the first piece of this snapshot is missing
                 self._send_ack(now, entry)
                 return
             self._restart(entry, message.seq, message.count)
@@ -275,7 +277,7 @@
         return sessions > self.rules.sessions_most or self.size() > self.rules.bytes_most
 
     def _reject_too_large(self, entry: _ReplicatedChannel) -> None:
-        """Half a copy would be believed whole: it goes, and the owner is told why."""
+        """Drops the replica, because a partial one would pass for complete, and reports the reason."""
         entry.replica, entry.statuses, entry.size, entry.seq = None, {}, 0, -1
         self._restart(entry, -1, 0)
         self._out.add(Send(entry.owner, ReplicaAck(entry.channel, entry.fence, -1, -1, 0, 0, "too large")))
--- a/fernweir/peers/channel/successor_selection.py
+++ b/fernweir/peers/channel/successor_selection.py
@@ -1,8 +1,9 @@
-"""Who inherits a channel: a decision of its own, free of I/O, alike wherever the same facts are known.
+"""Selects the successors of a channel. Pure functions with the same result wherever the facts are the same.
 
-Rendezvous order with bounded loads (Mirrokni, Thorup, Zadimoghaddam 2018): a channel goes to the first of
-its order whose load stays within `1 + slack` times the mean, so that a front that goes or comes moves few
-channels and nobody is heaped upon. Two fronts with different facts may both try: the lease decides who owns.
+Rendezvous hashing with bounded loads (Mirrokni, Thorup, Zadimoghaddam 2018): a channel goes to the first
+front in its order whose load stays within `1 + slack` times the mean, so that a front that leaves or joins
+moves few channels and no front is overloaded. Two fronts with different facts may both try: the lease
+decides.
 """
 
 from __future__ import annotations
@@ -16,10 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A front that is believed alive. `load` is in sessions; `age_ms` since its start.
+    """A live front. `load` is its number of sessions, and `age_ms` the time since its start.
 
-    `late`: its versions are, or it is shut out. `leaving`: it stops, or hands off what it has. `standby`: it
-    has a whole copy of the channel that is asked about.
+    `late`: its versions are stale, or it is shut out. `leaving`: it stops, or hands off its channels.
+    `standby`: it has a complete replica of the channel in question.
     """
 
     name: str
@@ -33,9 +34,10 @@
 def successors(
     channel: str, fronts: Sequence[Candidate], rules: SuccessorRules | None = None, sessions: int = 1
 ) -> list[str]:
-    """All who may inherit, the one who tries first at the front; empty if nobody may.
+    """Returns all eligible successors in the order in which they try; empty if there is none.
 
-    Whoever keeps a whole copy comes first among those within the bound; those beyond it come last.
+    Fronts with a complete replica come first among those within the load bound. Fronts beyond the bound come
+    last.
     """
     rules = rules or SuccessorRules()
     eligible = {front.name: front for front in fronts if not front.late and not front.leaving}
@@ -52,10 +54,10 @@
     rules: SuccessorRules | None = None,
     copies: Mapping[str, frozenset[str]] | None = None,
 ) -> dict[str, list[str]]:
-    """Heirs of several channels (with their sessions) at once, each counted into its first heir's load.
+    """Returns the successors of several channels, and adds each channel to the load of its first successor.
 
-    `copies` says who has a whole copy of which. The channels are gone through by their names' order, so that
-    all who know the same facts come to the same.
+    `channels` has the number of sessions of each, and `copies` the fronts with a complete replica of each.
+    Channels are processed in the order of their names, so that the same facts always give the same result.
     """
     rules = rules or SuccessorRules()
     loads = {front.name: front.load for front in fronts}
@@ -77,16 +79,16 @@
 
 
 def standbys(channel: str, fronts: Sequence[Candidate], count: int = 2) -> list[str]:
-    """Who keeps copies: the first of the order that heirs are drawn from, whatever their load is now."""
+    """Returns the fronts that store replicas: the first in the order of successors, regardless of load."""
     eligible = [front.name for front in fronts if not front.late and not front.leaving]
     return rendezvous(channel, eligible)[:count]
 
 
 def capacities(fronts: Sequence[Candidate], rules: SuccessorRules, sessions: int = 1) -> dict[str, float]:
-    """The most sessions that each may come to hold, with those that are to be inherited.
+    """Returns the maximum number of sessions of each front, including those to be inherited.
 
-    The bound is shared out by what a front is worth: all of 1 but the young, so that one that just started
-    is not surged upon, and the others' bounds make up for it.
+    The bound is divided by capacity weight, which is 1 but for young fronts. A front that just started is not
+    flooded, and the bounds of the others compensate for it.
     """
     weights = {front.name: capacity_weight(front, rules) for front in fronts}
     if not weights:
@@ -97,12 +99,12 @@
 
 
 def capacity_weight(front: Candidate, rules: SuccessorRules) -> float:
-    """From `floor` at a front's start to 1 at `ramp_ms`."""
+    """Returns the weight of a front, which rises from `floor` at its start to 1 at `ramp_ms`."""
     if rules.ramp_ms <= 0.0:
         return 1.0
     return min(max(front.age_ms / rules.ramp_ms, rules.floor), 1.0)
 
 
 def wait_ms(rank: int, rules: SuccessorRules | None = None) -> float:
-    """How long the heir of this rank leaves the try to those before it."""
+    """Returns how long the successor of this rank waits for the attempts of those before it."""
     return rank * (rules or SuccessorRules()).stagger_ms
--- a/fernweir/peers/channel/takeover.py
+++ b/fernweir/peers/channel/takeover.py
@@ -1,11 +1,12 @@
-"""Taking a channel over under a new fence: boxes are claimed, their lists weighed, sessions taken or not.
-
-It begins when this front has the lease. All boxes of the list are claimed, not only those that the copy
-names: a session may have begun or moved in the old owner's last moments. When all have answered (after a
-planned hand-off: those where sessions stand), or after `first_ms`, the channel is acted for. What a box
-that was not reached holds is in doubt until it answers, or for `doubt_ms`. When what the old owner had out
-must have ended, all boxes are asked once more. What is decided of a session stays decided, but for one that
-ended between its box's first list and its being taken, of which nobody was told: the second list lacks it.
+"""Takeover of a channel under a new fence: claims servers, reconciles their lists, and settles sessions.
+
+A takeover starts when this front has the lease. All listed servers are claimed, not only those of the
+replica, because a session may have started or migrated shortly before the old owner was lost. The takeover
+becomes active when all servers have answered (after a planned hand-off: those that have sessions), or after
+`answer_timeout_ms`. The sessions of a server without an answer are in doubt until it answers, or for
+`doubt_ms`. When the attempts of the old owner must have ended, all servers are claimed a second time. The
+decision about a session is final, except for a session that ended between the first list of its server and
+its adoption without a notice to anybody: the second list lacks it.
 """
 
 from __future__ import annotations
@@ -21,10 +22,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim(Event):
-    """Claim this channel at these boxes; each answer goes to `claimed`.
+    """Claim the channel at these servers, and call `on_claimed` with each answer.
 
-    They may accept a lower fence for `overlap_ms` more: none after an unplanned loss, whose owner has no
-    lease, so that what it still had on its way changes nothing once a box has told its list.
+    The servers may accept a lower fence for another `overlap_ms`. This is 0 after an unplanned loss, because
+    that owner has no lease: its messages in transit must change nothing after a server has sent its list.
     """
 
     channel: str
@@ -35,9 +36,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Inherited(Event):
-    """From now on this front steers the channel. `Settled` about its sessions follows.
+    """This front steers the channel from now on. `Settled` events about its sessions follow.
 
-    `standings` are all that may stand, in doubt or not: what its copies begin with.
+    `statuses` are those of all sessions that may exist, in doubt or not; replication starts with them.
     """
 
     channel: str
@@ -48,9 +49,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Settled(Event):
-    """Decided of a channel's sessions: taken, over, or to be released at a box under that attempt.
+    """Decisions about sessions of a channel: adopted, ended, or to be released at a server with an attempt.
 
-    `gone` don't run where they stood, as their boxes say, though they were taken, or were held here before.
+    `gone` are sessions that were adopted, or belonged to this front before, and that their servers no longer
+    run.
     """
 
     channel: str
@@ -63,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finished(Event):
-    """Nothing of the channel is in doubt, and all boxes have answered or were left alone."""
+    """No session of the channel is in doubt, and all servers have answered or are ignored."""
 
     channel: str
     fence: int
@@ -71,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HigherFenceFound(Event):
-    """A box knows a higher fence: the channel is another's, nothing of it may be steered from here."""
+    """A server has a higher fence: another front owns the channel, and this one must not steer it."""
 
     channel: str
     fence: int
@@ -91,23 +93,25 @@
     started_at: float
     hold_until: float
     overlap_ms: float
-    planned: bool  # the standings are the old owner's last word, but for what was out
+    planned: bool  # the statuses are final, but for attempts in flight
     statuses: dict[str, SessionStatus]
-    in_flight_at_start: set[str]  # an attempt of the old owner was out for these
+    in_flight_at_start: set[str]  # sessions with an attempt of the old owner in flight
     boxes: dict[int, _ServerClaim] = field(default_factory=dict)
     answers: dict[int, ClaimResult] = field(default_factory=dict)
-    decided: set[str] = field(default_factory=set)  # taken or over
+    decided: set[str] = field(default_factory=set)  # adopted or ended
     released: set[tuple[int, str, int]] = field(default_factory=set)
-    in_flight: set[str] = field(default_factory=set)  # the old owner finishes an attempt of these
-    reported: set[str] = field(default_factory=set)  # of those: it told where they stand now
-    own_servers: dict[str, set[int]] = field(default_factory=dict)  # boxes this front set a session up at
-    holding: bool = True  # sessions no one knows may still be the old owner's
+    in_flight: set[str] = field(default_factory=set)  # sessions whose attempt the old owner finishes
+    reported: set[str] = field(default_factory=set)  # of those, the ones with a new status
+    own_servers: dict[str, set[int]] = field(
+        default_factory=dict
+    )  # session: servers where this front started an attempt
+    holding: bool = True  # unknown sessions may still belong to the old owner
     relist_until: float = 0.0
     active: bool = False
 
 
 class Takeover:
-    """All channels that are being taken over here."""
+    """All takeovers at this front."""
 
     def __init__(self, rules: TakeoverRules | None = None) -> None:
         self.rules = rules or TakeoverRules()
@@ -125,10 +129,11 @@
         planned_ms: float | None = None,
         out: Iterable[str] = (),
     ) -> None:
-        """The lease is here. `listed` are all boxes of the list that are believed up.
+        """Starts a takeover with the lease under `fence`. `listed` are all listed servers that are up.
 
-        After a planned hand-off the old owner may finish those `out` for `planned_ms`: they are not decided
-        until then. As long, or for `overlap_ms` after an unplanned loss, unknown sessions are not given up.
+        After a planned hand-off the old owner may finish attempts of the sessions in `out` for `planned_ms`;
+        they are not decided before. For that time, or for `overlap_ms` after an unplanned loss, unknown
+        sessions are not released.
         """
         hold = self.rules.overlap_ms if planned_ms is None else planned_ms
         overlap = 0.0 if planned_ms is None else self.rules.overlap_ms
@@ -153,12 +158,12 @@
         return channel in self._takeovers
 
     def may_steer(self, channel: str) -> bool | None:
-        """None if the channel is not being taken over."""
+        """Whether the takeover permits steering; None if there is no takeover of the channel."""
         takeover = self._takeovers.get(channel)
         return None if takeover is None else takeover.active
 
     def learn(self, now: float, channel: str, session: str, status: SessionStatus | None) -> bool:
-        """The old owner's last word of a session: what it finished, or that it is over. False if too late."""
+        """Handles the final status of a session from the old owner, or its end. Returns False if too late."""
         takeover = self._takeovers.get(channel)
         if takeover is None or session in takeover.decided:
             return False
@@ -172,11 +177,11 @@
         takeover.statuses[session] = status
         takeover.reported.add(session)
         takeover.in_flight_at_start.add(session)
-        if takeover.holding:  # a list from before this attempt may still come: what it lacks is not over
+        if takeover.holding:  # a list older than this attempt may follow, so a missing session has not ended
             takeover.in_flight.add(session)
         if status.box not in takeover.boxes:
             takeover.boxes[status.box] = _ServerClaim(now, False)
-        else:  # its list may be from before this attempt
+        else:  # its list may be older than this attempt
             box = takeover.boxes[status.box]
             box.answered, box.claim_at = False, now
             takeover.answers.pop(status.box, None)
@@ -184,24 +189,24 @@
         return True
 
     def on_claimed(self, now: float, channel: str, claimed: ClaimResult) -> None:
-        """What a box said; one that was not reached is asked again at its time."""
+        """Handles the answer of a server; a server that was not reached is claimed again later."""
         takeover = self._takeovers.get(channel)
         if takeover is None or claimed.box not in takeover.boxes or not claimed.reached:
             return
         if (claimed.fence != takeover.fence) if claimed.accepted else (claimed.fence <= takeover.fence):
-            return  # of an earlier claim, late
+            return  # a delayed answer to an earlier claim
         takeover.boxes[claimed.box].answered = True
         takeover.answers[claimed.box] = claimed
         self._evaluate(now, takeover)
 
     def attempted(self, channel: str, session: str, box: int) -> None:
-        """This front sets the session up at that box: a later attempt that its list names is its own."""
+        """This front started an attempt at the server: a later attempt in the server's list is its own."""
         takeover = self._takeovers.get(channel)
         if takeover is not None:
             takeover.own_servers.setdefault(session, set()).add(box)
 
     def gone(self, now: float, box: int) -> None:
-        """The box is off the list for good: what stood there is over."""
+        """The server was removed from the list for good: its sessions have ended."""
         for takeover in list(self._takeovers.values()):
             if box in takeover.boxes:
                 takeover.boxes[box].answered = True
@@ -209,14 +214,14 @@
                 self._evaluate(now, takeover)
 
     def undecided(self, channel: str) -> dict[str, SessionStatus]:
-        """What may stand of a channel that is being taken over, and is not settled yet."""
+        """Returns the statuses of sessions in a takeover that are not settled yet."""
         takeover = self._takeovers.get(channel)
         if takeover is None:
             return {}
         return {one: status for one, status in takeover.statuses.items() if one not in takeover.decided}
 
     def stop(self, channel: str) -> None:
-        """The channel is another's: nothing more is claimed."""
+        """Stops the takeover, because another front owns the channel."""
         self._takeovers.pop(channel, None)
 
     def tick(self, now: float) -> None:
@@ -241,7 +246,7 @@
     def take_effects(self) -> list[Effect]:
         return self._out.take_effects()
 
-    # --- pieces ---
+    # --- internals ---
 
     def _send_claims(self, now: float, takeover: _ChannelTakeover) -> None:
         due = []
@@ -277,7 +282,7 @@
         self._finish(now, takeover)
 
     def _end_hold(self, now: float, takeover: _ChannelTakeover) -> None:
-        """The old owner's time has passed: lists from before that say nothing of what it set up last."""
+        """Ends the hold, and claims again: earlier lists may lack the last attempts of the old owner."""
         if takeover.holding and now >= takeover.hold_until:
             takeover.holding = False
             gap = 1_000.0 / self.rules.relists_per_s
@@ -303,7 +308,7 @@
         for status in new:
             takeover.statuses[status.session] = status
         for session in {*over, *(status.session for status in gone)}:
-            del takeover.statuses[session]  # should a box list it after all, it is unwanted there
+            del takeover.statuses[session]  # if a server lists it later, it is released there
         takeover.decided.update(status.session for status in new)
         takeover.decided.update(over)
         give_up = [] if takeover.holding else self._sessions_to_release(takeover, result)
@@ -315,13 +320,13 @@
             )
 
     def _possibly_moved(self, takeover: _ChannelTakeover) -> Container[str]:
-        """Sessions that a box which has not told may have: all, or after a planned hand-off what was out."""
+        """Returns sessions that a silent server may have: all, or those in flight at a planned hand-off."""
         if all(box.answered for box in takeover.boxes.values()):
             return ()
         return takeover.in_flight_at_start if takeover.planned else takeover.statuses
 
     def _missing_sessions(self, takeover: _ChannelTakeover) -> list[SessionStatus]:
-        """What was taken by a first list and is missing in the second, but for what was set up here since."""
+        """Returns sessions adopted by a first list that the second lacks, but for attempts of this front."""
         if takeover.holding:
             return []
         listed_attempts = {
@@ -339,7 +344,7 @@
     def _sessions_to_release(
         self, takeover: _ChannelTakeover, result: Reconciled
     ) -> list[tuple[int, str, int]]:
-        """What to release. Of a session that was taken a later attempt may be this front's own doing."""
+        """Returns attempts to release. A later attempt of an adopted session may be this front's own."""
         new = []
         listed = [*result.give_up, *((one.box, one.session, one.attempt) for one in result.take)]
         for box, session, attempt in listed:
--- a/fernweir/peers/channel/takeover_pacing.py
+++ b/fernweir/peers/channel/takeover_pacing.py
@@ -1,9 +1,9 @@
-"""When each of several channels is taken over after an unplanned loss, so that heirs and boxes bear it.
+"""Schedules takeovers after an unplanned loss, so that successors and servers are not overloaded.
 
-Most sessions first, then the oldest copy: there most viewers wait, or most is in doubt. Paced as leaky
-buckets are (Turner 1986): by what this heir takes a second, by what each box may hear of claims (from all
-heirs together), and by how many sessions may need a further attempt. Whatever the pace asks for, the last
-begins within `within_ms`, so that no channel waits much longer than its lease.
+Channels with most sessions come first, then those with the oldest replica: there most viewers wait, or most
+sessions are in doubt. Leaky buckets (Turner 1986) limit the sessions per second of this successor, the claims
+per second of each server from all successors together, and the sessions that may need another attempt. At any
+rate, the last takeover starts within `deadline_ms`, so that no channel waits much longer than its lease.
 """
 
 from __future__ import annotations
@@ -17,7 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LostChannel:
-    """A channel that lapsed. `boxes` are those its copy names, `doubtful` how many sessions may not stand."""
+    """A channel that lost its owner.
+
+    `boxes` are the servers in its replica, `doubtful` is the number of sessions that may not be running.
+    """
 
     channel: str
     sessions: int
@@ -28,6 +31,8 @@
 
 @dataclass(frozen=True, slots=True)
 class ScheduledTakeover:
+    """The start time of a takeover."""
+
     at: float
     channel: str
 
@@ -39,7 +44,7 @@
     seed: int = 0,
     successors: int = 1,
 ) -> list[ScheduledTakeover]:
-    """Each channel's time, in order; `heirs` is how many share the loss. The seed keeps heirs apart."""
+    """Returns the start times in order, for one of `successors`. The seed separates the successors."""
     rules = rules or PacingRules()
     gap = 1_000.0 * max(successors, 1) / rules.claims_per_s
     capacity_free_at = attempts_free_at = 0.0
