--- a/fernweir/peers/channel/owned.py
+++ b/fernweir/peers/channel/owned.py
@@ -371,8 +371,10 @@
 
 
 def with_placement(status: SessionStatus, placement: Placement) -> SessionStatus:
-    box, attempt, rung, answers, spent = placement
-    return msgspec.structs.replace(status, box=box, attempt=attempt, rung=rung, answers=answers, spent=spent)
+    server, attempt, rung, answers, spent = placement
+    return msgspec.structs.replace(
+        status, box=server, attempt=attempt, rung=rung, answers=answers, spent=spent
+    )
 
 
 def size_of(status: SessionStatus) -> int:
--- a/fernweir/peers/channel/reconcile.py
+++ b/fernweir/peers/channel/reconcile.py
@@ -59,9 +59,9 @@
     if refused:
         return Reconciled(higher_fence=max(refused))
     listed: dict[str, list[tuple[int, int, int]]] = {}
-    for box in sorted(answers):
-        for session, attempt, rung in answers[box].sessions:
-            listed.setdefault(session, []).append((box, attempt, rung))
+    for server in sorted(answers):
+        for session, attempt, rung in answers[server].sessions:
+            listed.setdefault(session, []).append((server, attempt, rung))
     take: list[SessionStatus] = []
     over: list[str] = []
     unknown: list[SessionStatus] = []
@@ -70,7 +70,9 @@
         locations = listed.pop(session, [])
         best = _best_location(status, locations)
         give_up += [
-            (box, session, attempt) for box, attempt, rung in locations if (box, attempt, rung) != best
+            (server, session, attempt)
+            for server, attempt, rung in locations
+            if (server, attempt, rung) != best
         ]
         if best is not None:
             take.append(_with(status, best))
@@ -79,11 +81,11 @@
         else:
             unknown.append(status)
     for session, locations in listed.items():
-        give_up += [(box, session, attempt) for box, attempt, _ in locations]
+        give_up += [(server, session, attempt) for server, attempt, _ in locations]
     return Reconciled(tuple(take), tuple(over), tuple(give_up), tuple(unknown))
 
 
-def boxes_of(statuses: Iterable[SessionStatus]) -> list[int]:
+def servers_of(statuses: Iterable[SessionStatus]) -> list[int]:
     """Returns the numbers of the servers of these sessions, in ascending order."""
     return sorted({status.box for status in statuses})
 
@@ -104,5 +106,5 @@
 
 def _with(status: SessionStatus, location: tuple[int, int, int]) -> SessionStatus:
     """Returns the status with the location that its server listed."""
-    box, attempt, rung = location
-    return msgspec.structs.replace(status, box=box, attempt=attempt, rung=rung)
+    server, attempt, rung = location
+    return msgspec.structs.replace(status, box=server, attempt=attempt, rung=rung)
--- a/fernweir/peers/channel/standby.py
+++ b/fernweir/peers/channel/standby.py
@@ -65,9 +65,7 @@
     fence: int
     last_message_at: float
     replica: ChannelReplica | None = None
-    exported: dict[str, SessionStatus] | None = (
-        None  # the copy of the replica's statuses that callers receive
-    )
+    exported: dict[str, SessionStatus] | None = None  # the statuses that callers receive
     statuses: dict[str, SessionStatus] = field(default_factory=dict)
     size: int = 0
     seq: int = -1
--- a/fernweir/peers/channel/takeover.py
+++ b/fernweir/peers/channel/takeover.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 
 from fernweir.peers.base import Effect, Event, Outbox
-from fernweir.peers.channel.reconcile import Reconciled, boxes_of, reconcile
+from fernweir.peers.channel.reconcile import Reconciled, reconcile, servers_of
 from fernweir.peers.channel.rules import TakeoverRules
 from fernweir.peers.port import ClaimResult, SessionStatus
 
@@ -96,7 +96,7 @@
     planned: bool  # the statuses are final, but for attempts in flight
     statuses: dict[str, SessionStatus]
     in_flight_at_start: set[str]  # sessions with an attempt of the old owner in flight
-    boxes: dict[int, _ServerClaim] = field(default_factory=dict)
+    servers: dict[int, _ServerClaim] = field(default_factory=dict)
     answers: dict[int, ClaimResult] = field(default_factory=dict)
     decided: set[str] = field(default_factory=set)  # adopted or ended
     released: set[tuple[int, str, int]] = field(default_factory=set)
@@ -147,9 +147,9 @@
             dict(statuses),
             in_flight_at_start=set(out),
         )
-        occupied = boxes_of(statuses.values())
-        for box in sorted({*occupied, *listed}):
-            takeover.boxes[box] = _ServerClaim(now, planned_ms is None or box in occupied)
+        occupied = servers_of(statuses.values())
+        for server in sorted({*occupied, *listed}):
+            takeover.servers[server] = _ServerClaim(now, planned_ms is None or server in occupied)
         takeover.in_flight |= takeover.in_flight_at_start
         self._takeovers[channel] = takeover
         self.tick(now)
@@ -179,11 +179,11 @@
         takeover.in_flight_at_start.add(session)
         if takeover.holding:  # a list older than this attempt may follow, so a missing session has not ended
             takeover.in_flight.add(session)
-        if status.box not in takeover.boxes:
-            takeover.boxes[status.box] = _ServerClaim(now, False)
+        if status.box not in takeover.servers:
+            takeover.servers[status.box] = _ServerClaim(now, False)
         else:  # its list may be older than this attempt
-            box = takeover.boxes[status.box]
-            box.answered, box.claim_at = False, now
+            server = takeover.servers[status.box]
+            server.answered, server.claim_at = False, now
             takeover.answers.pop(status.box, None)
         self.tick(now)
         return True
@@ -191,26 +191,26 @@
     def on_claimed(self, now: float, channel: str, claimed: ClaimResult) -> None:
         """Handles the answer of a server; a server that was not reached is claimed again later."""
         takeover = self._takeovers.get(channel)
-        if takeover is None or claimed.box not in takeover.boxes or not claimed.reached:
+        if takeover is None or claimed.box not in takeover.servers or not claimed.reached:
             return
         if (claimed.fence != takeover.fence) if claimed.accepted else (claimed.fence <= takeover.fence):
             return  # a delayed answer to an earlier claim
-        takeover.boxes[claimed.box].answered = True
+        takeover.servers[claimed.box].answered = True
         takeover.answers[claimed.box] = claimed
         self._evaluate(now, takeover)
 
-    def attempted(self, channel: str, session: str, box: int) -> None:
+    def attempted(self, channel: str, session: str, server: int) -> None:
         """This front started an attempt at the server: a later attempt in the server's list is its own."""
         takeover = self._takeovers.get(channel)
         if takeover is not None:
-            takeover.own_servers.setdefault(session, set()).add(box)
+            takeover.own_servers.setdefault(session, set()).add(server)
 
-    def gone(self, now: float, box: int) -> None:
+    def gone(self, now: float, server: int) -> None:
         """The server was removed from the list for good: its sessions have ended."""
         for takeover in list(self._takeovers.values()):
-            if box in takeover.boxes:
-                takeover.boxes[box].answered = True
-                takeover.answers[box] = ClaimResult(box, True, True, takeover.fence)
+            if server in takeover.servers:
+                takeover.servers[server].answered = True
+                takeover.answers[server] = ClaimResult(server, True, True, takeover.fence)
                 self._evaluate(now, takeover)
 
     def undecided(self, channel: str) -> dict[str, SessionStatus]:
@@ -232,7 +232,7 @@
     def next_deadline(self) -> float | None:
         deadlines: list[float] = []
         for takeover in self._takeovers.values():
-            deadlines += [box.claim_at for box in takeover.boxes.values() if not box.answered]
+            deadlines += [server.claim_at for server in takeover.servers.values() if not server.answered]
             if not takeover.active:
                 deadlines.append(takeover.started_at + self.rules.answer_timeout_ms)
             elif takeover.holding:
@@ -250,15 +250,15 @@
 
     def _send_claims(self, now: float, takeover: _ChannelTakeover) -> None:
         due = []
-        for number, box in takeover.boxes.items():
-            if box.answered or now < box.claim_at:
+        for number, server in takeover.servers.items():
+            if server.answered or now < server.claim_at:
                 continue
             if now >= takeover.started_at + self.rules.server_timeout_ms:
-                box.answered = True
+                server.answered = True
                 continue
             due.append(number)
             is_overdue = now >= takeover.hold_until + self.rules.doubt_ms
-            box.claim_at = now + (self.rules.slow_retry_ms if is_overdue else self.rules.retry_ms)
+            server.claim_at = now + (self.rules.slow_retry_ms if is_overdue else self.rules.retry_ms)
         if due:
             self._out.add(Claim(takeover.channel, takeover.fence, tuple(due), takeover.overlap_ms))
 
@@ -271,7 +271,7 @@
             self._out.add(HigherFenceFound(takeover.channel, result.higher_fence))
             return
         if not takeover.active:
-            waiting = any(box.required and not box.answered for box in takeover.boxes.values())
+            waiting = any(server.required and not server.answered for server in takeover.servers.values())
             if waiting and now < takeover.started_at + self.rules.answer_timeout_ms:
                 return
             takeover.active = True
@@ -286,13 +286,13 @@
         if takeover.holding and now >= takeover.hold_until:
             takeover.holding = False
             gap = 1_000.0 / self.rules.relists_per_s
-            takeover.relist_until = now + gap * len(takeover.boxes) + self.rules.answer_timeout_ms
+            takeover.relist_until = now + gap * len(takeover.servers) + self.rules.answer_timeout_ms
             if takeover.hold_until > takeover.started_at:
                 takeover.answers.clear()
-                for turn, box in enumerate(takeover.boxes.values()):
-                    box.answered, box.claim_at = False, now + turn * gap
+                for turn, server in enumerate(takeover.servers.values()):
+                    server.answered, server.claim_at = False, now + turn * gap
                 self._send_claims(now, takeover)
-        answered = all(box.answered for box in takeover.boxes.values())
+        answered = all(server.answered for server in takeover.servers.values())
         if not takeover.holding and (answered or now >= takeover.relist_until):
             takeover.in_flight.clear()
 
@@ -321,7 +321,7 @@
 
     def _possibly_moved(self, takeover: _ChannelTakeover) -> Container[str]:
         """Returns sessions that a silent server may have: all, or those in flight at a planned hand-off."""
-        if all(box.answered for box in takeover.boxes.values()):
+        if all(server.answered for server in takeover.servers.values()):
             return ()
         return takeover.in_flight_at_start if takeover.planned else takeover.statuses
 
@@ -330,7 +330,7 @@
         if takeover.holding:
             return []
         listed_attempts = {
-            box: {one[:2] for one in answers.sessions} for box, answers in takeover.answers.items()
+            server: {one[:2] for one in answer.sessions} for server, answer in takeover.answers.items()
         }
         return [
             status
@@ -347,22 +347,22 @@
         """Returns attempts to release. A later attempt of an adopted session may be this front's own."""
         new = []
         listed = [*result.give_up, *((one.box, one.session, one.attempt) for one in result.take)]
-        for box, session, attempt in listed:
-            own_servers = takeover.statuses.get(session)
-            if (box, session, attempt) in takeover.released or session in takeover.in_flight:
+        for server, session, attempt in listed:
+            own_status = takeover.statuses.get(session)
+            if (server, session, attempt) in takeover.released or session in takeover.in_flight:
                 continue
-            if own_servers is not None:
-                is_own = not self.rules.attempts_reported or box in takeover.own_servers.get(session, ())
-                if (box, attempt) == (own_servers.box, own_servers.attempt) or (
-                    attempt > own_servers.attempt and is_own
+            if own_status is not None:
+                is_own = not self.rules.attempts_reported or server in takeover.own_servers.get(session, ())
+                if (server, attempt) == (own_status.box, own_status.attempt) or (
+                    attempt > own_status.attempt and is_own
                 ):
                     continue
-            new.append((box, session, attempt))
+            new.append((server, session, attempt))
         takeover.released.update(new)
         return new
 
     def _finish(self, now: float, takeover: _ChannelTakeover) -> None:
-        if not takeover.holding and all(box.answered for box in takeover.boxes.values()):
+        if not takeover.holding and all(server.answered for server in takeover.servers.values()):
             unsettled = any(session not in takeover.decided for session in takeover.statuses)
             if not unsettled:
                 del self._takeovers[takeover.channel]
--- a/fernweir/peers/channel/takeover_pacing.py
+++ b/fernweir/peers/channel/takeover_pacing.py
@@ -48,15 +48,17 @@
     rules = rules or PacingRules()
     gap = 1_000.0 * max(successors, 1) / rules.claims_per_s
     capacity_free_at = attempts_free_at = 0.0
-    boxes: dict[int, float] = {}
+    servers: dict[int, float] = {}
     starts: list[tuple[float, str]] = []
     for loss in sorted(channels, key=lambda one: (-one.sessions, -one.age_ms, one.channel)):
-        start = max([capacity_free_at, attempts_free_at, *(boxes.get(box, 0.0) for box in loss.boxes)])
+        start = max(
+            [capacity_free_at, attempts_free_at, *(servers.get(server, 0.0) for server in loss.boxes)]
+        )
         starts.append((start, loss.channel))
         capacity_free_at = start + 1_000.0 * loss.sessions / rules.sessions_per_s
         attempts_free_at = start + 1_000.0 * loss.doubtful / rules.doubtful_per_s
-        for box in loss.boxes:
-            boxes[box] = start + gap
+        for server in loss.boxes:
+            servers[server] = start + gap
     jitter = Random(f"spread {seed}").uniform(0.0, min(1_000.0 / rules.claims_per_s, rules.deadline_ms / 4.0))
     longest = max((start for start, _ in starts), default=0.0)
     available_ms = rules.deadline_ms - jitter
--- a/tests/peers_mutants/channel.py
+++ b/tests/peers_mutants/channel.py
@@ -71,7 +71,7 @@
 HANDOFF += [
     _mutant(
         "the front's own moves are given up", "takeover",
-        "is_own = not self.rules.attempts_reported or box in takeover.own_servers.get(session, ())",
+        "is_own = not self.rules.attempts_reported or server in takeover.own_servers.get(session, ())",
         "is_own = False", 12,
     ),
     _mutant(
@@ -116,7 +116,7 @@
     ),
     _mutant(
         "boxes that no copy names are not claimed", "takeover",
-        "for box in sorted({*occupied, *listed}):", "for box in occupied:", 12, 2,
+        "for server in sorted({*occupied, *listed}):", "for server in occupied:", 12, 2,
     ),
 
 ]  # fmt: skip
