--- a/bench/peers_channel.py
+++ b/bench/peers_channel.py
@@ -26,10 +26,10 @@
 from fernweir.peers.channel.takeover_pacing import LostChannel, schedule_takeovers
 from fernweir.peers.port import ClaimResult, SessionStatus
 
-WAY_MS = (0.3, 2.0)  # between fronts, and between a front and a box
+WAY_MS = (0.3, 2.0)  # between fronts, and between a front and a server
 BOXES = 30
 PAYLOADS = 20  # distinct ones
-QUORUM_MS = 4.0  # a lease from a majority of keepers: two ways there and back
+QUORUM_MS = 4.0  # a lease from a majority of keepers: two round trips
 
 
 def sessions_of(count: int, parts: int, seed: int) -> dict[str, list[SessionStatus]]:
@@ -49,12 +49,12 @@
 
 
 def payload_of(number: int) -> bytes:
-    """What a lesson's viewers are answered from, of a usual size."""
+    """Returns the payload of a title, of a usual size."""
     return Random(f"payload {number}").randbytes(6_000)
 
 
 class Paths:
-    """Messages between machines take their time; all bytes are counted by kind and direction."""
+    """The network with its delays; counts all bytes by message kind and sender."""
 
     def __init__(self, seed: int) -> None:
         self.rng, self.now, self.count = Random(f"paths {seed}"), 0.0, 0
@@ -75,7 +75,7 @@
         self.after(when - self.now, lambda: to.on_message(self.now, sender, effect.message))
 
     def step(self, until: float, parts: dict[str, Any]) -> bool:
-        """On to the next thing that is due; False if that is later than `until`."""
+        """Advances to the next event. Returns False if that is later than `until`."""
         deadlines = [due for part in parts.values() if (due := part.next_deadline()) is not None]
         if self.queue:
             deadlines.append(self.queue[0][0])
@@ -92,7 +92,7 @@
         return True
 
 
-def copying(count: int, parts_of: int, seed: int, every_s: float) -> None:
+def measure_replication(count: int, parts_of: int, seed: int, every_s: float) -> None:
     """An owner and two standbys for a minute; each session's rung changes once in `every_s` on average."""
     channels, rng = sessions_of(count, parts_of, seed), Random(f"changes {seed}")
     paths, payloads = Paths(seed), {payload_digest(payload_of(n)): payload_of(n) for n in range(PAYLOADS)}
@@ -130,18 +130,18 @@
         if (copy := parts["b"].find_replica(channel)) is not None
     ]
     total = paths.bytes - first
-    told = sum(size for kind, size in total.items() if kind.startswith("owner"))
-    heard = sum(total.values()) - told
+    owner_bytes = sum(size for kind, size in total.items() if kind.startswith("owner"))
+    standby_bytes = sum(total.values()) - owner_bytes
     label = f"a rung changed every {every_s:g} s" if every_s else "nothing changed"
     print(
         f"copies, {count} sessions, {len(channels)} channels, 2 standbys, {label}: owner sends "
-        f"{told / 60.0:,.0f} B/s, standbys answer {heard / 60.0:,.0f} B/s; at the start "
+        f"{owner_bytes / 60.0:,.0f} B/s, standbys answer {standby_bytes / 60.0:,.0f} B/s; at the start "
         f"{sum(first.values()):,} B; oldest copy {max(ages):.0f} ms"
     )
 
 
-def handing(count: int, parts_of: int, seed: int) -> None:
-    """A front hands all on to three heirs in turn; a lease takes a majority's two ways, a claim one."""
+def measure_handoff(count: int, parts_of: int, seed: int) -> None:
+    """A front hands all channels off to three targets; a lease takes two round trips, a claim one."""
     channels = sessions_of(count, parts_of, seed)
     paths, rng = Paths(seed), Random(f"handing {seed}")
     targets = ["b", "c", "d"]
@@ -149,7 +149,7 @@
         name: Handoff(name, None, seed, listed=lambda: range(BOXES)) for name in ["a", *targets]
     }
     frozen: dict[str, float] = {}
-    acts: dict[str, float] = {}
+    active: dict[str, float] = {}
     done: dict[str, float] = {}
     for turn, (channel, statuses) in enumerate(channels.items()):
         order = targets[turn % 3 :] + targets[: turn % 3]
@@ -159,9 +159,9 @@
         mine = tuple(
             (one.session, one.attempt, one.rung) for one in channels[event.channel] if one.box == box
         )
-        told = ClaimResult(box, True, True, event.fence, mine)
+        owner_bytes = ClaimResult(box, True, True, event.fence, mine)
         way = rng.uniform(*WAY_MS) + rng.uniform(*WAY_MS)
-        paths.after(way, lambda: parts[name].on_claimed(paths.now, event.channel, told))
+        paths.after(way, lambda: parts[name].on_claimed(paths.now, event.channel, owner_bytes))
 
     def event(name: str, effect: Any) -> None:
         if isinstance(effect, Freeze):
@@ -174,7 +174,7 @@
             for box in effect.boxes:
                 claim(name, effect, box)
         elif isinstance(effect, Inherited):
-            acts[effect.channel] = paths.now
+            active[effect.channel] = paths.now
         elif isinstance(effect, OverlapOver):
             done[effect.channel] = paths.now
         elif isinstance(effect, NoSuccessor):
@@ -189,16 +189,16 @@
                 else:
                     event(name, effect)
         more = paths.step(10_000.0, parts)
-    gaps = [acts[channel] - frozen[channel] for channel in channels]
+    gaps = [active[channel] - frozen[channel] for channel in channels]
     print(
         f"hand-off, {count} sessions in {len(channels)} channels to 3 heirs: the last heir acts after "
-        f"{max(acts.values()):.0f} ms, longest without an owner who steers {max(gaps):.0f} ms, overlap at "
+        f"{max(active.values()):.0f} ms, longest without an owner who steers {max(gaps):.0f} ms, overlap at "
         f"most {max(done[one] - frozen[one] for one in channels):.0f} ms, {sum(paths.bytes.values()):,} B"
     )
 
 
-def inheriting(count: int, parts_of: int, seed: int) -> None:
-    """Of 30 fronts with as many sessions each one goes: who has what then, and when it is taken over."""
+def measure_succession(count: int, parts_of: int, seed: int) -> None:
+    """One of 30 fronts with similar loads is lost: the new owners, and the times of the takeovers."""
     rng, rules = Random(f"inheriting {seed}"), SuccessorRules()
     fronts = [Candidate(f"f{n}", rng.randrange(count - 60, count + 60), 1e6) for n in range(28)]
     fronts += [Candidate("f28", 0, 1_000.0), Candidate("f29", 20, 6_000.0)]
@@ -264,9 +264,9 @@
 def main(sessions: int, channels: int, seed: int) -> None:
     print("simulated, bytes of encoded messages without frames and seals")
     for every_s in (0.0, 30.0, 10.0, 2.0):
-        copying(sessions, channels, seed, every_s)
-    handing(sessions, channels, seed)
-    inheriting(sessions, channels, seed)
+        measure_replication(sessions, channels, seed, every_s)
+    measure_handoff(sessions, channels, seed)
+    measure_succession(sessions, channels, seed)
 
 
 if __name__ == "__main__":
--- a/tests/peers_mutants/channel.py
+++ b/tests/peers_mutants/channel.py
@@ -1,4 +1,4 @@
-"""Mistakes in `peers.channel`; each names the drawn day that must find it."""
+"""Mutants of `peers.channel`, grouped by the simulation that must find them."""
 
 from __future__ import annotations
 
--- a/tests/test_peers_channel.py
+++ b/tests/test_peers_channel.py
@@ -1,8 +1,8 @@
-"""Channels' copies and hand-off under lost, doubled, late and overtaken messages, stops, kills and cuts.
+"""Replication and hand-off of channels under message faults, stops, kills and partitions.
 
-One simulator of fronts, boxes and the lease on virtual time, driven by a seed. After each step it holds what
-boxes accepted, what standbys have and what fronts steer against small models of its own. `Mods` loads the
-program's modules, so that the same days are played with mistakes put in.
+A seeded simulator of fronts, servers and leases on virtual time. After each step it compares what servers
+accepted, what standbys have and what fronts steer with small models. `Modules` loads the modules of the
+package, so that the same runs can be repeated with mutants.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 PACKAGE = "fernweir.peers.channel"
 
 
-class Mods:
-    """The part's modules as they are now: with the mistake, inside `broken`."""
+class Modules:
+    """The current modules of the package: inside `broken`, with the mutant."""
 
     def __init__(self) -> None:
         for name in (
@@ -53,20 +53,20 @@
 
 
 @dataclass
-class Weather:
-    """What the paths between fronts do. Times in ms."""
+class NetworkConditions:
+    """The behaviour of the paths between fronts. Times in ms."""
 
     loss: float = 0.0
-    double: float = 0.0
-    late: float = 0.0  # share of messages that are two seconds late
+    duplicate: float = 0.0
+    late: float = 0.0  # share of messages that are delayed by two seconds
     delay: float = 3.0
 
 
 class Net:
-    """Fronts' paths and clocks. `whole` messages of a pair keep their order, but broken ones lose some."""
+    """The network and its clock. Reliable messages of a pair keep their order, but some may be lost."""
 
-    def __init__(self, mods: Mods, seed: int, weather: Weather) -> None:
-        self.mods, self.rng, self.weather = mods, Random(f"net {seed}"), weather
+    def __init__(self, mods: Modules, seed: int, conditions: NetworkConditions) -> None:
+        self.mods, self.rng, self.conditions = mods, Random(f"net {seed}"), conditions
         self.now = 0.0
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.count = 0
@@ -88,12 +88,12 @@
         if (
             (sender, to) in self.cuts
             or to in self.dead
-            or self.rng.random() < self.weather.loss * (0.5 if complete else 1)
+            or self.rng.random() < self.conditions.loss * (0.5 if complete else 1)
         ):
             return
-        for _ in range(1 + (not complete and self.rng.random() < self.weather.double)):
-            when = self.now + self.rng.uniform(0.2, self.weather.delay)
-            if self.rng.random() < self.weather.late:
+        for _ in range(1 + (not complete and self.rng.random() < self.conditions.duplicate)):
+            when = self.now + self.rng.uniform(0.2, self.conditions.delay)
+            if self.rng.random() < self.conditions.late:
                 when += 2_000.0
             if complete:
                 when = max(when, self.last.get((sender, to), 0.0))
@@ -112,23 +112,23 @@
             what()
 
 
-# --- copies against a model: a copy is always a state that the owner had ---
+# --- replication against a model: a replica always equals a state of its owner ---
 
 
-class CopyDay:
-    """An owner of a channel with standbys that are stopped, begin anew, are cut off; the fence changes hands.
+class ReplicationRun:
+    """An owner of a channel with standbys that are stopped, restarted and partitioned; ownership changes.
 
-    The model: `history`, all states the owner of each fence had, with their times.
+    The model is `history`: all states of the owner of each fence, with their times.
     """
 
     CHANNEL = "a:1/0"
 
-    def __init__(self, mods: Mods, seed: int, rules: Any = None) -> None:
+    def __init__(self, mods: Modules, seed: int, rules: Any = None) -> None:
         self.mods, self.rng = mods, Random(f"copies {seed}")
         self.rough = self.rng.random() < 0.6
         late = 0.15 if self.rough else self.rng.choice([0.0, 0.05])
-        weather = Weather(self.rng.choice([0.0, 0.1, 0.3]), 0.2, late)
-        self.net = Net(mods, seed, weather)
+        conditions = NetworkConditions(self.rng.choice([0.0, 0.1, 0.3]), 0.2, late)
+        self.net = Net(mods, seed, conditions)
         self.rules = rules or mods.rules.ReplicaRules(
             message_bytes=400, backlog_bytes=1_500, window=3, keep_ms=100_000.0, max_snapshot_age_ms=3_000.0
         )
@@ -155,10 +155,10 @@
         )
 
     def act(self) -> None:
-        """Something happens: mostly a change at the owner."""
+        """Performs a random action, mostly a change at the owner."""
         kind, now = self.rng.random(), self.clock(self.owner)
         if self.rough and self.rng.random() < 0.06:
-            self.hand_on()
+            self.hand_off()
         elif kind < 0.9 and self.owner not in self.net.stopped:
             session = f"s{self.rng.randrange(24)}"
             self.stamp += 1
@@ -185,16 +185,18 @@
             elif len(self.net.stopped) < 1:
                 self.net.stopped.add(name)
         else:
-            self.hand_on()
+            self.hand_off()
 
-    def hand_on(self) -> None:
-        """A standby with a whole copy becomes the owner; the old one, maybe stopped, knows nothing."""
+    def hand_off(self) -> None:
+        """Makes a standby with a complete replica the owner, without notice to the old one."""
         able = []
         for name in "abc":
             copy = self.parts[name].find_replica(self.CHANNEL) if name not in self.net.stopped else None
             if name != self.owner and copy is not None and copy.complete and copy.fence == self.fence:
                 able.append((name, copy))
-        if self.owner not in self.net.stopped and self.rng.random() < 0.4:  # lost its lease, got another
+        if (
+            self.owner not in self.net.stopped and self.rng.random() < 0.4
+        ):  # the owner loses its lease and gets a new one
             self.fence += 1
             self.history[self.fence] = [(self.net.now, dict(self.state))]
             self.parts[self.owner].own(self.clock(self.owner), self.CHANNEL, self.fence, self.state.values())
@@ -241,10 +243,10 @@
                 if self.net.now - states[index + 1][0] > age * 1.02 + 1.0:
                     self.faults.append(f"{name} believes its copy to be {age:.0f} ms old: it is older")
 
-    def run(self, ms: float, acts: bool = True) -> None:
+    def run(self, ms: float, with_actions: bool = True) -> None:
         until, next_act = self.net.now + ms, self.net.now
         while self.net.now < until and not self.faults:
-            if acts and self.net.now >= next_act:
+            if with_actions and self.net.now >= next_act:
                 self.act()
                 next_act = self.net.now + self.rng.expovariate(1 / 60.0)
             while self.net.queue and self.net.queue[0][0] <= self.net.now:
@@ -254,12 +256,12 @@
             self.net.now += 7.0
 
     def quiet(self) -> None:
-        """All faults end; then every standby's copy is the owner's state, and young."""
+        """Ends all faults; then every replica must equal the state of the owner and be fresh."""
         self.net.cuts.clear()
         for name in list(self.net.stopped):
             self.net.wake(name)
-        self.net.weather = Weather()
-        self.run(9_000.0, acts=False)
+        self.net.conditions = NetworkConditions()
+        self.run(9_000.0, with_actions=False)
         for name, part in self.parts.items():
             if name == self.owner or self.faults:
                 continue
@@ -270,8 +272,8 @@
                 self.faults.append(f"{name}'s copy is {copy.age_ms(self.clock(name)):.0f} ms old in quiet")
 
 
-def copy_day(mods: Mods, seed: int) -> list[str]:
-    day = CopyDay(mods, seed)
+def replication_run(mods: Modules, seed: int) -> list[str]:
+    day = ReplicationRun(mods, seed)
     day.run(12_000.0)
     if not day.faults:
         day.quiet()
@@ -280,26 +282,26 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_a_copy_is_always_a_state_the_owner_had_and_knows_its_age(seed: int) -> None:
-    assert copy_day(Mods(), seed) == []
+    assert replication_run(Modules(), seed) == []
 
 
-# --- hand-off and taking over, with a lease authority and boxes of our own ---
+# --- hand-off and takeover, with a simulated lease authority and servers ---
 
 LEASE = 1_500.0
 OVERLAP = 400.0
-WAY = 40.0  # the longest way between a front and a box, ms
+WAY = 40.0  # the longest delay between a front and a server, ms
 
 
 @dataclass
-class Box:
-    """Keeps the highest fence of each channel, and refuses lower ones when their overlap is over."""
+class Server:
+    """A server. It stores the fences of each channel and rejects lower ones after their overlap."""
 
     number: int
     dead: bool = False
-    deaf_until: float = 0.0  # no claim reaches it before
+    deaf_until: float = 0.0  # no claim reaches it before this time
     fences: dict[str, list[tuple[int, float]]] = field(
         default_factory=dict
-    )  # fence, until when lower ones do
+    )  # fence, and until when lower ones are accepted
     sessions: dict[str, tuple[str, int, int]] = field(default_factory=dict)  # id: channel, attempt, rung
 
     def accepts(self, now: float, channel: str, fence: int) -> bool:
@@ -318,8 +320,8 @@
         return True, fence, mine
 
 
-class Oracle:
-    """One authority for leases. A grant ends `LEASE` after it was last renewed, by its own time."""
+class LeaseAuthority:
+    """A central lease authority. A lease expires `LEASE` after its last renewal."""
 
     def __init__(self, net: Net) -> None:
         self.net = net
@@ -357,17 +359,17 @@
 
 
 @dataclass
-class Owned:
+class OwnedState:
     fence: int
     until: float
     sessions: dict[str, Any] = field(default_factory=dict)
-    out: dict[str, tuple[int, int]] = field(default_factory=dict)  # session: box, attempt
+    out: dict[str, tuple[int, int]] = field(default_factory=dict)  # session: server, attempt
 
 
 class Front:
-    """What joins the parts at a front, as small as it can be."""
+    """A minimal front that connects replication and hand-off."""
 
-    def __init__(self, world: World, name: str) -> None:
+    def __init__(self, world: Simulation, name: str) -> None:
         self.world, self.name, self.mods = world, name, world.mods
         rules = self.mods.rules
         takeover = self.mods.takeover.Takeover(
@@ -388,7 +390,7 @@
             ),
             world.rng.getrandbits(30), takeover, lambda: range(len(world.boxes)), self.replica.fence,
         )  # fmt: skip
-        self.owned: dict[str, Owned] = {}
+        self.owned: dict[str, OwnedState] = {}
         self.tried: dict[str, float] = {}
         self.renew_at = 0.0
         self.closed = False
@@ -398,11 +400,11 @@
 
     # steering
 
-    def may(self, channel: str, owned: Owned) -> bool:
+    def may(self, channel: str, owned: OwnedState) -> bool:
         return self.clock() < owned.until and bool(self.handoff.may_steer(channel))
 
     def steer(self) -> None:
-        """One of: a rung changes, a further attempt at another box, a session ends."""
+        """Changes a rung, starts an attempt at another server, or ends a session."""
         rng = self.world.rng
         for channel, owned in list(self.owned.items()):
             if not owned.sessions or not self.may(channel, owned) or rng.random() < 0.5:
@@ -414,7 +416,7 @@
             if what < 0.6:
                 rung = (one.rung + 1) % 5
                 self.world.order(self.name, channel, owned.fence, one.box, session, one.attempt, rung, "rung")
-                self.know(channel, msgspec.structs.replace(one, rung=rung))
+                self.record(channel, msgspec.structs.replace(one, rung=rung))
             elif what < 0.95:
                 box = rng.choice([box.number for box in self.world.boxes if box.number != one.box])
                 owned.out[session] = (box, one.attempt + 1)
@@ -425,9 +427,9 @@
             else:
                 self.world.ended.add(session)
                 self.world.order(self.name, channel, owned.fence, one.box, session, one.attempt, 0, "end")
-                self.know(channel, None, session)
+                self.record(channel, None, session)
 
-    def know(self, channel: str, status: Any, session: str = "") -> None:
+    def record(self, channel: str, status: Any, session: str = "") -> None:
         owned, now = self.owned[channel], self.clock()
         if status is None:
             owned.sessions.pop(session, None)
@@ -439,7 +441,7 @@
             self.handoff.change(now, channel, status)
 
     def setup_ended(self, channel: str, session: str, box: int, attempt: int, good: bool) -> None:
-        """An attempt's end; good or not, what is not the session's any more is released at its box."""
+        """Handles the end of an attempt, and releases what no longer belongs to the session."""
         owned = self.owned.get(channel)
         if owned is None or owned.out.pop(session, None) != (box, attempt):
             return
@@ -447,7 +449,7 @@
         one = owned.sessions.get(session)
         if not good or not allowed or one is None:
             return
-        self.know(channel, msgspec.structs.replace(one, box=box, attempt=attempt))
+        self.record(channel, msgspec.structs.replace(one, box=box, attempt=attempt))
         self.world.order(self.name, channel, owned.fence, one.box, session, one.attempt, 0, "end")
 
     # events
@@ -457,12 +459,12 @@
         if kind == "WantLease":
             if self.closed and effect.channel not in self.handoff.outgoing():
                 world.faults.append(f"{self.name} takes {effect.channel}, and takes nothing")
-            world.oracle.wants[(effect.channel, self.name)] = effect.floor
+            world.authority.wants[(effect.channel, self.name)] = effect.floor
         elif kind == "AbandonLease":
-            world.oracle.wants.pop((effect.channel, self.name), None)
+            world.authority.wants.pop((effect.channel, self.name), None)
         elif kind == "ReleaseLease":
-            world.oracle.release(effect.channel, self.name)
-            world.let_go[(effect.channel, self.name)] = world.net.now
+            world.authority.release(effect.channel, self.name)
+            world.released_at[(effect.channel, self.name)] = world.net.now
         elif kind == "Freeze":
             owned = self.owned[effect.channel]
             self.handoff.on_frozen(now, effect.channel, list(owned.out))
@@ -480,7 +482,7 @@
             self.begin(effect.channel, effect.fence, statuses)
         elif kind in ("HandoffFinished", "HigherFenceFound"):
             self.forget(effect.channel)
-        elif kind == "Outdated":  # in the overlap that is as it should be
+        elif kind == "Outdated":  # expected during the overlap
             if effect.channel not in self.handoff.outgoing():
                 self.forget(effect.channel)
         elif kind == "Lapsed":
@@ -503,8 +505,8 @@
             self.world.order(self.name, effect.channel, owned.fence, box, session, attempt, 0, "end")
 
     def begin(self, channel: str, fence: int, statuses: dict[str, Any]) -> None:
-        """The lease is here, by the unplanned way or back from an heir that does not act."""
-        self.owned[channel] = Owned(fence, self.clock() + LEASE * 0.97)
+        """Starts a takeover with a lease, after a loss or back from a target that is not active."""
+        self.owned[channel] = OwnedState(fence, self.clock() + LEASE * 0.97)
         self.handoff.takeover.begin(
             self.clock(), channel, fence, statuses, listed=range(len(self.world.boxes))
         )
@@ -515,16 +517,16 @@
             self.replica.cede(self.clock(), channel)
 
     def claimed(self, channel: str, told: Any) -> None:
-        self.look_at_leases()
+        self.check_leases()
         self.handoff.on_claimed(self.clock(), channel, told)
 
     def granted(self, channel: str, fence: int) -> None:
-        self.world.oracle.wants.pop((channel, self.name), None)
+        self.world.authority.wants.pop((channel, self.name), None)
         if self.handoff.on_lease_acquired(self.clock(), channel, fence):
-            self.owned[channel] = Owned(fence, self.clock() + LEASE * 0.97)
+            self.owned[channel] = OwnedState(fence, self.clock() + LEASE * 0.97)
             return
         if channel in self.handoff.outgoing():
-            self.world.oracle.release(channel, self.name)
+            self.world.authority.release(channel, self.name)
             return
         copy = self.replica.find_replica(channel)
         statuses = dict(copy.statuses) if copy is not None else {}
@@ -532,8 +534,8 @@
 
     # time
 
-    def look_at_leases(self) -> None:
-        """Before anything else: a front that stood still must not act on what it meant to do."""
+    def check_leases(self) -> None:
+        """Runs before anything else: a front that was stopped must not continue with expired leases."""
         now = self.clock()
         for channel, owned in list(self.owned.items()):
             frozen = channel in self.handoff.outgoing() and not self.handoff.may_steer(channel)
@@ -543,11 +545,11 @@
 
     def tick(self) -> None:
         now, world = self.clock(), self.world
-        self.look_at_leases()
+        self.check_leases()
         if now >= self.renew_at:
             self.renew_at = now + 150.0
             for channel, owned in self.owned.items():
-                if world.oracle.renew(channel, self.name, owned.fence):
+                if world.authority.renew(channel, self.name, owned.fence):
                     owned.until = now + LEASE * 0.97
         for part in (self.handoff, self.replica):
             due = part.next_deadline()
@@ -556,23 +558,23 @@
         self.inherit()
 
     def inherit(self) -> None:
-        """Channels whose lease lapsed are tried for by who has a copy, in the order of heirs."""
+        """Requests lapsed leases of channels with a replica, in the order of successors."""
         world = self.world
         for channel in world.channels:
-            holder = world.oracle.held.get(channel)
+            holder = world.authority.held.get(channel)
             lapsed = holder is None or holder[2] <= world.net.now
             busy = channel in self.handoff.outgoing() or channel in self.handoff.incoming()
-            if not lapsed or busy or (channel, self.name) in world.oracle.wants:
+            if not lapsed or busy or (channel, self.name) in world.authority.wants:
                 self.tried.pop(channel, None)
                 continue
             self.tried.setdefault(channel, world.net.now)
-            order = world.order_of(channel)
-            wait = 500.0 if holder is not None else 3_000.0  # what was let go of has an heir
+            order = world.successor_order(channel)
+            wait = 500.0 if holder is not None else 3_000.0  # a released lease has a target
             if self.replica.find_replica(channel) is None:
                 wait += 4_000.0
             wait += self.mods.successor_selection.wait_ms(order.index(self.name) if self.name in order else 9)
             if world.net.now >= self.tried[channel] + wait:
-                world.oracle.wants[(channel, self.name)] = self.replica.fence(channel)
+                world.authority.wants[(channel, self.name)] = self.replica.fence(channel)
 
     def pump(self) -> None:
         for part in (self.handoff, self.replica):
@@ -586,26 +588,33 @@
                     self.event(effect)
 
 
-class World:
-    """Four fronts, five boxes; `a` owns a few channels and hands them on while things break."""
+class Simulation:
+    """Four fronts and five servers. Front `a` owns some channels and hands them off under faults."""
 
     def __init__(
-        self, mods: Mods, seed: int, weather: Weather | None = None, channels: int = 2, size: int = 8
+        self,
+        mods: Modules,
+        seed: int,
+        conditions: NetworkConditions | None = None,
+        channels: int = 2,
+        size: int = 8,
     ) -> None:
         self.mods, self.rng = mods, Random(f"world {seed}")
-        self.net = Net(mods, seed, weather or Weather())
-        self.boxes = [Box(number) for number in range(5)]
+        self.net = Net(mods, seed, conditions or NetworkConditions())
+        self.boxes = [Server(number) for number in range(5)]
         self.rate = {name: self.rng.uniform(0.995, 1.005) for name in "abcd"}
-        self.oracle = Oracle(self.net)
+        self.authority = LeaseAuthority(self.net)
         self.channels = [f"a:1/{part}" for part in range(channels)]
         self.faults: list[str] = []
         self.ended: set[str] = set()
         self.broken_at: float | None = None
-        self.steered: dict[str, dict[int, float]] = {}  # channel: fence: first steering that a box accepted
-        self.takers: dict[tuple[str, str], int] = {}
-        self.let_go: dict[tuple[str, str], float] = {}  # when a front first let go of a channel's lease
+        self.steered: dict[
+            str, dict[int, float]
+        ] = {}  # channel: fence: first steering that a server accepted
+        self.adopted_fences: dict[tuple[str, str], int] = {}
+        self.released_at: dict[tuple[str, str], float] = {}  # when a front first released a channel's lease
         self.fronts: dict[str, Front] = {name: Front(self, name) for name in "abcd"}
-        self.born: dict[str, float] = {}
+        self.started: dict[str, float] = {}
         for channel in self.channels:
             statuses = {}
             for n in range(size):
@@ -613,10 +622,10 @@
                 box = self.rng.randrange(5)
                 statuses[session] = mods.status(session, box)
                 self.boxes[box].sessions[session] = (channel, 0, 0)
-            self.oracle.highest[channel] = 1
-            self.oracle.held[channel] = ("a", 1, LEASE)
+            self.authority.highest[channel] = 1
+            self.authority.held[channel] = ("a", 1, LEASE)
             front = self.fronts["a"]
-            front.owned[channel] = Owned(1, LEASE * 0.97, dict(statuses))
+            front.owned[channel] = OwnedState(1, LEASE * 0.97, dict(statuses))
             front.replica.own(front.clock(), channel, 1, statuses.values())
             front.replica.standbys(front.clock(), channel, self.standbys(channel, "a"))
             for box in self.boxes:
@@ -625,13 +634,13 @@
     def hand(self, sender: str, to: str) -> Callable[[Any], None]:
         def heard(message: Any) -> None:
             front = self.fronts[to]
-            front.look_at_leases()
+            front.check_leases()
             front.handoff.on_message(front.clock(), sender, message)
             front.replica.on_message(front.clock(), sender, message)
 
         return heard
 
-    def order_of(self, channel: str) -> list[str]:
+    def successor_order(self, channel: str) -> list[str]:
         fit = [
             self.mods.successor_selection.Candidate(name, 0, 1e9)
             for name in "abcd"
@@ -640,24 +649,32 @@
         return list(self.mods.successor_selection.standbys(channel, fit, 4))
 
     def standbys(self, channel: str, owner: str) -> list[str]:
-        return [name for name in self.order_of(channel) if name != owner][:2]
+        return [name for name in self.successor_order(channel) if name != owner][:2]
 
-    # --- boxes ---
+    # --- servers ---
 
     def order(
         self, front: str, channel: str, fence: int, box: int, session: str, attempt: int, rung: int, what: str
     ) -> None:
-        """A front's word to a box, on its way; what the box did comes back to who set up."""
+        """Sends a command to a server; the result of a set-up returns to its front."""
         if self.rng.random() < 0.02 and what == "rung":
             return
         slow = what == "setup" and self.rng.random() < 0.4
         at = self.net.now + self.rng.uniform(1.0, 350.0 if slow else 20.0)
         self.net.at(
-            at, lambda: self.obey(front, channel, fence, self.boxes[box], session, attempt, rung, what)
+            at, lambda: self.execute(front, channel, fence, self.boxes[box], session, attempt, rung, what)
         )
 
-    def obey(
-        self, front: str, channel: str, fence: int, box: Box, session: str, attempt: int, rung: int, what: str
+    def execute(
+        self,
+        front: str,
+        channel: str,
+        fence: int,
+        box: Server,
+        session: str,
+        attempt: int,
+        rung: int,
+        what: str,
     ) -> None:
         if box.dead:
             return
@@ -694,10 +711,10 @@
 
         self.net.at(self.net.now + self.rng.uniform(1.0, 20.0), reach)
 
-    # --- what must hold ---
+    # --- invariants ---
 
     def accepted(self, front: str, channel: str, fence: int, session: str) -> None:
-        """Steering by a lower fence only within the bound after steering under a higher one began."""
+        """Checks that a lower fence steers only within the overlap after a higher one started to."""
         first = self.steered.setdefault(channel, {})
         first.setdefault(fence, self.net.now)
         for higher, since in first.items():
@@ -708,10 +725,10 @@
                 )
 
     def taken(self, front: str, channel: str, fence: int, one: Any) -> None:
-        known = self.takers.get((channel, one.session))
+        known = self.adopted_fences.get((channel, one.session))
         if known is not None and known >= fence:
             self.faults.append(f"{one.session} taken twice under {fence}")
-        self.takers[(channel, one.session)] = fence
+        self.adopted_fences[(channel, one.session)] = fence
 
     def check(self) -> None:
         for channel in self.channels:
@@ -721,7 +738,7 @@
                 running = name not in self.net.stopped and name not in self.net.dead
                 if running and owned is not None and front.may(channel, owned):
                     steering.append(name)
-                since = self.let_go.get((channel, name), self.net.now) + OVERLAP * 1.01 + 5.0
+                since = self.released_at.get((channel, name), self.net.now) + OVERLAP * 1.01 + 5.0
                 if running and self.net.now > since and front.handoff.may_finish(front.clock(), channel):
                     self.faults.append(f"{name} finishes in {channel} past its bound")
             if len(steering) > 1:
@@ -735,7 +752,7 @@
         running = [name for name in "abcd" if name not in self.net.stopped and name not in self.net.dead]
         for name in running:
             self.fronts[name].tick()
-        self.oracle.step(lambda name, c, f: self.fronts[name].granted(c, f), self.refused)
+        self.authority.step(lambda name, c, f: self.fronts[name].granted(c, f), self.refused)
         self.pump()
         self.check()
 
@@ -748,7 +765,7 @@
         front = self.fronts[name]
         front.handoff.on_lease_taken(front.clock(), channel, by, fence)
         if channel not in front.handoff.outgoing():
-            self.oracle.wants.pop((channel, name), None)
+            self.authority.wants.pop((channel, name), None)
 
     def run(self, ms: float, steering: bool = True) -> None:
         until = self.net.now + ms
@@ -767,23 +784,23 @@
                     self.net.now + 300.0, lambda front=front: front.handoff.on_peer_died(front.clock(), name)
                 )
 
-    def hand_on(self, name: str, successors: str = "bcd") -> None:
+    def hand_off(self, name: str, successors: str = "bcd") -> None:
         front = self.fronts[name]
         for channel, owned in front.owned.items():
             if front.may(channel, owned):
                 front.handoff.offer(front.clock(), channel, owned.fence, owned.sessions, list(successors))
 
     def end(self, ms: float = 14_000.0) -> None:
-        """Faults are over; each session is in one place, at its box and at the channel's owner, or over."""
+        """Ends all faults; each session must be at one server and at the owner of its channel, or ended."""
         self.net.cuts.clear()
         for name in list(self.net.stopped):
             self.net.wake(name)
-        self.net.weather = Weather()
+        self.net.conditions = NetworkConditions()
         self.run(ms, steering=False)
         if self.faults:
             return
         for channel in self.channels:
-            holder = self.oracle.held.get(channel)
+            holder = self.authority.held.get(channel)
             if holder is None or holder[0] in self.net.dead:
                 self.faults.append(f"{channel} has no owner in the end")
                 continue
@@ -803,23 +820,27 @@
                             self.faults.append(f"{session} stands at two boxes")
                         listed[session] = (box.number, attempt)
             if listed != stands:
-                odd = {s: (stands.get(s), listed.get(s)) for s in stands.keys() | listed.keys()}
-                odd = {s: both for s, both in odd.items() if both[0] != both[1]}
-                self.faults.append(f"{channel}: at {holder[0]} and at boxes differ: {odd}")
+                odd_value = {s: (stands.get(s), listed.get(s)) for s in stands.keys() | listed.keys()}
+                odd_value = {s: both for s, both in odd_value.items() if both[0] != both[1]}
+                self.faults.append(f"{channel}: at {holder[0]} and at boxes differ: {odd_value}")
 
 
-def drawn_day(mods: Mods, seed: int) -> list[str]:
-    """Hand-offs while what is drawn breaks: stops, kills, cuts, a dead box, lost and late messages."""
+def random_run(mods: Modules, seed: int) -> list[str]:
+    """Hand-offs under random stops, kills, partitions, a dead server, lost and late messages."""
     rng = Random(f"day {seed}")
-    weather = Weather(rng.choice([0.0, 0.1, 0.3]), rng.choice([0.0, 0.3]), rng.choice([0.0, 0.03]))
-    world = World(mods, seed, weather)
+    conditions = NetworkConditions(
+        rng.choice([0.0, 0.1, 0.3]), rng.choice([0.0, 0.3]), rng.choice([0.0, 0.03])
+    )
+    world = Simulation(mods, seed, conditions)
     world.run(rng.uniform(300.0, 900.0))
-    started = set().union(*(standing_for(world, channel) for channel in world.channels))
+    started = set().union(*(running_sessions(world, channel) for channel in world.channels))
     killed = closed = 0
-    calm = rng.random() < 0.5  # what was out when the first thing broke is the last that was done
+    calm = rng.random() < 0.5  # no steering after the first fault
     copied = all(any(f.replica.find_replica(c) for f in world.fronts.values()) for c in world.channels)
     for _ in range(rng.randrange(1, 4)):
-        owners = sorted({held[0] for held in world.oracle.held.values()} - world.net.dead - world.net.stopped)
+        owners = sorted(
+            {held[0] for held in world.authority.held.values()} - world.net.dead - world.net.stopped
+        )
         if owners and rng.random() < 0.8:
             name = rng.choice(owners)
             others = [one for one in "abcd" if one != name and one not in world.net.dead]
@@ -828,7 +849,7 @@
                 closed, shut = 1, world.fronts[others[0]]
                 shut.closed = True
                 shut.handoff.set_capacity(100, "late")
-            world.hand_on(name, "".join(others))
+            world.hand_off(name, "".join(others))
             world.run(rng.choice([0.0, rng.uniform(0.0, 60.0), rng.uniform(0.0, 700.0)]), not calm)
         what, name = rng.random(), rng.choice(owners or ["a"])
         victim = name if rng.random() < 0.6 else rng.choice("abcd")
@@ -848,24 +869,24 @@
     complete = copied and not world.net.cuts and killed < 2 and not any(box.dead for box in world.boxes)
     if not world.faults:
         world.end()
-    now = set().union(*(standing_for(world, channel) for channel in world.channels))
+    now = set().union(*(running_sessions(world, channel) for channel in world.channels))
     if not world.faults and complete and started - now - world.ended:
         world.faults.append(f"{sorted(started - now - world.ended)} are lost, and nobody ended them")
     return world.faults
 
 
-def short_day(mods: Mods, seed: int) -> list[str]:
-    """One channel, much on its way, and one change of owner: handed on, killed, or both at once."""
+def short_run(mods: Modules, seed: int) -> list[str]:
+    """One channel with many commands in flight, and one hand-off, kill, or both at once."""
     rng = Random(f"short {seed}")
-    world = World(mods, seed, Weather(late=rng.choice([0.0, 0.05])), channels=1, size=12)
+    world = Simulation(mods, seed, NetworkConditions(late=rng.choice([0.0, 0.05])), channels=1, size=12)
     world.run(300.0, steering=False)
     world.run(rng.uniform(200.0, 400.0))
-    started = standing_for(world, world.channels[0])
+    started = running_sessions(world, world.channels[0])
     how = rng.randrange(3)
     if rng.random() < 0.4:
         rng.choice(world.boxes).deaf_until = world.net.now + LEASE + 1_500.0
     if how < 2:
-        world.hand_on("a", "b")
+        world.hand_off("a", "b")
         world.run(rng.uniform(0.0, 400.0), steering=False)
     if how > 0:
         world.die("a")
@@ -874,133 +895,134 @@
         world.run(OVERLAP + 900.0, steering=False)
     world.run(rng.choice([0.0, 400.0]))
     world.end(6_000.0)
-    lost = started - standing_for(world, world.channels[0]) - world.ended
+    lost = started - running_sessions(world, world.channels[0]) - world.ended
     return world.faults or [f"{session} is lost, and nobody ended it" for session in sorted(lost)]
 
 
 def test_short_days_end_in_one_place() -> None:
-    assert [short_day(Mods(), seed) for seed in range(12)] == [[]] * 12
+    assert [short_run(Modules(), seed) for seed in range(12)] == [[]] * 12
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_sessions_end_in_one_place_whatever_breaks_in_a_hand_off(seed: int) -> None:
-    assert drawn_day(Mods(), seed) == []
+    assert random_run(Modules(), seed) == []
 
 
-# --- hard cases, each caused ---
+# --- particular faults ---
 
 
-def until(world: World, what: Callable[[], bool], most: float = 4_000.0) -> None:
-    """Steps, with steering, until that holds."""
+def until(world: Simulation, what: Callable[[], bool], most: float = 4_000.0) -> None:
+    """Runs, with steering, until the condition holds."""
     end = world.net.now + most
     while not what():
         assert world.net.now < end and not world.faults, world.faults or "it never came to that"
         world.run(4.0)
 
 
-def acts(world: World, name: str, channel: str) -> bool:
+def is_active(world: Simulation, name: str, channel: str) -> bool:
     owned = world.fronts[name].owned.get(channel)
     return owned is not None and world.fronts[name].may(channel, owned)
 
 
-def standing_for(world: World, channel: str) -> set[str]:
-    """Sessions that stand at a box that is up."""
+def running_sessions(world: Simulation, channel: str) -> set[str]:
+    """Returns the sessions of a channel at servers that are up."""
     boxes = [box for box in world.boxes if not box.dead]
     return {session for box in boxes for session, one in box.sessions.items() if one[0] == channel}
 
 
-def kept_all(world: World, before: set[str], but: set[str] | None = None) -> None:
-    """The end holds, and every session that stood has gone on or was ended by its owner."""
+def assert_none_lost(world: Simulation, before: set[str], but: set[str] | None = None) -> None:
+    """Checks the final state: every earlier session continues or was ended by its owner."""
     world.end()
     assert world.faults == []
-    now = set().union(*(standing_for(world, channel) for channel in world.channels))
+    now = set().union(*(running_sessions(world, channel) for channel in world.channels))
     assert before - now <= world.ended | (but or set())
 
 
 def test_a_planned_hand_off_ends_no_session_and_its_gap_is_short() -> None:
-    world = World(Mods(), 1, channels=4, size=30)
+    world = Simulation(Modules(), 1, channels=4, size=30)
     world.run(300.0)
-    before = set().union(*(standing_for(world, channel) for channel in world.channels))
-    world.hand_on("a")
+    before = set().union(*(running_sessions(world, channel) for channel in world.channels))
+    world.hand_off("a")
     gaps = dict.fromkeys(world.channels, 0.0)
-    while any(not acts(world, "b", channel) for channel in world.channels):
+    while any(not is_active(world, "b", channel) for channel in world.channels):
         world.run(4.0)
         for channel in world.channels:
-            gaps[channel] += 4.0 * (not any(acts(world, name, channel) for name in "abcd"))
+            gaps[channel] += 4.0 * (not any(is_active(world, name, channel) for name in "abcd"))
         assert max(gaps.values()) < 200.0
-    kept_all(world, before)
+    assert_none_lost(world, before)
 
 
 def test_an_owner_stopped_in_a_hand_off_does_nothing_when_it_wakes() -> None:
-    """It stands still after it let go, and a second time while parts move: the channel goes on without it."""
+    """The owner stops after the release of its lease, or while parts are in transfer."""
     for when in ("handed", "moving"):
-        world = World(Mods(), 2)
+        world = Simulation(Modules(), 2)
         world.run(300.0)
         channel = world.channels[0]
-        before = set().union(*(standing_for(world, one) for one in world.channels))
-        world.hand_on("a")
+        before = set().union(*(running_sessions(world, one) for one in world.channels))
+        world.hand_off("a")
         front = world.fronts["a"]
         if when == "handed":
             until(world, lambda: front.handoff.may_finish(front.clock(), channel))  # noqa: B023
         world.net.stopped.add("a")
-        until(world, lambda: any(acts(world, name, channel) for name in "bcd"), 6_000.0)  # noqa: B023
+        until(world, lambda: any(is_active(world, name, channel) for name in "bcd"), 6_000.0)  # noqa: B023
         world.run(3_000.0)
         world.net.wake("a")
-        assert not front.handoff.may_finish(front.clock(), channel) and not acts(world, "a", channel)
-        kept_all(world, before)
+        assert not front.handoff.may_finish(front.clock(), channel) and not is_active(world, "a", channel)
+        assert_none_lost(world, before)
 
 
-def test_the_heir_dies_in_the_overlap_and_then_the_old_owner() -> None:
+def test_the_target_dies_in_the_overlap_and_then_the_source() -> None:
     for second in (None, 100.0, 2_000.0):
-        world = World(Mods(), 3)
+        world = Simulation(Modules(), 3)
         world.run(600.0)
-        before = set().union(*(standing_for(world, one) for one in world.channels))
+        before = set().union(*(running_sessions(world, one) for one in world.channels))
         channel = world.channels[0]
-        world.hand_on("a", "b")
-        until(world, lambda: acts(world, "b", channel))  # noqa: B023
+        world.hand_off("a", "b")
+        until(world, lambda: is_active(world, "b", channel))  # noqa: B023
         world.die("b")
         if second is not None:
             world.run(second)
             world.die("a")
-        kept_all(world, before)
-        owner = world.oracle.held[channel][0]
+        assert_none_lost(world, before)
+        owner = world.authority.held[channel][0]
         assert owner in ("cd" if second is not None else "acd")
 
 
 def test_a_channel_handed_on_while_it_is_taken_over_keeps_what_is_in_doubt() -> None:
-    world = World(Mods(), 8, channels=1)
+    world = Simulation(Modules(), 8, channels=1)
     world.run(300.0, steering=False)
     channel, front = world.channels[0], world.fronts["a"]
-    before = standing_for(world, channel)
+    before = running_sessions(world, channel)
     session = min(before)
     one = front.owned[channel].sessions[session]
     box = (one.box + 1) % 5
-    front.owned[channel].out[session] = (box, 1)  # a set-up that nobody hears the end of in time
+    front.owned[channel].out[session] = (box, 1)  # a set-up whose end is reported too late
     world.net.at(
-        world.net.now + 300.0, lambda: world.obey("a", channel, 1, world.boxes[box], session, 1, 0, "setup")
+        world.net.now + 300.0,
+        lambda: world.execute("a", channel, 1, world.boxes[box], session, 1, 0, "setup"),
     )
-    world.hand_on("a", "b")
-    until(world, lambda: acts(world, "b", channel))
+    world.hand_off("a", "b")
+    until(world, lambda: is_active(world, "b", channel))
     world.die("a")
-    world.hand_on("b", "c")
-    until(world, lambda: acts(world, "c", channel))
-    kept_all(world, before)
-    assert world.oracle.held[channel][0] == "c"
+    world.hand_off("b", "c")
+    until(world, lambda: is_active(world, "c", channel))
+    assert_none_lost(world, before)
+    assert world.authority.held[channel][0] == "c"
 
 
-def test_a_box_dies_while_its_channel_changes_hands() -> None:
-    world = World(Mods(), 4)
+def test_a_server_dies_while_its_channel_changes_hands() -> None:
+    world = Simulation(Modules(), 4)
     world.run(300.0)
-    before = set().union(*(standing_for(world, one) for one in world.channels))
-    world.hand_on("a")
-    until(world, lambda: not acts(world, "a", world.channels[0]))
+    before = set().union(*(running_sessions(world, one) for one in world.channels))
+    world.hand_off("a")
+    until(world, lambda: not is_active(world, "a", world.channels[0]))
     lost = {session for session, one in world.boxes[2].sessions.items() if one[0] in world.channels}
     world.boxes[2].dead = True
-    kept_all(world, before, lost)
+    assert_none_lost(world, before, lost)
 
 
-def test_an_heir_with_a_copy_a_minute_old_takes_what_boxes_prove() -> None:
-    world = World(Mods(), 5, size=6)
+def test_a_successor_with_a_minute_old_replica_takes_what_servers_prove() -> None:
+    world = Simulation(Modules(), 5, size=6)
     world.run(300.0)
     world.net.cuts |= {("a", name) for name in "bcd"}
     world.run(2_000.0)
@@ -1008,14 +1030,14 @@
     channel = world.channels[0]
     ages = [world.fronts[name].replica.find_replica(channel) for name in "bcd"]
     assert any(copy is not None and copy.age_ms(world.net.now) > 58_000.0 for copy in ages)
-    before = set().union(*(standing_for(world, one) for one in world.channels))
+    before = set().union(*(running_sessions(world, one) for one in world.channels))
     world.die("a")
-    kept_all(world, before)
+    assert_none_lost(world, before)
 
 
-def test_of_two_standbys_with_different_copies_either_may_inherit() -> None:
+def test_of_two_standbys_with_different_replicas_either_may_inherit() -> None:
     for name in "bcd":
-        world = World(Mods(), 6)
+        world = Simulation(Modules(), 6)
         if name not in world.standbys(world.channels[0], "a"):
             continue
         world.run(300.0)
@@ -1027,14 +1049,14 @@
         assert copies[0].statuses != copies[1].statuses
         world.die("a")
         world.die(name)
-        before = standing_for(world, world.channels[0]) & set(copies[1].statuses)
+        before = running_sessions(world, world.channels[0]) & set(copies[1].statuses)
         world.end()
         assert world.faults == []
-        assert before - standing_for(world, world.channels[0]) <= world.ended
+        assert before - running_sessions(world, world.channels[0]) <= world.ended
 
 
 def test_a_snapshot_that_broke_off_is_resumed_where_the_standby_names() -> None:
-    mods = Mods()
+    mods = Modules()
     rules = mods.rules.ReplicaRules(message_bytes=500, window=4)
     owner, standby = (
         mods.replication.ChannelReplication("a", rules),
@@ -1053,7 +1075,7 @@
                     continue
                 if isinstance(effect.message, mods.messages.SnapshotPiece):
                     pieces.append(effect.message.number)
-                    if len(pieces) == 18:  # the connection stands and delivers nothing for two seconds
+                    if len(pieces) == 18:  # the connection stalls for two seconds
                         back_at = now + 2_000.0
                 if back_at == float("inf") or now >= back_at:
                     other.on_message(now, name, effect.message)
@@ -1063,7 +1085,7 @@
 
 
 def test_payloads_cross_once_are_checked_and_go_with_the_last_copy() -> None:
-    mods = Mods()
+    mods = Modules()
     rules = mods.rules.ReplicaRules(message_bytes=1_000, window=4)
     parts = {name: mods.replication.ChannelReplication(name, rules) for name in "ab"}
     data = Random(1).randbytes(20_000)
@@ -1099,20 +1121,22 @@
 
 @pytest.mark.parametrize("mutant", COPIES + HANDOFF + DAYS, ids=lambda mutant: mutant.name)
 def test_mistakes_put_in_are_found(mutant: Mutant) -> None:
-    play = copy_day if mutant in COPIES else drawn_day if mutant in DAYS else short_day
+    play = replication_run if mutant in COPIES else random_run if mutant in DAYS else short_run
     with broken(mutant, PACKAGE):
-        assert any(play(Mods(), seed) for seed in range(mutant.seeds))
+        assert any(play(Modules(), seed) for seed in range(mutant.seeds))
 
 
-def odd(rng: Random, kind: Any, mods: Mods, depth: int = 0) -> Any:
-    """A value of a field's type: usual, at a bound, or absurd."""
+def odd_value(rng: Random, kind: Any, mods: Modules, depth: int = 0) -> Any:
+    """Returns a value of a field's type: usual, at a bound, or absurd."""
     text = str(kind)
     if text.startswith("list[str"):
-        return [odd(rng, str, mods) for _ in range(rng.randrange(4))]
+        return [odd_value(rng, str, mods) for _ in range(rng.randrange(4))]
     if text.startswith("list[tuple"):
-        return [(odd(rng, str, mods), odd(rng, int, mods)) for _ in range(rng.randrange(4))]
+        return [(odd_value(rng, str, mods), odd_value(rng, int, mods)) for _ in range(rng.randrange(4))]
     if text.startswith("list["):
-        return [mods.status(odd(rng, str, mods), odd(rng, int, mods)) for _ in range(rng.randrange(4))]
+        return [
+            mods.status(odd_value(rng, str, mods), odd_value(rng, int, mods)) for _ in range(rng.randrange(4))
+        ]
     if kind is str:
         return rng.choice(["a:1/0", "a:1/0", "a:1/1", "", "x", "a:1/99999999", ":/", "s1", "\x00" * 700])
     if kind is int:
@@ -1122,15 +1146,15 @@
     if kind is bytes:
         return rng.choice([b"", b"d" * 16, b"x" * 3_000])
     if "Freshness" in text:
-        values = [odd(rng, one, mods) for one in (float, int, float)]
+        values = [odd_value(rng, one, mods) for one in (float, int, float)]
         return mods.messages.Freshness(*values)
     return rng.choice([None, mods.status("s1"), mods.status("")])
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_no_message_raises_or_grows_a_table_past_its_bound(seed: int) -> None:
-    """Peers that hold the key and say anything: all kinds, in any order, with absurd values."""
-    mods, rng = Mods(), Random(f"odd {seed}")
+    """Authenticated peers send messages of all kinds in any order, with absurd values."""
+    mods, rng = Modules(), Random(f"odd {seed}")
     rules = mods.rules.ReplicaRules(copies_most=3, sessions_most=20, bytes_most=4_000, payloads_bytes=5_000)
     replica = mods.replication.ChannelReplication("me", rules)
     hand = mods.handoff.Handoff("me", mods.rules.HandoffRules(takes_most=3, sessions_most=20), seed)
@@ -1142,7 +1166,7 @@
         now += rng.expovariate(1 / 20.0)
         kind = rng.choice(mods.messages.KINDS)
         fields = msgspec.structs.fields(kind)
-        values = {one.name: odd(rng, one.type, mods) for one in fields}
+        values = {one.name: odd_value(rng, one.type, mods) for one in fields}
         if "offer" in values and rng.random() < 0.8:
             values["offer"] = rng.choice(offers)
         message, sender = kind(**values), rng.choice("bc")
--- a/tests/test_peers_heirs.py
+++ b/tests/test_peers_heirs.py
@@ -1,4 +1,4 @@
-"""Who inherits, when, what of a channel is taken, and where a session is: against slow models."""
+"""Successor selection, takeover pacing, reconciliation and the directory, against simple models."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from tests.peers_mutants import Mutant, broken
 from tests.peers_mutants.channel import DIRECTORY, HEIRS, LIVES, WEIGHING
 
-DRAWN = settings(derandomize=True, deadline=None, max_examples=60)
+GENERATED = settings(derandomize=True, deadline=None, max_examples=60)
 FRONTS = st.lists(
     st.builds(
         Candidate,
@@ -38,11 +38,11 @@
 )
 
 
-# --- heirs ---
+# --- successors ---
 
 
-def slow_heirs(channel: str, fronts: list[Candidate], rules: SuccessorRules, sessions: int) -> list[str]:
-    """From the words of the rule: no late, no leaving; copies first; nobody beyond its share of the mean."""
+def slow_successors(channel: str, fronts: list[Candidate], rules: SuccessorRules, sessions: int) -> list[str]:
+    """The rule itself: no stale or leaving front; replicas first; none beyond its share of the mean."""
     fit = [front for front in fronts if not (front.late or front.leaving)]
     shares = {front.name: min(1.0, max(rules.floor, front.age_ms / rules.ramp_ms)) for front in fit}
     everything = sum(front.load for front in fit) + sessions
@@ -51,26 +51,26 @@
         front = next(one for one in fit if one.name == name)
         fair = everything * shares[name] / sum(shares.values())
         (room if front.load + sessions <= fair * (1.0 + rules.slack) else full).append(front)
-    with_copy = [front.name for front in room if front.standby]
+    with_replica = [front.name for front in room if front.standby]
     without = [front.name for front in room if not front.standby]
-    return with_copy + without + [front.name for front in full]
+    return with_replica + without + [front.name for front in full]
 
 
-@DRAWN
+@GENERATED
 @given(FRONTS, st.integers(0, 30), st.integers(1, 60), st.randoms(use_true_random=False))
-def test_heirs_are_as_the_rule_says_in_whatever_order_fronts_are_told(
+def test_successors_follow_the_rule_for_any_order_of_fronts(
     fronts: list[Candidate], part: int, sessions: int, rng: Any
 ) -> None:
     rules = SuccessorRules()
     order = successors(f"a:1/{part}", fronts, rules, sessions)
-    assert order == slow_heirs(f"a:1/{part}", fronts, rules, sessions)
+    assert order == slow_successors(f"a:1/{part}", fronts, rules, sessions)
     shuffled = list(fronts)
     rng.shuffle(shuffled)
     assert successors(f"a:1/{part}", shuffled, rules, sessions) == order
 
 
-def heir_day(seed: int) -> list[str]:
-    """A front of 30 is lost with its channels: nobody who is not fit inherits, nor more than it bears."""
+def successor_run(seed: int) -> list[str]:
+    """One of 30 fronts is lost: only eligible fronts inherit its channels, within their bounds."""
     module: Any = importlib.import_module("fernweir.peers.channel.successor_selection")
     rules_of: Any = importlib.import_module("fernweir.peers.channel.rules")
     rng, rules = Random(f"heirs {seed}"), rules_of.SuccessorRules()
@@ -100,12 +100,12 @@
     return faults
 
 
-def test_a_lost_front_s_channels_go_to_nobody_who_cannot_bear_them() -> None:
-    assert [heir_day(seed) for seed in range(20)] == [[]] * 20
+def test_channels_of_a_lost_front_go_to_eligible_fronts_within_their_bounds() -> None:
+    assert [successor_run(seed) for seed in range(20)] == [[]] * 20
 
 
 def test_few_channels_have_another_first_heir_when_a_front_goes() -> None:
-    """Of 30 fronts one goes: about a thirtieth of all channels must move, and little more does."""
+    """One of 30 fronts leaves: about a thirtieth of all channels must move, and few others do."""
     fronts = [Candidate(f"f{n}", 500, 1e6) for n in range(30)]
     channels = {f"lost:{n}/{part}": 1 for n in range(150) for part in range(8)}
     before = assign(channels, fronts)
@@ -116,7 +116,7 @@
     assert standbys("a:1/0", fronts) == successors("a:1/0", fronts)[:2] and wait_ms(2) == 2 * wait_ms(1) > 0.0
 
 
-# --- spread ---
+# --- pacing ---
 
 LOSSES = st.lists(
     st.builds(
@@ -132,7 +132,7 @@
 )
 
 
-@DRAWN
+@GENERATED
 @given(LOSSES, st.integers(0, 5), st.integers(1, 4), st.floats(0.0, 1e7))
 def test_channels_are_taken_over_within_the_bound_and_paced_where_it_allows(
     losses: list[LostChannel], seed: int, count: int, now: float
@@ -158,7 +158,7 @@
 def slow_reconcile(
     copy: dict[str, SessionStatus], told: list[ClaimResult], elsewhere: str
 ) -> dict[str, set[Any]]:
-    """The table's rows, one session and one place at a time."""
+    """The rows of the table, for one session and one location at a time."""
     answers: dict[int, ClaimResult] = {}
     for claimed in told:
         if claimed.reached:
@@ -192,8 +192,8 @@
     return result
 
 
-def weigh(copy: dict[str, tuple[int, int]], claims: list[Any], elsewhere: str) -> list[str]:
-    """What the program and the slow model make of the same; where they differ is named."""
+def reconcile_differences(copy: dict[str, tuple[int, int]], claims: list[Any], elsewhere: str) -> list[str]:
+    """Returns the fields in which the program and the slow model differ."""
     module: Any = importlib.import_module("fernweir.peers.channel.reconcile")
     statuses = {
         session: SessionStatus(session, "v", "w", "t", "c", 3, "x", 1, box, attempt, 0)
@@ -222,7 +222,7 @@
         for _ in range(rng.randrange(5)):
             listed = [(one, rng.randrange(4), rng.randrange(3)) for one in rng.sample("pqrs", 3)]
             claims.append((rng.randrange(4), rng.random() < 0.8, listed, rng.random() < 0.95))
-        if faults := weigh(copy, claims, rng.choice(["", "", "pq", "pqrs"])):
+        if faults := reconcile_differences(copy, claims, rng.choice(["", "", "pq", "pqrs"])):
             return [f"{faults} of {copy} and {claims}"]
     return []
 
@@ -242,7 +242,7 @@
 )
 
 
-@settings(DRAWN, max_examples=200)
+@settings(GENERATED, max_examples=200)
 @given(
     st.dictionaries(st.sampled_from("pqrs"), st.tuples(st.integers(0, 3), st.integers(0, 2))),
     CLAIMS,
@@ -251,14 +251,14 @@
 def test_what_copy_and_boxes_say_together_is_as_the_table_has_it(
     copy: dict[str, tuple[int, int]], claims: list[Any], elsewhere: str
 ) -> None:
-    assert weigh(copy, claims, elsewhere) == []
+    assert reconcile_differences(copy, claims, elsewhere) == []
 
 
 # --- directory ---
 
 
 class DirectoryDay:
-    """Fronts that have sessions, give them on, die and come back under their name, while others ask."""
+    """Fronts hand sessions off, die and restart under their names while others look sessions up."""
 
     NAMES = "abcde"
 
@@ -297,7 +297,7 @@
         elif what < 0.5 and session in self.has:
             owner, _ = self.has.pop(session)
             self.parts[owner].unregister(self.now, session)
-        elif what < 0.7 and session in self.has:  # handed on: both tell, in either order
+        elif what < 0.7 and session in self.has:  # handed off: both register, in either order
             owner, fence = self.has[session]
             self.has[session] = (name, fence + 1)
             if name != owner:
@@ -372,11 +372,11 @@
             self.now += 2.0
 
     def end(self) -> None:
-        """Once all is told anew, and what was not is forgotten, every find of every front is right."""
+        """After a refresh and expiry of all entries, every lookup of every front must be right."""
         self.loss = 0.0
         self.run(self.rules.keep_ms + 500.0, lambda: None)
         self.quiet, self.finds = True, {}
-        again = self.rng.choice(sorted(self.parts))  # what a registrar without a memory says ends no find
+        again = self.rng.choice(sorted(self.parts))  # a restarted registrar must not end a lookup
         self.incarnations[again] += 1
         self.parts[again] = self.module.Directory(again, self.incarnations[again], self.rules, 1)
         self.has = {one: held for one, held in self.has.items() if held[0] != again}
@@ -389,7 +389,7 @@
             self.faults.append(f"never found: {sorted(self.finds)}")
 
 
-def directory_day(seed: int) -> list[str]:
+def directory_run(seed: int) -> list[str]:
     day = DirectoryDay(seed)
     day.run(6_000.0, day.act)
     if not day.faults:
@@ -397,8 +397,8 @@
     return day.faults
 
 
-def life_day(seed: int) -> list[str]:
-    """An earlier life's word comes after a later one's, at a registrar that has heard of neither."""
+def incarnation_run(seed: int) -> list[str]:
+    """A message of an earlier incarnation follows one of a later, at a registrar without entries."""
     module: Any = importlib.import_module("fernweir.peers.channel.registrar")
     rules: Any = importlib.import_module("fernweir.peers.channel.rules")
     registrar = module.Registrar(rules.DirectoryRules())
@@ -417,12 +417,12 @@
     return [] if entry is not None and entry.owner == "d" else [f"after {owners} the entry is {entry}"]
 
 
-def test_an_earlier_life_s_word_changes_nothing() -> None:
-    assert [life_day(seed) for seed in range(5)] == [[]] * 5
+def test_a_message_of_an_earlier_incarnation_changes_nothing() -> None:
+    assert [incarnation_run(seed) for seed in range(5)] == [[]] * 5
 
 
 def test_sessions_are_found_in_time_and_after_quiet_where_they_are() -> None:
-    assert [directory_day(seed) for seed in range(10)] == [[]] * 10
+    assert [directory_run(seed) for seed in range(10)] == [[]] * 10
 
 
 def test_finds_and_entries_are_bounded_whatever_peers_say() -> None:
@@ -447,7 +447,12 @@
 
 @pytest.mark.parametrize("mutant", HEIRS + WEIGHING + LIVES + DIRECTORY, ids=lambda mutant: mutant.name)
 def test_mistakes_put_in_are_found(mutant: Mutant) -> None:
-    plays = ((HEIRS, heir_day), (WEIGHING, weighing_day), (LIVES, life_day), (DIRECTORY, directory_day))
+    plays = (
+        (HEIRS, successor_run),
+        (WEIGHING, weighing_day),
+        (LIVES, incarnation_run),
+        (DIRECTORY, directory_run),
+    )
     play = next(play for group, play in plays if mutant in group)
     with broken(mutant, "fernweir.peers.channel"):
         assert any(play(seed) for seed in range(mutant.seeds))
