--- a/bench/journal.py
+++ b/bench/journal.py
@@ -42,7 +42,7 @@
         number += 1
         named = {"session": f"s{number}", "title": f"lesson-{number % 40}", "cls": "c", "tenant": "t"}
         at = number * 30.0
-        plain.append(journal.add(at, EventKind.ASKED, **named))
+        plain.append(journal.add(at, EventKind.REQUESTED, **named))
         if dice.random() < 0.1:
             plain.append(journal.add(at, EventKind.REFUSED, why="no box has room", **named))
         else:
@@ -51,7 +51,7 @@
             plain.append(journal.add(at, EventKind.SETUP, why="2th in order, first under the mark", more=more,
                                      **place, **named))  # fmt: skip
             if dice.random() < 0.0005:
-                plain.append(journal.add(at, EventKind.FAILED_TRY, why="reset: broken", **place, **named))
+                plain.append(journal.add(at, EventKind.ATTEMPT_FAILED, why="reset: broken", **place, **named))
             plain.append(journal.add(at, EventKind.STARTED, more={"took_ms": 20.1}, **place, **named))
             plain.append(journal.add(at, EventKind.PLAYS, server=place["server"], **named))
         plain.append(journal.add(at, EventKind.ENDED, why="over", **named))
