--- a/fernweir/peers/channel/directory.py
+++ b/fernweir/peers/channel/directory.py
@@ -96,7 +96,7 @@
         """Registers a session of this front under a channel's fence. Returns False if the table is full."""
         own = self._own.get(session)
         if own is None:
-            if len(self._own) >= self.rules.own_most or not 0 < len(session) <= MAX_NAME_LENGTH:
+            if len(self._own) >= self.rules.max_own_sessions or not 0 < len(session) <= MAX_NAME_LENGTH:
                 return False
             own = self._own[session] = _OwnSession(fence)
         elif own.fence != fence:
@@ -127,7 +127,7 @@
         asked = tuple(self.registrars(session))
         entry = self._registrar.find(now, session) if self.me in asked else None
         others = {name for name in asked if name != self.me}
-        full = len(self._lookups) >= self.rules.finds_most
+        full = len(self._lookups) >= self.rules.max_lookups
         if self._is_current(entry) or not others or full or len(session) > MAX_NAME_LENGTH:
             owner = entry.owner if entry is not None and self._is_current(entry) else None
             lost = entry is not None and owner is None
--- a/fernweir/peers/channel/handoff_source.py
+++ b/fernweir/peers/channel/handoff_source.py
@@ -194,7 +194,7 @@
         handoff.step, handoff.released_at, handoff.in_flight = (
             Step.HANDED,
             now,
-            list(out)[: self.rules.sessions_most],
+            list(out)[: self.rules.max_sessions],
         )
         handoff.step_deadline, handoff.committed_updates = (
             now + self.rules.activation_timeout_ms,
@@ -403,7 +403,7 @@
             1 for one in self._handoffs.values() if one.step is not Step.WAITING and not one.target_fence
         )
         for handoff in [one for one in self._handoffs.values() if one.step is Step.WAITING]:
-            if active >= self.rules.at_once:
+            if active >= self.rules.max_outgoing:
                 return
             if handoff.channel in self._handoffs:
                 active += 1
--- a/fernweir/peers/channel/handoff_target.py
+++ b/fernweir/peers/channel/handoff_target.py
@@ -70,7 +70,7 @@
         self.rules, self._takeover, self._out = rules, takeover, out
         self._listed, self._known_fence = listed, known_fence
         self._handoffs: dict[str, _IncomingHandoff] = {}
-        self._capacity = rules.sessions_most
+        self._capacity = rules.max_sessions
         self._closed_reason = ""
 
     def set_capacity(self, sessions: int, closed_reason: str) -> None:
@@ -168,12 +168,12 @@
             return "on its way already"
         if self._known_fence(offer.channel) > offer.fence:
             return "outdated"
-        if self._takeover.begun(offer.channel):
+        if self._takeover.has_begun(offer.channel):
             return "being taken over"
         expected_sessions = sum(one.count for one in self._handoffs.values() if one.step is not Step.ACTING)
         if (
             not 0 <= offer.count <= self._capacity - expected_sessions
-            or len(self._handoffs) >= self.rules.takes_most
+            or len(self._handoffs) >= self.rules.max_incoming
         ):
             return "no room"
         if parse(offer.channel) is None or offer.fence < 1:
@@ -181,10 +181,10 @@
         return ""
 
     def _on_part(self, now: float, handoff: _IncomingHandoff, part: HandoffPart) -> None:
-        is_valid = 1 <= part.count <= self.rules.sessions_most and all(map(is_plausible, part.statuses))
+        is_valid = 1 <= part.count <= self.rules.max_sessions and all(map(is_plausible, part.statuses))
         if part.number == 0 and handoff.total < 0 and is_valid:
             handoff.total = part.count
-        fits = handoff.sessions + len(part.statuses) <= self.rules.sessions_most
+        fits = handoff.sessions + len(part.statuses) <= self.rules.max_sessions
         if is_valid and fits and part.number == handoff.parts < handoff.total == part.count:
             handoff.parts += 1
             handoff.sessions += len(part.statuses)
@@ -198,7 +198,7 @@
         is_valid = update.status is None or (
             is_plausible(update.status) and update.status.session == update.session
         )
-        if is_valid and handoff.updates <= update.number < handoff.updates + self.rules.sessions_most:
+        if is_valid and handoff.updates <= update.number < handoff.updates + self.rules.max_sessions:
             handoff.early_updates[update.number] = update
         self._apply_updates(now, handoff)
         self._send_ack(handoff)
@@ -210,7 +210,7 @@
             update = handoff.early_updates.pop(handoff.updates)
             handoff.updates += 1
             if handoff.step in (Step.CLAIMING, Step.ACTING):
-                self._takeover.learn(now, handoff.channel, update.session, update.status)
+                self._takeover.on_final_status(now, handoff.channel, update.session, update.status)
             elif update.status is None:
                 handoff.statuses.pop(update.session, None)
             else:
--- a/fernweir/peers/channel/owned.py
+++ b/fernweir/peers/channel/owned.py
@@ -197,14 +197,14 @@
                 self._send_missing(now, name, follower)
             if now >= follower.heartbeat_at:
                 acknowledged = follower.has_acked and not follower.refused
-                wait = self.rules.beat_ms if acknowledged else self.rules.resend_ms
+                wait = self.rules.heartbeat_ms if acknowledged else self.rules.resend_ms
                 follower.heartbeat_at = now + (self.rules.refused_retry_ms if follower.refused else wait)
-                if not acknowledged or follower.sent_at + self.rules.beat_ms <= now:
+                if not acknowledged or follower.sent_at + self.rules.heartbeat_ms <= now:
                     as_of = self._as_of(now, follower, self.seq)
                     self.out.add(Send(name, OwnerHeartbeat(self.channel, self.fence, self.seq, as_of)))
                     follower.sent_at = now
-                else:  # deltas serve as a heartbeat: the next one is due `beat_ms` after them
-                    follower.heartbeat_at = follower.sent_at + self.rules.beat_ms
+                else:  # deltas serve as a heartbeat: the next one is due `heartbeat_ms` after them
+                    follower.heartbeat_at = follower.sent_at + self.rules.heartbeat_ms
         for name, (attempts, due) in list(self._leaving.items()):
             if now >= due:
                 self.out.add(Send(name, ReplicaDropped(self.channel, self.fence), reliable=True))
--- a/fernweir/peers/channel/payloads.py
+++ b/fernweir/peers/channel/payloads.py
@@ -81,11 +81,11 @@
 
     def on_piece(self, now: float, sender: str, piece: PayloadPiece) -> None:
         fetch = self._fetches.get(piece.digest)
-        if fetch is None or sender not in fetch.owners or not 0 < piece.size <= self.rules.payload_most:
+        if fetch is None or sender not in fetch.owners or not 0 < piece.size <= self.rules.max_payload_bytes:
             return
         if piece.offset != len(fetch.data) or len(fetch.data) + len(piece.data) > piece.size:
             return
-        if self.size() + len(piece.data) > self.rules.payloads_bytes or not piece.data:
+        if self.size() + len(piece.data) > self.rules.max_payloads_bytes or not piece.data:
             return
         fetch.data += piece.data
         fetch.size = piece.size
@@ -102,7 +102,7 @@
     # --- sender ---
 
     def on_request(self, now: float, sender: str, request: PayloadRequest) -> None:
-        if not 0 <= request.offset < self.rules.payload_most or len(request.digest) > 64:
+        if not 0 <= request.offset < self.rules.max_payload_bytes or len(request.digest) > 64:
             return
         served = self._serving.get(request.digest)
         data = served.data if served is not None else self._stored.get(request.digest)
@@ -119,9 +119,9 @@
         requesters = [(key, offset) for key, offset in self._requesters.items() if key[0] == digest]
         for key, _ in requesters:
             del self._requesters[key]
-        if data is None or not 0 < len(data) <= self.rules.payload_most:
+        if data is None or not 0 < len(data) <= self.rules.max_payload_bytes:
             return
-        capacity = self.rules.payloads_bytes - sum(len(one.data) for one in self._serving.values())
+        capacity = self.rules.max_payloads_bytes - sum(len(one.data) for one in self._serving.values())
         if len(data) <= capacity:
             self._serving[digest] = _ServedPayload(data, now + self.rules.serve_ms)
         for (_, sender), offset in requesters:
--- a/fernweir/peers/channel/registrar.py
+++ b/fernweir/peers/channel/registrar.py
@@ -87,7 +87,7 @@
             elif entry.fence < old.fence:
                 return
             self._remove(session)
-        elif len(self._entries) >= self.rules.entries_most:
+        elif len(self._entries) >= self.rules.max_entries:
             return
         self._entries[session] = entry
         self._sessions_by_owner.setdefault(entry.owner, {})[session] = None
--- a/fernweir/peers/channel/replication.py
+++ b/fernweir/peers/channel/replication.py
@@ -150,7 +150,7 @@
         self._standby.tick(now)
         self._payloads.tick(now)
         if now >= self._payload_check_at:
-            self._payload_check_at = now + self.rules.beat_ms
+            self._payload_check_at = now + self.rules.heartbeat_ms
             self._refresh_payloads(now)
 
     def next_deadline(self) -> float | None:
--- a/fernweir/peers/channel/rules.py
+++ b/fernweir/peers/channel/rules.py
@@ -9,13 +9,13 @@
 class ReplicaRules:
     """Rules of the replication of channels.
 
-    Changes are batched for `flush_ms`. An owner without changes sends a heartbeat every `beat_ms`. A replica
-    expires `keep_ms` after the last message of its owner. At most `window` messages to a standby are
+    Changes are batched for `flush_ms`. An owner without changes sends a heartbeat every `heartbeat_ms`. A
+    replica expires `keep_ms` after the last message of its owner. At most `window` messages to a standby are
     unacknowledged at a time.
     """
 
     flush_ms: float = 50.0
-    beat_ms: float = 1_000.0
+    heartbeat_ms: float = 1_000.0
     resend_ms: float = 300.0
     refused_retry_ms: float = 5_000.0  # delay before a standby that refused is asked again
     keep_ms: float = 120_000.0
@@ -25,11 +25,11 @@
     window: int = 8
     max_standbys: int = 8
     drift: float = 0.01
-    copies_most: int = 512
-    sessions_most: int = 8_192  # per replica
-    bytes_most: int = 16_777_216  # of all replicas
-    payload_most: int = 1_048_576
-    payloads_bytes: int = 16_777_216  # of all payloads stored for replicas
+    max_replicas: int = 512
+    max_sessions: int = 8_192  # per replica
+    max_bytes: int = 16_777_216  # of all replicas
+    max_payload_bytes: int = 1_048_576
+    max_payloads_bytes: int = 16_777_216  # of all payloads stored for replicas
     serve_ms: float = 10_000.0  # how long a payload stays cached for requests of other standbys
 
 
@@ -40,8 +40,8 @@
     The takeover does not wait longer than `answer_timeout_ms` for a server; the sessions of a server without
     an answer are in doubt. The claim is repeated every `retry_ms`, and after `doubt_ms` every
     `slow_retry_ms`; a session that is in doubt for that long has ended. With `attempts_reported` the front
-    calls `attempted` for every attempt that it starts; a later attempt in a server's list that is not its
-    own is then released, otherwise it is left alone.
+    calls `on_attempt_started` for every attempt that it starts; a later attempt in a server's list that is not
+    its own is then released, otherwise it is left alone.
     """
 
     overlap_ms: float = 2_000.0  # how long servers accept a lower fence after a planned claim
@@ -77,9 +77,9 @@
     activation_timeout_ms: float = 1_000.0  # then the source requests the lease again
     reclaim_timeout_ms: float = 15_000.0  # then the channel is left to an unplanned takeover
     update_tail_ms: float = 4_000.0  # how long updates are resent after the overlap
-    at_once: int = 8  # outgoing hand-offs
-    takes_most: int = 16  # incoming hand-offs
-    sessions_most: int = 8_192
+    max_outgoing: int = 8  # outgoing hand-offs
+    max_incoming: int = 16  # incoming hand-offs
+    max_sessions: int = 8_192
     message_bytes: int = 32_768
 
 
@@ -118,7 +118,7 @@
     orphan_ttl_ms: float = 12_000.0  # for channel entries whose owner is gone
     find_timeout_ms: float = 60.0
     retry_ms: float = 25.0  # a registrar without an answer is asked a second time
-    own_most: int = 65_536
-    entries_most: int = 131_072
-    finds_most: int = 4_096
+    max_own_sessions: int = 65_536
+    max_entries: int = 131_072
+    max_lookups: int = 4_096
     message_entries: int = 400
--- a/fernweir/peers/channel/standby.py
+++ b/fernweir/peers/channel/standby.py
@@ -189,7 +189,7 @@
         return entry if sender == entry.owner and not entry.closed else None
 
     def _has_capacity(self) -> bool:
-        if len(self._entries) < self.rules.copies_most:
+        if len(self._entries) < self.rules.max_replicas:
             return True
         closed_channel = next((channel for channel, entry in self._entries.items() if entry.closed), None)
         if closed_channel is not None:
@@ -224,7 +224,7 @@
         self._send_ack(now, entry)
 
     def _add_piece(self, now: float, entry: _ReplicatedChannel, message: SnapshotPiece) -> None:
-        if message.seq <= entry.seq or not 1 <= message.count <= self.rules.sessions_most:
+        if message.seq <= entry.seq or not 1 <= message.count <= self.rules.max_sessions:
             self._send_ack(now, entry)
             return
         if message.seq != entry.piece_seq or message.count != entry.piece_count:
@@ -272,7 +272,7 @@
 
     def _too_large(self, entry: _ReplicatedChannel) -> bool:
         sessions = max(len(entry.statuses), sum(map(len, entry.pieces)))
-        return sessions > self.rules.sessions_most or self.size() > self.rules.bytes_most
+        return sessions > self.rules.max_sessions or self.size() > self.rules.max_bytes
 
     def _reject_too_large(self, entry: _ReplicatedChannel) -> None:
         """Drops the replica, because a partial one would pass for complete, and reports the reason."""
--- a/fernweir/peers/channel/takeover.py
+++ b/fernweir/peers/channel/takeover.py
@@ -154,7 +154,7 @@
         self._takeovers[channel] = takeover
         self.tick(now)
 
-    def begun(self, channel: str) -> bool:
+    def has_begun(self, channel: str) -> bool:
         return channel in self._takeovers
 
     def may_steer(self, channel: str) -> bool | None:
@@ -162,7 +162,7 @@
         takeover = self._takeovers.get(channel)
         return None if takeover is None else takeover.active
 
-    def learn(self, now: float, channel: str, session: str, status: SessionStatus | None) -> bool:
+    def on_final_status(self, now: float, channel: str, session: str, status: SessionStatus | None) -> bool:
         """Handles the final status of a session from the old owner, or its end. Returns False if too late."""
         takeover = self._takeovers.get(channel)
         if takeover is None or session in takeover.decided:
@@ -199,13 +199,13 @@
         takeover.answers[claimed.box] = claimed
         self._evaluate(now, takeover)
 
-    def attempted(self, channel: str, session: str, server: int) -> None:
+    def on_attempt_started(self, channel: str, session: str, server: int) -> None:
         """This front started an attempt at the server: a later attempt in the server's list is its own."""
         takeover = self._takeovers.get(channel)
         if takeover is not None:
             takeover.own_servers.setdefault(session, set()).add(server)
 
-    def gone(self, now: float, server: int) -> None:
+    def on_server_removed(self, now: float, server: int) -> None:
         """The server was removed from the list for good: its sessions have ended."""
         for takeover in list(self._takeovers.values()):
             if server in takeover.servers:
--- a/fernweir/peers/owning.py
+++ b/fernweir/peers/owning.py
@@ -206,13 +206,13 @@
         self._placed[session] = box
         known = self._channel.get(session)
         if known is not None:
-            self.handoff.takeover.attempted(known, session, box)
+            self.handoff.takeover.on_attempt_started(known, session, box)
             return
         cut = parse(channel_of(self.me, self.life, session, self.rules.parts)) if self._owns else None
         channel = self._owns.get(cut.part, "") if cut is not None else ""
         if self._holder.current_lease(now, channel) is not None and self.handoff.may_steer(channel):
             self._channel[session] = channel
-            self.handoff.takeover.attempted(channel, session, box)
+            self.handoff.takeover.on_attempt_started(channel, session, box)
 
     def stands(self, now: float, standing: SessionStatus) -> None:
         channel = self._channel.get(standing.session)
@@ -253,7 +253,7 @@
         if self._sessions.get(channel, {}).pop(session, None) is not None:
             self._out.add(Yields(session))
             # Where its channel is claimed anew, a box's list from before must not bring it back.
-            self.handoff.takeover.learn(now, channel, session, None)
+            self.handoff.takeover.on_final_status(now, channel, session, None)
         self.replica.end(now, channel, session)
         self.handoff.end(now, channel, session)
 
@@ -265,7 +265,7 @@
         self._dead -= set(self._fronts)
         closed = "leaving" if self._leaving else "shut out" if self._resigned else ""
         closed = closed if self.rules.parts else "has no channels"
-        self.handoff.set_capacity(self.rules.handoff.sessions_most, closed)
+        self.handoff.set_capacity(self.rules.handoff.max_sessions, closed)
 
     def died(self, now: float, name: str) -> None:
         """A front is believed dead, or has left: what is copied here of its channels is tried for."""
@@ -474,7 +474,7 @@
         self.handoff.takeover.begin(now, channel, fence, standings, listed=self._port.server_numbers())
         for session, where in self._channel.items():  # also what is out, and stands nowhere yet
             if where == channel and session in self._placed:
-                self.handoff.takeover.attempted(channel, session, self._placed[session])
+                self.handoff.takeover.on_attempt_started(channel, session, self._placed[session])
         self._run(now)
 
     def _own_anew(self, now: float, part: int, number: int | None = None) -> None:
@@ -590,7 +590,7 @@
     def _look(self, now: float) -> None:
         for channel, standings in self._sessions.items():
             # Nobody need keep nothing: a front that is idle costs its peers nothing by its channels.
-            names = self._standbys(channel) if standings or self.handoff.takeover.begun(channel) else []
+            names = self._standbys(channel) if standings or self.handoff.takeover.has_begun(channel) else []
             self.replica.standbys(now, channel, names)
         lost = []
         for channel in self.replica.replicated_channels():
@@ -608,7 +608,7 @@
             del self._gone[session]
         # An inherited channel in which nothing stands any more is let go; the own ones are used again.
         for channel, standings in list(self._sessions.items()):
-            busy = self.handoff.takeover.begun(channel) or channel in self._channel.values()
+            busy = self.handoff.takeover.has_begun(channel) or channel in self._channel.values()
             if not standings and not self._mine(channel) and not busy:
                 self._sessions.pop(channel)
                 self.replica.close_channel(now, channel)
@@ -620,7 +620,7 @@
         mine: dict[str, ChannelReplica] = {}
         for copy in lost:
             order = self._heirs(copy.channel, len(copy.statuses), copy.owner)
-            taking = copy.channel in self._turns or self.handoff.takeover.begun(copy.channel)
+            taking = copy.channel in self._turns or self.handoff.takeover.has_begun(copy.channel)
             free = not (self._leaving or self._resigned or taking)
             if free and copy.channel not in self._tries and copy.statuses and self.me in order:
                 ranks[copy.channel], mine[copy.channel] = order.index(self.me), copy
@@ -666,7 +666,7 @@
                 if standing is not None and (standing.session, standing.attempt) in listed:
                     del self._outside[standing.session]
                     self._channel[standing.session] = channel
-                    self.handoff.takeover.attempted(channel, standing.session, standing.box)
+                    self.handoff.takeover.on_attempt_started(channel, standing.session, standing.box)
                     self.stands(now, standing)
             self._wake()
 
@@ -675,7 +675,7 @@
 
     def _drop_try(self, now: float, channel: str) -> None:
         tried = self._tries.pop(channel, None)
-        taken = channel in self._sessions or self.handoff.takeover.begun(channel)
+        taken = channel in self._sessions or self.handoff.takeover.has_begun(channel)
         if tried is not None and tried.asked and not taken:
             self._holder.release(now, channel)
 
--- a/fernweir/peers/settings.py
+++ b/fernweir/peers/settings.py
@@ -74,7 +74,7 @@
         copies=section.standbys,
         stale_ms=section.lease,
         patience_ms=section.lease,
-        replica=replace(ReplicaRules(), drift=section.drift, beat_ms=section.lease / 4.0),
+        replica=replace(ReplicaRules(), drift=section.drift, heartbeat_ms=section.lease / 4.0),
         takeover=TakeoverRules(),
         handoff=replace(HandoffRules(), overlap_ms=section.overlap, drift=section.drift),
     )
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -49,11 +49,11 @@
     lease=LeaseRules(max_records=64, max_channels=64),
     owning=OwningRules(
         parts=2, gone_most=64,
-        replica=ReplicaRules(copies_most=16, sessions_most=64, bytes_most=65_536, payloads_bytes=65_536,
-                             payload_most=16_384, keep_ms=10_000.0),
-        handoff=HandoffRules(takes_most=4, sessions_most=64),
+        replica=ReplicaRules(max_replicas=16, max_sessions=64, max_bytes=65_536, max_payloads_bytes=65_536,
+                             max_payload_bytes=16_384, keep_ms=10_000.0),
+        handoff=HandoffRules(max_incoming=4, max_sessions=64),
     ),
-    directory=DirectoryRules(own_most=64, entries_most=128, finds_most=32),
+    directory=DirectoryRules(max_own_sessions=64, max_entries=128, max_lookups=32),
     forward=ForwardRules(most=64),
     acts=ActRules(own_bytes=65_536, peer_bytes=65_536, copies_bytes=131_072, owners=16, asked=2, samples=16),
 )  # fmt: skip
--- a/tests/peers_mutants/channel.py
+++ b/tests/peers_mutants/channel.py
@@ -13,7 +13,7 @@
 
 COPIES: list[Mutant] = [
     _mutant(
-        "what comes under a lower fence is taken", "standby",
+        "messages with a lower fence are accepted", "standby",
         "        if message.fence < entry.fence:\n", "        if message.fence < 0:\n", 12, 2,
     ),
     _mutant(
@@ -21,48 +21,48 @@
         "self._snapshot = _Snapshot(self.seq, ", "self._snapshot = _Snapshot(self.seq + 1, ", 10,
     ),
     _mutant(
-        "changes are taken over a gap", "standby",
+        "deltas are applied over a gap", "standby",
         "message.seq == entry.seq + 1 and entry.seq >= 0", "message.seq > entry.seq >= 0", 10,
     ),
     _mutant(
-        "a copy's age leaves out how long the word was on its way", "standby",
+        "the age of a replica omits the transit time", "standby",
         "return now - transit_ms - freshness.age_ms", "return now - freshness.age_ms", 12, 2,
     ),
     _mutant(
-        "an owner says its copy is complete while changes wait", "owned",
+        "an owner reports a fresh state while changes are pending", "owned",
         "age = now - self._pending_since", "age = 0.0", 12,
     ),
     _mutant(
-        "what a standing was is forgotten between two batches", "owned",
+        "previous statuses are cleared with each batch", "owned",
         "        self._previous.clear()\n", "", 12, 2,
     ),
 ]  # fmt: skip
 
 HANDOFF: list[Mutant] = [
     _mutant(
-        "the overlap is counted from the heir's word", "handoff_source",
+        "the overlap starts when the target is active", "handoff_source",
         "handoff.step, handoff.target_fence, handoff.target = Step.HANDED, fence, target\n",
         "handoff.step, handoff.target_fence, handoff.target = Step.HANDED, fence, target\n"
         "        handoff.released_at = now\n",
         12, 2,
     ),
     _mutant(
-        "what nobody can prove is not given up", "takeover",
+        "unknown sessions are not released", "takeover",
         "give_up = [] if takeover.holding else self._sessions_to_release(takeover, result)",
         "give_up = []", 12,
     ),
     _mutant(
-        "the old owner steers on when it is frozen", "handoff_source",
+        "the source steers while it is frozen", "handoff_source",
         "handoff.step in (Step.WAITING, Step.OFFERED, Step.TRANSFERRING)\n\n    def may_finish",
         "handoff.step is not Step.RECLAIMING\n\n    def may_finish", 12,
     ),
     _mutant(
-        "sessions with an attempt out are decided at once", "takeover",
+        "sessions with an attempt in flight are decided at once", "takeover",
         "blocked = takeover.decided | (takeover.in_flight - takeover.reported)",
         "blocked = set(takeover.decided)", 12,
     ),
     _mutant(
-        "boxes are not asked again after the overlap", "takeover",
+        "servers are not claimed again after the overlap", "takeover",
         "            if takeover.hold_until > takeover.started_at:\n",
         "            if takeover.hold_until < takeover.started_at:\n", 12,
     ),
@@ -70,12 +70,12 @@
 
 HANDOFF += [
     _mutant(
-        "the front's own moves are given up", "takeover",
+        "the front's own attempts are released", "takeover",
         "is_own = not self.rules.attempts_reported or server in takeover.own_servers.get(session, ())",
         "is_own = False", 12,
     ),
     _mutant(
-        "what is in doubt is over at once", "takeover",
+        "sessions in doubt end at once", "takeover",
         "if now >= takeover.hold_until + self.rules.doubt_ms:\n            over",
         "if result.unknown:\n            over", 12,
     ),
@@ -91,19 +91,19 @@
         "return min(max(front.age_ms / rules.ramp_ms, rules.floor), 1.0)", "return 1.0", 5,
     ),
     _mutant(
-        "a late front inherits", "successor_selection",
+        "a stale front inherits", "successor_selection",
         "eligible = {front.name: front for front in fronts if not front.late and not front.leaving}",
         "eligible = {front.name: front for front in fronts if not front.leaving}", 5,
     ),
     _mutant(
-        "channels of one loss don't count into their heir's load", "successor_selection",
+        "channels of one loss are not added to the load of their successor", "successor_selection",
         "loads[order[0]] += channels[channel]", "loads[order[0]] += 0", 5,
     ),
 ]  # fmt: skip
 
 DIRECTORY: list[Mutant] = [
     _mutant(
-        "the first that knows nothing ends a find", "directory",
+        "the first empty answer ends a lookup", "directory",
         "        if not lookup.waiting:\n            self._finish(lookup, None)\n",
         "        self._finish(lookup, None)\n", 12,
     ),
@@ -111,11 +111,11 @@
 
 DAYS: list[Mutant] = [
     _mutant(
-        "a front that takes nothing accepts", "handoff_target",
+        "a closed front accepts an offer", "handoff_target",
         "        if self._closed_reason:\n", "        if self._closed_reason and handoff:\n", 12,
     ),
     _mutant(
-        "boxes that no copy names are not claimed", "takeover",
+        "servers that no replica names are not claimed", "takeover",
         "for server in sorted({*occupied, *listed}):", "for server in occupied:", 12, 2,
     ),
 
@@ -123,20 +123,20 @@
 
 WEIGHING: list[Mutant] = [
     _mutant(
-        "of two attempts the earlier is taken", "reconcile",
+        "the earlier of two attempts is taken", "reconcile",
         "    return max(\n        candidates,", "    return min(\n        candidates,", 5,
     ),
     _mutant(
-        "the same attempt at another box counts as a later one", "reconcile",
+        "the same attempt at another server counts as a later one", "reconcile",
         "if location[1] > status.attempt or", "if location[1] >= status.attempt or", 5,
     ),
     _mutant(
-        "what an unreached box holds is over", "reconcile",
+        "sessions of a server that was not reached end", "reconcile",
         "        elif status.box in answers and session not in possibly_moved:\n",
         "        elif session not in possibly_moved:\n", 5,
     ),
     _mutant(
-        "what may have moved to a silent box is over", "reconcile",
+        "sessions that may have moved to a silent server end", "reconcile",
         "        elif status.box in answers and session not in possibly_moved:\n",
         "        elif status.box in answers:\n", 5,
     ),
@@ -144,16 +144,16 @@
 
 LIVES: list[Mutant] = [
     _mutant(
-        "an earlier life's entry wins", "registrar",
+        "the entry of an earlier incarnation wins", "registrar",
         "if entry.incarnation < old.incarnation:", "if entry.incarnation > old.incarnation:", 5,
     ),
     _mutant(
-        "the old owner takes the new owner's entry away", "registrar",
+        "the old owner removes the entry of the new one", "registrar",
         "if entry is not None and entry.owner == owner and entry.incarnation <= incarnation:",
         "if entry is not None:", 5,
     ),
     _mutant(
-        "a lower fence's entry wins", "registrar",
+        "the entry with the lower fence wins", "registrar",
         "elif entry.fence < old.fence:", "elif entry.fence > old.fence:", 5,
     ),
 ]  # fmt: skip
--- a/tests/peers_mutants/joint.py
+++ b/tests/peers_mutants/joint.py
@@ -35,7 +35,7 @@
     ),
     Mutant(
         "an end seen here is not told to the taking over of its channel", _OWNING,
-        "            self.handoff.takeover.learn(now, channel, session, None)\n", "", 30, faults=2,
+        "            self.handoff.takeover.on_final_status(now, channel, session, None)\n", "", 30, faults=2,
     ),
     Mutant(
         "who hears that another has the lease keeps the sessions", _OWNING,
--- a/tests/test_peers_channel.py
+++ b/tests/test_peers_channel.py
@@ -420,7 +420,7 @@
             elif what < 0.95:
                 box = rng.choice([box.number for box in self.world.boxes if box.number != one.box])
                 owned.out[session] = (box, one.attempt + 1)
-                self.handoff.takeover.attempted(channel, session, box)
+                self.handoff.takeover.on_attempt_started(channel, session, box)
                 self.world.order(
                     self.name, channel, owned.fence, box, session, one.attempt + 1, one.rung, "setup"
                 )
@@ -1155,9 +1155,11 @@
 def test_no_message_raises_or_grows_a_table_past_its_bound(seed: int) -> None:
     """Authenticated peers send messages of all kinds in any order, with absurd values."""
     mods, rng = Modules(), Random(f"odd {seed}")
-    rules = mods.rules.ReplicaRules(copies_most=3, sessions_most=20, bytes_most=4_000, payloads_bytes=5_000)
+    rules = mods.rules.ReplicaRules(
+        max_replicas=3, max_sessions=20, max_bytes=4_000, max_payloads_bytes=5_000
+    )
     replica = mods.replication.ChannelReplication("me", rules)
-    hand = mods.handoff.Handoff("me", mods.rules.HandoffRules(takes_most=3, sessions_most=20), seed)
+    hand = mods.handoff.Handoff("me", mods.rules.HandoffRules(max_incoming=3, max_sessions=20), seed)
     replica.own(0.0, "a:1/1", 2, [mods.status("s1", payload=b"d" * 16)])
     replica.standbys(0.0, "a:1/1", ["b", "c"])
     hand.offer(0.0, "a:1/1", 2, {"s1": mods.status("s1")}, ["b", "c"])
--- a/tests/test_peers_heirs.py
+++ b/tests/test_peers_heirs.py
@@ -271,7 +271,7 @@
             messages.Registered | messages.Unregistered | messages.LocateSession | messages.SessionLocation
         )
         self.decoder = msgspec.msgpack.Decoder(kinds)
-        self.rules = rules.DirectoryRules(refresh_ms=2_000.0, keep_ms=6_000.0, entries_most=60)
+        self.rules = rules.DirectoryRules(refresh_ms=2_000.0, keep_ms=6_000.0, max_entries=60)
         self.rng, self.now, self.count = Random(f"directory {seed}"), 0.0, 0
         self.loss = self.rng.choice([0.0, 0.2])
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
@@ -367,7 +367,7 @@
                         self.send(name, effect)
                     else:
                         self.found(name, effect)
-                if len(part._registrar) > self.rules.entries_most:
+                if len(part._registrar) > self.rules.max_entries:
                     self.faults.append(f"{name} keeps {len(part._registrar)} entries")
             self.now += 2.0
 
@@ -426,7 +426,7 @@
 
 
 def test_finds_and_entries_are_bounded_whatever_peers_say() -> None:
-    rules = DirectoryRules(finds_most=3, entries_most=4, message_entries=3)
+    rules = DirectoryRules(max_lookups=3, max_entries=4, message_entries=3)
     module: Any = importlib.import_module("fernweir.peers.channel.directory")
     messages: Any = importlib.import_module("fernweir.peers.channel.messages")
     part = module.Directory("a", 1, rules)
