--- a/fernweir/peers/channel/rules.py
+++ b/fernweir/peers/channel/rules.py
@@ -40,8 +40,8 @@
     The takeover does not wait longer than `answer_timeout_ms` for a server; the sessions of a server without
     an answer are in doubt. The claim is repeated every `retry_ms`, and after `doubt_ms` every
     `slow_retry_ms`; a session that is in doubt for that long has ended. With `attempts_reported` the front
-    calls `on_attempt_started` for every attempt that it starts; a later attempt in a server's list that is not
-    its own is then released, otherwise it is left alone.
+    calls `on_attempt_started` for every attempt that it starts; a later attempt in a server's list that is
+    not its own is then released, otherwise it is left alone.
     """
 
     overlap_ms: float = 2_000.0  # how long servers accept a lower fence after a planned claim
