--- a/tests/test_node_peers.py
+++ b/tests/test_node_peers.py
@@ -100,7 +100,7 @@
             await scenario(fleet, node, peers)
             assert not fleet.faults
         finally:
-            peers.cut()
+            peers.abort()
             await peers.links.stop()
             node.shutdown()
 
@@ -121,13 +121,13 @@
         try:
             await fleet.wait_for_log_event(process, "peer joined")
             await until(lambda: (n7 := versions(peers, "n7")) is not None and n7.boxes)
-            mine, theirs = peers.peer.recording.versions, versions(peers, "n7")
+            mine, theirs = peers.peer.audit.versions, versions(peers, "n7")
             assert theirs is not None and theirs.boxes == mine.boxes and theirs.settings == mine.settings
 
             answer = await fleet.ask()
             assert answer.type == "answer" and answer.sdp is not None
             life = peers.peer.members.life("n7")
-            await until(lambda: peers.peer.recording.store.shelf("n7", life))
+            await until(lambda: peers.peer.audit.store.shelf("n7", life))
         finally:
             process.kill()
             await process.wait()
@@ -171,9 +171,9 @@
             msgspec.json.encode({"n": 6, "members": {"index": 10, "endpoints": [line]}})
         )
         assert update is not None
-        before = peers.peer.recording.versions.boxes
+        before = peers.peer.audit.versions.boxes
         node.endpoint_watcher.apply_update(update)
-        assert peers.peer.recording.versions.boxes != before
+        assert peers.peer.audit.versions.boxes != before
         answers: list[dict[str, Any]] = []
         peers.questions.ask({"question": "acts", "deed": "drain"}, answers.append)
         await until(lambda: answers)
@@ -346,7 +346,7 @@
             while self._sent and self._sent[0][0] <= self.now:
                 _, _, to, sender, message = heappop(self._sent)
                 if to in self.peers and sender in self.peers:
-                    self.peers[to].heard(self.now, sender, 1, message)
+                    self.peers[to].on_message(self.now, sender, 1, message)
             for peer in self.peers.values():
                 due = peer.next_deadline()
                 if due is not None and due <= self.now:
