--- a/bench/peers_channel.py
+++ b/bench/peers_channel.py
@@ -15,49 +15,49 @@
 import msgspec
 
 from fernweir.peers.base import Send
-from fernweir.peers.channel.copies import Replica
-from fernweir.peers.channel.cut import channel_of, payload_digest
-from fernweir.peers.channel.giving import Freeze, NoHeir, OverlapOver, WantLease
+from fernweir.peers.channel.channel_names import channel_of, payload_digest
 from fernweir.peers.channel.handoff import Handoff
-from fernweir.peers.channel.heirs import Candidate, assign, capacities, wait_ms
+from fernweir.peers.channel.handoff_source import Freeze, NoSuccessor, OverlapOver, WantLease
 from fernweir.peers.channel.payloads import NeedPayload
-from fernweir.peers.channel.rules import HeirRules
-from fernweir.peers.channel.spread import Loss, spread
+from fernweir.peers.channel.replication import ChannelReplication
+from fernweir.peers.channel.rules import SuccessorRules
+from fernweir.peers.channel.successor_selection import Candidate, assign, capacities, wait_ms
 from fernweir.peers.channel.takeover import Claim, Inherited
+from fernweir.peers.channel.takeover_pacing import LostChannel, schedule_takeovers
 from fernweir.peers.port import ClaimResult, SessionStatus
 
-WAY_MS = (0.3, 2.0)  # between fronts, and between a front and a box
+WAY_MS = (0.3, 2.0)  # between fronts, and between a front and a server
 BOXES = 30
 PAYLOADS = 20  # distinct ones
-QUORUM_MS = 4.0  # a lease from a majority of keepers: two ways there and back
+QUORUM_MS = 4.0  # a lease from a majority of keepers: two round trips
 
 
 def sessions_of(count: int, parts: int, seed: int) -> dict[str, list[SessionStatus]]:
     """A front's sessions by channel, with names as long as real ones."""
-    dice = Random(f"sessions {seed}")
+    rng = Random(f"sessions {seed}")
     payloads = [payload_digest(payload_of(n)) for n in range(PAYLOADS)]
     channels: dict[str, list[SessionStatus]] = {}
     for _ in range(count):
-        session = dice.randbytes(16).hex()
+        session = rng.randbytes(16).hex()
         one = SessionStatus(
-            session, f"10.0.0.{dice.randrange(250)}:40000", f"viewer{dice.randrange(9_999)}@example.org",
-            f"lesson-{dice.randrange(60)}", "standard", 4, "lagos", dice.getrandbits(30),
-            dice.randrange(BOXES), dice.randrange(3), dice.randrange(5), dice.choice(payloads), 1, 0,
+            session, f"10.0.0.{rng.randrange(250)}:40000", f"viewer{rng.randrange(9_999)}@example.org",
+            f"lesson-{rng.randrange(60)}", "standard", 4, "lagos", rng.getrandbits(30),
+            rng.randrange(BOXES), rng.randrange(3), rng.randrange(5), rng.choice(payloads), 1, 0,
         )  # fmt: skip
         channels.setdefault(channel_of("front-1", 1, session, parts), []).append(one)
     return channels
 
 
 def payload_of(number: int) -> bytes:
-    """What a lesson's viewers are answered from, of a usual size."""
+    """Returns the payload of a title, of a usual size."""
     return Random(f"payload {number}").randbytes(6_000)
 
 
 class Paths:
-    """Messages between machines take their time; all bytes are counted by kind and direction."""
+    """The network with its delays; counts all bytes by message kind and sender."""
 
     def __init__(self, seed: int) -> None:
-        self.dice, self.now, self.count = Random(f"paths {seed}"), 0.0, 0
+        self.rng, self.now, self.count = Random(f"paths {seed}"), 0.0, 0
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.bytes: Counter[str] = Counter()
         self.last: dict[tuple[str, str], float] = {}
@@ -70,19 +70,19 @@
         self.bytes[f"{sender}: {type(effect.message).__name__}"] += len(
             msgspec.msgpack.encode(effect.message)
         )
-        when = max(self.now + self.dice.uniform(*WAY_MS), self.last.get((sender, str(effect.to)), 0.0))
+        when = max(self.now + self.rng.uniform(*WAY_MS), self.last.get((sender, str(effect.to)), 0.0))
         self.last[(sender, str(effect.to))] = when
         self.after(when - self.now, lambda: to.on_message(self.now, sender, effect.message))
 
     def step(self, until: float, parts: dict[str, Any]) -> bool:
-        """On to the next thing that is due; False if that is later than `until`."""
-        dues = [due for part in parts.values() if (due := part.next_deadline()) is not None]
+        """Advances to the next event. Returns False if that is later than `until`."""
+        deadlines = [due for part in parts.values() if (due := part.next_deadline()) is not None]
         if self.queue:
-            dues.append(self.queue[0][0])
-        if not dues or min(dues) > until:
+            deadlines.append(self.queue[0][0])
+        if not deadlines or min(deadlines) > until:
             self.now = until
             return False
-        self.now = max(self.now, min(dues))
+        self.now = max(self.now, min(deadlines))
         while self.queue and self.queue[0][0] <= self.now:
             heapq.heappop(self.queue)[2]()
         for part in parts.values():
@@ -92,23 +92,23 @@
         return True
 
 
-def copying(count: int, parts_of: int, seed: int, every_s: float) -> None:
+def measure_replication(count: int, parts_of: int, seed: int, every_s: float) -> None:
     """An owner and two standbys for a minute; each session's rung changes once in `every_s` on average."""
-    channels, dice = sessions_of(count, parts_of, seed), Random(f"changes {seed}")
+    channels, rng = sessions_of(count, parts_of, seed), Random(f"changes {seed}")
     paths, payloads = Paths(seed), {payload_digest(payload_of(n)): payload_of(n) for n in range(PAYLOADS)}
-    parts: dict[str, Any] = {name: Replica(name, None, seed) for name in ("owner", "b", "c")}
-    owner: Replica = parts["owner"]
-    for channel, standings in channels.items():
-        owner.own(0.0, channel, 1, standings)
+    parts: dict[str, Any] = {name: ChannelReplication(name, None, seed) for name in ("owner", "b", "c")}
+    owner: ChannelReplication = parts["owner"]
+    for channel, statuses in channels.items():
+        owner.own(0.0, channel, 1, statuses)
         owner.standbys(0.0, channel, ["b", "c"])
-    flat = [(channel, number) for channel, standings in channels.items() for number in range(len(standings))]
+    flat = [(channel, number) for channel, statuses in channels.items() for number in range(len(statuses))]
 
     def change() -> None:
-        channel, number = dice.choice(flat)
+        channel, number = rng.choice(flat)
         one = channels[channel][number]
         channels[channel][number] = one = msgspec.structs.replace(one, rung=(one.rung + 1) % 5)
         owner.change(paths.now, channel, one)
-        paths.after(dice.expovariate(count / every_s / 1_000.0), change)
+        paths.after(rng.expovariate(count / every_s / 1_000.0), change)
 
     def run(until: float) -> None:
         while paths.step(until, parts):
@@ -124,56 +124,60 @@
     if every_s:
         change()
     run(62_000.0)
-    ages = [copy.age_ms(paths.now) for channel in channels if (copy := parts["b"].copy(channel)) is not None]
+    ages = [
+        copy.age_ms(paths.now)
+        for channel in channels
+        if (copy := parts["b"].find_replica(channel)) is not None
+    ]
     total = paths.bytes - first
-    told = sum(size for kind, size in total.items() if kind.startswith("owner"))
-    heard = sum(total.values()) - told
+    owner_bytes = sum(size for kind, size in total.items() if kind.startswith("owner"))
+    standby_bytes = sum(total.values()) - owner_bytes
     label = f"a rung changed every {every_s:g} s" if every_s else "nothing changed"
     print(
         f"copies, {count} sessions, {len(channels)} channels, 2 standbys, {label}: owner sends "
-        f"{told / 60.0:,.0f} B/s, standbys answer {heard / 60.0:,.0f} B/s; at the start "
+        f"{owner_bytes / 60.0:,.0f} B/s, standbys answer {standby_bytes / 60.0:,.0f} B/s; at the start "
         f"{sum(first.values()):,} B; oldest copy {max(ages):.0f} ms"
     )
 
 
-def handing(count: int, parts_of: int, seed: int) -> None:
-    """A front hands all on to three heirs in turn; a lease takes a majority's two ways, a claim one."""
+def measure_handoff(count: int, parts_of: int, seed: int) -> None:
+    """A front hands all channels off to three targets; a lease takes two round trips, a claim one."""
     channels = sessions_of(count, parts_of, seed)
-    paths, dice = Paths(seed), Random(f"handing {seed}")
-    heirs = ["b", "c", "d"]
+    paths, rng = Paths(seed), Random(f"handing {seed}")
+    targets = ["b", "c", "d"]
     parts: dict[str, Any] = {
-        name: Handoff(name, None, seed, listed=lambda: range(BOXES)) for name in ["a", *heirs]
+        name: Handoff(name, None, seed, listed=lambda: range(BOXES)) for name in ["a", *targets]
     }
     frozen: dict[str, float] = {}
-    acts: dict[str, float] = {}
+    active: dict[str, float] = {}
     done: dict[str, float] = {}
-    for turn, (channel, standings) in enumerate(channels.items()):
-        order = heirs[turn % 3 :] + heirs[: turn % 3]
-        parts["a"].offer(0.0, channel, 1, {one.session: one for one in standings}, order)
+    for turn, (channel, statuses) in enumerate(channels.items()):
+        order = targets[turn % 3 :] + targets[: turn % 3]
+        parts["a"].offer(0.0, channel, 1, {one.session: one for one in statuses}, order)
 
     def claim(name: str, event: Claim, box: int) -> None:
         mine = tuple(
             (one.session, one.attempt, one.rung) for one in channels[event.channel] if one.box == box
         )
-        told = ClaimResult(box, True, True, event.fence, mine)
-        way = dice.uniform(*WAY_MS) + dice.uniform(*WAY_MS)
-        paths.after(way, lambda: parts[name].claimed(paths.now, event.channel, told))
+        owner_bytes = ClaimResult(box, True, True, event.fence, mine)
+        way = rng.uniform(*WAY_MS) + rng.uniform(*WAY_MS)
+        paths.after(way, lambda: parts[name].on_claimed(paths.now, event.channel, owner_bytes))
 
     def event(name: str, effect: Any) -> None:
         if isinstance(effect, Freeze):
             frozen[effect.channel] = paths.now
-            parts[name].frozen(paths.now, effect.channel, [])
+            parts[name].on_frozen(paths.now, effect.channel, [])
         elif isinstance(effect, WantLease):
             channel, fence = effect.channel, effect.floor + 1
-            paths.after(QUORUM_MS, lambda: parts[name].leased(paths.now, channel, fence))
+            paths.after(QUORUM_MS, lambda: parts[name].on_lease_acquired(paths.now, channel, fence))
         elif isinstance(effect, Claim):
             for box in effect.boxes:
                 claim(name, effect, box)
         elif isinstance(effect, Inherited):
-            acts[effect.channel] = paths.now
+            active[effect.channel] = paths.now
         elif isinstance(effect, OverlapOver):
             done[effect.channel] = paths.now
-        elif isinstance(effect, NoHeir):
+        elif isinstance(effect, NoSuccessor):
             raise SystemExit(f"nobody took {effect.channel}")
 
     more = True
@@ -185,18 +189,18 @@
                 else:
                     event(name, effect)
         more = paths.step(10_000.0, parts)
-    gaps = [acts[channel] - frozen[channel] for channel in channels]
+    gaps = [active[channel] - frozen[channel] for channel in channels]
     print(
         f"hand-off, {count} sessions in {len(channels)} channels to 3 heirs: the last heir acts after "
-        f"{max(acts.values()):.0f} ms, longest without an owner who steers {max(gaps):.0f} ms, overlap at "
+        f"{max(active.values()):.0f} ms, longest without an owner who steers {max(gaps):.0f} ms, overlap at "
         f"most {max(done[one] - frozen[one] for one in channels):.0f} ms, {sum(paths.bytes.values()):,} B"
     )
 
 
-def inheriting(count: int, parts_of: int, seed: int) -> None:
-    """Of 30 fronts with as many sessions each one goes: who has what then, and when it is taken over."""
-    dice, rules = Random(f"inheriting {seed}"), HeirRules()
-    fronts = [Candidate(f"f{n}", dice.randrange(count - 60, count + 60), 1e6) for n in range(28)]
+def measure_succession(count: int, parts_of: int, seed: int) -> None:
+    """One of 30 fronts with similar loads is lost: the new owners, and the times of the takeovers."""
+    rng, rules = Random(f"inheriting {seed}"), SuccessorRules()
+    fronts = [Candidate(f"f{n}", rng.randrange(count - 60, count + 60), 1e6) for n in range(28)]
     fronts += [Candidate("f28", 0, 1_000.0), Candidate("f29", 20, 6_000.0)]
     moved = must = every = 0
     for lost_one in fronts[:28]:
@@ -236,10 +240,10 @@
             inherited.setdefault(order[0], []).append(channel)
         for name, channels in inherited.items():
             losses = [
-                Loss(channel, lost[channel], tuple(dice.sample(range(BOXES), 26)), 50.0)
+                LostChannel(channel, lost[channel], tuple(rng.sample(range(BOXES), 26)), 50.0)
                 for channel in channels
             ]
-            turns = spread(0.0, losses, None, hash_of(name, seed_of), len(inherited))
+            turns = schedule_takeovers(0.0, losses, None, hash_of(name, seed_of), len(inherited))
             latest.append(turns[-1].at)
     latest.sort()
     print(
@@ -260,9 +264,9 @@
 def main(sessions: int, channels: int, seed: int) -> None:
     print("simulated, bytes of encoded messages without frames and seals")
     for every_s in (0.0, 30.0, 10.0, 2.0):
-        copying(sessions, channels, seed, every_s)
-    handing(sessions, channels, seed)
-    inheriting(sessions, channels, seed)
+        measure_replication(sessions, channels, seed, every_s)
+    measure_handoff(sessions, channels, seed)
+    measure_succession(sessions, channels, seed)
 
 
 if __name__ == "__main__":
--- a/fernweir/peers/channel/takeover.py
+++ b/fernweir/peers/channel/takeover.py
@@ -1,11 +1,12 @@
-"""Taking a channel over under a new fence: boxes are claimed, their lists weighed, sessions taken or not.
-
-It begins when this front has the lease. All boxes of the list are claimed, not only those that the copy
-names: a session may have begun or moved in the old owner's last moments. When all have answered (after a
-planned hand-off: those where sessions stand), or after `first_ms`, the channel is acted for. What a box
-that was not reached holds is in doubt until it answers, or for `doubt_ms`. When what the old owner had out
-must have ended, all boxes are asked once more. What is decided of a session stays decided, but for one that
-ended between its box's first list and its being taken, of which nobody was told: the second list lacks it.
+"""Takeover of a channel under a new fence: claims servers, reconciles their lists, and settles sessions.
+
+A takeover starts when this front has the lease. All listed servers are claimed, not only those of the
+replica, because a session may have started or migrated shortly before the old owner was lost. The takeover
+becomes active when all servers have answered (after a planned hand-off: those that have sessions), or after
+`answer_timeout_ms`. The sessions of a server without an answer are in doubt until it answers, or for
+`doubt_ms`. When the attempts of the old owner must have ended, all servers are claimed a second time. The
+decision about a session is final, except for a session that ended between the first list of its server and
+its adoption without a notice to anybody: the second list lacks it.
 """
 
 from __future__ import annotations
@@ -14,17 +15,17 @@
 from dataclasses import dataclass, field
 
 from fernweir.peers.base import Effect, Event, Outbox
-from fernweir.peers.channel.reconcile import Reconciled, boxes_of, reconcile
+from fernweir.peers.channel.reconcile import Reconciled, reconcile, servers_of
 from fernweir.peers.channel.rules import TakeoverRules
 from fernweir.peers.port import ClaimResult, SessionStatus
 
 
 @dataclass(frozen=True, slots=True)
 class Claim(Event):
-    """Claim this channel at these boxes; each answer goes to `claimed`.
+    """Claim the channel at these servers, and call `on_claimed` with each answer.
 
-    They may accept a lower fence for `overlap_ms` more: none after an unplanned loss, whose owner has no
-    lease, so that what it still had on its way changes nothing once a box has told its list.
+    The servers may accept a lower fence for another `overlap_ms`. This is 0 after an unplanned loss, because
+    that owner has no lease: its messages in transit must change nothing after a server has sent its list.
     """
 
     channel: str
@@ -35,22 +36,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Inherited(Event):
-    """From now on this front steers the channel. `Settled` about its sessions follows.
+    """This front steers the channel from now on. `Settled` events about its sessions follow.
 
-    `standings` are all that may stand, in doubt or not: what its copies begin with.
+    `statuses` are those of all sessions that may exist, in doubt or not; replication starts with them.
     """
 
     channel: str
     fence: int
     doubtful: int
-    standings: tuple[SessionStatus, ...]
+    statuses: tuple[SessionStatus, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Settled(Event):
-    """Decided of a channel's sessions: taken, over, or to be released at a box under that attempt.
+    """Decisions about sessions of a channel: adopted, ended, or to be released at a server with an attempt.
 
-    `gone` don't run where they stood, as their boxes say, though they were taken, or were held here before.
+    `gone` are sessions that were adopted, or belonged to this front before, and that their servers no longer
+    run.
     """
 
     channel: str
@@ -63,287 +65,305 @@
 
 @dataclass(frozen=True, slots=True)
 class Finished(Event):
-    """Nothing of the channel is in doubt, and all boxes have answered or were left alone."""
+    """No session of the channel is in doubt, and all servers have answered or are ignored."""
 
     channel: str
     fence: int
 
 
 @dataclass(frozen=True, slots=True)
-class Outdone(Event):
-    """A box knows a higher fence: the channel is another's, nothing of it may be steered from here."""
+class HigherFenceFound(Event):
+    """A server has a higher fence: another front owns the channel, and this one must not steer it."""
 
     channel: str
     fence: int
 
 
 @dataclass(slots=True)
-class _Box:
-    ask_at: float
-    first: bool
+class _ServerClaim:
+    claim_at: float
+    required: bool
     answered: bool = False
 
 
 @dataclass(slots=True)
-class _Taken:
+class _ChannelTakeover:
     channel: str
     fence: int
-    began: float
+    started_at: float
     hold_until: float
     overlap_ms: float
-    planned: bool  # the standings are the old owner's last word, but for what was out
-    standings: dict[str, SessionStatus]
-    moving: set[str]  # an attempt of the old owner was out for these
-    boxes: dict[int, _Box] = field(default_factory=dict)
-    told: dict[int, ClaimResult] = field(default_factory=dict)
-    decided: set[str] = field(default_factory=set)  # taken or over
+    planned: bool  # the statuses are final, but for attempts in flight
+    statuses: dict[str, SessionStatus]
+    in_flight_at_start: set[str]  # sessions with an attempt of the old owner in flight
+    servers: dict[int, _ServerClaim] = field(default_factory=dict)
+    answers: dict[int, ClaimResult] = field(default_factory=dict)
+    decided: set[str] = field(default_factory=set)  # adopted or ended
     released: set[tuple[int, str, int]] = field(default_factory=set)
-    out: set[str] = field(default_factory=set)  # the old owner finishes an attempt of these
-    learned: set[str] = field(default_factory=set)  # of those: it told where they stand now
-    mine: dict[str, set[int]] = field(default_factory=dict)  # boxes this front set a session up at
-    held: bool = True  # sessions no one knows may still be the old owner's
+    in_flight: set[str] = field(default_factory=set)  # sessions whose attempt the old owner finishes
+    reported: set[str] = field(default_factory=set)  # of those, the ones with a new status
+    own_servers: dict[str, set[int]] = field(
+        default_factory=dict
+    )  # session: servers where this front started an attempt
+    holding: bool = True  # unknown sessions may still belong to the old owner
     relist_until: float = 0.0
-    acting: bool = False
+    active: bool = False
 
 
 class Takeover:
-    """All channels that are being taken over here."""
+    """All takeovers at this front."""
 
     def __init__(self, rules: TakeoverRules | None = None) -> None:
         self.rules = rules or TakeoverRules()
         self._out = Outbox()
-        self._taken: dict[str, _Taken] = {}
+        self._takeovers: dict[str, _ChannelTakeover] = {}
 
     def begin(
         self,
         now: float,
         channel: str,
         fence: int,
-        standings: Mapping[str, SessionStatus],
+        statuses: Mapping[str, SessionStatus],
         *,
         listed: Iterable[int] = (),
         planned_ms: float | None = None,
         out: Iterable[str] = (),
     ) -> None:
-        """The lease is here. `listed` are all boxes of the list that are believed up.
+        """Starts a takeover with the lease under `fence`. `listed` are all listed servers that are up.
 
-        After a planned hand-off the old owner may finish those `out` for `planned_ms`: they are not decided
-        until then. As long, or for `overlap_ms` after an unplanned loss, unknown sessions are not given up.
+        After a planned hand-off the old owner may finish attempts of the sessions in `out` for `planned_ms`;
+        they are not decided before. For that time, or for `overlap_ms` after an unplanned loss, unknown
+        sessions are not released.
         """
         hold = self.rules.overlap_ms if planned_ms is None else planned_ms
         overlap = 0.0 if planned_ms is None else self.rules.overlap_ms
-        taken = _Taken(
-            channel, fence, now, now + hold, overlap, planned_ms is not None, dict(standings), moving=set(out)
+        takeover = _ChannelTakeover(
+            channel,
+            fence,
+            now,
+            now + hold,
+            overlap,
+            planned_ms is not None,
+            dict(statuses),
+            in_flight_at_start=set(out),
         )
-        stand = boxes_of(standings.values())
-        for box in sorted({*stand, *listed}):
-            taken.boxes[box] = _Box(now, planned_ms is None or box in stand)
-        taken.out |= taken.moving
-        self._taken[channel] = taken
+        occupied = servers_of(statuses.values())
+        for server in sorted({*occupied, *listed}):
+            takeover.servers[server] = _ServerClaim(now, planned_ms is None or server in occupied)
+        takeover.in_flight |= takeover.in_flight_at_start
+        self._takeovers[channel] = takeover
         self.tick(now)
 
-    def begun(self, channel: str) -> bool:
-        return channel in self._taken
+    def has_begun(self, channel: str) -> bool:
+        return channel in self._takeovers
 
-    def steers(self, channel: str) -> bool | None:
-        """None if the channel is not being taken over."""
-        taken = self._taken.get(channel)
-        return None if taken is None else taken.acting
+    def may_steer(self, channel: str) -> bool | None:
+        """Whether the takeover permits steering; None if there is no takeover of the channel."""
+        takeover = self._takeovers.get(channel)
+        return None if takeover is None else takeover.active
 
-    def learn(self, now: float, channel: str, session: str, standing: SessionStatus | None) -> bool:
-        """The old owner's last word of a session: what it finished, or that it is over. False if too late."""
-        taken = self._taken.get(channel)
-        if taken is None or session in taken.decided:
+    def on_final_status(self, now: float, channel: str, session: str, status: SessionStatus | None) -> bool:
+        """Handles the final status of a session from the old owner, or its end. Returns False if too late."""
+        takeover = self._takeovers.get(channel)
+        if takeover is None or session in takeover.decided:
             return False
-        if standing is None:
-            taken.out.discard(session)
-            taken.standings.pop(session, None)
-            taken.decided.add(session)
-            if taken.acting:
-                self._out.add(Settled(channel, taken.fence, over=(session,)))
+        if status is None:
+            takeover.in_flight.discard(session)
+            takeover.statuses.pop(session, None)
+            takeover.decided.add(session)
+            if takeover.active:
+                self._out.add(Settled(channel, takeover.fence, over=(session,)))
             return True
-        taken.standings[session] = standing
-        taken.learned.add(session)
-        taken.moving.add(session)
-        if taken.held:  # a list from before this attempt may still come: what it lacks is not over
-            taken.out.add(session)
-        if standing.box not in taken.boxes:
-            taken.boxes[standing.box] = _Box(now, False)
-        else:  # its list may be from before this attempt
-            box = taken.boxes[standing.box]
-            box.answered, box.ask_at = False, now
-            taken.told.pop(standing.box, None)
+        takeover.statuses[session] = status
+        takeover.reported.add(session)
+        takeover.in_flight_at_start.add(session)
+        if takeover.holding:  # a list older than this attempt may follow, so a missing session has not ended
+            takeover.in_flight.add(session)
+        if status.box not in takeover.servers:
+            takeover.servers[status.box] = _ServerClaim(now, False)
+        else:  # its list may be older than this attempt
+            server = takeover.servers[status.box]
+            server.answered, server.claim_at = False, now
+            takeover.answers.pop(status.box, None)
         self.tick(now)
         return True
 
-    def claimed(self, now: float, channel: str, claimed: ClaimResult) -> None:
-        """What a box said; one that was not reached is asked again at its time."""
-        taken = self._taken.get(channel)
-        if taken is None or claimed.box not in taken.boxes or not claimed.reached:
+    def on_claimed(self, now: float, channel: str, claimed: ClaimResult) -> None:
+        """Handles the answer of a server; a server that was not reached is claimed again later."""
+        takeover = self._takeovers.get(channel)
+        if takeover is None or claimed.box not in takeover.servers or not claimed.reached:
             return
-        if (claimed.fence != taken.fence) if claimed.accepted else (claimed.fence <= taken.fence):
-            return  # of an earlier claim, late
-        taken.boxes[claimed.box].answered = True
-        taken.told[claimed.box] = claimed
-        self._weigh(now, taken)
-
-    def attempted(self, channel: str, session: str, box: int) -> None:
-        """This front sets the session up at that box: a later attempt that its list names is its own."""
-        taken = self._taken.get(channel)
-        if taken is not None:
-            taken.mine.setdefault(session, set()).add(box)
-
-    def gone(self, now: float, box: int) -> None:
-        """The box is off the list for good: what stood there is over."""
-        for taken in list(self._taken.values()):
-            if box in taken.boxes:
-                taken.boxes[box].answered = True
-                taken.told[box] = ClaimResult(box, True, True, taken.fence)
-                self._weigh(now, taken)
+        if (claimed.fence != takeover.fence) if claimed.accepted else (claimed.fence <= takeover.fence):
+            return  # a delayed answer to an earlier claim
+        takeover.servers[claimed.box].answered = True
+        takeover.answers[claimed.box] = claimed
+        self._evaluate(now, takeover)
+
+    def on_attempt_started(self, channel: str, session: str, server: int) -> None:
+        """This front started an attempt at the server: a later attempt in the server's list is its own."""
+        takeover = self._takeovers.get(channel)
+        if takeover is not None:
+            takeover.own_servers.setdefault(session, set()).add(server)
+
+    def on_server_removed(self, now: float, server: int) -> None:
+        """The server was removed from the list for good: its sessions have ended."""
+        for takeover in list(self._takeovers.values()):
+            if server in takeover.servers:
+                takeover.servers[server].answered = True
+                takeover.answers[server] = ClaimResult(server, True, True, takeover.fence)
+                self._evaluate(now, takeover)
 
     def undecided(self, channel: str) -> dict[str, SessionStatus]:
-        """What may stand of a channel that is being taken over, and is not settled yet."""
-        taken = self._taken.get(channel)
-        if taken is None:
+        """Returns the statuses of sessions in a takeover that are not settled yet."""
+        takeover = self._takeovers.get(channel)
+        if takeover is None:
             return {}
-        return {one: standing for one, standing in taken.standings.items() if one not in taken.decided}
+        return {one: status for one, status in takeover.statuses.items() if one not in takeover.decided}
 
     def stop(self, channel: str) -> None:
-        """The channel is another's: nothing more is claimed."""
-        self._taken.pop(channel, None)
+        """Stops the takeover, because another front owns the channel."""
+        self._takeovers.pop(channel, None)
 
     def tick(self, now: float) -> None:
-        for taken in list(self._taken.values()):
-            self._ask(now, taken)
-            self._weigh(now, taken)
+        for takeover in list(self._takeovers.values()):
+            self._send_claims(now, takeover)
+            self._evaluate(now, takeover)
 
     def next_deadline(self) -> float | None:
-        dues: list[float] = []
-        for taken in self._taken.values():
-            dues += [box.ask_at for box in taken.boxes.values() if not box.answered]
-            if not taken.acting:
-                dues.append(taken.began + self.rules.first_ms)
-            elif taken.held:
-                dues.append(taken.hold_until)
-            elif taken.out:
-                dues.append(taken.relist_until)
-            elif any(session not in taken.decided for session in taken.standings):
-                dues.append(taken.hold_until + self.rules.doubt_ms)
-        return min(dues, default=None)
+        deadlines: list[float] = []
+        for takeover in self._takeovers.values():
+            deadlines += [server.claim_at for server in takeover.servers.values() if not server.answered]
+            if not takeover.active:
+                deadlines.append(takeover.started_at + self.rules.answer_timeout_ms)
+            elif takeover.holding:
+                deadlines.append(takeover.hold_until)
+            elif takeover.in_flight:
+                deadlines.append(takeover.relist_until)
+            elif any(session not in takeover.decided for session in takeover.statuses):
+                deadlines.append(takeover.hold_until + self.rules.doubt_ms)
+        return min(deadlines, default=None)
 
     def take_effects(self) -> list[Effect]:
         return self._out.take_effects()
 
-    # --- pieces ---
+    # --- internals ---
 
-    def _ask(self, now: float, taken: _Taken) -> None:
+    def _send_claims(self, now: float, takeover: _ChannelTakeover) -> None:
         due = []
-        for number, box in taken.boxes.items():
-            if box.answered or now < box.ask_at:
+        for number, server in takeover.servers.items():
+            if server.answered or now < server.claim_at:
                 continue
-            if now >= taken.began + self.rules.box_ms:
-                box.answered = True
+            if now >= takeover.started_at + self.rules.server_timeout_ms:
+                server.answered = True
                 continue
             due.append(number)
-            doubted = now >= taken.hold_until + self.rules.doubt_ms
-            box.ask_at = now + (self.rules.slow_ms if doubted else self.rules.again_ms)
+            is_overdue = now >= takeover.hold_until + self.rules.doubt_ms
+            server.claim_at = now + (self.rules.slow_retry_ms if is_overdue else self.rules.retry_ms)
         if due:
-            self._out.add(Claim(taken.channel, taken.fence, tuple(due), taken.overlap_ms))
+            self._out.add(Claim(takeover.channel, takeover.fence, tuple(due), takeover.overlap_ms))
 
-    def _weigh(self, now: float, taken: _Taken) -> None:
-        if self._taken.get(taken.channel) is not taken:
+    def _evaluate(self, now: float, takeover: _ChannelTakeover) -> None:
+        if self._takeovers.get(takeover.channel) is not takeover:
             return
-        result = reconcile(taken.standings, list(taken.told.values()))
-        if result.outdone:
-            del self._taken[taken.channel]
-            self._out.add(Outdone(taken.channel, result.outdone))
+        result = reconcile(takeover.statuses, list(takeover.answers.values()))
+        if result.higher_fence:
+            del self._takeovers[takeover.channel]
+            self._out.add(HigherFenceFound(takeover.channel, result.higher_fence))
             return
-        if not taken.acting:
-            waiting = any(box.first and not box.answered for box in taken.boxes.values())
-            if waiting and now < taken.began + self.rules.first_ms:
+        if not takeover.active:
+            waiting = any(server.required and not server.answered for server in takeover.servers.values())
+            if waiting and now < takeover.started_at + self.rules.answer_timeout_ms:
                 return
-            taken.acting = True
-            standings = tuple(taken.standings.values())
-            self._out.add(Inherited(taken.channel, taken.fence, len(result.unknown), standings))
-        self._unhold(now, taken)
-        self._settle(now, taken)
-        self._finish(now, taken)
-
-    def _unhold(self, now: float, taken: _Taken) -> None:
-        """The old owner's time has passed: lists from before that say nothing of what it set up last."""
-        if taken.held and now >= taken.hold_until:
-            taken.held = False
-            gap = 1_000.0 / self.rules.again_a_second
-            taken.relist_until = now + gap * len(taken.boxes) + self.rules.first_ms
-            if taken.hold_until > taken.began:
-                taken.told.clear()
-                for turn, box in enumerate(taken.boxes.values()):
-                    box.answered, box.ask_at = False, now + turn * gap
-                self._ask(now, taken)
-        answered = all(box.answered for box in taken.boxes.values())
-        if not taken.held and (answered or now >= taken.relist_until):
-            taken.out.clear()
-
-    def _settle(self, now: float, taken: _Taken) -> None:
-        result = reconcile(taken.standings, list(taken.told.values()), self._elsewhere(taken))
-        settled = taken.decided | taken.out
-        waits = taken.decided | (taken.out - taken.learned)
-        new = [standing for standing in result.take if standing.session not in waits]
+            takeover.active = True
+            statuses = tuple(takeover.statuses.values())
+            self._out.add(Inherited(takeover.channel, takeover.fence, len(result.unknown), statuses))
+        self._end_hold(now, takeover)
+        self._settle(now, takeover)
+        self._finish(now, takeover)
+
+    def _end_hold(self, now: float, takeover: _ChannelTakeover) -> None:
+        """Ends the hold, and claims again: earlier lists may lack the last attempts of the old owner."""
+        if takeover.holding and now >= takeover.hold_until:
+            takeover.holding = False
+            gap = 1_000.0 / self.rules.relists_per_s
+            takeover.relist_until = now + gap * len(takeover.servers) + self.rules.answer_timeout_ms
+            if takeover.hold_until > takeover.started_at:
+                takeover.answers.clear()
+                for turn, server in enumerate(takeover.servers.values()):
+                    server.answered, server.claim_at = False, now + turn * gap
+                self._send_claims(now, takeover)
+        answered = all(server.answered for server in takeover.servers.values())
+        if not takeover.holding and (answered or now >= takeover.relist_until):
+            takeover.in_flight.clear()
+
+    def _settle(self, now: float, takeover: _ChannelTakeover) -> None:
+        result = reconcile(takeover.statuses, list(takeover.answers.values()), self._possibly_moved(takeover))
+        settled = takeover.decided | takeover.in_flight
+        blocked = takeover.decided | (takeover.in_flight - takeover.reported)
+        new = [status for status in result.take if status.session not in blocked]
         over = [session for session in result.over if session not in settled]
-        gone = [taken.standings[session] for session in over] + self._gone(taken)
-        if now >= taken.hold_until + self.rules.doubt_ms:
+        gone = [takeover.statuses[session] for session in over] + self._missing_sessions(takeover)
+        if now >= takeover.hold_until + self.rules.doubt_ms:
             over += [one.session for one in result.unknown if one.session not in settled]
-        for standing in new:
-            taken.standings[standing.session] = standing
-        for session in {*over, *(standing.session for standing in gone)}:
-            del taken.standings[session]  # should a box list it after all, it is unwanted there
-        taken.decided.update(standing.session for standing in new)
-        taken.decided.update(over)
-        give_up = [] if taken.held else self._unwanted(taken, result)
+        for status in new:
+            takeover.statuses[status.session] = status
+        for session in {*over, *(status.session for status in gone)}:
+            del takeover.statuses[session]  # if a server lists it later, it is released there
+        takeover.decided.update(status.session for status in new)
+        takeover.decided.update(over)
+        give_up = [] if takeover.holding else self._sessions_to_release(takeover, result)
         if new or over or give_up or gone:
             self._out.add(
-                Settled(taken.channel, taken.fence, tuple(new), tuple(over), tuple(give_up), tuple(gone)),
+                Settled(
+                    takeover.channel, takeover.fence, tuple(new), tuple(over), tuple(give_up), tuple(gone)
+                ),
             )
 
-    def _elsewhere(self, taken: _Taken) -> Container[str]:
-        """Sessions that a box which has not told may have: all, or after a planned hand-off what was out."""
-        if all(box.answered for box in taken.boxes.values()):
+    def _possibly_moved(self, takeover: _ChannelTakeover) -> Container[str]:
+        """Returns sessions that a silent server may have: all, or those in flight at a planned hand-off."""
+        if all(server.answered for server in takeover.servers.values()):
             return ()
-        return taken.moving if taken.planned else taken.standings
+        return takeover.in_flight_at_start if takeover.planned else takeover.statuses
 
-    def _gone(self, taken: _Taken) -> list[SessionStatus]:
-        """What was taken by a first list and is missing in the second, but for what was set up here since."""
-        if taken.held:
+    def _missing_sessions(self, takeover: _ChannelTakeover) -> list[SessionStatus]:
+        """Returns sessions adopted by a first list that the second lacks, but for attempts of this front."""
+        if takeover.holding:
             return []
-        there = {box: {one[:2] for one in told.sessions} for box, told in taken.told.items()}
+        listed_attempts = {
+            server: {one[:2] for one in answer.sessions} for server, answer in takeover.answers.items()
+        }
         return [
-            standing
-            for session, standing in taken.standings.items()
-            if session in taken.decided
-            and session not in taken.out
-            and session not in taken.mine
-            and (session, standing.attempt) not in there.get(standing.box, ((session, standing.attempt),))
+            status
+            for session, status in takeover.statuses.items()
+            if session in takeover.decided
+            and session not in takeover.in_flight
+            and session not in takeover.own_servers
+            and (session, status.attempt) not in listed_attempts.get(status.box, ((session, status.attempt),))
         ]
 
-    def _unwanted(self, taken: _Taken, result: Reconciled) -> list[tuple[int, str, int]]:
-        """What to release. Of a session that was taken a later attempt may be this front's own doing."""
+    def _sessions_to_release(
+        self, takeover: _ChannelTakeover, result: Reconciled
+    ) -> list[tuple[int, str, int]]:
+        """Returns attempts to release. A later attempt of an adopted session may be this front's own."""
         new = []
         listed = [*result.give_up, *((one.box, one.session, one.attempt) for one in result.take)]
-        for box, session, attempt in listed:
-            mine = taken.standings.get(session)
-            if (box, session, attempt) in taken.released or session in taken.out:
+        for server, session, attempt in listed:
+            own_status = takeover.statuses.get(session)
+            if (server, session, attempt) in takeover.released or session in takeover.in_flight:
                 continue
-            if mine is not None:
-                own = not self.rules.attempts_told or box in taken.mine.get(session, ())
-                if (box, attempt) == (mine.box, mine.attempt) or (attempt > mine.attempt and own):
+            if own_status is not None:
+                is_own = not self.rules.attempts_reported or server in takeover.own_servers.get(session, ())
+                if (server, attempt) == (own_status.box, own_status.attempt) or (
+                    attempt > own_status.attempt and is_own
+                ):
                     continue
-            new.append((box, session, attempt))
-        taken.released.update(new)
+            new.append((server, session, attempt))
+        takeover.released.update(new)
         return new
 
-    def _finish(self, now: float, taken: _Taken) -> None:
-        if not taken.held and all(box.answered for box in taken.boxes.values()):
-            unsettled = any(session not in taken.decided for session in taken.standings)
+    def _finish(self, now: float, takeover: _ChannelTakeover) -> None:
+        if not takeover.holding and all(server.answered for server in takeover.servers.values()):
+            unsettled = any(session not in takeover.decided for session in takeover.statuses)
             if not unsettled:
-                del self._taken[taken.channel]
-                self._out.add(Finished(taken.channel, taken.fence))
+                del self._takeovers[takeover.channel]
+                self._out.add(Finished(takeover.channel, takeover.fence))
--- a/fernweir/peers/channel_manager.py
+++ b/fernweir/peers/channel_manager.py
@@ -1,9 +1,9 @@
 """Manages the channels of one front: the leases it holds, the replicas it stores, and what it takes over.
 
 Connects leases, replicas, hand-off and takeover to the port of the front. The decisions are made elsewhere:
-`channel.heirs` chooses successors, `channel.reconcile` evaluates the session list of a server, and a majority
-of the keepers grants ownership. The manager has no I/O and no clock; the replies of the port contain the
-time.
+`channel.successor_selection` chooses successors, `channel.reconcile` evaluates the session list of a server,
+and a majority of the keepers grants ownership. The manager has no I/O and no clock; the replies of the port
+contain the time.
 
 A session belongs to a channel if it was set up under the lease of that channel or was taken over with it. A
 session that was set up without a lease belongs to no channel, and ends when its front ends.
@@ -16,27 +16,33 @@
 from dataclasses import dataclass, field
 
 from fernweir.peers.base import Effect, Event, Message, Outbox
-from fernweir.peers.channel.copies import Outdated, Replica
-from fernweir.peers.channel.cut import PARTS_MOST, channel_of, parse
-from fernweir.peers.channel.giving import (
+from fernweir.peers.channel.channel_names import MAX_PARTS, channel_of, parse
+from fernweir.peers.channel.handoff import Handoff
+from fernweir.peers.channel.handoff_source import (
+    AbandonLease,
     Freeze,
-    HandedOn,
-    HandedOver,
+    HandoffFinished,
     Lapsed,
-    LeaveLease,
-    NoHeir,
+    LeaseReclaimed,
+    NoSuccessor,
     OverlapOver,
     ReleaseLease,
-    TakenBack,
+    TargetActivated,
     WantLease,
 )
-from fernweir.peers.channel.handoff import Handoff
-from fernweir.peers.channel.heirs import Candidate, heirs, standbys, wait_ms
 from fernweir.peers.channel.payloads import NeedPayload
-from fernweir.peers.channel.rules import HandoffRules, HeirRules, ReplicaRules, SpreadRules, TakeoverRules
-from fernweir.peers.channel.spread import Loss, spread
-from fernweir.peers.channel.standby import Copied, Copy
-from fernweir.peers.channel.takeover import Claim, Finished, Inherited, Outdone, Settled, Takeover
+from fernweir.peers.channel.replication import ChannelReplication, Outdated
+from fernweir.peers.channel.rules import (
+    HandoffRules,
+    PacingRules,
+    ReplicaRules,
+    SuccessorRules,
+    TakeoverRules,
+)
+from fernweir.peers.channel.standby import ChannelReplica, ReplicaCompleted
+from fernweir.peers.channel.successor_selection import Candidate, standbys, successors, wait_ms
+from fernweir.peers.channel.takeover import Claim, Finished, HigherFenceFound, Inherited, Settled, Takeover
+from fernweir.peers.channel.takeover_pacing import LostChannel, schedule_takeovers
 from fernweir.peers.lease.events import LeaseAcquired, LeaseLost, LeaseRenewed, LeaseUnavailable
 from fernweir.peers.lease.holder import Holder
 from fernweir.peers.port import ClaimResult, Port, SessionStatus
@@ -74,8 +80,8 @@
     replica: ReplicaRules = field(default_factory=ReplicaRules)
     takeover: TakeoverRules = field(default_factory=TakeoverRules)
     handoff: HandoffRules = field(default_factory=HandoffRules)
-    successors: HeirRules = field(default_factory=HeirRules)
-    spread: SpreadRules = field(default_factory=SpreadRules)
+    successors: SuccessorRules = field(default_factory=SuccessorRules)
+    spread: PacingRules = field(default_factory=PacingRules)
 
 
 @dataclass(frozen=True, slots=True)
@@ -135,7 +141,7 @@
         self.me, self.life, self.rules = me, life, rules
         self._holder, self._port, self._on_changed = holder, port, on_changed
         self._out = Outbox()
-        self.replica = Replica(me, rules.replica, seed)
+        self.replica = ChannelReplication(me, rules.replica, seed)
         takeover = Takeover(rules.takeover)
         self.handoff = Handoff(me, rules.handoff, seed, takeover, port.server_numbers, self.replica.fence)
         self._sessions: dict[str, dict[str, SessionStatus]] = {}  # by owned channel
@@ -226,7 +232,7 @@
         self._server_by_session[session] = server
         known = self._channel_by_session.get(session)
         if known is not None:
-            self.handoff.takeover.attempted(known, session, server)
+            self.handoff.takeover.on_attempt_started(known, session, server)
             return
         parsed = (
             parse(channel_of(self.me, self.life, session, self.rules.parts)) if self._own_channels else None
@@ -234,7 +240,7 @@
         channel = self._own_channels.get(parsed.part, "") if parsed is not None else ""
         if self._holder.current_lease(now, channel) is not None and self.handoff.may_steer(channel):
             self._channel_by_session[session] = channel
-            self.handoff.takeover.attempted(channel, session, server)
+            self.handoff.takeover.on_attempt_started(channel, session, server)
 
     def on_session_status(self, now: float, status: SessionStatus) -> None:
         """Records and replicates the status of a session that plays here."""
@@ -277,7 +283,7 @@
         if self._sessions.get(channel, {}).pop(session, None) is not None:
             self._out.add(SessionRelinquished(session))
             # If the channel is being claimed again, an earlier list of a server must not restore the session.
-            self.handoff.takeover.learn(now, channel, session, None)
+            self.handoff.takeover.on_final_status(now, channel, session, None)
         self.replica.end(now, channel, session)
         self.handoff.end(now, channel, session)
 
@@ -289,14 +295,14 @@
         self._dead_fronts -= set(self._fronts)
         closed = "leaving" if self._leaving else "shut out" if self._is_shut_out else ""
         closed = closed if self.rules.parts else "has no channels"
-        self.handoff.room(self.rules.handoff.sessions_most, closed)
+        self.handoff.set_capacity(self.rules.handoff.max_sessions, closed)
 
     def on_front_died(self, now: float, name: str) -> None:
         """Tries to take over the channels of a front that died or left, if it has replicas of them."""
         self._dead_fronts.add(name)
         self._fronts.pop(name, None)
-        self.handoff.died(now, name)
-        replicas = (self.replica.copy(channel) for channel in self.replica.copies())
+        self.handoff.on_peer_died(now, name)
+        replicas = (self.replica.find_replica(channel) for channel in self.replica.replicated_channels())
         self._schedule_lease_attempts(
             now, [replica for replica in replicas if replica is not None and replica.owner == name]
         )
@@ -341,7 +347,7 @@
     @property
     def is_drained(self) -> bool:
         """Whether all hand-offs have ended after `drain`."""
-        return self._leaving and not self.handoff.giving()
+        return self._leaving and not self.handoff.outgoing()
 
     # --- leases ---
 
@@ -353,7 +359,7 @@
         elif isinstance(event, LeaseLost):
             self._on_lease_lost(now, event.channel, event.fence, event.why)
         elif isinstance(event, LeaseUnavailable):
-            self.handoff.taken(now, event.channel, event.by, event.fence)
+            self.handoff.on_lease_taken(now, event.channel, event.by, event.fence)
             self._on_lease_unavailable(now, event.channel, event.by)
 
     def _on_lease_unavailable(self, now: float, channel: str, by: str) -> None:
@@ -385,7 +391,7 @@
             self._next_review_at = now + self.rules.review_ms
             self._review(now)
         for channel, attempt in list(self._lease_attempts.items()):
-            replica = self.replica.copy(channel)
+            replica = self.replica.find_replica(channel)
             if replica is None or replica.owner != attempt.owner:
                 self._cancel_lease_attempt(now, channel)  # another successor was first
             elif replica.as_of is not None and replica.as_of > attempt.since:
@@ -433,7 +439,7 @@
             self._on_inherited(now, event)
         elif isinstance(event, Settled):
             self._on_settled(now, event)
-        elif isinstance(event, Outdone):
+        elif isinstance(event, HigherFenceFound):
             # Keepers that lost their state may have granted too low a fence. If another front holds the
             # lease, they reject the request.
             self._holder.want(now, event.channel, event.fence)
@@ -447,29 +453,29 @@
                 for one in self._port.sessions_in_flight()
                 if self._channel_by_session.get(one) == event.channel
             ]
-            self.handoff.frozen(now, event.channel, out)
+            self.handoff.on_frozen(now, event.channel, out)
         elif isinstance(event, ReleaseLease):
             self._holder.release(now, event.channel)
         elif isinstance(event, WantLease):
             self._holder.want(now, event.channel, event.floor)
-        elif isinstance(event, LeaveLease):
+        elif isinstance(event, AbandonLease):
             self._holder.release(now, event.channel)
-        elif isinstance(event, HandedOn):
+        elif isinstance(event, TargetActivated):
             sessions = len(self._sessions.get(event.channel, ()))
-            self._out.add(ChannelChanged(event.channel, event.fence, "handed", sessions, event.heir))
-            self._relinquish_channel(now, event.channel, event.heir)
-        elif isinstance(event, TakenBack):
-            statuses = {one.session: one for one in event.standings}
+            self._out.add(ChannelChanged(event.channel, event.fence, "handed", sessions, event.target))
+            self._relinquish_channel(now, event.channel, event.target)
+        elif isinstance(event, LeaseReclaimed):
+            statuses = {one.session: one for one in event.statuses}
             self._relinquish_channel(now, event.channel, "")
             self._begin_takeover(now, event.channel, event.fence, statuses)
         elif isinstance(event, Finished):
             self._unsettled.discard(event.channel)  # it had no sessions
         else:
-            assert isinstance(event, Copied | OverlapOver | HandedOver | NoHeir | Lapsed)
+            assert isinstance(event, ReplicaCompleted | OverlapOver | HandoffFinished | NoSuccessor | Lapsed)
 
     def _claim_server(self, event: Claim, server: int) -> None:
         def then(now: float, claimed: ClaimResult) -> None:
-            self.handoff.claimed(now, event.channel, claimed)
+            self.handoff.on_claimed(now, event.channel, claimed)
             self._process_effects(now)
             self._on_changed()
 
@@ -480,14 +486,14 @@
     def _on_lease_acquired(self, now: float, channel: str, fence: int) -> None:
         attempt = self._lease_attempts.pop(channel, None)
         self._fences[channel] = fence
-        if self.handoff.leased(now, channel, fence):
+        if self.handoff.on_lease_acquired(now, channel, fence):
             self._process_effects(now)
             return
         if channel in self._sessions:  # owned already; a server had a higher fence
             self.replica.own(now, channel, fence, self._sessions[channel].values())
             self._begin_takeover(now, channel, fence, self._sessions[channel])
             return
-        replica = self.replica.copy(channel) if attempt is not None else None
+        replica = self.replica.find_replica(channel) if attempt is not None else None
         if replica is not None and attempt is not None:
             self._pending_takeovers[channel] = (now + attempt.after_ms, fence)
         elif self._is_own(channel) and not self._leaving:
@@ -497,13 +503,13 @@
 
     def _take_over_replica(self, now: float, channel: str, fence: int) -> None:
         """The lease has been here for a while, so that not all channels are claimed in one moment."""
-        lease, replica = self._holder.current_lease(now, channel), self.replica.copy(channel)
+        lease, replica = self._holder.current_lease(now, channel), self.replica.find_replica(channel)
         if lease is None or lease.fence != fence:
             return
         if replica is None:  # meanwhile the owner removed this front from its standbys
             self._holder.release(now, channel)
         else:
-            self._begin_takeover(now, channel, fence, dict(replica.standings))
+            self._begin_takeover(now, channel, fence, dict(replica.statuses))
 
     def _begin_takeover(
         self, now: float, channel: str, fence: int, statuses: Mapping[str, SessionStatus]
@@ -511,13 +517,13 @@
         self.handoff.takeover.begin(now, channel, fence, statuses, listed=self._port.server_numbers())
         for session, where in self._channel_by_session.items():  # attempts in flight, too
             if where == channel and session in self._server_by_session:
-                self.handoff.takeover.attempted(channel, session, self._server_by_session[session])
+                self.handoff.takeover.on_attempt_started(channel, session, self._server_by_session[session])
         self._process_effects(now)
 
     def _request_own_channel(self, now: float, part: int, number: int | None = None) -> None:
         """Requests the channel of a part under a number that this incarnation has not used, if any."""
         number = part if number is None else number
-        if number >= PARTS_MOST:
+        if number >= MAX_PARTS:
             self._own_channels.pop(part, None)
             return
         self._own_channels[part] = f"{self.me}:{self.life}/{number}"
@@ -535,7 +541,7 @@
     def _on_lease_lost(self, now: float, channel: str, fence: int, why: str) -> None:
         if why in ("released", "handed"):
             return
-        self.handoff.lost(now, channel)
+        self.handoff.on_lease_lost(now, channel)
         self._pending_takeovers.pop(channel, None)
         self._unsettled.discard(channel)
         statuses = self._sessions.get(channel)
@@ -575,7 +581,7 @@
     # --- takeovers ---
 
     def _on_inherited(self, now: float, event: Inherited) -> None:
-        self._add_channel(now, event.channel, event.fence, event.standings)
+        self._add_channel(now, event.channel, event.fence, event.statuses)
         self._unsettled.add(event.channel)
 
     def _on_settled(self, now: float, event: Settled) -> None:
@@ -636,11 +642,11 @@
         for channel, statuses in self._sessions.items():
             # An empty channel needs no standbys, so that the channels of an idle front cost its peers
             # nothing.
-            names = self._standbys(channel) if statuses or self.handoff.takeover.begun(channel) else []
+            names = self._standbys(channel) if statuses or self.handoff.takeover.has_begun(channel) else []
             self.replica.standbys(now, channel, names)
         lost = []
-        for channel in self.replica.copies():
-            replica = self.replica.copy(channel)
+        for channel in self.replica.replicated_channels():
+            replica = self.replica.find_replica(channel)
             if replica is None or channel in self._lease_attempts:
                 continue
             dead = replica.owner in self._dead_fronts and replica.owner not in self._fronts
@@ -656,37 +662,32 @@
             del self._relinquished[session]
         # Releases channels that were taken over and are empty now. Own channels are reused.
         for channel, statuses in list(self._sessions.items()):
-            busy = self.handoff.takeover.begun(channel) or channel in self._channel_by_session.values()
+            busy = self.handoff.takeover.has_begun(channel) or channel in self._channel_by_session.values()
             if not statuses and not self._is_own(channel) and not busy:
                 self._sessions.pop(channel)
-                self.replica.over(now, channel)
+                self.replica.close_channel(now, channel)
                 self._holder.release(now, channel)
 
-    def _schedule_lease_attempts(self, now: float, lost: Iterable[Copy]) -> None:
+    def _schedule_lease_attempts(self, now: float, lost: Iterable[ChannelReplica]) -> None:
         """Schedules requests for the leases of these replicas, in the order of the successors."""
         ranks: dict[str, int] = {}
-        candidates: dict[str, Copy] = {}
+        candidates: dict[str, ChannelReplica] = {}
         for replica in lost:
-            order = self._successors(replica.channel, len(replica.standings), replica.owner)
-            is_taking_over = replica.channel in self._pending_takeovers or self.handoff.takeover.begun(
+            order = self._successors(replica.channel, len(replica.statuses), replica.owner)
+            is_taking_over = replica.channel in self._pending_takeovers or self.handoff.takeover.has_begun(
                 replica.channel
             )
             free = not (self._leaving or self._is_shut_out or is_taking_over)
-            if (
-                free
-                and replica.channel not in self._lease_attempts
-                and replica.standings
-                and self.me in order
-            ):
+            if free and replica.channel not in self._lease_attempts and replica.statuses and self.me in order:
                 ranks[replica.channel], candidates[replica.channel] = order.index(self.me), replica
         losses = [
-            Loss(
-                channel, len(replica.standings), tuple({one.box for one in replica.standings.values()}),
+            LostChannel(
+                channel, len(replica.statuses), tuple({one.box for one in replica.statuses.values()}),
                 replica.age_ms(now),
             )
             for channel, replica in candidates.items()
         ]  # fmt: skip
-        for turn in spread(0.0, losses, self.rules.spread, self._seed, max(len(self._fronts), 1)):
+        for turn in schedule_takeovers(0.0, losses, self.rules.spread, self._seed, max(len(self._fronts), 1)):
             # Two fronts that request a lease at once can block each other. All but the first successor wait
             # until the lease has expired that was valid at the last message of the owner.
             due, rank, owner = now, ranks[turn.channel], candidates[turn.channel].owner
@@ -729,7 +730,7 @@
                 if status is not None and (status.session, status.attempt) in listed:
                     del self._unassigned[status.session]
                     self._channel_by_session[status.session] = channel
-                    self.handoff.takeover.attempted(channel, status.session, status.box)
+                    self.handoff.takeover.on_attempt_started(channel, status.session, status.box)
                     self.on_session_status(now, status)
             self._on_changed()
 
@@ -738,7 +739,7 @@
 
     def _cancel_lease_attempt(self, now: float, channel: str) -> None:
         attempt = self._lease_attempts.pop(channel, None)
-        is_taken_over = channel in self._sessions or self.handoff.takeover.begun(channel)
+        is_taken_over = channel in self._sessions or self.handoff.takeover.has_begun(channel)
         if attempt is not None and attempt.is_requested and not is_taken_over:
             self._holder.release(now, channel)
 
@@ -750,7 +751,7 @@
             Candidate(one.name, one.load, one.age_ms, one.late, one.leaving, one.name in keepers)
             for one in fit
         ]
-        return heirs(channel, named, self.rules.successors, max(sessions, 1))
+        return successors(channel, named, self.rules.successors, max(sessions, 1))
 
     def _standbys(self, channel: str) -> list[str]:
         others = [one for one in self._fronts.values() if one.name != self.me]
@@ -776,9 +777,9 @@
         if len(self._releasable) > self.rules.max_relinquished:
             self._releasable.popitem(last=False)
 
-    def _find_replica(self, session: str) -> Copy | None:
-        for channel in self.replica.copies():
-            replica = self.replica.copy(channel)
-            if replica is not None and session in replica.standings:
+    def _find_replica(self, session: str) -> ChannelReplica | None:
+        for channel in self.replica.replicated_channels():
+            replica = self.replica.find_replica(channel)
+            if replica is not None and session in replica.statuses:
                 return replica
         return None
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -23,10 +23,10 @@
 from fernweir.peers.audit_recorder import AuditRecorder, Fault, VersionsObserved
 from fernweir.peers.base import Address, Effect, Event, Message, Part, Send
 from fernweir.peers.channel.directory import Directory, Found
-from fernweir.peers.channel.heirs import Candidate
 from fernweir.peers.channel.messages import KINDS as CHANNEL_KINDS
-from fernweir.peers.channel.messages import Registered, There, Unregistered, Where
+from fernweir.peers.channel.messages import LocateSession, Registered, SessionLocation, Unregistered
 from fernweir.peers.channel.rules import DirectoryRules
+from fernweir.peers.channel.successor_selection import Candidate
 from fernweir.peers.channel_manager import (
     ChannelChanged,
     ChannelManager,
@@ -77,7 +77,7 @@
 )
 
 KINDS = (MEMBER_KINDS, FACT_KINDS, LEASE_KINDS, CHANNEL_KINDS, FORWARD_KINDS, ACT_KINDS, LATE_KINDS)
-_DIRECTORY = (Registered, Unregistered, Where, There)
+_DIRECTORY = (Registered, Unregistered, LocateSession, SessionLocation)
 _LOAD, _HEAD = "load", "acts.head"
 _NOTICE_INTERVAL_MS = 1_000.0
 FAULT_TEXTS: dict[type[Fault], str] = {
--- a/tests/peers_mutants/joint.py
+++ b/tests/peers_mutants/joint.py
@@ -32,12 +32,12 @@
     ),
     Mutant(
         "sessions that a second list lacks are kept", _TAKEOVER,
-        "        if taken.held:\n            return []\n        there",
-        "        return []\n        there", 20, faults=2,
+        "        if takeover.holding:\n            return []\n        listed_attempts",
+        "        return []\n        listed_attempts", 20, faults=2,
     ),
     Mutant(
         "the takeover of a channel ignores the end of a session", _CHANNEL_MANAGER,
-        "            self.handoff.takeover.learn(now, channel, session, None)\n", "", 30, faults=2,
+        "            self.handoff.takeover.on_final_status(now, channel, session, None)\n", "", 30, faults=2,
     ),
     Mutant(
         "a front keeps the sessions although another front has the lease", _CHANNEL_MANAGER,
--- a/tests/test_peers_heirs.py
+++ b/tests/test_peers_heirs.py
@@ -1,4 +1,4 @@
-"""Who inherits, when, what of a channel is taken, and where a session is: against slow models."""
+"""Successor selection, takeover pacing, reconciliation and the directory, against simple models."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from hypothesis import strategies as st
 
 from fernweir.peers.base import rendezvous
-from fernweir.peers.channel.heirs import Candidate, assign, heirs, standbys, wait_ms
-from fernweir.peers.channel.rules import DirectoryRules, HeirRules, SpreadRules
-from fernweir.peers.channel.spread import Loss, spread
+from fernweir.peers.channel.rules import DirectoryRules, PacingRules, SuccessorRules
+from fernweir.peers.channel.successor_selection import Candidate, assign, standbys, successors, wait_ms
+from fernweir.peers.channel.takeover_pacing import LostChannel, schedule_takeovers
 from fernweir.peers.port import ClaimResult, SessionStatus
 from tests.peers_mutants import Mutant, broken
 from tests.peers_mutants.channel import DIRECTORY, HEIRS, LIVES, WEIGHING
 
-DRAWN = settings(derandomize=True, deadline=None, max_examples=60)
+GENERATED = settings(derandomize=True, deadline=None, max_examples=60)
 FRONTS = st.lists(
     st.builds(
         Candidate,
@@ -38,11 +38,11 @@
 )
 
 
-# --- heirs ---
+# --- successors ---
 
 
-def slow_heirs(channel: str, fronts: list[Candidate], rules: HeirRules, sessions: int) -> list[str]:
-    """From the words of the rule: no late, no leaving; copies first; nobody beyond its share of the mean."""
+def slow_successors(channel: str, fronts: list[Candidate], rules: SuccessorRules, sessions: int) -> list[str]:
+    """The rule itself: no stale or leaving front; replicas first; none beyond its share of the mean."""
     fit = [front for front in fronts if not (front.late or front.leaving)]
     shares = {front.name: min(1.0, max(rules.floor, front.age_ms / rules.ramp_ms)) for front in fit}
     everything = sum(front.load for front in fit) + sessions
@@ -51,37 +51,37 @@
         front = next(one for one in fit if one.name == name)
         fair = everything * shares[name] / sum(shares.values())
         (room if front.load + sessions <= fair * (1.0 + rules.slack) else full).append(front)
-    with_copy = [front.name for front in room if front.standby]
+    with_replica = [front.name for front in room if front.standby]
     without = [front.name for front in room if not front.standby]
-    return with_copy + without + [front.name for front in full]
+    return with_replica + without + [front.name for front in full]
 
 
-@DRAWN
+@GENERATED
 @given(FRONTS, st.integers(0, 30), st.integers(1, 60), st.randoms(use_true_random=False))
-def test_heirs_are_as_the_rule_says_in_whatever_order_fronts_are_told(
-    fronts: list[Candidate], part: int, sessions: int, dice: Any
+def test_successors_follow_the_rule_for_any_order_of_fronts(
+    fronts: list[Candidate], part: int, sessions: int, rng: Any
 ) -> None:
-    rules = HeirRules()
-    order = heirs(f"a:1/{part}", fronts, rules, sessions)
-    assert order == slow_heirs(f"a:1/{part}", fronts, rules, sessions)
+    rules = SuccessorRules()
+    order = successors(f"a:1/{part}", fronts, rules, sessions)
+    assert order == slow_successors(f"a:1/{part}", fronts, rules, sessions)
     shuffled = list(fronts)
-    dice.shuffle(shuffled)
-    assert heirs(f"a:1/{part}", shuffled, rules, sessions) == order
+    rng.shuffle(shuffled)
+    assert successors(f"a:1/{part}", shuffled, rules, sessions) == order
 
 
-def heir_day(seed: int) -> list[str]:
-    """A front of 30 is lost with its channels: nobody who is not fit inherits, nor more than it bears."""
-    module: Any = importlib.import_module("fernweir.peers.channel.heirs")
+def successor_run(seed: int) -> list[str]:
+    """One of 30 fronts is lost: only eligible fronts inherit its channels, within their bounds."""
+    module: Any = importlib.import_module("fernweir.peers.channel.successor_selection")
     rules_of: Any = importlib.import_module("fernweir.peers.channel.rules")
-    dice, rules = Random(f"heirs {seed}"), rules_of.HeirRules()
+    rng, rules = Random(f"heirs {seed}"), rules_of.SuccessorRules()
     fronts = []
     for n in range(30):
-        young = dice.random() < 0.15
-        load = dice.randrange(20) if young else dice.randrange(380, 620)
-        age = dice.uniform(0.0, 3_000.0) if young else 1e6
-        flags = dice.random() < 0.1, dice.random() < 0.1
+        young = rng.random() < 0.15
+        load = rng.randrange(20) if young else rng.randrange(380, 620)
+        age = rng.uniform(0.0, 3_000.0) if young else 1e6
+        flags = rng.random() < 0.1, rng.random() < 0.1
         fronts.append(module.Candidate(f"f{n}", load, age, *flags))
-    channels = {f"lost:1/{part}": dice.randrange(40, 85) for part in range(dice.choice([8, 64]))}
+    channels = {f"lost:1/{part}": rng.randrange(40, 85) for part in range(rng.choice([8, 64]))}
     result = module.assign(channels, fronts, rules)
     fit = {front.name: front for front in fronts if not front.late and not front.leaving}
     gained = dict.fromkeys(fit, 0)
@@ -100,12 +100,12 @@
     return faults
 
 
-def test_a_lost_front_s_channels_go_to_nobody_who_cannot_bear_them() -> None:
-    assert [heir_day(seed) for seed in range(20)] == [[]] * 20
+def test_channels_of_a_lost_front_go_to_eligible_fronts_within_their_bounds() -> None:
+    assert [successor_run(seed) for seed in range(20)] == [[]] * 20
 
 
 def test_few_channels_have_another_first_heir_when_a_front_goes() -> None:
-    """Of 30 fronts one goes: about a thirtieth of all channels must move, and little more does."""
+    """One of 30 fronts leaves: about a thirtieth of all channels must move, and few others do."""
     fronts = [Candidate(f"f{n}", 500, 1e6) for n in range(30)]
     channels = {f"lost:{n}/{part}": 1 for n in range(150) for part in range(8)}
     before = assign(channels, fronts)
@@ -113,14 +113,14 @@
     moved = [channel for channel in channels if before[channel][0] != after[channel][0]]
     must = [channel for channel in channels if before[channel][0] == "f7"]
     assert set(must) <= set(moved) and len(moved) < len(channels) * 0.06
-    assert standbys("a:1/0", fronts) == heirs("a:1/0", fronts)[:2] and wait_ms(2) == 2 * wait_ms(1) > 0.0
+    assert standbys("a:1/0", fronts) == successors("a:1/0", fronts)[:2] and wait_ms(2) == 2 * wait_ms(1) > 0.0
 
 
-# --- spread ---
+# --- pacing ---
 
 LOSSES = st.lists(
     st.builds(
-        Loss,
+        LostChannel,
         channel=st.integers(0, 99).map("a:1/{}".format),
         sessions=st.integers(0, 200),
         boxes=st.lists(st.integers(0, 9), max_size=6, unique=True).map(tuple),
@@ -132,22 +132,22 @@
 )
 
 
-@DRAWN
+@GENERATED
 @given(LOSSES, st.integers(0, 5), st.integers(1, 4), st.floats(0.0, 1e7))
 def test_channels_are_taken_over_within_the_bound_and_paced_where_it_allows(
-    losses: list[Loss], seed: int, count: int, now: float
+    losses: list[LostChannel], seed: int, count: int, now: float
 ) -> None:
-    rules = SpreadRules()
-    turns = spread(now, losses, rules, seed, count)
+    rules = PacingRules()
+    turns = schedule_takeovers(now, losses, rules, seed, count)
     assert sorted(turn.channel for turn in turns) == sorted(loss.channel for loss in losses)
-    assert all(now <= turn.at <= now + rules.within_ms + 1e-6 for turn in turns)
-    assert spread(now, losses[::-1], rules, seed, count) == turns
+    assert all(now <= turn.at <= now + rules.deadline_ms + 1e-6 for turn in turns)
+    assert schedule_takeovers(now, losses[::-1], rules, seed, count) == turns
     by_channel = {loss.channel: loss for loss in losses}
-    loose = spread(now, losses, SpreadRules(within_ms=1e9), seed, count)
+    loose = schedule_takeovers(now, losses, PacingRules(deadline_ms=1e9), seed, count)
     for box in range(10):
         claims = [turn.at for turn in loose if box in by_channel[turn.channel].boxes]
         gaps = [later - earlier for earlier, later in pairwise(claims)]
-        assert all(gap >= 1_000.0 * count / rules.claims_a_second - 1e-3 for gap in gaps)
+        assert all(gap >= 1_000.0 * count / rules.claims_per_s - 1e-3 for gap in gaps)
     sizes = [by_channel[turn.channel].sessions for turn in loose]
     assert sizes == sorted(sizes, reverse=True) or any(gap.boxes or gap.doubtful for gap in losses)
 
@@ -158,7 +158,7 @@
 def slow_reconcile(
     copy: dict[str, SessionStatus], told: list[ClaimResult], elsewhere: str
 ) -> dict[str, set[Any]]:
-    """The table's rows, one session and one place at a time."""
+    """The rows of the table, for one session and one location at a time."""
     answers: dict[int, ClaimResult] = {}
     for claimed in told:
         if claimed.reached:
@@ -192,10 +192,10 @@
     return result
 
 
-def weigh(copy: dict[str, tuple[int, int]], claims: list[Any], elsewhere: str) -> list[str]:
-    """What the program and the slow model make of the same; where they differ is named."""
+def reconcile_differences(copy: dict[str, tuple[int, int]], claims: list[Any], elsewhere: str) -> list[str]:
+    """Returns the fields in which the program and the slow model differ."""
     module: Any = importlib.import_module("fernweir.peers.channel.reconcile")
-    standings = {
+    statuses = {
         session: SessionStatus(session, "v", "w", "t", "c", 3, "x", 1, box, attempt, 0)
         for session, (box, attempt) in copy.items()
     }
@@ -203,7 +203,7 @@
         ClaimResult(box, reached, accepted, 5 if accepted else 9, tuple(sessions))
         for box, reached, sessions, accepted in claims
     ]
-    result, slow = module.reconcile(standings, told, elsewhere), slow_reconcile(standings, told, elsewhere)
+    result, slow = module.reconcile(statuses, told, elsewhere), slow_reconcile(statuses, told, elsewhere)
     got = {
         "take": [(one.session, one.box, one.attempt, one.rung) for one in result.take],
         "over": list(result.over),
@@ -211,18 +211,18 @@
         "unknown": [one.session for one in result.unknown],
     }
     faults = [name for name, these in got.items() if set(these) != slow[name] or len(these) > len(slow[name])]
-    return faults + ["outdone"] * (result.outdone not in (0, 9))
+    return faults + ["outdone"] * (result.higher_fence not in (0, 9))
 
 
 def weighing_day(seed: int) -> list[str]:
-    dice = Random(f"weighing {seed}")
+    rng = Random(f"weighing {seed}")
     for _ in range(40):
-        copy = {session: (dice.randrange(4), dice.randrange(3)) for session in dice.sample("pqrs", 3)}
+        copy = {session: (rng.randrange(4), rng.randrange(3)) for session in rng.sample("pqrs", 3)}
         claims = []
-        for _ in range(dice.randrange(5)):
-            listed = [(one, dice.randrange(4), dice.randrange(3)) for one in dice.sample("pqrs", 3)]
-            claims.append((dice.randrange(4), dice.random() < 0.8, listed, dice.random() < 0.95))
-        if faults := weigh(copy, claims, dice.choice(["", "", "pq", "pqrs"])):
+        for _ in range(rng.randrange(5)):
+            listed = [(one, rng.randrange(4), rng.randrange(3)) for one in rng.sample("pqrs", 3)]
+            claims.append((rng.randrange(4), rng.random() < 0.8, listed, rng.random() < 0.95))
+        if faults := reconcile_differences(copy, claims, rng.choice(["", "", "pq", "pqrs"])):
             return [f"{faults} of {copy} and {claims}"]
     return []
 
@@ -242,7 +242,7 @@
 )
 
 
-@settings(DRAWN, max_examples=200)
+@settings(GENERATED, max_examples=200)
 @given(
     st.dictionaries(st.sampled_from("pqrs"), st.tuples(st.integers(0, 3), st.integers(0, 2))),
     CLAIMS,
@@ -251,14 +251,14 @@
 def test_what_copy_and_boxes_say_together_is_as_the_table_has_it(
     copy: dict[str, tuple[int, int]], claims: list[Any], elsewhere: str
 ) -> None:
-    assert weigh(copy, claims, elsewhere) == []
+    assert reconcile_differences(copy, claims, elsewhere) == []
 
 
 # --- directory ---
 
 
 class DirectoryDay:
-    """Fronts that have sessions, give them on, die and come back under their name, while others ask."""
+    """Fronts hand sessions off, die and restart under their names while others look sessions up."""
 
     NAMES = "abcde"
 
@@ -267,13 +267,15 @@
         self.base: Any = importlib.import_module("fernweir.peers.base")
         messages: Any = importlib.import_module("fernweir.peers.channel.messages")
         rules: Any = importlib.import_module("fernweir.peers.channel.rules")
-        kinds = messages.Registered | messages.Unregistered | messages.Where | messages.There
+        kinds = (
+            messages.Registered | messages.Unregistered | messages.LocateSession | messages.SessionLocation
+        )
         self.decoder = msgspec.msgpack.Decoder(kinds)
-        self.rules = rules.DirectoryRules(refresh_ms=2_000.0, keep_ms=6_000.0, entries_most=60)
-        self.dice, self.now, self.count = Random(f"directory {seed}"), 0.0, 0
-        self.loss = self.dice.choice([0.0, 0.2])
+        self.rules = rules.DirectoryRules(refresh_ms=2_000.0, keep_ms=6_000.0, max_entries=60)
+        self.rng, self.now, self.count = Random(f"directory {seed}"), 0.0, 0
+        self.loss = self.rng.choice([0.0, 0.2])
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
-        self.lives = dict.fromkeys(self.NAMES, 1)
+        self.incarnations = dict.fromkeys(self.NAMES, 1)
         self.parts = {name: self.module.Directory(name, 1, self.rules, seed) for name in self.NAMES}
         self.has: dict[str, tuple[str, int]] = {}  # session: owner, fence
         self.finds: dict[tuple[str, str], tuple[float, str | None]] = {}
@@ -283,11 +285,11 @@
 
     def members(self) -> None:
         for part in self.parts.values():
-            part.members(self.now, {name: self.lives[name] for name in self.parts})
+            part.members(self.now, {name: self.incarnations[name] for name in self.parts})
 
     def act(self) -> None:
-        what, name = self.dice.random(), self.dice.choice(sorted(self.parts))
-        session = f"s{self.dice.randrange(30)}"
+        what, name = self.rng.random(), self.rng.choice(sorted(self.parts))
+        session = f"s{self.rng.randrange(30)}"
         if what < 0.4:
             if session not in self.has:
                 self.has[session] = (name, 1)
@@ -295,7 +297,7 @@
         elif what < 0.5 and session in self.has:
             owner, _ = self.has.pop(session)
             self.parts[owner].unregister(self.now, session)
-        elif what < 0.7 and session in self.has:  # handed on: both tell, in either order
+        elif what < 0.7 and session in self.has:  # handed off: both register, in either order
             owner, fence = self.has[session]
             self.has[session] = (name, fence + 1)
             if name != owner:
@@ -309,8 +311,10 @@
         elif what < 0.77:
             gone = [one for one in self.NAMES if one not in self.parts]
             if gone:
-                self.lives[gone[0]] += 1
-                self.parts[gone[0]] = self.module.Directory(gone[0], self.lives[gone[0]], self.rules, 0)
+                self.incarnations[gone[0]] += 1
+                self.parts[gone[0]] = self.module.Directory(
+                    gone[0], self.incarnations[gone[0]], self.rules, 0
+                )
                 self.members()
         else:
             self.find(name, session)
@@ -323,13 +327,13 @@
 
     def send(self, sender: str, effect: Any) -> None:
         data = msgspec.msgpack.encode(effect.message)
-        if self.dice.random() < self.loss * (0.3 if effect.reliable else 1.0) or effect.to not in self.parts:
+        if self.rng.random() < self.loss * (0.3 if effect.reliable else 1.0) or effect.to not in self.parts:
             return
-        way = self.dice.uniform(0.2, 4.0) + (2_000.0 if self.dice.random() < self.loss / 8.0 else 0.0)
-        to, life = effect.to, self.lives[effect.to]
+        way = self.rng.uniform(0.2, 4.0) + (2_000.0 if self.rng.random() < self.loss / 8.0 else 0.0)
+        to, incarnation = effect.to, self.incarnations[effect.to]
 
         def deliver() -> None:
-            if to in self.parts and self.lives[to] == life:
+            if to in self.parts and self.incarnations[to] == incarnation:
                 self.parts[to].on_message(self.now, sender, self.decoder.decode(data))
 
         self.count += 1
@@ -340,7 +344,7 @@
         if asked is None:
             self.faults.append(f"{name} found {found.session} twice")
             return
-        if self.now - asked[0] > self.rules.find_ms + 2.0:
+        if self.now - asked[0] > self.rules.find_timeout_ms + 2.0:
             self.faults.append(f"{name} waited {self.now - asked[0]:.0f} ms for {found.session}")
         if found.owner is not None and found.owner not in self.parts:
             self.faults.append(f"{name} found {found.session} at {found.owner}, which is dead")
@@ -350,7 +354,7 @@
     def run(self, ms: float, act: Callable[[], None]) -> None:
         until = self.now + ms
         while self.now < until and not self.faults:
-            if self.dice.random() < 0.1:
+            if self.rng.random() < 0.1:
                 act()
             while self.queue and self.queue[0][0] <= self.now:
                 heapq.heappop(self.queue)[2]()
@@ -363,18 +367,18 @@
                         self.send(name, effect)
                     else:
                         self.found(name, effect)
-                if len(part._registrar) > self.rules.entries_most:
+                if len(part._registrar) > self.rules.max_entries:
                     self.faults.append(f"{name} keeps {len(part._registrar)} entries")
             self.now += 2.0
 
     def end(self) -> None:
-        """Once all is told anew, and what was not is forgotten, every find of every front is right."""
+        """After a refresh and expiry of all entries, every lookup of every front must be right."""
         self.loss = 0.0
         self.run(self.rules.keep_ms + 500.0, lambda: None)
         self.quiet, self.finds = True, {}
-        again = self.dice.choice(sorted(self.parts))  # what a registrar without a memory says ends no find
-        self.lives[again] += 1
-        self.parts[again] = self.module.Directory(again, self.lives[again], self.rules, 1)
+        again = self.rng.choice(sorted(self.parts))  # a restarted registrar must not end a lookup
+        self.incarnations[again] += 1
+        self.parts[again] = self.module.Directory(again, self.incarnations[again], self.rules, 1)
         self.has = {one: held for one, held in self.has.items() if held[0] != again}
         self.members()
         for name in sorted(self.parts):
@@ -385,7 +389,7 @@
             self.faults.append(f"never found: {sorted(self.finds)}")
 
 
-def directory_day(seed: int) -> list[str]:
+def directory_run(seed: int) -> list[str]:
     day = DirectoryDay(seed)
     day.run(6_000.0, day.act)
     if not day.faults:
@@ -393,17 +397,17 @@
     return day.faults
 
 
-def life_day(seed: int) -> list[str]:
-    """An earlier life's word comes after a later one's, at a registrar that has heard of neither."""
+def incarnation_run(seed: int) -> list[str]:
+    """A message of an earlier incarnation follows one of a later, at a registrar without entries."""
     module: Any = importlib.import_module("fernweir.peers.channel.registrar")
     rules: Any = importlib.import_module("fernweir.peers.channel.rules")
     registrar = module.Registrar(rules.DirectoryRules())
-    lives = Random(f"lives {seed}").sample([1, 2, 3, 4], 4)
-    for life in lives:
-        registrar.register(0.0, "b", life, [("s", life)])
+    incarnations = Random(f"lives {seed}").sample([1, 2, 3, 4], 4)
+    for incarnation in incarnations:
+        registrar.register(0.0, "b", incarnation, [("s", incarnation)])
     entry = registrar.find(0.0, "s")
-    if entry is None or entry.life != 4:
-        return [f"after lives {lives} the entry is {entry}"]
+    if entry is None or entry.incarnation != 4:
+        return [f"after lives {incarnations} the entry is {entry}"]
     owners = Random(f"owners {seed}").sample([("c", 3), ("d", 5), ("e", 4)], 3)
     for owner, fence in owners:
         registrar.register(0.0, owner, 1, [("t", fence)])
@@ -413,16 +417,16 @@
     return [] if entry is not None and entry.owner == "d" else [f"after {owners} the entry is {entry}"]
 
 
-def test_an_earlier_life_s_word_changes_nothing() -> None:
-    assert [life_day(seed) for seed in range(5)] == [[]] * 5
+def test_a_message_of_an_earlier_incarnation_changes_nothing() -> None:
+    assert [incarnation_run(seed) for seed in range(5)] == [[]] * 5
 
 
 def test_sessions_are_found_in_time_and_after_quiet_where_they_are() -> None:
-    assert [directory_day(seed) for seed in range(10)] == [[]] * 10
+    assert [directory_run(seed) for seed in range(10)] == [[]] * 10
 
 
 def test_finds_and_entries_are_bounded_whatever_peers_say() -> None:
-    rules = DirectoryRules(finds_most=3, entries_most=4, message_entries=3)
+    rules = DirectoryRules(max_lookups=3, max_entries=4, message_entries=3)
     module: Any = importlib.import_module("fernweir.peers.channel.directory")
     messages: Any = importlib.import_module("fernweir.peers.channel.messages")
     part = module.Directory("a", 1, rules)
@@ -443,7 +447,12 @@
 
 @pytest.mark.parametrize("mutant", HEIRS + WEIGHING + LIVES + DIRECTORY, ids=lambda mutant: mutant.name)
 def test_mistakes_put_in_are_found(mutant: Mutant) -> None:
-    plays = ((HEIRS, heir_day), (WEIGHING, weighing_day), (LIVES, life_day), (DIRECTORY, directory_day))
+    plays = (
+        (HEIRS, successor_run),
+        (WEIGHING, weighing_day),
+        (LIVES, incarnation_run),
+        (DIRECTORY, directory_run),
+    )
     play = next(play for group, play in plays if mutant in group)
     with broken(mutant, "fernweir.peers.channel"):
         assert any(play(seed) for seed in range(mutant.seeds))
