--- a/bench/peers_facts.py
+++ b/bench/peers_facts.py
@@ -95,8 +95,8 @@
 
 
 def _part(held: object, now: float) -> object:
-    from fernweir.peers.facts.held import Held
     from fernweir.peers.facts.messages import Part
+    from fernweir.peers.facts.owner_state import Held
 
     assert isinstance(held, Held)
     return Part(held.owner, held.life, 0, held.floor, tuple(held.records(now, 0)))
--- a/fernweir/peers/facts/buckets.py
+++ b/fernweir/peers/facts/buckets.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from hashlib import blake2b
 
-from fernweir.peers.facts.held import Held
+from fernweir.peers.facts.owner_state import Held
 
 _BY_BUCKET = 8  # owners, about
 _MOST = 64
--- a/fernweir/peers/facts/exchange.py
+++ b/fernweir/peers/facts/exchange.py
@@ -13,9 +13,9 @@
 from fernweir.peers.base import Outbox, Send
 from fernweir.peers.facts import buckets, packing
 from fernweir.peers.facts.budget import Budget
-from fernweir.peers.facts.held import code_of
-from fernweir.peers.facts.hot import Hot
 from fernweir.peers.facts.messages import Compare, Differ, Entry, Listed, Want
+from fernweir.peers.facts.owner_state import code_of
+from fernweir.peers.facts.recently_changed import Hot
 from fernweir.peers.facts.rules import FactRules
 from fernweir.peers.facts.table import Table
 
--- a/fernweir/peers/facts/own.py
+++ b/fernweir/peers/facts/local_state.py
@@ -4,8 +4,8 @@
 
 from math import inf
 
-from fernweir.peers.facts.held import Fact, Held, Tomb
 from fernweir.peers.facts.messages import Entry
+from fernweir.peers.facts.owner_state import Fact, Held, Tomb
 from fernweir.peers.facts.rules import LIMIT, VALUE_MOST, FactError, FactRules, check_key
 
 _NOTHING = "-"
--- a/fernweir/peers/facts/news.py
+++ b/fernweir/peers/facts/push.py
@@ -9,8 +9,8 @@
 
 from fernweir.peers.base import Outbox, Send
 from fernweir.peers.facts.budget import Budget
-from fernweir.peers.facts.held import age_of
 from fernweir.peers.facts.messages import Item, News, Record
+from fernweir.peers.facts.owner_state import age_of
 from fernweir.peers.facts.packing import DATAGRAM_COST, item_size
 from fernweir.peers.facts.rules import FactRules
 from fernweir.peers.facts.table import Table
--- a/fernweir/peers/facts/store.py
+++ b/fernweir/peers/facts/store.py
@@ -13,10 +13,10 @@
 from fernweir.peers.base import Effect, Message, Outbox
 from fernweir.peers.facts.budget import Budget
 from fernweir.peers.facts.exchange import Exchange
-from fernweir.peers.facts.held import Fact
+from fernweir.peers.facts.local_state import Own
 from fernweir.peers.facts.messages import Compare, Delta, Differ, Entry, Listed, News, Want
-from fernweir.peers.facts.news import Pushed
-from fernweir.peers.facts.own import Own
+from fernweir.peers.facts.owner_state import Fact
+from fernweir.peers.facts.push import Pushed
 from fernweir.peers.facts.rules import FactRules
 from fernweir.peers.facts.table import Changed, Dropped, Gone, Table
 
--- a/fernweir/peers/facts/table.py
+++ b/fernweir/peers/facts/table.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 
 from fernweir.peers.base import Event, Outbox
-from fernweir.peers.facts.held import Change, Fact, Held
+from fernweir.peers.facts.local_state import Own
 from fernweir.peers.facts.messages import Entry, Part, Record
-from fernweir.peers.facts.own import Own
+from fernweir.peers.facts.owner_state import Change, Fact, Held
 from fernweir.peers.facts.rules import FactRules
 
 
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -47,7 +47,7 @@
 from fernweir.peers.estimate.sketches import Frequent, Steps
 from fernweir.peers.estimate.summary import Older, Shard, Summary
 from fernweir.peers.facts.buckets import bucket_of, codes, total
-from fernweir.peers.facts.held import Held
+from fernweir.peers.facts.owner_state import Held
 from fernweir.peers.late.messages import Kind, content_of
 from fernweir.peers.lease.messages import Recall
 from fernweir.peers.lease.rules import KeeperSet
--- a/tests/peers_mutants/facts.py
+++ b/tests/peers_mutants/facts.py
@@ -4,17 +4,17 @@
 
 from tests.peers_mutants import Mutant
 
-_HELD = "fernweir/peers/facts/held.py"
+_OWNER_STATE = "fernweir/peers/facts/owner_state.py"
 _TABLE = "fernweir/peers/facts/table.py"
 _PACKING = "fernweir/peers/facts/packing.py"
-_NEWS = "fernweir/peers/facts/news.py"
+_PUSH = "fernweir/peers/facts/push.py"
 _OUTGOING = "fernweir/peers/facts/outgoing.py"
 _INCOMING = "fernweir/peers/facts/incoming.py"
 
 MUTANTS: list[Mutant] = [
     Mutant(
         "a delta is taken though what was sent before it was lost",
-        _HELD,
+        _OWNER_STATE,
         "        if part.since > self.seen:\n            return []\n",
         "",
         seeds=400,
@@ -22,14 +22,14 @@
     ),
     Mutant(
         "news beyond a gap counts as all that was before it",
-        _HELD,
+        _OWNER_STATE,
         "self.known + 1 in self.early",
         "self.early and self.known < max(self.early)",
         seeds=20,
     ),
     Mutant(
         "an older value overwrites a newer one that news told",
-        _HELD,
+        _OWNER_STATE,
         "if record.version <= newest:",
         "if record.version == newest:",
         seeds=20,
@@ -37,7 +37,7 @@
     ),
     Mutant(
         "drops whose tombstones are forgotten are never made good",
-        _HELD,
+        _OWNER_STATE,
         "            if self.seen < part.floor:\n",
         "            if self.seen < part.floor and not self.seen:\n",
         seeds=20,
@@ -52,7 +52,7 @@
     ),
     Mutant(
         "what was passed over while an owner was refused counts as known",
-        _HELD,
+        _OWNER_STATE,
         "            if allowed is None:\n                self.known = self.seen",
         "            self.known = self.seen",
         seeds=20,
@@ -67,7 +67,7 @@
     ),
     Mutant(
         "relays tell a fact's age from when they heard it",
-        _HELD,
+        _OWNER_STATE,
         "        at = now - record.age\n",
         "        at = now\n",
         seeds=20,
@@ -89,14 +89,14 @@
     ),
     Mutant(
         "the budget is asked and not charged for news",
-        _NEWS,
+        _PUSH,
         "        self._all.spend(now, size * len(peers))\n",
         "        self._urgent = Budget(self._urgent.rate, self._urgent.burst)\n",
         seeds=20,
     ),
     Mutant(
         "facts that are being checked again are told to others as checked",
-        _HELD,
+        _OWNER_STATE,
         " and fact.key not in self._unchecked",
         "",
         seeds=1500,
@@ -104,7 +104,7 @@
     ),
     Mutant(
         "what news told before all is checked again counts after it",
-        _HELD,
+        _OWNER_STATE,
         "        self.early.clear()\n",
         "",
         seeds=2000,
--- a/tests/test_peers_facts.py
+++ b/tests/test_peers_facts.py
@@ -21,7 +21,7 @@
 
 def load() -> SimpleNamespace:
     """The part's modules as they are now: inside `broken`, with the mistake."""
-    names = ("store", "own", "messages", "rules", "held", "transfer")
+    names = ("store", "local_state", "messages", "rules", "owner_state", "transfer")
     return SimpleNamespace(**{name: importlib.import_module(f"{PART}.{name}") for name in names})
 
 
@@ -301,8 +301,8 @@
     """
     dice = Random(f"mesh {seed}")
     rules = lib.rules.FactRules(tombs=dice.choice([2, 3, 8]), keys=8)
-    own = lib.own.Own("owner", 1, rules)
-    held = [lib.held.Held("owner", 1) for _ in range(3)]
+    own = lib.local_state.Own("owner", 1, rules)
+    held = [lib.owner_state.Held("owner", 1) for _ in range(3)]
     bag: list[tuple[int, Any]] = []
     model: dict[str, tuple[int, bytes]] = {}
     newest: list[dict[str, int]] = [{}, {}, {}]
@@ -331,7 +331,7 @@
             fact = sender.facts[key]
             bag.append((to, lib.messages.Record(key, fact.version, 0, fact.value)))
         elif draw < 0.73:
-            held[to], newest[to] = lib.held.Held("owner", 1), {}
+            held[to], newest[to] = lib.owner_state.Held("owner", 1), {}
         elif bag:
             to, what = bag.pop(dice.randrange(len(bag))) if dice.random() < 0.7 else dice.choice(bag)
             changes: list[Any] = []
