--- a/bench/peers_facts.py
+++ b/bench/peers_facts.py
@@ -96,9 +96,9 @@
 
 def _part(held: object, now: float) -> object:
     from fernweir.peers.facts.messages import Part
-    from fernweir.peers.facts.owner_state import Held
+    from fernweir.peers.facts.owner_state import OwnerState
 
-    assert isinstance(held, Held)
+    assert isinstance(held, OwnerState)
     return Part(held.owner, held.life, 0, held.floor, tuple(held.records(now, 0)))
 
 
--- a/fernweir/peers/facts/buckets.py
+++ b/fernweir/peers/facts/buckets.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from hashlib import blake2b
 
-from fernweir.peers.facts.owner_state import Held
+from fernweir.peers.facts.owner_state import OwnerState
 
 _BY_BUCKET = 8  # owners, about
 _MOST = 64
@@ -27,14 +27,14 @@
     return blake2b(owner.encode("utf-8", "surrogatepass"), digest_size=2).digest()[0] % count
 
 
-def total(held: Iterable[Held]) -> int:
+def total_checksum(held: Iterable[OwnerState]) -> int:
     code = 0
     for one in held:
         code ^= one.code()
     return code
 
 
-def codes(held: Iterable[Held], count: int) -> bytes:
+def bucket_checksums(held: Iterable[OwnerState], count: int) -> bytes:
     found = [0] * count
     for one in held:
         found[bucket_of(one.owner, count)] ^= one.code()
--- a/fernweir/peers/facts/exchange.py
+++ b/fernweir/peers/facts/exchange.py
@@ -13,7 +13,7 @@
 from fernweir.peers.base import Outbox, Send
 from fernweir.peers.facts import buckets, packing
 from fernweir.peers.facts.budget import Budget
-from fernweir.peers.facts.messages import Compare, Differ, Entry, Listed, Want
+from fernweir.peers.facts.messages import BucketChecksums, BucketEntries, Compare, Entry, Want
 from fernweir.peers.facts.owner_state import code_of
 from fernweir.peers.facts.recently_changed import Hot
 from fernweir.peers.facts.rules import FactRules
@@ -49,7 +49,7 @@
         ):
             if not self._pay(now, packing.entries_size(entries)):
                 return
-            total = buckets.total(self.table.live()) if repair and index == 0 else None
+            total = buckets.total_checksum(self.table.live()) if repair and index == 0 else None
             self._out.add(Send(peer, Compare(entries, total, len(names) + 1)))
         if repair:
             self.repair_at = now + rules.repair_ms * self._dice.uniform(0.9, 1.1)
@@ -77,19 +77,19 @@
         self.serve(now, sender, message.entries)
         if differs:
             owners = max(len(live), min(message.owners, self.rules.owners))
-            codes = buckets.codes(live, buckets.count_for(owners))
+            codes = buckets.bucket_checksums(live, buckets.count_for(owners))
             if self._pay(now, packing.entries_size(wants) + len(codes), answer=True):
-                self._out.add(Send(sender, Differ(codes, wants)))
+                self._out.add(Send(sender, BucketChecksums(codes, wants)))
         else:
             self._want(now, sender, wants)
 
-    def differs(self, now: float, sender: str, message: Differ) -> None:
+    def differs(self, now: float, sender: str, message: BucketChecksums) -> None:
         self.serve(now, sender, message.wants)
         count = buckets.count_of(message.codes)
         if count is None:
             return
         live = self.table.live()
-        differing = buckets.differing(buckets.codes(live, count), message.codes)
+        differing = buckets.differing(buckets.bucket_checksums(live, count), message.codes)
         self._dice.shuffle(differing)
         by_bucket: dict[int, list[Entry]] = {bucket: [] for bucket in differing}
         for held in live:
@@ -107,9 +107,9 @@
             entries += by_bucket[bucket]
         size = packing.entries_size(tuple(entries)) + 2 * len(chosen)
         if chosen and self._pay(now, size, answer=True):
-            self._out.add(Send(sender, Listed(count, tuple(chosen), tuple(entries)), size > 60_000))
+            self._out.add(Send(sender, BucketEntries(count, tuple(chosen), tuple(entries)), size > 60_000))
 
-    def listed(self, now: float, sender: str, message: Listed) -> None:
+    def listed(self, now: float, sender: str, message: BucketEntries) -> None:
         named, chosen = {entry.owner for entry in message.entries}, set(message.buckets)
         unknown = [
             Entry(held.owner)
@@ -148,7 +148,7 @@
 
     def _explained(self, entries: Iterable[Entry]) -> int:
         """The code of all here, if of the owners named as much were known as is said."""
-        total = buckets.total(self.table.live())
+        total = buckets.total_checksum(self.table.live())
         for owner, entry in {entry.owner: entry for entry in entries}.items():
             if self.table.is_peer(owner):
                 held = self.table.get(owner)
--- a/fernweir/peers/facts/local_state.py
+++ b/fernweir/peers/facts/local_state.py
@@ -5,7 +5,7 @@
 from math import inf
 
 from fernweir.peers.facts.messages import Entry
-from fernweir.peers.facts.owner_state import Fact, Held, Tomb
+from fernweir.peers.facts.owner_state import Fact, OwnerState, Tomb
 from fernweir.peers.facts.rules import LIMIT, VALUE_MOST, FactError, FactRules, check_key
 
 _NOTHING = "-"
@@ -17,7 +17,7 @@
 
     def __init__(self, me: str, life: int, rules: FactRules) -> None:
         self.rules = rules
-        self.held = self._begun(Held(me, life))
+        self.held = self._begun(OwnerState(me, life))
         self._refuted_at = -inf
         self._claimed = _NO_CLAIM  # life and version
 
@@ -69,9 +69,9 @@
             return False
         self._refuted_at = now
         if life > old.life or version > LIMIT // 2:
-            self.held = self._begun(Held(old.owner, life + 1))
+            self.held = self._begun(OwnerState(old.owner, life + 1))
         else:
-            held = Held(old.owner, old.life)
+            held = OwnerState(old.owner, old.life)
             held.known = held.seen = version + 1
             held.raise_floor(version + 1)  # so that others go through everything from the start
             self.held = self._begun(held)
@@ -80,7 +80,7 @@
         return True
 
     @staticmethod
-    def _begun(held: Held) -> Held:
+    def _begun(held: OwnerState) -> OwnerState:
         """The first record drops a key that never was: so a life that says nothing else is known too."""
         held.known = held.seen = held.known + 1
         held.drop(_NOTHING, Tomb(held.known, 0.0))
--- a/fernweir/peers/facts/messages.py
+++ b/fernweir/peers/facts/messages.py
@@ -62,14 +62,14 @@
     owners: Number = 0
 
 
-class Differ(Message, frozen=True, array_like=True, tag="f.b"):
+class BucketChecksums(Message, frozen=True, array_like=True, tag="f.b"):
     """The codes differ: here they are by bucket of owners, 4 bytes each. `wants` as in `Want`."""
 
     codes: Annotated[bytes, Meta(min_length=4, max_length=1_024)]
     wants: Entries
 
 
-class Listed(Message, frozen=True, array_like=True, tag="f.l"):
+class BucketEntries(Message, frozen=True, array_like=True, tag="f.l"):
     """All that is known of the owners in some of `count` buckets: who is not named there is not known."""
 
     count: Buckets
@@ -90,16 +90,16 @@
     more: bool = False
 
 
-class Item(Struct, frozen=True, array_like=True):
+class PushedRecord(Struct, frozen=True, array_like=True):
     owner: Name
     life: Number
     record: Record
 
 
-class News(Message, frozen=True, array_like=True, tag="f.n"):
+class Push(Message, frozen=True, array_like=True, tag="f.n"):
     """Urgent facts, pushed on by whoever hears them for the first time."""
 
-    items: Annotated[tuple[Item, ...], Meta(max_length=256)]
+    items: Annotated[tuple[PushedRecord, ...], Meta(max_length=256)]
 
 
 class Offer(Message, frozen=True, array_like=True, tag="x.o"):
@@ -145,6 +145,6 @@
     digest: Digest
 
 
-FACT_KINDS = (Compare, Differ, Listed, Want, Delta, News)
+FACT_KINDS = (Compare, BucketChecksums, BucketEntries, Want, Delta, Push)
 TRANSFER_KINDS = (Offer, Ready, Chunk, Done, Refused, Cancel)
 KINDS = (*FACT_KINDS, *TRANSFER_KINDS)
--- a/fernweir/peers/facts/owner_state.py
+++ b/fernweir/peers/facts/owner_state.py
@@ -41,7 +41,7 @@
 Change = Fact | str  # a fact that is new, or the key of one that is gone
 
 
-class Held:
+class OwnerState:
     """`known`: all up to there is here. `seen`: all up to there was looked at; beyond `known` only while
     the owner is refused. `floor`: drops up to there are forgotten, and counted in.
     """
--- a/fernweir/peers/facts/packing.py
+++ b/fernweir/peers/facts/packing.py
@@ -11,7 +11,7 @@
 
 from dataclasses import dataclass
 
-from fernweir.peers.facts.messages import Delta, Entry, Item, Part, Record
+from fernweir.peers.facts.messages import Delta, Entry, Part, PushedRecord, Record
 
 DATAGRAM_COST = 80  # headers of the network, name, life, counter, seal
 _PART, _RECORD, _ENTRY, _MESSAGE = 32, 20, 26, 10
@@ -43,7 +43,7 @@
     return DATAGRAM_COST + _MESSAGE + sum(_ENTRY + len(entry.owner) for entry in entries)
 
 
-def item_size(item: Item) -> int:
+def item_size(item: PushedRecord) -> int:
     return _ENTRY + len(item.owner) + record_size(item.record)
 
 
--- a/fernweir/peers/facts/push.py
+++ b/fernweir/peers/facts/push.py
@@ -9,7 +9,7 @@
 
 from fernweir.peers.base import Outbox, Send
 from fernweir.peers.facts.budget import Budget
-from fernweir.peers.facts.messages import Item, News, Record
+from fernweir.peers.facts.messages import Push, PushedRecord, Record
 from fernweir.peers.facts.owner_state import age_of
 from fernweir.peers.facts.packing import DATAGRAM_COST, item_size
 from fernweir.peers.facts.rules import FactRules
@@ -51,9 +51,9 @@
         self._urgent.spend(now, size * len(peers))
         self._all.spend(now, size * len(peers))
         for peer in peers:
-            self._out.add(Send(peer, News(tuple(items)), whole))
+            self._out.add(Send(peer, Push(tuple(items)), whole))
 
-    def _waiting(self, now: float) -> list[Item]:
+    def _waiting(self, now: float) -> list[PushedRecord]:
         """Those that were pushed least often come first; what is gone meanwhile is dropped."""
         items = []
         for owner, key in sorted(self._left, key=lambda one: (-self._left[one], one)):
@@ -63,7 +63,7 @@
                 del self._left[owner, key]
             else:
                 record = Record(key, fact.version, age_of(now, fact.at), fact.value)
-                items.append(Item(owner, held.life, record))
+                items.append(PushedRecord(owner, held.life, record))
         return items
 
     def _sent(self, one: tuple[str, str]) -> None:
@@ -72,7 +72,7 @@
             del self._left[one]
 
 
-def batch(items: list[Item], datagram: int, room: float) -> tuple[list[Item], int, bool]:
+def batch(items: list[PushedRecord], datagram: int, room: float) -> tuple[list[PushedRecord], int, bool]:
     """The first items that fit into a datagram and the room; one that fits no datagram goes alone, whole.
 
     Returns the items, their size and whether they go whole.
@@ -82,7 +82,7 @@
     first = item_size(items[0]) + DATAGRAM_COST
     if first > datagram:
         return (items[:1], first, True) if first <= room else ([], 0, False)
-    taken: list[Item] = []
+    taken: list[PushedRecord] = []
     size = DATAGRAM_COST
     for item in items:
         grown = size + item_size(item)
--- a/fernweir/peers/facts/store.py
+++ b/fernweir/peers/facts/store.py
@@ -14,7 +14,7 @@
 from fernweir.peers.facts.budget import Budget
 from fernweir.peers.facts.exchange import Exchange
 from fernweir.peers.facts.local_state import Own
-from fernweir.peers.facts.messages import Compare, Delta, Differ, Entry, Listed, News, Want
+from fernweir.peers.facts.messages import BucketChecksums, BucketEntries, Compare, Delta, Entry, Push, Want
 from fernweir.peers.facts.owner_state import Fact
 from fernweir.peers.facts.push import Pushed
 from fernweir.peers.facts.rules import FactRules
@@ -96,15 +96,15 @@
         match message:
             case Compare():
                 self._exchange.compared(now, sender, message)
-            case Differ():
+            case BucketChecksums():
                 self._exchange.differs(now, sender, message)
-            case Listed():
+            case BucketEntries():
                 self._exchange.listed(now, sender, message)
             case Want():
                 self._exchange.serve(now, sender, message.entries)
             case Delta():
                 self._delta(now, message)
-            case News():
+            case Push():
                 self._news(now, message)
 
     def tick(self, now: float) -> None:
@@ -140,7 +140,7 @@
         if message.more:
             self._exchange.repair_at = now
 
-    def _news(self, now: float, message: News) -> None:
+    def _news(self, now: float, message: Push) -> None:
         for item in message.items:
             if item.owner == self.me:
                 self._own.claim(Entry(self.me, item.life, item.record.version))
--- a/fernweir/peers/facts/table.py
+++ b/fernweir/peers/facts/table.py
@@ -8,7 +8,7 @@
 from fernweir.peers.base import Event, Outbox
 from fernweir.peers.facts.local_state import Own
 from fernweir.peers.facts.messages import Entry, Part, Record
-from fernweir.peers.facts.owner_state import Change, Fact, Held
+from fernweir.peers.facts.owner_state import Change, Fact, OwnerState
 from fernweir.peers.facts.rules import FactRules
 
 
@@ -45,7 +45,7 @@
         self.me = own.held.owner
         self.names: tuple[str, ...] = ()  # peers, without this front
         self._peers: frozenset[str] = frozenset((self.me,))
-        self._held: dict[str, Held] = {}
+        self._held: dict[str, OwnerState] = {}
         self._left: dict[str, float] = {}  # owners that are no peers any more: since when
         self._refused: dict[str, frozenset[str]] = {}
         self._out = out
@@ -80,14 +80,14 @@
 
     # --- what is held ---
 
-    def get(self, owner: str) -> Held | None:
+    def get(self, owner: str) -> OwnerState | None:
         return self.own.held if owner == self.me else self._held.get(owner)
 
     def owners(self) -> list[str]:
         held = (*self._held.values(), self.own.held)
         return sorted(one.owner for one in held if one.facts)
 
-    def live(self) -> list[Held]:
+    def live(self) -> list[OwnerState]:
         """Of peers and this front, what is held and compared with others."""
         return [self.own.held, *(held for owner, held in self._held.items() if owner in self._peers)]
 
@@ -115,7 +115,7 @@
         """What is known of its owner here, if whoever sent the entry knows more."""
         if not self.takes(entry.owner):
             return None
-        held = self._held.get(entry.owner) or Held(entry.owner, 0)
+        held = self._held.get(entry.owner) or OwnerState(entry.owner, 0)
         held.told_floor(entry)
         return held.entry() if held.behind(entry) else None
 
@@ -129,7 +129,7 @@
     def next_deadline(self) -> float | None:
         return min((since + self.rules.keep_ms for since in self._left.values()), default=None)
 
-    def _in_life(self, owner: str, life: int, may_begin: bool) -> Held | None:
+    def _in_life(self, owner: str, life: int, may_begin: bool) -> OwnerState | None:
         """What is held of an owner in that life; a later life than the one held replaces all of it."""
         held = self._held.get(owner)
         if owner == self.me or not self.takes(owner):
@@ -139,10 +139,10 @@
                 return None
             if held is not None:
                 self._tell(held, sorted(held.facts))
-            held = self._held[owner] = Held(owner, life)
+            held = self._held[owner] = OwnerState(owner, life)
         return held if held.life == life else None
 
-    def _tell(self, held: Held, changes: Iterable[Change]) -> None:
+    def _tell(self, held: OwnerState, changes: Iterable[Change]) -> None:
         for change in changes:
             if isinstance(change, Fact):
                 self._out.add(Changed(held.owner, held.life, change))
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -46,8 +46,8 @@
 from fernweir.peers.estimate.rules import ShardRules
 from fernweir.peers.estimate.sketches import Frequent, Steps
 from fernweir.peers.estimate.summary import Older, Shard, Summary
-from fernweir.peers.facts.buckets import bucket_of, codes, total
-from fernweir.peers.facts.owner_state import Held
+from fernweir.peers.facts.buckets import bucket_checksums, bucket_of, total_checksum
+from fernweir.peers.facts.owner_state import OwnerState
 from fernweir.peers.late.messages import Kind, content_of
 from fernweir.peers.lease.messages import Recall
 from fernweir.peers.lease.rules import KeeperSet
@@ -373,8 +373,8 @@
     ]
 
 
-def _held(owner: str, life: int, known: int, floor: int) -> Held:
-    held = Held(owner, life)
+def _held(owner: str, life: int, known: int, floor: int) -> OwnerState:
+    held = OwnerState(owner, life)
     held.known = held.seen = known
     held.floor = floor
     return held
@@ -533,7 +533,7 @@
         lambda: [question.KINDS, question.FIELDS, summary.COUNTED, summary.REST, summary.FORMAT]
     ),
     "fact.summary.key": _made(lambda: [str(sketches.key("title", "title-1")), str(sketches.key("box", "5"))]),
-    "facts.codes": _made(lambda: [total(HELD), codes(HELD, 8), [bucket_of(one.owner, 8) for one in HELD]]),
+    "facts.codes": _made(lambda: [total_checksum(HELD), bucket_checksums(HELD, 8), [bucket_of(one.owner, 8) for one in HELD]]),
     "members.parts": _made(lambda: [part_of(f"front-{number}") for number in range(8)]),
     "members.sums": _made(_table_checksums),
     "late.content": _made(lambda: [content_of(RESTED[1], kind) for kind in Kind]),
--- a/tests/test_peers_facts.py
+++ b/tests/test_peers_facts.py
@@ -302,7 +302,7 @@
     dice = Random(f"mesh {seed}")
     rules = lib.rules.FactRules(tombs=dice.choice([2, 3, 8]), keys=8)
     own = lib.local_state.Own("owner", 1, rules)
-    held = [lib.owner_state.Held("owner", 1) for _ in range(3)]
+    held = [lib.owner_state.OwnerState("owner", 1) for _ in range(3)]
     bag: list[tuple[int, Any]] = []
     model: dict[str, tuple[int, bytes]] = {}
     newest: list[dict[str, int]] = [{}, {}, {}]
@@ -331,7 +331,7 @@
             fact = sender.facts[key]
             bag.append((to, lib.messages.Record(key, fact.version, 0, fact.value)))
         elif draw < 0.73:
-            held[to], newest[to] = lib.owner_state.Held("owner", 1), {}
+            held[to], newest[to] = lib.owner_state.OwnerState("owner", 1), {}
         elif bag:
             to, what = bag.pop(dice.randrange(len(bag))) if dice.random() < 0.7 else dice.choice(bag)
             changes: list[Any] = []
@@ -487,9 +487,9 @@
             lie = world.dice.choice(
                 [
                     messages.Compare((messages.Entry(owner, life, high, floor),), 1, 5),
-                    messages.Listed(1, (0,), (messages.Entry(owner, life, high, floor),)),
+                    messages.BucketEntries(1, (0,), (messages.Entry(owner, life, high, floor),)),
                     messages.Delta((messages.Part(owner, life, 0, floor, (record,)),)),
-                    messages.News((messages.Item(owner, life, record),)),
+                    messages.Push((messages.PushedRecord(owner, life, record),)),
                 ]
             )
             world.later(1.0, liar, target, world.wire.through(lie)[0])
@@ -518,11 +518,11 @@
     return dice.choice(
         [
             lambda: messages.Compare(entries(), number(), number()),
-            lambda: messages.Differ(dice.randbytes(dice.choice([4, 7, 8, 64, 1_024])), entries()),
-            lambda: messages.Listed(dice.choice([1, 3, 256]), (0, 1, 255), entries()),
+            lambda: messages.BucketChecksums(dice.randbytes(dice.choice([4, 7, 8, 64, 1_024])), entries()),
+            lambda: messages.BucketEntries(dice.choice([1, 3, 256]), (0, 1, 255), entries()),
             lambda: messages.Want(entries()),
             lambda: messages.Delta((messages.Part(owner(), number(), number(), number(), records()),), True),
-            lambda: messages.News((messages.Item(owner(), number(), records()[0]),)),
+            lambda: messages.Push((messages.PushedRecord(owner(), number(), records()[0]),)),
             lambda: messages.Offer("blob", digest, number()),
             lambda: messages.Ready("blob", digest, number(), number()),
             lambda: messages.Chunk("blob", digest, number(), bytes(dice.choice([1, 1_000, 200_000]))),
