--- a/bench/peers_facts.py
+++ b/bench/peers_facts.py
@@ -39,7 +39,7 @@
         self._heap: list[tuple[float, int, str, str, object]] = []
         self._ties = itertools.count()
         for name, node in self.nodes.items():
-            node.peers(0.0, self.names)
+            node.set_peers(0.0, self.names)
             self.effects(name)
 
     def effects(self, name: str) -> None:
@@ -177,7 +177,7 @@
     fleet.nodes[new] = Facts(new, 1_000, FactRules(), seed)
     fleet.start_counting()
     for name in names:
-        fleet.nodes[name].peers(fleet.now, names)
+        fleet.nodes[name].set_peers(fleet.now, names)
         fleet.effects(name)
     fleet.run(begun + 600_000.0, lambda: len(known) == count and all(facts == 3 for facts in known.values()))
     assert len(known) == count
--- a/fernweir/peers/facts/store.py
+++ b/fernweir/peers/facts/store.py
@@ -75,18 +75,18 @@
 
     # --- who the peers are ---
 
-    def peers(self, now: float, names: Iterable[str]) -> None:
+    def set_peers(self, now: float, names: Iterable[str]) -> None:
         """With whom to gossip, and whose facts to take; what is held of others goes after `keep_ms`."""
-        new = self._table.peers(now, names)
+        new = self._table.set_peers(now, names)
         if new:
             self._exchange.repair_at = now
             self._exchange.changed(self.me)
         if self._round_at is None and self._table.names:
             self._round_at = now + self._dice.random() * self.rules.round_ms
 
-    def refuse(self, owners: Mapping[str, frozenset[str]]) -> None:
+    def restrict_owners(self, owners: Mapping[str, frozenset[str]]) -> None:
         """Of these owners nothing new is taken but the keys named; what was passed over comes again later."""
-        self._table.refuse(owners)
+        self._table.restrict_owners(owners)
 
     # --- a part of a peer ---
 
--- a/fernweir/peers/facts/table.py
+++ b/fernweir/peers/facts/table.py
@@ -52,7 +52,7 @@
 
     # --- who the peers are ---
 
-    def peers(self, now: float, names: Iterable[str]) -> frozenset[str]:
+    def set_peers(self, now: float, names: Iterable[str]) -> frozenset[str]:
         """Returns those that are new."""
         listed = sorted(set(names) - {self.me})[: self.rules.owners - 1]
         before, self._peers = self._peers, frozenset((self.me, *listed))
@@ -64,7 +64,7 @@
             self._left.pop(owner, None)
         return self._peers - before
 
-    def refuse(self, owners: Mapping[str, frozenset[str]]) -> None:
+    def restrict_owners(self, owners: Mapping[str, frozenset[str]]) -> None:
         before, self._refused = self._refused, dict(owners)
         for owner, allowed in before.items():
             held = self._held.get(owner)
--- a/fernweir/peers/lateness.py
+++ b/fernweir/peers/lateness.py
@@ -159,7 +159,7 @@
 
     def _shut_out(self) -> None:
         names = self.stragglers.shut_out()
-        self._facts.refuse({name: frozenset((PLEA,)) for name in names if name != self.me})
+        self._facts.restrict_owners({name: frozenset((PLEA,)) for name in names if name != self.me})
         if self._keeper is not None:
             self._keeper.shut_out(names)
 
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -492,7 +492,7 @@
     def _members_changed(self, now: float) -> None:
         alive = self.members.alive()
         others = [name for name in alive if name != self.me.name]
-        self._at(self.facts).peers(now, others)
+        self._at(self.facts).set_peers(now, others)
         lives = self.lives()
         self._at(self.directory).members(now, lives)
         self._at(self.recording).members(now, lives)
--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -533,7 +533,9 @@
         lambda: [question.KINDS, question.FIELDS, summary.COUNTED, summary.REST, summary.FORMAT]
     ),
     "fact.summary.key": _made(lambda: [str(sketches.key("title", "title-1")), str(sketches.key("box", "5"))]),
-    "facts.codes": _made(lambda: [total_checksum(HELD), bucket_checksums(HELD, 8), [bucket_of(one.owner, 8) for one in HELD]]),
+    "facts.codes": _made(
+        lambda: [total_checksum(HELD), bucket_checksums(HELD, 8), [bucket_of(one.owner, 8) for one in HELD]]
+    ),
     "members.parts": _made(lambda: [part_of(f"front-{number}") for number in range(8)]),
     "members.sums": _made(_table_checksums),
     "late.content": _made(lambda: [content_of(RESTED[1], kind) for kind in Kind]),
--- a/tests/test_peers_facts.py
+++ b/tests/test_peers_facts.py
@@ -89,7 +89,7 @@
         self.model[name], self.counts[name], self.mirror[name] = (life, {}), 1, {}
         self.newest = {key: version for key, version in self.newest.items() if key[0] != name}
         self.refused[name] = {}
-        self.nodes[name].peers(self.local(name), self.peers[name])
+        self.nodes[name].set_peers(self.local(name), self.peers[name])
         self.sent[name].append((self.now, -1))  # a new process has a budget of its own
         self.effects(name)
 
@@ -111,12 +111,12 @@
 
     def set_peers(self, name: str, peers: set[str]) -> None:
         self.peers[name] = peers
-        self.nodes[name].peers(self.local(name), peers)
+        self.nodes[name].set_peers(self.local(name), peers)
         self.effects(name)
 
     def refuse(self, name: str, owners: dict[str, frozenset[str]]) -> None:
         self.refused[name] = owners
-        self.nodes[name].refuse(owners)
+        self.nodes[name].restrict_owners(owners)
 
     # --- the network ---
 
@@ -461,7 +461,7 @@
         world.put(back, f"key-{number}", b"of old")
     world.run(5_000.0)
     world.nodes[back] = world.lib.store.Facts(back, 1_000, world.rules, 9)
-    world.nodes[back].peers(world.local(back), world.names)
+    world.nodes[back].set_peers(world.local(back), world.names)
     world.nodes[back].put(world.local(back), "key-1", b"new")
     world.run(10_000.0)
     for name in world.names[1:]:
