--- a/fernweir/peers/facts/exchange.py
+++ b/fernweir/peers/facts/exchange.py
@@ -41,8 +41,8 @@
         names, rules, repair = self.table.names, self.rules, now >= self.repair_at
         if not names or not (repair or self.hot or self._asked):
             return
-        named = self.hot.name(rules.named)
-        named += [owner for owner in self._unanswered(now) if owner not in named][: rules.named]
+        named = self.hot.name(rules.max_announced)
+        named += [owner for owner in self._unanswered(now) if owner not in named][: rules.max_announced]
         entries = tuple(held.entry() for owner in named if (held := self.table.get(owner)))
         for index, peer in enumerate(
             self._dice.sample(names, min(rules.fanout if entries else 1, len(names)))
@@ -52,11 +52,11 @@
             total = buckets.total_checksum(self.table.live()) if repair and index == 0 else None
             self._out.add(Send(peer, Compare(entries, total, len(names) + 1)))
         if repair:
-            self.repair_at = now + rules.repair_ms * self._dice.uniform(0.9, 1.1)
+            self.repair_at = now + rules.repair_interval_ms * self._dice.uniform(0.9, 1.1)
 
     def _unanswered(self, now: float) -> list[str]:
         """Owners of whom more was asked and not got: whoever hears how little is known tells it."""
-        until = now - self.rules.lacking_ms
+        until = now - self.rules.request_lifetime_ms
         self._asked = {
             owner: asked
             for owner, asked in self._asked.items()
@@ -76,7 +76,7 @@
         wants = self._wants(now, message.entries)
         self.serve(now, sender, message.entries)
         if differs:
-            owners = max(len(live), min(message.owners, self.rules.owners))
+            owners = max(len(live), min(message.owners, self.rules.max_owners))
             codes = buckets.bucket_checksums(live, buckets.count_for(owners))
             if self._pay(now, packing.entries_size(wants) + len(codes), answer=True):
                 self._out.add(Send(sender, BucketChecksums(codes, wants)))
@@ -98,9 +98,9 @@
         chosen: list[int] = []
         entries: list[Entry] = []
         for bucket in differing:
-            if len(by_bucket[bucket]) > _LISTED_MOST * self.rules.listed:
+            if len(by_bucket[bucket]) > _LISTED_MOST * self.rules.max_listed:
                 continue
-            if chosen and len(entries) + len(by_bucket[bucket]) > self.rules.listed:
+            if chosen and len(entries) + len(by_bucket[bucket]) > self.rules.max_listed:
                 self.repair_at = now  # the rest in the next round
                 break
             chosen.append(bucket)
@@ -123,7 +123,9 @@
     def serve(self, now: float, to: str, entries: Sequence[Entry]) -> None:
         """Sends what is newer than what somebody knows, as far as the budget goes."""
         rules = self.rules
-        room = min(self._budget.level(now) - rules.burst * rules.reserve_share, float(rules.whole))
+        room = min(
+            self._budget.level(now) - rules.burst_bytes * rules.reserve_ratio, float(rules.max_reliable_bytes)
+        )
         missing: dict[str, packing.Missing] = {}
         size, cut = 0, False
         for entry in self._dice.sample(entries, len(entries)):
@@ -139,7 +141,9 @@
                 size += sum(map(packing.record_size, records))
         if not missing:
             return
-        answer = packing.pack(list(missing.values()), cut, room, rules.datagram, rules.datagrams)
+        answer = packing.pack(
+            list(missing.values()), cut, room, rules.max_datagram_bytes, rules.max_datagrams
+        )
         self._budget.spend(now, answer.size)
         for delta in answer.deltas:
             self._out.add(Send(to, delta, answer.whole))
@@ -166,7 +170,7 @@
             asked = self._asked.get(entry.owner)
             if lacks is None or (asked is not None and asked[0] == entry and now < asked[1]):
                 continue
-            self._asked[entry.owner] = (entry, now + self.rules.asked_ms)
+            self._asked[entry.owner] = (entry, now + self.rules.request_interval_ms)
             wants.append(lacks)
         return tuple(wants)
 
@@ -176,7 +180,7 @@
 
     def _pay(self, now: float, size: float, answer: bool = False) -> bool:
         """Answers leave a share of the burst for this front's own rounds."""
-        floor = self.rules.burst * self.rules.reserve_share if answer else 0.0
+        floor = self.rules.burst_bytes * self.rules.reserve_ratio if answer else 0.0
         if self._budget.level(now) - size < floor:
             return False
         self._budget.spend(now, size)
--- a/fernweir/peers/facts/incoming.py
+++ b/fernweir/peers/facts/incoming.py
@@ -42,7 +42,7 @@
         key, rules = (sender, offer.name), self.rules
         if self._done.get(key) == offer.digest:
             return Done(offer.name, offer.digest), None  # it had not heard so
-        if offer.size > min(rules.size_most, rules.sender_bytes, rules.bytes_most):
+        if offer.size > min(rules.max_blob_bytes, rules.max_sender_bytes, rules.max_total_bytes):
             return Refused(offer.name, offer.digest, "too large", False), None
         one = self._partial.get(key)
         if one is not None and (one.digest, one.size) != (offer.digest, offer.size):
@@ -72,7 +72,7 @@
         one.moved_at = now
         if len(one.data) == one.size:
             return self._whole(sender, one)
-        if one.until < one.size and one.until - len(one.data) <= self.rules.window // 2:
+        if one.until < one.size and one.until - len(one.data) <= self.rules.window_bytes // 2:
             return self._let(one), None
         return None, None
 
@@ -90,7 +90,7 @@
         return min((one.moved_at + self.rules.keep_ms for one in self._partial.values()), default=None)
 
     def _let(self, one: Partial) -> Ready:
-        one.until = min(len(one.data) + self.rules.window, one.size)
+        one.until = min(len(one.data) + self.rules.window_bytes, one.size)
         return Ready(one.name, one.digest, len(one.data), one.until)
 
     def _whole(self, sender: str, one: Partial) -> Answer:
@@ -99,7 +99,7 @@
             return Refused(one.name, one.digest, "not what its digest says", False), None
         self._done[sender, one.name] = one.digest
         self._done.move_to_end((sender, one.name))
-        while len(self._done) > self.rules.remembered:
+        while len(self._done) > self.rules.max_remembered:
             self._done.popitem(last=False)
         return Done(one.name, one.digest), bytes(one.data)
 
@@ -107,8 +107,8 @@
         rules = self.rules
         his = [one.size for (whose, _), one in self._partial.items() if whose == sender]
         return (
-            len(self._partial) < rules.incoming
-            and len(his) < rules.by_sender
-            and sum(his) + size <= rules.sender_bytes
-            and sum(one.size for one in self._partial.values()) + size <= rules.bytes_most
+            len(self._partial) < rules.max_incoming
+            and len(his) < rules.max_incoming_per_sender
+            and sum(his) + size <= rules.max_sender_bytes
+            and sum(one.size for one in self._partial.values()) + size <= rules.max_total_bytes
         )
--- a/fernweir/peers/facts/local_state.py
+++ b/fernweir/peers/facts/local_state.py
@@ -28,11 +28,11 @@
         if len(value) > VALUE_MOST:
             raise FactError(f"{key}: {len(value)} bytes are more than {VALUE_MOST}")
         old = held.facts.get(key)
-        if old is None and len(held.facts) >= rules.keys:
-            raise FactError(f"{key}: more than {rules.keys} keys")
+        if old is None and len(held.facts) >= rules.max_keys:
+            raise FactError(f"{key}: more than {rules.max_keys} keys")
         grows = len(value) - (len(old.value) if old is not None else -len(key))
-        if held.size + grows > rules.owner_bytes:
-            raise FactError(f"{key}: more than {rules.owner_bytes} bytes in all")
+        if held.size + grows > rules.max_owner_bytes:
+            raise FactError(f"{key}: more than {rules.max_owner_bytes} bytes in all")
         held.put(Fact(key, self._next(), bytes(value), now))
 
     def drop(self, now: float, key: str) -> bool:
@@ -41,7 +41,7 @@
         if key not in held.facts:
             return False
         held.drop(key, Tomb(self._next(), now))
-        if len(held.tombs) > self.rules.tombs:
+        if len(held.tombs) > self.rules.max_tombstones:
             versions = sorted(tomb.version for tomb in held.tombs.values())
             held.raise_floor(versions[len(versions) // 2])
         return True
@@ -53,7 +53,7 @@
             self._claimed = max(self._claimed, claimed)
 
     def next_deadline(self) -> float | None:
-        return self._refuted_at + self.rules.refute_ms if self._claimed > _NO_CLAIM else None
+        return self._refuted_at + self.rules.refute_interval_ms if self._claimed > _NO_CLAIM else None
 
     def refute(self, now: float) -> bool:
         """Goes beyond what is wrongly held of this front, with all it has, every now and then at most.
--- a/fernweir/peers/facts/outgoing.py
+++ b/fernweir/peers/facts/outgoing.py
@@ -38,15 +38,15 @@
             return False
         if message.offset < self.confirmed:
             self.rewinds += 1
-            if self.rewinds > rules.rewinds:
+            if self.rewinds > rules.max_rewinds:
                 return False
         if message.offset > self.confirmed:
-            self.fail_at, self.why = now + rules.fail_ms, "no progress"
+            self.fail_at, self.why = now + rules.progress_timeout_ms, "no progress"
         self.confirmed = message.offset
         if self.asking or message.offset > self.sent:
             self.sent = message.offset
         self.asking = False
-        self.until = min(message.until, message.offset + rules.window, len(self.data))
+        self.until = min(message.until, message.offset + rules.window_bytes, len(self.data))
         self.retry_at = now + rules.retry_ms
         return True
 
@@ -54,7 +54,7 @@
         return not self.asking and self.sent < self.until
 
     def chunk(self, now: float, rules: TransferRules) -> Chunk:
-        begin, end = self.sent, min(self.sent + rules.chunk, self.until)
+        begin, end = self.sent, min(self.sent + rules.chunk_bytes, self.until)
         self.sent, self.retry_at = end, now + rules.retry_ms
         return Chunk(self.name, self.digest, begin, self.data[begin:end])
 
@@ -75,15 +75,20 @@
         held = sum(len(one.data) for one in self._sending.values()) - (len(old.data) if old else 0)
         if not 1 <= len(name) <= 255:
             raise TransferError(f"not a name: {name!r:.80}")
-        if len(data) > rules.size_most:
-            raise TransferError(f"{name}: {len(data)} bytes are more than {rules.size_most}")
-        if held + len(data) > rules.bytes_most:
-            raise TransferError(f"{name}: more than {rules.bytes_most} bytes are offered at once")
-        if old is None and len(self._sending) >= rules.outgoing:
-            raise TransferError(f"{name}: more than {rules.outgoing} blobs are offered at once")
+        if len(data) > rules.max_blob_bytes:
+            raise TransferError(f"{name}: {len(data)} bytes are more than {rules.max_blob_bytes}")
+        if held + len(data) > rules.max_total_bytes:
+            raise TransferError(f"{name}: more than {rules.max_total_bytes} bytes are offered at once")
+        if old is None and len(self._sending) >= rules.max_outgoing:
+            raise TransferError(f"{name}: more than {rules.max_outgoing} blobs are offered at once")
         data = bytes(data)
         one = Sending(
-            to, name, data, blake2b(data, digest_size=32).digest(), now + rules.fail_ms, now + rules.retry_ms
+            to,
+            name,
+            data,
+            blake2b(data, digest_size=32).digest(),
+            now + rules.progress_timeout_ms,
+            now + rules.retry_ms,
         )
         self._sending[to, name] = one
         return one
--- a/fernweir/peers/facts/owner_state.py
+++ b/fernweir/peers/facts/owner_state.py
@@ -195,12 +195,12 @@
 
     def _fits(self, record: Record, rules: FactRules) -> bool:
         if record.value is None:
-            return record.key in self.tombs or len(self.tombs) < 2 * rules.tombs
+            return record.key in self.tombs or len(self.tombs) < 2 * rules.max_tombstones
         old = self.facts.get(record.key)
-        if old is None and len(self.facts) >= 2 * rules.keys:
+        if old is None and len(self.facts) >= 2 * rules.max_keys:
             return False
         grows = len(record.value) - (len(old.value) if old is not None else -len(record.key))
-        return self.size + grows <= 2 * rules.owner_bytes
+        return self.size + grows <= 2 * rules.max_owner_bytes
 
     def _settle(self, allowed: Allowed) -> None:
         """Versions that news told count as known when nothing is missing before them."""
--- a/fernweir/peers/facts/push.py
+++ b/fernweir/peers/facts/push.py
@@ -24,13 +24,13 @@
     def __init__(self, table: Table, rules: FactRules, budget: Budget, dice: Random, out: Outbox) -> None:
         self.table, self.rules = table, rules
         self._all, self._dice, self._out = budget, dice, out
-        self._urgent = Budget(rules.rate * rules.urgent_share, rules.burst * rules.urgent_share)
+        self._urgent = Budget(rules.bytes_per_s * rules.urgent_ratio, rules.burst_bytes * rules.urgent_ratio)
         self._left: dict[tuple[str, str], int] = {}
         self._due = 0.0
 
     def add(self, now: float, owner: str, key: str) -> None:
         if (owner, key) in self._left or len(self._left) < _MOST:
-            self._left[owner, key] = self.rules.news_rounds
+            self._left[owner, key] = self.rules.push_rounds
             self._due = min(self._due, now)
 
     def next_deadline(self) -> float | None:
@@ -39,11 +39,11 @@
     def tick(self, now: float) -> None:
         if not self._left or now < self._due or not self.table.names:
             return
-        self._due = now + self.rules.news_ms
+        self._due = now + self.rules.push_interval_ms
         names = self.table.names
-        peers = self._dice.sample(names, min(self.rules.news_fanout, len(names)))
+        peers = self._dice.sample(names, min(self.rules.push_fanout, len(names)))
         room = min(self._urgent.level(now), self._all.level(now)) / len(peers)
-        items, size, whole = batch(self._waiting(now), self.rules.datagram, room)
+        items, size, whole = batch(self._waiting(now), self.rules.max_datagram_bytes, room)
         if not items:
             return
         for item in items:
--- a/fernweir/peers/facts/rules.py
+++ b/fernweir/peers/facts/rules.py
@@ -33,29 +33,29 @@
     facts of an owner are kept that is no peer any more.
     """
 
-    keys: int = 128
-    owner_bytes: int = 65_536
-    owners: int = 2_048
-    tombs: int = 32
+    max_keys: int = 128
+    max_owner_bytes: int = 65_536
+    max_owners: int = 2_048
+    max_tombstones: int = 32
     keep_ms: float = 60_000.0
-    rate: float = 16_384.0
-    burst: float = 65_536.0
-    urgent_share: float = 0.5
-    reserve_share: float = 0.25  # of the burst, that answers leave for a front's own rounds
-    round_ms: float = 500.0
-    repair_ms: float = 2_000.0
+    bytes_per_s: float = 16_384.0
+    burst_bytes: float = 65_536.0
+    urgent_ratio: float = 0.5
+    reserve_ratio: float = 0.25  # of the burst, that answers leave for a front's own rounds
+    round_interval_ms: float = 500.0
+    repair_interval_ms: float = 2_000.0
     fanout: int = 2  # peers of a round
-    named: int = 16  # changed owners named in a round
-    listed: int = 24  # owners listed in a repair
-    asked_ms: float = 300.0  # what was asked of one is not asked of the next
-    lacking_ms: float = 3_000.0  # and is asked of anybody for so long, if it doesn't come
-    news_ms: float = 100.0
-    news_rounds: int = 4
-    news_fanout: int = 3
-    refute_ms: float = 1_000.0
-    datagram: int = 1_200
-    datagrams: int = 6  # of one answer; what needs more goes whole
-    whole: int = 32_768
+    max_announced: int = 16  # changed owners named in a round
+    max_listed: int = 24  # owners listed in a repair
+    request_interval_ms: float = 300.0  # what was asked of one is not asked of the next
+    request_lifetime_ms: float = 3_000.0  # and is asked of anybody for so long, if it doesn't come
+    push_interval_ms: float = 100.0
+    push_rounds: int = 4
+    push_fanout: int = 3
+    refute_interval_ms: float = 1_000.0
+    max_datagram_bytes: int = 1_200
+    max_datagrams: int = 6  # of one answer; what needs more goes whole
+    max_reliable_bytes: int = 32_768
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,18 +67,18 @@
     times; what came of one is kept for `keep_ms` without progress.
     """
 
-    chunk: int = 16_384
-    window: int = 131_072
-    rate: float = 1_048_576.0
-    burst: float = 131_072.0
-    size_most: int = 16 * 1_048_576
-    outgoing: int = 64
-    incoming: int = 64
-    by_sender: int = 8
-    bytes_most: int = 64 * 1_048_576
-    sender_bytes: int = 24 * 1_048_576
+    chunk_bytes: int = 16_384
+    window_bytes: int = 131_072
+    bytes_per_s: float = 1_048_576.0
+    burst_bytes: float = 131_072.0
+    max_blob_bytes: int = 16 * 1_048_576
+    max_outgoing: int = 64
+    max_incoming: int = 64
+    max_incoming_per_sender: int = 8
+    max_total_bytes: int = 64 * 1_048_576
+    max_sender_bytes: int = 24 * 1_048_576
     retry_ms: float = 1_000.0
-    fail_ms: float = 30_000.0
+    progress_timeout_ms: float = 30_000.0
     keep_ms: float = 60_000.0
-    rewinds: int = 16
-    remembered: int = 256
+    max_rewinds: int = 16
+    max_remembered: int = 256
--- a/fernweir/peers/facts/store.py
+++ b/fernweir/peers/facts/store.py
@@ -32,7 +32,7 @@
         self._out = Outbox()
         self._own = Own(me, life, rules)
         self._table = Table(self._own, rules, self._out)
-        budget = Budget(rules.rate, rules.burst)
+        budget = Budget(rules.bytes_per_s, rules.burst_bytes)
         self._exchange = Exchange(self._table, rules, budget, self._dice, self._out)
         self._pushed = Pushed(self._table, rules, budget, self._dice, self._out)
         self._round_at: float | None = None
@@ -82,7 +82,7 @@
             self._exchange.repair_at = now
             self._exchange.changed(self.me)
         if self._round_at is None and self._table.names:
-            self._round_at = now + self._dice.random() * self.rules.round_ms
+            self._round_at = now + self._dice.random() * self.rules.round_interval_ms
 
     def restrict_owners(self, owners: Mapping[str, frozenset[str]]) -> None:
         """Of these owners nothing new is taken but the keys named; what was passed over comes again later."""
@@ -114,7 +114,7 @@
             self._exchange.changed(self.me)
         self._pushed.tick(now)
         if self._round_at is not None and now >= self._round_at:
-            self._round_at = now + self.rules.round_ms * self._dice.uniform(0.9, 1.1)
+            self._round_at = now + self.rules.round_interval_ms * self._dice.uniform(0.9, 1.1)
             self._exchange.round(now)
 
     def next_deadline(self) -> float | None:
--- a/fernweir/peers/facts/table.py
+++ b/fernweir/peers/facts/table.py
@@ -54,7 +54,7 @@
 
     def set_peers(self, now: float, names: Iterable[str]) -> frozenset[str]:
         """Returns those that are new."""
-        listed = sorted(set(names) - {self.me})[: self.rules.owners - 1]
+        listed = sorted(set(names) - {self.me})[: self.rules.max_owners - 1]
         before, self._peers = self._peers, frozenset((self.me, *listed))
         self.names = tuple(listed)
         for owner in before - self._peers:
--- a/fernweir/peers/facts/transfer.py
+++ b/fernweir/peers/facts/transfer.py
@@ -51,7 +51,7 @@
         self._dice = Random(f"transfers {seed}")
         self._out = Outbox()
         self._outgoing, self._incoming = Outgoing(rules), Incoming(rules)
-        self._budget = Budget(rules.rate, rules.burst)
+        self._budget = Budget(rules.bytes_per_s, rules.burst_bytes)
         self._send_at: float | None = None
 
     def offer(self, now: float, to: str, name: str, data: bytes) -> None:
@@ -87,7 +87,7 @@
             self._fail(one, one.why)
         for one in self._outgoing.to_offer_again(now):
             self._say(one.to, one.again(now, self.rules))
-        while self._budget.level(now) >= self.rules.chunk and (turn := self._outgoing.next_turn()):
+        while self._budget.level(now) >= self.rules.chunk_bytes and (turn := self._outgoing.next_turn()):
             chunk = turn.chunk(now, self.rules)
             self._budget.spend(now, len(chunk.data))
             self._say(turn.to, chunk)
@@ -132,4 +132,4 @@
 
     def _plan(self, now: float) -> None:
         sendable = self._outgoing.any_sendable()
-        self._send_at = self._budget.when(now, self.rules.chunk) if sendable else None
+        self._send_at = self._budget.when(now, self.rules.chunk_bytes) if sendable else None
--- a/fernweir/peers/settings.py
+++ b/fernweir/peers/settings.py
@@ -78,7 +78,7 @@
         takeover=TakeoverRules(),
         handoff=replace(HandoffRules(), overlap_ms=section.overlap, drift=section.drift),
     )
-    facts = replace(FactRules(), rate=section.bytes * 1_000.0 * _FACTS_RATE_RATIO)
+    facts = replace(FactRules(), bytes_per_s=section.bytes * 1_000.0 * _FACTS_RATE_RATIO)
     late = LateRules(
         late_ms=section.late_after,
         clean_ms=max(section.late_after, LateRules().clean_ms),
--- a/tests/fuzzing/peer.py
+++ b/tests/fuzzing/peer.py
@@ -45,7 +45,7 @@
 RULES = PeerRules(
     ("a", "b", "c"),
     members=MemberRules(max_members=32),
-    facts=FactRules(keys=16, owner_bytes=4_096, owners=32, keep_ms=5_000.0),
+    facts=FactRules(max_keys=16, max_owner_bytes=4_096, max_owners=32, keep_ms=5_000.0),
     lease=LeaseRules(max_records=64, max_channels=64),
     owning=OwningRules(
         parts=2, gone_most=64,
--- a/tests/peers_mutants/facts.py
+++ b/tests/peers_mutants/facts.py
@@ -128,7 +128,7 @@
     Mutant(
         "a receiver forgets what it has handed over",
         _INCOMING,
-        "        while len(self._done) > self.rules.remembered:\n",
+        "        while len(self._done) > self.rules.max_remembered:\n",
         "        while self._done:\n",
         seeds=20,
         faults=2,
--- a/tests/test_peers_facts.py
+++ b/tests/test_peers_facts.py
@@ -54,7 +54,7 @@
 
     def __init__(self, lib: SimpleNamespace, seed: int, count: int = 6, **rules: Any) -> None:
         self.lib, self.dice, self.now, self.seed = lib, Random(f"world {seed}"), 0.0, seed
-        small = {"keep_ms": 8_000.0, "tombs": 4, "keys": 16, "owner_bytes": 40_000} | rules
+        small = {"keep_ms": 8_000.0, "max_tombstones": 4, "max_keys": 16, "max_owner_bytes": 40_000} | rules
         self.rules = lib.rules.FactRules(**small)
         self.wire = Wire(lib)
         self.names = [f"front-{number}" for number in range(count)]
@@ -198,7 +198,7 @@
                 self.broken.append(f"{name}: events tell otherwise than what is held")
             for owner, facts in held.items():
                 size = sum(len(key) + len(fact.value) for key, fact in facts.items())
-                if len(facts) > 2 * rules.keys or size > 2 * rules.owner_bytes:
+                if len(facts) > 2 * rules.max_keys or size > 2 * rules.max_owner_bytes:
                     self.broken.append(f"{name}: {len(facts)} facts of {owner}, {size} bytes")
             times = [(at, size) for at, size in self.sent[name]]
             spent, since = 0.0, 0.0
@@ -207,7 +207,7 @@
                     spent, since = 0.0, at
                     continue
                 spent += size
-                if spent > rules.burst * 1.2 + (at - since) * 1.02 * rules.rate / 1_000.0:
+                if spent > rules.burst_bytes * 1.2 + (at - since) * 1.02 * rules.bytes_per_s / 1_000.0:
                     self.broken.append(f"{name}: {spent:.0f} bytes in {at - since:.0f} ms")
                     break
         return self.broken
@@ -229,9 +229,9 @@
     dice = Random(f"day {seed}")
     rate, burst = dice.choice([(16_384.0, 65_536.0), (3_000.0, 12_000.0)])
     if narrow := seed % 2 == 1:
-        world = World(lib, seed, 3, rate=3_000.0, burst=12_000.0, tombs=2)
+        world = World(lib, seed, 3, bytes_per_s=3_000.0, burst_bytes=12_000.0, max_tombstones=2)
     else:
-        world = World(lib, seed, rate=rate, burst=burst)
+        world = World(lib, seed, bytes_per_s=rate, burst_bytes=burst)
     world.loss, world.doubled, world.late = dice.choice(
         [(0.0, 0.0, 0.0), (0.2, 0.1, 0.5), (0.4, 0.2, 0.3)]
     )  # fmt: skip
@@ -300,7 +300,7 @@
     order, again, or never; holders begin anew. Then all is fetched in order, and must be what the model says.
     """
     dice = Random(f"mesh {seed}")
-    rules = lib.rules.FactRules(tombs=dice.choice([2, 3, 8]), keys=8)
+    rules = lib.rules.FactRules(max_tombstones=dice.choice([2, 3, 8]), max_keys=8)
     own = lib.local_state.Own("owner", 1, rules)
     held = [lib.owner_state.OwnerState("owner", 1) for _ in range(3)]
     bag: list[tuple[int, Any]] = []
@@ -415,7 +415,7 @@
 
 
 def test_a_large_state_is_resumed_and_not_sent_again() -> None:
-    world = whole_world(3, rate=4_000.0, burst=12_000.0)
+    world = whole_world(3, bytes_per_s=4_000.0, burst_bytes=12_000.0)
     owner, helper, new = world.names
     world.cut = {(a, b) for a in world.names for b in world.names if new in (a, b)}
     for number in range(15):
@@ -536,7 +536,7 @@
 def test_whatever_a_peer_says_nothing_breaks_or_grows() -> None:
     lib = load()
     for seed in range(3):
-        world = World(lib, seed, 4, keys=8, tombs=4, owner_bytes=20_000)
+        world = World(lib, seed, 4, max_keys=8, max_tombstones=4, max_owner_bytes=20_000)
         dice = Random(f"garbage {seed}")
         for _ in range(400):
             message, _ = world.wire.through(garbage(lib.messages, dice, world.names))
@@ -554,7 +554,7 @@
 
 def test_what_may_not_be_published_is_refused_and_leaves_all_as_it_was() -> None:
     lib = load()
-    facts = lib.store.Facts("me", 1, lib.rules.FactRules(keys=3, owner_bytes=20_000), 1)
+    facts = lib.store.Facts("me", 1, lib.rules.FactRules(max_keys=3, max_owner_bytes=20_000), 1)
     for key in ("a", "b", "c"):
         facts.put(0.0, key, bytes(5_000))
     before = dict(facts.of("me"))
@@ -630,7 +630,7 @@
 def transfer_day(lib: SimpleNamespace, seed: int) -> list[str]:
     """Blobs between three fronts, breaks and restarts; then all that is still wanted must be there, once."""
     names = ["a", "b", "c"]
-    lines = Lines(lib, seed, names, fail_ms=20_000.0, rate=400_000.0)
+    lines = Lines(lib, seed, names, progress_timeout_ms=20_000.0, bytes_per_s=400_000.0)
     dice = Random(f"transfers {seed}")
     wanted: dict[tuple[str, str, str], bytes] = {}
     offered: set[tuple[str, str, str, bytes]] = set()
@@ -688,7 +688,7 @@
 
 def test_a_transfer_that_breaks_five_times_goes_on_from_where_it_was() -> None:
     for restarted in (False, True):
-        lines = Lines(load(), 1, ["a", "b"], rate=200_000.0)
+        lines = Lines(load(), 1, ["a", "b"], bytes_per_s=200_000.0)
         data = Random(1).randbytes(1_600_000)
         lines.nodes["a"].offer(0.0, "b", "list", data)
         for _ in range(5):
@@ -704,7 +704,7 @@
 
 
 def test_blobs_share_the_budget_and_a_small_one_is_not_kept_waiting() -> None:
-    lines = Lines(load(), 1, ["a", "b", "c"], rate=200_000.0)
+    lines = Lines(load(), 1, ["a", "b", "c"], bytes_per_s=200_000.0)
     for number in range(3):
         lines.nodes["a"].offer(0.0, "b", f"large-{number}", Random(number).randbytes(400_000))
     lines.run(1_000.0)
@@ -718,7 +718,7 @@
 
 
 def test_a_sender_that_changes_its_data_midway_is_refused_and_leaves_nothing() -> None:
-    lines = Lines(load(), 1, ["a", "b"], rate=200_000.0)
+    lines = Lines(load(), 1, ["a", "b"], bytes_per_s=200_000.0)
     lines.nodes["a"].offer(0.0, "b", "list", bytes(300_000))
     lines.run(500.0)
     sending = lines.nodes["a"]._outgoing.named("list")[0]
@@ -731,7 +731,7 @@
 
 @pytest.mark.parametrize("lie", ["beyond", "backwards", "silent", "busy", "too much"])
 def test_a_receiver_that_lies_about_offsets_does_no_harm(lie: str) -> None:
-    lines = Lines(load(), 1, ["a"], rate=200_000.0)
+    lines = Lines(load(), 1, ["a"], bytes_per_s=200_000.0)
     messages, node = lines.lib.messages, lines.nodes["a"]
     node.offer(0.0, "liar", "list", bytes(400_000))
     digest = node._outgoing.named("list")[0].digest
@@ -753,7 +753,7 @@
 
 
 def test_a_sender_that_lies_holds_no_more_than_its_share() -> None:
-    lines = Lines(load(), 1, ["b"], bytes_most=400_000, sender_bytes=150_000, size_most=120_000)
+    lines = Lines(load(), 1, ["b"], max_total_bytes=400_000, max_sender_bytes=150_000, max_blob_bytes=120_000)
     messages, node = lines.lib.messages, lines.nodes["b"]
     answers = []
     for number in range(20):
@@ -772,7 +772,9 @@
 
 def test_whatever_a_peer_says_of_blobs_an_honest_transfer_ends_and_little_is_kept() -> None:
     for seed in range(4):
-        lines = Lines(load(), seed, ["a", "b"], bytes_most=600_000, sender_bytes=200_000, rate=200_000.0)
+        lines = Lines(
+            load(), seed, ["a", "b"], max_total_bytes=600_000, max_sender_bytes=200_000, bytes_per_s=200_000.0
+        )
         dice = Random(f"garbage {seed}")
         data = dice.randbytes(150_000)
         lines.nodes["b"].offer(0.0, "liar", "blob", bytes(100_000))
