--- a/bench/peers_facts.py
+++ b/bench/peers_facts.py
@@ -78,7 +78,7 @@
     def settle(self) -> None:
         """All know all: states are copied, as if they had long been there."""
         for owner in self.names:
-            held = self.nodes[owner]._own.held
+            held = self.nodes[owner]._local.state
             part = Delta(
                 (_part(held, self.now),)
             )  # fmt: skip
@@ -87,7 +87,7 @@
                     node.on_message(self.now, owner, part)
         for node in self.nodes.values():
             node.take_effects()
-            node._exchange.hot._left.clear()
+            node._exchange.recently_changed._left.clear()
 
     def start_counting(self) -> None:
         self.bytes = dict.fromkeys(self.names, 0)
--- a/fernweir/peers/facts/__init__.py
+++ b/fernweir/peers/facts/__init__.py
@@ -1,1 +1,1 @@
-"""Facts that fronts publish of themselves: spread, repaired, bounded; and large blobs over connections."""
+"""Facts that fronts publish about themselves, spread by gossip, and transfers of large blobs."""
--- a/fernweir/peers/facts/exchange.py
+++ b/fernweir/peers/facts/exchange.py
@@ -1,8 +1,8 @@
-"""Rounds of gossip: what is told to whom, what is asked, and what is answered within the budget.
+"""Gossip rounds: what is sent to which peer, what is requested, and what is answered within the budget.
 
-A round goes to a few random peers and names the owners that changed lately; who knows more of one answers
-with what is newer, who knows less asks for it. A repair compares codes of all that is known, then of buckets,
-and lists the owners of what differs.
+A round goes to a few random peers and announces the owners that changed recently. A peer that knows more of
+an owner answers with the newer records; one that knows less requests them. A repair compares checksums of
+everything that is known, then of buckets, and lists the owners in the buckets that differ.
 """
 
 from __future__ import annotations
@@ -14,172 +14,193 @@
 from fernweir.peers.facts import buckets, packing
 from fernweir.peers.facts.budget import Budget
 from fernweir.peers.facts.messages import BucketChecksums, BucketEntries, Compare, Entry, Want
-from fernweir.peers.facts.owner_state import code_of
-from fernweir.peers.facts.recently_changed import Hot
+from fernweir.peers.facts.owner_state import checksum_of
+from fernweir.peers.facts.recently_changed import RecentlyChanged
 from fernweir.peers.facts.rules import FactRules
-from fernweir.peers.facts.table import Table
+from fernweir.peers.facts.table import OwnerTable
 
-_LISTED_MOST = 8  # times `listed`: a bucket beyond that was cut wrongly
+_MAX_LISTED_FACTOR = (
+    8  # a bucket with more than this times `max_listed` owners comes from a wrong bucket count
+)
 
 
 class Exchange:
-    def __init__(self, table: Table, rules: FactRules, budget: Budget, dice: Random, out: Outbox) -> None:
+    """Sends and answers the messages of gossip rounds and repairs."""
+
+    def __init__(self, table: OwnerTable, rules: FactRules, budget: Budget, rng: Random, out: Outbox) -> None:
         self.table, self.rules = table, rules
-        self.hot = Hot()
-        self.repair_at = 0.0  # soon, when there is more to get
-        self._budget, self._dice, self._out = budget, dice, out
-        self._asked: dict[str, tuple[Entry, float]] = {}
+        self.recently_changed = RecentlyChanged()
+        self.repair_at = 0.0  # set to the present when a peer has more to send
+        self._budget, self._rng, self._out = budget, rng, out
+        self._requested: dict[str, tuple[Entry, float]] = {}
 
-    def changed(self, owner: str) -> None:
-        self.hot.changed(owner, len(self.table.names))
+    def on_changed(self, owner: str) -> None:
+        """Announces an owner in the next rounds."""
+        self.recently_changed.on_changed(owner, len(self.table.peer_names))
 
     def forget(self, owner: str) -> None:
-        self.hot.forget(owner)
-        self._asked.pop(owner, None)
-
-    def round(self, now: float) -> None:
-        names, rules, repair = self.table.names, self.rules, now >= self.repair_at
-        if not names or not (repair or self.hot or self._asked):
+        """Ends announcements of and requests for an owner."""
+        self.recently_changed.forget(owner)
+        self._requested.pop(owner, None)
+
+    def start_round(self, now: float) -> None:
+        """Sends the messages of a round, and begins a repair if one is due."""
+        names, rules, repair = self.table.peer_names, self.rules, now >= self.repair_at
+        if not names or not (repair or self.recently_changed or self._requested):
             return
-        named = self.hot.name(rules.max_announced)
-        named += [owner for owner in self._unanswered(now) if owner not in named][: rules.max_announced]
-        entries = tuple(held.entry() for owner in named if (held := self.table.get(owner)))
+        announced = self.recently_changed.next_owners(rules.max_announced)
+        announced += [owner for owner in self._unanswered_requests(now) if owner not in announced][
+            : rules.max_announced
+        ]
+        entries = tuple(state.entry() for owner in announced if (state := self.table.get(owner)))
         for index, peer in enumerate(
-            self._dice.sample(names, min(rules.fanout if entries else 1, len(names)))
+            self._rng.sample(names, min(rules.fanout if entries else 1, len(names)))
         ):
-            if not self._pay(now, packing.entries_size(entries)):
+            if not self._try_spend(now, packing.entries_size(entries)):
                 return
-            total = buckets.total_checksum(self.table.live()) if repair and index == 0 else None
-            self._out.add(Send(peer, Compare(entries, total, len(names) + 1)))
+            checksum = buckets.total_checksum(self.table.compared_states()) if repair and index == 0 else None
+            self._out.add(Send(peer, Compare(entries, checksum, len(names) + 1)))
         if repair:
-            self.repair_at = now + rules.repair_interval_ms * self._dice.uniform(0.9, 1.1)
-
-    def _unanswered(self, now: float) -> list[str]:
-        """Owners of whom more was asked and not got: whoever hears how little is known tells it."""
-        until = now - self.rules.request_lifetime_ms
-        self._asked = {
-            owner: asked
-            for owner, asked in self._asked.items()
-            if asked[1] > until and self.table.lacks(asked[0]) is not None
+            self.repair_at = now + rules.repair_interval_ms * self._rng.uniform(0.9, 1.1)
+
+    def _unanswered_requests(self, now: float) -> list[str]:
+        """Returns owners whose requested records did not arrive.
+
+        A peer that receives the entry of such an owner sees how little is known here, and sends the rest.
+        """
+        oldest_request = now - self.rules.request_lifetime_ms
+        self._requested = {
+            owner: request
+            for owner, request in self._requested.items()
+            if request[1] > oldest_request and self.table.entry_if_behind(request[0]) is not None
         }
-        return [owner for owner, asked in self._asked.items() if asked[1] <= now]
+        return [owner for owner, request in self._requested.items() if request[1] <= now]
 
     # --- answers ---
 
-    def compared(self, now: float, sender: str, message: Compare) -> None:
-        live = self.table.live()
-        differs = message.total is not None and self._explained(message.entries) != message.total
+    def on_compare(self, now: float, sender: str, message: Compare) -> None:
+        """Answers a round of a peer."""
+        states = self.table.compared_states()
+        differs = (
+            message.checksum is not None and self._expected_checksum(message.entries) != message.checksum
+        )
         for entry in message.entries:
-            held = self.table.get(entry.owner)
-            if held is not None and held.entry() == entry:
-                self.hot.heard(entry.owner)
-        wants = self._wants(now, message.entries)
-        self.serve(now, sender, message.entries)
+            state = self.table.get(entry.owner)
+            if state is not None and state.entry() == entry:
+                self.recently_changed.on_announced(entry.owner)
+        wants = self._new_requests(now, message.entries)
+        self.send_missing(now, sender, message.entries)
         if differs:
-            owners = max(len(live), min(message.owners, self.rules.max_owners))
-            codes = buckets.bucket_checksums(live, buckets.count_for(owners))
-            if self._pay(now, packing.entries_size(wants) + len(codes), answer=True):
-                self._out.add(Send(sender, BucketChecksums(codes, wants)))
+            owner_count = max(len(states), min(message.owner_count, self.rules.max_owners))
+            checksums = buckets.bucket_checksums(states, buckets.bucket_count_for(owner_count))
+            if self._try_spend(now, packing.entries_size(wants) + len(checksums), answer=True):
+                self._out.add(Send(sender, BucketChecksums(checksums, wants)))
         else:
-            self._want(now, sender, wants)
+            self._send_want(now, sender, wants)
 
-    def differs(self, now: float, sender: str, message: BucketChecksums) -> None:
-        self.serve(now, sender, message.wants)
-        count = buckets.count_of(message.codes)
-        if count is None:
+    def on_bucket_checksums(self, now: float, sender: str, message: BucketChecksums) -> None:
+        """Answers with the entries of as many differing buckets as one message may list."""
+        self.send_missing(now, sender, message.wants)
+        bucket_count = buckets.bucket_count_of(message.checksums)
+        if bucket_count is None:
             return
-        live = self.table.live()
-        differing = buckets.differing(buckets.bucket_checksums(live, count), message.codes)
-        self._dice.shuffle(differing)
+        states = self.table.compared_states()
+        differing = buckets.differing_buckets(
+            buckets.bucket_checksums(states, bucket_count), message.checksums
+        )
+        self._rng.shuffle(differing)
         by_bucket: dict[int, list[Entry]] = {bucket: [] for bucket in differing}
-        for held in live:
-            if (bucket := buckets.bucket_of(held.owner, count)) in by_bucket:
-                by_bucket[bucket].append(held.entry())
+        for state in states:
+            if (bucket := buckets.bucket_of(state.owner, bucket_count)) in by_bucket:
+                by_bucket[bucket].append(state.entry())
         chosen: list[int] = []
         entries: list[Entry] = []
         for bucket in differing:
-            if len(by_bucket[bucket]) > _LISTED_MOST * self.rules.max_listed:
+            if len(by_bucket[bucket]) > _MAX_LISTED_FACTOR * self.rules.max_listed:
                 continue
             if chosen and len(entries) + len(by_bucket[bucket]) > self.rules.max_listed:
-                self.repair_at = now  # the rest in the next round
+                self.repair_at = now  # the next round compares the remaining buckets
                 break
             chosen.append(bucket)
             entries += by_bucket[bucket]
         size = packing.entries_size(tuple(entries)) + 2 * len(chosen)
-        if chosen and self._pay(now, size, answer=True):
-            self._out.add(Send(sender, BucketEntries(count, tuple(chosen), tuple(entries)), size > 60_000))
-
-    def listed(self, now: float, sender: str, message: BucketEntries) -> None:
-        named, chosen = {entry.owner for entry in message.entries}, set(message.buckets)
+        if chosen and self._try_spend(now, size, answer=True):
+            self._out.add(
+                Send(sender, BucketEntries(bucket_count, tuple(chosen), tuple(entries)), size > 60_000)
+            )
+
+    def on_bucket_entries(self, now: float, sender: str, message: BucketEntries) -> None:
+        """Sends what the peer lacks in the listed buckets, and requests what is missing here."""
+        listed, chosen = {entry.owner for entry in message.entries}, set(message.buckets)
         unknown = [
-            Entry(held.owner)
-            for held in self.table.live()
-            if held.owner not in named and buckets.bucket_of(held.owner, message.count) in chosen
+            Entry(state.owner)
+            for state in self.table.compared_states()
+            if state.owner not in listed and buckets.bucket_of(state.owner, message.bucket_count) in chosen
         ]
-        wants = self._wants(now, message.entries)
-        self.serve(now, sender, (*message.entries, *unknown))
-        self._want(now, sender, wants)
+        wants = self._new_requests(now, message.entries)
+        self.send_missing(now, sender, (*message.entries, *unknown))
+        self._send_want(now, sender, wants)
 
-    def serve(self, now: float, to: str, entries: Sequence[Entry]) -> None:
-        """Sends what is newer than what somebody knows, as far as the budget goes."""
+    def send_missing(self, now: float, to: str, entries: Sequence[Entry]) -> None:
+        """Sends the records that a peer with these entries lacks, as far as the budget allows."""
         rules = self.rules
-        room = min(
+        capacity = min(
             self._budget.level(now) - rules.burst_bytes * rules.reserve_ratio, float(rules.max_reliable_bytes)
         )
         missing: dict[str, packing.Missing] = {}
-        size, cut = 0, False
-        for entry in self._dice.sample(entries, len(entries)):
-            held = self.table.get(entry.owner)
-            since = held.since(entry) if held is not None else None
-            if held is None or since is None:
+        size, truncated = 0, False
+        for entry in self._rng.sample(entries, len(entries)):
+            state = self.table.get(entry.owner)
+            since = state.first_missing(entry) if state is not None else None
+            if state is None or since is None:
                 continue
-            if size > room:
-                cut = True
+            if size > capacity:
+                truncated = True
                 break
-            if records := held.records(now, since):
-                missing[held.owner] = packing.Missing(held.owner, held.life, since, held.floor, records)
+            if records := state.records(now, since):
+                missing[state.owner] = packing.Missing(state.owner, state.life, since, state.floor, records)
                 size += sum(map(packing.record_size, records))
         if not missing:
             return
         answer = packing.pack(
-            list(missing.values()), cut, room, rules.max_datagram_bytes, rules.max_datagrams
+            list(missing.values()), truncated, capacity, rules.max_datagram_bytes, rules.max_datagrams
         )
         self._budget.spend(now, answer.size)
         for delta in answer.deltas:
-            self._out.add(Send(to, delta, answer.whole))
+            self._out.add(Send(to, delta, answer.reliable))
 
-    # --- pieces ---
+    # --- internals ---
 
-    def _explained(self, entries: Iterable[Entry]) -> int:
-        """The code of all here, if of the owners named as much were known as is said."""
-        total = buckets.total_checksum(self.table.live())
+    def _expected_checksum(self, entries: Iterable[Entry]) -> int:
+        """Returns the checksum of everything known here, as if the announced entries were known, too."""
+        checksum = buckets.total_checksum(self.table.compared_states())
         for owner, entry in {entry.owner: entry for entry in entries}.items():
             if self.table.is_peer(owner):
-                held = self.table.get(owner)
-                total ^= code_of(entry) ^ (held.code() if held is not None else 0)
-        return total
+                state = self.table.get(owner)
+                checksum ^= checksum_of(entry) ^ (state.checksum() if state is not None else 0)
+        return checksum
 
-    def _wants(self, now: float, entries: Iterable[Entry]) -> tuple[Entry, ...]:
-        """What to ask for, of what others know more of; not of two at once."""
+    def _new_requests(self, now: float, entries: Iterable[Entry]) -> tuple[Entry, ...]:
+        """Returns what to request of owners of which a peer knows more, unless it was requested recently."""
         wants = []
         for entry in entries:
             if entry.owner == self.table.me:
-                self.table.own.claim(entry)
+                self.table.local.on_claim(entry)
                 continue
-            lacks = self.table.lacks(entry)
-            asked = self._asked.get(entry.owner)
-            if lacks is None or (asked is not None and asked[0] == entry and now < asked[1]):
+            known = self.table.entry_if_behind(entry)
+            request = self._requested.get(entry.owner)
+            if known is None or (request is not None and request[0] == entry and now < request[1]):
                 continue
-            self._asked[entry.owner] = (entry, now + self.rules.request_interval_ms)
-            wants.append(lacks)
+            self._requested[entry.owner] = (entry, now + self.rules.request_interval_ms)
+            wants.append(known)
         return tuple(wants)
 
-    def _want(self, now: float, to: str, wants: tuple[Entry, ...]) -> None:
-        if wants and self._pay(now, packing.entries_size(wants), answer=True):
+    def _send_want(self, now: float, to: str, wants: tuple[Entry, ...]) -> None:
+        if wants and self._try_spend(now, packing.entries_size(wants), answer=True):
             self._out.add(Send(to, Want(wants)))
 
-    def _pay(self, now: float, size: float, answer: bool = False) -> bool:
-        """Answers leave a share of the burst for this front's own rounds."""
+    def _try_spend(self, now: float, size: float, answer: bool = False) -> bool:
+        """Spends the bytes if the budget has them; answers leave a part of the burst for own rounds."""
         floor = self.rules.burst_bytes * self.rules.reserve_ratio if answer else 0.0
         if self._budget.level(now) - size < floor:
             return False
--- a/fernweir/peers/facts/local_state.py
+++ b/fernweir/peers/facts/local_state.py
@@ -1,91 +1,101 @@
-"""What a front publishes of itself: versions, bounds, and how it outdoes what others wrongly hold of it."""
+"""The facts that this front publishes: their versions, their limits, and how false claims are refuted."""
 
 from __future__ import annotations
 
 from math import inf
 
 from fernweir.peers.facts.messages import Entry
-from fernweir.peers.facts.owner_state import Fact, OwnerState, Tomb
-from fernweir.peers.facts.rules import LIMIT, VALUE_MOST, FactError, FactRules, check_key
+from fernweir.peers.facts.owner_state import Fact, OwnerState, Tombstone
+from fernweir.peers.facts.rules import MAX_NUMBER, MAX_VALUE_BYTES, FactError, FactRules, check_key
 
-_NOTHING = "-"
+_INITIAL_KEY = "-"
 _NO_CLAIM = (-1, -1)
 
 
-class Own:
-    """`held` is what the front publishes, in the shape in which others hold it."""
+class LocalState:
+    """The published facts. `state` has the same form in which other fronts store them."""
 
     def __init__(self, me: str, life: int, rules: FactRules) -> None:
         self.rules = rules
-        self.held = self._begun(OwnerState(me, life))
+        self.state = self._with_initial_record(OwnerState(me, life))
         self._refuted_at = -inf
-        self._claimed = _NO_CLAIM  # life and version
+        self._highest_claim = _NO_CLAIM  # life and version
 
     def put(self, now: float, key: str, value: bytes) -> None:
-        """FactError if the key, the value, or all together is more than the rules let one owner publish."""
+        """Publishes a fact.
+
+        Raises:
+            FactError: The key, the value, or all facts together exceed the limits of one owner.
+        """
         check_key(key)
-        held, rules = self.held, self.rules
-        if len(value) > VALUE_MOST:
-            raise FactError(f"{key}: {len(value)} bytes are more than {VALUE_MOST}")
-        old = held.facts.get(key)
-        if old is None and len(held.facts) >= rules.max_keys:
-            raise FactError(f"{key}: more than {rules.max_keys} keys")
-        grows = len(value) - (len(old.value) if old is not None else -len(key))
-        if held.size + grows > rules.max_owner_bytes:
-            raise FactError(f"{key}: more than {rules.max_owner_bytes} bytes in all")
-        held.put(Fact(key, self._next(), bytes(value), now))
+        state, rules = self.state, self.rules
+        if len(value) > MAX_VALUE_BYTES:
+            raise FactError(
+                f"value of fact {key!r} has {len(value)} bytes, at most {MAX_VALUE_BYTES} are allowed"
+            )
+        old = state.facts.get(key)
+        if old is None and len(state.facts) >= rules.max_keys:
+            raise FactError(f"cannot publish fact {key!r}: limit of {rules.max_keys} keys")
+        growth = len(value) - (len(old.value) if old is not None else -len(key))
+        if state.size + growth > rules.max_owner_bytes:
+            raise FactError(
+                f"cannot publish fact {key!r}: limit of {rules.max_owner_bytes} bytes for all facts"
+            )
+        state.put(Fact(key, self._next_version(), bytes(value), now))
 
     def drop(self, now: float, key: str) -> bool:
-        """False if there is no such fact."""
-        held = self.held
-        if key not in held.facts:
+        """Drops a fact; returns False if there is no such fact."""
+        state = self.state
+        if key not in state.facts:
             return False
-        held.drop(key, Tomb(self._next(), now))
-        if len(held.tombs) > self.rules.max_tombstones:
-            versions = sorted(tomb.version for tomb in held.tombs.values())
-            held.raise_floor(versions[len(versions) // 2])
+        state.drop(key, Tombstone(self._next_version(), now))
+        if len(state.tombs) > self.rules.max_tombstones:
+            versions = sorted(tombstone.version for tombstone in state.tombs.values())
+            state.raise_floor(versions[len(versions) // 2])
         return True
 
-    def claim(self, entry: Entry) -> None:
-        """Somebody holds that much of this front: if it never said so in this life, `refute` is due."""
-        claimed = (entry.life, max(entry.seen, entry.floor))
-        if claimed > (self.held.life, self.held.known) and entry.life < LIMIT:
-            self._claimed = max(self._claimed, claimed)
+    def on_claim(self, entry: Entry) -> None:
+        """Schedules `refute` if a peer's entry of this front is beyond what it published in this life."""
+        claim = (entry.life, max(entry.seen, entry.floor))
+        if claim > (self.state.life, self.state.known) and entry.life < MAX_NUMBER:
+            self._highest_claim = max(self._highest_claim, claim)
 
     def next_deadline(self) -> float | None:
-        return self._refuted_at + self.rules.refute_interval_ms if self._claimed > _NO_CLAIM else None
+        """Returns when `refute` is due, or None."""
+        return self._refuted_at + self.rules.refute_interval_ms if self._highest_claim > _NO_CLAIM else None
 
     def refute(self, now: float) -> bool:
-        """Goes beyond what is wrongly held of this front, with all it has, every now and then at most.
+        """Publishes all facts again with versions above false claims, once per `refute_interval_ms` at most.
 
-        So a front that is back under its old life, or was lied about, is heard again.
+        Peers then accept again the facts of a front that restarted under its old life, or about which false
+        entries were sent. Returns whether anything was published.
         """
         due = self.next_deadline()
         if due is None or now < due:
             return False
-        old, (life, version) = self.held, self._claimed
-        self._claimed = _NO_CLAIM
+        old, (life, version) = self.state, self._highest_claim
+        self._highest_claim = _NO_CLAIM
         if (life, version) <= (old.life, old.known):
             return False
         self._refuted_at = now
-        if life > old.life or version > LIMIT // 2:
-            self.held = self._begun(OwnerState(old.owner, life + 1))
+        if life > old.life or version > MAX_NUMBER // 2:
+            self.state = self._with_initial_record(OwnerState(old.owner, life + 1))
         else:
-            held = OwnerState(old.owner, old.life)
-            held.known = held.seen = version + 1
-            held.raise_floor(version + 1)  # so that others go through everything from the start
-            self.held = self._begun(held)
-        for fact in sorted(old.facts.values(), key=lambda one: one.version):
-            self.held.put(Fact(fact.key, self._next(), fact.value, fact.at))
+            state = OwnerState(old.owner, old.life)
+            state.known = state.seen = version + 1
+            state.raise_floor(version + 1)  # makes the others go through all records from the start
+            self.state = self._with_initial_record(state)
+        for fact in sorted(old.facts.values(), key=lambda fact: fact.version):
+            self.state.put(Fact(fact.key, self._next_version(), fact.value, fact.at))
         return True
 
     @staticmethod
-    def _begun(held: OwnerState) -> OwnerState:
-        """The first record drops a key that never was: so a life that says nothing else is known too."""
-        held.known = held.seen = held.known + 1
-        held.drop(_NOTHING, Tomb(held.known, 0.0))
-        return held
-
-    def _next(self) -> int:
-        self.held.known = self.held.seen = self.held.known + 1
-        return self.held.known
+    def _with_initial_record(state: OwnerState) -> OwnerState:
+        """Adds the drop of a key that was never put, so that peers learn of a life without any facts."""
+        state.known = state.seen = state.known + 1
+        state.drop(_INITIAL_KEY, Tombstone(state.known, 0.0))
+        return state
+
+    def _next_version(self) -> int:
+        self.state.known = self.state.seen = self.state.known + 1
+        return self.state.known
--- a/fernweir/peers/facts/messages.py
+++ b/fernweir/peers/facts/messages.py
@@ -1,4 +1,4 @@
-"""What passes between fronts about facts and transfers. What a decoder can check of a value is said here."""
+"""Messages between fronts about facts and transfers, with the limits that a decoder can check."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from msgspec import Meta, Struct
 
 from fernweir.peers.base import Message
-from fernweir.peers.facts.rules import KEY_MOST, LIMIT, VALUE_MOST
+from fernweir.peers.facts.rules import MAX_KEY_LENGTH, MAX_NUMBER, MAX_VALUE_BYTES
 
 Name = Annotated[str, Meta(min_length=1, max_length=255)]
-Key = Annotated[str, Meta(pattern=r"^[A-Za-z0-9._:/-]+\Z", max_length=KEY_MOST)]
-Value = Annotated[bytes, Meta(max_length=VALUE_MOST)]
-Number = Annotated[int, Meta(ge=0, le=LIMIT)]
-Version = Annotated[int, Meta(ge=1, le=LIMIT)]
-Code = Annotated[int, Meta(ge=0, le=2**63 - 1)]
-Buckets = Annotated[int, Meta(ge=1, le=256)]
-Blob = Annotated[str, Meta(min_length=1, max_length=255)]
+Key = Annotated[str, Meta(pattern=r"^[A-Za-z0-9._:/-]+\Z", max_length=MAX_KEY_LENGTH)]
+Value = Annotated[bytes, Meta(max_length=MAX_VALUE_BYTES)]
+Number = Annotated[int, Meta(ge=0, le=MAX_NUMBER)]
+Version = Annotated[int, Meta(ge=1, le=MAX_NUMBER)]
+Checksum = Annotated[int, Meta(ge=0, le=2**63 - 1)]
+BucketCount = Annotated[int, Meta(ge=1, le=256)]
+BlobName = Annotated[str, Meta(min_length=1, max_length=255)]
 Digest = Annotated[bytes, Meta(min_length=32, max_length=32)]
 
 
 class Entry(Struct, frozen=True, array_like=True):
-    """What somebody knows of an owner: all up to version `seen`, and drops forgotten up to `floor`."""
+    """How much a front has of an owner: all versions up to `seen`, and no tombstones up to `floor`."""
 
     owner: Name
     life: Number = 0
@@ -30,11 +30,11 @@
 
 
 class Record(Struct, frozen=True, array_like=True):
-    """A fact, or with no value the drop of one. `age` in ms when it was sent."""
+    """A fact, or without a value the drop of one. `age_ms` is its age when it was sent."""
 
     key: Key
     version: Version
-    age: Number
+    age_ms: Number
     value: Value | None
 
 
@@ -52,96 +52,108 @@
 
 
 class Compare(Message, frozen=True, array_like=True, tag="f.c"):
-    """Opens a round: owners that changed lately, and in a repair a code of all that is known.
+    """Opens a round with the owners that changed recently, and in a repair a checksum of everything known.
 
-    `owners`: of how many, so that buckets are cut for the one of the two that knows more.
+    `owner_count` is the number of owners that the sender has; the number of buckets is chosen for the larger
+    of the two fronts' counts.
     """
 
     entries: Entries
-    total: Code | None = None
-    owners: Number = 0
+    checksum: Checksum | None = None
+    owner_count: Number = 0
 
 
 class BucketChecksums(Message, frozen=True, array_like=True, tag="f.b"):
-    """The codes differ: here they are by bucket of owners, 4 bytes each. `wants` as in `Want`."""
+    """Answers a total checksum that differs, with the checksums of buckets of owners, 4 bytes each.
 
-    codes: Annotated[bytes, Meta(min_length=4, max_length=1_024)]
+    `wants` has the meaning that it has in `Want`.
+    """
+
+    checksums: Annotated[bytes, Meta(min_length=4, max_length=1_024)]
     wants: Entries
 
 
 class BucketEntries(Message, frozen=True, array_like=True, tag="f.l"):
-    """All that is known of the owners in some of `count` buckets: who is not named there is not known."""
+    """All entries of the owners in some of `bucket_count` buckets; the sender has no other owners in them."""
 
-    count: Buckets
+    bucket_count: BucketCount
     buckets: Annotated[tuple[Annotated[int, Meta(ge=0, le=255)], ...], Meta(max_length=256)]
     entries: Entries
 
 
 class Want(Message, frozen=True, array_like=True, tag="f.w"):
-    """Send what is newer than this."""
+    """Requests what is newer than these entries."""
 
     entries: Entries
 
 
 class Delta(Message, frozen=True, array_like=True, tag="f.d"):
-    """`more`: there was more than could be sent now."""
+    """Records that the receiver lacks. `has_more`: not all of them could be sent now."""
 
     parts: Annotated[tuple[Part, ...], Meta(max_length=1_024)]
-    more: bool = False
+    has_more: bool = False
 
 
 class PushedRecord(Struct, frozen=True, array_like=True):
+    """One urgent record of an owner."""
+
     owner: Name
     life: Number
     record: Record
 
 
 class Push(Message, frozen=True, array_like=True, tag="f.n"):
-    """Urgent facts, pushed on by whoever hears them for the first time."""
+    """Urgent facts, which each front pushes on when it receives them for the first time."""
 
     items: Annotated[tuple[PushedRecord, ...], Meta(max_length=256)]
 
 
 class Offer(Message, frozen=True, array_like=True, tag="x.o"):
-    """A blob, named by its BLAKE2b digest in all that follows."""
+    """Offers a blob, which all later messages identify by its BLAKE2b digest."""
 
-    name: Blob
+    name: BlobName
     digest: Digest
     size: Number
 
 
 class Ready(Message, frozen=True, array_like=True, tag="x.r"):
-    """Everything before `offset` is here; bytes before `until` may be sent."""
+    """The receiver has everything before `offset`; bytes before `limit` may be sent."""
 
-    name: Blob
+    name: BlobName
     digest: Digest
     offset: Number
-    until: Number
+    limit: Number
 
 
 class Chunk(Message, frozen=True, array_like=True, tag="x.c"):
-    name: Blob
+    """Bytes of a blob, beginning at `offset`."""
+
+    name: BlobName
     digest: Digest
     offset: Number
     data: Annotated[bytes, Meta(min_length=1, max_length=262_144)]
 
 
 class Done(Message, frozen=True, array_like=True, tag="x.d"):
-    name: Blob
+    """The receiver has the complete blob."""
+
+    name: BlobName
     digest: Digest
 
 
 class Refused(Message, frozen=True, array_like=True, tag="x.f"):
-    """`later`: it may be offered again in a while."""
+    """The receiver refuses the blob. `may_retry`: it may be offered again later."""
 
-    name: Blob
+    name: BlobName
     digest: Digest
-    why: Annotated[str, Meta(max_length=255)]
-    later: bool
+    reason: Annotated[str, Meta(max_length=255)]
+    may_retry: bool
 
 
 class Cancel(Message, frozen=True, array_like=True, tag="x.x"):
-    name: Blob
+    """The sender withdraws its offer."""
+
+    name: BlobName
     digest: Digest
 
 
--- a/fernweir/peers/facts/owner_state.py
+++ b/fernweir/peers/facts/owner_state.py
@@ -1,13 +1,13 @@
-"""What is held of one owner, and how what comes from peers is taken into it.
+"""The stored facts of one owner, and how records from peers are applied to them.
 
 Deltas are those of Scuttlebutt (van Renesse, Dumitriu, Gough, Thomas 2008): an owner numbers all its changes,
-and what is sent of it is a prefix, in order, of what the receiver lacks. So one number, the highest version
-without a gap before it, says what is known, and what was cut short goes on from there.
+and a delta is a prefix, in order, of the records that the receiver lacks. One number, the highest version
+without a gap before it, therefore describes what is known, and a truncated delta is continued from there.
 
-A dropped key leaves a tombstone, a version like another. Owners forget the older half of theirs when there
-are too many, and say up to which version, the floor. Who had not got that far misses drops that nobody can
-tell it any more: it goes through everything from the start again, keeps what it has meanwhile, and lets go
-at the end what it was not told again.
+A dropped key leaves a tombstone, which has a version like a fact. An owner that has too many tombstones
+discards the older half of them and publishes the version up to which it did so, the floor. A front that had
+not reached the floor lacks drops that no peer can send any more. It goes through all records from the start
+again, keeps its facts meanwhile, and at the end removes those that it did not receive again.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from hashlib import blake2b
 
 from fernweir.peers.facts.messages import Entry, Part, Record
-from fernweir.peers.facts.rules import LIMIT, FactRules
+from fernweir.peers.facts.rules import MAX_NUMBER, FactRules
 
-_EARLY_MOST = 64
+_MAX_EARLY = 64
 
 
 @dataclass(frozen=True, slots=True)
 class Fact:
-    """`at`: own clock, when its owner put it, not counting its time on the way."""
+    """A published value. `at` is when its owner put it, by the local clock, without the time in transit."""
 
     key: str
     version: int
@@ -32,18 +32,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tomb:
+class Tombstone:
+    """Marks a dropped key."""
+
     version: int
     at: float
 
 
-Allowed = frozenset[str] | None  # keys that may be taken; None for all
-Change = Fact | str  # a fact that is new, or the key of one that is gone
+AllowedKeys = frozenset[str] | None  # keys that may be applied; None for all
+Change = Fact | str  # a new fact, or the key of a removed one
 
 
 class OwnerState:
-    """`known`: all up to there is here. `seen`: all up to there was looked at; beyond `known` only while
-    the owner is refused. `floor`: drops up to there are forgotten, and counted in.
+    """The facts and tombstones of one owner in one life.
+
+    All versions up to `known` are stored here. All versions up to `seen` were examined; it is beyond `known`
+    only while the owner is restricted to some keys. Tombstones up to `floor` are discarded, and their drops
+    are applied.
     """
 
     __slots__ = (
@@ -54,30 +59,31 @@
         self.owner, self.life = owner, life
         self.known = self.seen = self.floor = 0
         self.facts: dict[str, Fact] = {}
-        self.tombs: dict[str, Tomb] = {}
-        self.early: set[int] = set()  # versions beyond `known`, that news told
-        self.size = 0  # of keys and values
+        self.tombs: dict[str, Tombstone] = {}
+        self.early: set[int] = set()  # versions beyond `known` that were pushed
+        self.size = 0  # bytes of keys and values
         self._unchecked: set[str] = set()
-        self._code = (-1, -1, 0)  # seen, floor, and their code
+        self._code = (-1, -1, 0)  # seen, floor, and their checksum
 
-    # --- what it can tell ---
+    # --- what is sent to peers ---
 
     def entry(self) -> Entry:
+        """Returns the entry that describes this state to peers."""
         return Entry(self.owner, self.life, self.seen, self.floor)
 
-    def code(self) -> int:
-        """A hash of the entry, alike wherever the same is known."""
+    def checksum(self) -> int:
+        """Returns a hash of the entry, which is equal at all fronts that know the same."""
         if self._code[:2] != (self.seen, self.floor):
-            self._code = (self.seen, self.floor, code_of(self.entry()))
+            self._code = (self.seen, self.floor, checksum_of(self.entry()))
         return self._code[2]
 
-    def behind(self, entry: Entry) -> bool:
-        """Whether whoever sent the entry knows something that is not known here."""
+    def is_behind(self, entry: Entry) -> bool:
+        """Whether the sender of the entry knows something that is not known here."""
         mine = (self.life, self.floor, self.seen)
         return (entry.life, entry.floor, entry.seen) > mine and entry.seen > 0
 
-    def since(self, entry: Entry) -> int | None:
-        """From where on to send to who knows that much; None if there is nothing to tell it."""
+    def first_missing(self, entry: Entry) -> int | None:
+        """Returns the version after which the sender of the entry lacks records; None if it lacks nothing."""
         if self.known == 0 or self.life < entry.life:
             return None
         if self.life > entry.life:
@@ -89,29 +95,33 @@
         return entry.seen if entry.seen < self.known else None
 
     def records(self, now: float, since: int) -> list[Record]:
+        """Returns the records after version `since`, in order."""
         found = [
             Record(fact.key, fact.version, age_of(now, fact.at), fact.value)
             for fact in self.facts.values()
             if since < fact.version <= self.known and fact.key not in self._unchecked
         ]
         found += [
-            Record(key, tomb.version, age_of(now, tomb.at), None)
-            for key, tomb in self.tombs.items()
-            if since < tomb.version <= self.known
+            Record(key, tombstone.version, age_of(now, tombstone.at), None)
+            for key, tombstone in self.tombs.items()
+            if since < tombstone.version <= self.known
         ]
         return sorted(found, key=lambda record: record.version)
 
-    # --- what it is told ---
+    # --- what peers send ---
+
+    def apply_delta(self, now: float, part: Part, allowed: AllowedKeys, rules: FactRules) -> list[Change]:
+        """Applies a delta of the same life and returns the changes.
 
-    def take(self, now: float, part: Part, allowed: Allowed, rules: FactRules) -> list[Change]:
-        """A delta of the same life. What doesn't join on to what is known is left; it will come again."""
-        if part.floor < self.floor or not _in_order(part):
+        A delta that does not continue what is known is ignored; the records will be sent again.
+        """
+        if part.floor < self.floor or not _is_ordered(part):
             return []
         if part.floor > self.floor:
             if self.seen < part.floor:
                 if part.since != 0:
                     return []
-                self.recheck()
+                self.start_recheck()
             self.raise_floor(part.floor)
         if part.since > self.seen:
             return []
@@ -123,72 +133,81 @@
             if allowed is None or record.key in allowed:
                 if not self._fits(record, rules):
                     break
-                changes += self._set(now, record)
+                changes += self._apply(now, record)
             self.seen = record.version
             if allowed is None:
                 self.known = self.seen
-        self._settle(allowed)
-        return changes + self._let_go()
+        self._absorb_early(allowed)
+        return changes + self._finish_recheck()
 
-    def hear(self, now: float, record: Record, allowed: Allowed, rules: FactRules) -> list[Change]:
-        """News: one record out of turn, of the same life."""
+    def apply_pushed(
+        self, now: float, record: Record, allowed: AllowedKeys, rules: FactRules
+    ) -> list[Change]:
+        """Applies one pushed record of the same life, out of order, and returns the changes."""
         if record.version <= max(self.seen, self.floor) or not self._fits(record, rules):
             return []
         if allowed is not None and record.key not in allowed:
             return []
-        changes = self._set(now, record)
-        if changes and len(self.early) < _EARLY_MOST:
+        changes = self._apply(now, record)
+        if changes and len(self.early) < _MAX_EARLY:
             self.early.add(record.version)
-            self._settle(allowed)
+            self._absorb_early(allowed)
         return changes
 
-    def told_floor(self, entry: Entry) -> None:
-        """Who knows all drops up to a floor may forget them as their owner has."""
+    def adopt_floor(self, entry: Entry) -> None:
+        """Discards tombstones as their owner has, if all drops up to the entry's floor are known."""
         if entry.life == self.life and self.floor < entry.floor <= self.known == self.seen:
             self.raise_floor(entry.floor)
 
     def raise_floor(self, floor: int) -> None:
+        """Sets the floor and discards the tombstones up to it."""
         self.floor = floor
         if self.known < floor:
-            self.known = 0  # what may hold things that were dropped is nothing to tell others
-        for key in [key for key, tomb in self.tombs.items() if tomb.version <= floor]:
+            self.known = 0  # facts that may have been dropped must not be sent to others
+        for key in [key for key, tombstone in self.tombs.items() if tombstone.version <= floor]:
             del self.tombs[key]
 
-    def recheck(self) -> None:
+    def start_recheck(self) -> None:
+        """Goes through all records from the start; facts that are not received again are removed then."""
         self.known = self.seen = 0
         self.early.clear()
         self._unchecked = set(self.facts)
 
-    def admit(self) -> None:
-        """It is refused no longer: what was passed over is asked for again."""
+    def lift_restriction(self) -> None:
+        """Goes back to the last known version, so that records that were skipped are requested again."""
         self.seen = self.known
         if self.known < self.floor:
-            self.recheck()
+            self.start_recheck()
 
-    # --- pieces ---
+    # --- internals ---
 
     def put(self, fact: Fact) -> None:
+        """Stores a fact in place of an older one or a tombstone."""
         old = self.facts.get(fact.key)
         self.size += len(fact.value) - len(old.value) if old is not None else len(fact.key) + len(fact.value)
         self.tombs.pop(fact.key, None)
         self.facts[fact.key] = fact
 
-    def drop(self, key: str, tomb: Tomb) -> bool:
+    def drop(self, key: str, tombstone: Tombstone) -> bool:
+        """Stores a tombstone; returns whether there was a fact."""
         old = self.facts.pop(key, None)
         if old is not None:
             self.size -= len(old.key) + len(old.value)
-        self.tombs[key] = tomb
+        self.tombs[key] = tombstone
         return old is not None
 
-    def _set(self, now: float, record: Record) -> list[Change]:
-        old, tomb = self.facts.get(record.key), self.tombs.get(record.key)
-        newest = max(old.version if old is not None else 0, tomb.version if tomb is not None else 0)
+    def _apply(self, now: float, record: Record) -> list[Change]:
+        old, tombstone = self.facts.get(record.key), self.tombs.get(record.key)
+        newest = max(
+            old.version if old is not None else 0,
+            tombstone.version if tombstone is not None else 0,
+        )
         if record.version <= newest:
             return []
         self._unchecked.discard(record.key)
-        at = now - record.age
+        at = now - record.age_ms
         if record.value is None:
-            return [record.key] if self.drop(record.key, Tomb(record.version, at)) else []
+            return [record.key] if self.drop(record.key, Tombstone(record.version, at)) else []
         fact = Fact(record.key, record.version, record.value, at)
         self.put(fact)
         return [fact]
@@ -199,40 +218,42 @@
         old = self.facts.get(record.key)
         if old is None and len(self.facts) >= 2 * rules.max_keys:
             return False
-        grows = len(record.value) - (len(old.value) if old is not None else -len(record.key))
-        return self.size + grows <= 2 * rules.max_owner_bytes
+        growth = len(record.value) - (len(old.value) if old is not None else -len(record.key))
+        return self.size + growth <= 2 * rules.max_owner_bytes
 
-    def _settle(self, allowed: Allowed) -> None:
-        """Versions that news told count as known when nothing is missing before them."""
+    def _absorb_early(self, allowed: AllowedKeys) -> None:
+        """Counts pushed versions as known when no version before them is missing."""
         if not self.early:
             return
         while allowed is None and self.known + 1 in self.early:
             self.known = self.seen = self.known + 1
         self.early = {version for version in self.early if version > self.known}
 
-    def _let_go(self) -> list[Change]:
-        """At the end of a check, what was not told again is gone."""
+    def _finish_recheck(self) -> list[Change]:
+        """Removes facts that were not received again, if the recheck has reached its end."""
         if not self._unchecked or self.seen < self.floor:
             return []
-        held = [self.facts[key] for key in sorted(self._unchecked) if key in self.facts]
+        unchecked = [self.facts[key] for key in sorted(self._unchecked) if key in self.facts]
         self._unchecked.clear()
-        gone = [fact for fact in held if fact.version <= self.seen]
-        for fact in gone:
+        removed = [fact for fact in unchecked if fact.version <= self.seen]
+        for fact in removed:
             del self.facts[fact.key]
             self.size -= len(fact.key) + len(fact.value)
-        return [fact.key for fact in gone]
+        return [fact.key for fact in removed]
 
 
-def code_of(entry: Entry) -> int:
+def checksum_of(entry: Entry) -> int:
+    """Returns the checksum of an entry, below 2**63."""
     text = f"{entry.life} {entry.seen} {entry.floor} {entry.owner}".encode("utf-8", "surrogatepass")
     return int.from_bytes(blake2b(text, digest_size=8).digest(), "big") >> 1
 
 
 def age_of(now: float, at: float) -> int:
-    return min(max(int(now - at), 0), LIMIT)
+    """Returns the age in ms as it is sent in messages."""
+    return min(max(int(now - at), 0), MAX_NUMBER)
 
 
-def _in_order(part: Part) -> bool:
+def _is_ordered(part: Part) -> bool:
     last, keys = part.since, set()
     for record in part.records:
         if record.version <= last:
--- a/fernweir/peers/facts/packing.py
+++ b/fernweir/peers/facts/packing.py
@@ -1,10 +1,10 @@
-"""Which records go into an answer that can't hold all, and how an answer is cut into messages.
+"""Chooses the records of an answer that cannot contain all, and splits the answer into messages.
 
-Scuttlebutt's paper weighs two orders for a message that is too small: all that is missing of a few owners
-(depth), or a little of every owner (breadth). Both keep each owner's records a prefix. Depth is taken, as in
-a joining front it makes more owners whole sooner; the owners are in an order drawn anew each time, so that
-none with many changes, or few, keeps the others waiting. Sizes are reckoned, a little above what the codec
-makes.
+The Scuttlebutt paper compares two orders for a message that is too small: everything that is missing of a few
+owners (depth), or a little of every owner (breadth). With both, the records of each owner are a prefix. Depth
+is used here, as it completes more owners sooner in a front that joins. The order of the owners is random each
+time, so that none with many or few changes delays the others. Sizes are estimates, slightly above what the
+codec produces.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 from fernweir.peers.facts.messages import Delta, Entry, Part, PushedRecord, Record
 
-DATAGRAM_COST = 80  # headers of the network, name, life, counter, seal
-_PART, _RECORD, _ENTRY, _MESSAGE = 32, 20, 26, 10
+DATAGRAM_OVERHEAD_BYTES = 80  # network headers, name, life, counter, seal
+_PART_BYTES, _RECORD_BYTES, _ENTRY_BYTES, _MESSAGE_BYTES = 32, 20, 26, 10
 
 
 @dataclass(frozen=True, slots=True)
 class Missing:
-    """What somebody lacks of an owner."""
+    """The records of an owner that a peer lacks."""
 
     owner: str
     life: int
@@ -29,72 +29,96 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class Packed:
+    """The messages of an answer, whether they must go over the reliable connection, and their size."""
+
     deltas: list[Delta]
-    whole: bool
+    reliable: bool
     size: int
 
 
 def record_size(record: Record) -> int:
-    return _RECORD + len(record.key) + (len(record.value) if record.value is not None else 0)
+    """Returns the estimated size of a record in bytes."""
+    return _RECORD_BYTES + len(record.key) + (len(record.value) if record.value is not None else 0)
 
 
 def entries_size(entries: tuple[Entry, ...]) -> int:
-    return DATAGRAM_COST + _MESSAGE + sum(_ENTRY + len(entry.owner) for entry in entries)
+    """Returns the estimated size of a datagram with these entries in bytes."""
+    return (
+        DATAGRAM_OVERHEAD_BYTES + _MESSAGE_BYTES + sum(_ENTRY_BYTES + len(entry.owner) for entry in entries)
+    )
 
 
-def item_size(item: PushedRecord) -> int:
-    return _ENTRY + len(item.owner) + record_size(item.record)
+def pushed_record_size(pushed: PushedRecord) -> int:
+    """Returns the estimated size of a pushed record in bytes."""
+    return _ENTRY_BYTES + len(pushed.owner) + record_size(pushed.record)
 
 
-def share(missing: list[Missing], room: float) -> list[int]:
-    """How many records of each go into `room` bytes, from the first of each on."""
+def count_fitting(missing: list[Missing], capacity: float) -> list[int]:
+    """Returns how many records of each owner, from its first one on, fit into `capacity` bytes."""
     counts = []
-    for one in missing:
-        room -= _PART + len(one.owner)
+    for lacking in missing:
+        capacity -= _PART_BYTES + len(lacking.owner)
         count = 0
-        for record in one.records:
-            if record_size(record) > room:
-                break  # what comes after it would leave a gap
-            room -= record_size(record)
+        for record in lacking.records:
+            if record_size(record) > capacity:
+                break  # a later record would leave a gap
+            capacity -= record_size(record)
             count += 1
         if not count:
-            room += _PART + len(one.owner)
+            capacity += _PART_BYTES + len(lacking.owner)
         counts.append(count)
     return counts
 
 
-def pack(missing: list[Missing], cut: bool, room: float, datagram: int, datagrams: int) -> Answer:
-    """Several datagrams, each good by itself, if they are few and nothing is too long for one.
+def pack(
+    missing: list[Missing], truncated: bool, capacity: float, max_datagram_bytes: int, max_datagrams: int
+) -> Packed:
+    """Returns deltas with as many of the missing records as fit into `capacity` bytes.
+
+    They are several datagrams, each valid by itself, if those are few enough and no part is too long for one.
+    Otherwise it is one message for the reliable connection.
 
-    `cut`: there is more than what is given.
+    Args:
+        missing: The records, by owner.
+        truncated: Whether more records are missing than those in `missing`.
+        capacity: The size limit of the answer.
+        max_datagram_bytes: The size limit of a datagram.
+        max_datagrams: The largest number of datagrams.
     """
-    counts = share(missing, room - DATAGRAM_COST - _MESSAGE)
+    counts = count_fitting(missing, capacity - DATAGRAM_OVERHEAD_BYTES - _MESSAGE_BYTES)
     parts = [
-        Part(one.owner, one.life, one.since, one.floor, tuple(one.records[:count]))
-        for one, count in zip(missing, counts, strict=True)
+        Part(lacking.owner, lacking.life, lacking.since, lacking.floor, tuple(lacking.records[:count]))
+        for lacking, count in zip(missing, counts, strict=True)
         if count
     ]
-    more = cut or any(count < len(one.records) for one, count in zip(missing, counts, strict=True))
+    has_more = truncated or any(
+        count < len(lacking.records) for lacking, count in zip(missing, counts, strict=True)
+    )
     bins: list[list[Part]] = [[]]
-    left, total, whole = datagram, 0, False
+    remaining, total, reliable = max_datagram_bytes, 0, False
     for part in parts:
         size = part_size(part)
         total += size
-        whole = whole or size > datagram
-        if size > left and bins[-1]:
+        reliable = reliable or size > max_datagram_bytes
+        if size > remaining and bins[-1]:
             bins.append([])
-            left = datagram
+            remaining = max_datagram_bytes
         bins[-1].append(part)
-        left -= size
+        remaining -= size
     if not parts:
-        return Answer([], False, 0)
-    if whole or len(bins) > datagrams:
-        bins, whole = [parts], True
-    size = total + len(bins) * (DATAGRAM_COST + _MESSAGE)
+        return Packed([], False, 0)
+    if reliable or len(bins) > max_datagrams:
+        bins, reliable = [parts], True
+    size = total + len(bins) * (DATAGRAM_OVERHEAD_BYTES + _MESSAGE_BYTES)
     last = len(bins) - 1
-    return Answer([Delta(tuple(one), more and index == last) for index, one in enumerate(bins)], whole, size)
+    return Packed(
+        [Delta(tuple(content), has_more and index == last) for index, content in enumerate(bins)],
+        reliable,
+        size,
+    )
 
 
 def part_size(part: Part) -> int:
-    return _PART + len(part.owner) + sum(record_size(record) for record in part.records)
+    """Returns the estimated size of a part in bytes."""
+    return _PART_BYTES + len(part.owner) + sum(record_size(record) for record in part.records)
--- a/fernweir/peers/facts/recently_changed.py
+++ b/fernweir/peers/facts/recently_changed.py
@@ -1,7 +1,7 @@
-"""Owners that changed lately here: named in rounds until the news has had time to go round.
+"""The owners whose facts changed recently at this front, which it announces in several rounds.
 
-A list of recent updates that is told before anything is compared (Demers et al. 1987). How often an owner is
-named grows with the logarithm of the fleet; what stays unknown after that is found by repair.
+Recent updates are announced before anything is compared (Demers et al. 1987). The number of announcements of
+an owner grows with the logarithm of the fleet; a repair finds what is still unknown after that.
 """
 
 from __future__ import annotations
@@ -9,7 +9,9 @@
 from math import ceil, log2
 
 
-class Hot:
+class RecentlyChanged:
+    """Counts how often each changed owner is still to be announced."""
+
     __slots__ = ("_left",)
 
     def __init__(self) -> None:
@@ -18,25 +20,27 @@
     def __bool__(self) -> bool:
         return bool(self._left)
 
-    def changed(self, owner: str, peers: int) -> None:
-        self._left[owner] = ceil(log2(peers + 2)) + 1
+    def on_changed(self, owner: str, peer_count: int) -> None:
+        """Starts the announcements of an owner again."""
+        self._left[owner] = ceil(log2(peer_count + 2)) + 1
 
     def forget(self, owner: str) -> None:
+        """Ends the announcements of an owner."""
         self._left.pop(owner, None)
 
-    def heard(self, owner: str) -> None:
-        """Somebody else named what is known here: it has gone that far, and is named once less."""
+    def on_announced(self, owner: str) -> None:
+        """Reduces the announcements by one, as a peer announced the same state that is known here."""
         if owner in self._left:
-            self._count(owner)
+            self._decrement(owner)
 
-    def name(self, most: int) -> list[str]:
-        """Those that were named least, and counts that they are named."""
-        found = sorted(self._left, key=lambda owner: (-self._left[owner], owner))[:most]
-        for owner in found:
-            self._count(owner)
-        return found
+    def next_owners(self, limit: int) -> list[str]:
+        """Returns the owners that were announced least, and counts them as announced."""
+        owners = sorted(self._left, key=lambda owner: (-self._left[owner], owner))[:limit]
+        for owner in owners:
+            self._decrement(owner)
+        return owners
 
-    def _count(self, owner: str) -> None:
+    def _decrement(self, owner: str) -> None:
         self._left[owner] -= 1
         if self._left[owner] <= 0:
             del self._left[owner]
--- a/fernweir/peers/facts/table.py
+++ b/fernweir/peers/facts/table.py
@@ -1,4 +1,4 @@
-"""What is held of all owners: whose facts are taken, in which life, what is refused, how long it is kept."""
+"""The stored facts of all owners: which owners are accepted, in which life and with which keys."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from fernweir.peers.base import Event, Outbox
-from fernweir.peers.facts.local_state import Own
+from fernweir.peers.facts.local_state import LocalState
 from fernweir.peers.facts.messages import Entry, Part, Record
 from fernweir.peers.facts.owner_state import Change, Fact, OwnerState
 from fernweir.peers.facts.rules import FactRules
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Changed(Event):
-    """A fact of an owner is new here."""
+    """A fact of an owner is new at this front."""
 
     owner: str
     life: int
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Dropped(Event):
-    """A fact is gone: its owner dropped it, or began a new life without it."""
+    """A fact was removed: its owner dropped it, or started a new life without it."""
 
     owner: str
     life: int
@@ -32,119 +32,132 @@
 
 @dataclass(frozen=True, slots=True)
 class Gone(Event):
-    """Nothing is kept of an owner any more."""
+    """All facts of an owner were removed, as it is no longer a peer."""
 
     owner: str
 
 
-class Table:
-    """Bounded by the peers: of anybody else nothing is taken, and what is held goes after `keep_ms`."""
+class OwnerTable:
+    """The states of this front and of its peers.
 
-    def __init__(self, own: Own, rules: FactRules, out: Outbox) -> None:
-        self.own, self.rules = own, rules
-        self.me = own.held.owner
-        self.names: tuple[str, ...] = ()  # peers, without this front
+    The number of peers limits its size: nothing is accepted from other owners, and the facts of an owner that
+    is no longer a peer are removed after `keep_ms`.
+    """
+
+    def __init__(self, local: LocalState, rules: FactRules, out: Outbox) -> None:
+        self.local, self.rules = local, rules
+        self.me = local.state.owner
+        self.peer_names: tuple[str, ...] = ()  # without this front
         self._peers: frozenset[str] = frozenset((self.me,))
-        self._held: dict[str, OwnerState] = {}
-        self._left: dict[str, float] = {}  # owners that are no peers any more: since when
-        self._refused: dict[str, frozenset[str]] = {}
+        self._states: dict[str, OwnerState] = {}
+        self._departed_at: dict[str, float] = {}  # when owners stopped to be peers
+        self._allowed_keys: dict[str, frozenset[str]] = {}
         self._out = out
 
-    # --- who the peers are ---
+    # --- peers ---
 
     def set_peers(self, now: float, names: Iterable[str]) -> frozenset[str]:
-        """Returns those that are new."""
+        """Sets the peers and returns the new ones."""
         listed = sorted(set(names) - {self.me})[: self.rules.max_owners - 1]
         before, self._peers = self._peers, frozenset((self.me, *listed))
-        self.names = tuple(listed)
+        self.peer_names = tuple(listed)
         for owner in before - self._peers:
-            if owner in self._held:
-                self._left[owner] = now
+            if owner in self._states:
+                self._departed_at[owner] = now
         for owner in self._peers:
-            self._left.pop(owner, None)
+            self._departed_at.pop(owner, None)
         return self._peers - before
 
     def restrict_owners(self, owners: Mapping[str, frozenset[str]]) -> None:
-        before, self._refused = self._refused, dict(owners)
+        """Accepts only these keys from these owners; replaces all earlier restrictions."""
+        before, self._allowed_keys = self._allowed_keys, dict(owners)
         for owner, allowed in before.items():
-            held = self._held.get(owner)
-            if held is not None and owners.get(owner) != allowed:
-                held.admit()
+            state = self._states.get(owner)
+            if state is not None and owners.get(owner) != allowed:
+                state.lift_restriction()
 
     def is_peer(self, name: str) -> bool:
+        """Whether a name is that of a peer or of this front."""
         return name in self._peers
 
-    def takes(self, owner: str) -> bool:
-        """Whether anything of it may be taken: it is a peer, or was one until lately."""
-        return owner in self._peers or owner in self._left
+    def is_accepted(self, owner: str) -> bool:
+        """Whether facts of an owner are accepted: it is a peer, or was one until recently."""
+        return owner in self._peers or owner in self._departed_at
 
-    # --- what is held ---
+    # --- stored facts ---
 
     def get(self, owner: str) -> OwnerState | None:
-        return self.own.held if owner == self.me else self._held.get(owner)
+        """Returns the state of an owner, also of this front, or None."""
+        return self.local.state if owner == self.me else self._states.get(owner)
 
     def owners(self) -> list[str]:
-        held = (*self._held.values(), self.own.held)
-        return sorted(one.owner for one in held if one.facts)
-
-    def live(self) -> list[OwnerState]:
-        """Of peers and this front, what is held and compared with others."""
-        return [self.own.held, *(held for owner, held in self._held.items() if owner in self._peers)]
-
-    # --- what comes ---
-
-    def delta(self, now: float, part: Part) -> bool:
-        """Takes what is new of it; whether more is known than before."""
-        held = self._in_life(part.owner, part.life, may_begin=part.since == 0)
-        if held is None:
+        """Returns the owners that have facts, sorted."""
+        states = (*self._states.values(), self.local.state)
+        return sorted(state.owner for state in states if state.facts)
+
+    def compared_states(self) -> list[OwnerState]:
+        """Returns the states of this front and its peers, which are compared with those of other fronts."""
+        return [
+            self.local.state,
+            *(state for owner, state in self._states.items() if owner in self._peers),
+        ]
+
+    # --- records and entries from peers ---
+
+    def apply_delta(self, now: float, part: Part) -> bool:
+        """Applies the new records of a part; returns whether more is known than before."""
+        state = self._state_in_life(part.owner, part.life, may_begin=part.since == 0)
+        if state is None:
             return False
-        before = held.entry()
-        self._tell(held, held.take(now, part, self._refused.get(part.owner), self.rules))
-        return held.entry() != before
-
-    def news(self, now: float, owner: str, life: int, record: Record) -> bool:
-        """Whether it was news."""
-        held = self._in_life(owner, life, may_begin=True)
-        if held is None:
+        before = state.entry()
+        self._report(state, state.apply_delta(now, part, self._allowed_keys.get(part.owner), self.rules))
+        return state.entry() != before
+
+    def apply_pushed(self, now: float, owner: str, life: int, record: Record) -> bool:
+        """Applies a pushed record; returns whether it was new."""
+        state = self._state_in_life(owner, life, may_begin=True)
+        if state is None:
             return False
-        changes = held.hear(now, record, self._refused.get(owner), self.rules)
-        self._tell(held, changes)
+        changes = state.apply_pushed(now, record, self._allowed_keys.get(owner), self.rules)
+        self._report(state, changes)
         return bool(changes)
 
-    def lacks(self, entry: Entry) -> Entry | None:
-        """What is known of its owner here, if whoever sent the entry knows more."""
-        if not self.takes(entry.owner):
+    def entry_if_behind(self, entry: Entry) -> Entry | None:
+        """Returns the entry of the same owner here, if the sender of `entry` knows more; otherwise None."""
+        if not self.is_accepted(entry.owner):
             return None
-        held = self._held.get(entry.owner) or OwnerState(entry.owner, 0)
-        held.told_floor(entry)
-        return held.entry() if held.behind(entry) else None
-
-    def forget_gone(self, now: float) -> list[str]:
-        gone = [owner for owner, since in self._left.items() if now >= since + self.rules.keep_ms]
-        for owner in gone:
-            del self._left[owner], self._held[owner]
+        state = self._states.get(entry.owner) or OwnerState(entry.owner, 0)
+        state.adopt_floor(entry)
+        return state.entry() if state.is_behind(entry) else None
+
+    def remove_departed(self, now: float) -> list[str]:
+        """Removes the facts of owners that have not been peers for `keep_ms`, and returns these owners."""
+        expired = [owner for owner, since in self._departed_at.items() if now >= since + self.rules.keep_ms]
+        for owner in expired:
+            del self._departed_at[owner], self._states[owner]
             self._out.add(Gone(owner))
-        return gone
+        return expired
 
     def next_deadline(self) -> float | None:
-        return min((since + self.rules.keep_ms for since in self._left.values()), default=None)
+        """Returns when `remove_departed` is due, or None."""
+        return min((since + self.rules.keep_ms for since in self._departed_at.values()), default=None)
 
-    def _in_life(self, owner: str, life: int, may_begin: bool) -> OwnerState | None:
-        """What is held of an owner in that life; a later life than the one held replaces all of it."""
-        held = self._held.get(owner)
-        if owner == self.me or not self.takes(owner):
+    def _state_in_life(self, owner: str, life: int, may_begin: bool) -> OwnerState | None:
+        """Returns the state of an owner in that life; a later life replaces the state of an earlier one."""
+        state = self._states.get(owner)
+        if owner == self.me or not self.is_accepted(owner):
             return None
-        if held is None or held.life < life:
+        if state is None or state.life < life:
             if not may_begin:
                 return None
-            if held is not None:
-                self._tell(held, sorted(held.facts))
-            held = self._held[owner] = OwnerState(owner, life)
-        return held if held.life == life else None
+            if state is not None:
+                self._report(state, sorted(state.facts))
+            state = self._states[owner] = OwnerState(owner, life)
+        return state if state.life == life else None
 
-    def _tell(self, held: OwnerState, changes: Iterable[Change]) -> None:
+    def _report(self, state: OwnerState, changes: Iterable[Change]) -> None:
         for change in changes:
             if isinstance(change, Fact):
-                self._out.add(Changed(held.owner, held.life, change))
+                self._out.add(Changed(state.owner, state.life, change))
             else:
-                self._out.add(Dropped(held.owner, held.life, change))
+                self._out.add(Dropped(state.owner, state.life, change))
--- a/tests/peers_mutants/facts.py
+++ b/tests/peers_mutants/facts.py
@@ -1,4 +1,4 @@
-"""Mistakes in facts and transfers."""
+"""Mutants of facts and transfers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 MUTANTS: list[Mutant] = [
     Mutant(
-        "a delta is taken though what was sent before it was lost",
+        "a delta is applied although an earlier one was lost",
         _OWNER_STATE,
         "        if part.since > self.seen:\n            return []\n",
         "",
@@ -21,14 +21,14 @@
         faults=2,
     ),
     Mutant(
-        "news beyond a gap counts as all that was before it",
+        "a pushed record after a gap counts as if nothing before it were missing",
         _OWNER_STATE,
         "self.known + 1 in self.early",
         "self.early and self.known < max(self.early)",
         seeds=20,
     ),
     Mutant(
-        "an older value overwrites a newer one that news told",
+        "an older value overwrites a newer pushed one",
         _OWNER_STATE,
         "if record.version <= newest:",
         "if record.version == newest:",
@@ -36,7 +36,7 @@
         faults=2,
     ),
     Mutant(
-        "drops whose tombstones are forgotten are never made good",
+        "drops whose tombstones were discarded are never applied",
         _OWNER_STATE,
         "            if self.seen < part.floor:\n",
         "            if self.seen < part.floor and not self.seen:\n",
@@ -44,14 +44,16 @@
         faults=2,
     ),
     Mutant(
-        "a new life of an owner is added to its old one",
+        "the facts of a new life are added to those of the old one",
         _TABLE,
-        "            if held is not None:\n                self._tell(held, sorted(held.facts))\n",
-        "            if held is not None:\n                held.life = life\n                return held\n",
+        "            if state is not None:\n                self._report(state, sorted(state.facts))\n",
+        "            if state is not None:\n"
+        "                state.life = life\n"
+        "                return state\n",
         seeds=20,
     ),
     Mutant(
-        "what was passed over while an owner was refused counts as known",
+        "records that were skipped while an owner was restricted count as known",
         _OWNER_STATE,
         "            if allowed is None:\n                self.known = self.seen",
         "            self.known = self.seen",
@@ -59,43 +61,43 @@
         faults=2,
     ),
     Mutant(
-        "of a refused owner all is taken",
+        "all keys of a restricted owner are applied",
         _TABLE,
-        "held.take(now, part, self._refused.get(part.owner), self.rules)",
-        "held.take(now, part, None, self.rules)",
+        "state.apply_delta(now, part, self._allowed_keys.get(part.owner), self.rules)",
+        "state.apply_delta(now, part, None, self.rules)",
         seeds=20,
     ),
     Mutant(
-        "relays tell a fact's age from when they heard it",
+        "the age of a relayed fact counts from its arrival at the relay",
         _OWNER_STATE,
-        "        at = now - record.age\n",
+        "        at = now - record.age_ms\n",
         "        at = now\n",
         seeds=20,
         faults=2,
     ),
     Mutant(
-        "what doesn't fit is left out at the front",
+        "records that do not fit are left out at the beginning",
         _PACKING,
-        "one.records[:count]",
-        "one.records[-count:]",
+        "lacking.records[:count]",
+        "lacking.records[-count:]",
         seeds=20,
     ),
     Mutant(
-        "an owner that is gone is taken again from who still has it",
+        "an owner that left is accepted again from a peer that still has it",
         _TABLE,
-        "return owner in self._peers or owner in self._left",
+        "return owner in self._peers or owner in self._departed_at",
         "return True",
         seeds=20,
     ),
     Mutant(
-        "the budget is asked and not charged for news",
+        "the budget is checked but not charged for pushes",
         _PUSH,
-        "        self._all.spend(now, size * len(peers))\n",
-        "        self._urgent = Budget(self._urgent.rate, self._urgent.burst)\n",
+        "        self._budget.spend(now, size * len(peers))\n",
+        "        self._urgent_budget = Budget(self._urgent_budget.rate, self._urgent_budget.burst)\n",
         seeds=20,
     ),
     Mutant(
-        "facts that are being checked again are told to others as checked",
+        "facts that are not rechecked yet are sent to others",
         _OWNER_STATE,
         " and fact.key not in self._unchecked",
         "",
@@ -103,7 +105,7 @@
         faults=2,
     ),
     Mutant(
-        "what news told before all is checked again counts after it",
+        "versions that were pushed before a recheck count after it",
         _OWNER_STATE,
         "        self.early.clear()\n",
         "",
@@ -111,22 +113,22 @@
         faults=2,
     ),
     Mutant(
-        "a transfer goes on from where its sender was, not from where the receiver is",
+        "a transfer continues at the sender's offset, not at the receiver's",
         _OUTGOING,
-        "if self.asking or message.offset > self.sent:",
+        "if self.awaiting_answer or message.offset > self.sent:",
         "if message.offset > self.sent:",
         seeds=20,
     ),
     Mutant(
-        "what came is handed over without a look at its digest",
+        "a received blob is delivered without a check of its digest",
         _INCOMING,
-        "if one.hash.digest() != one.digest:",
-        "if len(one.data) != one.size:",
+        "if blob.hash.digest() != blob.digest:",
+        "if len(blob.data) != blob.size:",
         seeds=20,
         faults=1,
     ),
     Mutant(
-        "a receiver forgets what it has handed over",
+        "a receiver forgets which blobs it has delivered",
         _INCOMING,
         "        while len(self._done) > self.rules.max_remembered:\n",
         "        while self._done:\n",
@@ -134,17 +136,17 @@
         faults=2,
     ),
     Mutant(
-        "a newer blob of one name and size is taken for the older one",
+        "a newer blob of the same name and size is treated as the older one",
         _INCOMING,
-        "(one.digest, one.size) != (offer.digest, offer.size)",
-        "one.size != offer.size",
+        "(blob.digest, blob.size) != (offer.digest, offer.size)",
+        "blob.size != offer.size",
         seeds=20,
     ),
     Mutant(
-        "an offer is made again only while an answer to it is awaited",
+        "an offer is repeated only while its answer is awaited",
         _OUTGOING,
-        "if now >= one.retry_at and not one.sendable()]\n",
-        "if now >= one.retry_at and one.asking]\n",
+        "if now >= blob.retry_at and not blob.is_sendable()]\n",
+        "if now >= blob.retry_at and blob.awaiting_answer]\n",
         seeds=20,
     ),
 ]
--- a/tests/test_peers_facts.py
+++ b/tests/test_peers_facts.py
@@ -192,7 +192,7 @@
     def check(self) -> list[str]:
         rules = self.rules
         for name, node in self.nodes.items():
-            held = {owner: dict(node.of(owner)) for owner in node.owners() if owner != name}
+            held = {owner: dict(node.facts_of(owner)) for owner in node.owners() if owner != name}
             told = {owner: facts for owner, facts in self.mirror[name].items() if facts}
             if held != told:
                 self.broken.append(f"{name}: events tell otherwise than what is held")
@@ -218,7 +218,7 @@
         for name, node in self.nodes.items():
             for owner in self.peers[name] | set(node.owners()):
                 life, facts = self.model[owner] if owner in self.peers[name] else (0, {})
-                held = {key: (fact.version, fact.value) for key, fact in node.of(owner).items()}
+                held = {key: (fact.version, fact.value) for key, fact in node.facts_of(owner).items()}
                 if held != facts or (facts and node.life_of(owner) != life):
                     found.append(f"{name} of {owner}: {len(held)} facts, not {len(facts)}")
         return found
@@ -301,7 +301,7 @@
     """
     dice = Random(f"mesh {seed}")
     rules = lib.rules.FactRules(max_tombstones=dice.choice([2, 3, 8]), max_keys=8)
-    own = lib.local_state.Own("owner", 1, rules)
+    own = lib.local_state.LocalState("owner", 1, rules)
     held = [lib.owner_state.OwnerState("owner", 1) for _ in range(3)]
     bag: list[tuple[int, Any]] = []
     model: dict[str, tuple[int, bytes]] = {}
@@ -310,13 +310,13 @@
     count = 1
 
     def cut_delta(sender: Any, receiver: Any, most: int) -> Any:
-        since = sender.since(receiver.entry())
+        since = sender.first_missing(receiver.entry())
         records = sender.records(0.0, since)[:most] if since is not None else []
         return lib.messages.Part("owner", 1, since, sender.floor, tuple(records)) if records else None
 
     for _ in range(60):
         draw, key = dice.random(), dice.choice(KEYS[:5])
-        to, sender = dice.randrange(3), dice.choice([own.held, *held])
+        to, sender = dice.randrange(3), dice.choice([own.state, *held])
         if draw < 0.2:
             count += 1
             model[key] = (count, b"%d" % count)
@@ -336,9 +336,9 @@
             to, what = bag.pop(dice.randrange(len(bag))) if dice.random() < 0.7 else dice.choice(bag)
             changes: list[Any] = []
             if isinstance(what, lib.messages.Part):
-                changes = held[to].take(0.0, what, None, rules)
+                changes = held[to].apply_delta(0.0, what, None, rules)
             elif what is not None:
-                changes = held[to].hear(0.0, what, None, rules)
+                changes = held[to].apply_pushed(0.0, what, None, rules)
             for fact in changes:
                 if not isinstance(fact, str):
                     if fact.version <= newest[to].get(fact.key, 0):
@@ -346,12 +346,12 @@
                     newest[to][fact.key] = fact.version
     for _ in range(200):
         to = dice.randrange(3)
-        part = cut_delta(dice.choice([own.held, *held]), held[to], 4)
+        part = cut_delta(dice.choice([own.state, *held]), held[to], 4)
         if part is not None:
-            held[to].take(0.0, part, None, rules)
+            held[to].apply_delta(0.0, part, None, rules)
     for number, one in enumerate(held):
         facts = {key: (fact.version, fact.value) for key, fact in one.facts.items()}
-        if facts != model or one.entry() != own.held.entry():
+        if facts != model or one.entry() != own.state.entry():
             wrong.append(f"{number}: {sorted(facts)} and {one.entry()}, not {sorted(model)}")
         if one.size != sum(len(key) + len(fact.value) for key, fact in one.facts.items()):
             wrong.append(f"{number}: a size of {one.size}")
@@ -402,7 +402,7 @@
     world.put(out, "late.plea", b"let me in", urgent=True)
     world.run(10_000.0)
     for name in others:
-        held = world.nodes[name].of(out)
+        held = world.nodes[name].facts_of(out)
         assert {key: fact.value for key, fact in held.items()} == {
             "versions": b"1",
             "late.plea": b"let me in",
@@ -421,15 +421,15 @@
     for number in range(15):
         world.put(owner, f"key-{number}", world.dice.randbytes(2_400))
     world.run(30_000.0)
-    assert len(world.nodes[helper].of(owner)) == 15
+    assert len(world.nodes[helper].facts_of(owner)) == 15
     world.cut.clear()
     world.sent = {name: [] for name in world.names}
     seen = []
-    while len(world.nodes[new].of(owner)) < 15:
+    while len(world.nodes[new].facts_of(owner)) < 15:
         world.run(200.0)
         if world.now % 1_000 == 0:  # every answer may be lost while it lasts
             world.cut = {(owner, new)} if world.cut == {(helper, new)} else {(helper, new)}
-        seen.append(len(world.nodes[new].of(owner)))
+        seen.append(len(world.nodes[new].facts_of(owner)))
     assert len(set(seen)) > 3  # it took several answers
     assert sum(size for name in (owner, helper) for _, size in world.sent[name]) < 2 * 15 * 2_400
     assert world.check() == []
@@ -465,7 +465,9 @@
     world.nodes[back].put(world.local(back), "key-1", b"new")
     world.run(10_000.0)
     for name in world.names[1:]:
-        assert {key: fact.value for key, fact in world.nodes[name].of(back).items()} == {"key-1": b"new"}
+        assert {key: fact.value for key, fact in world.nodes[name].facts_of(back).items()} == {
+            "key-1": b"new"
+        }
 
 
 def test_who_claims_what_an_owner_never_said_is_outdone_by_it() -> None:
@@ -497,7 +499,7 @@
         world.run(20_000.0)
         for name in world.names[:-1]:
             for owner in world.names[:-1]:
-                held = {key: fact.value for key, fact in world.nodes[name].of(owner).items()}
+                held = {key: fact.value for key, fact in world.nodes[name].facts_of(owner).items()}
                 assert held == dict.fromkeys(KEYS[:3], owner.encode()), (seed, name, owner)
 
 
@@ -557,7 +559,7 @@
     facts = lib.store.Facts("me", 1, lib.rules.FactRules(max_keys=3, max_owner_bytes=20_000), 1)
     for key in ("a", "b", "c"):
         facts.put(0.0, key, bytes(5_000))
-    before = dict(facts.of("me"))
+    before = dict(facts.facts_of("me"))
     for key, value in (
         ("", b""), ("a" * 65, b""), ("a b", b""), ("a\n", b""), ("\u00e4", b""),
         ("a", bytes(8_193)), ("d", b""), ("a", bytes(8_000)),
@@ -565,7 +567,7 @@
         with pytest.raises(lib.rules.FactError):
             facts.put(1.0, key, value)
             facts.put(1.0, "b", value)
-    assert dict(facts.of("me")) == before | {"a": facts.get("me", "a")}
+    assert dict(facts.facts_of("me")) == before | {"a": facts.get("me", "a")}
 
 
 # --- transfers ---
@@ -721,7 +723,7 @@
     lines = Lines(load(), 1, ["a", "b"], bytes_per_s=200_000.0)
     lines.nodes["a"].offer(0.0, "b", "list", bytes(300_000))
     lines.run(500.0)
-    sending = lines.nodes["a"]._outgoing.named("list")[0]
+    sending = lines.nodes["a"]._outgoing.with_name("list")[0]
     sending.data = bytes(299_999) + b"!"
     lines.run(5_000.0)
     assert lines.told("Received") == []
@@ -734,7 +736,7 @@
     lines = Lines(load(), 1, ["a"], bytes_per_s=200_000.0)
     messages, node = lines.lib.messages, lines.nodes["a"]
     node.offer(0.0, "liar", "list", bytes(400_000))
-    digest = node._outgoing.named("list")[0].digest
+    digest = node._outgoing.with_name("list")[0].digest
     offset = 0
     while node.next_deadline() is not None and lines.now < 120_000.0:
         lines.run(250.0)
@@ -761,9 +763,9 @@
         answers += [type(effect.message).__name__ for effect in node.take_effects()]
     assert answers == ["Ready"] * 2 + ["Refused"] * 18
     node.on_message(0.0, "liar", messages.Chunk("blob-0", bytes(32), 0, bytes(60_001)))
-    assert [effect.message.later for effect in node.take_effects()] == [False]
+    assert [effect.message.may_retry for effect in node.take_effects()] == [False]
     node.on_message(0.0, "liar", messages.Offer("huge", bytes(32), 120_001))
-    assert [effect.message.why for effect in node.take_effects()] == ["too large"]
+    assert [effect.message.reason for effect in node.take_effects()] == ["too large"]
     node.on_message(0.0, "other", messages.Offer("blob", bytes(32), 100_000))
     assert [type(effect.message).__name__ for effect in node.take_effects()] == ["Ready"]
     node.tick(60_000.0)
@@ -783,7 +785,7 @@
                 lines.nodes["a"].offer(lines.now, "b", "list", data)
             message, _ = lines.wire.through(garbage(lines.lib.messages, dice, ["liar"]))
             if type(message).__name__ in ("Offer", "Ready", "Chunk", "Refused") and dice.random() < 0.5:
-                sending = lines.nodes["b"]._outgoing.named("blob")
+                sending = lines.nodes["b"]._outgoing.with_name("blob")
                 digest = sending[0].digest if sending else bytes(32)
                 message = msgspec.structs.replace(
                     message, digest=digest, name=f"blob{dice.choice(['', 1, 2])}"
