--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -449,7 +449,7 @@
         channel = control._channel
         assert channel is not None
         for number in range(20_000):  # far more than the socket and the queue hold
-            journal.add(number, EventKind.ASKED, session=f"x{number % 50}", why="w" * 400)
+            journal.add(number, EventKind.REQUESTED, session=f"x{number % 50}", why="w" * 400)
             if number % 2_000 == 0:
                 await until(lambda: channel._flush_timer is None)
         assert (await scene.request_session(scene.wish())).status == 200
@@ -497,10 +497,10 @@
         (connection,) = channel.clients
         while connection.is_writable:  # just enough to fill the transport's buffer
             for _ in range(100):
-                desk.journal.add(0, EventKind.ASKED, session="x", why="w" * 200)
+                desk.journal.add(0, EventKind.REQUESTED, session="x", why="w" * 200)
             await until(lambda: channel._flush_timer is None)
         for _ in range(6_000):  # exceeds the bound of pending entries
-            desk.journal.add(0, EventKind.ASKED, session="x")
+            desk.journal.add(0, EventKind.REQUESTED, session="x")
         await until(lambda: channel._flush_timer is None)
         assert connection.has_missed_entries
         ann._transport.resume_reading()
