--- a/bench/late_day.py
+++ b/bench/late_day.py
@@ -30,7 +30,7 @@
     rules: ModuleType
     events: ModuleType
     messages: ModuleType
-    judge: ModuleType
+    lag_detection: ModuleType
 
 
 def load() -> Kit:
@@ -38,7 +38,7 @@
     return Kit(
         *(
             importlib.import_module(at + name)
-            for name in ("stragglers", "rules", "events", "messages", "judge")
+            for name in ("stragglers", "rules", "events", "messages", "lag_detection")
         ),
     )
 
@@ -183,7 +183,7 @@
     def say(self, front: Front, urgent: bool = False) -> None:
         """Its own versions changed: its machine is told, and its fact is a new one."""
         front.told += 1
-        front.machine.versions(self.time(front), front.name, self.versions(front), urgent)
+        front.machine.on_versions(self.time(front), front.name, self.versions(front), urgent)
 
     # --- news ---
 
@@ -273,7 +273,7 @@
                     front.got.pop(name, None)
                     front.pleas.pop(name, None)
                 front.got[f"{name} life"] = life
-            front.machine.fleet(self.time(front), lives)
+            front.machine.set_fleet(self.time(front), lives)
 
     def facts(self, front: Front) -> None:
         now = self.time(front)
@@ -286,12 +286,12 @@
                 front.pleas[other.name] = other.plea
                 if other.plea:
                     versions = msgspec.msgpack.decode(other.plea, type=Versions)
-                    front.machine.versions(now, other.name, versions)
+                    front.machine.on_versions(now, other.name, versions)
             if other.name in front.machine.shut_out():
                 continue
             if front.got.get(other.name) != other.told:
                 front.got[other.name] = other.told
-                front.machine.versions(now, other.name, self.versions(other))
+                front.machine.on_versions(now, other.name, self.versions(other))
 
     def act(self, front: Front) -> None:
         """An act a second, on what it truly holds; two peers get the record of it."""
@@ -308,7 +308,7 @@
                 blocked = (front.name, name) in self.blocked
                 if not blocked and self.linked(front, at) and self.fronts[front.name].life == life:
                     said = versions if at.slanders != front.name else self._made_up(front)
-                    at.machine.evidence(self.time(at), front.name, said, self.now - began)
+                    at.machine.on_evidence(self.time(at), front.name, said, self.now - began)
 
             # Now and then a record is repaired, long after it was made.
             late = 25_000.0 if self.dice.random() < 0.05 else 0.0
@@ -341,40 +341,40 @@
 
     def event(self, front: Front, event: Any) -> None:
         events = self.kit.events
-        if isinstance(event, events.BringUp):
-            self.bring_up(front, event.name, str(event.what), event.content)
-            if content(event.what, front.holds[event.what]) == event.content and not front.liar:
-                data = str(front.holds[event.what]).encode()
+        if isinstance(event, events.CatchUp):
+            self.bring_up(front, event.name, str(event.kind), event.content)
+            if content(event.kind, front.holds[event.kind]) == event.content and not front.liar:
+                data = str(front.holds[event.kind]).encode()
                 self.after(
                     100.0,
                     lambda: front.machine.supply(
-                        self.time(front), event.name, event.what, event.content, data
+                        self.time(front), event.name, event.kind, event.content, data
                     ),
                 )
         elif isinstance(event, events.Apply):
             number = int(event.data)
             if not front.numb:
-                self.after(300.0, lambda: self.applied(front, str(event.what), number))
+                self.after(300.0, lambda: self.applied(front, str(event.kind), number))
         elif isinstance(event, events.ShutOut):
             self.shut_out(front, event.name)
-        elif isinstance(event, events.Back):
+        elif isinstance(event, events.Readmitted):
             if event.name not in front.out:
                 self.fail(f"{front.name} has {event.name} back that was not out")
             front.out.discard(event.name)
             self.back[front.name, event.name] = self.now
             self.came_back(front, event.name)
-        elif isinstance(event, events.Refrain):
-            if bool(event.why) == bool(front.refrains) and event.why == front.refrains:
+        elif isinstance(event, events.BlockSessions):
+            if bool(event.reason) == bool(front.refrains) and event.reason == front.refrains:
                 self.fail(f"{front.name} refrains twice")
-            front.refrains = event.why
-        elif isinstance(event, events.Plead):
+            front.refrains = event.reason
+        elif isinstance(event, events.RequestReadmission):
             front.plea = event.data
-        elif isinstance(event, events.NewsSuspect):
-            if bool(event.why) == (event.what in front.suspects):
-                self.fail(f"{front.name} says twice that news of {event.what} is suspect, or not")
-            front.suspects.pop(event.what, None)
-            if event.why:
-                front.suspects[event.what] = event.why
+        elif isinstance(event, events.UpdateSuspect):
+            if bool(event.reason) == (event.kind in front.suspects):
+                self.fail(f"{front.name} says twice that news of {event.kind} is suspect, or not")
+            front.suspects.pop(event.kind, None)
+            if event.reason:
+                front.suspects[event.kind] = event.reason
 
     def applied(self, front: Front, kind: str, number: int) -> None:
         if self.runs(front) and front.holds[kind] != number and not front.numb:
--- a/bench/late_model.py
+++ b/bench/late_model.py
@@ -110,9 +110,9 @@
         machines = []
         for name in FRONTS:
             machine = self.kit.stragglers.Stragglers(name, 1, self.rules, -HORIZON, FRONTS)
-            machine.fleet(-HORIZON, dict.fromkeys(FRONTS, 1))
+            machine.set_fleet(-HORIZON, dict.fromkeys(FRONTS, 1))
             for other in FRONTS:
-                machine.versions(-HORIZON, other, versions(0))
+                machine.on_versions(-HORIZON, other, versions(0))
             machine.tick(0.0)
             machine.take_effects()
             shift(machine, 0.0, self.rules)
@@ -181,15 +181,15 @@
                 fresh = self.kit.stragglers.Stragglers(me, env.lives[i], self.rules, 0.0, FRONTS)
                 machines[i] = self.keep(fresh)
             lives = {FRONTS[j]: env.lives[j] for j in range(3) if env.still[j] <= 2}
-            inputs: list[Any] = [("fleet", _Map(lives)), ("versions", me, said[i])]
+            inputs: list[Any] = [("set_fleet", _Map(lives)), ("on_versions", me, said[i])]
             outs = self._outs[machines[i]]
             for j in range(3):
                 if j == i or env.still[j] > 0:
                     continue
                 pleads = FRONTS[j] in self._outs[state.machines[j]]
                 if FRONTS[j] not in outs or pleads:
-                    inputs.append(("versions", FRONTS[j], said[j]))
-                inputs.append(("evidence", FRONTS[j], true[j]))
+                    inputs.append(("on_versions", FRONTS[j], said[j]))
+                inputs.append(("on_evidence", FRONTS[j], true[j]))
             for go, a, b, message in env.way:
                 if go == 0 and b == i and env.lives[a] == old.lives[a]:
                     inputs.append(("on_message", FRONTS[a], message))
@@ -248,7 +248,7 @@
                 if any(who == i and of == j for _, who, of in backs):
                     broken.append(f"{j} is out at {i} again at once")
                 shuts.append((0, i, j))
-            elif isinstance(event, names.Back) and env.lives == state.env.lives and not any(env.still):
+            elif isinstance(event, names.Readmitted) and env.lives == state.env.lives and not any(env.still):
                 j = FRONTS.index(event.name)
                 backs.append((0, i, j))
                 # A vote may be lost, and all are taken back when the news is suspect.
--- a/bench/peers_late.py
+++ b/bench/peers_late.py
@@ -69,7 +69,7 @@
     kit = load()
     names = [f"f{number}" for number in range(fronts)]
     machine = kit.stragglers.Stragglers("f0", 1, kit.rules.LateRules(), 0.0, names[:3])
-    machine.fleet(0.0, dict.fromkeys(names, 1))
+    machine.set_fleet(0.0, dict.fromkeys(names, 1))
     said = Day(1, kit, 1, 1)
     used, looks, size = 0.0, 0, 0
     for turn in range(span * 10):
@@ -81,7 +81,7 @@
         # A tenth of the fronts says at each turn what it holds now.
         began = time.process_time()
         for name in names[turn % 10 :: 10]:
-            machine.versions(now, name, versions)
+            machine.on_versions(now, name, versions)
         due = machine.next_deadline()
         if due is not None and due <= now:
             machine.tick(now)
--- a/fernweir/peers/late/bringing.py
+++ b/fernweir/peers/late/catch_up.py
@@ -6,10 +6,10 @@
 from collections.abc import Set as AbstractSet
 
 from fernweir.peers.base import rendezvous
-from fernweir.peers.late.judge import Judged
+from fernweir.peers.late.content_track import View
+from fernweir.peers.late.lag_detection import Judged
 from fernweir.peers.late.messages import Kind
 from fernweir.peers.late.rules import LateRules
-from fernweir.peers.late.track import View
 
 
 def attempt(late_ms: float, rules: LateRules) -> int:
--- a/fernweir/peers/late/events.py
+++ b/fernweir/peers/late/events.py
@@ -18,20 +18,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BringUp(Event):
+class CatchUp(Event):
     """This front is to give a late one what it lacks: answer by `Stragglers.supply`."""
 
     name: str
-    what: Kind
+    kind: Kind
     content: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class BroughtUp(Event):
+class CaughtUp(Event):
     """A late front says that it took what this one gave it. Its facts and acts show whether that is so."""
 
     name: str
-    what: Kind
+    kind: Kind
     content: bytes
 
 
@@ -43,7 +43,7 @@
     files again. What was told here later by the front's own source is not to be undone.
     """
 
-    what: Kind
+    kind: Kind
     content: bytes
     data: bytes
     by: str
@@ -54,34 +54,34 @@
     """From now on: no leases, no facts but `late.plea`, no part in the choice of heirs."""
 
     name: str
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Back(Event):
+class Readmitted(Event):
     """No longer shut out."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
-class NewsSuspect(Event):
+class UpdateSuspect(Event):
     """Not the fronts but the news may be wrong: nobody is shut out for it. An empty `why`: no longer."""
 
-    what: Kind
-    why: str
+    kind: Kind
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Refrain(Event):
+class BlockSessions(Event):
     """This front takes no new session, refusing with that wait; an empty `why` ends it."""
 
-    why: str
+    reason: str
     wait_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Plead(Event):
+class RequestReadmission(Event):
     """What the fact `late.plea` is to be from now on; empty: it is dropped."""
 
     data: bytes
--- a/fernweir/peers/late/judge.py
+++ b/fernweir/peers/late/lag_detection.py
@@ -15,9 +15,9 @@
 from collections.abc import Set as AbstractSet
 from dataclasses import dataclass
 
+from fernweir.peers.late.content_track import View
 from fernweir.peers.late.messages import Kind
 from fernweir.peers.late.rules import LateRules
-from fernweir.peers.late.track import View
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
     few: str = ""
 
 
-def judge(kind: Kind, views: Sequence[View], voices: AbstractSet[str], rules: LateRules) -> Judged:
+def detect_lag(kind: Kind, views: Sequence[View], voices: AbstractSet[str], rules: LateRules) -> Judged:
     """Of all `views`; only what `voices` hold counts for what the fleet holds."""
     heard = [view for view in views if view.name in voices]
     if kind is Kind.SETTINGS:
--- a/fernweir/peers/late/messages.py
+++ b/fernweir/peers/late/messages.py
@@ -35,7 +35,7 @@
     return versions.boxes if kind is Kind.BOXES else versions.keys
 
 
-class Part(Message, frozen=True, array_like=True, tag="late.part"):
+class CatchUpData(Message, frozen=True, array_like=True, tag="late.part"):
     """What the receiver lacks. `data` is the joiner's own format; empty for notices of settings and keys."""
 
     life: Life  # of the receiver
@@ -44,14 +44,14 @@
     data: Annotated[bytes, Meta(max_length=DATA_MOST)] = b""
 
 
-class Brought(Message, frozen=True, array_like=True, tag="late.brought"):
+class CatchUpDone(Message, frozen=True, array_like=True, tag="late.brought"):
     """To who sent a part: this is what the front has now."""
 
     kind: Kind
     content: Content
 
 
-class Against(msgspec.Struct, frozen=True, array_like=True):
+class VoteEntry(msgspec.Struct, frozen=True, array_like=True):
     """One front, in one life, and what it is behind in."""
 
     name: Name
@@ -64,10 +64,10 @@
 
     life: Life  # of the keeper
     at: Annotated[float, Meta(ge=-1e15, le=1e15)]  # ms of the keeper's own clock
-    against: Annotated[tuple[Against, ...], Meta(max_length=NAMES_MOST)]
+    against: Annotated[tuple[VoteEntry, ...], Meta(max_length=NAMES_MOST)]
 
 
-class Seen(Message, frozen=True, array_like=True, tag="late.seen"):
+class EvidenceReport(Message, frozen=True, array_like=True, tag="late.seen"):
     """To keepers: a front whose acts contradict its word acted on this, at most `age_ms` ago."""
 
     name: Name
@@ -76,4 +76,4 @@
     age_ms: Annotated[float, Meta(ge=0, le=600_000.0)]
 
 
-KINDS = (Part, Brought, Votes, Seen)
+KINDS = (CatchUpData, CatchUpDone, Votes, EvidenceReport)
--- a/fernweir/peers/late/peers.py
+++ b/fernweir/peers/late/peers.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass, field
 
 from fernweir.peers.acts.versions import Versions
+from fernweir.peers.late.content_track import Track, View
 from fernweir.peers.late.events import State
-from fernweir.peers.late.judge import Judged
+from fernweir.peers.late.lag_detection import Judged
 from fernweir.peers.late.messages import Kind, content_of
 from fernweir.peers.late.rules import LateRules
-from fernweir.peers.late.track import Track, View
 
 
 @dataclass(slots=True)
--- a/fernweir/peers/late/stragglers.py
+++ b/fernweir/peers/late/stragglers.py
@@ -13,15 +13,32 @@
 
 from fernweir.peers.acts.versions import Versions
 from fernweir.peers.base import Effect, Message, Outbox, Send
-from fernweir.peers.late.against import against, failed, order
-from fernweir.peers.late.bringing import attempt, bringer, takes
-from fernweir.peers.late.events import Apply, Back, BringUp, BroughtUp, Plead, Refrain, ShutOut, State
-from fernweir.peers.late.judge import Judged, judge
-from fernweir.peers.late.messages import DATA_MOST, Brought, Kind, Part, Seen, Votes, content_of
+from fernweir.peers.late.catch_up import attempt, bringer, takes
+from fernweir.peers.late.content_track import View
+from fernweir.peers.late.events import (
+    Apply,
+    BlockSessions,
+    CatchUp,
+    CaughtUp,
+    Readmitted,
+    RequestReadmission,
+    ShutOut,
+    State,
+)
+from fernweir.peers.late.lag_detection import Judged, detect_lag
+from fernweir.peers.late.messages import (
+    DATA_MOST,
+    CatchUpData,
+    CatchUpDone,
+    EvidenceReport,
+    Kind,
+    Votes,
+    content_of,
+)
 from fernweir.peers.late.peers import Peer, Table
 from fernweir.peers.late.rules import LateRules, cap, places
 from fernweir.peers.late.suspects import Suspects
-from fernweir.peers.late.track import View
+from fernweir.peers.late.vote_decision import against, failed, order
 from fernweir.peers.late.votes import Ballots, Tally, Vote
 
 
@@ -51,7 +68,7 @@
 
     # --- what the front knows ---
 
-    def fleet(self, now: float, lives: Mapping[str, int]) -> None:
+    def set_fleet(self, now: float, lives: Mapping[str, int]) -> None:
         """All fronts believed alive, in which life; what is known of others is dropped."""
         peers = self._table.peers
         before = {}
@@ -59,7 +76,7 @@
             gone = peers.pop(name)
             before[name] = gone.tracks
             if gone.out:
-                self._out.add(Back(name))
+                self._out.add(Readmitted(name))
         self.life = self._ballots.life = peers[self.me].life = lives.get(self.me, self.life)
         for name, life in lives.items():
             if name not in peers:
@@ -70,7 +87,7 @@
         self._alone_at = None if len(peers) > 1 else now if self._alone_at is None else self._alone_at
         self._soon(now)
 
-    def keepers(self, now: float, keepers: Iterable[str]) -> None:
+    def set_keepers(self, now: float, keepers: Iterable[str]) -> None:
         """These decide from now on. Votes under the former ones are given up first."""
         named = frozenset(keepers)
         if named == self._tally.keepers:
@@ -80,7 +97,7 @@
         self._ballots.since = now
         self._soon(now)
 
-    def versions(self, now: float, name: str, versions: Versions, urgent: bool = False) -> None:
+    def on_versions(self, now: float, name: str, versions: Versions, urgent: bool = False) -> None:
         """What a front says that it holds, by its fact, or its plea; or what this one holds.
 
         `urgent`, of this front only: since the former list boxes drain, or are gone.
@@ -95,11 +112,11 @@
                 self._urgent_at = now
             for kind in new & self._taking.keys():
                 by, _ = self._taking.pop(kind)
-                self._out.add(Send(by, Brought(kind, content_of(versions, kind))))
+                self._out.add(Send(by, CatchUpDone(kind, content_of(versions, kind))))
         if new:
             self._soon(now)
 
-    def evidence(self, now: float, name: str, versions: Versions, age_ms: float = 0.0) -> None:
+    def on_evidence(self, now: float, name: str, versions: Versions, age_ms: float = 0.0) -> None:
         """An act of a front, at most so old, rested on these versions: seen in its record, or at a box."""
         peer = self._table.get(name)
         if peer is None or name == self.me or not 0.0 <= age_ms <= self.rules.act_age_ms:
@@ -113,20 +130,20 @@
             peer.seen_at = now
             for keeper in sorted(self._tally.keepers):
                 if keeper not in (self.me, name):
-                    self._out.add(Send(keeper, Seen(name, peer.life, versions, age_ms)))
+                    self._out.add(Send(keeper, EvidenceReport(name, peer.life, versions, age_ms)))
 
-    def leases(self, now: float, held: bool) -> None:
+    def set_holds_leases(self, now: float, held: bool) -> None:
         """Whether this front holds any lease."""
         self._leaseless_at = None if held else now if self._leaseless_at is None else self._leaseless_at
         self._soon(now)
 
     def supply(self, now: float, name: str, what: Kind, content: bytes, data: bytes = b"") -> bool:
-        """The answer to `BringUp`. False if it is not wanted any more, or too much for one frame."""
+        """The answer to `CatchUp`. False if it is not wanted any more, or too much for one frame."""
         peer = self._table.get(name)
         if peer is None or what not in peer.late or len(data) > DATA_MOST:
             return False
         peer.given[what] = content
-        self._out.add(Send(name, Part(peer.life, what, content, data), reliable=True))
+        self._out.add(Send(name, CatchUpData(peer.life, what, content, data), reliable=True))
         return True
 
     # --- what others ask ---
@@ -139,7 +156,7 @@
         return {peer.name: peer.state for peer in self._table}
 
     def shut_out(self) -> frozenset[str]:
-        """For `lease.Keeper.shut_out`, `Facts.refuse`, and the choice of heirs."""
+        """For `lease.Keeper.shut_out`, `Facts.restrict_owners`, and the choice of heirs."""
         return frozenset(peer.name for peer in self._table if peer.out)
 
     def suspects(self) -> dict[Kind, str]:
@@ -154,11 +171,11 @@
             case Votes():
                 self._tally.heard(now, sender, message)
                 self._soon(now)
-            case Part():
+            case CatchUpData():
                 self._part(now, sender, message)
-            case Seen():
+            case EvidenceReport():
                 self._seen(now, sender, message)
-            case Brought():
+            case CatchUpDone():
                 self._brought(sender, message)
 
     def tick(self, now: float) -> None:
@@ -189,7 +206,7 @@
         self._looked_at = now
         voices = table.voices()
         views = {kind: table.views(now, kind) for kind in Kind}
-        self._judged = {kind: judge(kind, views[kind], voices, rules) for kind in Kind}
+        self._judged = {kind: detect_lag(kind, views[kind], voices, rules) for kind in Kind}
         for peer in table:
             for track in peer.tracks.values():
                 track.forget(now, rules.acts_keep_ms)
@@ -253,7 +270,7 @@
                 self._is_out(now, peer, voted[peer.name])
             else:
                 if peer.out:
-                    self._out.add(Back(peer.name))
+                    self._out.add(Readmitted(peer.name))
                 self._is_in(now, peer)
 
     def _is_out(self, now: float, peer: Peer, kinds: frozenset[Kind]) -> None:
@@ -288,26 +305,26 @@
             peer.tried[kind] = number
             target = self._judged[kind].target
             if bringer(peer.name, kind, number, target, views[kind], voices) == self.me:
-                self._out.add(BringUp(peer.name, kind, target))
+                self._out.add(CatchUp(peer.name, kind, target))
 
-    def _part(self, now: float, sender: str, message: Part) -> None:
+    def _part(self, now: float, sender: str, message: CatchUpData) -> None:
         """What this front lacks, by a peer's word: taken if this front sees it so too, one at a time."""
         kind = message.kind
         taking = self._taking.get(kind)
         if message.life != self.life or (taking is not None and now < taking[1]):
             return
         views, voices = self._table.views(now, kind), self._table.voices()
-        if takes(self.me, kind, message.content, judge(kind, views, voices, self.rules), views):
+        if takes(self.me, kind, message.content, detect_lag(kind, views, voices, self.rules), views):
             self._taking[kind] = sender, now + self.rules.try_ms
             self._out.add(Apply(kind, message.content, message.data, sender))
 
-    def _brought(self, sender: str, message: Brought) -> None:
+    def _brought(self, sender: str, message: CatchUpDone) -> None:
         if self._table.peers[sender].given.pop(message.kind, None) is not None:
-            self._out.add(BroughtUp(sender, message.kind, message.content))
+            self._out.add(CaughtUp(sender, message.kind, message.content))
 
     # --- pieces: acts that others saw ---
 
-    def _seen(self, now: float, sender: str, message: Seen) -> None:
+    def _seen(self, now: float, sender: str, message: EvidenceReport) -> None:
         peer = self._table.get(message.name)
         if peer is None or message.life != peer.life or message.name in (sender, self.me):
             return
@@ -322,11 +339,11 @@
         why = "shut out" if mine.out else "cut off" if self._cut_off(now) else ""
         if why != self._refrains:
             self._refrains = why
-            self._out.add(Refrain(why, self.rules.wait_ms if why else 0.0))
+            self._out.add(BlockSessions(why, self.rules.wait_ms if why else 0.0))
         plea = msgspec.msgpack.encode(self._versions) if mine.out and self._versions is not None else b""
         if plea != self._pleaded:
             self._pleaded = plea
-            self._out.add(Plead(plea))
+            self._out.add(RequestReadmission(plea))
 
     def _cut_off(self, now: float) -> bool:
         """Every other front and every lease has been gone for long: that is likelier here than everywhere.
--- a/fernweir/peers/late/suspects.py
+++ b/fernweir/peers/late/suspects.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping, Sequence
 
 from fernweir.peers.base import Outbox
-from fernweir.peers.late.events import NewsSuspect
-from fernweir.peers.late.judge import Judged
+from fernweir.peers.late.events import UpdateSuspect
+from fernweir.peers.late.lag_detection import Judged
 from fernweir.peers.late.messages import Kind
 from fernweir.peers.late.rules import LateRules
 
@@ -56,7 +56,7 @@
     def _say(self, kind: Kind, why: str) -> None:
         """A reason that stands is not said again in other words."""
         if bool(why) != (kind in self._said):
-            self._out.add(NewsSuspect(kind, why))
+            self._out.add(UpdateSuspect(kind, why))
         if why:
             self._said.setdefault(kind, why)
         else:
--- a/fernweir/peers/late/votes.py
+++ b/fernweir/peers/late/votes.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from fernweir.peers.late.messages import NAMES_MOST, Against, Kind, Votes
+from fernweir.peers.late.messages import NAMES_MOST, Kind, VoteEntry, Votes
 from fernweir.peers.late.rules import LateRules, majority
 
 
@@ -79,7 +79,7 @@
         return Votes(
             self.life,
             now,
-            tuple(Against(name, vote.life, tuple(sorted(vote.kinds))) for name, vote in against),
+            tuple(VoteEntry(name, vote.life, tuple(sorted(vote.kinds))) for name, vote in against),
         )
 
     def busy(self, now: float) -> bool:
@@ -91,7 +91,7 @@
     life: int
     said_at: float  # by the keeper's clock
     at: float
-    against: dict[str, Against]
+    against: dict[str, VoteEntry]
 
 
 class Tally:
--- a/fernweir/peers/lateness.py
+++ b/fernweir/peers/lateness.py
@@ -16,13 +16,13 @@
 from fernweir.peers.facts.store import Facts
 from fernweir.peers.late.events import (
     Apply,
-    Back,
-    BringUp,
-    BroughtUp,
-    NewsSuspect,
-    Plead,
-    Refrain,
+    BlockSessions,
+    CatchUp,
+    CaughtUp,
+    Readmitted,
+    RequestReadmission,
     ShutOut,
+    UpdateSuspect,
 )
 from fernweir.peers.late.messages import Kind, content_of
 from fernweir.peers.late.rules import LateRules
@@ -64,30 +64,30 @@
         self._out = Outbox()
 
     def fleet(self, now: float, lives: Mapping[str, int]) -> None:
-        self.stragglers.fleet(now, lives)
+        self.stragglers.set_fleet(now, lives)
 
     def mine(self, now: float, versions: Versions, urgent: bool) -> None:
         """What this front acts on from now on; urgent if boxes drain or went by it."""
         self._versions = versions
         self._facts.put(now, VERSIONS, msgspec.msgpack.encode(versions), urgent=urgent)
-        self.stragglers.versions(now, self.me, versions, urgent)
+        self.stragglers.on_versions(now, self.me, versions, urgent)
 
     def told(self, now: float, owner: str, key: str, value: bytes) -> None:
         """A peer's fact about what it acts on, or its plea to come back."""
         versions = _versions(value)
         if versions is not None and key in (VERSIONS, PLEA):
-            self.stragglers.versions(now, owner, versions)
+            self.stragglers.on_versions(now, owner, versions)
 
     def seen(self, now: float, owner: str, versions: Versions, age_ms: float) -> None:
         """What an act of a peer rested on, by its record."""
-        self.stragglers.evidence(now, owner, versions, age_ms)
+        self.stragglers.on_evidence(now, owner, versions, age_ms)
 
     def keepers(self, now: float, names: tuple[str, ...]) -> None:
         """Who decides on shutting out from now on."""
-        self.stragglers.keepers(now, names)
+        self.stragglers.set_keepers(now, names)
 
     def leases(self, now: float, held: bool) -> None:
-        self.stragglers.leases(now, held)
+        self.stragglers.set_holds_leases(now, held)
 
     def out(self) -> frozenset[str]:
         """Who takes no part in the choice of heirs."""
@@ -119,43 +119,43 @@
     # --- pieces ---
 
     def _do(self, now: float, event: Event) -> None:
-        if isinstance(event, BringUp):
+        if isinstance(event, CatchUp):
             self._bring_up(now, event)
         elif isinstance(event, Apply):
             self._apply(now, event)
-        elif isinstance(event, ShutOut | Back):
+        elif isinstance(event, ShutOut | Readmitted):
             self._shut_out()
-            out, why = (event.name, event.why) if isinstance(event, ShutOut) else ("", "")
+            out, why = (event.name, event.reason) if isinstance(event, ShutOut) else ("", "")
             what = "peer is shut out" if out else "peer is back"
             self._out.add(Said(what, {"name": event.name, "why": why}, out))
-        elif isinstance(event, Refrain):
-            self._out.add(Resign(event.why, event.wait_ms))
-            self._out.add(Said("takes no new sessions" if event.why else "takes sessions again",
-                               {"why": event.why}))  # fmt: skip
-        elif isinstance(event, NewsSuspect):
-            self._out.add(Said("news is suspect" if event.why else "news is no longer suspect",
-                               {"what": str(event.what), "why": event.why}))  # fmt: skip
-        elif isinstance(event, Plead):
+        elif isinstance(event, BlockSessions):
+            self._out.add(Resign(event.reason, event.wait_ms))
+            self._out.add(Said("takes no new sessions" if event.reason else "takes sessions again",
+                               {"why": event.reason}))  # fmt: skip
+        elif isinstance(event, UpdateSuspect):
+            self._out.add(Said("news is suspect" if event.reason else "news is no longer suspect",
+                               {"what": str(event.kind), "why": event.reason}))  # fmt: skip
+        elif isinstance(event, RequestReadmission):
             if event.data:
                 self._facts.put(now, PLEA, event.data, urgent=True)
             else:
                 self._facts.drop(now, PLEA)
         else:
-            assert isinstance(event, BroughtUp)
+            assert isinstance(event, CaughtUp)
 
-    def _bring_up(self, now: float, event: BringUp) -> None:
+    def _bring_up(self, now: float, event: CatchUp) -> None:
         """The list is given as it is here; settings and keys are files, which the late front has to read."""
-        if content_of(self._versions, event.what) != event.content:
+        if content_of(self._versions, event.kind) != event.content:
             return
-        data = self._port.endpoint_list_document() if event.what is Kind.BOXES else b""
-        if event.what is Kind.BOXES and not data:
+        data = self._port.endpoint_list_document() if event.kind is Kind.BOXES else b""
+        if event.kind is Kind.BOXES and not data:
             return  # fronts of this kind have their list from one source alone
-        self.stragglers.supply(now, event.name, event.what, event.content, data)
-        self._out.add(Said("peer is brought up", {"name": event.name, "what": str(event.what)}))
+        self.stragglers.supply(now, event.name, event.kind, event.content, data)
+        self._out.add(Said("peer is brought up", {"name": event.name, "what": str(event.kind)}))
 
     def _apply(self, now: float, event: Apply) -> None:
-        taken = event.what is Kind.BOXES and self._port.adopt_endpoint_list(now, event.data, event.content)
-        self._out.add(Said("brought up by a peer", {"what": str(event.what), "by": event.by, "taken": taken}))
+        taken = event.kind is Kind.BOXES and self._port.adopt_endpoint_list(now, event.data, event.content)
+        self._out.add(Said("brought up by a peer", {"what": str(event.kind), "by": event.by, "taken": taken}))
 
     def _shut_out(self) -> None:
         names = self.stragglers.shut_out()
--- a/tests/golden_peers.py
+++ b/tests/golden_peers.py
@@ -131,11 +131,11 @@
     "acts.block": peers.acts.block.Block,
     "acts.head": peers.acts.heads._Head,
     # Stragglers.
-    "late.part": peers.late.messages.Part,
-    "late.brought": peers.late.messages.Brought,
-    "late.against": peers.late.messages.Against,
+    "late.part": peers.late.messages.CatchUpData,
+    "late.brought": peers.late.messages.CatchUpDone,
+    "late.against": peers.late.messages.VoteEntry,
     "late.votes": peers.late.messages.Votes,
-    "late.seen": peers.late.messages.Seen,
+    "late.seen": peers.late.messages.EvidenceReport,
     # Values of facts.
     "fact.load": peers.peer.Load,
     "fact.keepers": peers.replacing._Set,
--- a/tests/peers_mutants/late.py
+++ b/tests/peers_mutants/late.py
@@ -36,7 +36,7 @@
 _add(
     ("lie",),
     "word believed over acts",
-    "track.py",
+    "content_track.py",
     "        if me in proofs:",
     "        if proofs:\n            return self.word\n        if me in proofs:",
     6,
@@ -44,7 +44,7 @@
 _add(
     ("deaf", "deaf"),
     "no hysteresis: let back as soon as it has caught up",
-    "against.py",
+    "vote_decision.py",
     "    over = clean and not peer.spells and now >= out_at + rules.stay_ms",
     "    over = not peer.spells",
     10,
@@ -61,7 +61,7 @@
 _add(
     ("slander",),
     "one witness is enough",
-    "track.py",
+    "content_track.py",
     "return best if seen.get(best, 0) >= 2 else self.word",
     "return best if seen.get(best, 0) >= 1 else self.word",
     10,
@@ -69,7 +69,7 @@
 _add(
     ("few",),
     "whoever holds something else than most is late, told later or not",
-    "judge.py",
+    "lag_detection.py",
     "        elif view.content != target and view.content not in ahead and target:",
     "        elif view.content != target:\n"
     "            split.add(view.name)\n        elif view.content != target:",
@@ -78,7 +78,7 @@
 _add(
     ("few",),
     "the highest epoch counts, however few have it",
-    "judge.py",
+    "lag_detection.py",
     "    target = epochs[max(_least(rules.epoch_share, len(epochs)), 1) - 1]",
     "    target = epochs[0]",
     6,
--- a/tests/test_peers_late.py
+++ b/tests/test_peers_late.py
@@ -14,7 +14,7 @@
 from bench.late_day import KINDS, Day, load
 from bench.late_faults import day
 from bench.late_model import Model
-from fernweir.peers.late.track import View
+from fernweir.peers.late.content_track import View
 from fernweir.rehearsal.explore import explore
 from tests.peers_mutants import Mutant, broken
 from tests.peers_mutants.late import DAYS, MUTANTS
@@ -53,7 +53,7 @@
     assert not fleet_day.broken, fleet_day.broken
     assert fleet_day.fronts["f4"].holds["boxes"] == fleet_day.number["boxes"]
     assert states(fleet_day, "f4") == {"current"} and not fleet_day.outs
-    assert everything(fleet_day, "BroughtUp")
+    assert everything(fleet_day, "CaughtUp")
 
 
 def test_who_cannot_be_brought_up_is_shut_out_and_comes_back() -> None:
@@ -69,7 +69,7 @@
     fleet_day.run(60_000.0)
     assert states(fleet_day, "f4") == {"current"} and late.refrains == "" and late.plea == b""
     assert not fleet_day.broken, fleet_day.broken
-    assert all(len(everything(fleet_day, kind)) == 5 for kind in ("ShutOut", "Back"))
+    assert all(len(everything(fleet_day, kind)) == 5 for kind in ("ShutOut", "Readmitted"))
 
 
 def test_a_drain_told_to_one_front_only_makes_nobody_late() -> None:
@@ -77,7 +77,7 @@
     before = fleet_day.number["boxes"]
     fleet_day.news("boxes", ["f3"], urgent=True)
     fleet_day.run(110_000.0)
-    assert not fleet_day.broken and not fleet_day.outs and not everything(fleet_day, "BringUp")
+    assert not fleet_day.broken and not fleet_day.outs and not everything(fleet_day, "CatchUp")
     # The drain is not undone, and all say that the news is odd.
     assert fleet_day.fronts["f3"].holds["boxes"] == before + 1
     assert all(front.suspects.keys() == {"boxes"} for front in fleet_day.fronts.values())
@@ -177,7 +177,7 @@
     fleet_day = fleet(6)
     fleet_day.news("settings", ["f1", "f2"])
     fleet_day.run(100_000.0)
-    assert not fleet_day.broken and not fleet_day.outs and not everything(fleet_day, "BringUp")
+    assert not fleet_day.broken and not fleet_day.outs and not everything(fleet_day, "CatchUp")
     assert all(front.suspects.keys() == {"settings"} for front in fleet_day.fronts.values())
     # Now half of them have it: it is in force, and the others are told by their peers.
     fleet_day.tell("f3", "settings", fleet_day.number["settings"])
@@ -231,8 +231,8 @@
         fleet_day.after(1_500.0, lambda name=name: fleet_day.refresh(name))
         fleet_day.run(9_000.0)
     fleet_day.run(30_000.0)
-    assert not fleet_day.broken and not everything(fleet_day, "BringUp") + everything(
-        fleet_day, "NewsSuspect"
+    assert not fleet_day.broken and not everything(fleet_day, "CatchUp") + everything(
+        fleet_day, "UpdateSuspect"
     )
     assert not fleet_day.outs
 
@@ -243,12 +243,12 @@
     lonely.side = 1
     fleet_day.disturbed()
     fleet_day.run(20_000.0)
-    lonely.machine.leases(fleet_day.time(lonely), False)
+    lonely.machine.set_holds_leases(fleet_day.time(lonely), False)
     fleet_day.run(50_000.0)
     assert lonely.refrains == "cut off"
     lonely.side = 0
     fleet_day.run(5_000.0)
-    lonely.machine.leases(fleet_day.time(lonely), True)
+    lonely.machine.set_holds_leases(fleet_day.time(lonely), True)
     fleet_day.run(2_000.0)
     assert lonely.refrains == "" and not fleet_day.broken
 
@@ -336,7 +336,7 @@
         views.append(view)
         if voice:
             voices.add(view.name)
-    judged = KIT.judge.judge(KIT.messages.Kind.BOXES, views, voices, KIT.rules.LateRules())
+    judged = KIT.lag_detection.detect_lag(KIT.messages.Kind.BOXES, views, voices, KIT.rules.LateRules())
     assert (set(judged.left), set(judged.split)) == slowly(views, voices)
 
 
@@ -364,7 +364,7 @@
     messages, kinds = KIT.messages, list(KIT.messages.Kind)
     machine = KIT.stragglers.Stragglers("f0", 7, KIT.rules.LateRules(), 0.0, ("f0", "f1", "f2"))
     names = [f"f{number}" for number in range(5)]
-    machine.fleet(0.0, dict.fromkeys(names, 7))
+    machine.set_fleet(0.0, dict.fromkeys(names, 7))
     said = Day(1, KIT, 1, 1)
     now = 0.0
     for _ in range(3_000):
@@ -374,17 +374,17 @@
         versions = msgspec.structs.replace(
             said.versions(said.fronts["f0"]), boxes=digest, epoch=dice.randrange(3)
         )
-        against = (messages.Against(name, 7, (dice.choice(kinds),)),)
+        against = (messages.VoteEntry(name, 7, (dice.choice(kinds),)),)
         # Of the keepers f1 alone is broken.
         machine.on_message(now, sender, dice.choice((
             messages.Votes(dice.randrange(9), float(dice.randrange(99)), against if sender != "f2" else ()),
-            messages.Seen(name, 7, versions, float(dice.randrange(600_000))),
-            messages.Part(7, dice.choice(kinds), digest, b"x" * 9),
-            messages.Brought(dice.choice(kinds), digest),
+            messages.EvidenceReport(name, 7, versions, float(dice.randrange(600_000))),
+            messages.CatchUpData(7, dice.choice(kinds), digest, b"x" * 9),
+            messages.CatchUpDone(dice.choice(kinds), digest),
         )))  # fmt: skip
         if dice.random() < 0.2:
-            machine.versions(now, dice.choice(["f3", "nobody"]), versions)
-        machine.evidence(now, dice.choice(names), versions, dice.choice((-1.0, 0.0, 1e9, 5_000.0)))
+            machine.on_versions(now, dice.choice(["f3", "nobody"]), versions)
+        machine.on_evidence(now, dice.choice(names), versions, dice.choice((-1.0, 0.0, 1e9, 5_000.0)))
         due = machine.next_deadline()
         if due is not None and due <= now:
             machine.tick(now)
@@ -395,6 +395,6 @@
     for peer in machine._table:
         for track in peer.tracks.values():
             assert len(track.left) <= 16 and len(track.marks) <= 8
-    machine.fleet(now, {"f0": 7})
+    machine.set_fleet(now, {"f0": 7})
     machine.tick(now + 1_000.0)
     assert set(machine.states()) == {"f0"}
