--- a/bench/late_faults.py
+++ b/bench/late_faults.py
@@ -1,192 +1,211 @@
-"""Drawn days of a fleet with stragglers, and what befalls it."""
+"""Random runs of a simulated fleet with stragglers, and the faults in them."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from random import Random
 
-from bench.late_day import KINDS, Day, Kit
+from bench.late_day import KINDS, Kit, Simulation
 
 
-def day(
+def random_run(
     seed: int, kit: Kit, span: float = 240_000.0, most: int = 4, faults: Sequence[str] = (), n: int = 0
-) -> Day:
-    """A drawn day: some faults, news all the while; with `faults` each of these once, in a fleet of `n`."""
-    dice = Random(f"day {seed}")
-    n = n or dice.choice((3, 5, 6, 9))
-    rules = kit.rules.LateRules(clean_ms=50_000.0) if "relieved" in faults else None
-    drawn = Day(seed, kit, n, 5 if n >= 9 else 3, dice.choice((0.0, 0.1, 0.25)), rules)
-    every = dice.choice((4_000.0, 15_000.0, 50_000.0))
+) -> Simulation:
+    """Returns a simulation after a run with random faults and updates.
+
+    With `faults` each of these happens once, in a fleet of `n` fronts.
+    """
+    rng = Random(f"day {seed}")
+    n = n or rng.choice((3, 5, 6, 9))
+    rules = kit.rules.LateRules(clean_ms=50_000.0) if "successive_stragglers" in faults else None
+    drawn = Simulation(seed, kit, n, 5 if n >= 9 else 3, rng.choice((0.0, 0.1, 0.25)), rules)
+    every = rng.choice((4_000.0, 15_000.0, 50_000.0))
 
     def more() -> None:
-        kind = dice.choices(KINDS, (8, 1, 1))[0]
-        drawn.news(kind, urgent=dice.random() < 0.5)
-        drawn.after(dice.expovariate(1.0 / every), more)
+        kind = rng.choices(KINDS, (8, 1, 1))[0]
+        drawn.release_update(kind, urgent=rng.random() < 0.5)
+        drawn.after(rng.expovariate(1.0 / every), more)
 
     drawn.after(8_000.0, more)
     named = [globals()[name] for name in faults]
-    for fault in named or dice.choices(FAULTS, k=dice.randint(1, most)):
-        drawn.after(dice.uniform(8_000.0, span * 0.6), lambda fault=fault: fault(drawn, dice))
+    for fault in named or rng.choices(FAULTS, k=rng.randint(1, most)):
+        drawn.after(rng.uniform(8_000.0, span * 0.6), lambda fault=fault: fault(drawn, rng))
     drawn.run(span)
     return drawn
 
 
-def _pick(day: Day, dice: Random, many: int = 1) -> list[str]:
-    return dice.sample(sorted(day.fronts), many)
+def _pick(simulation: Simulation, rng: Random, many: int = 1) -> list[str]:
+    return rng.sample(sorted(simulation.fronts), many)
 
 
-def deaf(day: Day, dice: Random) -> None:
-    (name,) = _pick(day, dice)
-    day.fronts[name].deaf, day.fronts[name].numb = True, dice.random() < 0.6
-    day.after(dice.uniform(500.0, 120_000.0), lambda: day.refresh(name))
+def missed_updates(simulation: Simulation, rng: Random) -> None:
+    (name,) = _pick(simulation, rng)
+    simulation.fronts[name].misses_updates, simulation.fronts[name].ignores_catch_up = (
+        True,
+        rng.random() < 0.6,
+    )
+    simulation.after(rng.uniform(500.0, 120_000.0), lambda: simulation.refresh(name))
 
 
-def many_deaf(day: Day, dice: Random) -> None:
-    names = _pick(day, dice, dice.randint(2, len(day.fronts) - 1))
-    span = dice.uniform(20_000.0, 100_000.0)
+def many_missed_updates(simulation: Simulation, rng: Random) -> None:
+    names = _pick(simulation, rng, rng.randint(2, len(simulation.fronts) - 1))
+    span = rng.uniform(20_000.0, 100_000.0)
     for name in names:
-        day.fronts[name].deaf = day.fronts[name].numb = True
-        day.after(span, lambda name=name: day.refresh(name))
+        simulation.fronts[name].misses_updates = simulation.fronts[name].ignores_catch_up = True
+        simulation.after(span, lambda name=name: simulation.refresh(name))
 
 
-def lie(day: Day, dice: Random) -> None:
-    (name,) = _pick(day, dice)
-    front = day.fronts[name]
-    front.deaf = front.numb = front.liar = True
-    day.say(front)
+def false_facts(simulation: Simulation, rng: Random) -> None:
+    (name,) = _pick(simulation, rng)
+    front = simulation.fronts[name]
+    front.misses_updates = front.ignores_catch_up = front.claims_newest = True
+    simulation.publish(front)
 
     def reform() -> None:
-        day.fronts[name].liar = False
-        day.refresh(name)
-        day.say(day.fronts[name])
+        simulation.fronts[name].claims_newest = False
+        simulation.refresh(name)
+        simulation.publish(simulation.fronts[name])
 
-    day.after(dice.uniform(95_000.0, 130_000.0), reform)
+    simulation.after(rng.uniform(95_000.0, 130_000.0), reform)
 
 
-def stand(day: Day, dice: Random) -> None:
-    day.stop(_pick(day, dice)[0], dice.uniform(500.0, 40_000.0))
+def suspension(simulation: Simulation, rng: Random) -> None:
+    simulation.stop(_pick(simulation, rng)[0], rng.uniform(500.0, 40_000.0))
 
 
-def restart(day: Day, dice: Random) -> None:
-    """Killed, and back with the list that it had once."""
-    (name,) = _pick(day, dice)
-    front = day.fronts[name]
+def restart(simulation: Simulation, rng: Random) -> None:
+    """Kills a front, which returns with an older list."""
+    (name,) = _pick(simulation, rng)
+    front = simulation.fronts[name]
     if not front.up:
         return
-    holds = {kind: max(1, number - dice.choice((0, 0, 1, 3))) for kind, number in front.holds.items()}
-    day.kill(name)
+    holds = {kind: max(1, number - rng.choice((0, 0, 1, 3))) for kind, number in front.holds.items()}
+    simulation.kill(name)
 
     def back() -> None:
-        day.start(name, holds)
-        if not day.fronts[name].deaf:
-            day.after(dice.uniform(100.0, 3_000.0), lambda: day.refresh(name))
+        simulation.start(name, holds)
+        if not simulation.fronts[name].misses_updates:
+            simulation.after(rng.uniform(100.0, 3_000.0), lambda: simulation.refresh(name))
 
-    day.after(dice.uniform(100.0, 10_000.0), back)
+    simulation.after(rng.uniform(100.0, 10_000.0), back)
 
 
-def halves(day: Day, dice: Random) -> None:
-    """Each half hears its own news; then the cut is gone, and each hears all news again later."""
-    names = _pick(day, dice, len(day.fronts) // 2)
+def partition(simulation: Simulation, rng: Random) -> None:
+    """Partitions the fleet into halves with different updates, and joins it again."""
+    names = _pick(simulation, rng, len(simulation.fronts) // 2)
     for name in names:
-        day.fronts[name].side = 1
-    day.disturbed()
-    day.news("boxes", names)
-    day.news("boxes", [name for name in day.fronts if name not in names])
+        simulation.fronts[name].partition = 1
+    simulation.on_disturbance()
+    simulation.release_update("boxes", names)
+    simulation.release_update("boxes", [name for name in simulation.fronts if name not in names])
 
     def join() -> None:
-        for front in day.fronts.values():
-            front.side = 0
-        day.disturbed()
+        for front in simulation.fronts.values():
+            front.partition = 0
+        simulation.on_disturbance()
 
-    day.after(dice.uniform(5_000.0, 40_000.0), join)
+    simulation.after(rng.uniform(5_000.0, 40_000.0), join)
 
 
-def few(day: Day, dice: Random) -> None:
-    """A drain, or an epoch, that one front alone is told."""
-    (name,) = _pick(day, dice)
-    kind = dice.choice(("boxes", "settings"))
-    day.news(kind, [name], urgent=True)
-    number = day.number[kind]
-    for other in sorted(day.fronts):
-        day.after(50_000.0, lambda other=other: day.tell(other, kind, number))
+def minority_update(simulation: Simulation, rng: Random) -> None:
+    """Delivers a drain, or an epoch, to one front only."""
+    (name,) = _pick(simulation, rng)
+    kind = rng.choice(("boxes", "settings"))
+    simulation.release_update(kind, [name], urgent=True)
+    number = simulation.newest[kind]
+    for other in sorted(simulation.fronts):
+        simulation.after(50_000.0, lambda other=other: simulation.deliver_update(other, kind, number))
 
 
-def unheard(day: Day, dice: Random) -> None:
-    """A keeper doesn't hear one front, which others do hear."""
-    keeper = dice.choice(day.keepers)
-    name = dice.choice([name for name in sorted(day.fronts) if name != keeper])
-    day.blocked.add((name, keeper))
+def blocked_link(simulation: Simulation, rng: Random) -> None:
+    """Blocks facts and messages from one front to a keeper."""
+    keeper = rng.choice(simulation.keepers)
+    name = rng.choice([name for name in sorted(simulation.fronts) if name != keeper])
+    simulation.blocked.add((name, keeper))
 
     def heal() -> None:
-        day.blocked.discard((name, keeper))
-        day.disturbed()
+        simulation.blocked.discard((name, keeper))
+        simulation.on_disturbance()
 
-    day.after(dice.uniform(60_000.0, 110_000.0), heal)
+    simulation.after(rng.uniform(60_000.0, 110_000.0), heal)
 
 
-def slander(day: Day, dice: Random) -> None:
-    """A front tells of another that it acts on the first list of all."""
-    name, of = _pick(day, dice, 2)
-    day.fronts[name].slanders = of
+def false_evidence(simulation: Simulation, rng: Random) -> None:
+    """Makes a front report that another one acts on the first list of all."""
+    name, of = _pick(simulation, rng, 2)
+    simulation.fronts[name].falsifies_evidence_of = of
 
 
-def relieved(day: Day, dice: Random) -> None:
-    """One front falls behind as another, which was shut out, has caught up."""
-    one, other = _pick(day, dice, 2)
-    day.fronts[one].deaf = day.fronts[one].numb = True
-    day.news("boxes")
+def successive_stragglers(simulation: Simulation, rng: Random) -> None:
+    """Makes one front fall behind when another, which was shut out, has caught up."""
+    one, other = _pick(simulation, rng, 2)
+    simulation.fronts[one].misses_updates = simulation.fronts[one].ignores_catch_up = True
+    simulation.release_update("boxes")
 
     def change() -> None:
-        day.refresh(one)
-        day.fronts[other].deaf = day.fronts[other].numb = True
-        day.news("boxes")
+        simulation.refresh(one)
+        simulation.fronts[other].misses_updates = simulation.fronts[other].ignores_catch_up = True
+        simulation.release_update("boxes")
 
-    day.after(62_000.0, change)
-    day.after(190_000.0, lambda: day.refresh(other))
+    simulation.after(62_000.0, change)
+    simulation.after(190_000.0, lambda: simulation.refresh(other))
 
 
-def asleep(day: Day, dice: Random) -> None:
-    """A front misses some news, and two keepers stand still before it has caught up."""
-    name, *keepers = dice.sample(sorted(day.keepers), 3)
-    day.fronts[name].deaf = day.fronts[name].numb = True
-    day.news("boxes")
+def suspended_keepers(simulation: Simulation, rng: Random) -> None:
+    """Suspends two keepers while a front has missed an update, before it has caught up."""
+    name, *keepers = rng.sample(sorted(simulation.keepers), 3)
+    simulation.fronts[name].misses_updates = simulation.fronts[name].ignores_catch_up = True
+    simulation.release_update("boxes")
 
     def sleep() -> None:
         for keeper in keepers:
-            day.stop(keeper, 60_000.0)
+            simulation.stop(keeper, 60_000.0)
 
-    slept = dice.uniform(3_000.0, 30_000.0)
-    day.after(slept, sleep)
-    day.after(slept + 1_000.0, lambda: day.refresh(name))
+    slept = rng.uniform(3_000.0, 30_000.0)
+    simulation.after(slept, sleep)
+    simulation.after(slept + 1_000.0, lambda: simulation.refresh(name))
 
 
-def reborn(day: Day, dice: Random) -> None:
-    """A front that is out is killed, and begins with what it had."""
-    (name,) = _pick(day, dice)
-    day.fronts[name].deaf = day.fronts[name].numb = True
-    day.news("boxes")
+def restarted_straggler(simulation: Simulation, rng: Random) -> None:
+    """Kills a front that is shut out, and starts it with the content that it had."""
+    (name,) = _pick(simulation, rng)
+    simulation.fronts[name].misses_updates = simulation.fronts[name].ignores_catch_up = True
+    simulation.release_update("boxes")
 
     def again() -> None:
-        if day.fronts[name].up:
-            holds = dict(day.fronts[name].holds)
-            day.kill(name)
-            day.start(name, holds)
+        if simulation.fronts[name].up:
+            holds = dict(simulation.fronts[name].holds)
+            simulation.kill(name)
+            simulation.start(name, holds)
 
-    day.after(70_000.0, again)
+    simulation.after(70_000.0, again)
 
 
-def orphaned(day: Day, dice: Random) -> None:
-    """A front is out, and the keepers that voted for that are killed."""
-    name = sorted(day.fronts)[-1]
-    day.fronts[name].deaf = day.fronts[name].numb = True
-    day.news("boxes")
+def killed_keepers(simulation: Simulation, rng: Random) -> None:
+    """Kills the keepers that voted to shut a front out."""
+    name = sorted(simulation.fronts)[-1]
+    simulation.fronts[name].misses_updates = simulation.fronts[name].ignores_catch_up = True
+    simulation.release_update("boxes")
 
     def die() -> None:
-        for keeper in day.keepers[:2]:
-            day.kill(keeper)
-        day.refresh(name)
-
-    day.after(60_000.0, die)
-
-
-FAULTS = (deaf, deaf, many_deaf, lie, stand, restart, halves, few, unheard, slander, relieved, asleep)
+        for keeper in simulation.keepers[:2]:
+            simulation.kill(keeper)
+        simulation.refresh(name)
+
+    simulation.after(60_000.0, die)
+
+
+FAULTS = (
+    missed_updates,
+    missed_updates,
+    many_missed_updates,
+    false_facts,
+    suspension,
+    restart,
+    partition,
+    minority_update,
+    blocked_link,
+    false_evidence,
+    successive_stragglers,
+    suspended_keepers,
+)
--- a/bench/late_model.py
+++ b/bench/late_model.py
@@ -1,10 +1,11 @@
-"""Stragglers explored in full: three fronts that are all keepers, with a bounded number of faults.
-
-Time goes by in turns of 1 ms, and the rules are a few turns long. In a turn at most one thing happens out of
-all that can (news told to some, a front that catches up, a message lost, doubled or late, a front that stops,
-wakes, begins anew or lies), then everybody hears what was said in the turn before, and looks. A front's state
-is kept with its times relative to now; those too old to matter are alike but for their order. So the states
-are finite and all are visited. What a machine does in a turn is worked out once for each state and inputs.
+"""Explores straggler detection completely, with three fronts that are keepers and a bounded number of faults.
+
+Time passes in turns of 1 ms, and the rules are a few turns long. In a turn at most one of all possible
+events happens (an update for some fronts, a front that catches up, a message that is lost, duplicated or
+delayed, a front that is suspended, resumed, restarted or publishes false facts), then all fronts receive
+the messages of the turn before, and evaluate. A front's state is stored with times relative to now; those
+too old to matter are equal except for their order. The states are therefore finite, and all are visited.
+What a machine does in a turn is computed once for each state and its inputs.
 """
 
 from __future__ import annotations
@@ -22,18 +23,19 @@
 
 FRONTS = ("f0", "f1", "f2")
 HORIZON = 14.0
-GRACE = 5  # turns until a vote that is under way has come
+GRACE = 5  # turns until a vote in flight has arrived
 CAP = 1
 KINDS = "lose late double stop restart lie"
 
 
 def rules(kit: Kit) -> Any:
-    """All in turns."""
+    """Returns the rules in turns."""
     return kit.rules.LateRules(
-        late_ms=2.0, urgent_ms=2.0, split_ms=4.0, try_ms=1.0, tries=2, again_ms=1_000.0, stay_ms=3.0,
-        clean_ms=2.0, clean_most_ms=4.0, forget_ms=1_000.0, vote_ms=3.0, say_ms=1.0, settle_ms=5.0,
-        act_lag_ms=1.0, act_age_ms=10.0, acts_keep_ms=4.0, seen_ms=1.0, few_ms=1_000.0, suspect_ms=3.0,
-        alone_ms=1_000.0, wait_ms=1.0, look_ms=1.0,
+        stale_ms=2.0, urgent_ms=2.0, split_ms=4.0, attempt_ms=1.0, attempts=2, retry_ms=1_000.0,
+        min_shut_out_ms=3.0, clean_ms=2.0, max_clean_ms=4.0, forget_ms=1_000.0, vote_ms=3.0,
+        vote_interval_ms=1.0, settle_ms=5.0, evidence_lag_ms=1.0, max_evidence_age_ms=10.0,
+        evidence_keep_ms=4.0, evidence_interval_ms=1.0, minority_ms=1_000.0, suspect_ms=3.0,
+        isolation_ms=1_000.0, wait_ms=1.0, evaluation_ms=1.0,
     )  # fmt: skip
 
 
@@ -41,25 +43,29 @@
 
 
 class Env(NamedTuple):
-    """What is true: of each front the list it holds, its life, for how many turns it stands still (0: it
-    runs), whether it lies, for how many turns it is truly behind (up to what shutting out takes), and for how
-    many it has been up to date, or just no more behind. `left`: news and faults that may still come."""
+    """The real state of the fleet.
+
+    For each front: the number of the list it has, its life, for how many turns it is suspended (0: it
+    runs), whether it publishes false facts, for how many turns it is really behind (up to what shutting out
+    takes), and for how many it has been up to date, or just no longer behind. `news` and `faults` are the
+    updates and faults that may still happen.
+    """
 
     holds: tuple[int, ...]
     lives: tuple[int, ...]
     still: tuple[int, ...]
     lies: tuple[bool, ...]
-    bad: tuple[int, ...]
-    good: tuple[int, ...]
+    behind_for: tuple[int, ...]
+    current_for: tuple[int, ...]
     news: int
     faults: int
-    way: tuple[tuple[int, int, int, Any], ...]  # turns to go, from, to, message
+    in_flight: tuple[tuple[int, int, int, Any], ...]  # turns to go, from, to, message
     backs: tuple[tuple[int, int, int], ...]  # turns ago, observer, who was let back
     shuts: tuple[tuple[int, int, int], ...]  # turns ago, observer, who was shut out
 
 
 class State(NamedTuple):
-    """`machines`: the number of each front's state; `wrong`: what the last turn broke."""
+    """`machines`: the number of each front's state; `wrong`: the violations of the last turn."""
 
     machines: tuple[int, ...]
     env: Env
@@ -90,7 +96,7 @@
         return number
 
     def turn(self, number: int, inputs: tuple[Any, ...]) -> tuple[int, tuple[Any, ...]]:
-        """The state after a turn in which this comes in, and what comes out."""
+        """Returns the state after a turn with these inputs, and the effects."""
         key = number, inputs
         done = self._done.get(key)
         if done is None:
@@ -142,19 +148,19 @@
             if env.lies[i]:
                 yield f"{i} lies no more", env._replace(lies=_set(env.lies, i, False))
         if env.faults:
-            yield from self._faults(env._replace(faults=env.faults - 1, good=(0, 0, 0)))
+            yield from self._faults(env._replace(faults=env.faults - 1, current_for=(0, 0, 0)))
 
     def _faults(self, env: Env) -> Iterator[tuple[str, Env]]:
         kinds = self.kinds
-        for number, item in enumerate(env.way):
-            rest = env.way[:number] + env.way[number + 1 :]
+        for number, item in enumerate(env.in_flight):
+            rest = env.in_flight[:number] + env.in_flight[number + 1 :]
             what = f"{type(item[3]).__name__} {item[1]} to {item[2]}"
             if "lose" in kinds:
-                yield f"lost: {what}", env._replace(way=rest)
+                yield f"lost: {what}", env._replace(in_flight=rest)
             if "late" in kinds and item[0] == 0:
-                yield f"late: {what}", env._replace(way=_sorted([*rest, (2, *item[1:])]))
+                yield f"late: {what}", env._replace(in_flight=_sorted([*rest, (2, *item[1:])]))
             if "double" in kinds and item[0] == 0:
-                yield f"doubled: {what}", env._replace(way=_sorted([*env.way, (2, *item[1:])]))
+                yield f"doubled: {what}", env._replace(in_flight=_sorted([*env.in_flight, (2, *item[1:])]))
         for i in range(3):
             if "stop" in kinds and not env.still[i]:
                 yield f"{i} stops", env._replace(still=_set(env.still, i, 1))
@@ -164,14 +170,14 @@
                 yield f"{i} begins anew", env._replace(lives=_set(env.lives, i, env.lives[i] + 1))
 
     def step(self, state: State, env: Env) -> State:
-        """Everybody's turn, after what was chosen."""
+        """Runs the turn of all fronts after a choice."""
         broken: list[str] = []
         top = max(env.holds)
         said = [versions(top if env.lies[i] else env.holds[i]) for i in range(3)]
         true = [versions(env.holds[i]) for i in range(3)]
         old, machines, events = state.env, list(state.machines), []
         sent: list[tuple[int, int, int, Any]] = [
-            (go - 1, a, b, _older(m)) for go, a, b, m in env.way if go > 0
+            (go - 1, a, b, _older(m)) for go, a, b, m in env.in_flight if go > 0
         ]
         for i in range(3):
             if env.still[i] > 0:
@@ -190,7 +196,7 @@
                 if FRONTS[j] not in outs or pleads:
                     inputs.append(("on_versions", FRONTS[j], said[j]))
                 inputs.append(("on_evidence", FRONTS[j], true[j]))
-            for go, a, b, message in env.way:
+            for go, a, b, message in env.in_flight:
                 if go == 0 and b == i and env.lives[a] == old.lives[a]:
                     inputs.append(("on_message", FRONTS[a], message))
             machines[i], out = self.turn(machines[i], tuple(inputs))
@@ -199,7 +205,7 @@
                     sent.append((0, i, FRONTS.index(effect.to), _older(effect.message)))
                 else:
                     events.append((i, effect))
-        # Who stands still keeps its state, but its times go on.
+        # A suspended front keeps its state, but its times continue.
         for i in range(3):
             if env.still[i] > 0:
                 machines[i] = self._aged(machines[i])
@@ -225,33 +231,35 @@
         broken: list[str],
     ) -> Env:
         most = 2 + 2  # late, and brought up
-        bad, good = list(env.bad), list(env.good)
+        behind_for, current_for = list(env.behind_for), list(env.current_for)
         top = max(env.holds)
         words = tuple(top if lies else held for lies, held in zip(env.lies, env.holds, strict=True))
         for i in range(3):
-            # A lie counts until acts prove it one.
+            # False facts count until actions disprove them.
             if behind(env.holds, i) or behind(words, i):
-                bad[i], good[i] = min(bad[i] + 1, most), 0
+                behind_for[i], current_for[i] = min(behind_for[i] + 1, most), 0
             elif env.still[i] > 0:
-                good[i] = 0
+                current_for[i] = 0
             else:
-                good[i] = min(good[i] + 1, BOUND + 1)
-                bad[i] = bad[i] if good[i] <= GRACE else 0
+                current_for[i] = min(current_for[i] + 1, BOUND + 1)
+                behind_for[i] = behind_for[i] if current_for[i] <= GRACE else 0
         backs = [(ago + 1, who, of) for ago, who, of in env.backs if ago < 2]
         shuts = [(ago + 1, who, of) for ago, who, of in env.shuts if ago < 2]
         names = self.kit.events
         for i, event in events:
             if isinstance(event, names.ShutOut):
                 j = FRONTS.index(event.name)
-                if bad[j] < most and not any(event.name in self._outs[number] for number in state.machines):
-                    broken.append(f"{i} shuts {j} out, behind for {bad[j]} turns")
+                if behind_for[j] < most and not any(
+                    event.name in self._outs[number] for number in state.machines
+                ):
+                    broken.append(f"{i} shuts {j} out, behind for {behind_for[j]} turns")
                 if any(who == i and of == j for _, who, of in backs):
                     broken.append(f"{j} is out at {i} again at once")
                 shuts.append((0, i, j))
             elif isinstance(event, names.Readmitted) and env.lives == state.env.lives and not any(env.still):
                 j = FRONTS.index(event.name)
                 backs.append((0, i, j))
-                # A vote may be lost, and all are taken back when the news is suspect.
+                # A vote may be lost, and all are withdrawn when the update is suspect.
                 calm = env.faults == self.faults and not any(self._suspect[number] for number in machines)
                 if calm and any(who == i and of == j for _, who, of in shuts):
                     broken.append(f"{j} is back at {i} at once")
@@ -260,14 +268,14 @@
         if len(out) > CAP:
             broken.append(f"{sorted(out)} are out at once")
         for name in out:
-            if good[FRONTS.index(name)] > BOUND:
+            if current_for[FRONTS.index(name)] > BOUND:
                 broken.append(f"{name} has been up to date for {BOUND} turns and is out")
         still = tuple(0 if turns < 0 else min(turns + 1, 7) if turns else 0 for turns in env.still)
         return env._replace(
             still=still,
-            bad=tuple(bad),
-            good=tuple(good),
-            way=_sorted(sent),
+            behind_for=tuple(behind_for),
+            current_for=tuple(current_for),
+            in_flight=_sorted(sent),
             backs=tuple(sorted(backs)),
             shuts=tuple(sorted(shuts)),
         )
@@ -289,12 +297,12 @@
 
     @property
     def locals(self) -> int:
-        """States of one front's machine that were met."""
+        """The number of states of one front's machine that were met."""
         return len(self._pickles)
 
 
 class _Map(dict[str, int]):
-    """Lives of fronts, as part of a key."""
+    """Lives of fronts, hashable as a part of a key."""
 
     def __hash__(self) -> int:  # type: ignore[override]
         return hash(tuple(sorted(self.items())))
@@ -305,13 +313,13 @@
 
 
 def behind(holds: tuple[int, ...], i: int) -> bool:
-    """In truth: both others hold newer lists, or one that this one has not."""
+    """Whether both others really have newer lists, or one that this front has not."""
     others = [held for j, held in enumerate(holds) if j != i]
     return all(held > holds[i] for held in others)
 
 
 def _older(message: Any) -> Any:
-    """As seen a turn later."""
+    """Returns the message as it is one turn later."""
     return msgspec.structs.replace(message, at=message.at - 1.0) if hasattr(message, "at") else message
 
 
@@ -319,8 +327,8 @@
     return (*values[:i], value, *values[i + 1 :])
 
 
-def _sorted(way: list[Any]) -> tuple[Any, ...]:
-    return tuple(sorted(way, key=lambda item: (item[:3], repr(item[3]))))
+def _sorted(in_flight: list[Any]) -> tuple[Any, ...]:
+    return tuple(sorted(in_flight, key=lambda item: (item[:3], repr(item[3]))))
 
 
 # --- the state of a machine, with times relative to now ---
@@ -357,21 +365,22 @@
     return tuple((name, freeze(each, given)) for name, each in _parts(value))
 
 
-# After how many turns an age of it makes no difference any more; of what is not named, 6.
+# After how many turns an age makes no difference any more; 6 for fields that are not listed.
 AGES = {
-    "Ballots._say_at": 0.0, "Ballots._quiet_at": 0.0, "Ballots._settling": 0.0, "Ballots.since": 5.0,
-    "Vote.at": 3.0, "Vote.out_at": 3.0, "_Heard.at": 3.0, "Spell.since": 4.0, "Spell.left": 2.0,
-    "Peer.late_at": 2.0, "Peer.clean_at": 4.0, "Peer.out_at": 0.0, "Peer.proved_at": 4.0, "Peer.seen_at": 1.0,
-    "Mark.first": 5.0, "Mark.last": 5.0, "Suspects._until": 0.0, "Suspects._few_at": 0.0,
-    "Stragglers._taking": 0.0, "Stragglers._most_at": 0.0, "Stragglers._looked_at": 5.0,
-    "Stragglers._look_at": 0.0, "Stragglers._urgent_at": 0.0,
+    "Ballots._send_at": 0.0, "Ballots._quiet_until": 0.0, "Ballots._reserved_until": 0.0,
+    "Ballots.started_at": 5.0, "Vote.at": 3.0, "Vote.shut_out_at": 3.0, "_KeeperVotes.received_at": 3.0,
+    "Lag.since": 4.0, "Lag.passed_at": 2.0, "Peer.stale_at": 2.0, "Peer.clean_at": 4.0,
+    "Peer.shut_out_at": 0.0, "Peer.proved_at": 4.0, "Peer.reported_at": 1.0, "Evidence.first": 5.0,
+    "Evidence.last": 5.0, "Suspects._until": 0.0, "Suspects._minority_at": 0.0,
+    "Stragglers._applying": 0.0, "Stragglers._peak_until": 0.0, "Stragglers._evaluated_at": 5.0,
+    "Stragglers._evaluate_at": 0.0, "Stragglers._urgent_at": 0.0,
 }  # fmt: skip
-OLD = 2.0  # of what a front holds and held the order counts, too, when it is older than this
+OLD = 2.0  # the order of contents counts, too, when they are older than this
 _TRACK = ("Track.since", "Track.left")
 
 
 def shift(machine: Any, by: float, given: Any) -> None:
-    """All times are so much earlier; those that are older than makes a difference are alike."""
+    """Makes all times earlier; those too old to make a difference become equal."""
     old: set[float] = set()
 
     def earlier(at: float, of: str) -> float:
@@ -388,7 +397,7 @@
 
 
 def _times(value: Any, given: Any, of: str, change: Any) -> Any:
-    """Puts `change` of each float in its place, in all that the value holds. Gives the value to keep."""
+    """Replaces each float in a value by `change` of it, and returns the value to store."""
     if isinstance(value, float):
         return change(value, of)
     if _plain(value) or value is given or isinstance(value, frozenset | set):
--- a/fernweir/peers/late/__init__.py
+++ b/fernweir/peers/late/__init__.py
@@ -1,1 +1,1 @@
-"""Stragglers: which front is behind the fleet, who brings it up, when it is shut out and comes back."""
+"""Straggler detection: which fronts are stale, who updates them, and when they are shut out."""
--- a/fernweir/peers/late/events.py
+++ b/fernweir/peers/late/events.py
@@ -1,4 +1,4 @@
-"""What the stragglers' machine tells whoever drives it, and the states of a front."""
+"""Events of straggler detection, and the states of a front."""
 
 from __future__ import annotations
 
@@ -10,16 +10,18 @@
 
 
 class State(StrEnum):
+    """The state of a front."""
+
     CURRENT = "current"
-    LATE = "late"
-    BRINGING = "being brought up"
-    OUT = "shut out"
-    COMING = "coming back"  # up to date again, and still treated as shut out
+    STALE = "late"
+    CATCHING_UP = "being brought up"
+    SHUT_OUT = "shut out"
+    RETURNING = "coming back"  # up to date again, but still treated as shut out
 
 
 @dataclass(frozen=True, slots=True)
 class CatchUp(Event):
-    """This front is to give a late one what it lacks: answer by `Stragglers.supply`."""
+    """This front must send a stale one the content that it lacks, with `Stragglers.supply`."""
 
     name: str
     kind: Kind
@@ -28,7 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CaughtUp(Event):
-    """A late front says that it took what this one gave it. Its facts and acts show whether that is so."""
+    """A stale front reports that it applied what this one sent.
+
+    Its facts and actions show whether that is so.
+    """
 
     name: str
     kind: Kind
@@ -37,10 +42,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Apply(Event):
-    """This front is behind, and here is what it lacks. What of it is taken shows in its own versions.
+    """This front is behind and has received the content that it lacks.
 
-    `data` must be checked against `content` before it is used. For settings and keys it is empty: read the
-    files again. What was told here later by the front's own source is not to be undone.
+    `data` must be checked against `content` before it is used. For settings and keys it is empty, and the
+    files must be read again. Whatever is applied shows in this front's own versions. Later updates of the
+    front's own source must not be undone.
     """
 
     kind: Kind
@@ -51,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutOut(Event):
-    """From now on: no leases, no facts but `late.plea`, no part in the choice of heirs."""
+    """A front is shut out: it gets no leases, is no successor, and only its fact `late.plea` is accepted."""
 
     name: str
     reason: str
@@ -59,14 +65,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Readmitted(Event):
-    """No longer shut out."""
+    """A front is no longer shut out."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class UpdateSuspect(Event):
-    """Not the fronts but the news may be wrong: nobody is shut out for it. An empty `why`: no longer."""
+    """An update may be wrong, rather than the fronts without it: no front is shut out for it.
+
+    An empty `reason` ends this.
+    """
 
     kind: Kind
     reason: str
@@ -74,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BlockSessions(Event):
-    """This front takes no new session, refusing with that wait; an empty `why` ends it."""
+    """This front must accept no new session, with this wait for viewers; an empty `reason` ends it."""
 
     reason: str
     wait_ms: float
@@ -82,6 +91,6 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReadmission(Event):
-    """What the fact `late.plea` is to be from now on; empty: it is dropped."""
+    """The new value of this front's fact `late.plea`; if it is empty the fact is dropped."""
 
     data: bytes
--- a/fernweir/peers/late/lag_detection.py
+++ b/fernweir/peers/late/lag_detection.py
@@ -1,10 +1,11 @@
-"""Who is behind in what, from what all fronts are taken to hold. Pure functions, no bookkeeping.
-
-Contents have no numbers that count between fronts, so what is newer is seen from who moved: a front is behind
-another that came to what it holds later, as this observer saw it, or that has left what the front began
-its life with. A front that alone has just been told something is ahead, not behind. Settings have the
-operator's epoch. Two contents that nobody was seen to move between, as after a cut, are a split: the one that
-more hold stands, of two the higher digest, so that all fronts choose alike.
+"""Determines which fronts are behind, from the contents that all fronts seem to have. Pure functions.
+
+Contents have no numbers that are comparable between fronts, so observed changes show what is newer: a front
+is behind another that changed to its content later, as this observer saw it, or that has left the content
+with which the front began its life. A front that alone has just received an update is ahead, not behind.
+Settings have the operator's epoch. Two contents between which no change was observed, as after a partition,
+are a split: the one that more fronts have is valid, of equals the one with the higher digest, so that all
+fronts choose the same.
 """
 
 from __future__ import annotations
@@ -22,66 +23,69 @@
 
 @dataclass(frozen=True, slots=True)
 class Judged:
-    """`target`: what the fleet holds. `left`: those that almost all left behind; `split`: those that stand
-    on something else. `few`: why the news itself is odd, or ""."""
+    """The result for one kind.
+
+    `target`: the content of the fleet. `left`: the fronts that almost all others have passed. `split`:
+    those with another content after a split. `minority`: why the update itself is unusual, or "".
+    """
 
     target: bytes
     left: frozenset[str]
     split: frozenset[str]
-    few: str = ""
+    minority: str = ""
 
 
 def detect_lag(kind: Kind, views: Sequence[View], voices: AbstractSet[str], rules: LateRules) -> Judged:
-    """Of all `views`; only what `voices` hold counts for what the fleet holds."""
-    heard = [view for view in views if view.name in voices]
+    """Returns which of all `views` are behind; only those of `voices` determine the content of the fleet."""
+    counted = [view for view in views if view.name in voices]
     if kind is Kind.SETTINGS:
-        return _by_epoch(views, heard, rules)
-    return _by_moves(views, heard, voices, rules)
+        return _by_epoch(views, counted, rules)
+    return _by_moves(views, counted, voices, rules)
 
 
-def _by_epoch(views: Sequence[View], heard: Sequence[View], rules: LateRules) -> Judged:
-    epochs = sorted((view.content for view in heard), reverse=True)
+def _by_epoch(views: Sequence[View], counted: Sequence[View], rules: LateRules) -> Judged:
+    epochs = sorted((view.content for view in counted), reverse=True)
     if not epochs:
         return Judged(b"", frozenset(), frozenset())
-    # The highest that enough hold: so many hold it or a higher one.
-    target = epochs[max(_least(rules.epoch_share, len(epochs)), 1) - 1]
+    # The highest epoch that enough fronts have, or a higher one.
+    target = epochs[max(_min_count(rules.epoch_ratio, len(epochs)), 1) - 1]
     left = frozenset(view.name for view in views if view.content < target)
     ahead = sum(epoch > target for epoch in epochs)
-    few = f"a higher epoch at {ahead} of {len(epochs)} fronts" if ahead else ""
-    return Judged(target, left, frozenset(), few)
+    minority = f"a higher epoch at {ahead} of {len(epochs)} fronts" if ahead else ""
+    return Judged(target, left, frozenset(), minority)
 
 
 def _by_moves(
-    views: Sequence[View], heard: Sequence[View], voices: AbstractSet[str], rules: LateRules
+    views: Sequence[View], counted: Sequence[View], voices: AbstractSet[str], rules: LateRules
 ) -> Judged:
-    counts = Counter(view.content for view in heard if view.content)
+    counts = Counter(view.content for view in counted if view.content)
     target = max(counts, key=lambda content: (counts[content], content), default=b"")
     if all(view.content == target for view in views):
         return Judged(target, frozenset(), frozenset())
     groups: dict[bytes, _Group] = {}
-    for view in heard:
+    for view in counted:
         groups.setdefault(view.content, _Group()).add(view)
     for group in groups.values():
         group.moves.sort()
-    ahead = _ahead(target, heard)
+    ahead = _ahead(target, counted)
     left, split = set(), set()
     for view in views:
-        others = len(heard) - (view.name in voices)
+        others = len(counted) - (view.name in voices)
         passed = sum(_passed(view, content, group) for content, group in groups.items())
-        if others and passed >= _least(rules.left_share, others):
+        if others and passed >= _min_count(rules.passed_ratio, others):
             left.add(view.name)
         elif view.content != target and view.content not in ahead and target:
-            # Who came to something else later than most of them came to this is ahead, too.
+            # A front that changed to another content after most of them changed to this is ahead, too.
             split.update([view.name] if 2 * _behind(view, groups[target]) < counts[target] else [])
-    rest = len(heard) - counts.get(target, 0)
-    few = ""
+    rest = len(counted) - counts.get(target, 0)
+    minority = ""
     if rest and not left and not split:
-        few = f"told to {rest} of {len(heard)} fronts only"
-    return Judged(target, frozenset(left), frozenset(split), few)
+        minority = f"told to {rest} of {len(counted)} fronts only"
+    return Judged(target, frozenset(left), frozenset(split), minority)
 
 
 class _Group:
-    """Those that hold one content; `moves`: when each that was seen to come to it did."""
+    """The fronts with one content. `moves`: when each observed change to it happened."""
 
     __slots__ = ("members", "moves")
 
@@ -96,7 +100,7 @@
 
 
 def _passed(view: View, content: bytes, group: _Group) -> int:
-    """How many of a group are further than this front."""
+    """Returns how many fronts of a group are ahead of this one."""
     if content == view.content or not content:
         return 0
     if not view.content:
@@ -111,18 +115,18 @@
 
 
 def _behind(view: View, group: _Group) -> int:
-    """How many of a group this front is further than."""
+    """Returns how many fronts of a group are behind this one."""
     if not view.moved:
         return 0
     return sum(other.since < view.since for other in group.members)
 
 
-def _ahead(target: bytes, heard: Sequence[View]) -> set[bytes]:
-    """Contents to which somebody was seen to move on from what most hold, and nobody the other way."""
-    ahead = {view.content for view in heard if view.moved and target in view.left}
-    return ahead.difference(*(view.left for view in heard if view.content == target))
+def _ahead(target: bytes, counted: Sequence[View]) -> set[bytes]:
+    """Returns contents to which fronts were seen to change from the target, and none the other way."""
+    ahead = {view.content for view in counted if view.moved and target in view.left}
+    return ahead.difference(*(view.left for view in counted if view.content == target))
 
 
-def _least(share: float, of: int) -> int:
-    """The least whole number that is this share of so many, whatever is lost in the last digits."""
+def _min_count(share: float, of: int) -> int:
+    """Returns the lowest whole number that is this share of `of`, despite rounding errors."""
     return -int(-(share * of - 1e-9) // 1)
--- a/fernweir/peers/late/messages.py
+++ b/fernweir/peers/late/messages.py
@@ -1,4 +1,4 @@
-"""What fronts say to one another about who is behind."""
+"""Messages between fronts about stragglers."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from fernweir.peers.acts.versions import Versions
 from fernweir.peers.base import Message
 
-DATA_MOST = 900_000  # bytes of a part, so that it fits one frame
-NAMES_MOST = 64
+MAX_DATA_BYTES = 900_000  # of one message, which must fit into a frame
+MAX_NAMES = 64
 EPOCH_BYTES = 8
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
@@ -21,7 +21,7 @@
 
 
 class Kind(StrEnum):
-    """What a front may be behind in. The program and the format of messages make nobody late."""
+    """What a front may be behind in. Its program and message format never make it stale."""
 
     BOXES = "boxes"
     SETTINGS = "settings"
@@ -29,30 +29,33 @@
 
 
 def content_of(versions: Versions, kind: Kind) -> bytes:
-    """What tells one state from another: a digest, or the epoch in 8 bytes, big endian; b"" for none yet."""
+    """Returns the digest of a kind, or the epoch in 8 bytes, big endian; b"" if there is none."""
     if kind is Kind.SETTINGS:
         return versions.epoch.to_bytes(EPOCH_BYTES, "big")
     return versions.boxes if kind is Kind.BOXES else versions.keys
 
 
 class CatchUpData(Message, frozen=True, array_like=True, tag="late.part"):
-    """What the receiver lacks. `data` is the joiner's own format; empty for notices of settings and keys."""
+    """The content that the receiver lacks.
+
+    `data` has the format of the caller; it is empty for notices of settings and keys.
+    """
 
     life: Life  # of the receiver
     kind: Kind
     content: Content
-    data: Annotated[bytes, Meta(max_length=DATA_MOST)] = b""
+    data: Annotated[bytes, Meta(max_length=MAX_DATA_BYTES)] = b""
 
 
 class CatchUpDone(Message, frozen=True, array_like=True, tag="late.brought"):
-    """To who sent a part: this is what the front has now."""
+    """Reports to the sender of `CatchUpData` which content the front has now."""
 
     kind: Kind
     content: Content
 
 
 class VoteEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One front, in one life, and what it is behind in."""
+    """A vote against one front in one life, with the kinds that it is behind in."""
 
     name: Name
     life: Life
@@ -60,15 +63,15 @@
 
 
 class Votes(Message, frozen=True, array_like=True, tag="late.votes"):
-    """All whom a keeper votes against now. The latest by (life, at) counts, whatever comes later."""
+    """All current votes of a keeper. The latest by (life, at) counts, in whatever order they arrive."""
 
     life: Life  # of the keeper
-    at: Annotated[float, Meta(ge=-1e15, le=1e15)]  # ms of the keeper's own clock
-    against: Annotated[tuple[VoteEntry, ...], Meta(max_length=NAMES_MOST)]
+    at: Annotated[float, Meta(ge=-1e15, le=1e15)]  # ms by the keeper's clock
+    against: Annotated[tuple[VoteEntry, ...], Meta(max_length=MAX_NAMES)]
 
 
 class EvidenceReport(Message, frozen=True, array_like=True, tag="late.seen"):
-    """To keepers: a front whose acts contradict its word acted on this, at most `age_ms` ago."""
+    """Reports to keepers what a front whose actions contradict its facts acted on, at most `age_ms` ago."""
 
     name: Name
     life: Life
--- a/fernweir/peers/late/stragglers.py
+++ b/fernweir/peers/late/stragglers.py
@@ -1,8 +1,9 @@
-"""Stragglers: current, late, being brought up, shut out, coming back; each front as every front sees it.
+"""The state machine of straggler detection, which has a state for each front of the fleet.
 
-A front that is late is brought up by a peer that holds what it lacks. If that fails in `bring_ms` keepers
-vote to shut it out; it is out while a majority of them says so. A front that is out says by the
-fact `late.plea` what it holds, and is let back when that has been up to date for long enough.
+A stale front is updated by a peer that has the content that it lacks. If that fails within `catch_up_ms`,
+keepers vote to shut it out; it is shut out while a majority of them does so. A front that is shut out
+publishes its contents in the fact `late.plea`, and is readmitted when these have been up to date for long
+enough.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 from fernweir.peers.acts.versions import Versions
 from fernweir.peers.base import Effect, Message, Outbox, Send
-from fernweir.peers.late.catch_up import attempt, bringer, takes
+from fernweir.peers.late.catch_up import accepts, attempt_number, choose_helper
 from fernweir.peers.late.content_track import View
 from fernweir.peers.late.events import (
     Apply,
@@ -27,7 +28,7 @@
 )
 from fernweir.peers.late.lag_detection import Judged, detect_lag
 from fernweir.peers.late.messages import (
-    DATA_MOST,
+    MAX_DATA_BYTES,
     CatchUpData,
     CatchUpDone,
     EvidenceReport,
@@ -35,322 +36,344 @@
     Votes,
     content_of,
 )
-from fernweir.peers.late.peers import Peer, Table
-from fernweir.peers.late.rules import LateRules, cap, places
+from fernweir.peers.late.peers import Peer, PeerTable
+from fernweir.peers.late.rules import LateRules, max_shut_out, places
 from fernweir.peers.late.suspects import Suspects
-from fernweir.peers.late.vote_decision import against, failed, order
+from fernweir.peers.late.vote_decision import failed, order, vote_kinds
 from fernweir.peers.late.votes import Ballots, Tally, Vote
 
 
 class Stragglers:
-    """`life` orders a keeper's lives and their votes; `keepers` decide who is shut out."""
+    """The state machine. `life` orders the votes of a keeper; `keepers` decide who is shut out."""
 
     def __init__(self, me: str, life: int, rules: LateRules, now: float, keepers: Iterable[str]) -> None:
         self.me, self.life, self.rules = me, life, rules
         self._out = Outbox()
-        self._table = Table(me, life, rules)
+        self._table = PeerTable(me, life, rules)
         self._tally = Tally(frozenset(keepers), rules)
         self._ballots = Ballots(me, life, rules, now)
         self._suspects = Suspects(rules, self._out)
         self._judged: dict[Kind, Judged] = {}
         self._versions: Versions | None = None
         self._urgent_at = float("-inf")
-        self._taking: dict[Kind, tuple[str, float]] = {}  # from whom a part is being applied, until when
+        self._applying: dict[Kind, tuple[str, float]] = {}  # the peer whose data is being applied, until when
         self._size = 1
-        self._most, self._most_at = 1, now  # fronts there were, and until when
+        self._peak_size, self._peak_until = 1, now  # largest size of the fleet, and when it last had it
         self._alone_at: float | None = None
         self._leaseless_at: float | None = None
-        self._refrains = ""
-        self._pleaded = b""
-        self._look_at: float | None = None
-        self._looked_at = now
+        self._block_reason = ""
+        self._request_data = b""
+        self._evaluate_at: float | None = None
+        self._evaluated_at = now
         self._quiet = True
 
-    # --- what the front knows ---
+    # --- observations ---
 
     def set_fleet(self, now: float, lives: Mapping[str, int]) -> None:
-        """All fronts believed alive, in which life; what is known of others is dropped."""
+        """Sets all fronts that are alive, with their lives; the state of others is dropped."""
         peers = self._table.peers
         before = {}
         for name in [name for name in peers if name != self.me and lives.get(name) != peers[name].life]:
-            gone = peers.pop(name)
-            before[name] = gone.tracks
-            if gone.out:
+            removed = peers.pop(name)
+            before[name] = removed.tracks
+            if removed.is_shut_out:
                 self._out.add(Readmitted(name))
         self.life = self._ballots.life = peers[self.me].life = lives.get(self.me, self.life)
         for name, life in lives.items():
             if name not in peers:
                 peers[name] = Peer(name, life, before=before.get(name, {}))
-        if self._size >= self._most or now > self._most_at + self.rules.alone_ms:
-            self._most, self._most_at = self._size, now
+        if self._size >= self._peak_size or now > self._peak_until + self.rules.isolation_ms:
+            self._peak_size, self._peak_until = self._size, now
         self._size = len(peers)
         self._alone_at = None if len(peers) > 1 else now if self._alone_at is None else self._alone_at
-        self._soon(now)
+        self._schedule(now)
 
     def set_keepers(self, now: float, keepers: Iterable[str]) -> None:
-        """These decide from now on. Votes under the former ones are given up first."""
+        """Sets the keepers that decide from now on. Votes under the previous ones are withdrawn first."""
         named = frozenset(keepers)
         if named == self._tally.keepers:
             return
-        self._tally.change(named)
-        self._ballots.keep(now, {})
-        self._ballots.since = now
-        self._soon(now)
+        self._tally.set_keepers(named)
+        self._ballots.retain(now, {})
+        self._ballots.started_at = now
+        self._schedule(now)
 
     def on_versions(self, now: float, name: str, versions: Versions, urgent: bool = False) -> None:
-        """What a front says that it holds, by its fact, or its plea; or what this one holds.
+        """Handles the contents of a front, from its facts or its request for readmission, or of this front.
 
-        `urgent`, of this front only: since the former list boxes drain, or are gone.
+        `urgent`, only for this front: since the previous endpoint list servers drain, or were removed.
         """
         peer = self._table.get(name)
         if peer is None:
             return
-        new = peer.said(now, versions)
+        new = peer.on_versions(now, versions)
         if name == self.me:
             self._versions = versions
             if urgent:
                 self._urgent_at = now
-            for kind in new & self._taking.keys():
-                by, _ = self._taking.pop(kind)
+            for kind in new & self._applying.keys():
+                by, _ = self._applying.pop(kind)
                 self._out.add(Send(by, CatchUpDone(kind, content_of(versions, kind))))
         if new:
-            self._soon(now)
+            self._schedule(now)
 
     def on_evidence(self, now: float, name: str, versions: Versions, age_ms: float = 0.0) -> None:
-        """An act of a front, at most so old, rested on these versions: seen in its record, or at a box."""
+        """Handles an action with these versions, at most this old, from a front's record or from a server."""
         peer = self._table.get(name)
-        if peer is None or name == self.me or not 0.0 <= age_ms <= self.rules.act_age_ms:
+        if peer is None or name == self.me or not 0.0 <= age_ms <= self.rules.max_evidence_age_ms:
             return
-        if peer.acted(now, self.me, versions, now - age_ms, self.rules):
+        if peer.on_evidence(now, self.me, versions, now - age_ms, self.rules):
             peer.proved_at = now
-            self._soon(now)
-        # For a while keepers are told of all its acts, so that they also hear when these agree again.
-        proved = peer.proved_at is not None and now < peer.proved_at + self.rules.acts_keep_ms
-        if proved and (peer.seen_at is None or now >= peer.seen_at + self.rules.seen_ms):
-            peer.seen_at = now
+            self._schedule(now)
+        # Keepers get all its actions for a while, so that they learn when these agree with its facts again.
+        proved = peer.proved_at is not None and now < peer.proved_at + self.rules.evidence_keep_ms
+        if proved and (peer.reported_at is None or now >= peer.reported_at + self.rules.evidence_interval_ms):
+            peer.reported_at = now
             for keeper in sorted(self._tally.keepers):
                 if keeper not in (self.me, name):
                     self._out.add(Send(keeper, EvidenceReport(name, peer.life, versions, age_ms)))
 
     def set_holds_leases(self, now: float, held: bool) -> None:
-        """Whether this front holds any lease."""
+        """Sets whether this front holds any lease."""
         self._leaseless_at = None if held else now if self._leaseless_at is None else self._leaseless_at
-        self._soon(now)
+        self._schedule(now)
 
-    def supply(self, now: float, name: str, what: Kind, content: bytes, data: bytes = b"") -> bool:
-        """The answer to `CatchUp`. False if it is not wanted any more, or too much for one frame."""
+    def supply(self, now: float, name: str, kind: Kind, content: bytes, data: bytes = b"") -> bool:
+        """Sends the data for a `CatchUp`.
+
+        Returns False if it is no longer needed, or too large for a frame.
+        """
         peer = self._table.get(name)
-        if peer is None or what not in peer.late or len(data) > DATA_MOST:
+        if peer is None or kind not in peer.stale or len(data) > MAX_DATA_BYTES:
             return False
-        peer.given[what] = content
-        self._out.add(Send(name, CatchUpData(peer.life, what, content, data), reliable=True))
+        peer.supplied[kind] = content
+        self._out.add(Send(name, CatchUpData(peer.life, kind, content, data), reliable=True))
         return True
 
-    # --- what others ask ---
+    # --- results ---
 
     def state(self, name: str) -> State | None:
+        """Returns the state of a front, or None."""
         peer = self._table.get(name)
         return None if peer is None else peer.state
 
     def states(self) -> dict[str, State]:
+        """Returns the states of all fronts."""
         return {peer.name: peer.state for peer in self._table}
 
     def shut_out(self) -> frozenset[str]:
-        """For `lease.Keeper.shut_out`, `Facts.restrict_owners`, and the choice of heirs."""
-        return frozenset(peer.name for peer in self._table if peer.out)
+        """Returns the fronts that get no leases, whose facts are restricted, and that are no successors."""
+        return frozenset(peer.name for peer in self._table if peer.is_shut_out)
 
     def suspects(self) -> dict[Kind, str]:
-        return dict(self._suspects.why)
+        """Returns the kinds whose updates are suspect, with the reasons."""
+        return dict(self._suspects.reasons)
 
-    # --- the part ---
+    # --- base.Part ---
 
     def on_message(self, now: float, sender: str, message: Message) -> None:
+        """Handles a message of one of `KINDS`; those from unknown fronts are ignored."""
         if sender not in self._table.peers:
             return
         match message:
             case Votes():
-                self._tally.heard(now, sender, message)
-                self._soon(now)
+                self._tally.on_votes(now, sender, message)
+                self._schedule(now)
             case CatchUpData():
-                self._part(now, sender, message)
+                self._on_catch_up_data(now, sender, message)
             case EvidenceReport():
-                self._seen(now, sender, message)
+                self._on_evidence_report(now, sender, message)
             case CatchUpDone():
-                self._brought(sender, message)
+                self._on_catch_up_done(sender, message)
 
     def tick(self, now: float) -> None:
-        if self._look_at is None or now < self._look_at:
+        """Evaluates all fronts if that is due."""
+        if self._evaluate_at is None or now < self._evaluate_at:
             return
-        self._look_at = None
-        self._look(now)
+        self._evaluate_at = None
+        self._evaluate(now)
         if not self._quiet:
-            self._look_at = now + self.rules.look_ms
+            self._evaluate_at = now + self.rules.evaluation_ms
 
     def next_deadline(self) -> float | None:
-        return self._look_at
+        """Returns the latest time for the next `tick`, or None."""
+        return self._evaluate_at
 
     def take_effects(self) -> list[Effect]:
+        """Returns all effects since the last call and removes them."""
         return self._out.take_effects()
 
-    # --- pieces ---
+    # --- internals ---
 
-    def _soon(self, now: float) -> None:
-        """Looks at it at the next turn: what comes in a burst is looked at once."""
-        at = now if self._quiet else now + self.rules.look_ms
-        self._look_at = at if self._look_at is None else min(self._look_at, at)
+    def _schedule(self, now: float) -> None:
+        """Schedules the next evaluation, so that a burst of events is evaluated once."""
+        at = now if self._quiet else now + self.rules.evaluation_ms
+        self._evaluate_at = at if self._evaluate_at is None else min(self._evaluate_at, at)
 
-    def _look(self, now: float) -> None:
+    def _evaluate(self, now: float) -> None:
         table, rules = self._table, self.rules
-        if not self._quiet and now > self._looked_at + 4 * rules.look_ms:
-            self._stood(now, now - self._looked_at)
-        self._looked_at = now
+        if not self._quiet and now > self._evaluated_at + 4 * rules.evaluation_ms:
+            self._on_suspended(now, now - self._evaluated_at)
+        self._evaluated_at = now
         voices = table.voices()
         views = {kind: table.views(now, kind) for kind in Kind}
         self._judged = {kind: detect_lag(kind, views[kind], voices, rules) for kind in Kind}
         for peer in table:
             for track in peer.tracks.values():
-                track.forget(now, rules.acts_keep_ms)
-            peer.judged(now, self._judged, self._urgent_at, rules)
-        late = {kind: sum(kind in peer.late for peer in table) for kind in Kind}
-        said = [(peer.tracks[Kind.SETTINGS].word, peer.settings) for peer in table if peer.tracks]
-        behind = {kind: sum(peer.slow(now, kind, rules) for peer in table) for kind in Kind}
-        self._suspects.look(now, late, behind, cap(rules, len(table)), len(table), self._judged, said)
+                track.remove_expired(now, rules.evidence_keep_ms)
+            peer.update(now, self._judged, self._urgent_at, rules)
+        stale = {kind: sum(kind in peer.stale for peer in table) for kind in Kind}
+        settings = [(peer.tracks[Kind.SETTINGS].published, peer.settings) for peer in table if peer.tracks]
+        behind = {kind: sum(peer.may_become_stale(now, kind, rules) for peer in table) for kind in Kind}
+        self._suspects.update(
+            now, stale, behind, max_shut_out(rules, len(table)), len(table), self._judged, settings
+        )
         self._vote(now)
-        self._count(now)
+        self._count_votes(now)
         for peer in table:
-            self._bring(now, peer, views, voices)
-        self._own(now)
+            self._start_catch_up(now, peer, views, voices)
+        self._update_own_state(now)
         self._quiet = not (
-            any(peer.spells or peer.out for peer in table)
-            or any(track.marks for peer in table for track in peer.tracks.values())
-            or self._suspects.busy()
-            or self._ballots.busy(now)
-            or self._tally.busy(now)
+            any(peer.lags or peer.is_shut_out for peer in table)
+            or any(track.evidence for peer in table for track in peer.tracks.values())
+            or self._suspects.is_busy()
+            or self._ballots.is_busy(now)
+            or self._tally.is_busy(now)
             or (self._alone_at is not None and self._leaseless_at is not None)
         )
 
-    def _stood(self, now: float, gap_ms: float) -> None:
-        """This front stood still: what it knows is old, and nobody was late by it meanwhile."""
+    def _on_suspended(self, now: float, gap_ms: float) -> None:
+        """Handles a suspension of this front: its observations are old, and nobody became stale meanwhile."""
         for peer in self._table:
             peer.postpone(gap_ms)
         if gap_ms > self.rules.vote_ms:
-            # Its votes have lapsed at the others, who may have let those fronts back.
-            self._ballots.keep(now, {})
+            # Its votes have expired at the others, which may have readmitted those fronts.
+            self._ballots.retain(now, {})
 
-    # --- pieces: who is shut out ---
+    # --- votes ---
 
     def _vote(self, now: float) -> None:
-        """A keeper's votes; one that is itself out, or late, begins none."""
+        """Updates and sends this keeper's votes; a keeper that is shut out or stale begins none."""
         mine = self._table.peers[self.me]
         if self.me not in self._tally.keepers:
-            self._ballots.keep(now, {})
+            self._ballots.retain(now, {})
         else:
             new = {}
             for peer in self._table:
                 vote = self._ballots.cast.get(peer.name)
-                kinds = against(now, peer, vote, self._suspects.why.keys(), self._suspects.wait, self.rules)
-                if peer.name != self.me and kinds and (vote is not None or not (mine.out or mine.late)):
+                kinds = vote_kinds(
+                    now, peer, vote, self._suspects.reasons.keys(), self._suspects.paused, self.rules
+                )
+                if (
+                    peer.name != self.me
+                    and kinds
+                    and (vote is not None or not (mine.is_shut_out or mine.stale))
+                ):
                     new[peer.name] = Vote(peer.life, kinds, now)
-            self._ballots.keep(now, {name: vote.life for name, vote in new.items()})
+            self._ballots.retain(now, {name: vote.life for name, vote in new.items()})
             ordered = order({name: vote.kinds for name, vote in new.items()})
-            room = places(len(self._tally.keepers), cap(self.rules, len(self._table)))
-            self._ballots.seek(now, ordered, new, room)
-        votes = self._ballots.say(now)
+            capacity = places(len(self._tally.keepers), max_shut_out(self.rules, len(self._table)))
+            self._ballots.update(now, ordered, new, capacity)
+        votes = self._ballots.next_message(now)
         if votes is not None:
-            self._tally.heard(now, self.me, votes)
+            self._tally.on_votes(now, self.me, votes)
             for peer in self._table:
                 if peer.name != self.me:
                     self._out.add(Send(peer.name, votes))
 
-    def _count(self, now: float) -> None:
-        voted = self._tally.against(now, self._table.lives())
-        out = order(voted, self.shut_out())[: cap(self.rules, len(self._table))]
+    def _count_votes(self, now: float) -> None:
+        voted = self._tally.majorities(now, self._table.lives())
+        out = order(voted, self.shut_out())[: max_shut_out(self.rules, len(self._table))]
         for peer in self._table:
             if peer.name in out:
-                self._is_out(now, peer, voted[peer.name])
+                self._set_shut_out(now, peer, voted[peer.name])
             else:
-                if peer.out:
+                if peer.is_shut_out:
                     self._out.add(Readmitted(peer.name))
-                self._is_in(now, peer)
+                self._set_admitted(now, peer)
 
-    def _is_out(self, now: float, peer: Peer, kinds: frozenset[Kind]) -> None:
-        if not peer.out:
-            peer.outs = 1 if now >= peer.out_at + self.rules.forget_ms else peer.outs + 1
+    def _set_shut_out(self, now: float, peer: Peer, kinds: frozenset[Kind]) -> None:
+        if not peer.is_shut_out:
+            peer.shut_out_count = (
+                1 if now >= peer.shut_out_at + self.rules.forget_ms else peer.shut_out_count + 1
+            )
             self._out.add(ShutOut(peer.name, "late in " + ", ".join(sorted(kinds))))
-        peer.out_at = now
+        peer.shut_out_at = now
         vote = self._ballots.cast.get(peer.name)
-        if vote is not None and vote.out_at is None:
-            vote.out_at = now
-        peer.state = State.OUT if peer.late else State.COMING
+        if vote is not None and vote.shut_out_at is None:
+            vote.shut_out_at = now
+        peer.state = State.SHUT_OUT if peer.stale else State.RETURNING
 
-    def _is_in(self, now: float, peer: Peer) -> None:
-        if not peer.late:
+    def _set_admitted(self, now: float, peer: Peer) -> None:
+        if not peer.stale:
             peer.state = State.CURRENT
         elif failed(now, peer, self.rules):
-            peer.state = State.LATE
+            peer.state = State.STALE
         else:
-            peer.state = State.BRINGING if peer.tried else State.LATE
+            peer.state = State.CATCHING_UP if peer.attempted else State.STALE
 
-    # --- pieces: bringing up ---
+    # --- catching up ---
 
-    def _bring(
+    def _start_catch_up(
         self, now: float, peer: Peer, views: Mapping[Kind, list[View]], voices: frozenset[str]
     ) -> None:
-        if peer.late_at is None or peer.name == self.me or self.me not in voices:
+        if peer.stale_at is None or peer.name == self.me or self.me not in voices:
             return
-        number = attempt(now - peer.late_at, self.rules)
-        for kind in sorted(peer.late):
-            if peer.tried.get(kind, -1) >= number:
+        number = attempt_number(now - peer.stale_at, self.rules)
+        for kind in sorted(peer.stale):
+            if peer.attempted.get(kind, -1) >= number:
                 continue
-            peer.tried[kind] = number
+            peer.attempted[kind] = number
             target = self._judged[kind].target
-            if bringer(peer.name, kind, number, target, views[kind], voices) == self.me:
+            if choose_helper(peer.name, kind, number, target, views[kind], voices) == self.me:
                 self._out.add(CatchUp(peer.name, kind, target))
 
-    def _part(self, now: float, sender: str, message: CatchUpData) -> None:
-        """What this front lacks, by a peer's word: taken if this front sees it so too, one at a time."""
+    def _on_catch_up_data(self, now: float, sender: str, message: CatchUpData) -> None:
+        """Applies content that a peer sent, one at a time, if this front observes that it lacks it."""
         kind = message.kind
-        taking = self._taking.get(kind)
-        if message.life != self.life or (taking is not None and now < taking[1]):
+        applying = self._applying.get(kind)
+        if message.life != self.life or (applying is not None and now < applying[1]):
             return
         views, voices = self._table.views(now, kind), self._table.voices()
-        if takes(self.me, kind, message.content, detect_lag(kind, views, voices, self.rules), views):
-            self._taking[kind] = sender, now + self.rules.try_ms
+        if accepts(self.me, kind, message.content, detect_lag(kind, views, voices, self.rules), views):
+            self._applying[kind] = sender, now + self.rules.attempt_ms
             self._out.add(Apply(kind, message.content, message.data, sender))
 
-    def _brought(self, sender: str, message: CatchUpDone) -> None:
-        if self._table.peers[sender].given.pop(message.kind, None) is not None:
+    def _on_catch_up_done(self, sender: str, message: CatchUpDone) -> None:
+        if self._table.peers[sender].supplied.pop(message.kind, None) is not None:
             self._out.add(CaughtUp(sender, message.kind, message.content))
 
-    # --- pieces: acts that others saw ---
+    # --- evidence of other fronts ---
 
-    def _seen(self, now: float, sender: str, message: EvidenceReport) -> None:
+    def _on_evidence_report(self, now: float, sender: str, message: EvidenceReport) -> None:
         peer = self._table.get(message.name)
         if peer is None or message.life != peer.life or message.name in (sender, self.me):
             return
-        if message.age_ms <= self.rules.act_age_ms:
-            peer.acted(now, sender, message.versions, now - message.age_ms, self.rules)
-            self._soon(now)
+        if message.age_ms <= self.rules.max_evidence_age_ms:
+            peer.on_evidence(now, sender, message.versions, now - message.age_ms, self.rules)
+            self._schedule(now)
 
-    # --- pieces: this front itself ---
+    # --- this front ---
 
-    def _own(self, now: float) -> None:
+    def _update_own_state(self, now: float) -> None:
         mine = self._table.peers[self.me]
-        why = "shut out" if mine.out else "cut off" if self._cut_off(now) else ""
-        if why != self._refrains:
-            self._refrains = why
-            self._out.add(BlockSessions(why, self.rules.wait_ms if why else 0.0))
-        plea = msgspec.msgpack.encode(self._versions) if mine.out and self._versions is not None else b""
-        if plea != self._pleaded:
-            self._pleaded = plea
-            self._out.add(RequestReadmission(plea))
-
-    def _cut_off(self, now: float) -> bool:
-        """Every other front and every lease has been gone for long: that is likelier here than everywhere.
-
-        In a fleet of two that can't be told: the other may be dead, and this the last one to serve.
+        reason = "shut out" if mine.is_shut_out else "cut off" if self._is_isolated(now) else ""
+        if reason != self._block_reason:
+            self._block_reason = reason
+            self._out.add(BlockSessions(reason, self.rules.wait_ms if reason else 0.0))
+        request = (
+            msgspec.msgpack.encode(self._versions) if mine.is_shut_out and self._versions is not None else b""
+        )
+        if request != self._request_data:
+            self._request_data = request
+            self._out.add(RequestReadmission(request))
+
+    def _is_isolated(self, now: float) -> bool:
+        """Whether all other fronts and all leases have been missing for long, which points to this front.
+
+        A fleet of two cannot tell: the other front may have failed, and this may be the last one that serves.
         """
         since = (self._alone_at, self._leaseless_at)
-        return self._most >= self.rules.alone_least and all(
-            at is not None and now >= at + self.rules.alone_ms for at in since
+        return self._peak_size >= self.rules.min_fleet_size and all(
+            at is not None and now >= at + self.rules.isolation_ms for at in since
         )
--- a/fernweir/peers/late/suspects.py
+++ b/fernweir/peers/late/suspects.py
@@ -1,4 +1,4 @@
-"""When the news is suspect rather than the fronts: many late at once, or news that only few have."""
+"""Detects updates that are suspect: many fronts are stale at once, or only few fronts have the update."""
 
 from __future__ import annotations
 
@@ -12,52 +12,60 @@
 
 
 class Suspects:
-    """`why`: for which kinds nobody is shut out now, and the reason; `wait`: for which nobody else is.
+    """The suspect kinds.
 
-    News that few have makes nobody late, so it is said after `few_ms` and stops nothing.
+    `reasons`: those for which nobody is shut out now, and why; `paused`: those for which no vote begins.
+
+    An update that only few fronts have makes no front stale, so it is reported after `minority_ms` and
+    pauses nothing.
     """
 
     def __init__(self, rules: LateRules, out: Outbox) -> None:
         self._rules, self._out = rules, out
-        self.why: dict[Kind, str] = {}
-        self.wait: frozenset[Kind] = frozenset()
+        self.reasons: dict[Kind, str] = {}
+        self.paused: frozenset[Kind] = frozenset()
         self._until: dict[Kind, float] = {}
-        self._few_at: dict[Kind, float] = {}
-        self._said: dict[Kind, str] = {}
+        self._minority_at: dict[Kind, float] = {}
+        self._reported: dict[Kind, str] = {}
 
-    def look(
-        self, now: float, late: Mapping[Kind, int], behind: Mapping[Kind, int], most: int, fronts: int,
+    def update(
+        self, now: float, stale: Mapping[Kind, int], behind: Mapping[Kind, int], most: int, fronts: int,
         judged: Mapping[Kind, Judged], settings: Sequence[tuple[bytes, bytes]],
     ) -> None:  # fmt: skip
-        """How many are `late`, or `behind` and may soon be, by kind; `settings`: each's epoch and digest."""
-        self.wait = frozenset(kind for kind in Kind if behind[kind] > most)
+        """Updates the kinds that are suspect.
+
+        `stale` and `behind` are the numbers of fronts that are stale, and that are or may soon be;
+        `settings` has the epoch and digest of each front.
+        """
+        self.paused = frozenset(kind for kind in Kind if behind[kind] > most)
         for kind in Kind:
-            if late[kind] > most:
+            if stale[kind] > most:
                 self._until[kind] = now + self._rules.suspect_ms
-                self.why.setdefault(kind, f"{late[kind]} of {fronts} fronts are late")
-            elif kind in self.why and kind in self.wait:
+                self.reasons.setdefault(kind, f"{stale[kind]} of {fronts} fronts are late")
+            elif kind in self.reasons and kind in self.paused:
                 self._until[kind] = now + self._rules.suspect_ms
-            elif kind in self.why and now >= self._until[kind]:
-                del self.why[kind], self._until[kind]
-            few = judged[kind].few
-            if kind is Kind.SETTINGS and not few:
+            elif kind in self.reasons and now >= self._until[kind]:
+                del self.reasons[kind], self._until[kind]
+            minority = judged[kind].minority
+            if kind is Kind.SETTINGS and not minority:
                 contents = {digest for epoch, digest in settings if epoch == judged[kind].target}
-                few = f"{len(contents)} contents under one epoch" if len(contents) > 1 else ""
-            if few:
-                self._few_at.setdefault(kind, now)
+                minority = f"{len(contents)} contents under one epoch" if len(contents) > 1 else ""
+            if minority:
+                self._minority_at.setdefault(kind, now)
             else:
-                self._few_at.pop(kind, None)
-            long = few and now >= self._few_at[kind] + self._rules.few_ms
-            self._say(kind, self.why.get(kind) or (few if long else ""))
-
-    def busy(self) -> bool:
-        return bool(self.why or self._few_at or self._said)
-
-    def _say(self, kind: Kind, why: str) -> None:
-        """A reason that stands is not said again in other words."""
-        if bool(why) != (kind in self._said):
-            self._out.add(UpdateSuspect(kind, why))
-        if why:
-            self._said.setdefault(kind, why)
+                self._minority_at.pop(kind, None)
+            long = minority and now >= self._minority_at[kind] + self._rules.minority_ms
+            self._report(kind, self.reasons.get(kind) or (minority if long else ""))
+
+    def is_busy(self) -> bool:
+        """Whether anything is or may become suspect."""
+        return bool(self.reasons or self._minority_at or self._reported)
+
+    def _report(self, kind: Kind, reason: str) -> None:
+        """Reports when a reason begins or ends; a change of its text is not reported."""
+        if bool(reason) != (kind in self._reported):
+            self._out.add(UpdateSuspect(kind, reason))
+        if reason:
+            self._reported.setdefault(kind, reason)
         else:
-            self._said.pop(kind, None)
+            self._reported.pop(kind, None)
--- a/fernweir/peers/late/vote_decision.py
+++ b/fernweir/peers/late/vote_decision.py
@@ -1,4 +1,4 @@
-"""Whether a keeper is for shutting a front out, and in what order. Pure functions."""
+"""Decides which fronts a keeper votes to shut out, and in what order. Pure functions."""
 
 from __future__ import annotations
 
@@ -15,44 +15,56 @@
 
 
 def failed(now: float, peer: Peer, rules: LateRules) -> bool:
-    """Whether it has been late for all the time in which it was to be brought up."""
-    return peer.late_at is not None and now >= peer.late_at + rules.bring_ms
+    """Whether a front has been stale for all the time in which its peers try to update it."""
+    return peer.stale_at is not None and now >= peer.stale_at + rules.catch_up_ms
 
 
-def against(
+def vote_kinds(
     now: float,
     peer: Peer,
     vote: Vote | None,
     suspects: AbstractSet[Kind],
-    wait: AbstractSet[Kind],
+    paused: AbstractSet[Kind],
     rules: LateRules,
 ) -> frozenset[Kind]:
-    """For what a front ought to be out: it could not be brought up, or is out and not yet clean for long.
+    """Returns the kinds for which a front should be shut out, or none.
 
-    `vote`: this keeper's, if it has one out against this front. Nobody is shut out for a split,
-    where nothing shows who is behind, nor for suspect news,
-    and no vote begins while more than may be out seem to fall behind (`wait`).
+    That is the case if it could not be updated, or if it is shut out and not yet up to date for long
+    enough. Nobody is shut out for a split, where nothing shows which side is behind, nor for updates that
+    are suspect. No vote begins for the kinds in `paused`, in which more fronts seem to fall behind than may
+    be shut out.
+
+    Args:
+        now: The time in ms.
+        peer: The front.
+        vote: The current vote of this keeper against the front, if there is one.
+        suspects: The kinds whose updates are suspect.
+        paused: The kinds for which no new vote begins.
+        rules: The limits.
     """
     if vote is not None and vote.life != peer.life:
         vote = None
-    if vote is not None and vote.out_at is not None:
-        return peer.late - suspects if peer.late else _probation(now, peer, vote, vote.out_at, rules)
+    if vote is not None and vote.shut_out_at is not None:
+        return peer.stale - suspects if peer.stale else _probation(now, peer, vote, vote.shut_out_at, rules)
     kinds = peer.proven - suspects
-    if failed(now, peer, rules) and kinds - (wait if vote is None else _NOTHING):
+    if failed(now, peer, rules) and kinds - (paused if vote is None else _NOTHING):
         return kinds
-    # Others may have seen a majority already: a vote stands until that would be known here.
-    young = vote is not None and now < vote.at + rules.vote_ms
-    return vote.kinds - suspects if vote is not None and young else _NOTHING
+    # Others may already have counted a majority: a vote stays until that would be known here.
+    is_recent = vote is not None and now < vote.at + rules.vote_ms
+    return vote.kinds - suspects if vote is not None and is_recent else _NOTHING
 
 
-def _probation(now: float, peer: Peer, vote: Vote, out_at: float, rules: LateRules) -> frozenset[Kind]:
-    clean = peer.clean_at is not None and now >= peer.clean_at + rules.clean_for(peer.outs)
-    over = clean and not peer.spells and now >= out_at + rules.stay_ms
+def _probation(now: float, peer: Peer, vote: Vote, shut_out_at: float, rules: LateRules) -> frozenset[Kind]:
+    clean = peer.clean_at is not None and now >= peer.clean_at + rules.clean_for(peer.shut_out_count)
+    over = clean and not peer.lags and now >= shut_out_at + rules.min_shut_out_ms
     return _NOTHING if over else vote.kinds
 
 
 def order(kinds: Mapping[str, frozenset[Kind]], first: Iterable[str] = ()) -> list[str]:
-    """Who is out where not all may be: these first, then who is late in most kinds; alike at every front."""
+    """Returns the fronts in the order in which they are shut out, the same at every front.
+
+    Those in `first` come first, then those that are stale in most kinds.
+    """
     before = frozenset(first)
     names = rendezvous("shut out", kinds)
     return sorted(names, key=lambda name: (name not in before, -len(kinds[name])))
--- a/fernweir/peers/late/votes.py
+++ b/fernweir/peers/late/votes.py
@@ -1,10 +1,11 @@
-"""Who is shut out: what keepers vote, and what a front counts of it.
-
-A majority of the named keepers decides, not of the fronts believed alive: in a cut each side would have a
-majority of those it believes in. A vote says all that a keeper is against and lapses when it isn't repeated,
-so that fronts are let back when the keepers are gone. Each keeper has few places; one that becomes free is
-kept empty until nobody can count its old vote any more. So never more names have a majority than may be
-shut out, whatever is lost or late, as no keeper votes for too many (see `rules.places`).
+"""Votes of keepers, by which fronts are shut out.
+
+A majority of the configured keepers decides, not of the fronts that seem alive: in a partition each side
+would have a majority of the fronts that it can reach. A message has all votes of a keeper, which expire if
+they are not repeated, so that fronts are readmitted when the keepers are gone. Each keeper has few places,
+and one that becomes free stays empty until no front can count its old vote any more. As no keeper votes
+against too many (see `rules.places`), never more fronts have a majority than may be shut out, whatever is
+lost or delayed.
 """
 
 from __future__ import annotations
@@ -12,69 +13,76 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from fernweir.peers.late.messages import NAMES_MOST, Kind, VoteEntry, Votes
+from fernweir.peers.late.messages import MAX_NAMES, Kind, VoteEntry, Votes
 from fernweir.peers.late.rules import LateRules, majority
 
 
 @dataclass(slots=True)
 class Vote:
-    """`at`: when it was given; `out_at`: since when a majority has been seen for it."""
+    """A vote. `at`: when it was given; `shut_out_at`: since when a majority for it has been seen."""
 
     life: int
     kinds: frozenset[Kind]
     at: float
-    out_at: float | None = None
+    shut_out_at: float | None = None
 
 
 @dataclass(slots=True)
 class Ballots:
-    """A keeper's own votes. `since` is when it started: votes of an earlier life may still count."""
+    """The votes of this keeper.
+
+    It votes only some time after `started_at`: votes of an earlier life may count.
+    """
 
     me: str
     life: int
     rules: LateRules
-    since: float
+    started_at: float
     cast: dict[str, Vote] = field(default_factory=dict)
-    _settling: list[float] = field(default_factory=list)
-    _say_at: float = 0.0
-    _quiet_at: float = 0.0
+    _reserved_until: list[float] = field(default_factory=list)
+    _send_at: float = 0.0
+    _quiet_until: float = 0.0
 
-    def keep(self, now: float, wanted: Mapping[str, int]) -> None:
-        """Votes go against these fronts in these lives only."""
+    def retain(self, now: float, wanted: Mapping[str, int]) -> None:
+        """Withdraws all votes except those against these fronts in these lives."""
         for name, vote in list(self.cast.items()):
             if wanted.get(name) != vote.life:
                 self.withdraw(now, name)
 
     def withdraw(self, now: float, name: str) -> None:
+        """Withdraws the vote against a front and reserves its place."""
         del self.cast[name]
-        self._settling.append(now + self.rules.settle_ms)
-        self._say_at, self._quiet_at = now, now + self.rules.settle_ms
+        self._reserved_until.append(now + self.rules.settle_ms)
+        self._send_at, self._quiet_until = now, now + self.rules.settle_ms
 
-    def seek(self, now: float, ordered: Sequence[str], new: Mapping[str, Vote], room: int) -> None:
-        """As many of those in this order as there are places; who is out, or newly voted for, goes first."""
-        self._settling = [free_at for free_at in self._settling if free_at > now]
-        room = min(room, NAMES_MOST)
+    def update(self, now: float, ordered: Sequence[str], new: Mapping[str, Vote], capacity: int) -> None:
+        """Votes against the fronts in this order, as far as there are places.
+
+        Fronts that are shut out, or against which a vote is recent, come first.
+        """
+        self._reserved_until = [free_at for free_at in self._reserved_until if free_at > now]
+        capacity = min(capacity, MAX_NAMES)
         young = now - self.rules.vote_ms
-        first = [name for name, vote in self.cast.items() if vote.out_at is not None]
+        first = [name for name, vote in self.cast.items() if vote.shut_out_at is not None]
         first += [name for name, vote in self.cast.items() if name not in first and vote.at > young]
-        chosen = [*first, *(name for name in ordered if name not in first)][: max(room, 0)]
+        chosen = [*first, *(name for name in ordered if name not in first)][: max(capacity, 0)]
         for name in [name for name in self.cast if name not in chosen]:
             self.withdraw(now, name)
-        if now < self.since + self.rules.settle_ms:
+        if now < self.started_at + self.rules.settle_ms:
             return
         for name in chosen:
             if name in self.cast:
                 if name in new:
                     self.cast[name].kinds = new[name].kinds
-            elif len(self.cast) + len(self._settling) < room:
+            elif len(self.cast) + len(self._reserved_until) < capacity:
                 self.cast[name] = new[name]
-                self._say_at = now
+                self._send_at = now
 
-    def say(self, now: float) -> Votes | None:
-        """What is to be said to all now; after the last vote it is said for a while that there is none."""
-        if now < self._say_at or not (self.cast or now < self._quiet_at):
+    def next_message(self, now: float) -> Votes | None:
+        """Returns the message that is due, or None; for a while after the last vote it has no votes."""
+        if now < self._send_at or not (self.cast or now < self._quiet_until):
             return None
-        self._say_at = now + self.rules.say_ms
+        self._send_at = now + self.rules.vote_interval_ms
         against = sorted(self.cast.items())
         return Votes(
             self.life,
@@ -82,52 +90,56 @@
             tuple(VoteEntry(name, vote.life, tuple(sorted(vote.kinds))) for name, vote in against),
         )
 
-    def busy(self, now: float) -> bool:
-        return bool(self.cast) or now < self._quiet_at
+    def is_busy(self, now: float) -> bool:
+        """Whether messages have to be sent."""
+        return bool(self.cast) or now < self._quiet_until
 
 
 @dataclass(slots=True)
-class _Heard:
+class _KeeperVotes:
     life: int
-    said_at: float  # by the keeper's clock
-    at: float
+    sent_at: float  # by the keeper's clock
+    received_at: float
     against: dict[str, VoteEntry]
 
 
 class Tally:
-    """What each keeper said last; of a keeper one vote counts, while it is fresh."""
+    """The latest votes of each keeper, which count while they are fresh."""
 
     def __init__(self, keepers: frozenset[str], rules: LateRules) -> None:
         self.keepers = keepers
         self._rules = rules
-        self._heard: dict[str, _Heard] = {}
+        self._votes: dict[str, _KeeperVotes] = {}
 
-    def change(self, keepers: frozenset[str]) -> None:
+    def set_keepers(self, keepers: frozenset[str]) -> None:
+        """Sets the keepers and drops the votes of others."""
         self.keepers = keepers
-        self._heard = {name: heard for name, heard in self._heard.items() if name in keepers}
+        self._votes = {name: heard for name, heard in self._votes.items() if name in keepers}
 
-    def heard(self, now: float, keeper: str, votes: Votes) -> None:
+    def on_votes(self, now: float, keeper: str, votes: Votes) -> None:
+        """Handles the votes of a keeper; older ones than the latest are ignored."""
         if keeper not in self.keepers:
             return
-        held = self._heard.get(keeper)
-        if held is not None and (held.life, held.said_at) >= (votes.life, votes.at):
+        held = self._votes.get(keeper)
+        if held is not None and (held.life, held.sent_at) >= (votes.life, votes.at):
             return
-        against = {each.name: each for each in votes.against}
-        self._heard[keeper] = _Heard(votes.life, votes.at, now, against)
+        against = {entry.name: entry for entry in votes.against}
+        self._votes[keeper] = _KeeperVotes(votes.life, votes.at, now, against)
 
-    def against(self, now: float, lives: Mapping[str, int]) -> dict[str, frozenset[Kind]]:
-        """Who has a majority against it in this life, and what for."""
+    def majorities(self, now: float, lives: Mapping[str, int]) -> dict[str, frozenset[Kind]]:
+        """Returns the fronts with a majority against them in this life, and the kinds."""
         count: dict[str, int] = {}
         kinds: dict[str, frozenset[Kind]] = {}
         for heard in self._fresh(now):
-            for name, each in heard.against.items():
-                if lives.get(name) == each.life:
+            for name, entry in heard.against.items():
+                if lives.get(name) == entry.life:
                     count[name] = count.get(name, 0) + 1
-                    kinds[name] = kinds.get(name, frozenset()) | frozenset(each.kinds)
+                    kinds[name] = kinds.get(name, frozenset()) | frozenset(entry.kinds)
         return {name: kinds[name] for name in sorted(count) if count[name] >= majority(len(self.keepers))}
 
-    def busy(self, now: float) -> bool:
+    def is_busy(self, now: float) -> bool:
+        """Whether any votes count."""
         return any(heard.against for heard in self._fresh(now))
 
-    def _fresh(self, now: float) -> Iterable[_Heard]:
-        return [heard for heard in self._heard.values() if now < heard.at + self._rules.vote_ms]
+    def _fresh(self, now: float) -> Iterable[_KeeperVotes]:
+        return [heard for heard in self._votes.values() if now < heard.received_at + self._rules.vote_ms]
--- a/fernweir/peers/settings.py
+++ b/fernweir/peers/settings.py
@@ -80,10 +80,10 @@
     )
     facts = replace(FactRules(), bytes_per_s=section.bytes * 1_000.0 * _FACTS_RATE_RATIO)
     late = LateRules(
-        late_ms=section.late_after,
+        stale_ms=section.late_after,
         clean_ms=max(section.late_after, LateRules().clean_ms),
-        try_ms=section.bring_up_within / LateRules().tries,
-        shut_out_share=section.shut_out_share,
+        attempt_ms=section.bring_up_within / LateRules().attempts,
+        shut_out_ratio=section.shut_out_share,
     )
     return PeerRules(
         late=late,
--- a/tests/peers_mutants/late.py
+++ b/tests/peers_mutants/late.py
@@ -1,4 +1,4 @@
-"""Mistakes in the machine of stragglers. `DAYS`: which drawn day finds each, by its faults."""
+"""Mutants of straggler detection. `FAULTS_OF` has the faults of the random runs that find each mutant."""
 
 from __future__ import annotations
 
@@ -6,69 +6,69 @@
 
 _AT = "fernweir/peers/late/"
 
-DAYS: dict[str, tuple[str, ...]] = {}
+FAULTS_OF: dict[str, tuple[str, ...]] = {}
 MUTANTS: list[Mutant] = []
 
 
 def _add(
     faults: tuple[str, ...], name: str, file: str, old: str, new: str, seeds: int, at_once: int = 1
 ) -> None:
-    DAYS[name] = faults
+    FAULTS_OF[name] = faults
     MUTANTS.append(Mutant(name, _AT + file, old, new, seeds, at_once))
 
 
 _add(
-    ("many_deaf",),
-    "a shut-out without a cap",
+    ("many_missed_updates",),
+    "no limit of fronts that are shut out",
     "rules.py",
-    "    return int(rules.shut_out_share * fronts)",
+    "    return int(rules.shut_out_ratio * fronts)",
     "    return fronts",
     6,
 )
 _add(
-    ("deaf",),
-    "one missed message is late",
+    ("missed_updates",),
+    "one missed update makes a front stale",
     "peers.py",
-    "        if self.left is not None and now >= self.left + left_ms:",
-    "        if self.left is not None:",
+    "        if self.passed_at is not None and now >= self.passed_at + passed_ms:",
+    "        if self.passed_at is not None:",
     6,
 )
 _add(
-    ("lie",),
-    "word believed over acts",
+    ("false_facts",),
+    "facts count more than actions",
     "content_track.py",
     "        if me in proofs:",
-    "        if proofs:\n            return self.word\n        if me in proofs:",
+    "        if proofs:\n            return self.published\n        if me in proofs:",
     6,
 )
 _add(
-    ("deaf", "deaf"),
-    "no hysteresis: let back as soon as it has caught up",
+    ("missed_updates", "missed_updates"),
+    "no hysteresis: readmitted as soon as it has caught up",
     "vote_decision.py",
-    "    over = clean and not peer.spells and now >= out_at + rules.stay_ms",
-    "    over = not peer.spells",
+    "    over = clean and not peer.lags and now >= shut_out_at + rules.min_shut_out_ms",
+    "    over = not peer.lags",
     10,
 )
 _add(
-    ("unheard",),
-    "a confirmation counted twice from one peer",
+    ("blocked_link",),
+    "a vote of one keeper counts twice",
     "votes.py",
-    "        self._heard[keeper] = _Heard(votes.life, votes.at, now, against)",
-    "        self._heard[keeper] = _Heard(votes.life, votes.at, now, against)\n"
-    "        self._heard[keeper + ' again'] = self._heard[keeper]",
+    "        self._votes[keeper] = _KeeperVotes(votes.life, votes.at, now, against)",
+    "        self._votes[keeper] = _KeeperVotes(votes.life, votes.at, now, against)\n"
+    "        self._votes[keeper + ' again'] = self._votes[keeper]",
     10,
 )
 _add(
-    ("slander",),
+    ("false_evidence",),
     "one witness is enough",
     "content_track.py",
-    "return best if seen.get(best, 0) >= 2 else self.word",
-    "return best if seen.get(best, 0) >= 1 else self.word",
+    "return best if seen.get(best, 0) >= 2 else self.published",
+    "return best if seen.get(best, 0) >= 1 else self.published",
     10,
 )
 _add(
-    ("few",),
-    "whoever holds something else than most is late, told later or not",
+    ("minority_update",),
+    "any other content than that of most fronts is stale, even if it is newer",
     "lag_detection.py",
     "        elif view.content != target and view.content not in ahead and target:",
     "        elif view.content != target:\n"
@@ -76,45 +76,45 @@
     6,
 )
 _add(
-    ("few",),
-    "the highest epoch counts, however few have it",
+    ("minority_update",),
+    "the highest epoch is in force, however few fronts have it",
     "lag_detection.py",
-    "    target = epochs[max(_least(rules.epoch_share, len(epochs)), 1) - 1]",
+    "    target = epochs[max(_min_count(rules.epoch_ratio, len(epochs)), 1) - 1]",
     "    target = epochs[0]",
     6,
 )
 _add(
-    ("reborn",),
-    "a new life is judged by what the former one did",
+    ("restarted_straggler",),
+    "a new life keeps the state of the previous one",
     "stragglers.py",
     "for name in [name for name in peers if name != self.me and lives.get(name) != peers[name].life]:",
     "for name in [name for name in peers if name != self.me and name not in lives]:",
     10,
 )
 _add(
-    ("orphaned",),
-    "a vote that never lapses",
+    ("killed_keepers",),
+    "a vote never expires",
     "votes.py",
-    "if now < heard.at + self._rules.vote_ms]",
-    "if now >= heard.at]",
+    "if now < heard.received_at + self._rules.vote_ms]",
+    "if now >= heard.received_at]",
     10,
     2,
 )
 _add(
-    ("asleep",),
-    "time that was slept through counts",
+    ("suspended_keepers",),
+    "the time of a suspension counts",
     "stragglers.py",
-    "            self._stood(now, now - self._looked_at)",
+    "            self._on_suspended(now, now - self._evaluated_at)",
     "            pass",
     20,
     2,
 )
 _add(
-    ("relieved",),
-    "a place given again while the old vote may count",
+    ("successive_stragglers",),
+    "a place is used again while the old vote may count",
     "votes.py",
-    "        self._settling.append(now + self.rules.settle_ms)",
-    "        self._settling.append(now)",
+    "        self._reserved_until.append(now + self.rules.settle_ms)",
+    "        self._reserved_until.append(now)",
     20,
     2,
 )
