--- a/tests/golden_peers_formats.py
+++ b/tests/golden_peers_formats.py
@@ -21,7 +21,7 @@
 from fernweir.front.endpoint_list import EndpointList, read_document
 from fernweir.interface import Idempotency, Settings
 from fernweir.node import peering as node_peering
-from fernweir.peers import foresight, lateness, peer, replacing, weighing
+from fernweir.peers import keeper_reconfiguration, order_estimation, peer, query_planning, straggler_control
 from fernweir.peers.acts import desk, plan, segment, versions
 from fernweir.peers.acts.answers import Answerer, value_of
 from fernweir.peers.acts.block import Sealed, read, records, seal
@@ -58,7 +58,7 @@
 from fernweir.peers.wire import keys
 from fernweir.peers.wire.codec import Codec
 from fernweir.peers.wire.conversation import Conversation
-from fernweir.peers.wire.frames import Frames, frame
+from fernweir.peers.wire.frames import FrameReader, frame
 from fernweir.peers.wire.seal import Opened, Seal, SealRules
 from tests.golden_peers import plain
 from tests.helpers import CLASS, RETRY_BUDGET, SETTINGS, SLOW_START
@@ -111,7 +111,7 @@
 
 
 def _read_frames(data: bytes) -> Any:
-    frames = Frames()
+    frames = FrameReader()
     frames.feed(data)
     return [plain(frames.next()), plain(frames.next())]
 
@@ -126,7 +126,7 @@
 
 
 def _open_datagram(data: bytes) -> Any:
-    found = Seal(KEYS, "front-b", LIFE, SealRules(formats=(1, 3))).look(data)
+    found = Seal(KEYS, "front-b", LIFE, SealRules(formats=(1, 3))).try_open(data)
     assert isinstance(found, Opened)
     return plain(found)
 
@@ -140,22 +140,22 @@
 
 def _read_hello(data: bytes) -> Any:
     called = _conversations()[1]
-    called.take_hello(data)
-    return [called.peer, called.peer_life, called.format]
+    called.accept_hello(data)
+    return [called.peer, called.peer_incarnation, called.format]
 
 
 def _connection() -> bytes:
     """Hello and two frames, as one side writes them."""
     caller, called = _conversations()
-    caller.take_hello(called.hello())
+    caller.accept_hello(called.hello())
     return frame(caller.hello()) + frame(caller.seal(b"")) + frame(caller.seal(b"a body"))
 
 
 def _read_connection(data: bytes) -> Any:
-    called, frames = _conversations()[1], Frames()
+    called, frames = _conversations()[1], FrameReader()
     called.hello()
     frames.feed(data)
-    called.take_hello(frames.next() or b"")
+    called.accept_hello(frames.next() or b"")
     return [plain(called.open(frames.next() or b"")), called.proven, plain(called.open(frames.next() or b""))]
 
 
@@ -293,24 +293,24 @@
         self.kept[key] = value
 
 
-def _replacing(facts: _Facts, first: KeeperSet) -> replacing.Replacing:
+def _keeper_reconfiguration(facts: _Facts, first: KeeperSet) -> keeper_reconfiguration.KeeperReconfiguration:
     holder = SimpleNamespace(change_keepers=lambda now, sets: None)
     keeper = SimpleNamespace(change_keepers=lambda now, sets: True, has_settled=lambda now: True)
-    made: Any = replacing.Replacing
+    made: Any = keeper_reconfiguration.KeeperReconfiguration
     return made("front-b", facts, holder, keeper, first)  # type: ignore[no-any-return]
 
 
 def _keepers() -> bytes:
     facts = _Facts()
-    _replacing(facts, KeeperSet(7, ("front-a", "front-b", "front-c"))).start(0.0)
-    return facts.kept[replacing.KEEPERS]
+    _keeper_reconfiguration(facts, KeeperSet(7, ("front-a", "front-b", "front-c"))).start(0.0)
+    return facts.kept[keeper_reconfiguration.KEEPERS]
 
 
 def _read_keepers(data: bytes) -> Any:
     """The newest set once it was told, and what this keeper of it says in turn: that it is settled."""
     facts = _Facts()
-    part = _replacing(facts, KeeperSet(1, ("front-a",)))
-    part.told(0.0, "front-a", replacing.KEEPERS, data)
+    part = _keeper_reconfiguration(facts, KeeperSet(1, ("front-a",)))
+    part.on_fact(0.0, "front-a", keeper_reconfiguration.KEEPERS, data)
     return [plain(part.sets), plain(facts.kept)]
 
 
@@ -353,12 +353,12 @@
 def _published() -> bytes:
     """The facts in which a front sums up its record and what stands there, from acts and sessions."""
     clocks: Any = SimpleNamespace()
-    part = foresight.Foresight("front-a", LIFE, foresight.ForesightRules(), 0.0, clocks)
+    part = query_planning.QueryPlanner("front-a", LIFE, query_planning.QueryPlannerRules(), 0.0, clocks)
     for act, rested in ACTS:
-        part.acted(act, rested)
+        part.add_audit_record(act, rested)
     for number in range(3):
-        part.stands(1_000.0 * number, _standing(number))
-    part.over(4_000.0, "session-1")
+        part.on_session_status(1_000.0 * number, _standing(number))
+    part.on_session_ended(4_000.0, "session-1")
     return msgspec.msgpack.encode(part.publish(5_000.0)[0])
 
 
@@ -468,7 +468,7 @@
 
 
 def _refusal() -> dict[str, Any]:
-    return foresight.refused_to_plain(Refused("too much", _estimate(NARROWED), NARROWED, 99.6), 1_000.0)
+    return query_planning.refused_to_plain(Refused("too much", _estimate(NARROWED), NARROWED, 99.6), 1_000.0)
 
 
 def _weighed(order: Mapping[str, Any]) -> dict[str, Any]:
@@ -476,11 +476,11 @@
         limits=lambda: FrontLimits((100.0, 250.5), 10_000.0, 5.0, 0.1),
         racks=lambda: [("rack-1", frozenset((0, 1)), 10_000.0)],
     )
-    part = weighing.Weighing("front-a", LIFE, port, 0.0)
+    part = order_estimation.OrderEstimator("front-a", LIFE, port, 0.0)
     for number in range(3):
-        part.stands(1_000.0 * number, _standing(number), f"channel-{number}")
-    part.say(3_000.0, 9)
-    return part.ask(4_000.0, order, {"front-a": LIFE, "front-b": 2})
+        part.on_session_status(1_000.0 * number, _standing(number), f"channel-{number}")
+    part.publish(3_000.0, 9)
+    return part.estimate(4_000.0, order, {"front-a": LIFE, "front-b": 2})
 
 
 ORDERS: dict[str, dict[str, Any]] = {
@@ -521,8 +521,9 @@
     "acts.digest.keys": _made(lambda: versions.keys_digest([("two", b"2"), ("one", b"1"), ("two", b"2")])),
     "fact.keys": _made(
         lambda: [
-            peer._LOAD, peer._HEAD, replacing.KEEPERS, replacing.SETTLED, lateness.VERSIONS, lateness.PLEA,
-            weighing.TALLY, foresight.PREFIX,
+            peer._LOAD, peer._HEAD, keeper_reconfiguration.KEEPERS, keeper_reconfiguration.SETTLED,
+            straggler_control.VERSIONS, straggler_control.PLEA,
+            order_estimation.TALLY, query_planning.PREFIX,
         ]
     ),
     "fact.keepers": Format(_keepers, _read_keepers),
@@ -553,12 +554,12 @@
         lambda: versions.settings_digest({"platform": node_settings(_all_settings())}, ())
     ),
     "log.record_trouble": _made(
-        lambda: [peer.TROUBLE_TEXTS[kind] for kind in (Missing, Shortened, Tampered)]
+        lambda: [peer.FAULT_TEXTS[kind] for kind in (Missing, Shortened, Tampered)]
     ),
     "answer.still": _made(lambda: _answer(plan.parse({"question": "still", "at": 5.0, "value": "ab"}))),
     "answer.after_drain": _made(lambda: _answer(plan.parse({"question": "after-drain", "box": 5}))),
     "answer.refusal": _made(lambda: _answer(plan.parse({"question": "refusal", "session": "s"}))),
-    "answer.estimate": _made(lambda: foresight.to_plain(_estimate(NARROWED))),
+    "answer.estimate": _made(lambda: query_planning.to_plain(_estimate(NARROWED))),
     "answer.refused": _made(_refusal),
     **{f"answer.order.{name}": _made(lambda order=order: _weighed(order)) for name, order in ORDERS.items()},
 }  # fmt: skip
