--- a/fernweir/peers/late/events.py
+++ b/fernweir/peers/late/events.py
@@ -1,4 +1,4 @@
-"""What the stragglers' machine tells whoever drives it, and the states of a front."""
+"""Events of straggler detection, and the states of a front."""
 
 from __future__ import annotations
 
@@ -10,40 +10,46 @@
 
 
 class State(StrEnum):
+    """The state of a front."""
+
     CURRENT = "current"
-    LATE = "late"
-    BRINGING = "being brought up"
-    OUT = "shut out"
-    COMING = "coming back"  # up to date again, and still treated as shut out
+    STALE = "late"
+    CATCHING_UP = "being brought up"
+    SHUT_OUT = "shut out"
+    RETURNING = "coming back"  # up to date again, but still treated as shut out
 
 
 @dataclass(frozen=True, slots=True)
-class BringUp(Event):
-    """This front is to give a late one what it lacks: answer by `Stragglers.supply`."""
+class CatchUp(Event):
+    """This front must send a stale one the content that it lacks, with `Stragglers.supply`."""
 
     name: str
-    what: Kind
+    kind: Kind
     content: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class BroughtUp(Event):
-    """A late front says that it took what this one gave it. Its facts and acts show whether that is so."""
+class CaughtUp(Event):
+    """A stale front reports that it applied what this one sent.
+
+    Its facts and actions show whether that is so.
+    """
 
     name: str
-    what: Kind
+    kind: Kind
     content: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Apply(Event):
-    """This front is behind, and here is what it lacks. What of it is taken shows in its own versions.
+    """This front is behind and has received the content that it lacks.
 
-    `data` must be checked against `content` before it is used. For settings and keys it is empty: read the
-    files again. What was told here later by the front's own source is not to be undone.
+    `data` must be checked against `content` before it is used. For settings and keys it is empty, and the
+    files must be read again. Whatever is applied shows in this front's own versions. Later updates of the
+    front's own source must not be undone.
     """
 
-    what: Kind
+    kind: Kind
     content: bytes
     data: bytes
     by: str
@@ -51,37 +57,40 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutOut(Event):
-    """From now on: no leases, no facts but `late.plea`, no part in the choice of heirs."""
+    """A front is shut out: it gets no leases, is no successor, and only its fact `late.plea` is accepted."""
 
     name: str
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Back(Event):
-    """No longer shut out."""
+class Readmitted(Event):
+    """A front is no longer shut out."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
-class NewsSuspect(Event):
-    """Not the fronts but the news may be wrong: nobody is shut out for it. An empty `why`: no longer."""
+class UpdateSuspect(Event):
+    """An update may be wrong, rather than the fronts without it: no front is shut out for it.
+
+    An empty `reason` ends this.
+    """
 
-    what: Kind
-    why: str
+    kind: Kind
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Refrain(Event):
-    """This front takes no new session, refusing with that wait; an empty `why` ends it."""
+class BlockSessions(Event):
+    """This front must accept no new session, with this wait for viewers; an empty `reason` ends it."""
 
-    why: str
+    reason: str
     wait_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Plead(Event):
-    """What the fact `late.plea` is to be from now on; empty: it is dropped."""
+class RequestReadmission(Event):
+    """The new value of this front's fact `late.plea`; if it is empty the fact is dropped."""
 
     data: bytes
--- a/fernweir/peers/peer.py
+++ b/fernweir/peers/peer.py
@@ -539,7 +539,7 @@
     def _members_changed(self, now: float) -> None:
         alive = self.members.alive()
         others = [name for name in alive if name != self.me.name]
-        self._touch(self.facts).peers(now, others)
+        self._touch(self.facts).set_peers(now, others)
         lives = self.lives()
         self._touch(self.directory).members(now, lives)
         self._touch(self.audit).update_members(now, lives)
--- a/fernweir/peers/straggler_control.py
+++ b/fernweir/peers/straggler_control.py
@@ -17,13 +17,13 @@
 from fernweir.peers.facts.store import Facts
 from fernweir.peers.late.events import (
     Apply,
-    Back,
-    BringUp,
-    BroughtUp,
-    NewsSuspect,
-    Plead,
-    Refrain,
+    BlockSessions,
+    CatchUp,
+    CaughtUp,
+    Readmitted,
+    RequestReadmission,
     ShutOut,
+    UpdateSuspect,
 )
 from fernweir.peers.late.messages import Kind, content_of
 from fernweir.peers.late.rules import LateRules
@@ -66,31 +66,31 @@
 
     def update_fronts(self, now: float, lives: Mapping[str, int]) -> None:
         """Sets the live fronts with their incarnations."""
-        self.stragglers.fleet(now, lives)
+        self.stragglers.set_fleet(now, lives)
 
     def set_own_versions(self, now: float, versions: Versions, urgent: bool) -> None:
         """Sets and publishes the versions of this front; urgent if servers began to drain or were removed."""
         self._versions = versions
         self._facts.put(now, VERSIONS, msgspec.msgpack.encode(versions), urgent=urgent)
-        self.stragglers.versions(now, self.me, versions, urgent)
+        self.stragglers.on_versions(now, self.me, versions, urgent)
 
     def on_fact(self, now: float, owner: str, key: str, value: bytes) -> None:
         """Handles a fact of a peer: its versions, or its request to return."""
         versions = _versions(value)
         if versions is not None and key in (VERSIONS, PLEA):
-            self.stragglers.versions(now, owner, versions)
+            self.stragglers.on_versions(now, owner, versions)
 
     def on_peer_versions(self, now: float, owner: str, versions: Versions, age_ms: float) -> None:
         """Handles the versions that an audit record of a peer was based on."""
-        self.stragglers.evidence(now, owner, versions, age_ms)
+        self.stragglers.on_evidence(now, owner, versions, age_ms)
 
     def update_keepers(self, now: float, names: tuple[str, ...]) -> None:
         """Sets the keepers, which vote on shutting fronts out."""
-        self.stragglers.keepers(now, names)
+        self.stragglers.set_keepers(now, names)
 
     def on_lease_status(self, now: float, held: bool) -> None:
         """Sets whether this front holds a lease, or needs none."""
-        self.stragglers.leases(now, held)
+        self.stragglers.set_holds_leases(now, held)
 
     def shut_out_fronts(self) -> frozenset[str]:
         """Returns the fronts that are shut out, which cannot be successors."""
@@ -122,49 +122,49 @@
     # --- decisions ---
 
     def _handle_event(self, now: float, event: Event) -> None:
-        if isinstance(event, BringUp):
+        if isinstance(event, CatchUp):
             self._bring_up(now, event)
         elif isinstance(event, Apply):
             self._apply(now, event)
-        elif isinstance(event, ShutOut | Back):
+        elif isinstance(event, ShutOut | Readmitted):
             self._apply_shut_out()
-            out, why = (event.name, event.why) if isinstance(event, ShutOut) else ("", "")
+            out, why = (event.name, event.reason) if isinstance(event, ShutOut) else ("", "")
             what = "peer is shut out" if out else "peer is back"
             self._out.add(LogRequested(what, {"name": event.name, "why": why}, out))
-        elif isinstance(event, Refrain):
-            self._out.add(NewSessionsBlocked(event.why, event.wait_ms))
-            self._out.add(LogRequested("takes no new sessions" if event.why else "takes sessions again",
-                               {"why": event.why}))  # fmt: skip
-        elif isinstance(event, NewsSuspect):
-            self._out.add(LogRequested("news is suspect" if event.why else "news is no longer suspect",
-                               {"what": str(event.what), "why": event.why}))  # fmt: skip
-        elif isinstance(event, Plead):
+        elif isinstance(event, BlockSessions):
+            self._out.add(NewSessionsBlocked(event.reason, event.wait_ms))
+            self._out.add(LogRequested("takes no new sessions" if event.reason else "takes sessions again",
+                               {"why": event.reason}))  # fmt: skip
+        elif isinstance(event, UpdateSuspect):
+            self._out.add(LogRequested("news is suspect" if event.reason else "news is no longer suspect",
+                               {"what": str(event.kind), "why": event.reason}))  # fmt: skip
+        elif isinstance(event, RequestReadmission):
             if event.data:
                 self._facts.put(now, PLEA, event.data, urgent=True)
             else:
                 self._facts.drop(now, PLEA)
         else:
-            assert isinstance(event, BroughtUp)
+            assert isinstance(event, CaughtUp)
 
-    def _bring_up(self, now: float, event: BringUp) -> None:
+    def _bring_up(self, now: float, event: CatchUp) -> None:
         """Sends a stale front the endpoint list. It has to read settings and keys from its own files."""
-        if content_of(self._versions, event.what) != event.content:
+        if content_of(self._versions, event.kind) != event.content:
             return
-        data = self._port.endpoint_list_document() if event.what is Kind.BOXES else b""
-        if event.what is Kind.BOXES and not data:
+        data = self._port.endpoint_list_document() if event.kind is Kind.BOXES else b""
+        if event.kind is Kind.BOXES and not data:
             return  # fronts of this kind accept their list from one source only
-        self.stragglers.supply(now, event.name, event.what, event.content, data)
-        self._out.add(LogRequested("peer is brought up", {"name": event.name, "what": str(event.what)}))
+        self.stragglers.supply(now, event.name, event.kind, event.content, data)
+        self._out.add(LogRequested("peer is brought up", {"name": event.name, "what": str(event.kind)}))
 
     def _apply(self, now: float, event: Apply) -> None:
-        applied = event.what is Kind.BOXES and self._port.adopt_endpoint_list(now, event.data, event.content)
+        applied = event.kind is Kind.BOXES and self._port.adopt_endpoint_list(now, event.data, event.content)
         self._out.add(
-            LogRequested("brought up by a peer", {"what": str(event.what), "by": event.by, "taken": applied})
+            LogRequested("brought up by a peer", {"what": str(event.kind), "by": event.by, "taken": applied})
         )
 
     def _apply_shut_out(self) -> None:
         names = self.stragglers.shut_out()
-        self._facts.refuse({name: frozenset((PLEA,)) for name in names if name != self.me})
+        self._facts.restrict_owners({name: frozenset((PLEA,)) for name in names if name != self.me})
         if self._keeper is not None:
             self._keeper.shut_out(names)
 
