--- a/fernweir/controller.py
+++ b/fernweir/controller.py
@@ -19,27 +19,27 @@
 from fernweir.interface import RESULT_LABELS, Idempotency, NoticeKind, Result, ServerState, Settings, Viewer
 
 TARGET_UTILIZATION = 0.80  # links and uplinks accept sessions below this load; the rest absorbs bursts
-DOWNSWITCH_STEP = 0.20  # each such excess of load over the target switches sessions down one rung
-DOWNSWITCH_TARGET = TARGET_UTILIZATION + 0.75 * DOWNSWITCH_STEP  # load after shedding, without overshoot
-FULL_BACKOFF_MS = 5_000.0  # no new sessions after a FULL result or a shortfall; a few report intervals
-SHORTFALL_WINDOW_MS = 1_500.0  # shortfalls within it have a common cause: reports differ in age
+DOWNSWITCH_STEP = 0.20  # sessions go down one rung for each full step of load above the target
+DOWNSWITCH_TARGET = TARGET_UTILIZATION + 0.75 * DOWNSWITCH_STEP  # load to shed down to; avoids overshoot
+FULL_BACKOFF_MS = 5_000.0  # pause in placement after a FULL result or a shortfall; a few report intervals
+SHORTFALL_WINDOW_MS = 1_500.0  # shortfalls within it count as simultaneous: reports differ in age
 SHORTFALL_RATIO = 0.98  # delivered over demanded; above this the difference is measurement noise
 UPSWITCH_INTERVAL_MS = 10_000.0  # minimum between two upswitches of a session: viewers notice each one
 DOWNSWITCH_HOLD_MS = 5_000.0  # minimum from a downswitch to the next upswitch of a session
 MAINTENANCE_INTERVAL_MS = 250.0  # between two checks of playing sessions and suspected servers
-ATTEMPT_TIMEOUT_IN_OBJECTIVES = 0.5  # in latency objectives: a retry after a timeout can still meet one
+ATTEMPT_TIMEOUT_IN_OBJECTIVES = 0.5  # in latency objectives; leaves time for a retry within the objective
 EJECTION_IN_OBJECTIVES = 1.0  # first ejection, in latency objectives; doubles with each failure in a row
 MAX_EJECTION_DOUBLINGS = 3  # limits an ejection to eight times the first
 EWMA_WEIGHT = 0.2  # weight of the newest report in a moving average over about five reports
 ARRIVAL_WINDOW_MS = 10_000.0  # for counting arrivals if no retry budget sets a window
 THUNDERING_HERD_FACTOR = 4.0  # expected peak of a warming server's arrivals over its equal share
-MIN_OWN_RATIO = 0.05  # of the capacity; own demand below it does not indicate that of other fronts
+MIN_OWN_RATIO = 0.05  # of the capacity; a smaller own demand is no basis to estimate the total
 FORGET_REMOVED_AFTER_MS = 60_000.0  # longer than a restart of a server takes
 MAX_PLAYED_TITLES = 4096  # limits the memory for titles that have played
 MAINTENANCE_TOKEN = 1
 NEVER_RAN_RESULTS = (Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT)
 FAILURE_RESULTS = (Result.ERROR, Result.TIMEOUT, Result.CONNECT_FAILED, Result.RESET)
-CONNECTION_LOST_RESULTS = (Result.CONNECT_FAILED, Result.RESET)  # the process ended; the next one warms up
+CONNECTION_LOST_RESULTS = (Result.CONNECT_FAILED, Result.RESET)  # taken as the end of the server process
 
 
 def exponential_draw(key: int, server_id: int) -> float:
@@ -58,11 +58,11 @@
 
 @dataclass(slots=True, eq=False)
 class TypicalLoad:
-    """Moving averages of the reported loads of all links, or of all uplinks: the estimate without a report.
+    """Moving averages of the reported loads of all links, or of all uplinks; used for one without a report.
 
     Loaded links are reported more often, by every front with a session there. Therefore `mean`, used for
     single links, is biased high. `harmonic_mean`, used for sums of links, weights each report by the inverse
-    of its load; otherwise the busiest servers would make a rack seem full. Health checks bias it low.
+    of its load, or else the busiest servers would make a rack seem full; health checks bias this mean low.
     """
 
     first_weight: float = EWMA_WEIGHT  # weight of the first report in `mean`
@@ -79,7 +79,7 @@
 
 
 class LoadEstimator:
-    """Estimates the load of a link or uplink from its last report and the own rate changes since then."""
+    """Estimates the load of a link or uplink from its last report and this front's rate changes since."""
 
     def __init__(
         self, capacity_kbyte_s: float, typical: TypicalLoad, decay_ms: float, front_count: int = 1
@@ -98,7 +98,7 @@
         """Adds a change, positive or negative, to the total rate of this front's sessions."""
         self.own_kbyte_s += rate_kbyte_s
         self._own_changes.append((now, rate_kbyte_s))
-        while self._own_changes[0][0] <= now - 2.0 * self.decay_ms:  # older reports are ignored
+        while self._own_changes[0][0] <= now - 2.0 * self.decay_ms:  # no report older than this is used
             self._own_changes.popleft()
 
     def observe(self, load: float, observed_at: float, is_sample: bool = True) -> None:
@@ -121,8 +121,8 @@
         self._own_changes.clear()
 
     def load(self, now: float) -> float:
-        """Returns the last report plus own changes; a stale report is blended into the prior load."""
-        prior = min(self._prior_load(now), DOWNSWITCH_TARGET)  # overload would have been reported
+        """Returns the last report plus own changes; a stale report is blended with the prior estimate."""
+        prior = min(self._prior_load(now), DOWNSWITCH_TARGET)  # a higher load would have been reported
         if self.reported_load is None or now - self.reported_at >= 2.0 * self.decay_ms:
             return prior
         own_change_kbyte_s = sum(rate for _, rate in self._own_changes)
@@ -151,7 +151,7 @@
         return self.reported_load is not None and now - self.reported_at < self.decay_ms
 
     def demand_kbyte_s(self, now: float) -> float:
-        """Returns the link's share of the demand on an unreported uplink: at most the link's capacity."""
+        """Returns the rate that the link adds to an unreported uplink, at most the link's capacity."""
         if self.has_recent_report(now):
             return min(self.load(now), 1.0) * self.capacity_kbyte_s
         load = max(self.typical.harmonic_mean, self.own_kbyte_s / self.capacity_kbyte_s)
@@ -296,9 +296,9 @@
     def slow_start_admits(self, server: Server, session: Session, now: float) -> bool:
         """Whether a warming server admits this session, decided by a pseudorandom draw seeded per front.
 
-        The draw keeps the fleet's attempts, estimated as own arrivals times fronts, within the server's rate;
-        no single front exceeds it either. A server presumed dead is limited before the endpoint list reports
-        its restart. A front with more than an equal share of the arrivals admits too few sessions.
+        The draw limits the attempts of all fronts, estimated as own arrivals times the number of fronts, to
+        the server's rate, which no single front exceeds either. A server presumed dead is limited before its
+        restart is listed. A front with more than its equal share of arrivals admits too few sessions.
         """
         slow_start, factor = self.settings.slow_start, self.slow_start_factor(server, now)
         if slow_start is None or (factor >= 1.0 and not server.is_presumed_dead):
@@ -406,7 +406,7 @@
         self._divide_uplink_capacity()
 
     def _forget_if_removed(self, server: Server) -> None:
-        """Forgets a server that was removed long ago, or replaced servers would slow down each placement."""
+        """Forgets a server removed long ago; otherwise, replaced servers would slow down each placement."""
         if server.state is not ServerState.REMOVED:
             server.removed_at = inf
             return
@@ -418,7 +418,7 @@
             self.watched_servers.pop(server.server_id, None)
 
     def _divide_uplink_capacity(self) -> None:
-        """Divides the uplink capacity by the racks' links, and assigns links to unreported uplinks."""
+        """Divides the uplink capacity among racks by link capacity; sets the links of unreported uplinks."""
         listed = [server for server in self.servers.values() if server.state is not ServerState.REMOVED]
         self.safety_rules.ready_servers = max(sum(one.state is ServerState.READY for one in listed), 1)
         total_kbyte_s = sum(server.link.capacity_kbyte_s for server in listed)
@@ -503,7 +503,7 @@
         return server.headroom(self.now, self.safety_rules.slow_start_factor(server, self.now))
 
     def _needs_health_check(self, session: Session, server: Server) -> bool:
-        """Whether to check a server first: it and most candidates have no recent data, as on small fronts."""
+        """Whether to check a server first: no recent data on it and most candidates, as with few sessions."""
         may_check = self.settings.may_check_health and self.settings.front_count > 1
         has_time = session.reply_deadline - self.now >= session.session_class.latency_objective_ms
         if not (may_check and has_time) or session.attempts > 0 or session.has_awaited_health_check:
@@ -522,8 +522,8 @@
     def _fair_rung(self, server: Server, session: Session) -> int:
         """Returns the top rung, or a lower one while most own sessions are below their top rungs.
 
-        Each step needs at least the marginal priority, so that a new session at the top rung does not take a
-        rate that many could share. If one overloaded rack keeps most own sessions low, new ones start low.
+        The last step up to it has at least the marginal priority, so that a new session takes no rate that
+        several others could use. If an overloaded rack keeps most own sessions low, all new ones start low.
         """
         rung, marginal_priority = session.top_rung, self._marginal_priority()
         lowest_rung = session.session_class.lowest_rung
@@ -562,8 +562,8 @@
 
     def _is_usable(self, server: Server, session: Session) -> bool:
         """Whether a server may be chosen; after failures it gets one attempt or health check at a time."""
-        is_tested = server.is_checking_health or server.attempts_in_flight
-        if server.ejected_until > self.now or (server.consecutive_failures and is_tested):
+        is_under_test = server.is_checking_health or server.attempts_in_flight
+        if server.ejected_until > self.now or (server.consecutive_failures and is_under_test):
             return False
         has_slot = len(server.sessions) < server.stream_slots
         return has_slot and self.safety_rules.is_eligible(server, session, self.now)
@@ -640,7 +640,7 @@
         session.is_playing = session.may_have_run = session.has_start_report = True
         session.attempts = 1
         self._remember_title(session)
-        # On idle links it may switch up with the first reports; otherwise, after one report cycle.
+        # The session may switch up once recent reports show headroom, or else after one report cycle.
         session.is_at_recovered_rung = True
         report_cycle_ms = self.settings.report_interval_ms + self.report_age_ms
         session.upswitched_at = self.now + min(report_cycle_ms - UPSWITCH_INTERVAL_MS, 0.0)
@@ -681,7 +681,7 @@
         if session is not None:
             self._end_attempt(session, event, is_request_at_fault)
 
-    def _end_attempt(self, session: Session, event: interface.AttemptEnded, is_own_fault: bool) -> None:
+    def _end_attempt(self, session: Session, event: interface.AttemptEnded, is_request_fault: bool) -> None:
         """Releases the attempt's server, then removes, rejects or places the session."""
         if session.is_in_flight and session.server is not None:
             session.server.attempts_in_flight -= 1
@@ -691,7 +691,7 @@
         self._release_server(session)
         if event.is_final or session.is_playing:
             self.sessions.pop(event.session, None)
-        elif is_own_fault and session.attempts > 1:
+        elif is_request_fault and session.attempts > 1:
             self._reject_or_fail(session)
         else:
             self._place_session(session)
@@ -735,7 +735,7 @@
             server.is_presumed_dead, server.suspected_at = True, self.now
 
     def _refute_death(self, server: Server, session: Session) -> None:
-        """Clears the mark if a session that began before it still plays: only a connection was lost."""
+        """Clears `is_presumed_dead` if an older session still plays: only a connection was lost."""
         is_older = session.arrived_at < server.suspected_at < self._report_time()
         if session.is_playing and session.server is server and is_older:
             server.is_presumed_dead, server.suspected_at = False, -inf
@@ -774,7 +774,7 @@
         return self.now - self.report_age_ms - self.stall_ms
 
     def _observe_report(self, server: Server, report: tuple[float, ...]) -> None:
-        """Records the report of an attempt or health check; that of a session's end dates from its start."""
+        """Records an attempt's or health check's report, not a session's last, which dates from its start."""
         self.watched_servers[server.server_id] = server
         observed_at = self._report_time()
         for name, value in zip(self.settings.report_fields, report, strict=False):
@@ -798,7 +798,7 @@
             self._on_delivery_notice(server, notice.level, observed_at)
             return
         if session is not None and not session.has_start_report:
-            # The first notices of a session are sent at its set-up, without delay, ending with the uplink's.
+            # The first notices of a session arrive at its set-up, without delay; the uplink's is the last.
             is_last = notice.kind is NoticeKind.UPLINK or "x1" not in self.settings.report_fields
             session.has_start_report = is_last
             observed_at = self.now - self.stall_ms
@@ -815,8 +815,8 @@
     def _on_delivery_notice(self, server: Server, delivered_ratio: float, observed_at: float) -> None:
         """Handles a shortfall: sessions receive less than they demand, so the link or uplink is full.
 
-        If the estimated load does not reflect that, one of the two gets a load that does, again after each
-        shedding. It is not a sample if servers report no loads: shortfalls alone are not representative.
+        If the estimates miss that, a load that shows it is recorded for one of the two, again after each
+        shedding. Without load reports it is not counted as typical: shortfalls alone are not representative.
         """
         if not 0.0 <= delivered_ratio < SHORTFALL_RATIO:
             return
@@ -834,7 +834,7 @@
         estimator.observe(load, observed_at, is_sample)
 
     def _is_uplink_short(self, server: Server, is_repeated: bool) -> bool:
-        """Whether half of a rack's servers in use are short, or its only one is and that link is not full."""
+        """Whether the uplink is short: half the rack's used servers are, or its only one on a free link."""
         now, link, uplink = self.now, server.link, server.uplink
         rack = [one for one in self.watched_servers.values() if one.rack == server.rack and one.sessions]
         short = [one for one in rack if one.shortfall_at > now - SHORTFALL_WINDOW_MS]
@@ -876,8 +876,8 @@
     def _shed_load(self, estimator: LoadEstimator, sessions: dict[int, Session]) -> None:
         """Switches own sessions down by this front's share of the load above the target, once per report.
 
-        Other fronts receive the same report and shed theirs. A remainder below a rung is shed as a whole
-        rung, since too much is better than too little; on an unreported uplink, which sheds again, at random.
+        Other fronts get the same report and shed their shares. A remainder below one rung sheds a whole one,
+        since too much is better than too little; only at random on an unreported uplink, as it sheds again.
         """
         load = estimator.load(self.now)
         steps = int((load - TARGET_UTILIZATION) / DOWNSWITCH_STEP + 1e-9)
@@ -896,7 +896,7 @@
     def _downswitch(self, sessions: dict[int, Session], floors: dict[int, int], max_kbyte_s: float) -> float:
         """Switches down the session with the least priority per rate; returns the rate freed, or 0.
 
-        `floors` maps sessions to their lowest rungs. A step of more than `max_kbyte_s` is decided at random.
+        `floors` maps sessions to their lowest rungs. A step of more than `max_kbyte_s` is taken at random.
         """
         able = [
             one
--- a/fernweir/wire.py
+++ b/fernweir/wire.py
@@ -466,7 +466,7 @@
 
 
 def encode_fault(text: str) -> bytes:
-    """Returns the record that reports a failure of the decision code."""
+    """Returns the record that reports an exception of the controller."""
     return encode_text(_FAULT_CODE, text)
 
 
