--- a/fernweir/front/dispatcher.py
+++ b/fernweir/front/dispatcher.py
@@ -106,7 +106,7 @@
         """Handles the end of a session that was checked."""
 
     def is_entitled(self, session_id: str) -> bool:
-        """Whether a session is entitled now, regardless of its first token."""
+        """Whether a session is entitled now, even if its first token has expired."""
 
 
 class ChannelOwnership(Protocol):
@@ -117,10 +117,10 @@
 
 
 class SessionLocator(Protocol):
-    """Finds sessions at the other fronts that this front does not have."""
+    """Finds sessions that other fronts have and this front does not."""
 
     def request_reply(self, request: SessionRequest, on_reply: Callable[[SessionReply | None], None]) -> None:
-        """Requests the reply to a request from the other fronts.
+        """Asks the other fronts for the reply to a request.
 
         Args:
             request: The request.
@@ -181,7 +181,7 @@
         self._wake_up: asyncio.TimerHandle | None = None
         self._wake_up_at = 0.0
         self._timers: set[asyncio.TimerHandle] = set()
-        self._idle: asyncio.Event = asyncio.Event()
+        self._all_requests_answered: asyncio.Event = asyncio.Event()
         self._after_step: list[Callable[[], None]] = []
         self._handlers = self._make_handlers()
 
@@ -223,7 +223,7 @@
             self.sessions.withdraw_request(self.now(), ticket)
             self.schedule_step()
             if not self._reply_callbacks:
-                self._idle.set()
+                self._all_requests_answered.set()
 
     def on_client_half_closed(self, ticket: int) -> None:
         """Handles that a client closed its sending side; it may still read, and gets its reply."""
@@ -246,8 +246,8 @@
         try:
             async with asyncio.timeout(timeout_s):
                 while self._reply_callbacks:
-                    self._idle.clear()
-                    await self._idle.wait()
+                    self._all_requests_answered.clear()
+                    await self._all_requests_answered.wait()
         except TimeoutError:
             return False
         return True
@@ -330,7 +330,7 @@
     def _deliver_reply(self, reply: SessionReply) -> None:
         on_reply = self._reply_callbacks.pop(reply.ticket, None)
         if not self._reply_callbacks:
-            self._idle.set()
+            self._all_requests_answered.set()
         if on_reply is not None:
             on_reply(reply)
         else:  # withdrawn in the same iteration of the loop, after the session manager had replied
--- a/fernweir/front/session_attempts.py
+++ b/fernweir/front/session_attempts.py
@@ -51,8 +51,8 @@
     def describe_viewer(self, now: float, record: SessionRecord) -> Viewer:
         """Returns the description of a session's viewer for the controller.
 
-        The reply margin is subtracted twice: for the delivery of the reply, and for the ledger's deadline,
-        which is a margin earlier.
+        The reply margin is subtracted twice: once because the reply ledger's deadline is earlier by one
+        margin, and once for the delivery of the reply.
         """
         request = record.request
         margin_ms = 2.0 * self._context.limits.reply_margin_ms
@@ -109,7 +109,7 @@
             context.observer.on_session_updated(now, record)
 
     def on_attempt_failed(self, record: SessionRecord, outcome: SetUpResult) -> None:
-        """Handles a failed attempt: it is released if it may have run, and the controller decides."""
+        """Releases the session at the server if the attempt may have run, and informs the controller."""
         context, attempt = self._context, record.attempt
         if outcome.result not in NEVER_RAN_RESULTS:
             record.may_have_run = True
@@ -171,7 +171,7 @@
             context.observer.on_session_updated(now, record)
 
     def _report_loads(self, record: SessionRecord, report: dict[str, float]) -> None:
-        """Passes the loads of a server's response to the controller; the link's load needs no setting."""
+        """Passes the loads in a response to the controller, that of the link even if no setting names it."""
         context = self._context
         for name, kind in _REPORT_NOTICES.items():
             if name in report and (name == _LINK_FIELD or name in context.settings.report_fields):
--- a/fernweir/node/attempts.py
+++ b/fernweir/node/attempts.py
@@ -22,7 +22,7 @@
 from fernweir.node.server_pool import ServerPool
 
 MAX_CONNECTS = 3
-"""How many connections may break before a request that waits for one of them is given up."""
+"""How many connections an unwritten attempt is assigned to before it fails because all of them broke."""
 
 
 @dataclass(slots=True, eq=False)
@@ -127,7 +127,7 @@
             self._write(attempt, connection)
 
     def _check_before_write(self, attempt: Attempt) -> bool:
-        """Ends an attempt whose client has disconnected or whose timeout has passed since the last poll.
+        """Ends an attempt whose client disconnected or whose timeout passed before the loop ran the callback.
 
         Returns:
             Whether the attempt may be written.
@@ -150,9 +150,9 @@
         session_id = attempt.session_id
         now = self._dispatcher.now()
         set_up = self._set_up_frame(attempt, now)
-        lost_releases = endpoint.releases_on_broken_connections(now)
+        unconfirmed_releases = endpoint.releases_on_broken_connections(now)
         releases = endpoint.release_queue.pop_for_session(session_id)
-        releases += [release for release in lost_releases if release.session == session_id]
+        releases += [release for release in unconfirmed_releases if release.session == session_id]
         for release in releases:
             connection.send(release)
         # If the write fails, the server never receives the complete set-up. The attempt is then assigned to a
@@ -218,7 +218,7 @@
 
     def _on_timeout(self, attempt: Attempt) -> None:
         if attempt.connection is not None and attempt.is_written:
-            attempt.connection.state.drain()  # the server is slow or stuck: no new request is sent on it
+            attempt.connection.state.drain()  # no new requests on it: the server is slow or stuck
         self.fail(attempt, Result.TIMEOUT if attempt.is_written else Result.CONNECT_FAILED)
 
     # --- results ---
--- a/fernweir/node/server_connection.py
+++ b/fernweir/node/server_connection.py
@@ -25,7 +25,7 @@
 _MAX_UNSENT_BYTES = 256 * 1024
 _MAX_SENT_RELEASES = 64
 _UNCONFIRMED_MS = 1_000.0  # a break of the connection may have lost what was written within this time
-_REUSE_RATIO = 0.8  # fraction of the idle timeout; the server may close an idle connection after it
+_REUSE_RATIO = 0.8  # of the idle timeout, at which the server may close; limits the idle time before reuse
 _CLOSE_RATIO = 0.5  # fraction of the idle timeout after which an unused connection is closed
 
 
@@ -201,7 +201,7 @@
         return self.state.may_start_request and self.is_usable and is_fresh
 
     def is_unused(self) -> bool:
-        """Whether nothing needs it. A server with sessions needs its last connection to send messages on."""
+        """Whether nothing needs it. A server with sessions keeps its last connection to send messages on."""
         if not self.state.may_write or self.attempts:
             return False
         if any(check.connection is self for check in self.endpoint.health_checks.values()):
@@ -239,8 +239,8 @@
         """Returns the releases that may be lost when the connection ends.
 
         A duplicate release is harmless, but a lost one leaves a session on its server. If the server never
-        answered the close of this side, it is unknown what it read before the close, so the time window is
-        measured from the close.
+        answered the close of this side, it is unknown what it read before the close, so the time window ends
+        at the close instead of now.
         """
         until = min(now, self._close_started_at)
         return [sent.frame for sent in self._sent_releases if until - sent.sent_at < _UNCONFIRMED_MS]
