--- a/fernweir/peers/lease/keeper.py
+++ b/fernweir/peers/lease/keeper.py
@@ -55,7 +55,7 @@
     # --- calls of the front ---
 
     def raise_floor(self, fence: int) -> None:
-        """Grants no fence up to this one from now on. It comes from servers, replicas or a corrected life."""
+        """From now on, grants only fences above this one (from servers, replicas or a corrected life)."""
         self._records.raise_floor(min(fence, MAX_FLOOR))
 
     def shut_out(self, names: Iterable[str]) -> None:
@@ -143,7 +143,7 @@
     def _on_recalled(self, now: float, sender: str, message: Recalled) -> None:
         if sender not in all_keepers(self._sets) and sender not in self._overlap.pending_keepers():
             return
-        # The floor includes grants of the previous set, before the newer set is in force alone.
+        # The floor includes grants of the previous set, so raise it before the newer set is in force alone.
         self.raise_floor(message.floor)
         if self.is_silent(now):
             self._overlap.observe_newer(message.sets)
@@ -203,7 +203,7 @@
             lambda record, item: decide.may_grant(record, now, asker, item),
         )
         for item, record in accepted:
-            _lock(record, asker, item.fence, now, message.span_ms)
+            _record_grant(record, asker, item.fence, now, message.span_ms)
         if accepted:
             self._out.add(Send(sender, Granted(message.life, tuple(item for item, _ in accepted))))
         if refusals:
@@ -218,11 +218,11 @@
             lambda record, item: decide.may_extend(record, now, asker, item.fence),
         )
         for item, record in accepted:
-            _lock(record, asker, item.fence, now, message.span_ms)
+            _record_grant(record, asker, item.fence, now, message.span_ms)
         self._out.add(Send(sender, Extended(message.life, message.request_id, refusals)))
 
     def _on_release(self, now: float, sender: str, message: Release) -> None:
-        """Records the fence of a held lease, even if granted elsewhere, but not that of a failed attempt."""
+        """Ends leases and keeps their fences, even if only others granted them; undoes failed attempts."""
         asker: Asker = (sender, message.life)
         for item in message.items:
             record = self._records.get_or_create(now, item.channel)
@@ -239,7 +239,7 @@
         self._out.add(Send(sender, Released(message.life, message.request_id)))
 
 
-def _lock(record: Record, asker: Asker, fence: int, now: float, span_ms: float) -> None:
+def _record_grant(record: Record, asker: Asker, fence: int, now: float, span_ms: float) -> None:
     if fence != record.fence:
         record.previous_fence = record.fence
     record.owner, record.fence = asker, fence
--- a/fernweir/peers/members/table.py
+++ b/fernweir/peers/members/table.py
@@ -58,7 +58,7 @@
 
 
 class MemberTable:
-    """`rows` has all members with this front, dead ones for a time; `living` has the names of living others.
+    """`rows` has all members including this front, dead ones for a time; `living` the names of living others.
 
     `new_names` collects the names added to `living` until the prober empties it.
     """
@@ -152,7 +152,7 @@
         return [self.rows[name].record for name in names if name != exclude][:count]
 
     def dead_records(self) -> list[Record]:
-        """Returns members declared dead, which may be alive behind a partition, without those that left."""
+        """Returns members declared dead, not those that left: only the former may live behind a partition."""
         rows = [self.rows[name].record for name in self._dead_since]
         rows += [member.record for member in self._tombstones.values()]
         return [record for record in rows if record.state is State.DEAD]
