--- a/fernweir/peers/channel_manager.py
+++ b/fernweir/peers/channel_manager.py
@@ -54,8 +54,8 @@
         review_ms: The interval at which standbys and stale replicas are checked.
         stale_ms: The age of a replica after which this front tries to take over its channel even if the
             owner is not known to be dead: it may be partitioned or stalled.
-        successor_wait_ms: The time after the last message of an owner, one lease, in which only its first
-            successor may try to take over.
+        successor_wait_ms: The time after the last message of an owner in which only its first successor may
+            try to take over. It equals the duration of a lease.
         release_retention_ms: How long the channel of an ended session is stored, so that a lost release can
             be repeated.
         relinquished_retention_ms: How long the new owner of a relinquished session is stored, for viewers
@@ -144,17 +144,17 @@
         # Sessions that play here and belong to no channel, because there was no lease.
         self._unassigned: dict[str, SessionStatus] = {}
         self._server_by_session: dict[str, int] = {}  # server of this front's last attempt
-        # Channels of ended sessions, for repeated releases, each with its expiry.
+        # By ended session: the channel under whose fence its release may be repeated, and until when.
         self._releasable: OrderedDict[str, tuple[str, float]] = OrderedDict()
         # The fence of each owned channel, and of each that was handed off.
         self._fences: dict[str, int] = {}
         self._lease_attempts: dict[str, _LeaseAttempt] = {}
-        # Until when the channel of a stale replica is left to its owner, which is alive.
+        # By channel with a stale replica and a live owner: until when this front does not try to take over.
         self._deferred_until: dict[str, float] = {}
-        # The start and the fence of each takeover whose lease is granted.
+        # By channel whose lease was granted for a takeover: when the takeover starts, and the fence.
         self._pending_takeovers: dict[str, tuple[float, int]] = {}
         self._seed = seed
-        self._unsettled: set[str] = set()  # taken over, first result pending
+        self._unsettled: set[str] = set()  # channels taken over, first result pending
         self._relinquished: dict[str, tuple[str, float]] = {}
         self._dead_fronts: set[str] = set()
         self._fronts: dict[str, Candidate] = {}
@@ -222,7 +222,7 @@
     # --- notifications of the front ---
 
     def on_attempt_started(self, now: float, session: str, server: int) -> None:
-        """Assigns the session of an attempt that is about to be sent to a channel, if there is a lease."""
+        """Assigns a session to a channel whose lease is held, if any, before its set-up is sent."""
         self._server_by_session[session] = server
         known = self._channel_by_session.get(session)
         if known is not None:
@@ -287,9 +287,9 @@
         """Sets all live fronts, this one included, with the data by which successors are chosen."""
         self._fronts = {one.name: one for one in candidates}
         self._dead_fronts -= set(self._fronts)
-        closed = "leaving" if self._leaving else "shut out" if self._is_shut_out else ""
-        closed = closed if self.rules.parts else "has no channels"
-        self.handoff.room(self.rules.handoff.sessions_most, closed)
+        closed_reason = "leaving" if self._leaving else "shut out" if self._is_shut_out else ""
+        closed_reason = closed_reason if self.rules.parts else "has no channels"
+        self.handoff.room(self.rules.handoff.sessions_most, closed_reason)
 
     def on_front_died(self, now: float, name: str) -> None:
         """Tries to take over the channels of a front that died or left, if it has replicas of them."""
@@ -320,7 +320,7 @@
                 self._holder.release(now, channel)
 
     def on_shut_out(self, now: float, over: bool) -> None:
-        """Hands off the channels while this front is shut out; `over` ends that."""
+        """Hands off the channels when the front is shut out. `over`: it is no longer shut out."""
         self._is_shut_out = not over
         self.update_fronts(now, self._fronts.values())
         if over:
@@ -362,8 +362,8 @@
         if attempt is not None and by not in (attempt.owner, self.me, ""):
             self._cancel_lease_attempt(now, channel)  # another successor was first
         elif attempt is not None and by == attempt.owner and by in self._fronts and not attempt.is_owner_dead:
-            # The owner is alive and holds the lease. This front is no longer its standby, and missed the
-            # message.
+            # The owner is alive and holds the lease, and this front missed the message that it is no longer
+            # a standby.
             self._cancel_lease_attempt(now, channel)
             self._deferred_until[channel] = now + _LIVE_OWNER_DELAY_MS
         elif (
@@ -442,12 +442,12 @@
         elif isinstance(event, NeedPayload):
             self.replica.payload(now, event.digest, self._port.payload(event.digest))
         elif isinstance(event, Freeze):
-            out = [
+            in_flight = [
                 one
                 for one in self._port.sessions_in_flight()
                 if self._channel_by_session.get(one) == event.channel
             ]
-            self.handoff.frozen(now, event.channel, out)
+            self.handoff.frozen(now, event.channel, in_flight)
         elif isinstance(event, ReleaseLease):
             self._holder.release(now, event.channel)
         elif isinstance(event, WantLease):
@@ -496,7 +496,7 @@
             self._holder.release(now, channel)
 
     def _take_over_replica(self, now: float, channel: str, fence: int) -> None:
-        """The lease has been here for a while, so that not all channels are claimed in one moment."""
+        """Begins a takeover some time after its lease was granted, so that not all begin at once."""
         lease, replica = self._holder.current_lease(now, channel), self.replica.copy(channel)
         if lease is None or lease.fence != fence:
             return
@@ -515,7 +515,10 @@
         self._process_effects(now)
 
     def _request_own_channel(self, now: float, part: int, number: int | None = None) -> None:
-        """Requests the channel of a part under a number that this incarnation has not used, if any."""
+        """Requests the channel of a part. The part has no channel if all channel numbers are used up.
+
+        `number` is a channel number that this incarnation has not used; by default that of the part.
+        """
         number = part if number is None else number
         if number >= PARTS_MOST:
             self._own_channels.pop(part, None)
@@ -526,7 +529,10 @@
     def _add_channel(
         self, now: float, channel: str, fence: int, statuses: Iterable[SessionStatus] = ()
     ) -> None:
-        """Adds a channel; standbys get `statuses`, confirmed or not, until the takeover settles."""
+        """Adds an owned channel.
+
+        Until a takeover settles, its standbys get all `statuses`, including those that are not confirmed yet.
+        """
         self._sessions.setdefault(channel, {})
         self._fences[channel] = fence
         self.replica.own(now, channel, fence, statuses)
@@ -555,7 +561,10 @@
             del self._sessions[channel]
 
     def _relinquish_channel(self, now: float, channel: str, to: str) -> None:
-        """Relinquishes all sessions of a channel to `to`, or to nobody, without any message about them."""
+        """Relinquishes all sessions of a channel to front `to`; empty if the new owner is unknown or none.
+
+        No message is sent about the sessions.
+        """
         self._unsettled.discard(channel)
         for session in list(self._sessions.pop(channel, {})):
             self._port.relinquish_session(now, session)
@@ -598,7 +607,7 @@
                 self._channel_by_session.get(session) == event.channel
                 and self._server_by_session.get(session) == server
             ):
-                continue  # an attempt of this front, whatever a replica has
+                continue  # this front made the attempt, so it is kept whatever a replica has
             under = (event.channel, event.fence)
             self._port.release_attempt(
                 now, server, session, attempt, "nobody can prove that it is wanted", under
@@ -613,8 +622,8 @@
             if self._channel_by_session.get(session) == channel:
                 statuses[session] = status
                 return
-            # The viewer arrived here meanwhile and the session was set up again, so the other one is
-            # released.
+            # The viewer arrived here meanwhile and the session was set up again, so the attempt that was
+            # taken over is released.
             under = (channel, self._fences.get(channel, 0))
             self._port.release_attempt(now, status.box, session, status.attempt, "began anew", under)
             self.replica.end(now, channel, session)
@@ -643,9 +652,9 @@
             replica = self.replica.copy(channel)
             if replica is None or channel in self._lease_attempts:
                 continue
-            dead = replica.owner in self._dead_fronts and replica.owner not in self._fronts
-            spared = now < self._deferred_until.get(channel, 0.0)
-            if dead or (replica.age_ms(now) > self.rules.stale_ms and not spared):
+            is_owner_dead = replica.owner in self._dead_fronts and replica.owner not in self._fronts
+            is_deferred = now < self._deferred_until.get(channel, 0.0)
+            if is_owner_dead or (replica.age_ms(now) > self.rules.stale_ms and not is_deferred):
                 lost.append(replica)
         self._schedule_lease_attempts(now, lost)
         self._deferred_until = {
@@ -671,9 +680,9 @@
             is_taking_over = replica.channel in self._pending_takeovers or self.handoff.takeover.begun(
                 replica.channel
             )
-            free = not (self._leaving or self._is_shut_out or is_taking_over)
+            can_take_over = not (self._leaving or self._is_shut_out or is_taking_over)
             if (
-                free
+                can_take_over
                 and replica.channel not in self._lease_attempts
                 and replica.standings
                 and self.me in order
@@ -687,8 +696,8 @@
             for channel, replica in candidates.items()
         ]  # fmt: skip
         for turn in spread(0.0, losses, self.rules.spread, self._seed, max(len(self._fronts), 1)):
-            # Two fronts that request a lease at once can block each other. All but the first successor wait
-            # until the lease has expired that was valid at the last message of the owner.
+            # Two fronts that request a lease at once can block each other. So all but the first successor
+            # wait until the lease that the owner had at its last message has expired.
             due, rank, owner = now, ranks[turn.channel], candidates[turn.channel].owner
             if rank:
                 last_message_at = now - min(
@@ -744,13 +753,13 @@
 
     def _successors(self, channel: str, sessions: int, owner: str) -> list[str]:
         """Returns the possible successors of an owner: equal at all fronts with the same membership view."""
-        fit = [one for one in self._fronts.values() if one.name != owner]
-        keepers = standbys(channel, fit, self.rules.standbys)
-        named = [
-            Candidate(one.name, one.load, one.age_ms, one.late, one.leaving, one.name in keepers)
-            for one in fit
+        others = [one for one in self._fronts.values() if one.name != owner]
+        standby_names = standbys(channel, others, self.rules.standbys)
+        candidates = [
+            Candidate(one.name, one.load, one.age_ms, one.late, one.leaving, one.name in standby_names)
+            for one in others
         ]
-        return heirs(channel, named, self.rules.successors, max(sessions, 1))
+        return heirs(channel, candidates, self.rules.successors, max(sessions, 1))
 
     def _standbys(self, channel: str) -> list[str]:
         others = [one for one in self._fronts.values() if one.name != self.me]
--- a/fernweir/peers/query_planning.py
+++ b/fernweir/peers/query_planning.py
@@ -1,9 +1,9 @@
 """Estimates the cost of a query of the audit logs before it runs, and admits or rejects it.
 
-The audit records of a front are summarized, and the summaries are exchanged as facts. The rows of each front
-have the times of its own clock, so the time range of a query is converted to each clock and widened by the
-uncertainty of the two clocks. The upper bounds of the estimate are reserved for a query. A query over the
-budget is rejected with its estimate and a narrower query that would be admitted.
+The audit records of a front are summarized, and the summaries are exchanged as facts. Each front records its
+rows with the times of its own clock, so the time range of a query is converted to each clock and widened by
+the uncertainty of the two clocks. An admitted query reserves the upper bounds of its estimate. A query over
+the budget is rejected with its estimate and a narrower query that would be admitted.
 """
 
 from __future__ import annotations
@@ -46,19 +46,22 @@
     feedback: FeedbackRules = field(default_factory=FeedbackRules)
     limits: LimitRules = field(default_factory=LimitRules)
     usual_timer_delay_ms: float = 5.0  # normal delay without load
-    max_timer_delay_ms: float = 100.0  # at this delay, queries get nothing
+    max_timer_delay_ms: float = 100.0  # at this delay over the usual one, no query is admitted
     pressure_half_life_ms: float = 1_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """An admitted query with its budget, and the time ranges by front and incarnation to read (None: all)."""
+    """An admitted query with its budget.
+
+    `planned` has the time range to read of each front and incarnation; if it is None, everything is read.
+    """
 
     ticket: int
     estimate: Estimate
     budget: Budget
     planned: Mapping[tuple[str, int], tuple[float, float]] | None
-    known: frozenset[tuple[str, int]]  # with summaries; only these may be omitted
+    known: frozenset[tuple[str, int]]  # fronts and incarnations with summaries; only these may be left out
 
 
 class QueryPlanner:
@@ -217,14 +220,14 @@
     ) -> dict[tuple[str, int], tuple[float, float]] | None:
         if isinstance(question, Still):
             return None  # compares fronts, so all have to be queried
-        hulls: dict[tuple[str, int], tuple[float, float]] = {}
+        spans: dict[tuple[str, int], tuple[float, float]] = {}
         for one in estimate.plan:
             key = (one.shard.front, one.shard.life)
-            low, high = hulls.get(key, (inf, -inf))
-            hulls[key] = (min(low, one.since), max(high, inf if one.tail else one.until))
+            low, high = spans.get(key, (inf, -inf))
+            spans[key] = (min(low, one.since), max(high, inf if one.tail else one.until))
         for front in estimate.missing:  # without summaries, everything is read
-            hulls[front, self._lives.get(front, 0)] = (-inf, inf)
-        return hulls
+            spans[front, self._lives.get(front, 0)] = (-inf, inf)
+        return spans
 
 
 def query_of(question: Question, wall_offset_ms: float) -> Query:
@@ -272,7 +275,7 @@
 
 
 def _question(query: Query, wall_offset_ms: float) -> dict[str, Any]:
-    """Returns a narrower query as a question. Only the first of its fronts can be named."""
+    """Returns a narrower query as a question. A question has at most one front: the first of the query."""
     plain: dict[str, Any] = {"question": "acts"}
     for name in ("deed", "session", "title", "box", "tenant", "outcome"):
         if getattr(query, name) is not None:
