--- a/fernweir/peers/forward/forwarder.py
+++ b/fernweir/peers/forward/forwarder.py
@@ -1,4 +1,4 @@
-"""Both ends of a forwarded request, which ends once: with a reply or with a timeout.
+"""Sends and receives forwarded requests; each ends exactly once, with a reply or without one.
 
 A pure state machine. A duplicate request is executed once. A request without a reply ends with its timeout
 and is not sent to another front, because it may have been executed.
@@ -18,8 +18,8 @@
 class ForwardRules:
     """The settings of a forwarder. Times are in ms.
 
-    `reply_margin_ms` of the wait of a viewer is reserved for the way back. The tables of sent and received
-    requests hold `max_requests` each.
+    `reply_margin_ms` is the part of a viewer's wait that is reserved for returning the reply. The tables of
+    sent and received requests hold `max_requests` each.
     """
 
     reply_margin_ms: float = 30.0
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived(Event):
-    """A request to execute here; its reply goes to `send_reply` with this sender and its number."""
+    """A request to execute here; pass the reply to `send_reply` with `sender` and the request's number."""
 
     sender: str
     request: Carry
--- a/fernweir/peers/link/tcp.py
+++ b/fernweir/peers/link/tcp.py
@@ -26,8 +26,8 @@
 class Connections:
     """All connections of one front. `seal` holds the incarnations of peers, `address_of` validates addresses.
 
-    `on_body` is called with (sender, incarnation, format, body) of each frame, `on_stale` with (sender,
-    incarnation, newest incarnation, None) of a peer whose incarnation has been superseded.
+    `on_body` is called for each frame with (sender, incarnation, format, body). `on_stale` is called for a
+    peer whose incarnation has been superseded, with (sender, incarnation, newest incarnation, None).
     """
 
     def __init__(
@@ -145,26 +145,26 @@
         task.add_done_callback(lambda done: self._tasks.pop(done, None))
 
     async def _connect(self, send_queue: SendQueue, address: Address) -> None:
-        on_connection_made: list[Connection] = []
+        created: list[Connection] = []
 
         def protocol() -> Connection:
-            on_connection_made.append(Connection(self, send_queue.target, address))
-            return on_connection_made[0]
+            created.append(Connection(self, send_queue.target, address))
+            return created[0]
 
         try:
             async with asyncio.timeout(self.rules.connect_timeout_ms / 1000.0):
                 # Binds to the listening host, so that anything on the path can identify the caller.
                 await self._loop.create_connection(protocol, *address, local_addr=(self._host, 0))
         except (OSError, TimeoutError):
-            for connection in on_connection_made:
+            for connection in created:
                 connection.abort()
             self._on_connect_failed(send_queue)
         else:
             if self._stopped:
-                on_connection_made[0].abort()
+                created[0].abort()
 
     def _on_connect_failed(self, send_queue: SendQueue) -> None:
-        """Handles a failed dial, or a connection that was lost before it was proven or right after."""
+        """Handles a failed dial, or a connection that was lost before the peer was proven or right after."""
         if not self.send_queues.has(send_queue) or send_queue in self._retries:
             return
         self.counts.failed_dials += 1
@@ -179,7 +179,7 @@
     # --- callbacks of connections ---
 
     def on_connection_made(self, connection: Connection) -> None:
-        if self._stopped:  # opened in the loop iteration of `stop`, which did not see it
+        if self._stopped:  # opened in the loop iteration in which `stop` ran, which missed it
             connection.abort()
             return
         if connection.dialled_target is None:
--- a/fernweir/peers/wire/gate.py
+++ b/fernweir/peers/wire/gate.py
@@ -1,7 +1,8 @@
-"""Limits the cost of a datagram flood: above a rate of bad ones, unknown sources are dropped unauthenticated.
+"""Limits the cost of a datagram flood.
 
-A source is known if authenticated datagrams came from it recently. This is only a guess, as a source address
-can be forged. It decides only whose seals are still checked, and each known source has its own limit.
+Above a rate of bad datagrams, those from unknown sources are dropped without checking their seals. A source
+is known if authenticated datagrams came from it recently. This is only a guess, as a source address can be
+forged, so it decides only whose seals are still checked, and each known source has its own limit.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
         self._second, self._refused_count = 0, 0
         self._known: dict[
             Hashable, tuple[int, int]
-        ] = {}  # current second, bad datagrams in it; most recent last
+        ] = {}  # last second with a bad datagram, their number in it; last authenticated source last
 
     def admits(self, now: float, source: Hashable) -> bool:
         """Returns whether the seal of a datagram should be checked."""
