--- a/fernweir/config/ini.py
+++ b/fernweir/config/ini.py
@@ -96,7 +96,8 @@
     """
 
     def __init__(self) -> None:
-        # The keys of the default section apply to all others; no file can contain a section of this name.
+        # configparser copies the keys of its default section into all others. No file can contain a section
+        # named "\n", so there is no default section.
         super().__init__(interpolation=None, strict=True, default_section="\n")
         self.lines: dict[tuple[str, str], int] = {}
         self._line_number = 0
--- a/fernweir/journal/disk.py
+++ b/fernweir/journal/disk.py
@@ -250,7 +250,7 @@
         return self._correct_numbers(path.name, data, frames), len(data)
 
     def _correct_numbers(self, name: str, data: bytes, frames: list[_Frame]) -> list[_Frame]:
-        """Returns the frames, with the numbers of their rows where adjacent frames do not confirm theirs."""
+        """Returns the frames; where adjacent numbers are not consecutive, with the numbers from the rows."""
         corrected: list[_Frame] = []
         unconfirmed = _unconfirmed_frames(frames)
         for index, frame in enumerate(frames):
--- a/fernweir/seats/acquisition.py
+++ b/fernweir/seats/acquisition.py
@@ -1,4 +1,4 @@
-"""Acquires leases: admits sessions, handles the server's responses, and decides without one when overdue.
+"""Acquires leases: admits sessions, handles the server's responses, and decides without overdue ones.
 
 Times are milliseconds of the monotonic clock.
 """
@@ -96,7 +96,8 @@
         operations = self._operations
         if seat.decision_deadline_ms is None:
             if not seat.is_wanted and seat.request_id is None:
-                # The waiting session has ended; this timer replaced the retry timer and starts the release.
+                # The session ended while it waited. This timer replaced the retry timer, so that the release
+                # starts here.
                 operations.release(now, seat)
             return
         is_admitted = operations.admits_unanswered(seat.record.class_name)
