--- a/fernweir/console/views.py
+++ b/fernweir/console/views.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RowFilter:
-    """Selects and sorts the rows of a list: `search` in any cell, and `equal` values of fields."""
+    """Selects rows with `search` in any cell and the field values in `equal`, and sorts them by `sort`."""
 
     search: str = ""
     sort: str = ""
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """A head of fixed lines, and rows that scroll. `keys` has the session or server of each row."""
+    """A head of fixed lines, and rows that scroll. `keys` has the session, server or reason of each row."""
 
     head: list[str]
     rows: list[str]
@@ -215,7 +215,7 @@
 
 
 def title(state: ConsoleState, columns: int = 80) -> str:
-    """Returns the first line of every screen: the server's name, and how old the data is."""
+    """Returns the first line of every screen: the name of the front or unit, and how old the data is."""
     left = f"{state.name or '?'}  {state.freshness()}" + ("" if state.may_act else "  (may look only)")
     if state.missed_count:
         left += f"  caught up {state.missed_count}x"
@@ -229,10 +229,10 @@
 
 def _stretch_column(sizes: tuple[int, ...], columns: int, column: int) -> list[int]:
     """Returns the widths of a table's columns, one of which takes the spare width."""
-    spread = list(sizes)
+    widths = list(sizes)
     spare = columns - sum(abs(size) for size in sizes) - (len(sizes) - 1)
-    spread[column] = max(spread[column] + spare, 4)
-    return spread
+    widths[column] = max(widths[column] + spare, 4)
+    return widths
 
 
 VIEWS: dict[str, Callable[[ConsoleState, RowFilter, int], View]] = {
--- a/fernweir/control/channel.py
+++ b/fernweir/control/channel.py
@@ -114,7 +114,7 @@
             client.close()
 
     def on_journal_entry(self, entry: Entry) -> None:
-        """Queues an entry for all watchers. Goes into `Journal.watchers`, after the service's projection."""
+        """Queues an entry for all watchers. Must follow the service's projection in `Journal.watchers`."""
         watching = [client for client in self.clients if client.watching]
         if not watching:
             return
@@ -125,7 +125,7 @@
             self._flush_timer = self.loop.call_later(_FLUSH_INTERVAL_S, self._flush)
 
     def reset_watchers(self) -> None:
-        """Sends each watcher a new snapshot, because the entries no longer follow from its last one."""
+        """Sends each watcher a new snapshot, because new entries do not continue its last one."""
         for client in self.clients:
             client.has_missed_entries = client.watching
             client.pending.clear()
@@ -299,7 +299,7 @@
 
     @property
     def is_writable(self) -> bool:
-        # Uses the transport's pause, not a size: when it ends, resume_writing flushes the queue.
+        # Checks whether writing is paused, not the buffer size: resume_writing flushes after a pause.
         return self._transport is not None and not self._paused
 
     def enqueue(self, row: bytes) -> None:
@@ -323,7 +323,7 @@
             self.write(b'{"watch":"entries","rows":[' + rows + b"]}\n")
 
     def _send_snapshot(self) -> None:
-        self.pending.clear()  # the projection includes them
+        self.pending.clear()  # the snapshot includes these entries
         for line in snapshot_lines(self.control_server.service.projection):
             self.write(line)
 
