--- a/fernweir/dash/mpd.py
+++ b/fernweir/dash/mpd.py
@@ -113,7 +113,7 @@
 
 
 class SegmentTemplate(Node):
-    """A SegmentTemplate (5.3.9.4) with `$Number$`, by constant duration or by SegmentTimeline."""
+    """A SegmentTemplate (5.3.9.4) with `$Number$`; the durations are constant or in a SegmentTimeline."""
 
     __slots__ = ()
 
--- a/fernweir/http/client.py
+++ b/fernweir/http/client.py
@@ -1,8 +1,8 @@
 """An HTTP/1.1 client on asyncio's BufferedProtocol that reports whether a request may have been executed.
 
-A request provably never ran only if none of its bytes was handed to a connection. So a call ends in exactly
-one `Outcome`, and `UNSENT` or `REFUSED` are reported only while no byte of it was written. A connection
-carries one call at a time. The client never retries: that is a decision of its callers.
+It is certain that a request was not executed only if none of its bytes was handed to a connection. Each call
+ends with exactly one `Outcome`; `UNSENT` and `REFUSED` are reported only if no byte of it was written. A
+connection carries one call at a time. The client never retries: that is a decision of its callers.
 """
 
 from __future__ import annotations
@@ -271,7 +271,7 @@
         on_head: Callable[[ResponseHead], None] | None = None,
         on_data: Callable[[bytes], None] | None = None,
     ) -> Call:
-        """Sends a request. `wanted` is called immediately before its first byte is written."""
+        """Sends a request unless `wanted`, called immediately before the first byte, returns False."""
         data = encode_request(method, target, f"{origin[0]}:{origin[1]}", headers, body)
         call = Call(self, origin, method, data, on_done, wanted, on_head, on_data)
         if timeout_s is not None:
@@ -332,7 +332,7 @@
         if detail or self.closed:
             if created and created[0].usable:
                 created[0].abort()
-            # Each attempt belongs to one queued call: the oldest call fails, the others have their own.
+            # Each queued call has an attempt: if one fails, the oldest call fails and the others keep theirs.
             if len(connections.queue) > connections.connecting:
                 connections.queue.popleft()._finish(Reply(outcome, detail=detail or "closed"))
             return
--- a/fernweir/tokens/keyring.py
+++ b/fernweir/tokens/keyring.py
@@ -44,7 +44,7 @@
 class Keyring:
     """Verifies tokens with any of its keys and signs with one of them.
 
-    Valid signatures and schemas are cached by token; the times of a token are checked at each use.
+    The claims of a token with a valid signature and schema are cached; its times are checked at each use.
 
     Args:
         keys: A JWK Set as parsed from JSON.
