--- a/fernweir/dash/mpd.py
+++ b/fernweir/dash/mpd.py
@@ -129,7 +129,7 @@
             return list(self._by_timeline(timeline, first, period_s, limit))
         segment_duration = self.number("duration")
         if not segment_duration or period_s is None:
-            raise MpdError("SegmentTemplate without a bound on the number of its segments")
+            raise MpdError("SegmentTemplate without a bound on its segments")
         count = ceil(period_s * self.timescale / segment_duration - 1e-9)
         if count > limit:
             raise MpdError("too many segments")
@@ -146,7 +146,7 @@
             time, segment_duration = entry.number("t", time), entry.number("d")
             repeat = int(entry.get("r", "0")) if re.fullmatch(r"-?\d{1,9}", entry.get("r", "0")) else None
             if repeat is None or not segment_duration:
-                raise MpdError("SegmentTimeline with an invalid S element")
+                raise MpdError("SegmentTimeline with a bad S")
             if repeat < 0:
                 # "Up to the next S, or the end of the period" (5.3.9.6).
                 end = entries[index + 1].number("t", 0) if index + 1 < len(entries) else None
--- a/fernweir/dash/xml.py
+++ b/fernweir/dash/xml.py
@@ -116,8 +116,8 @@
 def _describe_markup(text: str, start: int) -> str:
     head = text[start : start + 9]
     if head.startswith("<!DOCTYPE") or head.startswith("<!ENTITY"):
-        return "document type or entity declaration rejected"
-    return "processing instruction rejected" if head.startswith("<?") else "malformed markup"
+        return "document type or entity declaration refused"
+    return "processing instruction refused" if head.startswith("<?") else "malformed markup"
 
 
 def _add_text(stack: list[Element], last: Element | None, text: str, position: int) -> None:
