--- a/fernweir/node/client_requests.py
+++ b/fernweir/node/client_requests.py
@@ -40,7 +40,7 @@
     """Handles the messages of clients and sends the replies.
 
     Attributes:
-        is_ready: Whether the node accepts sessions, which is the reply to a ping.
+        is_ready: Whether the node has started, so that its pongs may report that it accepts sessions.
         recent_ids: Ids of sessions that were answered or ended recently. Further messages for them are not
             errors.
         open_requests: The set-ups that have no reply yet, by session id.
